--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -28,9 +28,9 @@
             .expect("a name")
             .to_string_lossy()
             .to_string();
-        trials.push(Trial::test(name, move || {
+        trials.push(Trial::test(name.clone(), move || {
             let text = std::fs::read_to_string(&file).expect("a scenario");
-            play(&text)
+            play(&name, &text)
         }));
     }
     for (rule, test) in CHECKER_TESTS {
@@ -50,7 +50,7 @@
         }
         for (kind, day) in days {
             trials.push(Trial::test(format!("{kind} of seed {seed}"), move || {
-                play_once(&words(&day)).map_err(|f| {
+                play_once(&format!("{kind}/{seed}"), &words(&day)).map_err(|f| {
                     let why = f.message().unwrap_or("").to_string();
                     format!("seed {seed}: {why}\n{day}").into()
                 })
@@ -200,23 +200,25 @@
 }
 
 /// Plays a scenario, with each of the seeds that it names.
-fn play(text: &str) -> Result<(), Failed> {
+fn play(name: &str, text: &str) -> Result<(), Failed> {
     let lines = words(text);
     let seeds = lines.iter().find(|l| l[0] == "seeds").map(|l| &l[1..]);
     let Some(seeds) = seeds else {
-        return play_once(&lines);
+        return play_once(name, &lines);
     };
     for seed in seeds {
         let seeded = [vec![String::from("seed"), seed.clone()]];
         let lines: Vec<_> = seeded.into_iter().chain(lines.iter().cloned()).collect();
-        play_once(&lines).map_err(|f| format!("seed {seed}: {}", f.message().unwrap_or("")))?;
+        play_once(&format!("{name}/{seed}"), &lines)
+            .map_err(|f| format!("seed {seed}: {}", f.message().unwrap_or("")))?;
     }
     Ok(())
 }
 
-fn play_once(lines: &[Vec<String>]) -> Result<(), Failed> {
+fn play_once(name: &str, lines: &[Vec<String>]) -> Result<(), Failed> {
     let mut world = World::new(lines);
     world.run();
+    world.digest.record(name);
     let mut faults = std::mem::take(&mut world.checker.broken);
     for l in lines.iter().filter(|l| l[0] == "expect") {
         if let Err(why) = expect(&world, &l[1..]) {
--- a/tests/sim/mod.rs
+++ b/tests/sim/mod.rs
@@ -1,6 +1,7 @@
 //! Stand-ins for state service, cloud, workers and users, in simulated time, around
 //! real cores; a checker looks at every rule after every step.
 
+mod digest;
 mod limits;
 mod nodes;
 mod script;
--- a/tests/sim/nodes.rs
+++ b/tests/sim/nodes.rs
@@ -92,6 +92,7 @@
             self.at(at, Ev::Wake(n, boot));
         }
         for o in out {
+            self.digest.add(self.now, n, boot, &o);
             self.output(n, boot, o);
         }
         if taken {
--- a/tests/sim/world.rs
+++ b/tests/sim/world.rs
@@ -1,6 +1,7 @@
 //! The world: a queue of events in simulated time, links that can be cut, nodes that
 //! are killed, and the script that a scenario file holds.
 
+use super::digest::OutputDigest;
 use super::limits::LimitChanges;
 use super::state::StateService;
 use super::troubles::{Met, Troubles, trouble_ms};
@@ -152,6 +153,8 @@
     pub killed: usize,
     /// Tasks that were on machines when these were deleted.
     pub deleted_tasks: usize,
+    /// Over all that the controllers send.
+    pub digest: OutputDigest,
 }
 
 pub type Args<'a> = &'a [String];
@@ -304,6 +307,7 @@
             end: ms(value("end", 120.0)),
             killed: 0,
             deleted_tasks: 0,
+            digest: OutputDigest::default(),
         };
         for l in many("machines") {
             for _ in 0..l[2].parse::<u32>().expect("a number") {
