--- a/src/core/autoscaler/demand.rs
+++ b/src/core/autoscaler/demand.rs
@@ -4,7 +4,7 @@
 use crate::core::fleet::{Machine, Seat};
 use crate::core::placement::{within_limit, zone_allowed};
 use crate::core::records::Closed;
-use crate::core::*;
+use crate::core::{BTreeMap, ClassInfo, Form, HashMap, Holder, JobRec, Rank, Room, Settings, Time};
 use crate::peer::PoolCount;
 use std::collections::BTreeSet;
 
--- a/src/core/autoscaler/machines.rs
+++ b/src/core/autoscaler/machines.rs
@@ -3,7 +3,10 @@
 
 use super::{CloudPurpose, REPEAT_S};
 use crate::core::fleet::Machine;
-use crate::core::*;
+use crate::core::{
+    ClassInfo, CloudOp, CloudReply, Core, Holder, Listed, MachineId, MachineStance, Priority,
+    Reply, ReqId, TaskId, Time, holder,
+};
 use log::info;
 use std::collections::BTreeSet;
 
--- a/src/core/autoscaler/mod.rs
+++ b/src/core/autoscaler/mod.rs
@@ -11,7 +11,7 @@
 mod rentals;
 mod tick;
 
-use super::*;
+use super::{BTreeMap, CallId, CloudOp, CloudReply, Core, Listed, MachineId, Output, Priority};
 pub(crate) use demand::{per_machine, pool_for};
 pub(crate) use plan::Scale;
 
--- a/src/core/autoscaler/plan.rs
+++ b/src/core/autoscaler/plan.rs
@@ -3,7 +3,10 @@
 use super::Pool;
 use super::rentals::{Rental, RentalStep};
 use crate::core::records::Closed;
-use crate::core::*;
+use crate::core::{
+    BTreeMap, Core, HashMap, Key, MachineId, PlanRec, Priority, Purpose, Record, RentalRec,
+    StateOp, StateReply, Time, Write, json_bytes,
+};
 use std::collections::VecDeque;
 
 /// Share of the value limit that the plan may fill.
--- a/src/core/autoscaler/rentals.rs
+++ b/src/core/autoscaler/rentals.rs
@@ -4,7 +4,9 @@
 use super::{CloudPurpose, Pool, REPEAT_S, Zones};
 use crate::core::fleet::Machine;
 use crate::core::records::Closed;
-use crate::core::*;
+use crate::core::{
+    BTreeMap, ClassInfo, CloudOp, CloudReply, Core, MachineId, Number, Priority, RentalRec, Time,
+};
 use log::{info, warn};
 
 /// Pauses after a refusal, in boot times of nothing: plain seconds.
--- a/src/core/autoscaler/tick.rs
+++ b/src/core/autoscaler/tick.rs
@@ -2,7 +2,7 @@
 
 use super::rentals::RentalStep;
 use super::{Pool, Zones};
-use crate::core::*;
+use crate::core::{BTreeMap, Core, MachineId};
 use crate::peer::PoolCount;
 use log::{debug, info, warn};
 
--- a/src/core/blocks.rs
+++ b/src/core/blocks.rs
@@ -6,7 +6,11 @@
 
 use super::autoscaler::Scale;
 use super::team_limits::LimitsWanted;
-use super::*;
+use super::{
+    BTreeMap, BlockCounts, BlockRec, Core, Entry, Holder, JobId, Key, LimitsByTeam, MachineId,
+    Member, Message, Number, NumberRec, Output, Priority, Purpose, Record, StateOp, StateReply,
+    Time, Write, json_bytes,
+};
 use crate::peer::TeamCount;
 use crate::wire::Report;
 use log::{info, warn};
--- a/src/core/calls.rs
+++ b/src/core/calls.rs
@@ -1,6 +1,8 @@
 //! Calls to the state service: their budgets, and whose answer is whose.
 
-use super::*;
+use super::{
+    Call, CallId, Core, FreshRead, Output, Priority, Purpose, StateOp, StateReply, Tenure,
+};
 
 /// Share of what the other controllers may write that the holder leaves to them at least.
 const KEPT_FOR_OTHERS: f64 = 0.35;
--- a/src/core/cells.rs
+++ b/src/core/cells.rs
@@ -7,7 +7,10 @@
 //! Blocks are allowed what the cell's record says, in commits that are conditional on it.
 
 use super::team_limits::LimitsWanted;
-use super::*;
+use super::{
+    BTreeMap, Core, Holder, Key, LimitsByTeam, Output, Priority, Purpose, Record, StateOp,
+    StateReply, Time, Write, jobs,
+};
 use crate::peer::TeamCount;
 use crate::settings::CellsFile;
 use log::{debug, info, warn};
--- a/src/core/fleet.rs
+++ b/src/core/fleet.rs
@@ -6,7 +6,9 @@
 //! knows what its tasks mean for a placement. Every change goes through `edit`, which
 //! files the machine anew: there is no second place that could forget to.
 
-use super::*;
+use super::{
+    BTreeMap, ClassInfo, Image, JobRec, MachineId, Member, Rank, ReqId, Room, TaskId, Time,
+};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
--- a/src/core/front/mod.rs
+++ b/src/core/front/mod.rs
@@ -7,7 +7,7 @@
 mod questions;
 mod submissions;
 
-use super::*;
+use super::{CallId, Core, Ending, JobId, JobRec, Reply, ReqId, Request, Time};
 use std::collections::VecDeque;
 
 /// A submission that waits for its commit.
--- a/src/core/holder/burst_estimate.rs
+++ b/src/core/holder/burst_estimate.rs
@@ -1,7 +1,7 @@
 //! How services' demand for each pool varies, and how long machines take to boot: from both
 //! follows the room to keep free for urgent starts.
 
-use super::*;
+use super::{BTreeMap, ClassInfo, Form, Holder, JobRec, JobState, Pool, Time, faded};
 use crate::core::autoscaler::{per_machine, pool_for};
 use crate::core::records::Closed;
 
--- a/src/core/holder/commits.rs
+++ b/src/core/holder/commits.rs
@@ -1,6 +1,9 @@
 //! How placements, results and ends are committed.
 
-use super::*;
+use super::{
+    Attempt, BTreeSet, Core, Holder, JobId, JobState, Key, MachineId, Phase, Placement, Priority,
+    Purpose, Rank, Record, RunRec, StateOp, StateReply, TaskId, Time, Write, json_bytes,
+};
 use crate::core::chunks::{ChunkLayout, chunk_size, ranges};
 use log::{debug, info, warn};
 
--- a/src/core/holder/endings.rs
+++ b/src/core/holder/endings.rs
@@ -1,7 +1,7 @@
 //! How the ends of jobs are committed, and how what is left of their records is cleared away.
 
 use super::commits::rank_priority;
-use super::*;
+use super::{Core, Ending, JobId, Key, Priority, Purpose, Record, StateOp, StateReply, Write};
 use log::warn;
 
 impl Core {
--- a/src/core/holder/image_demand.rs
+++ b/src/core/holder/image_demand.rs
@@ -1,6 +1,6 @@
 //! Which images services ask for, and how often.
 
-use super::*;
+use super::{Form, Holder, JobRec, Room, Time, faded};
 
 /// What is known of an image that services use.
 #[derive(Debug)]
--- a/src/core/holder/intake.rs
+++ b/src/core/holder/intake.rs
@@ -1,6 +1,8 @@
 //! Jobs come into a block, are cancelled there, and leave it.
 
-use super::*;
+use super::{
+    BTreeSet, Core, Holder, JobId, JobState, Machine, Phase, Placed, Placement, TaskId, Time, jobs,
+};
 use crate::core::dependencies::Needs;
 use log::info;
 
--- a/src/core/holder/job_state.rs
+++ b/src/core/holder/job_state.rs
@@ -1,6 +1,6 @@
 //! What a block's holder knows of one job: its tasks, its placements, and what is written.
 
-use super::*;
+use super::{Attempt, BTreeMap, JobRec, MachineId, Rank, Rc, Time, WriteUrgency, jobs};
 use crate::core::chunks::ChunkLayout;
 
 /// How far a placement has come.
--- a/src/core/holder/mod.rs
+++ b/src/core/holder/mod.rs
@@ -14,7 +14,11 @@
 use super::autoscaler::Pool;
 use super::failures::FailureLog;
 use super::fleet::{Fleet, Machine};
-use super::*;
+use super::{
+    Attempt, BTreeMap, BlockRec, ClassInfo, Core, Ending, Form, HEARD_S, HashMap, Image, JobId,
+    JobRec, Key, MachineId, Member, Number, Placed, Priority, Purpose, Rank, Record, ReqId, Room,
+    RunRec, StateOp, StateReply, TaskId, Time, Write, jobs, json_bytes,
+};
 pub(crate) use burst_estimate::BurstEstimate;
 pub use commits::{FlushItem, FlushQueue, WriteUrgency};
 pub(crate) use image_demand::ImageDemand;
--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -2,8 +2,11 @@
 
 use super::dependencies::Dependencies;
 use crate::core::chunks::{ChunkLayout, EffectiveRun, effective_runs};
-use crate::core::records::*;
-use crate::ids::*;
+use crate::core::records::{
+    BlockRec, Closed, Ending, JobRec, Key, LeaderRec, LimitsRec, NumberRec, PlanRec, Rank, Record,
+    RunRec,
+};
+use crate::ids::{JobId, Number, Time};
 use crate::wire::Change;
 use salttrestle_cells::Cell;
 use salttrestle_cells::ledger::{CellRecord, LinkRecord};
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -33,10 +33,13 @@
 mod team_limits;
 mod workers;
 
-use crate::ids::*;
+use crate::ids::{Attempt, CallId, Image, JobId, MachineId, Member, Number, ReqId, TaskId, Time};
 use crate::peer::{BlockCounts, Hello, Message};
 use crate::settings::Settings;
-use crate::wire::*;
+use crate::wire::{
+    Cause, Change, ClassInfo, CloudOp, CloudReply, Command, Listed, MachineStance, Report,
+    ReportTask, StateOp, StateReply, TaskStance, Write, commands_body,
+};
 use blocks::Lead;
 use budget::{Bucket, Priority};
 use change_meter::ChangeMeter;
@@ -44,7 +47,10 @@
 pub use interface::{Input, Link, Load, Output, Queue, Reply, Request};
 use jobs::Cache;
 use processor::ProcessorUse;
-use records::*;
+use records::{
+    BlockRec, Ending, Entry, Form, JobRec, Key, LimitsByTeam, NumberRec, Placed, PlanRec, Rank,
+    Record, RentalRec, Room, RunRec, json_bytes,
+};
 use salttrestle_standby::Standby;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
--- a/src/core/needs.rs
+++ b/src/core/needs.rs
@@ -1,7 +1,9 @@
 //! What changes in jobs that others need comes to those: ends are read where they aren't known,
 //! waiting jobs are released or cancelled, and ranks rise and fall.
 
-use super::*;
+use super::{
+    BTreeSet, Core, Ending, JobId, Key, Priority, Purpose, Record, StateOp, StateReply, Time,
+};
 
 /// Ends of needed jobs that are read at once.
 const READS_MOST: usize = 4;
--- a/src/core/placement/consolidation.rs
+++ b/src/core/placement/consolidation.rs
@@ -1,6 +1,9 @@
 //! Moves the replicas of little used machines to fuller ones, so that the former go back.
 
-use super::*;
+use super::{
+    BTreeMap, BTreeSet, ClassInfo, Core, Form, Holder, JobId, Machine, MachineId, Phase, Rank, Rc,
+    Room, Settings, TaskId, Time, suits, usable, zone_allowed,
+};
 
 /// A machine used no more than this may be emptied, if its replicas have run for a
 /// while: starts that are stopped soon after don't count for anyone.
--- a/src/core/placement/mod.rs
+++ b/src/core/placement/mod.rs
@@ -10,7 +10,10 @@
 
 use super::fleet::Machine;
 use super::holder::{JobState, Phase, Placement};
-use super::*;
+use super::{
+    BTreeMap, ClassInfo, Core, Form, HashMap, Holder, Image, JobId, JobRec, MachineId, Rank, Room,
+    Settings, TaskId, Time,
+};
 use log::debug;
 use preemption::cheapest_victims;
 use quota::{suits, teams_over, within_guarantee};
--- a/src/core/placement/preemption.rs
+++ b/src/core/placement/preemption.rs
@@ -1,6 +1,9 @@
 //! Which tasks of lower rank are stopped to make room.
 
-use super::*;
+use super::{
+    ClassInfo, Holder, JobRec, JobState, Machine, Phase, Rank, Room, TaskId, Time, fetch_s, suits,
+    zone_allowed,
+};
 
 /// The tasks to stop for up to `most` tasks of a job: the least work of lower rank, one
 /// machine for each; and how many machines were looked at.
--- a/src/core/placement/quota.rs
+++ b/src/core/placement/quota.rs
@@ -1,6 +1,6 @@
 //! What teams, jobs and machine types allow: limits, guarantees, zones and kinds.
 
-use super::*;
+use super::{ClassInfo, Holder, JobRec, JobState, Settings};
 
 /// Whether one more task stays within its team's limit. Every task that isn't proven
 /// gone counts.
--- a/src/core/placement/scoring.rs
+++ b/src/core/placement/scoring.rs
@@ -1,6 +1,9 @@
 //! What a start costs on each machine: delay, spread, and what other starts would lose.
 
-use super::*;
+use super::{
+    BTreeMap, BTreeSet, ClassInfo, Form, HashMap, Holder, Image, JobId, JobRec, JobState, Machine,
+    MachineId, Rank, Rc, Room, Round, Settings, Time, suits, usable, zone_allowed,
+};
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
--- a/src/core/workers/commands.rs
+++ b/src/core/workers/commands.rs
@@ -1,7 +1,10 @@
 //! Commands: what a machine is to do now, and the answers that carry them.
 
 use super::reports::ListedTask;
-use super::*;
+use super::{
+    Cause, Command, Core, Holder, MachineId, Phase, Reply, ReportTask, ReqId, TaskId, TaskStance,
+    commands_body,
+};
 
 /// Repeated saving halts turn into plain ones after the grace and this long.
 const GRACE_S: f64 = 1.0;
--- a/src/core/workers/liveness.rs
+++ b/src/core/workers/liveness.rs
@@ -1,6 +1,8 @@
 //! Machines that are silent, cut off, or hear nothing, and leases that are over.
 
-use super::*;
+use super::{
+    BTreeMap, BTreeSet, Core, DRIFT, Form, HEARD_S, MARGIN_S, Machine, Member, Phase, warn,
+};
 use std::rc::Rc;
 
 /// After `cancel_s` times this, a machine that may still run a withdrawn task is
--- a/src/core/workers/mod.rs
+++ b/src/core/workers/mod.rs
@@ -18,7 +18,10 @@
 
 use super::fleet::Machine;
 use super::holder::{Holder, Phase};
-use super::*;
+use super::{
+    Attempt, BTreeMap, Cause, ClassInfo, Command, Core, DRIFT, Form, GATHER_MS, HEARD_S, MARGIN_S,
+    MachineId, Member, Reply, Report, ReportTask, ReqId, TaskId, TaskStance, Time, commands_body,
+};
 use log::{info, warn};
 use std::collections::BTreeSet;
 
--- a/src/core/workers/reports.rs
+++ b/src/core/workers/reports.rs
@@ -1,6 +1,9 @@
 //! What reports tell of machines and tasks.
 
-use super::*;
+use super::{
+    Attempt, Cause, ClassInfo, Core, Form, GATHER_MS, Holder, Machine, MachineId, Phase, Reply,
+    Report, ReportTask, ReqId, TaskId, TaskStance, Time, commands_body, info, warn,
+};
 use log::debug;
 
 /// A start is sent this often before its placement is given up.
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -1,6 +1,6 @@
 //! Calls to the cloud and its answers.
 
-use super::*;
+use super::{Call, Deserialize, MachineId, Num, RentalRec, Room, Serialize, decode, encode, get};
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudOp {
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -11,8 +11,10 @@
 pub use user::*;
 pub use worker::*;
 
-use crate::core::records::*;
-use crate::ids::*;
+use crate::core::records::{
+    Form, JobRec, Key, LimitsByTeam, LimitsRec, PREFIX, Rank, Record, RentalRec, Room,
+};
+use crate::ids::{Attempt, Image, JobId, MachineId, Member, Number};
 use ciborium::Value;
 use serde::de::{DeserializeOwned, Deserializer, Visitor};
 use serde::{Deserialize, Serialize};
--- a/src/wire/state.rs
+++ b/src/wire/state.rs
@@ -1,6 +1,9 @@
 //! Calls to the state service and its answers.
 
-use super::*;
+use super::{
+    Call, Deserialize, Key, LimitsByTeam, LimitsRec, Num, PREFIX, Record, Serialize, Value, decode,
+    encode, get,
+};
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug, PartialEq)]
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -1,6 +1,9 @@
 //! Submissions, and what users are answered.
 
-use super::*;
+use super::{
+    AMOUNT_MAX, Deserialize, Form, Image, JobId, JobRec, NAME_MAX, Num, Rank, Room, Serialize,
+    TASKS_MAX, TYPES_MAX, encode,
+};
 use std::collections::BTreeSet;
 
 #[derive(Deserialize)]
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -1,6 +1,6 @@
 //! Workers' reports, and the commands in the answers.
 
-use super::*;
+use super::{Attempt, Deserialize, Member, Num, Number, Serialize, encode};
 
 /// One worker's report.
 #[derive(Clone, Debug, Deserialize)]
