--- a/benches/core.rs
+++ b/benches/core.rs
@@ -5,10 +5,11 @@
 //! without sockets, so that the kernel's part is left out.
 
 use criterion::{Criterion, criterion_group, criterion_main};
-use salttrestle::core::records::{
+use salttrestle::controller::Core;
+use salttrestle::controller::events::{Input, Output, Request};
+use salttrestle::controller::store::records::{
     BlockRec, Form, JobRec, Key, LeaderRec, Rank, Record, Room, RunRec,
 };
-use salttrestle::core::{Core, Input, Output, Request};
 use salttrestle::ids::{Attempt, JobId, MachineId, Number, ReqId, Time};
 use salttrestle::peer::{self, Message, RelayedReport};
 use salttrestle::settings::{Platform, Settings, Tuning};
--- a/scale/src/hollow/cell.rs
+++ b/scale/src/hollow/cell.rs
@@ -13,7 +13,7 @@
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
-use salttrestle::core::records::{Key, LimitsByTeam, Room};
+use salttrestle::controller::store::records::{Key, LimitsByTeam, Room};
 use salttrestle::http::{self, Message};
 use salttrestle::ids::JobId;
 use salttrestle::wire::{ClassInfo, CloudOp, CloudReply};
--- a/scale/src/hollow/cloud_service.rs
+++ b/scale/src/hollow/cloud_service.rs
@@ -1,6 +1,6 @@
 //! The cloud over HTTP: the shared stand-in behind the protocol's requests.
 
-use salttrestle::core::records::RentalRec;
+use salttrestle::controller::store::records::RentalRec;
 use salttrestle::http::Message;
 use salttrestle::ids::MachineId;
 use salttrestle::wire::{self, ClassInfo, CloudOp, CloudReply, Listed, MachineStance};
--- a/scale/src/hollow/state_service.rs
+++ b/scale/src/hollow/state_service.rs
@@ -2,7 +2,7 @@
 
 use crate::experiment::Service;
 use ciborium::Value;
-use salttrestle::core::records::LimitsByTeam;
+use salttrestle::controller::store::records::LimitsByTeam;
 use salttrestle::http::Message;
 use salttrestle::wire;
 use salttrestle_standins::rate::RateLimit;
--- a/scale/src/limit_watch.rs
+++ b/scale/src/limit_watch.rs
@@ -1,6 +1,6 @@
 //! When a change of a team's limit is in force, seen at the state services of all cells.
 
-use salttrestle::core::records::LimitsByTeam;
+use salttrestle::controller::store::records::LimitsByTeam;
 use salttrestle_cells::ledger::CellRecord;
 use serde::Deserialize;
 use std::collections::BTreeMap;
--- a/scale/src/takeovers.rs
+++ b/scale/src/takeovers.rs
@@ -4,7 +4,7 @@
 use crate::results::{LatencyRow, Row};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use salttrestle::core::records::{BlockRec, LeaderRec, RunRec};
+use salttrestle::controller::store::records::{BlockRec, LeaderRec, RunRec};
 use salttrestle::ids::{Attempt, JobId, TaskId};
 use salttrestle_standins::orders::Orders;
 use serde::{Deserialize, Serialize};
--- a/src/core/front/cancellations.rs
+++ b/src/controller/api/cancellations.rs
@@ -1,16 +1,16 @@
 //! Cancellations: the mark in a job's record, and the answer once no task of it is left.
 
-use super::Question;
-use crate::core::budget::Priority;
-use crate::core::records::{Key, Record};
-use crate::core::{Core, Purpose};
+use crate::controller::api::Question;
+use crate::controller::rate_limits::token_bucket::Priority;
+use crate::controller::store::records::{Key, Record};
+use crate::controller::{Core, Purpose};
 use crate::ids::{JobId, MachineId, ReqId};
 use crate::wire::{StateOp, StateReply, Write};
 use log::info;
 use std::collections::BTreeSet;
 
 impl Core {
-    pub(super) fn pump_cancellations(&mut self) {
+    pub(crate) fn pump_cancellations(&mut self) {
         while let Some(q) = self.front.cancellations.pop_front() {
             let Some(job) = self.cache.jobs.get(&q.id) else {
                 self.front.unknown.push_back(q);
@@ -68,7 +68,7 @@
 
     /// Cancellations whose confirmation isn't in sight: their users are told to come back
     /// at once rather than after a wait for something that can't happen.
-    pub(super) fn stuck_departures(&self) -> Vec<ReqId> {
+    pub(crate) fn stuck_departures(&self) -> Vec<ReqId> {
         let mut leaving = self.front.leaving.iter().peekable();
         if leaving.peek().is_none() {
             return Vec::new();
--- a/src/core/front/mod.rs
+++ b/src/controller/api/mod.rs
@@ -4,10 +4,13 @@
 //! [`cancellations`] marks them and tells their users once nothing of them is left.
 
 mod cancellations;
-mod questions;
+mod status_queries;
 mod submissions;
 
-use super::{CallId, Core, Ending, JobId, JobRec, Reply, ReqId, Request, Time};
+use crate::controller::Core;
+use crate::controller::events::{Reply, Request};
+use crate::controller::store::records::{Ending, JobRec};
+use crate::ids::{CallId, JobId, ReqId, Time};
 use std::collections::VecDeque;
 
 /// A submission that waits for its commit.
--- a/src/core/front/questions.rs
+++ b/src/controller/api/status_queries.rs
@@ -3,10 +3,11 @@
 //! `done` and `withdrawn` may be told from memory, for they are committed. Anything else another
 //! controller may know better, so it needs a read no older than the question.
 
-use super::{Intent, Question};
-use crate::core::budget::Priority;
-use crate::core::records::{Ending, Key};
-use crate::core::{Core, Purpose, Reply};
+use crate::controller::api::{Intent, Question};
+use crate::controller::events::Reply;
+use crate::controller::rate_limits::token_bucket::Priority;
+use crate::controller::store::records::{Ending, Key};
+use crate::controller::{Core, Purpose};
 use crate::ids::{JobId, ReqId, Time};
 use crate::wire::{Stance, StateOp, StateReply, error_body, stance_body};
 use std::collections::VecDeque;
@@ -14,11 +15,11 @@
 /// What is told of a job that isn't over may be this old. With that, and since the end of a
 /// job isn't told before every older answer has become too old to be given, no node gives an
 /// answer that another one's has overtaken, however slowly the state service answers.
-pub(super) const PRESENT_S: f64 = 0.1;
+pub(crate) const PRESENT_S: f64 = 0.1;
 const TELL_AFTER_S: f64 = 1.2 * PRESENT_S;
 
 impl Core {
-    pub(super) fn on_question(&mut self, req: ReqId, id: JobId, intent: Intent) {
+    pub(crate) fn on_question(&mut self, req: ReqId, id: JobId, intent: Intent) {
         if let Some(ending) = self.cache.ending(&id) {
             return self.answer_ending(req, &id, ending);
         }
@@ -40,7 +41,7 @@
     }
 
     /// Tells that a job is over, once nobody can give an older answer any more.
-    pub(super) fn answer_ending(
+    pub(crate) fn answer_ending(
         &mut self,
         req: ReqId,
         id: &JobId,
@@ -86,7 +87,7 @@
     }
 
     /// Whether what is known here is what stood at the state service just now.
-    pub(super) fn present(&self) -> bool {
+    pub(crate) fn present(&self) -> bool {
         self.now.since(self.known_at) <= PRESENT_S
     }
 
@@ -131,7 +132,7 @@
         self.answer(q.req, Reply::ok(200, body));
     }
 
-    pub(super) fn pump_unknown(&mut self) {
+    pub(crate) fn pump_unknown(&mut self) {
         while let Some(q) = self.front.unknown.pop_front() {
             let op = StateOp::Get(Key::End(q.id.clone()));
             if let Err(Purpose::ReadEnd(q)) =
--- a/src/core/front/submissions.rs
+++ b/src/controller/api/submissions.rs
@@ -1,12 +1,13 @@
 //! Submissions: whether a job can be taken, the jobs that it names, and the commit.
 
-use super::questions::PRESENT_S;
-use super::{Intent, NamingSubmission, Submission};
-use crate::core::budget::Priority;
-use crate::core::chunks::chunk_size;
-use crate::core::dependencies::Needs;
-use crate::core::records::{Form, JobRec, Key, Record, json_bytes};
-use crate::core::{Core, Purpose, Reply};
+use crate::controller::api::status_queries::PRESENT_S;
+use crate::controller::api::{Intent, NamingSubmission, Submission};
+use crate::controller::dependencies::graph::Needs;
+use crate::controller::events::Reply;
+use crate::controller::rate_limits::token_bucket::Priority;
+use crate::controller::store::chunks::chunk_size;
+use crate::controller::store::records::{Form, JobRec, Key, Record, json_bytes};
+use crate::controller::{Core, Purpose};
 use crate::ids::{JobId, ReqId, Time};
 use crate::wire::{BadBody, Stance, StateOp, StateReply, Write, error_body, stance_body};
 use log::info;
@@ -20,7 +21,7 @@
 impl Core {
     /// A known job's user is told its state whatever the repeated body is like; being
     /// refused, it would take the job for one that was never accepted.
-    pub(super) fn on_malformed(&mut self, req: ReqId, bad: BadBody) {
+    pub(crate) fn on_malformed(&mut self, req: ReqId, bad: BadBody) {
         info!("a submission is malformed: {}", bad.why);
         match bad.id {
             Some(id) => self.on_question(req, id, Intent::Refuse(400, bad.why)),
@@ -28,7 +29,7 @@
         }
     }
 
-    pub(super) fn on_submit(&mut self, req: ReqId, id: JobId, mut rec: JobRec) {
+    pub(crate) fn on_submit(&mut self, req: ReqId, id: JobId, mut rec: JobRec) {
         if self.cache.accepted(&id) {
             return self.on_question(req, id, Intent::Again);
         }
@@ -71,7 +72,7 @@
     }
 
     /// Why a job's record can't be kept, if so.
-    pub(super) fn too_large(&self, rec: &JobRec) -> Option<String> {
+    pub(crate) fn too_large(&self, rec: &JobRec) -> Option<String> {
         let most = self.settings.state_limits().value_bytes;
         let bytes = json_bytes(rec);
         let why = || format!("the job's description takes {bytes} bytes, of at most {most}");
@@ -129,7 +130,7 @@
 
     /// Goes on with submissions whose needed jobs are known by now, or of which an end has to be
     /// read.
-    pub(super) fn pump_naming(&mut self) {
+    pub(crate) fn pump_naming(&mut self) {
         let fresh = self.fresh_call;
         for naming in std::mem::take(&mut self.front.naming) {
             if naming.after >= fresh {
@@ -179,7 +180,7 @@
     }
 
     /// Commits waiting submissions, several to a transaction.
-    pub(super) fn pump_submissions(&mut self) {
+    pub(crate) fn pump_submissions(&mut self) {
         // What a commit of two jobs says of one applies to both, so a conflict
         // makes its jobs ask one by one. Conflicts are rare: only retries make them.
         let most = self.settings.state_limits().txn_ops;
--- a/src/core/autoscaler/demand.rs
+++ b/src/controller/autoscaling/demand.rs
@@ -1,12 +1,15 @@
 //! Counts of what waits and what runs, by pool.
 
-use super::{Pool, Zones};
-use crate::core::fleet::{Machine, Seat};
-use crate::core::placement::{within_limit, zone_allowed};
-use crate::core::records::Closed;
-use crate::core::{BTreeMap, ClassInfo, Form, HashMap, Holder, JobRec, Rank, Room, Settings, Time};
+use crate::controller::autoscaling::{Pool, Zones};
+use crate::controller::machines::inventory::{Machine, Seat};
+use crate::controller::scheduling::constraints::{within_limit, zone_allowed};
+use crate::controller::shard::Holder;
+use crate::controller::store::records::{Closed, Form, JobRec, Rank, Room};
+use crate::ids::Time;
 use crate::peer::PoolCount;
-use std::collections::BTreeSet;
+use crate::settings::Settings;
+use crate::wire::ClassInfo;
+use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// A machine this much free counts as room kept for urgent starts.
 const SPARE_SHARE: f64 = 0.5;
--- a/src/core/autoscaler/machines.rs
+++ b/src/controller/autoscaling/machines.rs
@@ -1,12 +1,15 @@
 //! What becomes of machines: those the cloud lists, those that never come up, and those that
 //! are returned or deleted.
 
-use super::{CloudPurpose, REPEAT_S};
-use crate::core::fleet::Machine;
-use crate::core::{
-    ClassInfo, CloudOp, CloudReply, Core, Holder, Listed, MachineId, MachineStance, Priority,
-    Reply, ReqId, TaskId, Time, holder,
-};
+use crate::controller::Core;
+use crate::controller::autoscaling::{CloudPurpose, REPEAT_S};
+use crate::controller::events::Reply;
+use crate::controller::machines::inventory::Machine;
+use crate::controller::rate_limits::token_bucket::Priority;
+use crate::controller::shard::Holder;
+use crate::controller::shard::job::Phase;
+use crate::ids::{MachineId, ReqId, TaskId, Time};
+use crate::wire::{ClassInfo, CloudOp, CloudReply, Listed, MachineStance};
 use log::info;
 use std::collections::BTreeSet;
 
@@ -22,7 +25,7 @@
 impl Core {
     /// The leader lists machines to find those nobody expected; with several blocks,
     /// the other holders list them, less often, to learn what became of their own.
-    pub(super) fn list_machines(&mut self) {
+    pub(crate) fn list_machines(&mut self) {
         if let Some(so_far) = self.list_rest.take() {
             return self.list_on(so_far);
         }
@@ -38,7 +41,7 @@
         }
     }
 
-    pub(super) fn on_machine_list(&mut self, mut so_far: Vec<Listed>, reply: CloudReply) {
+    pub(crate) fn on_machine_list(&mut self, mut so_far: Vec<Listed>, reply: CloudReply) {
         self.listing = false;
         let CloudReply::Page { machines, more } = reply else {
             return;
@@ -127,7 +130,7 @@
     }
 
     /// Once the deletion is answered, the machine and all on it are gone.
-    pub(super) fn on_deleted(&mut self, ids: Vec<MachineId>, reply: CloudReply) {
+    pub(crate) fn on_deleted(&mut self, ids: Vec<MachineId>, reply: CloudReply) {
         let now = self.now;
         let Some(h) = &mut self.holder else {
             return;
@@ -170,7 +173,7 @@
     fn committing_on(&self, m: &Machine) -> bool {
         m.tasks.keys().any(|t| {
             let p = self.jobs.get(&t.job).and_then(|l| l.placed.get(&t.index));
-            p.is_some_and(|p| p.phase == holder::Phase::Committing)
+            p.is_some_and(|p| p.phase == Phase::Committing)
         })
     }
 
@@ -216,7 +219,7 @@
 
     /// Whether a machine has been booting for longer than so many times what its type's boots
     /// have taken lately.
-    pub(super) fn boots_longer_than(
+    pub(crate) fn boots_longer_than(
         &self,
         times: f64,
         catalog: &[ClassInfo],
--- a/src/core/autoscaler/mod.rs
+++ b/src/controller/autoscaling/mod.rs
@@ -5,15 +5,18 @@
 //! [`demand`] counts, `tick` decides, `plan` writes the decision down, `rentals` carries
 //! rentals out, and `machines` follows what becomes of the machines, to their deletion.
 
-mod demand;
-mod machines;
-mod plan;
-mod rentals;
-mod tick;
+pub(crate) mod demand;
+pub(crate) mod machines;
+pub(crate) mod plan;
+pub(crate) mod reconcile;
+pub(crate) mod scale_out;
 
-use super::{BTreeMap, CallId, CloudOp, CloudReply, Core, Listed, MachineId, Output, Priority};
-pub(crate) use demand::{per_machine, pool_for};
-pub(crate) use plan::Scale;
+use crate::controller::Core;
+use crate::controller::events::Output;
+use crate::controller::rate_limits::token_bucket::Priority;
+use crate::ids::{CallId, MachineId};
+use crate::wire::{CloudOp, CloudReply, Listed};
+use std::collections::BTreeMap;
 
 /// A machine type's index in the catalogue, and whether it is spot.
 pub(crate) type Pool = (usize, bool);
--- a/src/core/autoscaler/plan.rs
+++ b/src/controller/autoscaling/plan.rs
@@ -1,13 +1,13 @@
 //! The leader's plan: what it wants, and the rentals under way, written before they are sent.
 
-use super::Pool;
-use super::rentals::{Rental, RentalStep};
-use crate::core::records::Closed;
-use crate::core::{
-    BTreeMap, Core, HashMap, Key, MachineId, PlanRec, Priority, Purpose, Record, RentalRec,
-    StateOp, StateReply, Time, Write, json_bytes,
-};
-use std::collections::VecDeque;
+use crate::controller::autoscaling::Pool;
+use crate::controller::autoscaling::scale_out::{Rental, RentalStep};
+use crate::controller::rate_limits::token_bucket::Priority;
+use crate::controller::store::records::{Closed, Key, PlanRec, Record, RentalRec, json_bytes};
+use crate::controller::{Core, Purpose};
+use crate::ids::{MachineId, Time};
+use crate::wire::{StateOp, StateReply, Write};
+use std::collections::{BTreeMap, HashMap, VecDeque};
 
 /// Share of the value limit that the plan may fill.
 const PLAN_SHARE: f64 = 0.9;
@@ -15,20 +15,20 @@
 #[derive(Debug, Default)]
 pub(crate) struct Scale {
     /// Whether counts are rebuilt, so that renting may begin.
-    pub(super) ready: Option<Time>,
-    pub(super) listed: bool,
-    pub(super) tick_at: Time,
-    pub(super) wanted: BTreeMap<Pool, VecDeque<(Time, u32)>>,
-    pub(super) rentals: Vec<Rental>,
-    pub(super) rental_count: u64,
+    pub(crate) ready: Option<Time>,
+    pub(crate) listed: bool,
+    pub(crate) tick_at: Time,
+    pub(crate) wanted: BTreeMap<Pool, VecDeque<(Time, u32)>>,
+    pub(crate) rentals: Vec<Rental>,
+    pub(crate) rental_count: u64,
     /// Until when a pool's zone isn't asked again, and how often it refused.
-    pub(super) refused: HashMap<(usize, String, bool), (Time, u32)>,
-    pub(super) shares: Vec<(u32, u32)>,
-    pub(super) closed: Vec<Closed>,
+    pub(crate) refused: HashMap<(usize, String, bool), (Time, u32)>,
+    pub(crate) shares: Vec<(u32, u32)>,
+    pub(crate) closed: Vec<Closed>,
     /// Machines to return, for the next plan.
-    pub(super) returns: Vec<MachineId>,
-    pub(super) plan_busy: bool,
-    pub(super) plan_dirty: bool,
+    pub(crate) returns: Vec<MachineId>,
+    pub(crate) plan_busy: bool,
+    pub(crate) plan_dirty: bool,
 }
 
 impl Core {
@@ -50,7 +50,7 @@
     }
 
     /// Writes wanted counts and rentals. A rental is sent only once it stands here.
-    pub(super) fn write_plan(&mut self) {
+    pub(crate) fn write_plan(&mut self) {
         let lag = self.settings.platform.facts.cloud.list_lag_s;
         let now = self.now;
         let shares = self.job_shares();
@@ -166,7 +166,7 @@
     }
 
     /// Keeps the counts of the stabilization window.
-    pub(super) fn remember(&mut self, pool: Pool, now: Time, wanted: u32, window_s: f64) {
+    pub(crate) fn remember(&mut self, pool: Pool, now: Time, wanted: u32, window_s: f64) {
         let w = self.wanted.entry(pool).or_default();
         if w.back().map(|(_, n)| *n) != Some(wanted) {
             self.plan_dirty = true;
@@ -177,7 +177,7 @@
         }
     }
 
-    pub(super) fn highest(&self, pool: Pool) -> u32 {
+    pub(crate) fn highest(&self, pool: Pool) -> u32 {
         let window = self.wanted.get(&pool);
         window
             .and_then(|w| w.iter().map(|(_, n)| *n).max())
--- a/src/core/autoscaler/tick.rs
+++ b/src/controller/autoscaling/reconcile.rs
@@ -1,10 +1,12 @@
 //! The tick: from the blocks' counts to rentals and returns.
 
-use super::rentals::RentalStep;
-use super::{Pool, Zones};
-use crate::core::{BTreeMap, Core, MachineId};
+use crate::controller::Core;
+use crate::controller::autoscaling::scale_out::RentalStep;
+use crate::controller::autoscaling::{Pool, Zones};
+use crate::ids::MachineId;
 use crate::peer::PoolCount;
 use log::{debug, info, warn};
+use std::collections::BTreeMap;
 
 /// What the blocks' holders count, put together.
 #[derive(Default)]
@@ -18,7 +20,7 @@
 }
 
 impl Core {
-    pub(super) fn tick(&mut self) {
+    pub(crate) fn tick(&mut self) {
         let now = self.now;
         let Some(lead) = &mut self.lead else {
             return;
--- a/src/core/autoscaler/rentals.rs
+++ b/src/controller/autoscaling/scale_out.rs
@@ -1,13 +1,15 @@
 //! Rentals: planned, written, sent, and repeated under their names until they are answered.
 
-use super::plan::Scale;
-use super::{CloudPurpose, Pool, REPEAT_S, Zones};
-use crate::core::fleet::Machine;
-use crate::core::records::Closed;
-use crate::core::{
-    BTreeMap, ClassInfo, CloudOp, CloudReply, Core, MachineId, Number, Priority, RentalRec, Time,
-};
+use crate::controller::Core;
+use crate::controller::autoscaling::plan::Scale;
+use crate::controller::autoscaling::{CloudPurpose, Pool, REPEAT_S, Zones};
+use crate::controller::machines::inventory::Machine;
+use crate::controller::rate_limits::token_bucket::Priority;
+use crate::controller::store::records::{Closed, RentalRec};
+use crate::ids::{MachineId, Number, Time};
+use crate::wire::{ClassInfo, CloudOp, CloudReply};
 use log::{info, warn};
+use std::collections::BTreeMap;
 
 /// Pauses after a refusal, in boot times of nothing: plain seconds.
 const REFUSED_S: f64 = 10.0;
@@ -17,14 +19,14 @@
 
 /// A request to rent.
 #[derive(Debug)]
-pub(super) struct Rental {
-    pub(super) rec: RentalRec,
-    pub(super) step: RentalStep,
-    pub(super) at: Time,
+pub(crate) struct Rental {
+    pub(crate) rec: RentalRec,
+    pub(crate) step: RentalStep,
+    pub(crate) at: Time,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum RentalStep {
+pub(crate) enum RentalStep {
     /// Not yet in the written plan.
     Planned,
     /// Written: may be sent.
@@ -35,7 +37,7 @@
 }
 
 impl Core {
-    pub(super) fn send_rentals(&mut self) {
+    pub(crate) fn send_rentals(&mut self) {
         let now = self.now;
         let Some(lead) = self.lead.as_ref().filter(|_| self.may_use_cloud()) else {
             return;
@@ -59,7 +61,7 @@
         }
     }
 
-    pub(super) fn on_rented(&mut self, name: &str, reply: CloudReply) {
+    pub(crate) fn on_rented(&mut self, name: &str, reply: CloudReply) {
         let now = self.now;
         let Some(lead) = &mut self.lead else {
             return;
@@ -130,7 +132,7 @@
 
 impl Scale {
     /// Plans rentals, each machine to the open zone with fewest such machines.
-    pub(super) fn rent(
+    pub(crate) fn rent(
         &mut self,
         catalog: &[ClassInfo],
         pool: Pool,
@@ -182,7 +184,7 @@
     }
 
     /// What the cloud has nothing left of, for the plan.
-    pub(super) fn closed(&self, catalog: &[ClassInfo], now: Time) -> Vec<Closed> {
+    pub(crate) fn closed(&self, catalog: &[ClassInfo], now: Time) -> Vec<Closed> {
         let shut = self.refused.iter().filter(|(_, (until, _))| now < *until);
         let shut = shut.filter_map(|((class, zone, spot), _)| {
             Some((catalog.get(*class)?.name.clone(), zone.clone(), *spot))
--- a/src/core/dependencies.rs
+++ b/src/controller/dependencies/graph.rs
@@ -6,8 +6,8 @@
 //! its end is committed. All of this is derived from the records whenever they change, so nobody
 //! has to remember what is left to do when a controller ends.
 
-use super::jobs::{Cache, CachedJob};
-use super::records::{Ending, JobRec, Rank};
+use crate::controller::store::mirror::{Cache, CachedJob};
+use crate::controller::store::records::{Ending, JobRec, Rank};
 use crate::ids::JobId;
 use std::collections::{BTreeSet, HashMap, HashSet};
 
@@ -106,7 +106,7 @@
     }
 
     /// Takes note of a job that is new here.
-    pub(super) fn link(&mut self, id: &JobId) {
+    pub(crate) fn link(&mut self, id: &JobId) {
         let Some(rec) = self.jobs.get(id).map(|j| j.rec.clone()) else {
             return;
         };
@@ -127,7 +127,7 @@
     }
 
     /// Takes note of a job that is over, of which an end may be known.
-    pub(super) fn unlink(&mut self, id: &JobId, job: &CachedJob) {
+    pub(crate) fn unlink(&mut self, id: &JobId, job: &CachedJob) {
         self.dependencies.cancelled.remove(id);
         for need in &job.rec.needs {
             if let Some(dependents) = self.dependencies.dependents.get_mut(need) {
@@ -143,7 +143,7 @@
     }
 
     /// Takes note of how a job ended.
-    pub(super) fn note_end(&mut self, id: &JobId, ending: Ending) {
+    pub(crate) fn note_end(&mut self, id: &JobId, ending: Ending) {
         self.dependencies.unread.remove(id);
         match ending {
             Ending::Done => {
@@ -155,7 +155,7 @@
     }
 
     /// Takes note that a job's record was marked as cancelled.
-    pub(super) fn note_mark(&mut self, id: &JobId) {
+    pub(crate) fn note_mark(&mut self, id: &JobId) {
         self.cancel_dependents(id);
         self.update_ranks(self.needs_of(id));
     }
@@ -166,7 +166,7 @@
     }
 
     /// Has the end of a job read that is needed and of which nothing is known.
-    pub(super) fn look_for_end(&mut self, id: &JobId) {
+    pub(crate) fn look_for_end(&mut self, id: &JobId) {
         let needed = self.dependencies.dependents.contains_key(id);
         if needed && !self.jobs.contains_key(id) && self.ending(id).is_none() {
             self.dependencies.unread.insert(id.clone());
--- a/src/core/needs.rs
+++ b/src/controller/dependencies/resolution.rs
@@ -1,9 +1,12 @@
 //! What changes in jobs that others need comes to those: ends are read where they aren't known,
 //! waiting jobs are released or cancelled, and ranks rise and fall.
 
-use super::{
-    BTreeSet, Core, Ending, JobId, Key, Priority, Purpose, Record, StateOp, StateReply, Time,
-};
+use crate::controller::rate_limits::token_bucket::Priority;
+use crate::controller::store::records::{Ending, Key, Record};
+use crate::controller::{Core, Purpose};
+use crate::ids::{JobId, Time};
+use crate::wire::{StateOp, StateReply};
+use std::collections::BTreeSet;
 
 /// Ends of needed jobs that are read at once.
 const READS_MOST: usize = 4;
@@ -22,7 +25,7 @@
 
 impl Core {
     /// Reads the ends of needed jobs of which nothing is known here.
-    pub(super) fn pump_need_reads(&mut self) {
+    pub(crate) fn pump_need_reads(&mut self) {
         if !self.listed || self.now < self.need_reads.not_before {
             return;
         }
@@ -41,7 +44,7 @@
         }
     }
 
-    pub(super) fn on_need_read(&mut self, need: JobId, reply: StateReply) {
+    pub(crate) fn on_need_read(&mut self, need: JobId, reply: StateReply) {
         self.need_reads.reading.remove(&need);
         if self.learn_ending(&need, &reply).is_none() {
             self.need_reads.not_before = self.now.after(READ_AGAIN_S);
@@ -49,7 +52,7 @@
     }
 
     /// Remembers how a job ended, if the answer to a read of its end says so.
-    pub(super) fn learn_ending(&mut self, id: &JobId, reply: &StateReply) -> Option<Ending> {
+    pub(crate) fn learn_ending(&mut self, id: &JobId, reply: &StateReply) -> Option<Ending> {
         let StateReply::Found {
             record: Record::End(ending),
             ..
@@ -62,7 +65,7 @@
     }
 
     /// Tells the holders of jobs what changed for these through others.
-    pub(super) fn on_affected(&mut self) {
+    pub(crate) fn on_affected(&mut self) {
         for id in self.cache.take_affected() {
             let block = self.cache.jobs.get(&id).map(|j| j.rec.block);
             if let Some(block) = block {
--- a/src/core/interface.rs
+++ b/src/controller/events.rs
@@ -1,6 +1,6 @@
 //! What goes into the state machine and what comes out of it.
 
-use crate::core::records::JobRec;
+use crate::controller::store::records::JobRec;
 use crate::ids::{CallId, JobId, Member, ReqId};
 use crate::peer::Message;
 use crate::wire::{BadBody, CloudOp, CloudReply, Report, StateOp, StateReply, error_body};
--- a/src/core/relay.rs
+++ b/src/controller/forwarding.rs
@@ -13,7 +13,9 @@
 //! only once every task is proven gone (`front`), so no bound runs against a worker
 //! that nobody with sight of the state service reaches.
 
-use super::{Core, GATHER_MS, HEARD_S, Output, Reply, blocks};
+use crate::controller::events::{Output, Reply};
+use crate::controller::shards::leases::stable_hash;
+use crate::controller::{Core, GATHER_MS, HEARD_S};
 use crate::ids::{MachineId, Member, Number, ReqId, TaskId, Time};
 use crate::peer::{Hello, Message, RelayedAnswer, RelayedReport};
 use crate::settings::Sibling;
@@ -41,7 +43,7 @@
 const RELAY_TASKS: usize = 200;
 /// A holder that refuses connections for this much longer than a takeover takes isn't
 /// down: only the controllers can't reach it, and workers are sent there.
-pub(super) const TAKEOVER_S: f64 = 1.5;
+pub(crate) const TAKEOVER_S: f64 = 1.5;
 /// Pause between two workers sent home to a controller that hears no worker yet.
 const TRIAL_PAUSE_S: f64 = 2.0;
 
@@ -84,9 +86,9 @@
     /// Reports that wait until there is somebody to send their workers to.
     lost: VecDeque<LostReport>,
     /// Siblings to whom no connection can be made, and since when they refuse it.
-    pub(super) down: BTreeMap<Member, Option<Time>>,
+    pub(crate) down: BTreeMap<Member, Option<Time>>,
     /// When this process last answered in a holder's place; at first its start.
-    pub(super) sheltered: Option<Time>,
+    pub(crate) sheltered: Option<Time>,
     trials: BTreeMap<Member, Time>,
     /// Workers sent to a safer controller of this zone, and when.
     sent_away: BTreeMap<MachineId, Time>,
@@ -97,7 +99,7 @@
 
 /// One of several controllers for a machine, the same each time.
 fn pick_by_name<'a>(id: &MachineId, members: &[&'a Member]) -> Option<&'a Member> {
-    let at = blocks::stable_hash(id.as_str()) % members.len().max(1) as u64;
+    let at = stable_hash(id.as_str()) % members.len().max(1) as u64;
     members.get(at as usize).copied()
 }
 
@@ -106,7 +108,7 @@
 
 impl Relays {
     /// When the reports gathered so far are to be handed on.
-    pub(super) fn gathered_until(&self) -> Option<Time> {
+    pub(crate) fn gathered_until(&self) -> Option<Time> {
         self.gathered_until
     }
 
@@ -242,7 +244,7 @@
     }
 
     /// Hands on the reports that were gathered, once their time has come.
-    pub(super) fn hand_on_gathered(&mut self) {
+    pub(crate) fn hand_on_gathered(&mut self) {
         if self.relays.gathered_until.is_none_or(|at| self.now < at) {
             return;
         }
--- a/src/core/election.rs
+++ b/src/controller/leadership/election.rs
@@ -7,9 +7,12 @@
 //! condition, rest on the grant, and wait for as long as the old leader's may go out
 //! (`may_use_cloud`).
 
-use super::holder::Holder;
-use super::records::{BlockRec, Key, LeaderRec, NumberRec, Record};
-use super::{BLIND_S, Core, DRIFT, Priority, Purpose, Reply, jobs};
+use crate::controller::events::Reply;
+use crate::controller::rate_limits::token_bucket::Priority;
+use crate::controller::shard::Holder;
+use crate::controller::store::mirror::Slot;
+use crate::controller::store::records::{BlockRec, Key, LeaderRec, NumberRec, Record};
+use crate::controller::{BLIND_S, Core, DRIFT, Purpose};
 use crate::ids::{Number, Time};
 use crate::wire::{StateOp, StateReply, Write, commands_body};
 use log::{info, warn};
@@ -311,7 +314,7 @@
         } else if !leads && self.lead.is_some() {
             self.stop_leading("its key is gone");
         }
-        let blocks: Vec<(u32, jobs::Slot<BlockRec>)> = self
+        let blocks: Vec<(u32, Slot<BlockRec>)> = self
             .cache
             .blocks
             .iter()
--- a/src/core/drain.rs
+++ b/src/controller/leadership/shutdown.rs
@@ -1,9 +1,11 @@
 //! A controller that is told to end hands over first: it takes no new work and, if it leads, gives
 //! its grant up once its last call to the cloud is over, so that nobody waits for the grant's end.
 
-use super::autoscaler::CloudPurpose;
-use super::{Core, Priority, Purpose, StateOp};
+use crate::controller::autoscaling::CloudPurpose;
+use crate::controller::rate_limits::token_bucket::Priority;
+use crate::controller::{Call, Core, Purpose};
 use crate::ids::Time;
+use crate::wire::StateOp;
 use log::info;
 
 /// Calls to the cloud are given up as in doubt after so long.
@@ -31,7 +33,7 @@
 
 impl Core {
     /// Begins to hand over; nothing is taken back.
-    pub(super) fn on_drain(&mut self) {
+    pub(crate) fn on_drain(&mut self) {
         if self.drain.is_some() {
             return;
         }
@@ -44,7 +46,7 @@
     }
 
     /// Whether this controller is about to end.
-    pub(super) fn draining(&self) -> bool {
+    pub(crate) fn draining(&self) -> bool {
         self.drain.is_some()
     }
 
@@ -58,7 +60,7 @@
         drain.idle_since.is_some_and(quiet) || self.now.since(drain.since) > most_s
     }
 
-    pub(super) fn drain_housekeeping(&mut self) {
+    pub(crate) fn drain_housekeeping(&mut self) {
         self.release_grant();
         let releasing = self.release.is_some() || self.calls.values().any(is_release);
         let me = &self.settings.platform.member;
@@ -75,7 +77,7 @@
 
     /// A grant is to be given up. The successor may call the cloud as soon as it is over, so it
     /// stands until the last call of this controller was answered or is given up as in doubt.
-    pub(super) fn release_when_quiet(&mut self, hold: u64) {
+    pub(crate) fn release_when_quiet(&mut self, hold: u64) {
         self.release = Some(Release {
             hold,
             since: self.now,
@@ -100,6 +102,6 @@
     }
 }
 
-fn is_release(call: &super::Call) -> bool {
+fn is_release(call: &Call) -> bool {
     matches!(call.purpose, Purpose::Release)
 }
--- a/src/core/standby.rs
+++ b/src/controller/leadership/standby.rs
@@ -1,9 +1,11 @@
 //! The standby in this controller: what its state machine is told, and what follows from it. The
 //! state machine itself is package `standby`.
 
-use super::holder::Holder;
-use super::{Core, Output};
-use crate::core::autoscaler::Pool;
+use crate::controller::Core;
+use crate::controller::autoscaling::Pool;
+use crate::controller::events::Output;
+use crate::controller::shard::Holder;
+use crate::controller::shard::burst_estimate::BurstEstimate;
 use crate::ids::{Image, MachineId, Time};
 use crate::peer::Message;
 use crate::settings::Settings;
@@ -58,7 +60,7 @@
 }
 
 /// The standby of a process that begins.
-pub(super) fn new_standby(settings: &Settings, boot: u64) -> Standby {
+pub(crate) fn new_standby(settings: &Settings, boot: u64) -> Standby {
     let platform = &settings.platform;
     let peers = platform.siblings.iter().map(|s| s.member.to_string());
     Standby::new(settings.standby(), platform.member.as_str(), boot, peers)
@@ -70,7 +72,7 @@
     }
 
     /// Tells the siblings that this controller runs and, if it leads, what it knows.
-    pub(super) fn standby_housekeeping(&mut self) {
+    pub(crate) fn standby_housekeeping(&mut self) {
         let before = self.suspects_leader();
         if let Some(heartbeat) = self.standby.tick(self.now.0) {
             let message = StandbyMessage::Heartbeat(heartbeat);
@@ -91,19 +93,19 @@
     }
 
     /// Whether this controller has lost the leader, and why.
-    pub(super) fn suspects_leader(&self) -> Option<Suspicion> {
+    pub(crate) fn suspects_leader(&self) -> Option<Suspicion> {
         self.standby.suspicion(self.now.0)
     }
 
     /// Whether the leader's record may be replaced before its grant's end. With several blocks
     /// each holder calls the cloud for its own machines without leading: there the grant is
     /// waited for.
-    pub(super) fn may_replace_leader(&self) -> bool {
+    pub(crate) fn may_replace_leader(&self) -> bool {
         self.cache.blocks.len() <= 1 && self.standby.may_replace(self.now.0).is_ok()
     }
 
     /// The leader's record may have changed.
-    pub(super) fn tell_standby_of_leader(&mut self) {
+    pub(crate) fn tell_standby_of_leader(&mut self) {
         let term = self.cache.leader.rec.as_ref().map(|leader| Term {
             leader: leader.member.to_string(),
             boot: leader.boot,
@@ -113,7 +115,7 @@
         self.standby.set_term(self.now.0, term);
     }
 
-    pub(super) fn on_standby_message(&mut self, message: StandbyMessage) {
+    pub(crate) fn on_standby_message(&mut self, message: StandbyMessage) {
         let now = self.now.0;
         match message {
             StandbyMessage::Heartbeat(heartbeat) => self.standby.on_heartbeat(now, &heartbeat),
@@ -167,7 +169,7 @@
     }
 
     /// A new holder begins with what the one before it estimated.
-    pub(super) fn take_hinted_estimates(&mut self) {
+    pub(crate) fn take_hinted_estimates(&mut self) {
         let Some((age_ms, estimates)) = self.standby.hints().estimates(self.now.0) else {
             return;
         };
@@ -212,14 +214,14 @@
             if let Some(class) = class_of(name) {
                 let pool: Pool = (class, *spot);
                 self.bursts
-                    .insert(pool, super::holder::BurstEstimate::told(told_at, *squares));
+                    .insert(pool, BurstEstimate::told(told_at, *squares));
             }
         }
     }
 
     /// Which images a machine has isn't in its reports: what the leader before this holder told
     /// of it is where starts are tried first.
-    pub(super) fn take_hinted_images(
+    pub(crate) fn take_hinted_images(
         &mut self,
         id: &MachineId,
         hints: &HintStore,
--- a/src/core/workers/commands.rs
+++ b/src/controller/machines/commands.rs
@@ -1,10 +1,12 @@
 //! Commands: what a machine is to do now, and the answers that carry them.
 
-use super::reports::ListedTask;
-use super::{
-    Cause, Command, Core, Holder, MachineId, Phase, Reply, ReportTask, ReqId, TaskId, TaskStance,
-    commands_body,
-};
+use crate::controller::Core;
+use crate::controller::events::Reply;
+use crate::controller::machines::heartbeats::ListedTask;
+use crate::controller::shard::Holder;
+use crate::controller::shard::job::Phase;
+use crate::ids::{MachineId, ReqId, TaskId};
+use crate::wire::{Cause, Command, ReportTask, TaskStance, commands_body};
 
 /// Repeated saving halts turn into plain ones after the grace and this long.
 const GRACE_S: f64 = 1.0;
@@ -48,7 +50,7 @@
         }
     }
 
-    pub(super) fn send_commands(&mut self, id: &MachineId, req: ReqId, commands: &[Command]) {
+    pub(crate) fn send_commands(&mut self, id: &MachineId, req: ReqId, commands: &[Command]) {
         let now = self.now;
         let Some(h) = &mut self.holder else {
             return;
@@ -63,7 +65,7 @@
 
     /// What a machine is to do now. Derived from what is known, not from what was
     /// sent: a lost answer is made good by the next one.
-    pub(super) fn commands(&mut self, id: &MachineId, listed: &[ListedTask<'_>]) -> Vec<Command> {
+    pub(crate) fn commands(&mut self, id: &MachineId, listed: &[ListedTask<'_>]) -> Vec<Command> {
         let now = self.now;
         // A start needs sight of the state service: a withdrawal may stand there.
         let blind = self.blind();
--- a/src/core/workers/reports.rs
+++ b/src/controller/machines/heartbeats.rs
@@ -1,10 +1,14 @@
 //! What reports tell of machines and tasks.
 
-use super::{
-    Attempt, Cause, ClassInfo, Core, Form, GATHER_MS, Holder, Machine, MachineId, Phase, Reply,
-    Report, ReportTask, ReqId, TaskId, TaskStance, Time, commands_body, info, warn,
-};
-use log::debug;
+use crate::controller::events::Reply;
+use crate::controller::machines::inventory::Machine;
+use crate::controller::shard::Holder;
+use crate::controller::shard::job::Phase;
+use crate::controller::store::records::Form;
+use crate::controller::{Core, GATHER_MS};
+use crate::ids::{Attempt, MachineId, ReqId, TaskId, Time};
+use crate::wire::{Cause, ClassInfo, Report, ReportTask, TaskStance, commands_body};
+use log::{debug, info, warn};
 
 /// A start is sent this often before its placement is given up.
 const SENDS_MAX: u32 = 4;
@@ -261,9 +265,9 @@
 }
 
 /// A task that a report lists.
-pub(super) struct ListedTask<'a> {
-    pub(super) task: TaskId,
-    pub(super) report: &'a ReportTask,
+pub(crate) struct ListedTask<'a> {
+    pub(crate) task: TaskId,
+    pub(crate) report: &'a ReportTask,
 }
 
 impl ListedTask<'_> {
--- a/src/core/fleet.rs
+++ b/src/controller/machines/inventory.rs
@@ -6,10 +6,10 @@
 //! knows what its tasks mean for a placement. Every change goes through `edit`, which
 //! files the machine anew: there is no second place that could forget to.
 
-use super::{
-    BTreeMap, ClassInfo, Image, JobRec, MachineId, Member, Rank, ReqId, Room, TaskId, Time,
-};
-use std::collections::BTreeSet;
+use crate::controller::store::records::{JobRec, Rank, Room};
+use crate::ids::{Image, MachineId, Member, ReqId, TaskId, Time};
+use crate::wire::ClassInfo;
+use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
 /// A task on a machine, as far as other placements there depend on it.
--- a/src/core/workers/liveness.rs
+++ b/src/controller/machines/liveness.rs
@@ -1,8 +1,12 @@
 //! Machines that are silent, cut off, or hear nothing, and leases that are over.
 
-use super::{
-    BTreeMap, BTreeSet, Core, DRIFT, Form, HEARD_S, MARGIN_S, Machine, Member, Phase, warn,
-};
+use crate::controller::machines::inventory::Machine;
+use crate::controller::shard::job::Phase;
+use crate::controller::store::records::Form;
+use crate::controller::{Core, DRIFT, HEARD_S, MARGIN_S};
+use crate::ids::Member;
+use log::warn;
+use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
 /// After `cancel_s` times this, a machine that may still run a withdrawn task is
@@ -41,7 +45,7 @@
     /// sibling either, is cut off from them and lets another controller try. When siblings
     /// hear none of them it is they who are gone, and giving up would only put off their
     /// replacement.
-    pub(super) fn check_deaf(&mut self) {
+    pub(crate) fn check_deaf(&mut self) {
         let w = &self.settings.platform.facts.workers;
         let patience = w.report_s * DEAF_REPORTS;
         let Some(h) = &self.holder else {
@@ -56,7 +60,7 @@
     }
 
     /// Proof 2: leases that must be over.
-    pub(super) fn check_leases(&mut self) {
+    pub(crate) fn check_leases(&mut self) {
         let lease = self.settings.platform.facts.workers.lease_s * (1.0 + DRIFT) + MARGIN_S;
         let (now, fresh) = (self.now, self.fresh_at);
         let Some(h) = &self.holder else {
@@ -92,7 +96,7 @@
     /// Deletes machines that may still run a withdrawn task, where nothing else proves it
     /// gone: its user is told only then. Machines of a zone that is cut off get longer,
     /// for all that runs beside it would be lost as well.
-    pub(super) fn check_cancels(&mut self) {
+    pub(crate) fn check_cancels(&mut self) {
         let w = &self.settings.platform.facts.workers;
         let (cancel_s, lease_s) = (w.cancel_s, w.lease_s);
         let now = self.now;
@@ -124,7 +128,7 @@
     /// their images, so they get time; only where nothing else proves what became of
     /// their tasks is a deletion needed sooner. Many at once are a cut for sure, unless
     /// they stay away for long.
-    pub(super) fn check_silent(&mut self) {
+    pub(crate) fn check_silent(&mut self) {
         let w = &self.settings.platform.facts.workers;
         let (lease_s, silent_s) = (w.lease_s, self.settings.silent_s(false));
         let (silent_mute_s, mute) = (self.settings.silent_s(true), self.mute());
@@ -185,7 +189,7 @@
     /// Machines whose reports come while nothing told them arrives never show this block's
     /// number, so that no report of theirs proves what became of the tasks an earlier holder
     /// placed there. Their leases have run out meanwhile; deleting them frees the tasks.
-    pub(super) fn check_unhearing(&mut self) {
+    pub(crate) fn check_unhearing(&mut self) {
         let lease_s = self.settings.platform.facts.workers.lease_s;
         let (now, blind) = (self.now, self.blind());
         let Some(h) = self.holder.as_mut().filter(|h| !blind && !h.cut) else {
@@ -253,7 +257,7 @@
 
     /// Tasks on machines that are about to go are stopped: at once where they can
     /// save, and on machines to be replaced.
-    pub(super) fn drain(&mut self) {
+    pub(crate) fn drain(&mut self) {
         let now = self.now;
         let Some(h) = &self.holder else {
             return;
--- a/src/core/workers/mod.rs
+++ b/src/controller/machines/mod.rs
@@ -12,18 +12,16 @@
 //! `reports` takes reports in, `commands` derives the answers, and `liveness` finds machines that
 //! are silent, hear nothing, or must go.
 
-mod commands;
-mod liveness;
-mod reports;
+pub(crate) mod commands;
+pub mod failures;
+pub(crate) mod heartbeats;
+pub mod inventory;
+pub(crate) mod liveness;
 
-use super::fleet::Machine;
-use super::holder::{Holder, Phase};
-use super::{
-    Attempt, BTreeMap, Cause, ClassInfo, Command, Core, DRIFT, Form, GATHER_MS, HEARD_S, MARGIN_S,
-    MachineId, Member, Reply, Report, ReportTask, ReqId, TaskId, TaskStance, Time, commands_body,
-};
+use crate::controller::Core;
+use crate::controller::shard::Holder;
+use crate::ids::{MachineId, TaskId, Time};
 use log::{info, warn};
-use std::collections::BTreeSet;
 
 /// A faulty machine's tasks get this long to stop before it is deleted.
 const DRAIN_S: f64 = 15.0;
@@ -72,7 +70,7 @@
 impl Holder {
     /// A task completed or runs well. A machine on which its job failed before is faulty
     /// then, if others say so too.
-    pub(super) fn task_succeeded(&mut self, now: Time, id: &MachineId, task: &TaskId) {
+    pub(crate) fn task_succeeded(&mut self, now: Time, id: &MachineId, task: &TaskId) {
         for faulty in self.failures.task_succeeded(&task.job, id) {
             self.machines.edit(&faulty, |m| {
                 if m.doomed.is_none() {
--- a/src/core/mod.rs
+++ b/src/controller/mod.rs
@@ -4,55 +4,48 @@
 //! service before anyone is told or any command is sent. Leases only decide who
 //! should act; they are never what makes a wrong act harmless.
 
-mod autoscaler;
-mod blocks;
-pub mod budget;
-mod calls;
-mod cells;
-mod change_meter;
-pub mod chunks;
+pub(crate) mod api;
+pub(crate) mod autoscaling;
 pub mod dependencies;
-mod drain;
-mod election;
-pub mod failures;
-pub mod fleet;
-mod follow;
-mod freshness;
-mod front;
-mod heartbeats;
-pub mod holder;
-mod interface;
-pub mod jobs;
-mod needs;
-mod placement;
+pub mod events;
+pub(crate) mod forwarding;
+pub(crate) mod leadership;
+pub mod machines;
+pub(crate) mod peers;
 pub mod processor;
-pub mod records;
-mod relay;
-mod sibling_links;
-mod standby;
-mod team_limits;
-mod workers;
+pub(crate) mod quota;
+pub mod rate_limits;
+pub(crate) mod scheduling;
+pub mod shard;
+pub(crate) mod shards;
+pub mod store;
 
-use crate::ids::{Attempt, CallId, Image, JobId, MachineId, Member, Number, ReqId, TaskId, Time};
-use crate::peer::{BlockCounts, Hello, Message};
+use crate::controller::api::{Front, NamingSubmission, Question, Submission};
+use crate::controller::autoscaling::CloudPurpose;
+use crate::controller::dependencies::resolution::NeedReads;
+use crate::controller::events::Input;
+use crate::controller::events::Load;
+use crate::controller::events::Output;
+use crate::controller::events::Queue;
+use crate::controller::forwarding::Relays;
+use crate::controller::leadership::election::Election;
+use crate::controller::leadership::shutdown::{Drain, Release};
+use crate::controller::leadership::standby::{HintSender, new_standby};
+use crate::controller::processor::ProcessorUse;
+use crate::controller::quota::cells::CellSharing;
+use crate::controller::quota::team_limits::TeamLimits;
+use crate::controller::rate_limits::token_bucket::Bucket;
+use crate::controller::rate_limits::write_rate::ChangeMeter;
+use crate::controller::shard::Holder;
+use crate::controller::shard::commits::FlushItem;
+use crate::controller::shards::leases::Lead;
+use crate::controller::store::mirror::Cache;
+use crate::ids::{CallId, JobId, Member, Number, Time};
+use crate::peer::{Hello, Message};
 use crate::settings::Settings;
-use crate::wire::{
-    Cause, Change, ClassInfo, CloudOp, CloudReply, Command, Listed, MachineStance, Report,
-    ReportTask, StateOp, StateReply, TaskStance, Write, commands_body,
-};
-use blocks::Lead;
-use budget::{Bucket, Priority};
-use change_meter::ChangeMeter;
-use holder::Holder;
-pub use interface::{Input, Link, Load, Output, Queue, Reply, Request};
-use jobs::Cache;
-use processor::ProcessorUse;
-use records::{
-    BlockRec, Ending, Entry, Form, JobRec, Key, LimitsByTeam, NumberRec, Placed, PlanRec, Rank,
-    Record, RentalRec, Room, RunRec, json_bytes,
-};
+use crate::wire::{Change, ClassInfo, Listed};
 use salttrestle_standby::Standby;
-use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
+use std::collections::{BTreeMap, HashMap, VecDeque};
 
 /// What a call to the state service is for.
 #[derive(Debug)]
@@ -63,14 +56,14 @@
     Grant,
     Elect,
     Extend,
-    Submit(Vec<front::Submission>),
-    Cancel(front::Question),
-    ReadEnd(front::Question),
+    Submit(Vec<Submission>),
+    Cancel(Question),
+    ReadEnd(Question),
     /// The end of a job that a submission names.
-    ReadNamed(Box<front::NamingSubmission>, JobId),
+    ReadNamed(Box<NamingSubmission>, JobId),
     /// The end of a job that one in the cache needs.
     ReadNeed(JobId),
-    Flush(Vec<holder::FlushItem>),
+    Flush(Vec<FlushItem>),
     Reread(JobId, u32),
     Finish(JobId),
     Cleanup(Vec<(JobId, u32)>),
@@ -143,7 +136,7 @@
     out: Vec<Output>,
     next_call: u64,
     calls: HashMap<CallId, Call>,
-    cloud_calls: HashMap<CallId, (autoscaler::CloudPurpose, Tenure)>,
+    cloud_calls: HashMap<CallId, (CloudPurpose, Tenure)>,
     requests: Bucket,
     changes: Bucket,
     change_meter: ChangeMeter,
@@ -164,12 +157,12 @@
     fresh_asked: CallId,
     /// Reads that were answered, while the follow hasn't come as far yet.
     fresh_waiting: VecDeque<FreshRead>,
-    need_reads: needs::NeedReads,
-    team_limits: team_limits::TeamLimits,
-    cells: cells::CellSharing,
+    need_reads: NeedReads,
+    team_limits: TeamLimits,
+    cells: CellSharing,
     heard_at: Time,
-    front: front::Front,
-    election: election::Election,
+    front: Front,
+    election: Election,
     /// The block in hand; see `in_block`. Boxed, since it changes places several times a step.
     pub(crate) holder: Option<Box<Holder>>,
     /// The blocks that this controller holds, but for the one in hand.
@@ -182,15 +175,15 @@
     processor: ProcessorUse,
     /// Whether the log says that the leader is suspected.
     leader_suspected: bool,
-    hint_sender: standby::HintSender,
+    hint_sender: HintSender,
     /// A grant that is to be given up.
-    release: Option<drain::Release>,
-    drain: Option<drain::Drain>,
+    release: Option<Release>,
+    drain: Option<Drain>,
     pub(crate) catalog: Vec<ClassInfo>,
     catalog_retry: Time,
     siblings: BTreeMap<Member, (Hello, Time)>,
     hello_at: Time,
-    relays: relay::Relays,
+    relays: Relays,
     counts_at: Time,
     listing: bool,
     /// The pages of a list of machines of which the next one waits for the budget.
@@ -216,7 +209,7 @@
         let share = settings.tuning.budget_share;
         let cloud = f.cloud.rps * share;
         let cloud_budget = Bucket::new(cloud, cloud * 1.5);
-        let standby = standby::new_standby(&settings, boot);
+        let standby = new_standby(&settings, boot);
         let mut core = Self {
             requests: Bucket::new(1.0, 1.0),
             changes: Bucket::new(1.0, 1.0),
@@ -240,12 +233,12 @@
             fresh_last: Time(0),
             fresh_asked: CallId(0),
             fresh_waiting: VecDeque::new(),
-            need_reads: needs::NeedReads::default(),
-            team_limits: team_limits::TeamLimits::default(),
-            cells: cells::CellSharing::default(),
+            need_reads: NeedReads::default(),
+            team_limits: TeamLimits::default(),
+            cells: CellSharing::default(),
             heard_at: Time(0),
-            front: front::Front::default(),
-            election: election::Election::default(),
+            front: Front::default(),
+            election: Election::default(),
             holder: None,
             parked: BTreeMap::new(),
             spent: BTreeMap::new(),
@@ -253,14 +246,14 @@
             standby,
             processor: ProcessorUse::default(),
             leader_suspected: false,
-            hint_sender: standby::HintSender::default(),
+            hint_sender: HintSender::default(),
             release: None,
             drain: None,
             catalog: Vec::new(),
             catalog_retry: Time(0),
             siblings: BTreeMap::new(),
             hello_at: Time(0),
-            relays: relay::Relays::default(),
+            relays: Relays::default(),
             counts_at: Time(0),
             listing: false,
             list_rest: None,
--- a/src/core/heartbeats.rs
+++ b/src/controller/peers/heartbeats.rs
@@ -1,6 +1,7 @@
 //! Heartbeats between controllers, and what they tell of who runs and who holds what.
 
-use super::{BLIND_S, Core, HEARD_S, Output};
+use crate::controller::events::Output;
+use crate::controller::{BLIND_S, Core, HEARD_S};
 use crate::ids::{MachineId, Member, Time};
 use crate::peer::{Hello, Message};
 
@@ -12,7 +13,7 @@
 
 impl Core {
     /// Tells all siblings how this controller stands.
-    pub(super) fn say_hello(&mut self) {
+    pub(crate) fn say_hello(&mut self) {
         let hello = Message::Hello(self.hello());
         self.out.push(Output::Peer(None, hello));
     }
@@ -49,7 +50,7 @@
     }
 
     /// Machines of this controller's blocks that can't be counted on to confirm anything.
-    pub(super) fn overdue(&self) -> Vec<MachineId> {
+    pub(crate) fn overdue(&self) -> Vec<MachineId> {
         let patience = self.settings.overdue_s();
         let held = self.parked.values();
         let late = held.flat_map(|h| h.machines.iter().map(move |(id, m)| (h.since, id, m)));
@@ -62,7 +63,7 @@
     }
 
     /// Which message of each sibling came last, for `nobody_sheltered` there.
-    pub(super) fn echoes(&self) -> Vec<(Member, u64, u64)> {
+    pub(crate) fn echoes(&self) -> Vec<(Member, u64, u64)> {
         let all = self.siblings.values();
         all.map(|(h, _)| (h.from.clone(), h.boot, h.at_ms))
             .collect()
@@ -73,7 +74,7 @@
         siblings.any(|s| s.member == *member)
     }
 
-    pub(super) fn on_hello(&mut self, hello: Hello) {
+    pub(crate) fn on_hello(&mut self, hello: Hello) {
         if !self.is_sibling(&hello.from) {
             return;
         }
@@ -150,7 +151,7 @@
         !self.settings.platform.siblings.is_empty() && self.lately().next().is_none()
     }
 
-    pub(super) fn lately(&self) -> impl Iterator<Item = &Hello> {
+    pub(crate) fn lately(&self) -> impl Iterator<Item = &Hello> {
         let recent = |at: &Time| self.now.since(*at) < HEARD_S;
         let all = self.siblings.values();
         all.filter(move |(_, at)| recent(at)).map(|(h, _)| h)
--- a/src/core/sibling_links.rs
+++ b/src/controller/peers/links.rs
@@ -1,8 +1,9 @@
 //! Links to siblings: which of them can be reached, which hear workers, and who has kept workers
 //! alive in a holder's place.
 
-use super::relay::TAKEOVER_S;
-use super::{Core, Link};
+use crate::controller::Core;
+use crate::controller::events::Link;
+use crate::controller::forwarding::TAKEOVER_S;
 use crate::ids::{Member, Time};
 use crate::settings::Sibling;
 
@@ -27,13 +28,13 @@
     }
 
     /// Whether messages reach a sibling, as far as is known.
-    pub(super) fn linked(&self, member: &Member) -> bool {
+    pub(crate) fn linked(&self, member: &Member) -> bool {
         self.heartbeat_fresh(member) && !self.relays.down.contains_key(member)
     }
 
     /// Whether a holder runs, since its record stands, while it refuses connections
     /// from here: a filter between the controllers, which its workers may pass.
-    pub(super) fn shut_off(&self, holder: &Member) -> bool {
+    pub(crate) fn shut_off(&self, holder: &Member) -> bool {
         let patience = self.settings.tuning.grant_s + TAKEOVER_S;
         let refused = self.relays.down.get(holder).copied().flatten();
         !self.blind() && refused.is_some_and(|since| self.now.since(since) > patience)
@@ -60,7 +61,7 @@
     }
 
     /// How long this process has run, in seconds.
-    pub(super) fn age_s(&self) -> f64 {
+    pub(crate) fn age_s(&self) -> f64 {
         self.began.map_or(0.0, |began| self.now.since(began))
     }
 
@@ -100,7 +101,7 @@
         self.siblings_in(zone).next().is_some()
     }
 
-    pub(super) fn siblings_in<'a>(&'a self, zone: &'a str) -> impl Iterator<Item = &'a Sibling> {
+    pub(crate) fn siblings_in<'a>(&'a self, zone: &'a str) -> impl Iterator<Item = &'a Sibling> {
         let siblings = self.settings.platform.siblings.iter();
         siblings.filter(move |s| s.site == zone)
     }
--- a/src/core/cells.rs
+++ b/src/controller/quota/cells.rs
@@ -6,18 +6,23 @@
 //! are unchanged. What other cells tell is only ever a reason to try; a rule rests on none of it.
 //! Blocks are allowed what the cell's record says, in commits that are conditional on it.
 
-use super::team_limits::LimitsWanted;
-use super::{
-    BTreeMap, Core, Holder, Key, LimitsByTeam, Output, Priority, Purpose, Record, StateOp,
-    StateReply, Time, Write, jobs,
-};
+use crate::controller::events::Output;
+use crate::controller::quota::team_limits::LimitsWanted;
+use crate::controller::rate_limits::token_bucket::Priority;
+use crate::controller::shard::Holder;
+use crate::controller::store::mirror::Slot;
+use crate::controller::store::records::{Key, LimitsByTeam, Record};
+use crate::controller::{Core, Purpose};
+use crate::ids::Time;
 use crate::peer::TeamCount;
 use crate::settings::CellsFile;
+use crate::wire::{StateOp, StateReply, Write};
 use log::{debug, info, warn};
 use salttrestle_cells::ledger::{CellRecord, LinkRecord, Refusal};
 use salttrestle_cells::message::{LinkMessage, Recall};
 use salttrestle_cells::sharing::{TeamView, called_back, gifts, needs};
 use salttrestle_cells::{Amount, Cell};
+use std::collections::BTreeMap;
 
 /// Between two messages to another cell while nothing changes, in seconds.
 const SAY_S: f64 = 0.5;
@@ -79,7 +84,7 @@
 
 impl Core {
     /// Another cell's leader tells how things stand there.
-    pub(super) fn on_cell_message(&mut self, message: LinkMessage) {
+    pub(crate) fn on_cell_message(&mut self, message: LinkMessage) {
         let Some(file) = &self.settings.cells else {
             return;
         };
@@ -96,7 +101,7 @@
         self.cells.heard.insert(message.from, entry);
     }
 
-    pub(super) fn cells_housekeeping(&mut self) {
+    pub(crate) fn cells_housekeeping(&mut self) {
         let Some(file) = self.settings.cells.clone() else {
             return;
         };
@@ -252,7 +257,7 @@
         if let Some((other, link)) = change.link {
             let key = Key::CellLink(other.clone());
             let slot = self.cache.cell_links.get(&other);
-            when.push((key.clone(), slot.map_or(0, jobs::Slot::version)));
+            when.push((key.clone(), slot.map_or(0, Slot::version)));
             writes.push(Write::put(key, Record::CellLink(link)));
         }
         if change.on_blocks {
@@ -267,7 +272,7 @@
     }
 
     /// Whatever came of it, the follow shows it, and the next look goes on from there.
-    pub(super) fn on_cell_changed(&mut self, reply: StateReply) {
+    pub(crate) fn on_cell_changed(&mut self, reply: StateReply) {
         self.cells.busy = false;
         if let StateReply::Committed { revision } = reply {
             self.cells.after = revision;
@@ -355,7 +360,7 @@
     /// What the blocks of this cell together are to allow: its share of each team, less what is
     /// called back, and of what is left no more than the cell would like to have, so that the
     /// rest can be given away.
-    pub(super) fn cell_limits(&self, file: &CellsFile) -> LimitsWanted {
+    pub(crate) fn cell_limits(&self, file: &CellsFile) -> LimitsWanted {
         let Some(record) = &self.cache.cell.rec else {
             return LimitsWanted::Set(LimitsByTeam::new());
         };
--- a/src/core/team_limits.rs
+++ b/src/controller/quota/team_limits.rs
@@ -9,8 +9,8 @@
 //! A record that can't be read, or that names what there isn't, changes nothing: the last good one
 //! stays in force, also under a leader that never saw it, since the blocks' records keep it.
 
-use super::Core;
-use super::records::{LimitsByTeam, LimitsRec};
+use crate::controller::Core;
+use crate::controller::store::records::{LimitsByTeam, LimitsRec};
 use crate::settings::Team;
 use log::{info, warn};
 
@@ -38,7 +38,7 @@
 
 impl Core {
     /// The operators' record may have changed.
-    pub(super) fn read_limits(&mut self) {
+    pub(crate) fn read_limits(&mut self) {
         let slot = &self.cache.limits;
         if slot.revision == self.team_limits.seen {
             return;
@@ -67,7 +67,7 @@
     }
 
     /// The limits of the settings, of every team that has one.
-    pub(super) fn limits_of_settings(&self) -> LimitsByTeam {
+    pub(crate) fn limits_of_settings(&self) -> LimitsByTeam {
         let teams = self.settings.platform.facts.teams.iter();
         let limited = teams.filter(|t| t.cpus_max > 0.0 || t.gpus_max > 0.0);
         limited
@@ -76,7 +76,7 @@
     }
 
     /// What the blocks together are to allow.
-    pub(super) fn limits_wanted(&self) -> LimitsWanted {
+    pub(crate) fn limits_wanted(&self) -> LimitsWanted {
         if let Some(file) = &self.settings.cells {
             return self.cell_limits(file);
         }
@@ -92,13 +92,13 @@
     }
 
     /// The limit by which a job of a team is accepted or refused.
-    pub(super) fn team_limit(&self, team: &Team) -> (f64, f64) {
+    pub(crate) fn team_limit(&self, team: &Team) -> (f64, f64) {
         let set = self.limit_set(&team.name);
         set.unwrap_or((team.cpus_max, team.gpus_max))
     }
 
     /// The limit that operators have set for a team at run time.
-    pub(super) fn limit_set(&self, team: &str) -> Option<(f64, f64)> {
+    pub(crate) fn limit_set(&self, team: &str) -> Option<(f64, f64)> {
         self.team_limits.good.as_ref()?.get(team).copied()
     }
 }
--- a/src/core/placement/consolidation.rs
+++ b/src/controller/scheduling/consolidation.rs
@@ -1,9 +1,17 @@
 //! Moves the replicas of little used machines to fuller ones, so that the former go back.
 
-use super::{
-    BTreeMap, BTreeSet, ClassInfo, Core, Form, Holder, JobId, Machine, MachineId, Phase, Rank, Rc,
-    Room, Settings, TaskId, Time, suits, usable, zone_allowed,
-};
+use crate::controller::Core;
+use crate::controller::machines::inventory::Machine;
+use crate::controller::scheduling::constraints::{suits, zone_allowed};
+use crate::controller::scheduling::usable;
+use crate::controller::shard::Holder;
+use crate::controller::shard::job::Phase;
+use crate::controller::store::records::{Form, Rank, Room};
+use crate::ids::{JobId, MachineId, TaskId, Time};
+use crate::settings::Settings;
+use crate::wire::ClassInfo;
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
 
 /// A machine used no more than this may be emptied, if its replicas have run for a
 /// while: starts that are stopped soon after don't count for anyone.
--- a/src/core/placement/quota.rs
+++ b/src/controller/scheduling/constraints.rs
@@ -1,6 +1,10 @@
 //! What teams, jobs and machine types allow: limits, guarantees, zones and kinds.
 
-use super::{ClassInfo, Holder, JobRec, JobState, Settings};
+use crate::controller::shard::Holder;
+use crate::controller::shard::job::JobState;
+use crate::controller::store::records::JobRec;
+use crate::settings::{Settings, Team};
+use crate::wire::ClassInfo;
 
 /// Whether one more task stays within its team's limit. Every task that isn't proven
 /// gone counts.
@@ -17,7 +21,7 @@
 
 impl Holder {
     /// How many CPUs and GPUs a team may use in this block.
-    pub(crate) fn allowance(&self, team: &crate::settings::Team) -> (f64, f64) {
+    pub(crate) fn allowance(&self, team: &Team) -> (f64, f64) {
         let given = self.allowances.as_ref().map(|a| a.get(&team.name).copied());
         let (cpus, gpus) = match given {
             None => (team.cpus_max, team.gpus_max),
@@ -29,7 +33,7 @@
 }
 
 /// Whether a task fits into what its team is guaranteed.
-pub(super) fn within_guarantee(h: &Holder, settings: &Settings, live: &JobState) -> bool {
+pub(crate) fn within_guarantee(h: &Holder, settings: &Settings, live: &JobState) -> bool {
     let teams = &settings.platform.facts.teams;
     let Some(team) = teams.iter().find(|t| t.name == live.rec.team) else {
         return false;
@@ -44,7 +48,7 @@
 }
 
 /// The other teams that use more than they are guaranteed, while they do.
-pub(super) fn teams_over<'a>(h: &Holder, settings: &'a Settings, team: &str) -> Vec<&'a str> {
+pub(crate) fn teams_over<'a>(h: &Holder, settings: &'a Settings, team: &str) -> Vec<&'a str> {
     let teams = settings.platform.facts.teams.iter();
     let over = teams.filter(|t| {
         let used = h.teams.get(&t.name).copied().unwrap_or_default();
@@ -56,7 +60,7 @@
 }
 
 /// Whether a job's tasks may run on a type and kind of machine.
-pub(super) fn suits(rec: &JobRec, catalog: &[ClassInfo], class: usize, spot: bool) -> bool {
+pub(crate) fn suits(rec: &JobRec, catalog: &[ClassInfo], class: usize, spot: bool) -> bool {
     (rec.spot || !spot) && catalog.get(class).is_some_and(|c| rec.allows(&c.name))
 }
 
--- a/src/core/placement/mod.rs
+++ b/src/controller/scheduling/mod.rs
@@ -3,25 +3,26 @@
 //! `scoring` says what a machine costs a task, `quota` whether its team and its job allow it there,
 //! `preemption` whom it displaces, and `consolidation` empties machines that are little used.
 
-mod consolidation;
-mod preemption;
-mod quota;
-mod scoring;
+pub(crate) mod consolidation;
+pub(crate) mod constraints;
+pub(crate) mod preemption;
+pub(crate) mod scoring;
 
-use super::fleet::Machine;
-use super::holder::{JobState, Phase, Placement};
-use super::{
-    BTreeMap, ClassInfo, Core, Form, HashMap, Holder, Image, JobId, JobRec, MachineId, Rank, Room,
-    Settings, TaskId, Time,
-};
-use log::debug;
-use preemption::cheapest_victims;
-use quota::{suits, teams_over, within_guarantee};
-pub(crate) use quota::{within_limit, zone_allowed};
-use scoring::{
+use crate::controller::Core;
+use crate::controller::machines::inventory::Machine;
+use crate::controller::scheduling::constraints::within_limit;
+use crate::controller::scheduling::constraints::{teams_over, within_guarantee};
+use crate::controller::scheduling::preemption::cheapest_victims;
+use crate::controller::scheduling::scoring::{
     ImageWorths, Offer, PlacementContext, best_offer, expected_s, fetch_s, ready_images,
 };
-use std::collections::BTreeSet;
+use crate::controller::shard::Holder;
+use crate::controller::shard::job::{Phase, Placement};
+use crate::controller::store::records::{JobRec, Rank};
+use crate::ids::{JobId, Time};
+use crate::settings::Settings;
+use crate::wire::ClassInfo;
+use log::debug;
 use std::rc::Rc;
 
 /// Shortest pause between two rounds of placing.
@@ -228,7 +229,7 @@
     (0..catalog.len()).filter(full).collect()
 }
 
-struct Round {
+pub(crate) struct Round {
     images: ImageWorths,
     full: Vec<usize>,
     left: usize,
--- a/src/core/placement/preemption.rs
+++ b/src/controller/scheduling/preemption.rs
@@ -1,13 +1,17 @@
 //! Which tasks of lower rank are stopped to make room.
 
-use super::{
-    ClassInfo, Holder, JobRec, JobState, Machine, Phase, Rank, Room, TaskId, Time, fetch_s, suits,
-    zone_allowed,
-};
+use crate::controller::machines::inventory::Machine;
+use crate::controller::scheduling::constraints::{suits, zone_allowed};
+use crate::controller::scheduling::scoring::fetch_s;
+use crate::controller::shard::Holder;
+use crate::controller::shard::job::{JobState, Phase};
+use crate::controller::store::records::{JobRec, Rank, Room};
+use crate::ids::{TaskId, Time};
+use crate::wire::ClassInfo;
 
 /// The tasks to stop for up to `most` tasks of a job: the least work of lower rank, one
 /// machine for each; and how many machines were looked at.
-pub(super) fn cheapest_victims(
+pub(crate) fn cheapest_victims(
     h: &Holder,
     catalog: &[ClassInfo],
     live: &JobState,
--- a/src/core/placement/scoring.rs
+++ b/src/controller/scheduling/scoring.rs
@@ -1,11 +1,17 @@
 //! What a start costs on each machine: delay, spread, and what other starts would lose.
 
-use super::{
-    BTreeMap, BTreeSet, ClassInfo, Form, HashMap, Holder, Image, JobId, JobRec, JobState, Machine,
-    MachineId, Rank, Rc, Room, Round, Settings, Time, suits, usable, zone_allowed,
-};
+use crate::controller::machines::inventory::Machine;
+use crate::controller::scheduling::constraints::{suits, zone_allowed};
+use crate::controller::scheduling::{Round, usable};
+use crate::controller::shard::Holder;
+use crate::controller::shard::job::JobState;
+use crate::controller::store::records::{Form, JobRec, Rank, Room};
+use crate::ids::{Image, JobId, MachineId, Time};
+use crate::settings::Settings;
+use crate::wire::ClassInfo;
 use std::cmp::Ordering;
-use std::collections::BinaryHeap;
+use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
+use std::rc::Rc;
 
 /// Weights of a placement's cost. A start that is as late as its class allows costs the
 /// first of them.
@@ -23,9 +29,9 @@
 const KEPT_S: f64 = 90.0;
 
 /// A machine for a job's next task. The cheapest one is the greatest, for the heap.
-pub(super) struct Offer {
-    pub(super) cost: f64,
-    pub(super) machine: MachineId,
+pub(crate) struct Offer {
+    pub(crate) cost: f64,
+    pub(crate) machine: MachineId,
 }
 
 impl Ord for Offer {
@@ -50,18 +56,18 @@
 impl Eq for Offer {}
 
 /// What placing one job's tasks goes by.
-pub(super) struct PlacementContext<'a> {
-    pub(super) settings: &'a Settings,
-    pub(super) catalog: &'a [ClassInfo],
+pub(crate) struct PlacementContext<'a> {
+    pub(crate) settings: &'a Settings,
+    pub(crate) catalog: &'a [ClassInfo],
     /// Within which time they are expected to start.
-    pub(super) expected: Option<f64>,
-    pub(super) now: Time,
+    pub(crate) expected: Option<f64>,
+    pub(crate) now: Time,
 }
 
 impl PlacementContext<'_> {
     /// What every machine with room for the job's next task costs, and how many were
     /// looked at.
-    pub(super) fn offers(
+    pub(crate) fn offers(
         &self,
         h: &Holder,
         job: &JobId,
@@ -91,7 +97,7 @@
 
     /// What the job's next task costs on a machine that suits it; `None` if it can't go
     /// there.
-    pub(super) fn cost_of(
+    pub(crate) fn cost_of(
         &self,
         h: &Holder,
         (job, live): (&JobId, &JobState),
@@ -118,7 +124,7 @@
 }
 
 /// Takes the cheapest offer whose zone may still have a task of the job.
-pub(super) fn best_offer(
+pub(crate) fn best_offer(
     h: &Holder,
     live: &JobState,
     offers: &mut BinaryHeap<Offer>,
@@ -162,7 +168,7 @@
 }
 
 /// Within which time the tasks of a class of jobs are expected to start, if that is said.
-pub(super) fn expected_s(settings: &Settings, of: &str) -> Option<f64> {
+pub(crate) fn expected_s(settings: &Settings, of: &str) -> Option<f64> {
     let wanted = settings.platform.facts.objectives.iter();
     let wanted = wanted.filter(|o| o.kind == "wait" && o.class.as_deref() == Some(of));
     wanted.filter_map(|o| o.within_s).reduce(f64::min)
@@ -178,9 +184,9 @@
 
 /// An image's worth on a machine that has it and has room for one of its tasks: what its
 /// next start would lose elsewhere, the less the more such machines there are.
-pub(super) type ImageWorths = HashMap<Image, (Room, f64)>;
+pub(crate) type ImageWorths = HashMap<Image, (Room, f64)>;
 
-pub(super) fn ready_images(
+pub(crate) fn ready_images(
     h: &Holder,
     catalog: &[ClassInfo],
     settings: &Settings,
@@ -237,7 +243,7 @@
 }
 
 /// Seconds until the image would be there. Images fetched at once share the rate.
-pub(super) fn fetch_s(rec: &JobRec, class: &ClassInfo, m: &Machine) -> f64 {
+pub(crate) fn fetch_s(rec: &JobRec, class: &ClassInfo, m: &Machine) -> f64 {
     if m.has_image(&rec.image) {
         return 0.0;
     }
--- a/src/core/holder/intake.rs
+++ b/src/controller/shard/admission.rs
@@ -1,10 +1,15 @@
 //! Jobs come into a block, are cancelled there, and leave it.
 
-use super::{
-    BTreeSet, Core, Holder, JobId, JobState, Machine, Phase, Placed, Placement, TaskId, Time, jobs,
-};
-use crate::core::dependencies::Needs;
+use crate::controller::Core;
+use crate::controller::dependencies::graph::Needs;
+use crate::controller::machines::inventory::Machine;
+use crate::controller::shard::Holder;
+use crate::controller::shard::job::{JobState, Phase, Placement};
+use crate::controller::store::mirror::CachedJob;
+use crate::controller::store::records::Placed;
+use crate::ids::{JobId, TaskId, Time};
 use log::info;
+use std::collections::BTreeSet;
 
 impl Core {
     /// A new holder's start: all that earlier ones committed is known, and nothing
@@ -13,7 +18,7 @@
         let Some(block) = self.holder.as_ref().map(|h| h.block) else {
             return;
         };
-        let of_block = |j: &jobs::CachedJob| j.rec.block == block;
+        let of_block = |j: &CachedJob| j.rec.block == block;
         let jobs = self.cache.jobs.iter().filter(|(_, j)| of_block(j));
         let ids: Vec<JobId> = jobs.map(|(id, _)| id.clone()).collect();
         for id in ids {
--- a/src/core/holder/burst_estimate.rs
+++ b/src/controller/shard/burst_estimate.rs
@@ -1,9 +1,14 @@
 //! How services' demand for each pool varies, and how long machines take to boot: from both
 //! follows the room to keep free for urgent starts.
 
-use super::{BTreeMap, ClassInfo, Form, Holder, JobRec, JobState, Pool, Time, faded};
-use crate::core::autoscaler::{per_machine, pool_for};
-use crate::core::records::Closed;
+use crate::controller::autoscaling::Pool;
+use crate::controller::autoscaling::demand::{per_machine, pool_for};
+use crate::controller::shard::job::JobState;
+use crate::controller::shard::{Holder, faded};
+use crate::controller::store::records::{Closed, Form, JobRec};
+use crate::ids::Time;
+use crate::wire::ClassInfo;
+use std::collections::BTreeMap;
 
 /// How services' demand for a pool comes: the squares of the jobs' sizes, in machines,
 /// older ones counting less.
@@ -64,7 +69,7 @@
     }
 
     /// Takes note of a job that came.
-    pub(super) fn note_demand(
+    pub(crate) fn note_demand(
         &mut self,
         now: Time,
         catalog: &[ClassInfo],
@@ -78,7 +83,7 @@
     }
 
     /// Takes those that run for a sign of what comes.
-    pub(super) fn guess_demand(&mut self, now: Time, catalog: &[ClassInfo], closed: &[Closed]) {
+    pub(crate) fn guess_demand(&mut self, now: Time, catalog: &[ClassInfo], closed: &[Closed]) {
         let mut squares: BTreeMap<Pool, f64> = BTreeMap::new();
         let open = |live: &&JobState| live.withdrawn.is_none() && live.released;
         for live in self.jobs.values().filter(open) {
--- a/src/core/holder/commits.rs
+++ b/src/controller/shard/commits.rs
@@ -1,11 +1,15 @@
 //! How placements, results and ends are committed.
 
-use super::{
-    Attempt, BTreeSet, Core, Holder, JobId, JobState, Key, MachineId, Phase, Placement, Priority,
-    Purpose, Rank, Record, RunRec, StateOp, StateReply, TaskId, Time, Write, json_bytes,
-};
-use crate::core::chunks::{ChunkLayout, chunk_size, ranges};
+use crate::controller::rate_limits::token_bucket::Priority;
+use crate::controller::shard::Holder;
+use crate::controller::shard::job::{JobState, Phase, Placement};
+use crate::controller::store::chunks::{ChunkLayout, chunk_size, ranges};
+use crate::controller::store::records::{Key, Rank, Record, RunRec, json_bytes};
+use crate::controller::{Core, Purpose};
+use crate::ids::{Attempt, JobId, MachineId, TaskId, Time};
+use crate::wire::{StateOp, StateReply, Write};
 use log::{debug, info, warn};
+use std::collections::BTreeSet;
 
 /// One chunk in a commit, with the placements that it makes good.
 #[derive(Debug)]
@@ -51,7 +55,7 @@
 }
 
 /// The priority of what is committed for a job of this rank.
-pub(super) fn rank_priority(rank: Rank) -> Priority {
+pub(crate) fn rank_priority(rank: Rank) -> Priority {
     if rank > Rank::Normal {
         Priority::Usual
     } else {
--- a/src/core/holder/endings.rs
+++ b/src/controller/shard/completion.rs
@@ -1,13 +1,17 @@
 //! How the ends of jobs are committed, and how what is left of their records is cleared away.
 
-use super::commits::rank_priority;
-use super::{Core, Ending, JobId, Key, Priority, Purpose, Record, StateOp, StateReply, Write};
+use crate::controller::rate_limits::token_bucket::Priority;
+use crate::controller::shard::commits::rank_priority;
+use crate::controller::store::records::{Ending, Key, Record};
+use crate::controller::{Core, Purpose};
+use crate::ids::JobId;
+use crate::wire::{StateOp, StateReply, Write};
 use log::warn;
 
 impl Core {
     /// Writes the ends of jobs: first of cancelled ones, for which users wait, while the budget
     /// lasts.
-    pub(super) fn pump_endings(&mut self) {
+    pub(crate) fn pump_endings(&mut self) {
         for id in self.ready_to_end() {
             if !self.commit_end(&id) {
                 return;
--- a/src/core/holder/image_demand.rs
+++ b/src/controller/shard/image_demand.rs
@@ -1,6 +1,8 @@
 //! Which images services ask for, and how often.
 
-use super::{Form, Holder, JobRec, Room, Time, faded};
+use crate::controller::shard::{Holder, faded};
+use crate::controller::store::records::{Form, JobRec, Room};
+use crate::ids::Time;
 
 /// What is known of an image that services use.
 #[derive(Debug)]
@@ -28,7 +30,7 @@
 
 impl Holder {
     /// Takes note of the image that a service comes with.
-    pub(super) fn note_image(&mut self, now: Time, rec: &JobRec) {
+    pub(crate) fn note_image(&mut self, now: Time, rec: &JobRec) {
         if rec.form != Form::Service {
             return;
         }
--- a/src/core/holder/job_state.rs
+++ b/src/controller/shard/job.rs
@@ -1,7 +1,12 @@
 //! What a block's holder knows of one job: its tasks, its placements, and what is written.
 
-use super::{Attempt, BTreeMap, JobRec, MachineId, Rank, Rc, Time, WriteUrgency, jobs};
-use crate::core::chunks::ChunkLayout;
+use crate::controller::shard::commits::WriteUrgency;
+use crate::controller::store::chunks::ChunkLayout;
+use crate::controller::store::mirror::CachedJob;
+use crate::controller::store::records::{JobRec, Rank};
+use crate::ids::{Attempt, MachineId, Time};
+use std::collections::BTreeMap;
+use std::rc::Rc;
 
 /// How far a placement has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -73,7 +78,7 @@
 }
 
 impl JobState {
-    pub(super) fn new(job: &jobs::CachedJob, layout: ChunkLayout, now: Time) -> Self {
+    pub(crate) fn new(job: &CachedJob, layout: ChunkLayout, now: Time) -> Self {
         Self {
             rec: job.rec.clone(),
             own_rank: job.rec.rank,
@@ -97,7 +102,7 @@
 
     /// Gives the job another rank than its own: the highest of those that need it. Whatever goes
     /// by rank goes by this one.
-    pub(super) fn set_rank(&mut self, rank: Rank) {
+    pub(crate) fn set_rank(&mut self, rank: Rank) {
         if rank != self.rec.rank {
             let rec = JobRec::clone(&self.rec);
             self.rec = Rc::new(JobRec { rank, ..rec });
@@ -114,7 +119,7 @@
     }
 
     /// Takes over which tasks are finished.
-    pub(super) fn restore_done(&mut self, ranges: &[(u32, u32)]) {
+    pub(crate) fn restore_done(&mut self, ranges: &[(u32, u32)]) {
         for (from, to) in ranges {
             for index in *from..(*to).min(self.rec.count) {
                 if !std::mem::replace(&mut self.done[index as usize], true) {
@@ -125,7 +130,7 @@
     }
 
     /// How soon the present state of a chunk or part is to be written.
-    pub(super) fn write_urgency(&self, chunk: u32) -> WriteUrgency {
+    pub(crate) fn write_urgency(&self, chunk: u32) -> WriteUrgency {
         let mut placed = self.placed.range(self.layout.tasks_of(chunk));
         if placed.any(|(_, p)| p.phase == Phase::Committing) {
             WriteUrgency::placements(self.rec.rank)
--- a/src/core/holder/mod.rs
+++ b/src/controller/shard/mod.rs
@@ -4,26 +4,28 @@
 //! its start is sent to anyone (`commits`). [`job_state`] has what is known of a job, `intake`
 //! takes jobs in and lets them go, `image_demand` and `burst_estimate` remember what came.
 
-mod burst_estimate;
-mod commits;
-mod endings;
-mod image_demand;
-mod intake;
-pub mod job_state;
+pub(crate) mod admission;
+pub(crate) mod burst_estimate;
+pub mod commits;
+pub(crate) mod completion;
+pub(crate) mod image_demand;
+pub mod job;
 
-use super::autoscaler::Pool;
-use super::failures::FailureLog;
-use super::fleet::{Fleet, Machine};
-use super::{
-    Attempt, BTreeMap, BlockRec, ClassInfo, Core, Ending, Form, HEARD_S, HashMap, Image, JobId,
-    JobRec, Key, MachineId, Member, Number, Placed, Priority, Purpose, Rank, Record, ReqId, Room,
-    RunRec, StateOp, StateReply, TaskId, Time, Write, jobs, json_bytes,
-};
-pub(crate) use burst_estimate::BurstEstimate;
-pub use commits::{FlushItem, FlushQueue, WriteUrgency};
-pub(crate) use image_demand::ImageDemand;
-pub use job_state::{Chunk, JobState, Phase, Placement};
-use std::collections::BTreeSet;
+use crate::controller::HEARD_S;
+use crate::controller::autoscaling::Pool;
+use crate::controller::machines::failures::FailureLog;
+use crate::controller::machines::inventory::{Fleet, Machine};
+use crate::controller::shard::burst_estimate::BurstEstimate;
+use crate::controller::shard::commits::FlushQueue;
+use crate::controller::shard::commits::WriteUrgency;
+use crate::controller::shard::image_demand::ImageDemand;
+use crate::controller::shard::job::JobState;
+use crate::controller::shard::job::Phase;
+use crate::controller::shard::job::Placement;
+use crate::controller::store::records::{BlockRec, Rank, Room};
+use crate::ids::{Attempt, Image, JobId, MachineId, Member, Number, ReqId, TaskId, Time};
+use crate::wire::ClassInfo;
+use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
 /// What is left of an amount of which half is forgotten in `half_s`.
@@ -203,7 +205,7 @@
     }
 
     /// Gives a job another rank, also where its tasks are.
-    pub(super) fn change_rank(&mut self, job: &JobId, rank: Rank) {
+    pub(crate) fn change_rank(&mut self, job: &JobId, rank: Rank) {
         let Some(live) = self.jobs.get_mut(job).filter(|l| l.rec.rank != rank) else {
             return;
         };
--- a/src/core/blocks.rs
+++ b/src/controller/shards/leases.rs
@@ -4,17 +4,20 @@
 //! leader itself. Cutting a fleet cuts packing, limits and caches as well, so there
 //! are more blocks only once each has enough machines.
 
-use super::autoscaler::Scale;
-use super::team_limits::LimitsWanted;
-use super::{
-    BTreeMap, BlockCounts, BlockRec, Core, Entry, Holder, JobId, Key, LimitsByTeam, MachineId,
-    Member, Message, Number, NumberRec, Output, Priority, Purpose, Record, StateOp, StateReply,
-    Time, Write, json_bytes,
+use crate::controller::autoscaling::plan::Scale;
+use crate::controller::events::Output;
+use crate::controller::quota::team_limits::LimitsWanted;
+use crate::controller::rate_limits::token_bucket::Priority;
+use crate::controller::shard::Holder;
+use crate::controller::store::records::{
+    BlockRec, Entry, Key, LimitsByTeam, NumberRec, Record, json_bytes,
 };
-use crate::peer::TeamCount;
-use crate::wire::Report;
+use crate::controller::{Core, Purpose};
+use crate::ids::{JobId, MachineId, Member, Number, Time};
+use crate::peer::{BlockCounts, Message, TeamCount};
+use crate::wire::{Report, StateOp, StateReply, Write};
 use log::{info, warn};
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet};
 
 /// Share of a block's lease without a count from its holder after which it goes to
 /// another controller.
--- /dev/null
+++ b/src/controller/shards/mod.rs
@@ -0,0 +1,3 @@
+//! How the leader divides the fleet into shards and leases them to owners.
+
+pub(crate) mod leases;
--- a/src/core/chunks.rs
+++ b/src/controller/store/chunks.rs
@@ -6,7 +6,7 @@
 //! for the tasks that they cover, so each part can be written by itself, and the chunk is left as
 //! it is until the job ends.
 
-use super::records::{JobRec, RunRec};
+use crate::controller::store::records::{JobRec, RunRec};
 use std::borrow::Cow;
 use std::ops::Range;
 
--- a/src/core/jobs.rs
+++ b/src/controller/store/mirror.rs
@@ -1,8 +1,8 @@
 //! What this controller knows of the state service's content, by following it.
 
-use super::dependencies::Dependencies;
-use crate::core::chunks::{ChunkLayout, EffectiveRun, effective_runs};
-use crate::core::records::{
+use crate::controller::dependencies::graph::Dependencies;
+use crate::controller::store::chunks::{ChunkLayout, EffectiveRun, effective_runs};
+use crate::controller::store::records::{
     BlockRec, Closed, Ending, JobRec, Key, LeaderRec, LimitsRec, NumberRec, PlanRec, Rank, Record,
     RunRec,
 };
@@ -87,7 +87,7 @@
     /// How jobs ended, and when this process learnt it.
     endings: HashMap<JobId, (Ending, Time)>,
     endings_order: VecDeque<JobId>,
-    pub(super) dependencies: Dependencies,
+    pub(crate) dependencies: Dependencies,
 }
 
 impl Cache {
--- a/src/core/records.rs
+++ b/src/controller/store/records.rs
@@ -1,7 +1,7 @@
 //! What the controllers keep at the state service. All keys share one prefix, so
 //! that one follow sees every change.
 
-use crate::core::chunks::ranges;
+use crate::controller::store::chunks::ranges;
 use crate::ids::{Attempt, Image, JobId, MachineId, Member, Number};
 use salttrestle_cells::Cell;
 use salttrestle_cells::ledger::{CellRecord, LinkRecord};
--- a/src/core/calls.rs
+++ b/src/controller/store/requests.rs
@@ -1,8 +1,10 @@
 //! Calls to the state service: their budgets, and whose answer is whose.
 
-use super::{
-    Call, CallId, Core, FreshRead, Output, Priority, Purpose, StateOp, StateReply, Tenure,
-};
+use crate::controller::events::Output;
+use crate::controller::rate_limits::token_bucket::Priority;
+use crate::controller::{Call, Core, FreshRead, Purpose, Tenure};
+use crate::ids::CallId;
+use crate::wire::{StateOp, StateReply};
 
 /// Share of what the other controllers may write that the holder leaves to them at least.
 const KEPT_FOR_OTHERS: f64 = 0.35;
@@ -47,7 +49,7 @@
         self.cloud_budget.set(self.now, cloud, cloud * 1.5);
     }
 
-    pub(super) fn write_cost(op: &StateOp) -> f64 {
+    pub(crate) fn write_cost(op: &StateOp) -> f64 {
         match op {
             StateOp::Commit { writes, .. } => writes.len() as f64,
             _ => 0.0,
@@ -96,7 +98,7 @@
         CallId(self.next_call)
     }
 
-    pub(super) fn on_state(&mut self, id: CallId, reply: StateReply) {
+    pub(crate) fn on_state(&mut self, id: CallId, reply: StateReply) {
         let Some(call) = self.calls.remove(&id) else {
             return;
         };
@@ -145,7 +147,7 @@
         self.catch_up();
     }
 
-    pub(super) fn on_block_reply(&mut self, purpose: Purpose, tenure: Tenure, reply: StateReply) {
+    pub(crate) fn on_block_reply(&mut self, purpose: Purpose, tenure: Tenure, reply: StateReply) {
         let Some((block, number)) = tenure else {
             return;
         };
--- a/src/core/freshness.rs
+++ b/src/controller/store/staleness.rs
@@ -1,7 +1,8 @@
 //! How fresh the knowledge of the state service is: reads of the present revision, and whether
 //! a controller is blind.
 
-use super::{BLIND_S, Core, Priority, Purpose, RETRY_S};
+use crate::controller::rate_limits::token_bucket::Priority;
+use crate::controller::{BLIND_S, Core, Purpose, RETRY_S};
 use crate::ids::CallId;
 use crate::wire::{StateOp, StateReply};
 
@@ -16,7 +17,7 @@
 impl Core {
     /// Asks for the present revision when somebody waits for it, or when it was
     /// last read too long ago.
-    pub(super) fn pump_fresh(&mut self) {
+    pub(crate) fn pump_fresh(&mut self) {
         if self.fresh_sent.is_some() || !self.listed {
             return;
         }
@@ -44,14 +45,14 @@
         }
     }
 
-    pub(super) fn on_fresh(&mut self, reply: &StateReply) {
+    pub(crate) fn on_fresh(&mut self, reply: &StateReply) {
         self.fresh_sent = None;
         if !matches!(reply, StateReply::Missing { .. }) {
             self.fresh_last = self.now.after(RETRY_S);
         }
     }
 
-    pub(super) fn catch_up(&mut self) {
+    pub(crate) fn catch_up(&mut self) {
         let revision = self.cache.revision;
         let (fresh, call) = (&mut self.fresh_at, &mut self.fresh_call);
         let known = &mut self.known_at;
--- a/src/core/follow.rs
+++ b/src/controller/store/watch.rs
@@ -1,8 +1,10 @@
 //! Following the state service: one listing, then every change.
 
-use super::jobs::Event;
-use super::records::LIST_AFTER;
-use super::{Core, Output, Priority, Purpose, RETRY_S, Sync};
+use crate::controller::events::Output;
+use crate::controller::rate_limits::token_bucket::Priority;
+use crate::controller::store::mirror::Event;
+use crate::controller::store::records::LIST_AFTER;
+use crate::controller::{Core, Purpose, RETRY_S, Sync};
 use crate::ids::Time;
 use crate::wire::{StateOp, StateReply};
 
@@ -12,7 +14,7 @@
 const FOLLOW_SHARE: f64 = 0.4;
 
 impl Core {
-    pub(super) fn sync_housekeeping(&mut self) {
+    pub(crate) fn sync_housekeeping(&mut self) {
         match self.sync {
             Sync::Idle { retry_at } if self.now >= retry_at => {
                 self.sync = Sync::Listing {
@@ -41,7 +43,7 @@
         }
     }
 
-    pub(super) fn list_from(&mut self, after: String) {
+    pub(crate) fn list_from(&mut self, after: String) {
         let op = StateOp::List { after };
         if self.state_call(op, Purpose::List, Priority::First).is_err() {
             self.sync = Sync::Idle {
@@ -50,7 +52,7 @@
         }
     }
 
-    pub(super) fn on_list(&mut self, reply: StateReply) {
+    pub(crate) fn on_list(&mut self, reply: StateReply) {
         let StateReply::Page {
             entries: page,
             last,
@@ -81,7 +83,7 @@
         self.on_events(events);
     }
 
-    pub(super) fn follow(&mut self) {
+    pub(crate) fn follow(&mut self) {
         let op = StateOp::Follow {
             after: self.cache.revision,
         };
@@ -96,7 +98,7 @@
     /// Goes on following: at once where tasks are placed. The others let changes gather,
     /// so that opening the follow again for each of them doesn't use up their requests:
     /// with five controllers that kept submissions waiting for a second.
-    pub(super) fn follow_on(&mut self) {
+    pub(crate) fn follow_on(&mut self) {
         let takes_over = self.suspects_leader().is_some() || self.has_won();
         if !self.parked.is_empty() || self.lead.is_some() || takes_over {
             return self.follow();
@@ -108,13 +110,13 @@
     }
 
     /// Goes on following without the pause: something is known to have changed.
-    pub(super) fn follow_at_once(&mut self) {
+    pub(crate) fn follow_at_once(&mut self) {
         if matches!(self.sync, Sync::Paused { .. }) {
             self.follow();
         }
     }
 
-    pub(super) fn on_follow(&mut self, reply: StateReply, sent: Time) {
+    pub(crate) fn on_follow(&mut self, reply: StateReply, sent: Time) {
         match reply {
             StateReply::News { revision, news } => {
                 let now = self.now;
@@ -142,7 +144,7 @@
         }
     }
 
-    pub(super) fn on_events(&mut self, events: Vec<Event>) {
+    pub(crate) fn on_events(&mut self, events: Vec<Event>) {
         let mut control = false;
         for event in events {
             match event {
--- a/src/gauge.rs
+++ b/src/metrics.rs
@@ -1,7 +1,7 @@
 //! What the program measures of itself, and the line that tells an operator which limit
 //! is near.
 
-use crate::core::Load;
+use crate::controller::events::Load;
 use crate::ids::Time;
 use hdrhistogram::Histogram;
 use std::time::{Duration, Instant};
--- a/src/net/calls.rs
+++ b/src/net/calls.rs
@@ -1,11 +1,12 @@
 //! Calls to the state service and the cloud, over a few connections each.
 
-use super::Net;
-use super::connections::{ANSWER_MAX, Conn, Role, open};
-use crate::core::Input;
-use crate::http::{self, Decoder, Message, Side};
+use crate::controller::events::Input;
+use crate::http::{Decoder, Message, Side};
 use crate::ids::{CallId, Time};
-use crate::wire::{self, Call, CloudOp, CloudReply, StateOp, StateReply};
+use crate::net::Net;
+use crate::net::connections::{ANSWER_MAX, Conn, Role, open};
+use crate::wire::{Call, CloudOp, CloudReply, StateOp, StateReply};
+use crate::{http, wire};
 use log::debug;
 use std::net::SocketAddrV4;
 
--- a/src/net/cells.rs
+++ b/src/net/cells.rs
@@ -1,10 +1,10 @@
 //! Messages between cells: each controller listens for other cells, and a leader tells each
 //! controller of another cell, since it doesn't know which of them leads there.
 
-use super::Net;
-use super::connections::{Conn, Role, open};
-use crate::core::Input;
+use crate::controller::events::Input;
 use crate::ids::Time;
+use crate::net::Net;
+use crate::net::connections::{Conn, Role, open};
 use log::{debug, warn};
 use salttrestle_cells::Cell;
 use salttrestle_cells::message::{self, LinkMessage};
--- a/src/net/connections.rs
+++ b/src/net/connections.rs
@@ -1,12 +1,11 @@
 //! Connections: how they are accepted, read, written, shed and closed.
 
-use super::Net;
-use super::calls::Service;
-use super::waiting::Ready;
-use crate::core::Input;
-use crate::core::Link;
+use crate::controller::events::{Input, Link};
 use crate::http::{Decoder, Side};
 use crate::ids::{CallId, Member, ReqId, Time};
+use crate::net::Net;
+use crate::net::calls::Service;
+use crate::net::waiting::Ready;
 use crate::wire;
 use log::{debug, warn};
 use socket2::{Domain, Socket, Type};
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -8,13 +8,15 @@
 mod requests;
 pub mod waiting;
 
-use crate::core::{Core, Input, Output};
-use crate::gauge::Gauge;
+use crate::controller::Core;
+use crate::controller::events::{Input, Output};
 use crate::ids::{CallId, Member, ReqId, Time};
+use crate::metrics::Gauge;
+use crate::net::calls::{Op, Outgoing, Service};
+use crate::net::connections::{Conn, FIRST_CONN, Inbound};
+use crate::net::waiting::{Ready, Waiting};
 use crate::peer;
 use crate::settings::Settings;
-use calls::{Op, Outgoing, Service};
-use connections::{Conn, FIRST_CONN, Inbound};
 use log::{info, warn};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::io::{self, ErrorKind};
@@ -22,7 +24,6 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
-use waiting::{Ready, Waiting};
 
 const LISTEN: usize = 0;
 const PEER_LISTEN: usize = 1;
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -1,9 +1,9 @@
 //! Messages between controllers.
 
-use super::Net;
-use super::connections::{Conn, Role, open};
-use crate::core::{Input, Link};
+use crate::controller::events::{Input, Link};
 use crate::ids::Member;
+use crate::net::Net;
+use crate::net::connections::{Conn, Role, open};
 use crate::peer;
 use log::warn;
 use std::io::ErrorKind;
--- a/src/net/requests.rs
+++ b/src/net/requests.rs
@@ -1,11 +1,11 @@
 //! Requests of users, workers and health checks, and their answers.
 
-use super::Net;
-use super::connections::{Conn, Role, WORKER_SHARE};
-use crate::core::{Input, Reply, Request};
-use crate::http::{self, Decoder, HttpError, Message, Side};
+use crate::controller::events::{Input, Reply, Request};
+use crate::http::{Decoder, HttpError, Message, Side};
 use crate::ids::{JobId, ReqId};
-use crate::wire;
+use crate::net::Net;
+use crate::net::connections::{Conn, Role, WORKER_SHARE};
+use crate::{http, wire};
 
 /// When a worker that was refused for want of sockets had better come back, in seconds.
 const REFUSED_RETRY_S: u32 = 1;
--- a/src/settings/cells.rs
+++ b/src/settings/cells.rs
@@ -1,8 +1,9 @@
 //! The cells that share team limits, as Java-style properties: the same file for all cells but for
 //! `cells.here`.
 
-use super::{Platform, SettingsError, Team, bad};
 use crate::ids::Member;
+use crate::settings::platform::{Platform, Team};
+use crate::settings::{SettingsError, bad};
 use salttrestle_cells::ledger::HomeTeam;
 use salttrestle_cells::{Amount, Cell};
 use std::collections::{BTreeMap, HashMap};
--- a/src/settings/derived.rs
+++ b/src/settings/derived.rs
@@ -1,7 +1,8 @@
 //! Figures that follow from the settings: times, shares and counts.
 
-use super::{Settings, StrictestLimits};
 use crate::peer::MESSAGE_MAX;
+use crate::settings::Settings;
+use crate::settings::state_limits::StrictestLimits;
 use salttrestle_standby::Config;
 
 /// Processor time that a holder spends on one report, with all that follows from it, in
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -11,13 +11,12 @@
 mod state_limits;
 mod tuning;
 
-pub use cells::CellsFile;
-pub use platform::{
+pub use crate::settings::cells::CellsFile;
+pub use crate::settings::platform::{
     CloudLimits, Facts, Objective, Platform, Resources, Services, Sibling, Team, Workers,
 };
-pub use state_limits::{NextStateLimits, StateLimits, StrictestLimits};
-pub use tuning::Tuning;
-
+pub use crate::settings::state_limits::{NextStateLimits, StateLimits, StrictestLimits};
+pub use crate::settings::tuning::Tuning;
 use std::path::Path;
 use std::sync::Arc;
 use thiserror::Error;
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -1,8 +1,8 @@
 //! What the platform hands over, as JSON.
 
-use super::state_limits::StateLimits;
-use super::{SettingsError, bad};
 use crate::ids::Member;
+use crate::settings::state_limits::StateLimits;
+use crate::settings::{SettingsError, bad};
 use serde::Deserialize;
 use std::net::SocketAddrV4;
 
--- a/src/settings/state_limits.rs
+++ b/src/settings/state_limits.rs
@@ -1,6 +1,6 @@
 //! Limits of the state service, now and later.
 
-use super::{SettingsError, bad};
+use crate::settings::{SettingsError, bad};
 use serde::Deserialize;
 
 /// Limits of the state service, as they are now and as they are announced to become.
--- a/src/settings/tuning.rs
+++ b/src/settings/tuning.rs
@@ -1,6 +1,6 @@
 //! What operators set, as Java-style properties.
 
-use super::{SettingsError, bad};
+use crate::settings::{SettingsError, bad};
 use salttrestle_standby::Config;
 use std::collections::HashMap;
 
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -1,6 +1,9 @@
 //! Calls to the cloud and its answers.
 
-use super::{Call, Deserialize, MachineId, Num, RentalRec, Room, Serialize, decode, encode, get};
+use crate::controller::store::records::{RentalRec, Room};
+use crate::ids::MachineId;
+use crate::wire::{Call, Num, decode, encode, get};
+use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudOp {
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -6,16 +6,10 @@
 mod user;
 mod worker;
 
-pub use cloud::*;
-pub use state::*;
-pub use user::*;
-pub use worker::*;
-
-use crate::core::records::{
-    Form, JobRec, Key, LimitsByTeam, LimitsRec, PREFIX, Rank, Record, RentalRec, Room,
-};
-use crate::ids::{Attempt, Image, JobId, MachineId, Member, Number};
-use ciborium::Value;
+pub use crate::wire::cloud::*;
+pub use crate::wire::state::*;
+pub use crate::wire::user::*;
+pub use crate::wire::worker::*;
 use serde::de::{DeserializeOwned, Deserializer, Visitor};
 use serde::{Deserialize, Serialize};
 use std::fmt;
--- a/src/wire/state.rs
+++ b/src/wire/state.rs
@@ -1,9 +1,9 @@
 //! Calls to the state service and its answers.
 
-use super::{
-    Call, Deserialize, Key, LimitsByTeam, LimitsRec, Num, PREFIX, Record, Serialize, Value, decode,
-    encode, get,
-};
+use crate::controller::store::records::{Key, LimitsByTeam, LimitsRec, PREFIX, Record};
+use crate::wire::{Call, Num, decode, encode, get};
+use ciborium::Value;
+use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug, PartialEq)]
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -1,9 +1,9 @@
 //! Submissions, and what users are answered.
 
-use super::{
-    AMOUNT_MAX, Deserialize, Form, Image, JobId, JobRec, NAME_MAX, Num, Rank, Room, Serialize,
-    TASKS_MAX, TYPES_MAX, encode,
-};
+use crate::controller::store::records::{Form, JobRec, Rank, Room};
+use crate::ids::{Image, JobId};
+use crate::wire::{AMOUNT_MAX, NAME_MAX, Num, TASKS_MAX, TYPES_MAX, encode};
+use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
 #[derive(Deserialize)]
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -1,6 +1,8 @@
 //! Workers' reports, and the commands in the answers.
 
-use super::{Attempt, Deserialize, Member, Num, Number, Serialize, encode};
+use crate::ids::{Attempt, Member, Number};
+use crate::wire::{Num, encode};
+use serde::{Deserialize, Serialize};
 
 /// One worker's report.
 #[derive(Clone, Debug, Deserialize)]
--- a/standins/src/checker.rs
+++ b/standins/src/checker.rs
@@ -1,6 +1,6 @@
 //! The rules, seen from outside: by what users are told and what machines run.
 
-use salttrestle::core::records::{Form, JobRec, Room};
+use salttrestle::controller::store::records::{Form, JobRec, Room};
 use salttrestle::ids::{JobId, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/standins/src/orders.rs
+++ b/standins/src/orders.rs
@@ -3,7 +3,7 @@
 //! no attempt that falls, and calls to the cloud by one leader after the other ([`Duties`]).
 
 use crate::duties::Duties;
-use salttrestle::core::records::RunRec;
+use salttrestle::controller::store::records::RunRec;
 use salttrestle::ids::{Attempt, JobId, MachineId, TaskId};
 use std::collections::{HashMap, HashSet};
 
--- a/standins/tests/orders.rs
+++ b/standins/tests/orders.rs
@@ -1,6 +1,6 @@
 //! The judge of orders sees each kind of wrong order, and nothing wrong in a right history.
 
-use salttrestle::core::records::RunRec;
+use salttrestle::controller::store::records::RunRec;
 use salttrestle::ids::{Attempt, JobId, MachineId, Number, TaskId};
 use salttrestle_standins::orders::Orders;
 
--- a/tests/malformed.rs
+++ b/tests/malformed.rs
@@ -437,7 +437,7 @@
 /// 1,200 of them fit into a value.
 #[test]
 fn a_list_of_machines_is_packed() {
-    use salttrestle::core::records::{BlockRec, Entry};
+    use salttrestle::controller::store::records::{BlockRec, Entry};
     use salttrestle::ids::Number;
     let entry = |id: &str, zone: &str| -> Entry { (id.into(), "g8".into(), zone.into(), true) };
     let rec = |machines| BlockRec {
--- a/tests/processor.rs
+++ b/tests/processor.rs
@@ -1,6 +1,6 @@
 //! How busy a process is, and what follows for the number of blocks.
 
-use salttrestle::core::processor::ProcessorUse;
+use salttrestle::controller::processor::ProcessorUse;
 use salttrestle::ids::Time;
 
 const SECOND: u64 = 1000;
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -172,7 +172,8 @@
         world.run();
         let cores = world.nodes.iter().filter_map(|n| n.core.as_ref());
         let loads: Vec<_> = cores.map(|c| c.load()).collect();
-        let sum = |f: fn(&salttrestle::core::Load) -> u64| loads.iter().map(f).sum::<u64>();
+        let sum =
+            |f: fn(&salttrestle::controller::events::Load) -> u64| loads.iter().map(f).sum::<u64>();
         (sum(|l| l.looked), sum(|l| l.placed))
     };
     let (before, after) = (looked(39), looked(75));
--- a/tests/sheltered_tasks.rs
+++ b/tests/sheltered_tasks.rs
@@ -1,7 +1,8 @@
 //! What a controller answers a worker of its zone while the holder can't be reached.
 
-use salttrestle::core::records::{BlockRec, Ending, Key, LeaderRec, Record};
-use salttrestle::core::{Core, Input, Output, Request};
+use salttrestle::controller::Core;
+use salttrestle::controller::events::{Input, Output, Request};
+use salttrestle::controller::store::records::{BlockRec, Ending, Key, LeaderRec, Record};
 use salttrestle::ids::{Attempt, CallId, JobId, Number, ReqId, Time};
 use salttrestle::settings::{Platform, Settings, Tuning};
 use salttrestle::wire::{Change, Report, ReportTask, StateOp, StateReply, TaskStance};
--- a/tests/sim/digest.rs
+++ b/tests/sim/digest.rs
@@ -2,7 +2,7 @@
 //! and with its time. Two builds that behave alike have the same digest for the same scenario and
 //! seed, whatever their types and functions are called.
 
-use salttrestle::core::Output;
+use salttrestle::controller::events::Output;
 use salttrestle::peer;
 use salttrestle::wire::Call;
 use std::fs::OpenOptions;
--- a/tests/sim/limits.rs
+++ b/tests/sim/limits.rs
@@ -1,7 +1,7 @@
 //! Operators who change team limits at run time, and when a change is in force.
 
 use super::world::{Args, Ev, World, ms, num};
-use salttrestle::core::records::{Key, LimitsByTeam, LimitsRec, Record};
+use salttrestle::controller::store::records::{Key, LimitsByTeam, LimitsRec, Record};
 use salttrestle_standins::store::{CommitOutcome, Write};
 
 /// A lowered limit has stopped new starts within this time.
--- a/tests/sim/nodes.rs
+++ b/tests/sim/nodes.rs
@@ -1,7 +1,8 @@
 //! Nodes: how they are started and killed, and what reaches them over links that can be cut.
 
 use super::world::{Cut, Ev, Far, Origin, World};
-use salttrestle::core::{Core, Input, Link, Output, Reply};
+use salttrestle::controller::Core;
+use salttrestle::controller::events::{Input, Link, Output, Reply};
 use salttrestle::ids::Time;
 use salttrestle::settings::{Platform, Settings, Tuning};
 use salttrestle::wire::{CloudReply, StateOp, StateReply};
--- a/tests/sim/script.rs
+++ b/tests/sim/script.rs
@@ -3,7 +3,8 @@
 use super::users::Intent;
 use super::world::{Args, Cut, Ev, Far, Node, Spec, World, arg, flag, ms, num};
 use ciborium::cbor;
-use salttrestle::core::{Core, Input};
+use salttrestle::controller::Core;
+use salttrestle::controller::events::Input;
 use salttrestle::ids::JobId;
 use salttrestle::wire;
 use salttrestle_standins::worker::TaskSpec;
--- a/tests/sim/services.rs
+++ b/tests/sim/services.rs
@@ -2,8 +2,8 @@
 
 use super::state::Waiter;
 use super::world::{Ev, Far, World};
-use salttrestle::core::Input;
-use salttrestle::core::records::Record;
+use salttrestle::controller::events::Input;
+use salttrestle::controller::store::records::Record;
 use salttrestle::ids::CallId;
 use salttrestle::wire::{CloudOp, StateOp, StateReply};
 
--- a/tests/sim/state.rs
+++ b/tests/sim/state.rs
@@ -1,7 +1,7 @@
 //! The state service, as PROTOCOL describes it.
 
-use salttrestle::core::chunks::ChunkLayout;
-use salttrestle::core::records::{Key, PREFIX, Record};
+use salttrestle::controller::store::chunks::ChunkLayout;
+use salttrestle::controller::store::records::{Key, PREFIX, Record};
 use salttrestle::ids::CallId;
 use salttrestle::settings::NextStateLimits;
 use salttrestle::wire::{Change, StateOp, StateReply, Write, record_value};
--- a/tests/sim/troubles.rs
+++ b/tests/sim/troubles.rs
@@ -4,8 +4,8 @@
 use super::users::{Intent, edited};
 use super::world::{Args, Ev, Origin, Spec, World, arg, ms, num};
 use ciborium::Value;
-use salttrestle::core::records::{JobRec, Key, Record, Room};
-use salttrestle::core::{Input, Reply, Request};
+use salttrestle::controller::events::{Input, Reply, Request};
+use salttrestle::controller::store::records::{JobRec, Key, Record, Room};
 use salttrestle::ids::JobId;
 use salttrestle::wire::{Report, StateOp, StateReply};
 use salttrestle_standins::checker::Said;
--- a/tests/sim/users.rs
+++ b/tests/sim/users.rs
@@ -2,7 +2,7 @@
 
 use super::world::{Ev, Origin, Spec, World};
 use ciborium::Value;
-use salttrestle::core::{Input, Reply, Request};
+use salttrestle::controller::events::{Input, Reply, Request};
 use salttrestle::ids::JobId;
 use salttrestle::wire;
 use salttrestle_standins::checker::Said;
--- a/tests/sim/workers.rs
+++ b/tests/sim/workers.rs
@@ -2,7 +2,7 @@
 //! checker sees of their tasks.
 
 use super::world::{Ev, Origin, Spec, World};
-use salttrestle::core::{Input, Reply, Request};
+use salttrestle::controller::events::{Input, Reply, Request};
 use salttrestle::ids::{JobId, TaskId};
 use salttrestle::wire::{self, Cause};
 use salttrestle_standins::checker::Place;
--- a/tests/stored_forms.rs
+++ b/tests/stored_forms.rs
@@ -7,8 +7,8 @@
 //! [`HEARTBEAT`], [`HINTS`]), which are newer.
 
 use ciborium::cbor;
-use salttrestle::core::chunks::{ChunkLayout, effective_runs};
-use salttrestle::core::records::*;
+use salttrestle::controller::store::chunks::{ChunkLayout, effective_runs};
+use salttrestle::controller::store::records::*;
 use salttrestle::ids::{Attempt, Image, MachineId, Member, Number, ReqId};
 use salttrestle::peer::{
     self, BlockCounts, Hello, Message, PoolCount, RelayedAnswer, RelayedReport, TeamCount,
--- a/tests/wire_words.rs
+++ b/tests/wire_words.rs
@@ -2,7 +2,7 @@
 //! stand-ins take typed calls, so only these tests see whether a rename here changed a body.
 
 use ciborium::{Value, cbor};
-use salttrestle::core::records::{Ending, Key, Record, RentalRec};
+use salttrestle::controller::store::records::{Ending, Key, Record, RentalRec};
 use salttrestle::ids::{JobId, MachineId};
 use salttrestle::wire::{self, CloudOp, CloudReply, StateOp, StateReply, Write};
 
