--- a/benches/core.rs
+++ b/benches/core.rs
@@ -5,17 +5,18 @@
 //! without sockets, so that the kernel's part is left out.
 
 use criterion::{Criterion, criterion_group, criterion_main};
-use salttrestle::controller::Core;
+use salttrestle::controller::Controller;
 use salttrestle::controller::events::{Input, Output, Request};
 use salttrestle::controller::store::records::{
-    BlockRec, Form, JobRec, Key, LeaderRec, Rank, Record, Room, RunRec,
+    JobKind, JobRecord, Key, LeaderRecord, PlacementRecord, PriorityClass, Record, Resources,
+    ShardRecord,
 };
-use salttrestle::ids::{Attempt, JobId, MachineId, Number, ReqId, Time};
-use salttrestle::peer::{self, Message, RelayedReport};
+use salttrestle::ids::{Attempt, FencingToken, JobId, MachineId, RequestId, Time};
+use salttrestle::peer::{self, ForwardedHeartbeat, Message};
 use salttrestle::settings::{Platform, Settings, Tuning};
 use salttrestle::wire::{
-    self, Change, ClassInfo, CloudOp, CloudReply, Report, ReportTask, StateOp, StateReply,
-    TaskStance,
+    self, Change, CloudOp, CloudReply, HeartbeatTask, MachineType, StoreRequest, StoreResponse,
+    TaskStatus, WorkerHeartbeat,
 };
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::hint::black_box;
@@ -26,7 +27,7 @@
 const TASKS_A_MACHINE: usize = 4;
 const REPORT_MS: u64 = 800;
 const BOOT: u64 = 7;
-const NUMBER: Number = Number(4);
+const NUMBER: FencingToken = FencingToken(4);
 const REVISION: u64 = 10;
 const HOLDER: &str = "n1";
 
@@ -52,16 +53,16 @@
 #[global_allocator]
 static ALLOCATOR: Counting = Counting;
 
-fn settings(member: &str) -> Settings {
-    let siblings: Vec<_> = (0..5)
+fn settings(controller_id: &str) -> Settings {
+    let peers: Vec<_> = (0..5)
         .map(|n| (n, format!("n{n}")))
-        .filter(|(_, name)| name != member)
+        .filter(|(_, name)| name != controller_id)
         .map(|(n, name)| {
             serde_json::json!({"member": name, "site": "a", "endpoint": format!("127.0.0.1:{}", n + 10)})
         })
         .collect();
-    let platform = serde_json::json!({"member": member, "site": "a", "listen": "127.0.0.1:1",
-        "peer_listen": "127.0.0.1:2", "siblings": siblings,
+    let platform = serde_json::json!({"member": controller_id, "site": "a", "listen": "127.0.0.1:1",
+        "peer_listen": "127.0.0.1:2", "siblings": peers,
         "services": {"cloud": "127.0.0.1:4", "state": "127.0.0.1:5"},
         "facts": {"count": 5, "zones": ["a"], "teams": [{"name": "t"}],
             "workers": {"report_s": 0.8, "lease_s": 10, "cancel_s": 35},
@@ -87,14 +88,14 @@
     Attempt::new(NUMBER, (n * TASKS_A_MACHINE + index) as u64)
 }
 
-fn job_record() -> JobRec {
-    JobRec {
+fn job_record() -> JobRecord {
+    JobRecord {
         class: "c".into(),
         team: "t".into(),
-        form: Form::Service,
-        rank: Rank::Urgent,
+        kind: JobKind::Service,
+        priority_class: PriorityClass::Urgent,
         count: TASKS_A_MACHINE as u32,
-        need: Room {
+        need: Resources {
             cpus: 8.0,
             gpus: 1.0,
             mem: 40.0,
@@ -111,39 +112,39 @@
         save_s: 0.0,
         deadline_s: None,
         chunk: 50,
-        block: 0,
-        withdrawn: false,
+        shard: 0,
+        cancelled: false,
         needs: Vec::new(),
     }
 }
 
 /// A holder's records: each machine runs one job's tasks.
 fn records(machines: usize) -> Vec<Change> {
-    let leader = LeaderRec {
-        member: HOLDER.into(),
-        boot: BOOT,
-        number: Number(3),
-        hold: 1,
+    let leader = LeaderRecord {
+        controller_id: HOLDER.into(),
+        incarnation: BOOT,
+        number: FencingToken(3),
+        lease_id: 1,
         fenced_ms: None,
     };
-    let block = BlockRec {
-        holder: HOLDER.into(),
-        boot: BOOT,
+    let shard = ShardRecord {
+        owner: HOLDER.into(),
+        incarnation: BOOT,
         number: NUMBER,
         machines: None,
         allowances: None,
     };
     let mut all = vec![
         (Key::Leader, 8, Some(Record::Leader(leader))),
-        (Key::Block(0), 8, Some(Record::Block(block))),
+        (Key::Shard(0), 8, Some(Record::Shard(shard))),
     ];
     for n in 0..machines {
         let on = MachineId::from(machine(n).as_str());
         let placed = 0..TASKS_A_MACHINE;
         let placed = placed.map(|i| (i as u32, attempt(n, i), on.clone(), "a".to_string()));
-        let run = RunRec {
+        let run = PlacementRecord {
             placed: placed.collect(),
-            ..RunRec::default()
+            ..PlacementRecord::default()
         };
         let record = Record::Job(Box::new(job_record()));
         all.push((Key::Job(job(n)), 9, Some(record)));
@@ -152,14 +153,14 @@
     all
 }
 
-fn report(n: usize, seq: u64) -> Report {
-    let tasks = (0..TASKS_A_MACHINE).map(|index| ReportTask {
+fn report(n: usize, seq: u64) -> WorkerHeartbeat {
+    let tasks = (0..TASKS_A_MACHINE).map(|index| HeartbeatTask {
         task: format!("{}/{index}", job(n)),
         attempt: attempt(n, index),
-        stance: TaskStance::Running,
+        status: TaskStatus::Running,
         cause: None,
     });
-    Report {
+    WorkerHeartbeat {
         machine: machine(n),
         endpoint: "10.1.0.1:9000".into(),
         class: "g8".into(),
@@ -185,10 +186,10 @@
     wire::encode(&body)
 }
 
-fn catalog() -> Vec<ClassInfo> {
-    vec![ClassInfo {
+fn catalog() -> Vec<MachineType> {
+    vec![MachineType {
         name: "g8".into(),
-        room: Room {
+        resources: Resources {
             cpus: 96.0,
             gpus: 8.0,
             mem: 576.0,
@@ -204,16 +205,16 @@
 
 /// A controller whose state service answers at once and has no news of its own.
 struct Driven {
-    core: Core,
+    controller: Controller,
     now: u64,
     requests: u64,
     machines: usize,
 }
 
 impl Driven {
-    fn new(member: &str, machines: usize) -> Self {
+    fn new(controller_id: &str, machines: usize) -> Self {
         let mut driven = Self {
-            core: Core::new(settings(member), BOOT),
+            controller: Controller::new(settings(controller_id), BOOT),
             now: 1000,
             requests: 0,
             machines,
@@ -227,7 +228,7 @@
     fn feed(&mut self, input: Input) {
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
-            for output in self.core.step(Time(self.now), input) {
+            for output in self.controller.step(Time(self.now), input) {
                 inputs.extend(self.reply(output));
             }
         }
@@ -235,7 +236,7 @@
 
     fn reply(&self, output: Output) -> Option<Input> {
         match output {
-            Output::State(call, op) => Some(Input::State(call, self.state_reply(&op)?)),
+            Output::Store(call, op) => Some(Input::Store(call, self.state_reply(&op)?)),
             Output::Cloud(call, CloudOp::Catalog) => {
                 Some(Input::Cloud(call, CloudReply::Catalog(catalog())))
             }
@@ -243,16 +244,16 @@
         }
     }
 
-    fn state_reply(&self, op: &StateOp) -> Option<StateReply> {
+    fn state_reply(&self, op: &StoreRequest) -> Option<StoreResponse> {
         match op {
-            StateOp::List { .. } => Some(StateReply::Page {
+            StoreRequest::List { .. } => Some(StoreResponse::Page {
                 entries: records(self.machines),
                 last: None,
                 more: false,
                 revision: REVISION,
             }),
-            StateOp::Fresh => Some(StateReply::Missing { revision: REVISION }),
-            StateOp::Extend(_) => Some(StateReply::Extended),
+            StoreRequest::ReadRevision => Some(StoreResponse::Missing { revision: REVISION }),
+            StoreRequest::RenewLease(_) => Some(StoreResponse::LeaseRenewed),
             _ => None,
         }
     }
@@ -262,8 +263,8 @@
         self.requests += 1;
         let n = self.requests as usize % self.machines;
         self.now = 1000 + self.requests * REPORT_MS / self.machines as u64;
-        let request = Request::Report(report(n, self.requests));
-        self.feed(Input::Request(ReqId(self.requests), request));
+        let request = Request::Heartbeat(report(n, self.requests));
+        self.feed(Input::Request(RequestId(self.requests), request));
     }
 
     fn report_round(&mut self) {
@@ -292,12 +293,12 @@
 fn encodings(c: &mut Criterion) {
     let body = report_body(1);
     bench(c, "decode a worker's report", || {
-        black_box(wire::decode::<Report>(&body));
+        black_box(wire::decode::<WorkerHeartbeat>(&body));
     });
     let report = report(1, 1);
     let relayed = || {
-        let relayed = RelayedReport::new(&HOLDER.into(), BOOT, ReqId(1), &report);
-        peer::frame(&Message::RelayedReport(Box::new(relayed))).expect("short enough")
+        let relayed = ForwardedHeartbeat::new(&HOLDER.into(), BOOT, RequestId(1), &report);
+        peer::frame(&Message::ForwardedHeartbeat(Box::new(relayed))).expect("short enough")
     };
     bench(c, "frame a report for the holder", || {
         black_box(relayed());
@@ -314,20 +315,20 @@
 
 fn events(c: &mut Criterion) {
     for machines in FLEETS {
-        let mut holder = Driven::new(HOLDER, machines);
-        assert_eq!(holder.core.holds(), Some(NUMBER), "it holds the block");
+        let mut owner = Driven::new(HOLDER, machines);
+        assert_eq!(owner.controller.holds(), Some(NUMBER), "it holds the block");
         bench(c, &format!("make a report, {machines} machines"), || {
             black_box(report(1, 1));
         });
         let name = format!("quiet report at the holder, {machines} machines");
-        bench(c, &name, || holder.quiet_report());
+        bench(c, &name, || owner.quiet_report());
         let name = format!("step with nothing to do at the holder, {machines} machines");
-        bench(c, &name, || holder.feed(Input::Tick));
+        bench(c, &name, || owner.feed(Input::Tick));
         let name = format!("start of a controller with these records, {machines} machines");
         c.bench_function(&name, |b| {
             b.iter(|| {
                 let mut other = Driven {
-                    core: Core::new(settings("n2"), BOOT),
+                    controller: Controller::new(settings("n2"), BOOT),
                     now: 1000,
                     requests: 0,
                     machines,
--- a/scale/src/capacity.rs
+++ b/scale/src/capacity.rs
@@ -6,7 +6,7 @@
 use crate::results::{Row, RunRow};
 use crate::sweep::Axis;
 use salttrestle::http;
-use salttrestle::ids::{Attempt, JobId, Number, TaskId};
+use salttrestle::ids::{Attempt, FencingToken, JobId, TaskId};
 use salttrestle::wire::commands_body;
 use salttrestle_standins::worker::{TaskState, Worker, WorkerTask};
 use serde::{Deserialize, Serialize};
@@ -382,7 +382,7 @@
     for index in 0..tasks {
         let job = JobId::from("wk-004213");
         let task = WorkerTask {
-            attempt: Attempt::new(Number(41), u64::from(index) + 100_000),
+            attempt: Attempt::new(FencingToken(41), u64::from(index) + 100_000),
             state: TaskState::Running,
             until: 0,
         };
@@ -390,7 +390,7 @@
     }
     let body = worker.report_body(MACHINE, ENDPOINT, 0);
     let report = http::request("POST", "/agent/beat", CONTROLLER, Some(&body));
-    let answer = http::response(200, None, false, &commands_body(Number(41), &[]));
+    let answer = http::response(200, None, false, &commands_body(FencingToken(41), &[]));
     (report.len(), answer.len())
 }
 
--- a/scale/src/hollow/cell.rs
+++ b/scale/src/hollow/cell.rs
@@ -4,7 +4,7 @@
 use super::connections::{Arrival, Connections, LINKS, Role, Traffic};
 use super::state_service::{Answer, BLOCK, LEADER, StateCounts, StateService};
 use super::users::Users;
-use super::workers::{Fleet, ROUND_MS};
+use super::workers::{Inventory, ROUND_MS};
 use crate::controllers::{CellAddresses, list_lag_ms, member};
 use crate::experiment::{Experiment, Load, Phases};
 use crate::limit_watch::LimitWatch;
@@ -13,10 +13,10 @@
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
-use salttrestle::controller::store::records::{Key, LimitsByTeam, Room};
+use salttrestle::controller::store::records::{Key, LimitsByTeam, Resources};
 use salttrestle::http::{self, Message};
 use salttrestle::ids::JobId;
-use salttrestle::wire::{ClassInfo, CloudOp, CloudReply};
+use salttrestle::wire::{CloudOp, CloudReply, MachineType};
 use salttrestle_standins::checker::Checker;
 use salttrestle_standins::cloud::Cloud;
 use std::collections::{BTreeMap, BTreeSet};
@@ -210,7 +210,7 @@
     connections: Connections,
     state: StateService,
     cloud: Cloud,
-    fleet: Fleet,
+    fleet: Inventory,
     users: Users,
     rng: StdRng,
     /// Answers that are on their way, by when they go out.
@@ -237,7 +237,7 @@
             connections,
             state,
             cloud: cloud(&plan),
-            fleet: Fleet::new(plan.clone(), shared.clone()),
+            fleet: Inventory::new(plan.clone(), shared.clone()),
             users: Users::new(plan.clone(), shared.clone()),
             rng: StdRng::seed_from_u64(seed),
             answers: BTreeMap::new(),
@@ -424,11 +424,13 @@
                     self.connections.close(key);
                 }
             }
-            Arrival::Closed(key, Role::State) => self.state.disconnected(key),
-            Arrival::Closed(_, Role::Cloud(_)) => {}
-            Arrival::Closed(key, Role::Worker(index)) => self.fleet.closed(now, index, key),
-            Arrival::Closed(key, Role::User(_)) => self.users.closed(now, key, &mut self.rng),
-            Arrival::Closed(key, Role::Probe(controller)) => {
+            Arrival::ExhaustedPool(key, Role::State) => self.state.disconnected(key),
+            Arrival::ExhaustedPool(_, Role::Cloud(_)) => {}
+            Arrival::ExhaustedPool(key, Role::Worker(index)) => self.fleet.closed(now, index, key),
+            Arrival::ExhaustedPool(key, Role::User(_)) => {
+                self.users.closed(now, key, &mut self.rng)
+            }
+            Arrival::ExhaustedPool(key, Role::Probe(controller)) => {
                 self.users.probed(controller, key, None);
             }
         }
@@ -513,9 +515,9 @@
 fn cloud(plan: &CellPlan) -> Cloud {
     let service = &plan.experiment.service;
     let [cpus, gpus, mem] = service.machine;
-    let class = ClassInfo {
+    let class = MachineType {
         name: MACHINE_TYPE.into(),
-        room: Room { cpus, gpus, mem },
+        resources: Resources { cpus, gpus, mem },
         cache_gb: CACHE_GB,
         fetch_gb_s: FETCH_GB_S,
         price: PRICE,
--- a/scale/src/hollow/cloud_service.rs
+++ b/scale/src/hollow/cloud_service.rs
@@ -1,9 +1,9 @@
 //! The cloud over HTTP: the shared stand-in behind the protocol's requests.
 
-use salttrestle::controller::store::records::RentalRec;
+use salttrestle::controller::store::records::ScaleOutRecord;
 use salttrestle::http::Message;
 use salttrestle::ids::MachineId;
-use salttrestle::wire::{self, ClassInfo, CloudOp, CloudReply, Listed, MachineStance};
+use salttrestle::wire::{self, CloudOp, CloudReply, Listed, MachineStatus, MachineType};
 use serde::{Deserialize, Serialize};
 
 #[derive(Deserialize)]
@@ -92,7 +92,7 @@
         }
         ("POST", "/rentals") => {
             let body: RentalBody = wire::decode(&request.body)?;
-            Some(CloudOp::Rent(RentalRec {
+            Some(CloudOp::Rent(ScaleOutRecord {
                 name: body.name,
                 class: body.class,
                 zone: body.zone,
@@ -127,12 +127,12 @@
     }
 }
 
-fn type_body(class: &ClassInfo) -> TypeBody<'_> {
+fn type_body(class: &MachineType) -> TypeBody<'_> {
     TypeBody {
         name: &class.name,
-        cores: class.room.cpus,
-        accelerators: class.room.gpus,
-        mem_gb: class.room.mem,
+        cores: class.resources.cpus,
+        accelerators: class.resources.gpus,
+        mem_gb: class.resources.mem,
         local_gb: class.cache_gb,
         fetch_gb_s: class.fetch_gb_s,
         rate: class.price,
@@ -149,10 +149,10 @@
         class: &machine.class,
         zone: &machine.zone,
         spot: machine.spot,
-        state: match machine.stance {
-            MachineStance::Starting => "starting",
-            MachineStance::Running => "running",
-            MachineStance::Failed => "failed",
+        state: match machine.status {
+            MachineStatus::Starting => "starting",
+            MachineStatus::Running => "running",
+            MachineStatus::Failed => "failed",
         },
         age_s: machine.age_s(),
     }
--- a/scale/src/hollow/connections.rs
+++ b/scale/src/hollow/connections.rs
@@ -84,7 +84,7 @@
     /// A whole message.
     Message(usize, Role, Message),
     /// The connection is gone.
-    Closed(usize, Role),
+    ExhaustedPool(usize, Role),
 }
 
 struct Connection {
@@ -298,7 +298,7 @@
         }
         if closed {
             self.close(key);
-            arrivals.push(Arrival::Closed(key, role));
+            arrivals.push(Arrival::ExhaustedPool(key, role));
         }
     }
 }
--- a/scale/src/hollow/users.rs
+++ b/scale/src/hollow/users.rs
@@ -445,7 +445,7 @@
             return self.later(now + retry_ms(asked), job, intent);
         };
         self.shared.checker().said(now, &job, said);
-        let over = matches!(said, Said::Done | Said::Withdrawn | Said::Refused);
+        let over = matches!(said, Said::Done | Said::Cancelled | Said::Refused);
         let batch = self.jobs.jobs.get(&job).is_some_and(|j| !j.spec.service);
         match intent {
             _ if over => {
--- a/scale/src/hollow/workers.rs
+++ b/scale/src/hollow/workers.rs
@@ -26,7 +26,7 @@
 }
 
 /// The hollow workers of one cell.
-pub struct Fleet {
+pub struct Inventory {
     plan: Arc<CellPlan>,
     shared: Arc<Shared>,
     workers: Vec<HollowWorker>,
@@ -37,7 +37,7 @@
     pub killed: u64,
 }
 
-impl Fleet {
+impl Inventory {
     /// A cell without workers.
     pub fn new(plan: Arc<CellPlan>, shared: Arc<Shared>) -> Self {
         Self {
@@ -238,7 +238,7 @@
             match event {
                 TaskEvent::Accepted(task, attempt) if self.plan.sole => {
                     let job = checker.jobs.get(&task.job);
-                    let urgent = job.is_some_and(|j| j.rec.class == URGENT);
+                    let urgent = job.is_some_and(|j| j.record.class == URGENT);
                     let worker = (found.id.as_str(), found.worker.number);
                     let mut watch = self.shared.takeovers();
                     watch.started(now, worker, (&task, attempt), urgent);
--- a/scale/src/run.rs
+++ b/scale/src/run.rs
@@ -511,7 +511,12 @@
         let checker = self.shared.checker();
         let since = |job: &JobView, at: Option<u64>| Some(at?.saturating_sub(job.submitted_at));
         for class in ["batch", "urgent", "standing"] {
-            let jobs = || checker.jobs.values().filter(move |j| j.rec.class == class);
+            let jobs = || {
+                checker
+                    .jobs
+                    .values()
+                    .filter(move |j| j.record.class == class)
+            };
             let accepted = jobs().filter_map(|j| since(j, j.accepted_at));
             rows.push(Row::Latency(LatencyRow::new(
                 &format!("{class} accepted"),
@@ -553,12 +558,12 @@
         let seconds = |ms: u64| ms as f64 / 1000.0;
         let urgent = checker.jobs.iter().filter(|(_, j)| {
             let waited = j.first_start.map(|at| seconds(at - j.submitted_at));
-            j.rec.class == "urgent" && waited.is_none_or(|waited| waited > within_s)
+            j.record.class == "urgent" && waited.is_none_or(|waited| waited > within_s)
         });
         let rows = urgent.map(|(id, j)| {
             Row::Late(LateRow {
                 job: id.to_string(),
-                team: j.rec.team.clone(),
+                team: j.record.team.clone(),
                 at_s: seconds(j.submitted_at.saturating_sub(self.load_from_ms)),
                 waited_s: j.first_start.map(|at| seconds(at - j.submitted_at)),
             })
@@ -758,7 +763,7 @@
         missed.push(format!("{starts_per_s:.1} of {asked:.1} starts a second"));
     }
     if let (Some(within_s), Some(share)) = (aims.urgent_within_s, aims.urgent_share) {
-        let urgent = checker.jobs.values().filter(|j| j.rec.class == "urgent");
+        let urgent = checker.jobs.values().filter(|j| j.record.class == "urgent");
         let wanted: Vec<&JobView> = urgent.filter(|j| j.cancel_asked.is_none()).collect();
         let prompt = |j: &&&JobView| {
             let started = j.first_start.map(|at| at - j.submitted_at);
--- a/scale/src/takeovers.rs
+++ b/scale/src/takeovers.rs
@@ -4,7 +4,7 @@
 use crate::results::{LatencyRow, Row};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use salttrestle::controller::store::records::{BlockRec, LeaderRec, RunRec};
+use salttrestle::controller::store::records::{LeaderRecord, PlacementRecord, ShardRecord};
 use salttrestle::ids::{Attempt, JobId, TaskId};
 use salttrestle_standins::orders::Orders;
 use serde::{Deserialize, Serialize};
@@ -104,20 +104,20 @@
     }
 
     /// The leader's record was written, or is gone.
-    pub fn leader_written(&mut self, leader: Option<&LeaderRec>) {
-        let leader = leader.map(|l| (l.number.0, l.member.as_str()));
+    pub fn leader_written(&mut self, leader: Option<&LeaderRecord>) {
+        let leader = leader.map(|l| (l.number.0, l.controller_id.as_str()));
         self.orders.duties.leader_is(leader);
     }
 
     /// A block's record was written.
-    pub fn block_written(&mut self, now: u64, block: &BlockRec) {
+    pub fn block_written(&mut self, now: u64, block: &ShardRecord) {
         self.number = block.number.0;
         self.orders.held(block.number.0);
         self.note(now, block.number.0, |row| &mut row.elected_ms);
     }
 
     /// A chunk of a job's placements was written.
-    pub fn run_written(&mut self, job: &JobId, run: &RunRec) {
+    pub fn run_written(&mut self, job: &JobId, run: &PlacementRecord) {
         self.orders.committed(job, run);
     }
 
--- a/src/controller/api/mod.rs
+++ b/src/controller/api/mod.rs
@@ -1,24 +1,24 @@
 //! What users ask: submissions, questions, cancellations, and whether the node is up.
 //!
-//! [`submissions`] checks and commits jobs, [`questions`] answers what is known of them, and
+//! [`submissions`] checks and commits jobs, [`status_queries`] answers what is known of them, and
 //! [`cancellations`] marks them and tells their users once nothing of them is left.
 
 mod cancellations;
 mod status_queries;
 mod submissions;
 
-use crate::controller::Core;
+use crate::controller::Controller;
 use crate::controller::events::{Reply, Request};
-use crate::controller::store::records::{Ending, JobRec};
-use crate::ids::{CallId, JobId, ReqId, Time};
+use crate::controller::store::records::{Ending, JobRecord};
+use crate::ids::{CallId, JobId, RequestId, Time};
 use std::collections::VecDeque;
 
 /// A submission that waits for its commit.
 #[derive(Debug)]
 pub(crate) struct Submission {
-    req: ReqId,
+    request_id: RequestId,
     id: JobId,
-    rec: JobRec,
+    record: JobRecord,
     asked: Time,
 }
 
@@ -46,8 +46,8 @@
 
 /// A question that waits for a fresh read.
 #[derive(Clone, Debug)]
-pub(crate) struct Question {
-    req: ReqId,
+pub(crate) struct StatusQuery {
+    request_id: RequestId,
     id: JobId,
     intent: Intent,
     asked: Time,
@@ -57,22 +57,22 @@
 }
 
 #[derive(Debug, Default)]
-pub(crate) struct Front {
+pub(crate) struct Api {
     submissions: VecDeque<Submission>,
-    questions: VecDeque<Question>,
+    status_queries: VecDeque<StatusQuery>,
     /// Questions whose job isn't among the live ones: its end is still to be read.
-    unknown: VecDeque<Question>,
-    cancellations: VecDeque<Question>,
+    unknown: VecDeque<StatusQuery>,
+    cancellations: VecDeque<StatusQuery>,
     /// Submissions that name jobs of which it isn't known here that they were accepted.
     naming: VecDeque<NamingSubmission>,
     /// Cancellations that are marked, and told once no task of their job is left; and questions
     /// about jobs that are cancelled with one that they need, until their end is committed.
-    leaving: VecDeque<Question>,
+    leaving: VecDeque<StatusQuery>,
     /// The last call sent before the newest request came that isn't a mere question: a
     /// cancellation, or a submission that has to be looked up.
     urgent: Option<CallId>,
     /// Who is to be told that a job is over, and not before when.
-    telling: VecDeque<(Time, ReqId, JobId, Ending)>,
+    telling: VecDeque<(Time, RequestId, JobId, Ending)>,
 }
 
 /// Users wait 2 s for the answer to a question, and 5 s for other ones.
@@ -84,7 +84,7 @@
 /// is told when to come back.
 const WAITING_SHARE: f64 = 0.8;
 
-impl Front {
+impl Api {
     /// Requests that wait to be written.
     pub(crate) fn backlog(&self) -> usize {
         self.submissions.len() + self.naming.len() + self.cancellations.len()
@@ -101,46 +101,46 @@
     }
 
     /// The last call sent before the newest question was asked.
-    pub(crate) fn newest_question(&self) -> Option<CallId> {
-        self.questions.back().map(|q| q.after)
+    pub(crate) fn newest_status_query(&self) -> Option<CallId> {
+        self.status_queries.back().map(|q| q.after)
     }
 }
 
-impl Core {
-    pub(crate) fn on_request(&mut self, req: ReqId, ask: Request) {
+impl Controller {
+    pub(crate) fn on_request(&mut self, request_id: RequestId, ask: Request) {
         match ask {
-            Request::Up => self.on_up(req),
-            Request::Report(report) => self.on_report(req, report),
-            Request::Submit(_) if self.draining() => {
-                self.answer(req, Reply::later(503, 1, ABOUT_TO_END));
+            Request::Up => self.on_up(request_id),
+            Request::Heartbeat(report) => self.on_report(request_id, report),
+            Request::Submit(_) if self.shutting_down() => {
+                self.answer(request_id, Reply::later(503, 1, ABOUT_TO_END));
             }
-            Request::Submit(Ok((id, rec))) => self.on_submit(req, id, rec),
-            Request::Submit(Err(bad)) => self.on_malformed(req, bad),
-            Request::Poll(id) => self.on_question(req, id, Intent::Poll),
-            Request::Cancel(id) => self.on_question(req, id, Intent::Cancel),
+            Request::Submit(Ok((id, record))) => self.on_submit(request_id, id, record),
+            Request::Submit(Err(bad)) => self.on_malformed(request_id, bad),
+            Request::Poll(id) => self.on_status_query(request_id, id, Intent::Poll),
+            Request::Cancel(id) => self.on_status_query(request_id, id, Intent::Cancel),
         }
     }
 
-    pub(crate) fn on_disconnect(&mut self, req: ReqId) {
-        self.forget_report(req);
+    pub(crate) fn on_disconnect(&mut self, request_id: RequestId) {
+        self.forget_report(request_id);
         for h in self.parked.values_mut() {
-            h.forget_request(req);
+            h.forget_request(request_id);
         }
     }
 
     /// Unhealthy only while a sibling does better: if nobody sees the state service,
     /// taking all nodes away would only slow the return. Who neither sees it nor hears any
     /// sibling is cut off, and users who reach it were refused for as long as that lasted.
-    fn on_up(&mut self, req: ReqId) {
+    fn on_up(&mut self, request_id: RequestId) {
         let alone = self.singled_out() || self.unheard();
-        let reply = if self.draining() {
+        let reply = if self.shutting_down() {
             Reply::later(503, 1, ABOUT_TO_END)
-        } else if self.blind() && (!self.listed || alone) {
+        } else if self.is_stale() && (!self.initial_list_done || alone) {
             Reply::later(503, 1, "the state service doesn't answer")
         } else {
             Reply::ok(200, Vec::new())
         };
-        self.answer(req, reply);
+        self.answer(request_id, reply);
     }
 
     /// Most requests of a kind that wait at once.
@@ -149,7 +149,7 @@
         (sockets as f64 * WAITING_SHARE) as usize
     }
 
-    pub(crate) fn pump_front(&mut self) {
+    pub(crate) fn pump_api(&mut self) {
         self.pump_naming();
         self.pump_cancellations();
         self.pump_unknown();
@@ -157,13 +157,13 @@
     }
 
     /// Gives up what can't be answered in time. The answer goes out at once.
-    pub(crate) fn front_housekeeping(&mut self) {
+    pub(crate) fn api_housekeeping(&mut self) {
         let (now, mut late) = (self.now, self.stuck_departures());
         let leave_s = self.settings.leave_s();
-        let f = &mut self.front;
-        f.leaving.retain(|q| !late.contains(&q.req));
+        let f = &mut self.api;
+        f.leaving.retain(|q| !late.contains(&q.request_id));
         for (queue, most_s) in [
-            (&mut f.questions, QUESTION_S),
+            (&mut f.status_queries, QUESTION_S),
             (&mut f.unknown, QUESTION_S),
             (&mut f.cancellations, QUESTION_S),
             (&mut f.leaving, leave_s),
@@ -175,7 +175,7 @@
                 };
                 let keep = now.since(q.asked) < most_s;
                 if !keep {
-                    late.push(q.req);
+                    late.push(q.request_id);
                 }
                 keep
             });
@@ -183,14 +183,17 @@
         let mut in_time = |s: &Submission| {
             let keep = now.since(s.asked) < SUBMIT_S;
             if !keep {
-                late.push(s.req);
+                late.push(s.request_id);
             }
             keep
         };
         f.submissions.retain(&mut in_time);
         f.naming.retain(|n| in_time(&n.submission));
-        for req in late {
-            self.answer(req, Reply::later(503, 2, "the state service is slow"));
+        for request_id in late {
+            self.answer(
+                request_id,
+                Reply::later(503, 2, "the state service is slow"),
+            );
         }
     }
 }
--- a/src/controller/api/submissions.rs
+++ b/src/controller/api/submissions.rs
@@ -2,14 +2,16 @@
 
 use crate::controller::api::status_queries::PRESENT_S;
 use crate::controller::api::{Intent, NamingSubmission, Submission};
-use crate::controller::dependencies::graph::Needs;
+use crate::controller::dependencies::graph::DependencyState;
 use crate::controller::events::Reply;
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::store::chunks::chunk_size;
-use crate::controller::store::records::{Form, JobRec, Key, Record, json_bytes};
-use crate::controller::{Core, Purpose};
-use crate::ids::{JobId, ReqId, Time};
-use crate::wire::{BadBody, Stance, StateOp, StateReply, Write, error_body, stance_body};
+use crate::controller::store::records::{JobKind, JobRecord, Key, Record, json_bytes};
+use crate::controller::{Controller, RequestPurpose};
+use crate::ids::{JobId, RequestId, Time};
+use crate::wire::{
+    BadBody, JobStatus, StoreRequest, StoreResponse, Write, error_body, job_status_body,
+};
 use log::info;
 use std::collections::BTreeSet;
 
@@ -18,87 +20,90 @@
 /// Submissions that wait are at most what the change budget clears in this time.
 const SUBMIT_BACKLOG_S: f64 = 1.5;
 
-impl Core {
+impl Controller {
     /// A known job's user is told its state whatever the repeated body is like; being
     /// refused, it would take the job for one that was never accepted.
-    pub(crate) fn on_malformed(&mut self, req: ReqId, bad: BadBody) {
+    pub(crate) fn on_malformed(&mut self, request_id: RequestId, bad: BadBody) {
         info!("a submission is malformed: {}", bad.why);
         match bad.id {
-            Some(id) => self.on_question(req, id, Intent::Refuse(400, bad.why)),
-            None => self.answer(req, Reply::ok(400, error_body(&bad.why))),
+            Some(id) => self.on_status_query(request_id, id, Intent::Refuse(400, bad.why)),
+            None => self.answer(request_id, Reply::ok(400, error_body(&bad.why))),
         }
     }
 
-    pub(crate) fn on_submit(&mut self, req: ReqId, id: JobId, mut rec: JobRec) {
-        if self.cache.accepted(&id) {
-            return self.on_question(req, id, Intent::Again);
+    pub(crate) fn on_submit(&mut self, request_id: RequestId, id: JobId, mut record: JobRecord) {
+        if self.mirror.accepted(&id) {
+            return self.on_status_query(request_id, id, Intent::Again);
         }
-        if self.blind() {
+        if self.is_stale() {
             return self.answer(
-                req,
+                request_id,
                 Reply::later(503, 2, "the state service doesn't answer"),
             );
         }
         if self.catalog.is_empty() {
-            return self.answer(req, Reply::later(503, 2, "machine types aren't known yet"));
+            return self.answer(
+                request_id,
+                Reply::later(503, 2, "machine types aren't known yet"),
+            );
         }
-        if let Some(why) = self.never_runs(&rec) {
-            return self.on_question(req, id, Intent::Refuse(422, why));
+        if let Some(why) = self.never_runs(&record) {
+            return self.on_status_query(request_id, id, Intent::Refuse(422, why));
         }
         let limits = self.settings.state_limits();
-        rec.chunk = chunk_size(limits.value_bytes);
-        rec.block = self.block_for(&id);
-        if let Some(why) = self.too_large(&rec) {
-            return self.on_question(req, id, Intent::Refuse(422, why));
-        }
-        let room = (limits.write_rps * SUBMIT_BACKLOG_S) as usize;
-        if self.front.submissions.len() + self.front.naming.len()
-            >= room.min(self.waiting_most()).max(8)
+        record.chunk = chunk_size(limits.value_bytes);
+        record.shard = self.shard_for(&id);
+        if let Some(why) = self.too_large(&record) {
+            return self.on_status_query(request_id, id, Intent::Refuse(422, why));
+        }
+        let resources = (limits.write_rps * SUBMIT_BACKLOG_S) as usize;
+        if self.api.submissions.len() + self.api.naming.len()
+            >= resources.min(self.waiting_most()).max(8)
         {
-            return self.answer(req, Reply::later(429, 2, "too many submissions"));
+            return self.answer(request_id, Reply::later(429, 2, "too many submissions"));
         }
         let asked = self.now;
         let submission = Submission {
-            req,
+            request_id,
             id,
-            rec,
+            record,
             asked,
         };
-        if submission.rec.needs.is_empty() {
-            self.front.submissions.push_back(submission);
+        if submission.record.needs.is_empty() {
+            self.api.submissions.push_back(submission);
         } else {
             self.check_needs(submission);
         }
     }
 
     /// Why a job's record can't be kept, if so.
-    pub(crate) fn too_large(&self, rec: &JobRec) -> Option<String> {
+    pub(crate) fn too_large(&self, record: &JobRecord) -> Option<String> {
         let most = self.settings.state_limits().value_bytes;
-        let bytes = json_bytes(rec);
+        let bytes = json_bytes(record);
         let why = || format!("the job's description takes {bytes} bytes, of at most {most}");
         (bytes > most).then(why)
     }
 
     /// Why a job can never run, if so.
-    fn never_runs(&self, rec: &JobRec) -> Option<String> {
+    fn never_runs(&self, record: &JobRecord) -> Option<String> {
         let facts = &self.settings.platform.facts;
-        let Some(team) = facts.teams.iter().find(|t| t.name == rec.team) else {
+        let Some(team) = facts.teams.iter().find(|t| t.name == record.team) else {
             return Some("unknown team".into());
         };
         let fits = self.catalog.iter().any(|c| {
-            let zoned = rec.zone.as_ref().is_none_or(|z| c.zones.contains(z));
-            rec.allows(&c.name) && zoned && c.room.holds(rec.need)
+            let zoned = record.zone.as_ref().is_none_or(|z| c.zones.contains(z));
+            record.allows(&c.name) && zoned && c.resources.holds(record.need)
         });
         if !fits {
             return Some("a task fits no allowed machine type".into());
         }
-        let times = match rec.form {
-            Form::Batch => 1.0,
-            Form::Service => f64::from(rec.count),
+        let times = match record.kind {
+            JobKind::Batch => 1.0,
+            JobKind::Service => f64::from(record.count),
         };
         let over = |need: f64, max: f64| max > 0.0 && need * times > max + 1e-6;
         let (cpus_max, gpus_max) = self.team_limit(team);
-        if over(rec.need.cpus, cpus_max) || over(rec.need.gpus, gpus_max) {
+        if over(record.need.cpus, cpus_max) || over(record.need.gpus, gpus_max) {
             return Some("the job needs more than its team's limit".into());
         }
         None
@@ -106,52 +111,52 @@
 
     /// Takes a submission whose needed jobs are all known to be accepted, and looks the others up.
     fn check_needs(&mut self, submission: Submission) {
-        let needs = &submission.rec.needs;
-        let mut live = needs.iter().filter_map(|n| self.cache.jobs.get(n));
+        let needs = &submission.record.needs;
+        let mut live = needs.iter().filter_map(|n| self.mirror.jobs.get(n));
         let why = if needs.contains(&submission.id) {
             Some("a job can't need itself")
-        } else if live.any(|j| j.rec.form == Form::Service) {
+        } else if live.any(|j| j.record.kind == JobKind::Service) {
             Some("a service is never done, so no job can need one")
         } else {
             None
         };
         if let Some(why) = why {
             let refuse = Intent::Refuse(422, why.into());
-            return self.on_question(submission.req, submission.id, refuse);
+            return self.on_status_query(submission.request_id, submission.id, refuse);
         }
-        if needs.iter().all(|need| self.cache.accepted(need)) {
-            return self.front.submissions.push_back(submission);
+        if needs.iter().all(|need| self.mirror.accepted(need)) {
+            return self.api.submissions.push_back(submission);
         }
         let after = self.last_call();
-        self.front.urgent = Some(after);
+        self.api.urgent = Some(after);
         let naming = NamingSubmission { submission, after };
-        self.front.naming.push_back(naming);
+        self.api.naming.push_back(naming);
     }
 
     /// Goes on with submissions whose needed jobs are known by now, or of which an end has to be
     /// read.
     pub(crate) fn pump_naming(&mut self) {
         let fresh = self.fresh_call;
-        for naming in std::mem::take(&mut self.front.naming) {
+        for naming in std::mem::take(&mut self.api.naming) {
             if naming.after >= fresh {
-                self.front.naming.push_back(naming);
+                self.api.naming.push_back(naming);
                 continue;
             }
-            let needs = &naming.submission.rec.needs;
+            let needs = &naming.submission.record.needs;
             let Some(need) = needs
                 .iter()
-                .find(|need| !self.cache.accepted(need))
+                .find(|need| !self.mirror.accepted(need))
                 .cloned()
             else {
                 self.check_needs(naming.submission);
                 continue;
             };
-            let op = StateOp::Get(Key::End(need.clone()));
-            let purpose = Purpose::ReadNamed(Box::new(naming), need);
-            if let Err(Purpose::ReadNamed(naming, _)) =
-                self.state_call(op, purpose, Priority::Usual)
+            let op = StoreRequest::Get(Key::End(need.clone()));
+            let purpose = RequestPurpose::ReadSubmissionDependency(Box::new(naming), need);
+            if let Err(RequestPurpose::ReadSubmissionDependency(naming, _)) =
+                self.send_store_request(op, purpose, Priority::Usual)
             {
-                self.front.naming.push_back(*naming);
+                self.api.naming.push_back(*naming);
             }
         }
     }
@@ -161,21 +166,24 @@
         &mut self,
         naming: NamingSubmission,
         need: JobId,
-        reply: StateReply,
+        reply: StoreResponse,
     ) {
-        let Submission { req, id, .. } = &naming.submission;
-        let (req, id) = (*req, id.clone());
+        let Submission { request_id, id, .. } = &naming.submission;
+        let (request_id, id) = (*request_id, id.clone());
         let ended = self.learn_ending(&need, &reply).is_some();
         match reply {
-            _ if ended => self.front.naming.push_back(naming),
-            StateReply::Missing { .. } if self.cache.accepted(&need) => {
-                self.front.naming.push_back(naming);
+            _ if ended => self.api.naming.push_back(naming),
+            StoreResponse::Missing { .. } if self.mirror.accepted(&need) => {
+                self.api.naming.push_back(naming);
             }
-            StateReply::Missing { .. } => {
+            StoreResponse::Missing { .. } => {
                 let why = format!("{need} was never accepted");
-                self.on_question(req, id, Intent::Refuse(422, why));
+                self.on_status_query(request_id, id, Intent::Refuse(422, why));
             }
-            _ => self.answer(req, Reply::later(503, 1, "the needed jobs aren't known")),
+            _ => self.answer(
+                request_id,
+                Reply::later(503, 1, "the needed jobs aren't known"),
+            ),
         }
     }
 
@@ -185,66 +193,77 @@
         // makes its jobs ask one by one. Conflicts are rare: only retries make them.
         let most = self.settings.state_limits().txn_ops;
         let most = most.min(SUBMISSIONS_MOST);
-        while !self.front.submissions.is_empty() {
+        while !self.api.submissions.is_empty() {
             // A key can be written once in a transaction, and the second of two equal
             // submissions finds the first one's job.
             let mut ids = BTreeSet::new();
-            let waiting = self.front.submissions.iter().take(most);
+            let waiting = self.api.submissions.iter().take(most);
             let n = waiting.take_while(|s| ids.insert(&s.id)).count();
-            let list: Vec<Submission> = self.front.submissions.drain(..n).collect();
-            let mut when = Vec::with_capacity(2 * n);
+            let list: Vec<Submission> = self.api.submissions.drain(..n).collect();
+            let mut preconditions = Vec::with_capacity(2 * n);
             let mut writes = Vec::with_capacity(n);
             for s in &list {
-                when.push((Key::Job(s.id.clone()), 0));
-                when.push((Key::End(s.id.clone()), 0));
-                let record = Record::Job(Box::new(s.rec.clone()));
+                preconditions.push((Key::Job(s.id.clone()), 0));
+                preconditions.push((Key::End(s.id.clone()), 0));
+                let record = Record::Job(Box::new(s.record.clone()));
                 writes.push(Write::put(Key::Job(s.id.clone()), record));
             }
-            let op = StateOp::Commit { when, writes };
-            if let Err(Purpose::Submit(list)) =
-                self.state_call(op, Purpose::Submit(list), Priority::Usual)
+            let op = StoreRequest::Transaction {
+                preconditions,
+                writes,
+            };
+            if let Err(RequestPurpose::Submit(list)) =
+                self.send_store_request(op, RequestPurpose::Submit(list), Priority::Usual)
             {
                 for s in list.into_iter().rev() {
-                    self.front.submissions.push_front(s);
+                    self.api.submissions.push_front(s);
                 }
                 break;
             }
         }
     }
 
-    pub(crate) fn on_submitted(&mut self, list: Vec<Submission>, reply: StateReply, sent: Time) {
+    pub(crate) fn on_submitted(&mut self, list: Vec<Submission>, reply: StoreResponse, sent: Time) {
         let late = self.now.since(sent) > PRESENT_S;
         for s in list {
             match &reply {
                 // Its user may have asked elsewhere meanwhile, and been told more.
-                StateReply::Committed { .. } if late => {
-                    self.on_question(s.req, s.id, Intent::Again)
+                StoreResponse::Committed { .. } if late => {
+                    self.on_status_query(s.request_id, s.id, Intent::Again)
                 }
                 // It is accepted, and cancelled with a job that it needs.
-                StateReply::Committed { .. } if self.cache.needs(&s.rec) == Needs::Cancelled => {
+                StoreResponse::Committed { .. }
+                    if self.mirror.needs(&s.record) == DependencyState::Cancelled =>
+                {
                     info!("job {} accepted, and cancelled with one it needs", s.id);
-                    self.on_question(s.req, s.id, Intent::Again);
+                    self.on_status_query(s.request_id, s.id, Intent::Again);
                 }
-                StateReply::Committed { .. } => {
-                    info!("job {} accepted: {} of {}", s.id, s.rec.count, s.rec.class);
-                    let body = stance_body(&s.id, Stance::Queued, 0, 0);
-                    self.answer(s.req, Reply::ok(201, body));
+                StoreResponse::Committed { .. } => {
+                    info!(
+                        "job {} accepted: {} of {}",
+                        s.id, s.record.count, s.record.class
+                    );
+                    let body = job_status_body(&s.id, JobStatus::Queued, 0, 0);
+                    self.answer(s.request_id, Reply::ok(201, body));
                 }
-                StateReply::Conflict { failed } => {
+                StoreResponse::Conflict { failed } => {
                     let key =
                         |k: &Key| *k == Key::Job(s.id.clone()) || *k == Key::End(s.id.clone());
                     if failed.iter().any(key) || failed.is_empty() {
-                        self.on_question(s.req, s.id, Intent::Again);
+                        self.on_status_query(s.request_id, s.id, Intent::Again);
                     } else {
-                        self.front.submissions.push_back(s);
+                        self.api.submissions.push_back(s);
                     }
                 }
-                StateReply::Refused => {
-                    self.answer(s.req, Reply::later(503, 1, "the state service refused"));
+                StoreResponse::Refused => {
+                    self.answer(
+                        s.request_id,
+                        Reply::later(503, 1, "the state service refused"),
+                    );
                 }
                 // It may stand or may yet come to stand: a retry finds out.
                 _ => self.answer(
-                    s.req,
+                    s.request_id,
                     Reply::later(503, 1, "the state service didn't answer"),
                 ),
             }
--- a/src/controller/autoscaling/demand.rs
+++ b/src/controller/autoscaling/demand.rs
@@ -1,14 +1,16 @@
 //! Counts of what waits and what runs, by pool.
 
 use crate::controller::autoscaling::{Pool, Zones};
-use crate::controller::machines::inventory::{Machine, Seat};
+use crate::controller::machines::inventory::{Binding, Machine};
 use crate::controller::scheduling::constraints::{within_limit, zone_allowed};
-use crate::controller::shard::Holder;
-use crate::controller::store::records::{Closed, Form, JobRec, Rank, Room};
+use crate::controller::shard::ShardOwner;
+use crate::controller::store::records::{
+    ExhaustedPool, JobKind, JobRecord, PriorityClass, Resources,
+};
 use crate::ids::Time;
 use crate::peer::PoolCount;
 use crate::settings::Settings;
-use crate::wire::ClassInfo;
+use crate::wire::MachineType;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// A machine this much free counts as room kept for urgent starts.
@@ -81,21 +83,21 @@
     pub(crate) fn wanted(&self, ceiling: u32) -> u32 {
         let by_queue = self.busy + self.queued.ceil() as u32;
         let by_running = self.running.ceil() as u32;
-        let mut room = 0.0;
+        let mut resources = 0.0;
         if self.urgent {
-            room = (self.keep - self.spare).max(0.0).ceil();
+            resources = (self.keep - self.spare).max(0.0).ceil();
         }
-        (by_queue.max(by_running) + room as u32).min(ceiling)
+        (by_queue.max(by_running) + resources as u32).min(ceiling)
     }
 }
 
-impl Holder {
+impl ShardOwner {
     /// Counts every pool.
     pub(crate) fn counts(
         &self,
-        catalog: &[ClassInfo],
+        catalog: &[MachineType],
         settings: &Settings,
-        closed: &[Closed],
+        closed: &[ExhaustedPool],
         now: Time,
     ) -> BTreeMap<Pool, PoolCount> {
         let lease_s = settings.platform.facts.workers.lease_s;
@@ -125,11 +127,11 @@
             let Some(live) = self.jobs.get(id) else {
                 continue;
             };
-            if self.failures.hopeless(id) || !within_limit(self, settings, &live.rec) {
+            if self.failures.hopeless(id) || !within_limit(self, settings, &live.record) {
                 continue;
             }
-            let tasks = self.within_team(settings, live.queued(), &live.rec, &mut team_left);
-            count_queued(catalog, &live.rec, closed, &mut slow, tasks, &mut counts);
+            let tasks = self.within_team(settings, live.queued(), &live.record, &mut team_left);
+            count_queued(catalog, &live.record, closed, &mut slow, tasks, &mut counts);
         }
         for (pool, waiting) in slow.urgent_waiting {
             let late = slow.late.get(&pool).copied().unwrap_or(0);
@@ -141,7 +143,7 @@
     }
 
     /// The pools whose machines come late.
-    fn slow_pools(&self, catalog: &[ClassInfo], overdue: f64, now: Time) -> SlowPools {
+    fn slow_pools(&self, catalog: &[MachineType], overdue: f64, now: Time) -> SlowPools {
         let mut booting: BTreeMap<Pool, BootingCount> = BTreeMap::new();
         for (_, m) in self.machines.booting() {
             let count = booting.entry((m.class, m.spot)).or_default();
@@ -167,7 +169,7 @@
     /// Machines lacking in particular zones: for tasks that may not go elsewhere, by
     /// their job's zone, by its other tasks' zone, or because the other zones hold as
     /// many of its tasks as they may.
-    pub(crate) fn pins(&self, catalog: &[ClassInfo], closed: &[Closed]) -> Zones {
+    pub(crate) fn pins(&self, catalog: &[MachineType], closed: &[ExhaustedPool]) -> Zones {
         let mut pins = Zones::new();
         let mut ahead: BTreeMap<(Pool, &str), u32> = BTreeMap::new();
         for m in self.machines.values() {
@@ -178,7 +180,7 @@
         let waiting = self.waiting.iter();
         let waiting = waiting.filter(|id| !self.failures.hopeless(id));
         for live in waiting.filter_map(|id| self.jobs.get(id)) {
-            let Some(pool) = pool_for(catalog, &live.rec, closed) else {
+            let Some(pool) = pool_for(catalog, &live.record, closed) else {
                 continue;
             };
             let class = &catalog[pool.0];
@@ -187,7 +189,7 @@
             if zones.is_empty() || zones.len() == class.zones.len() {
                 continue;
             }
-            let per = per_machine(class, live.rec.need);
+            let per = per_machine(class, live.record.need);
             let mut need = (f64::from(live.queued()) / per).ceil() as u32;
             for zone in &zones {
                 let have = ahead.entry((pool, zone.as_str())).or_default();
@@ -196,7 +198,7 @@
                 need -= taken;
             }
             let shut = |z: &str| {
-                let same = |c: &Closed| c.0 == class.name && c.1 == z && c.2 == pool.1;
+                let same = |c: &ExhaustedPool| c.0 == class.name && c.1 == z && c.2 == pool.1;
                 closed.iter().any(same)
             };
             if let Some(zone) = zones.iter().find(|z| !shut(z)).filter(|_| need > 0) {
@@ -208,7 +210,7 @@
 
     fn count_machine(
         &self,
-        catalog: &[ClassInfo],
+        catalog: &[MachineType],
         m: &Machine,
         silent: bool,
         counts: &mut BTreeMap<Pool, PoolCount>,
@@ -225,18 +227,18 @@
             return;
         }
         c.busy += 1;
-        c.running += m.used.share_of(class.room);
-        let free = 1.0 - m.used.share_of(class.room);
+        c.running += m.used.share_of(class.resources);
+        let free = 1.0 - m.used.share_of(class.resources);
         if free >= SPARE_SHARE {
             c.spare += free;
         }
         // Batch work that saves its progress makes room for urgent starts at hardly any cost.
-        for Seat { rec, .. } in m.tasks.values() {
-            let saves = rec.form == Form::Batch && rec.checkpoint_s > 0.0;
-            if saves && rec.rank <= Rank::Normal {
-                c.spare += rec.need.share_of(class.room);
+        for Binding { record, .. } in m.tasks.values() {
+            let saves = record.kind == JobKind::Batch && record.checkpoint_s > 0.0;
+            if saves && record.priority_class <= PriorityClass::Normal {
+                c.spare += record.need.share_of(class.resources);
             }
-            c.urgent |= rec.form == Form::Service;
+            c.urgent |= record.kind == JobKind::Service;
         }
     }
 
@@ -245,18 +247,18 @@
         &self,
         settings: &Settings,
         queued: u32,
-        rec: &JobRec,
-        left: &mut HashMap<String, Room>,
+        record: &JobRecord,
+        left: &mut HashMap<String, Resources>,
     ) -> u32 {
         let teams = &settings.platform.facts.teams;
-        let Some(team) = teams.iter().find(|t| t.name == rec.team) else {
+        let Some(team) = teams.iter().find(|t| t.name == record.team) else {
             return 0;
         };
-        let used = self.teams.get(&rec.team).copied().unwrap_or_default();
-        let room = left.entry(rec.team.clone()).or_insert_with(|| {
+        let used = self.teams.get(&record.team).copied().unwrap_or_default();
+        let resources = left.entry(record.team.clone()).or_insert_with(|| {
             let (cpus, gpus) = self.allowance(team);
             let part = |max: f64, used: f64| if max < f64::MAX { max - used } else { max };
-            Room {
+            Resources {
                 cpus: part(cpus, used.cpus),
                 gpus: part(gpus, used.gpus),
                 mem: f64::MAX,
@@ -269,13 +271,13 @@
                 f64::MAX
             }
         };
-        let most = fit(room.cpus, rec.need.cpus).min(fit(room.gpus, rec.need.gpus));
+        let most = fit(resources.cpus, record.need.cpus).min(fit(resources.gpus, record.need.gpus));
         let tasks = f64::from(queued).min(most.max(0.0));
-        if room.cpus < f64::MAX {
-            room.cpus -= tasks * rec.need.cpus;
+        if resources.cpus < f64::MAX {
+            resources.cpus -= tasks * record.need.cpus;
         }
-        if room.gpus < f64::MAX {
-            room.gpus -= tasks * rec.need.gpus;
+        if resources.gpus < f64::MAX {
+            resources.gpus -= tasks * record.need.gpus;
         }
         tasks as u32
     }
@@ -285,22 +287,22 @@
 /// pool, but only those that the machines on their way there don't hold: counting them
 /// all rented a second fleet beside the first, when an empty one's first pool was full.
 fn count_queued(
-    catalog: &[ClassInfo],
-    rec: &JobRec,
-    closed: &[Closed],
+    catalog: &[MachineType],
+    record: &JobRecord,
+    closed: &[ExhaustedPool],
     slow: &mut SlowPools,
     tasks: u32,
     counts: &mut BTreeMap<Pool, PoolCount>,
 ) {
     let mut left = f64::from(tasks);
-    let urgent = rec.rank > Rank::Normal;
+    let urgent = record.priority_class > PriorityClass::Normal;
     let in_time = |pool: &Pool| !slow.slow(pool, urgent);
-    let last = open_pool(catalog, rec, closed, in_time).or(pool_for(catalog, rec, closed));
-    for pool in pools_for(catalog, rec) {
+    let last = open_pool(catalog, record, closed, in_time).or(pool_for(catalog, record, closed));
+    for pool in pools_for(catalog, record) {
         let Some(c) = counts.get_mut(&pool).filter(|_| left > 0.0) else {
             continue;
         };
-        let per = per_machine(&catalog[pool.0], rec.need);
+        let per = per_machine(&catalog[pool.0], record.need);
         let late = slow.late.get(&pool).filter(|_| urgent);
         let empty = f64::from(c.provisioned - c.busy) - c.queued;
         let coming = empty - f64::from(late.copied().unwrap_or(0));
@@ -313,7 +315,7 @@
         if urgent {
             *slow.urgent_waiting.entry(pool).or_default() += here / per;
         }
-        c.urgent |= here > 0.0 && rec.form == Form::Service;
+        c.urgent |= here > 0.0 && record.kind == JobKind::Service;
         left -= here;
         if Some(pool) == last {
             return;
@@ -323,25 +325,29 @@
 
 /// The pool on which a task counts: the smallest type that fits, spot where the
 /// job may use it. Where the cloud has nothing left, the next one.
-pub(crate) fn pool_for(catalog: &[ClassInfo], rec: &JobRec, closed: &[Closed]) -> Option<Pool> {
-    let first = || pools_for(catalog, rec).first().copied();
-    open_pool(catalog, rec, closed, |_| true).or_else(first)
+pub(crate) fn pool_for(
+    catalog: &[MachineType],
+    record: &JobRecord,
+    closed: &[ExhaustedPool],
+) -> Option<Pool> {
+    let first = || pools_for(catalog, record).first().copied();
+    open_pool(catalog, record, closed, |_| true).or_else(first)
 }
 
 /// The first of a task's pools of which the cloud has machines left and that `passes` lets pass.
 fn open_pool(
-    catalog: &[ClassInfo],
-    rec: &JobRec,
-    closed: &[Closed],
+    catalog: &[MachineType],
+    record: &JobRecord,
+    closed: &[ExhaustedPool],
     passes: impl Fn(&Pool) -> bool,
 ) -> Option<Pool> {
-    let pools = pools_for(catalog, rec);
+    let pools = pools_for(catalog, record);
     let open = |pool: &&Pool| {
         let name = &catalog[pool.0].name;
         let zones = &catalog[pool.0].zones;
         let mut zones = zones
             .iter()
-            .filter(|z| rec.zone.as_ref().is_none_or(|r| r == *z));
+            .filter(|z| record.zone.as_ref().is_none_or(|r| r == *z));
         zones.any(|z| {
             !closed
                 .iter()
@@ -353,25 +359,25 @@
 }
 
 /// The pools that a task may use, in the order in which it counts on them.
-fn pools_for(catalog: &[ClassInfo], rec: &JobRec) -> Vec<Pool> {
+fn pools_for(catalog: &[MachineType], record: &JobRecord) -> Vec<Pool> {
     let mut pools: Vec<Pool> = Vec::new();
     for (class, info) in catalog.iter().enumerate() {
-        if rec.allows(&info.name) && info.room.holds(rec.need) {
+        if record.allows(&info.name) && info.resources.holds(record.need) {
             pools.push((class, false));
-            if rec.spot {
+            if record.spot {
                 pools.push((class, true));
             }
         }
     }
     pools.sort_by(|a, b| {
-        let size = |p: &Pool| catalog[p.0].room.gpus + catalog[p.0].room.cpus / 1e3;
+        let size = |p: &Pool| catalog[p.0].resources.gpus + catalog[p.0].resources.cpus / 1e3;
         b.1.cmp(&a.1).then(size(a).total_cmp(&size(b)))
     });
     pools
 }
 
 /// How many of a task one machine holds; at least one.
-pub(crate) fn per_machine(class: &ClassInfo, need: Room) -> f64 {
+pub(crate) fn per_machine(class: &MachineType, need: Resources) -> f64 {
     let fit = |have: f64, need: f64| {
         if need > 0.0 {
             (have / need + 1e-6).floor()
@@ -379,8 +385,8 @@
             f64::MAX
         }
     };
-    fit(class.room.cpus, need.cpus)
-        .min(fit(class.room.gpus, need.gpus))
-        .min(fit(class.room.mem, need.mem))
+    fit(class.resources.cpus, need.cpus)
+        .min(fit(class.resources.gpus, need.gpus))
+        .min(fit(class.resources.mem, need.mem))
         .clamp(1.0, 1e6)
 }
--- a/src/controller/autoscaling/machines.rs
+++ b/src/controller/autoscaling/machines.rs
@@ -1,15 +1,15 @@
 //! What becomes of machines: those the cloud lists, those that never come up, and those that
 //! are returned or deleted.
 
-use crate::controller::Core;
+use crate::controller::Controller;
 use crate::controller::autoscaling::{CloudPurpose, REPEAT_S};
 use crate::controller::events::Reply;
 use crate::controller::machines::inventory::Machine;
 use crate::controller::rate_limits::token_bucket::Priority;
-use crate::controller::shard::Holder;
+use crate::controller::shard::ShardOwner;
 use crate::controller::shard::job::Phase;
-use crate::ids::{MachineId, ReqId, TaskId, Time};
-use crate::wire::{ClassInfo, CloudOp, CloudReply, Listed, MachineStance};
+use crate::ids::{MachineId, RequestId, TaskId, Time};
+use crate::wire::{CloudOp, CloudReply, Listed, MachineStatus, MachineType};
 use log::info;
 use std::collections::BTreeSet;
 
@@ -22,7 +22,7 @@
 /// After how many times the time in which it is overdue a machine never comes up.
 const ABANDONED_AFTER: f64 = 2.0;
 
-impl Core {
+impl Controller {
     /// The leader lists machines to find those nobody expected; with several blocks,
     /// the other holders list them, less often, to learn what became of their own.
     pub(crate) fn list_machines(&mut self) {
@@ -30,8 +30,12 @@
             return self.list_on(so_far);
         }
         let lag = self.settings.platform.facts.cloud.list_lag_s.max(2.0);
-        let pause = if self.lead.is_some() { lag } else { 2.0 * lag };
-        if self.listing || self.now < self.list_at || self.blind() {
+        let pause = if self.leadership.is_some() {
+            lag
+        } else {
+            2.0 * lag
+        };
+        if self.listing || self.now < self.list_at || self.is_stale() {
             return;
         }
         let op = CloudOp::List { after: None };
@@ -60,8 +64,8 @@
             }
             h.miss_listed(now, settled_s, &listed);
         }
-        if let Some(lead) = &mut self.lead {
-            lead.scale.listed = true;
+        if let Some(leadership) = &mut self.leadership {
+            leadership.scale.listed = true;
             for l in so_far {
                 let id = MachineId::from(l.id.as_str());
                 self.add_stray((id, l.class, l.zone, l.spot));
@@ -87,7 +91,7 @@
     /// deleted shortly before it was up, and rented anew.
     pub(crate) fn delete_abandoned(&mut self) {
         let (now, boot) = (self.now, self.settings.tuning.boot);
-        let Some(h) = &mut self.holder else {
+        let Some(h) = &mut self.owner else {
             return;
         };
         let most = ABANDONED_AFTER * boot;
@@ -103,10 +107,10 @@
     /// leader that replaced another before its grant's end waits until that one deletes nothing.
     pub(crate) fn delete_doomed(&mut self) {
         let now = self.now;
-        if self.blind() || self.fenced() {
+        if self.is_stale() || self.fenced() {
             return;
         }
-        let Some(h) = &mut self.holder else {
+        let Some(h) = &mut self.owner else {
             return;
         };
         let mut ids = Vec::new();
@@ -121,7 +125,7 @@
         }
         let op = CloudOp::Delete(ids.clone());
         if self.cloud_call(op, CloudPurpose::Delete(ids.clone()), Priority::First)
-            && let Some(h) = &mut self.holder
+            && let Some(h) = &mut self.owner
         {
             for id in &ids {
                 h.machines.edit(id, |m| m.deleting = true);
@@ -132,7 +136,7 @@
     /// Once the deletion is answered, the machine and all on it are gone.
     pub(crate) fn on_deleted(&mut self, ids: Vec<MachineId>, reply: CloudReply) {
         let now = self.now;
-        let Some(h) = &mut self.holder else {
+        let Some(h) = &mut self.owner else {
             return;
         };
         let mut held = Vec::new();
@@ -144,20 +148,20 @@
             info!("machine {id} deleted");
             held.extend(h.remove_machine(now, &id));
         }
-        for req in held {
-            self.answer(req, Reply::later(503, 5, "this machine is deleted"));
+        for request_id in held {
+            self.answer(request_id, Reply::later(503, 5, "this machine is deleted"));
         }
     }
 
     /// Returns the machines that the leader's plan names, if they are still empty.
     pub(crate) fn obey_plan(&mut self) {
-        let revision = self.cache.plan.revision;
+        let revision = self.mirror.plan.revision;
         if revision == self.plan_seen {
             return;
         }
         self.plan_seen = revision;
         let now = self.now;
-        let returns = self.cache.plan.rec.iter().flat_map(|p| &p.returns);
+        let returns = self.mirror.plan.record.iter().flat_map(|p| &p.returns);
         for id in returns {
             for h in self.parked.values_mut() {
                 let idle = |m: &Machine| m.up.is_some() && m.tasks.is_empty();
@@ -169,7 +173,7 @@
     }
 }
 
-impl Holder {
+impl ShardOwner {
     fn committing_on(&self, m: &Machine) -> bool {
         m.tasks.keys().any(|t| {
             let p = self.jobs.get(&t.job).and_then(|l| l.placed.get(&t.index));
@@ -178,7 +182,7 @@
     }
 
     /// Takes note of a listed machine.
-    fn see_listed(&mut self, now: Time, catalog: &[ClassInfo], l: &Listed) {
+    fn see_listed(&mut self, now: Time, catalog: &[MachineType], l: &Listed) {
         let id = MachineId::from(l.id.as_str());
         if self.gone.contains_key(&id) {
             return;
@@ -189,7 +193,7 @@
             self.machines.insert(id.clone(), m);
         }
         let known = self.machines.get(&id);
-        let wakes = |m: &Machine| l.stance == MachineStance::Running && m.up.is_none();
+        let wakes = |m: &Machine| l.status == MachineStatus::Running && m.up.is_none();
         if known.is_some_and(|m| m.class == usize::MAX || wakes(m)) {
             self.machines.edit(&id, |m| {
                 if wakes(m) {
@@ -199,7 +203,7 @@
                 m.learn(catalog, &l.class, &l.zone, l.spot);
             });
         }
-        if l.stance == MachineStance::Failed {
+        if l.status == MachineStatus::Failed {
             self.doom(now, &id, "the cloud lists it as failed");
         }
     }
@@ -222,7 +226,7 @@
     pub(crate) fn boots_longer_than(
         &self,
         times: f64,
-        catalog: &[ClassInfo],
+        catalog: &[MachineType],
         m: &Machine,
         now: Time,
     ) -> bool {
@@ -233,7 +237,7 @@
 
     /// Forgets a deleted machine; its tasks are proven gone. Returns the request
     /// that waited for its commands.
-    fn remove_machine(&mut self, now: Time, id: &MachineId) -> Option<ReqId> {
+    fn remove_machine(&mut self, now: Time, id: &MachineId) -> Option<RequestId> {
         let m = self.machines.get(id)?;
         let held = m.held;
         let tasks: Vec<TaskId> = m.tasks.keys().cloned().collect();
@@ -247,6 +251,6 @@
         self.failures.forget_machine(id);
         self.gone.insert(id.clone(), now);
         self.place_wanted = true;
-        held.map(|(req, _)| req)
+        held.map(|(request_id, _)| request_id)
     }
 }
--- a/src/controller/autoscaling/mod.rs
+++ b/src/controller/autoscaling/mod.rs
@@ -11,7 +11,7 @@
 pub(crate) mod reconcile;
 pub(crate) mod scale_out;
 
-use crate::controller::Core;
+use crate::controller::Controller;
 use crate::controller::events::Output;
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::ids::{CallId, MachineId};
@@ -44,7 +44,7 @@
 /// Counts are told to the leader this often, as a share of its tick.
 const COUNTS_SHARE: f64 = 0.2;
 
-impl Core {
+impl Controller {
     pub(crate) fn catalog_housekeeping(&mut self) {
         if self.catalog.is_empty() && self.now >= self.catalog_retry {
             self.catalog_retry = self.now.after(REPEAT_S);
@@ -52,7 +52,7 @@
         }
     }
 
-    pub(crate) fn lead_housekeeping(&mut self) {
+    pub(crate) fn leadership_housekeeping(&mut self) {
         if self.now >= self.counts_at {
             self.counts_at = self.now.after(self.settings.tuning.tick_s * COUNTS_SHARE);
             self.send_counts();
@@ -62,7 +62,7 @@
             return;
         }
         let several = self.parked.values().any(|h| !h.whole);
-        if self.grant_alive() || several {
+        if self.lease_valid() || several {
             self.list_machines();
         }
         if !self.may_use_cloud() {
@@ -79,14 +79,14 @@
         }
         self.cloud_budget.take(1.0);
         let id = self.call_id();
-        let tenure = self.tenure();
-        self.cloud_calls.insert(id, (purpose, tenure));
+        let ownership = self.ownership();
+        self.cloud_calls.insert(id, (purpose, ownership));
         self.out.push(Output::Cloud(id, op));
         true
     }
 
     pub(crate) fn on_cloud(&mut self, id: CallId, reply: CloudReply) {
-        let Some((purpose, tenure)) = self.cloud_calls.remove(&id) else {
+        let Some((purpose, ownership)) = self.cloud_calls.remove(&id) else {
             return;
         };
         if reply == CloudReply::Trouble {
@@ -96,8 +96,8 @@
             CloudPurpose::Catalog => self.on_catalog(reply),
             CloudPurpose::Rent(name) => self.on_rented(&name, reply),
             CloudPurpose::Delete(ids) => {
-                if let Some((block, _)) = tenure {
-                    self.in_block(block, |core| core.on_deleted(ids, reply));
+                if let Some((shard, _)) = ownership {
+                    self.in_shard(shard, |controller| controller.on_deleted(ids, reply));
                 }
             }
             CloudPurpose::List(so_far) => self.on_machine_list(so_far, reply),
--- a/src/controller/autoscaling/plan.rs
+++ b/src/controller/autoscaling/plan.rs
@@ -1,52 +1,54 @@
 //! The leader's plan: what it wants, and the rentals under way, written before they are sent.
 
 use crate::controller::autoscaling::Pool;
-use crate::controller::autoscaling::scale_out::{Rental, RentalStep};
+use crate::controller::autoscaling::scale_out::{ScaleOutRequest, ScaleOutStep};
 use crate::controller::rate_limits::token_bucket::Priority;
-use crate::controller::store::records::{Closed, Key, PlanRec, Record, RentalRec, json_bytes};
-use crate::controller::{Core, Purpose};
+use crate::controller::store::records::{
+    ExhaustedPool, Key, Record, ScaleOutRecord, ScalingPlanRecord, json_bytes,
+};
+use crate::controller::{Controller, RequestPurpose};
 use crate::ids::{MachineId, Time};
-use crate::wire::{StateOp, StateReply, Write};
+use crate::wire::{StoreRequest, StoreResponse, Write};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 /// Share of the value limit that the plan may fill.
 const PLAN_SHARE: f64 = 0.9;
 
 #[derive(Debug, Default)]
-pub(crate) struct Scale {
+pub(crate) struct ScalingState {
     /// Whether counts are rebuilt, so that renting may begin.
     pub(crate) ready: Option<Time>,
     pub(crate) listed: bool,
     pub(crate) tick_at: Time,
     pub(crate) wanted: BTreeMap<Pool, VecDeque<(Time, u32)>>,
-    pub(crate) rentals: Vec<Rental>,
+    pub(crate) rentals: Vec<ScaleOutRequest>,
     pub(crate) rental_count: u64,
     /// Until when a pool's zone isn't asked again, and how often it refused.
     pub(crate) refused: HashMap<(usize, String, bool), (Time, u32)>,
     pub(crate) shares: Vec<(u32, u32)>,
-    pub(crate) closed: Vec<Closed>,
+    pub(crate) closed: Vec<ExhaustedPool>,
     /// Machines to return, for the next plan.
     pub(crate) returns: Vec<MachineId>,
     pub(crate) plan_busy: bool,
     pub(crate) plan_dirty: bool,
 }
 
-impl Core {
+impl Controller {
     /// A new leader first repeats the rentals that the plan speaks of, under their
     /// names, and lists: it rents only once it knows what is there.
     pub(crate) fn rebuild_scale(&mut self) {
         let now = self.now;
-        let plan = self.cache.plan.rec.clone().unwrap_or_default();
-        let Some(lead) = &mut self.lead else {
+        let plan = self.mirror.plan.record.clone().unwrap_or_default();
+        let Some(leadership) = &mut self.leadership else {
             return;
         };
-        let written = |rec| Rental {
-            rec,
-            step: RentalStep::Written,
+        let written = |record| ScaleOutRequest {
+            record,
+            step: ScaleOutStep::Written,
             at: now,
         };
-        lead.scale.rentals = plan.rentals.into_iter().map(written).collect();
-        lead.scale.tick_at = now;
+        leadership.scale.rentals = plan.rentals.into_iter().map(written).collect();
+        leadership.scale.tick_at = now;
     }
 
     /// Writes wanted counts and rentals. A rental is sent only once it stands here.
@@ -54,15 +56,16 @@
         let lag = self.settings.platform.facts.cloud.list_lag_s;
         let now = self.now;
         let shares = self.job_shares();
-        let when = vec![(Key::Leader, self.cache.leader.version())];
-        let Some(lead) = &mut self.lead else {
+        let preconditions = vec![(Key::Leader, self.mirror.leader.version())];
+        let Some(leadership) = &mut self.leadership else {
             return;
         };
-        let s = &mut lead.scale;
+        let s = &mut leadership.scale;
         let before = s.rentals.len();
         let kept_s = 3.0 * lag + 5.0;
-        s.rentals
-            .retain(|rental| rental.step != RentalStep::Answered || now.since(rental.at) < kept_s);
+        s.rentals.retain(|rental| {
+            rental.step != ScaleOutStep::Answered || now.since(rental.at) < kept_s
+        });
         let closed = s.closed(&self.catalog, now);
         s.plan_dirty |= s.rentals.len() != before || s.shares != shares || s.closed != closed;
         if s.plan_busy || !s.plan_dirty {
@@ -72,12 +75,12 @@
             let name = self.catalog.get(*class)?.name.clone();
             Some((name, *spot, w.back()?.1))
         });
-        let mut plan = PlanRec {
-            number: lead.number,
+        let mut plan = ScalingPlanRecord {
+            number: leadership.number,
             wanted: wanted.collect(),
             shares: shares.clone(),
             closed: closed.clone(),
-            ..PlanRec::default()
+            ..ScalingPlanRecord::default()
         };
         let value_bytes = self.settings.state_limits().value_bytes;
         let most = (value_bytes as f64 * PLAN_SHARE) as usize;
@@ -88,35 +91,37 @@
             // Once enough are answered, the rest fits.
             return;
         }
-        let op = StateOp::Commit {
-            when,
+        let op = StoreRequest::Transaction {
+            preconditions,
             writes: vec![Write::put(Key::Plan, Record::Plan(plan))],
         };
-        if self.state_call(op, Purpose::Plan, Priority::First).is_ok()
-            && let Some(lead) = &mut self.lead
+        if self
+            .send_store_request(op, RequestPurpose::WritePlan, Priority::First)
+            .is_ok()
+            && let Some(leadership) = &mut self.leadership
         {
-            lead.scale.plan_busy = true;
-            lead.scale.plan_dirty = false;
-            lead.scale.shares = shares;
-            lead.scale.closed = closed;
-            lead.scale.returns.clear();
+            leadership.scale.plan_busy = true;
+            leadership.scale.plan_dirty = false;
+            leadership.scale.shares = shares;
+            leadership.scale.closed = closed;
+            leadership.scale.returns.clear();
         }
     }
 
-    pub(crate) fn on_planned(&mut self, reply: StateReply) {
+    pub(crate) fn on_planned(&mut self, reply: StoreResponse) {
         let now = self.now;
-        let Some(lead) = &mut self.lead else {
+        let Some(leadership) = &mut self.leadership else {
             return;
         };
-        let s = &mut lead.scale;
+        let s = &mut leadership.scale;
         s.plan_busy = false;
-        if let StateReply::Committed { .. } = reply {
+        if let StoreResponse::Committed { .. } = reply {
             // Rentals planned while the commit was under way made the plan dirty
             // again, and wait for the next one.
             if !s.plan_dirty {
                 for rental in &mut s.rentals {
-                    if rental.step == RentalStep::Planned {
-                        (rental.step, rental.at) = (RentalStep::Written, now);
+                    if rental.step == ScaleOutStep::Planned {
+                        (rental.step, rental.at) = (ScaleOutStep::Written, now);
                     }
                 }
             }
@@ -127,30 +132,30 @@
     }
 }
 
-impl Scale {
+impl ScalingState {
     /// The requests to rent and the machines to return that fit into so many bytes. With
     /// many pools and zones a plan outgrew its value, and then nothing was rented. Requests
     /// that are answered go first: they only help a new leader before its list does; those
     /// that nobody has sent are planned again.
-    fn fit(&mut self, bytes: usize) -> (Vec<RentalRec>, Vec<MachineId>) {
+    fn fit(&mut self, bytes: usize) -> (Vec<ScaleOutRecord>, Vec<MachineId>) {
         let mut used: usize = self
             .rentals
             .iter()
-            .map(|rental| json_bytes(&rental.rec))
+            .map(|rental| json_bytes(&rental.record))
             .sum();
         while used > bytes {
-            let answered = |rental: &Rental| rental.step == RentalStep::Answered;
-            let planned = |rental: &Rental| rental.step == RentalStep::Planned;
+            let answered = |rental: &ScaleOutRequest| rental.step == ScaleOutStep::Answered;
+            let planned = |rental: &ScaleOutRequest| rental.step == ScaleOutStep::Planned;
             let oldest = self.rentals.iter().position(answered);
             let Some(at) = oldest.or_else(|| self.rentals.iter().rposition(planned)) else {
                 break;
             };
-            used -= json_bytes(&self.rentals.remove(at).rec);
+            used -= json_bytes(&self.rentals.remove(at).record);
         }
         let rentals = self
             .rentals
             .iter()
-            .map(|rental| rental.rec.clone())
+            .map(|rental| rental.record.clone())
             .collect();
         let mut left = bytes.saturating_sub(used);
         let fits = |id: &&MachineId| {
--- a/src/controller/autoscaling/reconcile.rs
+++ b/src/controller/autoscaling/reconcile.rs
@@ -1,7 +1,7 @@
 //! The tick: from the blocks' counts to rentals and returns.
 
-use crate::controller::Core;
-use crate::controller::autoscaling::scale_out::RentalStep;
+use crate::controller::Controller;
+use crate::controller::autoscaling::scale_out::ScaleOutStep;
 use crate::controller::autoscaling::{Pool, Zones};
 use crate::ids::MachineId;
 use crate::peer::PoolCount;
@@ -19,49 +19,53 @@
     asked: BTreeMap<Pool, u32>,
 }
 
-impl Core {
+impl Controller {
     pub(crate) fn tick(&mut self) {
         let now = self.now;
-        let Some(lead) = &mut self.lead else {
+        let Some(leadership) = &mut self.leadership else {
             return;
         };
-        let s = &mut lead.scale;
+        let s = &mut leadership.scale;
         let unanswered = s
             .rentals
             .iter()
-            .any(|rental| rental.step != RentalStep::Answered);
-        let blocks = self.cache.blocks.len();
-        if s.ready.is_none() && s.listed && !unanswered && lead.block_counts.len() >= blocks {
+            .any(|rental| rental.step != ScaleOutStep::Answered);
+        let shards = self.mirror.shards.len();
+        if s.ready.is_none() && s.listed && !unanswered && leadership.shard_counts.len() >= shards {
             s.ready = Some(now);
             s.tick_at = now;
             info!("counts are rebuilt");
         }
-        let Some(ready) = lead.scale.ready.filter(|_| now >= lead.scale.tick_at) else {
+        let Some(ready) = leadership
+            .scale
+            .ready
+            .filter(|_| now >= leadership.scale.tick_at)
+        else {
             return;
         };
-        lead.scale.tick_at = now.after(self.settings.tuning.tick_s);
+        leadership.scale.tick_at = now.after(self.settings.tuning.tick_s);
         self.send_counts();
         let fleet = self.count_fleet();
-        let Some(lead) = &mut self.lead else {
+        let Some(leadership) = &mut self.leadership else {
             return;
         };
-        lead.needs.clear();
+        leadership.needs.clear();
         let ceiling = self.settings.ceiling();
-        for (pool, blocks) in fleet.counts {
+        for (pool, shards) in fleet.counts {
             // A machine serves its own block only, so each block's gap is its own.
             let (mut wanted, mut gap, mut provisioned) = (0, 0, 0);
-            for (block, count) in &blocks {
+            for (shard, count) in &shards {
                 let w = count.wanted(ceiling);
-                debug!("pool {pool:?} of block {block}: {count:?}, wanted {w}");
+                debug!("pool {pool:?} of block {shard}: {count:?}, wanted {w}");
                 let need = w.saturating_sub(count.provisioned);
                 (wanted, gap, provisioned) =
                     (wanted + w, gap + need, provisioned + count.provisioned);
                 let name = self.catalog[pool.0].name.clone();
-                lead.needs.insert((name, pool.1, *block), need);
+                leadership.needs.insert((name, pool.1, *shard), need);
             }
             let window_s = self.settings.tuning.window * self.catalog[pool.0].ready_s;
-            lead.scale.remember(pool, now, wanted, window_s);
-            let room = ceiling.saturating_sub(provisioned);
+            leadership.scale.remember(pool, now, wanted, window_s);
+            let resources = ceiling.saturating_sub(provisioned);
             if wanted >= ceiling {
                 warn!("pool {pool:?} wants {wanted} machines, as many as its ceiling allows");
             }
@@ -70,15 +74,15 @@
             let pins = fleet.pins.iter().filter(|((p, _), _)| *p == pool);
             let pins: BTreeMap<&String, u32> = pins.map(|((_, z), n)| (z, *n)).collect();
             let gap = gap.max(pins.values().sum());
-            let gap = gap.min(room).saturating_sub(asked);
+            let gap = gap.min(resources).saturating_sub(asked);
             let gap = gap.min(self.settings.rise(gap));
             if gap > 0 {
-                lead.scale.rent(
+                leadership.scale.rent(
                     &self.catalog,
                     pool,
                     gap,
                     (&fleet.zones, &pins),
-                    lead.number,
+                    leadership.number,
                     now,
                 );
             }
@@ -86,12 +90,12 @@
             if now.since(ready) < window_s {
                 continue;
             }
-            let keep = lead.scale.highest(pool).max(wanted);
+            let keep = leadership.scale.highest(pool).max(wanted);
             let surplus = (provisioned + asked).saturating_sub(keep) as usize;
             let idle = fleet.empty.get(&pool).into_iter().flatten();
-            let before = lead.scale.returns.len();
-            lead.scale.returns.extend(idle.take(surplus).cloned());
-            lead.scale.plan_dirty |= lead.scale.returns.len() > before;
+            let before = leadership.scale.returns.len();
+            leadership.scale.returns.extend(idle.take(surplus).cloned());
+            leadership.scale.plan_dirty |= leadership.scale.returns.len() > before;
         }
     }
 
@@ -103,7 +107,7 @@
             for (name, spot, c) in &t.pools {
                 if let Some(class) = class(name) {
                     let pool = fleet.counts.entry((class, *spot)).or_default();
-                    pool.insert(t.block, *c);
+                    pool.insert(t.shard, *c);
                 }
             }
             for (name, spot, zone, n) in &t.zones {
@@ -125,10 +129,10 @@
                 }
             }
         }
-        let rentals = self.lead.iter().flat_map(|l| &l.scale.rentals);
-        for rental in rentals.filter(|rental| rental.step != RentalStep::Answered) {
-            if let Some(class) = class(&rental.rec.class) {
-                *fleet.asked.entry((class, rental.rec.spot)).or_default() += rental.rec.count;
+        let rentals = self.leadership.iter().flat_map(|l| &l.scale.rentals);
+        for rental in rentals.filter(|rental| rental.step != ScaleOutStep::Answered) {
+            if let Some(class) = class(&rental.record.class) {
+                *fleet.asked.entry((class, rental.record.spot)).or_default() += rental.record.count;
             }
         }
         fleet
--- a/src/controller/autoscaling/scale_out.rs
+++ b/src/controller/autoscaling/scale_out.rs
@@ -1,13 +1,13 @@
 //! Rentals: planned, written, sent, and repeated under their names until they are answered.
 
-use crate::controller::Core;
-use crate::controller::autoscaling::plan::Scale;
+use crate::controller::Controller;
+use crate::controller::autoscaling::plan::ScalingState;
 use crate::controller::autoscaling::{CloudPurpose, Pool, REPEAT_S, Zones};
 use crate::controller::machines::inventory::Machine;
 use crate::controller::rate_limits::token_bucket::Priority;
-use crate::controller::store::records::{Closed, RentalRec};
-use crate::ids::{MachineId, Number, Time};
-use crate::wire::{ClassInfo, CloudOp, CloudReply};
+use crate::controller::store::records::{ExhaustedPool, ScaleOutRecord};
+use crate::ids::{FencingToken, MachineId, Time};
+use crate::wire::{CloudOp, CloudReply, MachineType};
 use log::{info, warn};
 use std::collections::BTreeMap;
 
@@ -19,14 +19,14 @@
 
 /// A request to rent.
 #[derive(Debug)]
-pub(crate) struct Rental {
-    pub(crate) rec: RentalRec,
-    pub(crate) step: RentalStep,
+pub(crate) struct ScaleOutRequest {
+    pub(crate) record: ScaleOutRecord,
+    pub(crate) step: ScaleOutStep,
     pub(crate) at: Time,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum RentalStep {
+pub(crate) enum ScaleOutStep {
     /// Not yet in the written plan.
     Planned,
     /// Written: may be sent.
@@ -36,109 +36,113 @@
     Answered,
 }
 
-impl Core {
+impl Controller {
     pub(crate) fn send_rentals(&mut self) {
         let now = self.now;
-        let Some(lead) = self.lead.as_ref().filter(|_| self.may_use_cloud()) else {
+        let Some(leadership) = self.leadership.as_ref().filter(|_| self.may_use_cloud()) else {
             return;
         };
-        let due: Vec<RentalRec> = lead
+        let due: Vec<ScaleOutRecord> = leadership
             .scale
             .rentals
             .iter()
-            .filter(|rental| rental.step == RentalStep::Written && now >= rental.at)
-            .map(|rental| rental.rec.clone())
+            .filter(|rental| rental.step == ScaleOutStep::Written && now >= rental.at)
+            .map(|rental| rental.record.clone())
             .collect();
-        for rec in due {
-            let name = rec.name.clone();
+        for record in due {
+            let name = record.name.clone();
             let purpose = CloudPurpose::Rent(name.clone());
-            if !self.cloud_call(CloudOp::Rent(rec), purpose, Priority::Usual) {
+            if !self.cloud_call(CloudOp::Rent(record), purpose, Priority::Usual) {
                 return;
             }
-            if let Some(lead) = &mut self.lead {
-                lead.scale.step(&name, RentalStep::Sent, now);
+            if let Some(leadership) = &mut self.leadership {
+                leadership.scale.step(&name, ScaleOutStep::Sent, now);
             }
         }
     }
 
     pub(crate) fn on_rented(&mut self, name: &str, reply: CloudReply) {
         let now = self.now;
-        let Some(lead) = &mut self.lead else {
+        let Some(leadership) = &mut self.leadership else {
             return;
         };
-        let Some(rec) = lead
+        let Some(record) = leadership
             .scale
             .rentals
             .iter()
-            .find(|rental| rental.rec.name == name)
+            .find(|rental| rental.record.name == name)
         else {
             return;
         };
-        let rec = rec.rec.clone();
-        let class = self.catalog.iter().position(|c| c.name == rec.class);
+        let record = record.record.clone();
+        let class = self.catalog.iter().position(|c| c.name == record.class);
         let Some(class) = class else {
             return;
         };
-        let place = (class, rec.zone.clone(), rec.spot);
+        let place = (class, record.zone.clone(), record.spot);
         match reply {
             CloudReply::Rented(rigs) => {
                 info!(
                     "rented {} of {} {} in {}{}",
                     rigs.len(),
-                    rec.count,
-                    rec.class,
-                    rec.zone,
-                    if rec.spot { ", spot" } else { "" }
+                    record.count,
+                    record.class,
+                    record.zone,
+                    if record.spot { ", spot" } else { "" }
                 );
-                if (rigs.len() as u32) < rec.count {
-                    lead.scale.refuse(place, now);
+                if (rigs.len() as u32) < record.count {
+                    leadership.scale.refuse(place, now);
                 } else {
-                    lead.scale.refused.remove(&place);
+                    leadership.scale.refused.remove(&place);
                 }
-                lead.scale.step(name, RentalStep::Answered, now);
-                self.take_rented(&rec, rigs);
+                leadership.scale.step(name, ScaleOutStep::Answered, now);
+                self.take_rented(&record, rigs);
             }
             CloudReply::Refused => {
-                warn!("no capacity for {} in {}", rec.class, rec.zone);
-                lead.scale.refuse(place, now);
-                lead.scale.rentals.retain(|rental| rental.rec.name != name);
-                lead.scale.plan_dirty = true;
+                warn!("no capacity for {} in {}", record.class, record.zone);
+                leadership.scale.refuse(place, now);
+                leadership
+                    .scale
+                    .rentals
+                    .retain(|rental| rental.record.name != name);
+                leadership.scale.plan_dirty = true;
             }
-            _ => lead
+            _ => leadership
                 .scale
-                .step(name, RentalStep::Written, now.after(REPEAT_S)),
+                .step(name, ScaleOutStep::Written, now.after(REPEAT_S)),
         }
     }
 
     /// New machines join the only block at once, or a block's list.
-    fn take_rented(&mut self, rec: &RentalRec, rigs: Vec<MachineId>) {
+    fn take_rented(&mut self, record: &ScaleOutRecord, rigs: Vec<MachineId>) {
         let now = self.now;
         let whole = self.parked.values_mut().find(|h| h.whole);
         if let Some(h) = whole {
             for id in rigs {
                 if !h.machines.contains_key(&id) && !h.gone.contains_key(&id) {
-                    let m = Machine::new(&self.catalog, &rec.class, &rec.zone, rec.spot, now);
+                    let m =
+                        Machine::new(&self.catalog, &record.class, &record.zone, record.spot, now);
                     h.machines.insert(id, m);
                 }
             }
             return;
         }
         for id in rigs {
-            self.add_stray((id, rec.class.clone(), rec.zone.clone(), rec.spot));
+            self.add_stray((id, record.class.clone(), record.zone.clone(), record.spot));
         }
         self.lease_housekeeping();
     }
 }
 
-impl Scale {
+impl ScalingState {
     /// Plans rentals, each machine to the open zone with fewest such machines.
     pub(crate) fn rent(
         &mut self,
-        catalog: &[ClassInfo],
+        catalog: &[MachineType],
         pool: Pool,
         gap: u32,
         (there, pins): (&Zones, &BTreeMap<&String, u32>),
-        term: Number,
+        term: FencingToken,
         now: Time,
     ) {
         let info = &catalog[pool.0];
@@ -166,16 +170,16 @@
                 let part = count.min(RENT_MAX);
                 count -= part;
                 self.rental_count += 1;
-                let rec = RentalRec {
+                let record = ScaleOutRecord {
                     name: format!("r-{}-{}", term.0, self.rental_count),
                     class: info.name.clone(),
                     zone: zone.clone(),
                     spot: pool.1,
                     count: part,
                 };
-                self.rentals.push(Rental {
-                    rec,
-                    step: RentalStep::Planned,
+                self.rentals.push(ScaleOutRequest {
+                    record,
+                    step: ScaleOutStep::Planned,
                     at: now,
                 });
                 self.plan_dirty = true;
@@ -184,12 +188,12 @@
     }
 
     /// What the cloud has nothing left of, for the plan.
-    pub(crate) fn closed(&self, catalog: &[ClassInfo], now: Time) -> Vec<Closed> {
+    pub(crate) fn closed(&self, catalog: &[MachineType], now: Time) -> Vec<ExhaustedPool> {
         let shut = self.refused.iter().filter(|(_, (until, _))| now < *until);
         let shut = shut.filter_map(|((class, zone, spot), _)| {
             Some((catalog.get(*class)?.name.clone(), zone.clone(), *spot))
         });
-        let mut shut: Vec<Closed> = shut.collect();
+        let mut shut: Vec<ExhaustedPool> = shut.collect();
         shut.sort();
         shut
     }
@@ -207,11 +211,11 @@
         *entry = (now.after(pause), entry.1 + 1);
     }
 
-    fn step(&mut self, name: &str, step: RentalStep, at: Time) {
+    fn step(&mut self, name: &str, step: ScaleOutStep, at: Time) {
         for rental in self
             .rentals
             .iter_mut()
-            .filter(|rental| rental.rec.name == name)
+            .filter(|rental| rental.record.name == name)
         {
             (rental.step, rental.at) = (step, at);
         }
--- a/src/controller/dependencies/graph.rs
+++ b/src/controller/dependencies/graph.rs
@@ -6,14 +6,14 @@
 //! its end is committed. All of this is derived from the records whenever they change, so nobody
 //! has to remember what is left to do when a controller ends.
 
-use crate::controller::store::mirror::{Cache, CachedJob};
-use crate::controller::store::records::{Ending, JobRec, Rank};
+use crate::controller::store::mirror::{MirroredJob, StoreMirror};
+use crate::controller::store::records::{Ending, JobRecord, PriorityClass};
 use crate::ids::JobId;
 use std::collections::{BTreeSet, HashMap, HashSet};
 
 /// What is known of the jobs that a job needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Needs {
+pub enum DependencyState {
     /// All are done: the job may start.
     Met,
     /// Some aren't over yet.
@@ -37,17 +37,17 @@
     affected: BTreeSet<JobId>,
 }
 
-impl Cache {
+impl StoreMirror {
     /// What is known of the jobs that this one needs.
-    pub fn needs(&self, rec: &JobRec) -> Needs {
-        let mut needs = Needs::Met;
-        for id in &rec.needs {
+    pub fn needs(&self, record: &JobRecord) -> DependencyState {
+        let mut needs = DependencyState::Met;
+        for id in &record.needs {
             match self.ending(id).map(|(ending, _)| ending) {
                 Some(Ending::Done) => {}
-                Some(Ending::Withdrawn) => return Needs::Cancelled,
-                None if self.is_cancelled(id) => return Needs::Cancelled,
-                None if !self.jobs.contains_key(id) => needs = Needs::Unknown,
-                None if needs == Needs::Met => needs = Needs::Open,
+                Some(Ending::Cancelled) => return DependencyState::Cancelled,
+                None if self.is_cancelled(id) => return DependencyState::Cancelled,
+                None if !self.jobs.contains_key(id) => needs = DependencyState::Unknown,
+                None if needs == DependencyState::Met => needs = DependencyState::Open,
                 None => {}
             }
         }
@@ -67,7 +67,7 @@
     /// Whether a job that isn't over can't end as done any more: it is cancelled, or one that it
     /// needs is.
     pub fn is_cancelled(&self, id: &JobId) -> bool {
-        let marked = self.jobs.get(id).is_some_and(|j| j.withdrawn.is_some());
+        let marked = self.jobs.get(id).is_some_and(|j| j.cancelled.is_some());
         marked || self.is_cancelled_by_need(id)
     }
 
@@ -88,7 +88,7 @@
                 return true;
             }
             if let Some(job) = self.jobs.get(id).filter(|_| seen.insert(id)) {
-                left.extend(&job.rec.needs);
+                left.extend(&job.record.needs);
             }
         }
         false
@@ -107,11 +107,11 @@
 
     /// Takes note of a job that is new here.
     pub(crate) fn link(&mut self, id: &JobId) {
-        let Some(rec) = self.jobs.get(id).map(|j| j.rec.clone()) else {
+        let Some(record) = self.jobs.get(id).map(|j| j.record.clone()) else {
             return;
         };
         self.dependencies.unread.remove(id);
-        for need in &rec.needs {
+        for need in &record.needs {
             let dependents = &mut self.dependencies.dependents;
             dependents
                 .entry(need.clone())
@@ -119,17 +119,17 @@
                 .insert(id.clone());
             self.look_for_end(need);
         }
-        if self.needs(&rec) == Needs::Cancelled {
+        if self.needs(&record) == DependencyState::Cancelled {
             self.cancel(id);
         }
-        let needs = rec.needs.iter().cloned();
+        let needs = record.needs.iter().cloned();
         self.update_ranks(needs.chain([id.clone()]).collect());
     }
 
     /// Takes note of a job that is over, of which an end may be known.
-    pub(crate) fn unlink(&mut self, id: &JobId, job: &CachedJob) {
+    pub(crate) fn unlink(&mut self, id: &JobId, job: &MirroredJob) {
         self.dependencies.cancelled.remove(id);
-        for need in &job.rec.needs {
+        for need in &job.record.needs {
             if let Some(dependents) = self.dependencies.dependents.get_mut(need) {
                 dependents.remove(id);
                 if dependents.is_empty() {
@@ -138,7 +138,7 @@
                 }
             }
         }
-        self.update_ranks(job.rec.needs.clone());
+        self.update_ranks(job.record.needs.clone());
         self.look_for_end(id);
     }
 
@@ -150,14 +150,14 @@
                 let dependents = self.dependents(id);
                 self.dependencies.affected.extend(dependents);
             }
-            Ending::Withdrawn => self.cancel_dependents(id),
+            Ending::Cancelled => self.cancel_dependents(id),
         }
     }
 
     /// Takes note that a job's record was marked as cancelled.
     pub(crate) fn note_mark(&mut self, id: &JobId) {
         self.cancel_dependents(id);
-        self.update_ranks(self.needs_of(id));
+        self.update_ranks(self.dependencies_of(id));
     }
 
     fn dependents(&self, id: &JobId) -> Vec<JobId> {
@@ -179,7 +179,7 @@
         while let Some(id) = left.pop() {
             if self.jobs.contains_key(&id) && self.dependencies.cancelled.insert(id.clone()) {
                 left.extend(self.dependents(&id));
-                self.update_ranks(self.needs_of(&id));
+                self.update_ranks(self.dependencies_of(&id));
                 self.dependencies.affected.insert(id);
             }
         }
@@ -191,9 +191,9 @@
         }
     }
 
-    fn needs_of(&self, id: &JobId) -> Vec<JobId> {
+    fn dependencies_of(&self, id: &JobId) -> Vec<JobId> {
         let job = self.jobs.get(id);
-        job.map_or(Vec::new(), |j| j.rec.needs.clone())
+        job.map_or(Vec::new(), |j| j.record.needs.clone())
     }
 
     /// Finds the highest rank of each of these jobs and of the open ones that need it, and tells
@@ -206,12 +206,12 @@
             let dependents = self.dependencies.dependents.get(&id);
             let open = dependents.into_iter().flatten();
             let open = open.filter(|d| !self.is_cancelled(d));
-            let ranks = open.filter_map(|d| self.jobs.get(d).map(|j| j.rank));
-            let rank = ranks.fold(job.rec.rank, Rank::max);
-            if rank != job.rank {
-                left.extend(self.needs_of(&id));
+            let ranks = open.filter_map(|d| self.jobs.get(d).map(|j| j.priority_class));
+            let priority_class = ranks.fold(job.record.priority_class, PriorityClass::max);
+            if priority_class != job.priority_class {
+                left.extend(self.dependencies_of(&id));
                 if let Some(job) = self.jobs.get_mut(&id) {
-                    job.rank = rank;
+                    job.priority_class = priority_class;
                 }
                 self.dependencies.affected.insert(id);
             }
--- a/src/controller/events.rs
+++ b/src/controller/events.rs
@@ -1,9 +1,11 @@
 //! What goes into the state machine and what comes out of it.
 
-use crate::controller::store::records::JobRec;
-use crate::ids::{CallId, JobId, Member, ReqId};
+use crate::controller::store::records::JobRecord;
+use crate::ids::{CallId, ControllerId, JobId, RequestId};
 use crate::peer::Message;
-use crate::wire::{BadBody, CloudOp, CloudReply, Report, StateOp, StateReply, error_body};
+use crate::wire::{
+    BadBody, CloudOp, CloudReply, StoreRequest, StoreResponse, WorkerHeartbeat, error_body,
+};
 use salttrestle_cells::Cell;
 use salttrestle_cells::message::LinkMessage;
 
@@ -11,7 +13,7 @@
 #[derive(Debug)]
 pub enum Request {
     /// A user submits a job.
-    Submit(Result<(JobId, JobRec), BadBody>),
+    Submit(Result<(JobId, JobRecord), BadBody>),
     /// A user asks how a job stands.
     Poll(JobId),
     /// A user cancels a job.
@@ -19,18 +21,18 @@
     /// The balancer asks whether this controller takes requests.
     Up,
     /// A worker reports.
-    Report(Report),
+    Heartbeat(WorkerHeartbeat),
 }
 
 /// What the state machine is told.
 #[derive(Debug)]
 pub enum Input {
     /// A request came.
-    Request(ReqId, Request),
+    Request(RequestId, Request),
     /// Whoever asked has gone.
-    Disconnect(ReqId),
+    Disconnect(RequestId),
     /// The state service answered a call.
-    State(CallId, StateReply),
+    Store(CallId, StoreResponse),
     /// The cloud answered a call.
     Cloud(CallId, CloudReply),
     /// A sibling tells something.
@@ -38,11 +40,11 @@
     /// Another cell's leader tells how things stand there.
     Cell(LinkMessage),
     /// What became of this controller's own connection to a sibling.
-    Link(Member, Link),
+    Link(ControllerId, Link),
     /// The share of the time since the last such word for which this process didn't wait.
-    Busy(f64),
+    ProcessorUtilization(f64),
     /// The process is told to end, and hands over first.
-    Drain,
+    Shutdown,
     /// Time has passed.
     Tick,
 }
@@ -93,17 +95,17 @@
 #[derive(Debug)]
 pub enum Output {
     /// Answer a request.
-    Answer(ReqId, Reply),
+    Answer(RequestId, Reply),
     /// Call the state service.
-    State(CallId, StateOp),
+    Store(CallId, StoreRequest),
     /// Nobody waits for this call any more; its connection is closed.
     Forget(CallId),
     /// Call the cloud.
     Cloud(CallId, CloudOp),
     /// To one sibling, or to all.
-    Peer(Option<Member>, Message),
+    Peer(Option<ControllerId>, Message),
     /// A sibling runs: a connection to it is begun without the pause after one that failed.
-    Reconnect(Member),
+    Reconnect(ControllerId),
     /// To the leader of another cell.
     Cell(Cell, LinkMessage),
 }
--- a/src/controller/forwarding.rs
+++ b/src/controller/forwarding.rs
@@ -15,21 +15,21 @@
 
 use crate::controller::events::{Output, Reply};
 use crate::controller::shards::leases::stable_hash;
-use crate::controller::{Core, GATHER_MS, HEARD_S};
-use crate::ids::{MachineId, Member, Number, ReqId, TaskId, Time};
-use crate::peer::{Hello, Message, RelayedAnswer, RelayedReport};
-use crate::settings::Sibling;
-use crate::wire::{Command, Report, TaskStance, commands_body, steer_body};
+use crate::controller::{Controller, GATHER_MS, HEARD_S};
+use crate::ids::{ControllerId, FencingToken, MachineId, RequestId, TaskId, Time};
+use crate::peer::{ForwardedHeartbeat, ForwardedResponse, Message, PeerHeartbeat};
+use crate::settings::Peer;
+use crate::wire::{Command, TaskStatus, WorkerHeartbeat, commands_body, steer_body};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 /// A report whose machine's holder is down.
 #[derive(Debug)]
 struct LostReport {
-    req: ReqId,
-    report: Report,
+    request_id: RequestId,
+    report: WorkerHeartbeat,
     since: Time,
     /// The holder that it was handed to in vain.
-    tried: Option<Member>,
+    tried: Option<ControllerId>,
 }
 
 /// How long such a report waits at most, in seconds. Workers wait for 4 s. How many do at
@@ -49,17 +49,17 @@
 
 /// A report handed to its holder.
 #[derive(Debug)]
-struct Relayed {
-    to: Member,
-    report: Report,
+struct ForwardedOut {
+    to: ControllerId,
+    report: WorkerHeartbeat,
     since: Time,
 }
 
-impl Relayed {
+impl ForwardedOut {
     /// The report, now that its holder didn't answer it.
-    fn lost(self, req: ReqId) -> LostReport {
+    fn lost(self, request_id: RequestId) -> LostReport {
         LostReport {
-            req,
+            request_id,
             report: self.report,
             since: self.since,
             tried: Some(self.to),
@@ -69,27 +69,27 @@
 
 /// A report that a sibling handed on: which of its processes, and which request there.
 #[derive(Debug)]
-struct Guest {
-    from: Member,
-    boot: u64,
-    req: ReqId,
+struct ForwardedIn {
+    from: ControllerId,
+    incarnation: u64,
+    request_id: RequestId,
 }
 
 #[derive(Debug, Default)]
-pub(crate) struct Relays {
-    out: BTreeMap<ReqId, Relayed>,
-    guests: HashMap<ReqId, Guest>,
+pub(crate) struct Forwarding {
+    out: BTreeMap<RequestId, ForwardedOut>,
+    guests: HashMap<RequestId, ForwardedIn>,
     guest_count: u64,
     /// Reports to be handed on together, and when.
-    gathered: Vec<(Member, Box<RelayedReport>)>,
+    gathered: Vec<(ControllerId, Box<ForwardedHeartbeat>)>,
     gathered_until: Option<Time>,
     /// Reports that wait until there is somebody to send their workers to.
     lost: VecDeque<LostReport>,
     /// Siblings to whom no connection can be made, and since when they refuse it.
-    pub(crate) down: BTreeMap<Member, Option<Time>>,
+    pub(crate) down: BTreeMap<ControllerId, Option<Time>>,
     /// When this process last answered in a holder's place; at first its start.
     pub(crate) sheltered: Option<Time>,
-    trials: BTreeMap<Member, Time>,
+    trials: BTreeMap<ControllerId, Time>,
     /// Workers sent to a safer controller of this zone, and when.
     sent_away: BTreeMap<MachineId, Time>,
 }
@@ -98,77 +98,86 @@
 const KEPT_LEASES: f64 = 6.0;
 
 /// One of several controllers for a machine, the same each time.
-fn pick_by_name<'a>(id: &MachineId, members: &[&'a Member]) -> Option<&'a Member> {
-    let at = stable_hash(id.as_str()) % members.len().max(1) as u64;
-    members.get(at as usize).copied()
+fn pick_by_name<'a>(
+    id: &MachineId,
+    controller_ids: &[&'a ControllerId],
+) -> Option<&'a ControllerId> {
+    let at = stable_hash(id.as_str()) % controller_ids.len().max(1) as u64;
+    controller_ids.get(at as usize).copied()
 }
 
 /// Requests of guests are numbered apart from those that come on connections.
 const GUESTS: u64 = 1 << 62;
 
-impl Relays {
+impl Forwarding {
     /// When the reports gathered so far are to be handed on.
     pub(crate) fn gathered_until(&self) -> Option<Time> {
         self.gathered_until
     }
 
     /// The sibling that handed on a report.
-    pub(crate) fn carrier(&self, req: ReqId) -> Option<Member> {
-        self.guests.get(&req).map(|g| g.from.clone())
+    pub(crate) fn carrier(&self, request_id: RequestId) -> Option<ControllerId> {
+        self.guests.get(&request_id).map(|g| g.from.clone())
     }
 }
 
-impl Core {
-    pub(crate) fn on_report(&mut self, req: ReqId, report: Report) {
+impl Controller {
+    pub(crate) fn on_report(&mut self, request_id: RequestId, report: WorkerHeartbeat) {
         self.worker_heard = self.now;
         let id = MachineId::from(report.machine.as_str());
         if let Some(home) = self.home_of(&id, &report) {
-            return self.answer(req, Reply::ok(421, steer_body(Some(&home))));
+            return self.answer(request_id, Reply::ok(421, steer_body(Some(&home))));
         }
-        if let Some(block) = self.block_here(&id) {
-            return self.in_block(block, |core| core.on_block_report(req, &id, report));
+        if let Some(shard) = self.shard_here(&id) {
+            return self.in_shard(shard, |controller| {
+                controller.on_shard_report(request_id, &id, report)
+            });
         }
         self.note_stray(&id, &report);
-        self.pass_on(req, report);
+        self.pass_on(request_id, report);
     }
 
     /// The block held here to which a machine belongs.
-    fn block_here(&self, id: &MachineId) -> Option<u32> {
+    fn shard_here(&self, id: &MachineId) -> Option<u32> {
         let mut held = self.parked.iter();
         let mine = held.find(|(_, h)| h.machines.contains_key(id));
         let whole = || self.parked.iter().find(|(_, h)| h.whole);
-        mine.or_else(whole).map(|(block, _)| *block)
+        mine.or_else(whole).map(|(shard, _)| *shard)
     }
 
     /// The controller of a worker's own zone to which it had better report. One that
     /// hears nobody yet gets workers one by one: if they can't reach it, the others
     /// mustn't lose half a lease by trying.
-    fn home_of(&mut self, id: &MachineId, report: &Report) -> Option<Member> {
+    fn home_of(&mut self, id: &MachineId, report: &WorkerHeartbeat) -> Option<ControllerId> {
         if report.tasks.len() > RELAY_TASKS || self.unanswered(id, report) {
             return None;
         }
         if report.zone == self.settings.platform.site {
             return self.safer_home(id);
         }
-        let local = self.relaying_in(&report.zone);
-        let safe: Vec<&Member> = local.iter().filter(|m| self.has_next(m)).copied().collect();
+        let local = self.forwarders_in(&report.zone);
+        let safe: Vec<&ControllerId> = local.iter().filter(|m| self.has_next(m)).copied().collect();
         let local = if safe.is_empty() { local } else { safe };
         let home = pick_by_name(id, &local)?.clone();
-        let heard = self.siblings.get(&home).is_some_and(|(h, _)| h.heard);
-        let trial = self.relays.trials.get(&home);
+        let heard = self.peers.get(&home).is_some_and(|(h, _)| h.heard);
+        let trial = self.forwarding.trials.get(&home);
         if !heard && trial.is_some_and(|at| self.now.since(*at) < TRIAL_PAUSE_S) {
             return None;
         }
-        self.relays.trials.insert(home.clone(), self.now);
+        self.forwarding.trials.insert(home.clone(), self.now);
         Some(home)
     }
 
     /// Whether a worker wasn't answered yet by the present holder of its block: its lease counts
     /// from an answer of an earlier one, and may be about to end. It is answered first and sent
     /// elsewhere later.
-    fn unanswered(&self, id: &MachineId, report: &Report) -> bool {
-        let mut recs = self.cache.blocks.values().filter_map(|b| b.rec.as_ref());
-        let number = recs.find(|b| b.has(id)).map(|b| b.number.0);
+    fn unanswered(&self, id: &MachineId, report: &WorkerHeartbeat) -> bool {
+        let mut records = self
+            .mirror
+            .shards
+            .values()
+            .filter_map(|b| b.record.as_ref());
+        let number = records.find(|b| b.has(id)).map(|b| b.number.0);
         number.is_some_and(|number| report.number < number)
     }
 
@@ -176,65 +185,71 @@
     /// silent: the next one that it would try has been silent for long, and the two tries take
     /// as long as its lease. Two controllers of three silent at once cost 95 machines their
     /// tasks. Each worker is sent away once, should the controllers disagree on who is silent.
-    fn safer_home(&mut self, id: &MachineId) -> Option<Member> {
+    fn safer_home(&mut self, id: &MachineId) -> Option<ControllerId> {
         let platform = &self.settings.platform;
-        if self.has_next(&platform.member) || self.relays.sent_away.contains_key(id) {
+        if self.has_next(&platform.controller_id) || self.forwarding.sent_away.contains_key(id) {
             return None;
         }
-        let local = self.relaying_in(&platform.site);
-        let safe: Vec<&Member> = local.into_iter().filter(|m| self.has_next(m)).collect();
+        let local = self.forwarders_in(&platform.site);
+        let safe: Vec<&ControllerId> = local.into_iter().filter(|m| self.has_next(m)).collect();
         let home = pick_by_name(id, &safe)?.clone();
-        self.relays.sent_away.insert(id.clone(), self.now);
+        self.forwarding.sent_away.insert(id.clone(), self.now);
         Some(home)
     }
 
     /// Controllers of a zone, besides this one, that can hand reports on.
-    fn relaying_in<'a>(&'a self, zone: &'a str) -> Vec<&'a Member> {
-        let relaying = |s: &&Sibling| {
-            let hello = self.siblings.get(&s.member).map(|(h, _)| h);
-            self.linked(&s.member) && hello.is_some_and(|h| h.relays)
+    fn forwarders_in<'a>(&'a self, zone: &'a str) -> Vec<&'a ControllerId> {
+        let relaying = |s: &&Peer| {
+            let heartbeat = self.peers.get(&s.controller_id).map(|(h, _)| h);
+            self.linked(&s.controller_id) && heartbeat.is_some_and(|h| h.can_forward)
         };
-        let local = self.siblings_in(zone).filter(relaying);
-        local.map(|s| &s.member).collect()
+        let local = self.peers_in(zone).filter(relaying);
+        local.map(|s| &s.controller_id).collect()
     }
 
     /// Whether the controller that workers try after this one, in the order of the names, has
     /// been heard lately.
-    fn has_next(&self, member: &Member) -> bool {
+    fn has_next(&self, controller_id: &ControllerId) -> bool {
         let platform = &self.settings.platform;
-        let order = |m: &Member| (m.as_str().len(), m.0.clone());
-        let siblings = platform.siblings.iter().map(|s| &s.member);
-        let all = siblings.chain([&platform.member]);
+        let order = |m: &ControllerId| (m.as_str().len(), m.0.clone());
+        let peers = platform.peers.iter().map(|s| &s.controller_id);
+        let all = peers.chain([&platform.controller_id]);
         // The first one behind it or, behind the last, the first of all.
-        let next = all.min_by_key(|m| (order(m) <= order(member), order(m)));
+        let next = all.min_by_key(|m| (order(m) <= order(controller_id), order(m)));
         let lease_s = platform.facts.workers.lease_s;
-        let silent = |(_, at): &(Hello, Time)| self.now.since(*at) > lease_s;
-        !next.and_then(|m| self.siblings.get(m)).is_some_and(silent)
+        let silent = |(_, at): &(PeerHeartbeat, Time)| self.now.since(*at) > lease_s;
+        !next.and_then(|m| self.peers.get(m)).is_some_and(silent)
     }
 
     /// Hands a report on to its holder, or does what can be done without it.
-    fn pass_on(&mut self, req: ReqId, report: Report) {
+    fn pass_on(&mut self, request_id: RequestId, report: WorkerHeartbeat) {
         let id = MachineId::from(report.machine.as_str());
-        let holder = self.holder_of(&id);
-        let reached = holder.filter(|h| self.reachable(h));
+        let owner = self.owner_of(&id);
+        let reached = owner.filter(|h| self.reachable(h));
         match reached {
             Some(to) if self.linked(&to) && report.tasks.len() <= RELAY_TASKS => {
-                let relayed =
-                    RelayedReport::new(&self.settings.platform.member, self.boot, req, &report);
+                let relayed = ForwardedHeartbeat::new(
+                    &self.settings.platform.controller_id,
+                    self.incarnation,
+                    request_id,
+                    &report,
+                );
                 let gathered = (to.clone(), Box::new(relayed));
-                self.relays.gathered.push(gathered);
+                self.forwarding.gathered.push(gathered);
                 let until = self.now.next_multiple(GATHER_MS);
-                self.relays.gathered_until.get_or_insert(until);
+                self.forwarding.gathered_until.get_or_insert(until);
                 let since = self.now;
-                self.relays.out.insert(req, Relayed { to, report, since });
+                self.forwarding
+                    .out
+                    .insert(request_id, ForwardedOut { to, report, since });
             }
             Some(to) if report.tasks.len() > RELAY_TASKS => {
-                self.answer(req, Reply::ok(421, steer_body(Some(&to))));
+                self.answer(request_id, Reply::ok(421, steer_body(Some(&to))));
             }
             _ => {
                 let since = self.now;
-                self.without_holder(LostReport {
-                    req,
+                self.without_owner(LostReport {
+                    request_id,
                     report,
                     since,
                     tried: None,
@@ -245,77 +260,81 @@
 
     /// Hands on the reports that were gathered, once their time has come.
     pub(crate) fn hand_on_gathered(&mut self) {
-        if self.relays.gathered_until.is_none_or(|at| self.now < at) {
+        if self
+            .forwarding
+            .gathered_until
+            .is_none_or(|at| self.now < at)
+        {
             return;
         }
-        self.relays.gathered_until = None;
-        for (to, report) in std::mem::take(&mut self.relays.gathered) {
-            let message = Message::RelayedReport(report);
+        self.forwarding.gathered_until = None;
+        for (to, report) in std::mem::take(&mut self.forwarding.gathered) {
+            let message = Message::ForwardedHeartbeat(report);
             self.out.push(Output::Peer(Some(to), message));
         }
     }
 
     /// Answers a report in its holder's place, or keeps it for a while.
-    fn without_holder(&mut self, lost: LostReport) {
+    fn without_owner(&mut self, lost: LostReport) {
         if let Some(reply) = self.shelter(&lost.report) {
-            self.relays.sheltered = Some(self.now);
-            return self.answer(lost.req, reply);
+            self.forwarding.sheltered = Some(self.now);
+            return self.answer(lost.request_id, reply);
         }
         let id = MachineId::from(lost.report.machine.as_str());
-        let known = self.holder_for(&lost).is_some();
+        let known = self.owner_for(&lost).is_some();
         let waited = self.now.since(lost.since) >= LOST_S;
-        let starting = !self.listed;
+        let starting = !self.initial_list_done;
         let sockets = self.settings.platform.facts.resources.max_sockets;
-        let full = self.relays.lost.len() >= sockets;
+        let full = self.forwarding.lost.len() >= sockets;
         // A holder that takes over says so here only if somebody is heard here: a worker whose
         // report waited at a controller that was cut off from the others lost its lease.
         let alone = self.unheard() && self.age_s() > HEARD_S;
-        if known || waited || full || alone || (self.blind() && !starting) {
-            return self.steer(lost.req, &id);
+        if known || waited || full || alone || (self.is_stale() && !starting) {
+            return self.steer(lost.request_id, &id);
         }
         // While the holder is down, a worker that is sent there, or on to the next
         // node, loses a second each time.
-        self.relays.lost.push_back(lost);
+        self.forwarding.lost.push_back(lost);
     }
 
     /// The holder that a kept report's worker can be sent to. One that didn't answer when the
     /// report was handed to it seems to run until its next message is missed: workers that
     /// were sent there waited for 5 s, and then for another 5 s where it had sent them before.
-    fn holder_for(&self, lost: &LostReport) -> Option<Member> {
-        let holder = self.holder_of(&MachineId::from(lost.report.machine.as_str()))?;
-        let runs = self.reachable(&holder) && lost.tried.as_ref() != Some(&holder);
-        (runs || self.shut_off(&holder)).then_some(holder)
+    fn owner_for(&self, lost: &LostReport) -> Option<ControllerId> {
+        let owner = self.owner_of(&MachineId::from(lost.report.machine.as_str()))?;
+        let runs = self.reachable(&owner) && lost.tried.as_ref() != Some(&owner);
+        (runs || self.shut_off(&owner)).then_some(owner)
     }
 
     /// The answer that keeps a worker of this controller's own zone alive while its
     /// holder can't be reached: no starts, but halts for what is cancelled or over.
-    fn shelter(&self, report: &Report) -> Option<Reply> {
+    fn shelter(&self, report: &WorkerHeartbeat) -> Option<Reply> {
         let id = MachineId::from(report.machine.as_str());
         if report.zone != self.settings.platform.site {
             return None;
         }
-        let blind = self.blind();
-        let recs = self.cache.blocks.values();
-        let mut recs = recs.filter_map(|b| b.rec.as_ref());
-        let rec = recs.find(|b| b.has(&id));
-        if rec.is_some_and(|b| self.shut_off(&b.holder)) {
+        let is_stale = self.is_stale();
+        let records = self.mirror.shards.values();
+        let mut records = records.filter_map(|b| b.record.as_ref());
+        let record = records.find(|b| b.has(&id));
+        if record.is_some_and(|b| self.shut_off(&b.owner)) {
             return None;
         }
         // A process that began in a zone that is cut off knows no number, or an old one.
         // The worker's own tells it nothing that it doesn't know, and gives it time.
-        let known = rec.map(|b| b.number).filter(|n| n.0 >= report.number);
-        let own = Some(Number(report.number)).filter(|n| blind && n.0 > 0);
+        let known = record.map(|b| b.number).filter(|n| n.0 >= report.number);
+        let own = Some(FencingToken(report.number)).filter(|n| is_stale && n.0 > 0);
         let number = known.or(own)?;
         // A job that isn't known here may be newer than what is: only one whose end is known is
         // over. Tasks that the holder had started just before it ended were halted here, since the
         // follow hadn't brought their jobs yet, and started again by its successor.
-        let over = |task: &TaskId| match self.cache.jobs.get(&task.job) {
-            Some(job) => job.withdrawn.is_some(),
-            None => self.cache.ending(&task.job).is_some(),
+        let over = |task: &TaskId| match self.mirror.jobs.get(&task.job) {
+            Some(job) => job.cancelled.is_some(),
+            None => self.mirror.ending(&task.job).is_some(),
         };
         let halts = report.tasks.iter().filter_map(|t| {
             let task = TaskId::parse(&t.task)?;
-            let runs = t.stance != TaskStance::Ended;
+            let runs = t.status != TaskStatus::Ended;
             (runs && over(&task)).then(|| Command::Halt {
                 task: t.task.clone(),
                 attempt: t.attempt,
@@ -327,110 +346,112 @@
     }
 
     /// Sends a worker to its block's holder, if it is known.
-    pub(crate) fn steer(&mut self, req: ReqId, machine: &MachineId) {
-        let holder = self.holder_of(machine);
-        let holder = holder.filter(|h| self.surely_runs(h));
-        self.answer(req, Reply::ok(421, steer_body(holder.as_ref())));
+    pub(crate) fn steer(&mut self, request_id: RequestId, machine: &MachineId) {
+        let owner = self.owner_of(machine);
+        let owner = owner.filter(|h| self.surely_runs(h));
+        self.answer(request_id, Reply::ok(421, steer_body(owner.as_ref())));
     }
 
     /// Whether a holder runs for sure: it was heard just now or, where it hasn't been for
     /// longer than a takeover takes, its record stands all the same. Workers sent to one that
     /// is dead lose half of their lease.
-    fn surely_runs(&self, holder: &Member) -> bool {
-        let takeover_s = self.settings.tuning.grant_s + TAKEOVER_S;
-        let heard = self.siblings.get(holder).map(|(_, at)| *at);
+    fn surely_runs(&self, owner: &ControllerId) -> bool {
+        let takeover_s = self.settings.tuning.leader_lease_s + TAKEOVER_S;
+        let heard = self.peers.get(owner).map(|(_, at)| *at);
         let unheard = heard.is_none_or(|at| self.now.since(at) > takeover_s);
-        self.heartbeat_fresh(holder) || unheard && !self.blind()
+        self.heartbeat_fresh(owner) || unheard && !self.is_stale()
     }
 
-    pub(crate) fn relay_housekeeping(&mut self) {
+    pub(crate) fn forwarding_housekeeping(&mut self) {
         let kept_s = KEPT_LEASES * self.settings.platform.facts.workers.lease_s;
         let now = self.now;
-        let sent_away = &mut self.relays.sent_away;
+        let sent_away = &mut self.forwarding.sent_away;
         sent_away.retain(|_, at| now.since(*at) < kept_s);
-        for lost in std::mem::take(&mut self.relays.lost) {
+        for lost in std::mem::take(&mut self.forwarding.lost) {
             let id = MachineId::from(lost.report.machine.as_str());
-            let held = self.block_here(&id).is_some();
-            let holder = self.holder_for(&lost);
-            if held || holder.is_some_and(|h| self.reachable(&h)) {
-                self.on_report(lost.req, lost.report);
+            let held = self.shard_here(&id).is_some();
+            let owner = self.owner_for(&lost);
+            if held || owner.is_some_and(|h| self.reachable(&h)) {
+                self.on_report(lost.request_id, lost.report);
             } else {
-                self.without_holder(lost);
+                self.without_owner(lost);
             }
         }
         let patience = self.settings.hold_s(false) + RELAY_GRACE_S;
-        let late = self.relays.out.iter().filter(|(_, r)| {
+        let late = self.forwarding.out.iter().filter(|(_, r)| {
             self.now.since(r.since) > patience
                 || !self.heartbeat_fresh(&r.to)
                 || !self.linked(&r.to)
         });
-        let late: Vec<ReqId> = late.map(|(req, _)| *req).collect();
-        for req in late {
-            if let Some(r) = self.relays.out.remove(&req) {
-                self.without_holder(r.lost(req));
+        let late: Vec<RequestId> = late.map(|(request_id, _)| *request_id).collect();
+        for request_id in late {
+            if let Some(r) = self.forwarding.out.remove(&request_id) {
+                self.without_owner(r.lost(request_id));
             }
         }
     }
 
     /// A sibling hands on a report of one of its workers.
-    pub(crate) fn on_relayed_report(&mut self, relayed: RelayedReport) {
-        if !self.is_sibling(&relayed.from) {
+    pub(crate) fn on_forwarded_heartbeat(&mut self, relayed: ForwardedHeartbeat) {
+        if !self.is_peer(&relayed.from) {
             return;
         }
-        self.relays.guest_count += 1;
-        let req = ReqId(GUESTS + self.relays.guest_count);
-        let guest = Guest {
+        self.forwarding.guest_count += 1;
+        let request_id = RequestId(GUESTS + self.forwarding.guest_count);
+        let guest = ForwardedIn {
             from: relayed.from.clone(),
-            boot: relayed.boot,
-            req: ReqId(relayed.req),
+            incarnation: relayed.incarnation,
+            request_id: RequestId(relayed.request_id),
         };
-        self.relays.guests.insert(req, guest);
+        self.forwarding.guests.insert(request_id, guest);
         let report = relayed.report();
         let id = MachineId::from(report.machine.as_str());
-        match self.block_here(&id) {
-            Some(block) => self.in_block(block, |core| core.on_block_report(req, &id, report)),
-            None => self.answer(req, Reply::ok(421, steer_body(None))),
+        match self.shard_here(&id) {
+            Some(shard) => self.in_shard(shard, |controller| {
+                controller.on_shard_report(request_id, &id, report)
+            }),
+            None => self.answer(request_id, Reply::ok(421, steer_body(None))),
         }
     }
 
     /// The holder's answer to a report that was handed on to it.
-    pub(crate) fn on_relayed_answer(&mut self, answer: RelayedAnswer) {
-        let req = ReqId(answer.req);
-        if answer.boot != self.boot {
+    pub(crate) fn on_forwarded_response(&mut self, answer: ForwardedResponse) {
+        let request_id = RequestId(answer.request_id);
+        if answer.incarnation != self.incarnation {
             return;
         }
-        let Some(relayed) = self.relays.out.remove(&req) else {
+        let Some(relayed) = self.forwarding.out.remove(&request_id) else {
             return;
         };
         if answer.status == 421 {
             // It doesn't hold the block any more; who does is soon known here.
-            return self.without_holder(relayed.lost(req));
+            return self.without_owner(relayed.lost(request_id));
         }
         let reply = Reply {
             status: answer.status,
             body: answer.body,
             retry_after: answer.retry_after,
         };
-        self.answer(req, reply);
+        self.answer(request_id, reply);
     }
 
-    pub(crate) fn answer(&mut self, req: ReqId, reply: Reply) {
-        let Some(guest) = self.relays.guests.remove(&req) else {
-            return self.out.push(Output::Answer(req, reply));
+    pub(crate) fn answer(&mut self, request_id: RequestId, reply: Reply) {
+        let Some(guest) = self.forwarding.guests.remove(&request_id) else {
+            return self.out.push(Output::Answer(request_id, reply));
         };
-        let answer = RelayedAnswer {
-            boot: guest.boot,
-            req: guest.req.0,
+        let answer = ForwardedResponse {
+            incarnation: guest.incarnation,
+            request_id: guest.request_id.0,
             status: reply.status,
             body: reply.body,
             retry_after: reply.retry_after,
         };
-        let message = Message::RelayedAnswer(answer);
+        let message = Message::ForwardedResponse(answer);
         self.out.push(Output::Peer(Some(guest.from), message));
     }
 
-    pub(crate) fn forget_report(&mut self, req: ReqId) {
-        self.relays.lost.retain(|l| l.req != req);
-        self.relays.out.remove(&req);
+    pub(crate) fn forget_report(&mut self, request_id: RequestId) {
+        self.forwarding.lost.retain(|l| l.request_id != request_id);
+        self.forwarding.out.remove(&request_id);
     }
 }
--- a/src/controller/leadership/election.rs
+++ b/src/controller/leadership/election.rs
@@ -9,20 +9,22 @@
 
 use crate::controller::events::Reply;
 use crate::controller::rate_limits::token_bucket::Priority;
-use crate::controller::shard::Holder;
-use crate::controller::store::mirror::Slot;
-use crate::controller::store::records::{BlockRec, Key, LeaderRec, NumberRec, Record};
-use crate::controller::{BLIND_S, Core, DRIFT, Purpose};
-use crate::ids::{Number, Time};
-use crate::wire::{StateOp, StateReply, Write, commands_body};
+use crate::controller::shard::ShardOwner;
+use crate::controller::store::mirror::Mirrored;
+use crate::controller::store::records::{
+    FencingTokenRecord, Key, LeaderRecord, Record, ShardRecord,
+};
+use crate::controller::{Controller, DRIFT, RequestPurpose, STALENESS_BOUND_S};
+use crate::ids::{FencingToken, Time};
+use crate::wire::{StoreRequest, StoreResponse, Write, commands_body};
 use log::{info, warn};
 use salttrestle_standby::fence::Predecessors;
 use std::collections::VecDeque;
 
 /// A grant got for standing.
 #[derive(Clone, Copy, Debug)]
-struct Grant {
-    hold: u64,
+struct CandidateLease {
+    lease_id: u64,
     /// When it was asked for.
     asked: Time,
 }
@@ -30,73 +32,75 @@
 #[derive(Debug, Default)]
 pub(crate) struct Election {
     /// The grant that the leader's key hangs on, while this controller leads.
-    hold: Option<u64>,
+    lease_id: Option<u64>,
     /// Grants got for standing, the latest last.
-    grants: VecDeque<Grant>,
+    leases: VecDeque<CandidateLease>,
     /// The revision at which this controller won. Until the follow shows it, standing
     /// again would only lose to itself.
-    won: u64,
+    won_revision: u64,
     /// When the latest request that renewed the grant was sent.
     renewed: Time,
     busy: bool,
-    extend_at: Time,
+    renew_at: Time,
     /// Since when there has been no leader, or it may be replaced.
-    vacant: Option<Time>,
+    vacant_since: Option<Time>,
     /// Not standing before this.
-    rest_until: Time,
+    not_before: Time,
 }
 
 /// Pause by rank before standing, so that one is usually enough.
-const STAND_GAP_S: f64 = 0.1;
+const CANDIDATE_GAP_S: f64 = 0.1;
 /// Share of a grant's life after which it is renewed.
-const RENEW: f64 = 0.3;
+const RENEW_SHARE: f64 = 0.3;
 /// A grant that was got beforehand is used to stand within this share of its life.
-const PREPARED: f64 = 0.3;
+const PREPARED_SHARE: f64 = 0.3;
 /// Grants remembered: attempts that may still turn out to have won.
-const GRANTS_MAX: usize = 8;
+const LEASES_MAX: usize = 8;
 /// Rest after giving up leadership, in lives of a grant.
-const REST: f64 = 4.0;
+const REST_LEASES: f64 = 4.0;
 /// For late timers, on top of the time for which a predecessor may call the cloud, in seconds.
 const FENCE_MARGIN_S: f64 = 0.2;
 
-impl Core {
+impl Controller {
     pub(crate) fn election_housekeeping(&mut self) {
-        if self.lead.is_some() {
-            self.extend();
-        } else if !self.draining() {
-            self.stand();
+        if self.leadership.is_some() {
+            self.renew_lease();
+        } else if !self.shutting_down() {
+            self.stand_for_election();
         }
     }
 
     /// Whether the leader's grant surely lives, and it has read its own record as lately: whoever
     /// replaced that record counts on both.
-    pub(crate) fn grant_alive(&self) -> bool {
-        let ttl = self.settings.tuning.grant_s;
+    pub(crate) fn lease_valid(&self) -> bool {
+        let ttl = self.settings.tuning.leader_lease_s;
         let renewed = self.now.since(self.election.renewed) < ttl;
-        self.lead.is_some() && renewed && self.blind_s() < ttl
+        self.leadership.is_some() && renewed && self.staleness_s() < ttl
     }
 
     /// Whether this leader may rent and delete. Calls to the cloud have no condition that an
     /// outdated leader would fail.
     pub(crate) fn may_use_cloud(&self) -> bool {
-        self.grant_alive() && !self.fenced()
+        self.lease_valid() && !self.fenced()
     }
 
     /// Whether a leader before this one may still call the cloud.
     pub(crate) fn fenced(&self) -> bool {
-        let lead = self.lead.as_ref();
-        lead.is_some_and(|lead| self.now < lead.cloud_from)
+        let leadership = self.leadership.as_ref();
+        leadership.is_some_and(|leadership| self.now < leadership.cloud_from)
     }
 
     /// Within how long after a read of its own record a leader of this release calls the cloud.
     fn fenced_ms(&self) -> u64 {
-        (self.settings.tuning.grant_s.max(BLIND_S) * 1000.0) as u64
+        (self.settings.tuning.leader_lease_s.max(STALENESS_BOUND_S) * 1000.0) as u64
     }
 
     /// From when a leader that has just been elected may call the cloud.
-    pub(crate) fn cloud_from(&self, number: Number) -> Time {
-        let rec = self.cache.number.rec.as_ref();
-        let fence = rec.and_then(|n| n.fence).filter(|f| f.number == number.0);
+    pub(crate) fn cloud_from(&self, number: FencingToken) -> Time {
+        let record = self.mirror.number.record.as_ref();
+        let fence = record
+            .and_then(|n| n.fence)
+            .filter(|f| f.number == number.0);
         match fence {
             None => self.now,
             Some(fence) => {
@@ -106,243 +110,264 @@
         }
     }
 
-    fn extend(&mut self) {
-        let Some(hold) = self.election.hold else {
+    fn renew_lease(&mut self) {
+        let Some(lease_id) = self.election.lease_id else {
             return;
         };
-        if self.election.busy || self.now < self.election.extend_at {
+        if self.election.busy || self.now < self.election.renew_at {
             return;
         }
-        let op = StateOp::Extend(hold);
+        let op = StoreRequest::RenewLease(lease_id);
         if self
-            .state_call(op, Purpose::Extend, Priority::First)
+            .send_store_request(op, RequestPurpose::RenewLease, Priority::First)
             .is_ok()
         {
             self.election.busy = true;
-            let ttl = self.settings.tuning.grant_s;
-            self.election.extend_at = self.now.after(ttl * RENEW);
+            let ttl = self.settings.tuning.leader_lease_s;
+            self.election.renew_at = self.now.after(ttl * RENEW_SHARE);
         }
     }
 
-    pub(crate) fn on_extended(&mut self, reply: StateReply, sent: Time) {
+    pub(crate) fn on_lease_renewed(&mut self, reply: StoreResponse, sent: Time) {
         self.election.busy = false;
         match reply {
-            StateReply::Extended => self.election.renewed = sent,
-            StateReply::NoGrant => self.stop_leading("its grant is over"),
+            StoreResponse::LeaseRenewed => self.election.renewed = sent,
+            StoreResponse::LeaseNotFound => self.step_down("its grant is over"),
             _ => {}
         }
     }
 
     /// Whether somebody leads, as far as is known.
-    fn taken(&self) -> bool {
-        let me = &self.settings.platform.member;
+    fn has_leader(&self) -> bool {
+        let me = &self.settings.platform.controller_id;
         // Our own name under another boot is an earlier process of ours: gone.
-        let leads = |l: &LeaderRec| l.member != *me || l.boot == self.boot;
-        self.cache.leader.rec.as_ref().is_some_and(leads)
+        let is_leader =
+            |l: &LeaderRecord| l.controller_id != *me || l.incarnation == self.incarnation;
+        self.mirror.leader.record.as_ref().is_some_and(is_leader)
     }
 
     /// Whether the leader's record may be written: there is none, or its leader is lost.
-    fn open(&self) -> bool {
-        !self.taken() || self.may_replace_leader()
+    fn may_be_elected(&self) -> bool {
+        !self.has_leader() || self.may_replace_leader()
     }
 
-    fn stand(&mut self) {
-        if !self.open() || self.blind() || self.election.busy {
-            self.election.vacant = None;
-            return self.prepare();
+    fn stand_for_election(&mut self) {
+        if !self.may_be_elected() || self.is_stale() || self.election.busy {
+            self.election.vacant_since = None;
+            return self.prepare_candidacy();
         }
-        if self.now < self.election.rest_until || self.cache.revision < self.election.won {
+        if self.now < self.election.not_before || self.mirror.revision < self.election.won_revision
+        {
             return;
         }
-        let vacant = *self.election.vacant.get_or_insert(self.now);
-        if self.now.since(vacant) < STAND_GAP_S * self.rank() as f64 {
+        let vacant_since = *self.election.vacant_since.get_or_insert(self.now);
+        if self.now.since(vacant_since) < CANDIDATE_GAP_S * self.candidates_before() as f64 {
             return;
         }
-        match self.prepared() {
-            Some(grant) => self.commit_leadership(grant.hold),
-            None => self.ask_for_grant(),
+        match self.prepared_lease() {
+            Some(lease) => self.commit_leadership(lease.lease_id),
+            None => self.request_lease(),
         }
     }
 
     /// How many others stand before this controller. A lost leader doesn't stand, nor does, as
     /// far as can be told, one that isn't heard: after an outage the first one back waited for
     /// those that weren't.
-    fn rank(&self) -> usize {
-        let me = &self.settings.platform.member;
-        let lost = self.cache.leader.rec.as_ref().map(|l| &l.member);
+    fn candidates_before(&self) -> usize {
+        let me = &self.settings.platform.controller_id;
+        let lost = self.mirror.leader.record.as_ref().map(|l| &l.controller_id);
         let heard = self.lately().map(|h| &h.from);
         heard.filter(|m| *m < me && Some(*m) != lost).count()
     }
 
     /// Gets a grant as soon as the leader is suspected, so that only the commit is left when a
     /// majority has lost it. One that isn't used runs out.
-    fn prepare(&mut self) {
-        let suspects = self.suspects_leader().is_some() && !self.blind();
-        if suspects && !self.election.busy && self.prepared().is_none() {
-            self.ask_for_grant();
+    fn prepare_candidacy(&mut self) {
+        let suspects = self.suspects_leader().is_some() && !self.is_stale();
+        if suspects && !self.election.busy && self.prepared_lease().is_none() {
+            self.request_lease();
         }
     }
 
-    fn prepared(&self) -> Option<Grant> {
-        let most_s = self.settings.tuning.grant_s * PREPARED;
-        let young = |grant: &Grant| self.now.since(grant.asked) < most_s;
-        self.election.grants.back().copied().filter(young)
+    fn prepared_lease(&self) -> Option<CandidateLease> {
+        let most_s = self.settings.tuning.leader_lease_s * PREPARED_SHARE;
+        let young = |lease: &CandidateLease| self.now.since(lease.asked) < most_s;
+        self.election.leases.back().copied().filter(young)
     }
 
-    fn ask_for_grant(&mut self) {
-        let ttl_ms = (self.settings.tuning.grant_s * 1000.0) as u64;
-        let op = StateOp::Grant { ttl_ms };
-        if self.state_call(op, Purpose::Grant, Priority::First).is_ok() {
+    fn request_lease(&mut self) {
+        let ttl_ms = (self.settings.tuning.leader_lease_s * 1000.0) as u64;
+        let op = StoreRequest::GrantLease { ttl_ms };
+        if self
+            .send_store_request(op, RequestPurpose::GrantLease, Priority::First)
+            .is_ok()
+        {
             self.election.busy = true;
         }
     }
 
-    pub(crate) fn on_grant(&mut self, reply: StateReply, sent: Time) {
+    pub(crate) fn on_lease_granted(&mut self, reply: StoreResponse, sent: Time) {
         self.election.busy = false;
-        let StateReply::Granted(hold) = reply else {
+        let StoreResponse::LeaseGranted(lease_id) = reply else {
             return;
         };
         // Somebody else won while the grant was asked for. The commit would be on condition
         // of that record, and take the leadership away again, with a second takeover.
-        if !self.open() && self.suspects_leader().is_none() {
-            let _ = self.state_call(StateOp::Release(hold), Purpose::Release, Priority::Last);
+        if !self.may_be_elected() && self.suspects_leader().is_none() {
+            let _ = self.send_store_request(
+                StoreRequest::RevokeLease(lease_id),
+                RequestPurpose::RevokeLease,
+                Priority::Last,
+            );
             return;
         }
-        self.election.grants.push_back(Grant { hold, asked: sent });
-        if self.election.grants.len() > GRANTS_MAX {
-            self.election.grants.pop_front();
+        self.election.leases.push_back(CandidateLease {
+            lease_id,
+            asked: sent,
+        });
+        if self.election.leases.len() > LEASES_MAX {
+            self.election.leases.pop_front();
         }
-        if self.election.vacant.is_some() && self.open() {
-            self.commit_leadership(hold);
+        if self.election.vacant_since.is_some() && self.may_be_elected() {
+            self.commit_leadership(lease_id);
         }
     }
 
     /// What the records say of earlier leaders. The commit is conditional on the records of the
     /// leader and of the highest number; an older plan only makes the wait longer.
     fn predecessors(&self) -> Predecessors {
-        let leader = self.cache.leader.rec.as_ref();
-        let replaced = leader.filter(|_| self.taken());
+        let leader = self.mirror.leader.record.as_ref();
+        let replaced = leader.filter(|_| self.has_leader());
         Predecessors {
             replaced_grant_ms: replaced.and_then(|l| l.fenced_ms),
-            fence: self.cache.number.rec.as_ref().and_then(|n| n.fence),
-            plan_number: self.cache.plan.rec.as_ref().map_or(0, |p| p.number.0),
+            fence: self.mirror.number.record.as_ref().and_then(|n| n.fence),
+            plan_number: self.mirror.plan.record.as_ref().map_or(0, |p| p.number.0),
         }
     }
 
-    fn commit_leadership(&mut self, hold: u64) {
+    fn commit_leadership(&mut self, lease_id: u64) {
         // The leadership's own number comes first: rentals are named after it.
-        let number = Number(self.cache.highest().0 + 1);
+        let number = FencingToken(self.mirror.highest().0 + 1);
         let mut highest = number;
-        let mut when = vec![
-            (Key::Leader, self.cache.leader.version()),
-            (Key::Number, self.cache.number.version()),
+        let mut preconditions = vec![
+            (Key::Leader, self.mirror.leader.version()),
+            (Key::FencingToken, self.mirror.number.version()),
         ];
         let mut writes = Vec::new();
         // Two changes are kept for the leader's and the number's records.
         let most = self.settings.state_limits().txn_ops - 2;
-        for block in self.blocks_to_take().into_iter().take(most) {
+        for shard in self.shards_to_take().into_iter().take(most) {
             highest.0 += 1;
-            let (version, rec) = self.lease_to_me(block, highest);
-            when.push((Key::Block(block), version));
-            writes.push(Write::put(Key::Block(block), Record::Block(rec)));
+            let (version, record) = self.lease_to_self(shard, highest);
+            preconditions.push((Key::Shard(shard), version));
+            writes.push(Write::put(Key::Shard(shard), Record::Shard(record)));
         }
         let heartbeats = self.settings.standby().enabled();
-        let leader = LeaderRec {
-            member: self.settings.platform.member.clone(),
-            boot: self.boot,
+        let leader = LeaderRecord {
+            controller_id: self.settings.platform.controller_id.clone(),
+            incarnation: self.incarnation,
             number,
-            hold,
+            lease_id,
             fenced_ms: heartbeats.then_some(self.fenced_ms()),
         };
         writes.push(Write::Put {
             key: Key::Leader,
             record: Record::Leader(leader),
-            hold: Some(hold),
+            lease_id: Some(lease_id),
         });
         let fence = self.predecessors().fence(number.0);
         writes.push(Write::put(
-            Key::Number,
-            Record::Number(NumberRec { highest, fence }),
+            Key::FencingToken,
+            Record::FencingToken(FencingTokenRecord { highest, fence }),
         ));
-        let op = StateOp::Commit { when, writes };
-        if self.state_call(op, Purpose::Elect, Priority::First).is_ok() {
+        let op = StoreRequest::Transaction {
+            preconditions,
+            writes,
+        };
+        if self
+            .send_store_request(op, RequestPurpose::Elect, Priority::First)
+            .is_ok()
+        {
             self.election.busy = true;
         }
     }
 
     /// Whatever the answer is, only the follow makes a leader: by then everything
     /// that the one before committed is known here as well.
-    pub(crate) fn on_elected(&mut self, reply: StateReply) {
+    pub(crate) fn on_elected(&mut self, reply: StoreResponse) {
         self.election.busy = false;
-        self.election.vacant = None;
-        if let StateReply::Committed { revision } = reply {
-            self.election.won = revision;
-            self.follow_at_once();
+        self.election.vacant_since = None;
+        if let StoreResponse::Committed { revision } = reply {
+            self.election.won_revision = revision;
+            self.watch_at_once();
         }
     }
 
     /// Whether this controller has won, and only the follow doesn't show it yet.
     pub(crate) fn has_won(&self) -> bool {
-        self.cache.revision < self.election.won
+        self.mirror.revision < self.election.won_revision
     }
 
     /// Takes the grant that the leader's record names. A later attempt's grant stood in its
     /// place: the one that counted ran out unrenewed, and with it the leadership, after 3 s.
-    fn take_grant(&mut self) {
-        let rec = self.cache.leader.rec.as_ref();
-        let named = rec.map_or(0, |l| l.hold);
-        let mut grants = self.election.grants.drain(..);
-        let found = grants.find(|grant| grant.hold == named);
-        drop(grants);
-        self.election.hold = found.map(|grant| grant.hold);
-        self.election.renewed = found.map_or(Time(0), |grant| grant.asked);
+    fn adopt_lease(&mut self) {
+        let record = self.mirror.leader.record.as_ref();
+        let named = record.map_or(0, |l| l.lease_id);
+        let mut leases = self.election.leases.drain(..);
+        let found = leases.find(|lease| lease.lease_id == named);
+        drop(leases);
+        self.election.lease_id = found.map(|lease| lease.lease_id);
+        self.election.renewed = found.map_or(Time(0), |lease| lease.asked);
     }
 
     /// The leader's, a block's, the number's or the plan's record changed.
     pub(crate) fn on_control(&mut self) {
         self.read_limits();
         self.tell_standby_of_leader();
-        let me = &self.settings.platform.member;
-        let rested = self.now >= self.election.rest_until;
-        let leader = self.cache.leader.rec.as_ref();
-        let leads = leader.is_some_and(|l| l.member == *me && l.boot == self.boot);
-        if leads && self.lead.is_none() && rested {
+        let me = &self.settings.platform.controller_id;
+        let rested = self.now >= self.election.not_before;
+        let leader = self.mirror.leader.record.as_ref();
+        let is_leader =
+            leader.is_some_and(|l| l.controller_id == *me && l.incarnation == self.incarnation);
+        if is_leader && self.leadership.is_none() && rested {
             info!("leads from now on");
-            self.election.extend_at = self.now;
-            self.take_grant();
-            self.start_leading();
-        } else if !leads && self.lead.is_some() {
-            self.stop_leading("its key is gone");
+            self.election.renew_at = self.now;
+            self.adopt_lease();
+            self.become_leader();
+        } else if !is_leader && self.leadership.is_some() {
+            self.step_down("its key is gone");
         }
-        let blocks: Vec<(u32, Slot<BlockRec>)> = self
-            .cache
-            .blocks
+        let shards: Vec<(u32, Mirrored<ShardRecord>)> = self
+            .mirror
+            .shards
             .iter()
             .map(|(k, slot)| (*k, slot.clone()))
             .collect();
-        for (block, slot) in blocks {
-            let Some(rec) = slot.rec else {
+        for (shard, slot) in shards {
+            let Some(record) = slot.record else {
                 continue;
             };
             // A number once given up is never used again: what was answered under it
             // is forgotten, and copies of reports from then may still come.
-            let spent = self.spent.get(&block).is_some_and(|n| rec.number <= *n);
-            let me = &self.settings.platform.member;
-            let mine = rec.holder == *me && rec.boot == self.boot && !spent;
-            self.sync_block(block, slot.revision, &rec, mine && rested);
+            let spent = self.spent.get(&shard).is_some_and(|n| record.number <= *n);
+            let me = &self.settings.platform.controller_id;
+            let mine = record.owner == *me && record.incarnation == self.incarnation && !spent;
+            self.sync_shard(shard, slot.revision, &record, mine && rested);
         }
         self.obey_plan();
     }
 
     /// Brings what is held here in line with a block's record.
-    fn sync_block(&mut self, block: u32, revision: u64, rec: &BlockRec, mine: bool) {
+    fn sync_shard(&mut self, shard: u32, revision: u64, record: &ShardRecord, mine: bool) {
         let held = self
             .parked
-            .get(&block)
-            .map(|h| (h.number, h.block_revision));
+            .get(&shard)
+            .map(|h| (h.number, h.shard_revision));
         match held {
-            Some((number, _)) if !mine || number != rec.number => {
-                self.in_block(block, |core| core.drop_block("it has another holder"));
+            Some((number, _)) if !mine || number != record.number => {
+                self.in_shard(shard, |controller| {
+                    controller.release_shard("it has another holder")
+                });
             }
             Some((_, known)) if known == revision => return,
             _ => {}
@@ -350,73 +375,73 @@
         if !mine {
             return;
         }
-        let fresh = !self.parked.contains_key(&block);
+        let fresh = !self.parked.contains_key(&shard);
         if fresh {
-            info!("holds block {block} under number {}", rec.number.0);
+            info!("holds block {shard} under number {}", record.number.0);
             let shares_limits = self.settings.cells.is_some();
-            let holder = Holder::new(block, rec.number, self.now, shares_limits);
-            self.parked.insert(block, Box::new(holder));
+            let owner = ShardOwner::new(shard, record.number, self.now, shares_limits);
+            self.parked.insert(shard, Box::new(owner));
         }
         self.share_budgets();
-        self.in_block(block, |core| {
+        self.in_shard(shard, |controller| {
             if fresh {
-                core.rebuild();
+                controller.rebuild();
             }
-            if let Some(h) = &mut core.holder {
-                h.sync(core.now, revision, rec, &core.catalog);
+            if let Some(h) = &mut controller.owner {
+                h.sync(controller.now, revision, record, &controller.catalog);
             }
         });
         if fresh {
             // Reports wait elsewhere for the holder: their controllers learn of it at once.
-            self.say_hello();
+            self.send_heartbeat();
         }
     }
 
     /// Stops acting as the holder of the block in hand. Always safe: another process
     /// takes over by a commit.
-    pub(crate) fn drop_block(&mut self, why: &str) {
-        let Some(holder) = self.holder.take() else {
+    pub(crate) fn release_shard(&mut self, why: &str) {
+        let Some(owner) = self.owner.take() else {
             return;
         };
-        warn!("no longer holds block {}: {why}", holder.block);
-        self.spent.insert(holder.block, holder.number);
+        warn!("no longer holds block {}: {why}", owner.shard);
+        self.spent.insert(owner.shard, owner.number);
         self.share_budgets();
         // Its workers stay where they are until there is a new holder. An answer under
         // the number given up is worth nothing to those that have shown a higher one.
-        for req in holder.held_requests() {
-            let body = commands_body(holder.number, &[]);
-            self.answer(req, Reply::ok(200, body));
+        for request_id in owner.held_requests() {
+            let body = commands_body(owner.number, &[]);
+            self.answer(request_id, Reply::ok(200, body));
         }
     }
 
-    fn stop_leading(&mut self, why: &str) {
-        if self.lead.take().is_some() {
+    fn step_down(&mut self, why: &str) {
+        if self.leadership.take().is_some() {
             warn!("no longer leads: {why}");
         }
-        self.election.hold = None;
+        self.election.lease_id = None;
         self.election.busy = false;
         self.share_budgets();
     }
 
     /// Gives up everything this controller holds.
     pub(crate) fn give_up(&mut self, why: &str) {
-        self.stop_leading(why);
-        let blocks: Vec<u32> = self.parked.keys().copied().collect();
-        for block in blocks {
-            self.in_block(block, |core| core.drop_block(why));
+        self.step_down(why);
+        let shards: Vec<u32> = self.parked.keys().copied().collect();
+        for shard in shards {
+            self.in_shard(shard, |controller| controller.release_shard(why));
         }
     }
 
     /// Gives up everything and rests, when this controller can't do the work.
     pub(crate) fn resign(&mut self, why: &str) {
-        let ttl = self.settings.tuning.grant_s;
-        self.election.rest_until = self.now.after(ttl * REST);
-        let hold = self.election.hold;
-        self.drop_block(why);
+        let ttl = self.settings.tuning.leader_lease_s;
+        self.election.not_before = self.now.after(ttl * REST_LEASES);
+        let lease_id = self.election.lease_id;
+        self.release_shard(why);
         self.give_up(why);
         // Its key goes with the grant, so that nobody waits for its end.
-        if let Some(hold) = hold {
-            self.release_when_quiet(hold);
+        if let Some(lease_id) = lease_id {
+            self.revoke_when_quiet(lease_id);
         }
     }
 }
--- a/src/controller/leadership/shutdown.rs
+++ b/src/controller/leadership/shutdown.rs
@@ -3,22 +3,22 @@
 
 use crate::controller::autoscaling::CloudPurpose;
 use crate::controller::rate_limits::token_bucket::Priority;
-use crate::controller::{Call, Core, Purpose};
+use crate::controller::{Controller, PendingRequest, RequestPurpose};
 use crate::ids::Time;
-use crate::wire::StateOp;
+use crate::wire::StoreRequest;
 use log::info;
 
 /// Calls to the cloud are given up as in doubt after so long.
-const CLOUD_CALLS_S: f64 = 1.0;
+const CLOUD_REQUESTS_S: f64 = 1.0;
 /// After its leadership is over a controller hands on reports for so long, until its workers'
 /// answers are out and the others know the next leader.
-const LAST_REPORTS_S: f64 = 0.5;
+const LAST_HEARTBEATS_S: f64 = 0.5;
 /// It ends at the latest after so many lives of a grant: by then a successor needs no word of it.
-const LONGEST_GRANTS: f64 = 1.5;
+const LONGEST_LEASES: f64 = 1.5;
 
 /// What is left to be done before the end.
 #[derive(Debug)]
-pub(crate) struct Drain {
+pub(crate) struct Shutdown {
     since: Time,
     /// When this controller was first seen to have nothing left to hand over.
     idle_since: Option<Time>,
@@ -26,19 +26,19 @@
 
 /// A grant that is to be given up once no call to the cloud rests on it.
 #[derive(Debug)]
-pub(crate) struct Release {
-    hold: u64,
+pub(crate) struct LeaseRevocation {
+    lease_id: u64,
     since: Time,
 }
 
-impl Core {
+impl Controller {
     /// Begins to hand over; nothing is taken back.
-    pub(crate) fn on_drain(&mut self) {
-        if self.drain.is_some() {
+    pub(crate) fn on_shutdown(&mut self) {
+        if self.shutdown.is_some() {
             return;
         }
         info!("hands over, and ends then");
-        self.drain = Some(Drain {
+        self.shutdown = Some(Shutdown {
             since: self.now,
             idle_since: None,
         });
@@ -46,62 +46,63 @@
     }
 
     /// Whether this controller is about to end.
-    pub(crate) fn draining(&self) -> bool {
-        self.drain.is_some()
+    pub(crate) fn shutting_down(&self) -> bool {
+        self.shutdown.is_some()
     }
 
     /// Whether there is nothing left to hand over.
-    pub fn drained(&self) -> bool {
-        let Some(drain) = &self.drain else {
+    pub fn shutdown_complete(&self) -> bool {
+        let Some(shutdown) = &self.shutdown else {
             return false;
         };
-        let most_s = LONGEST_GRANTS * self.settings.tuning.grant_s;
-        let quiet = |at: Time| self.now.since(at) > LAST_REPORTS_S;
-        drain.idle_since.is_some_and(quiet) || self.now.since(drain.since) > most_s
+        let most_s = LONGEST_LEASES * self.settings.tuning.leader_lease_s;
+        let quiet = |at: Time| self.now.since(at) > LAST_HEARTBEATS_S;
+        shutdown.idle_since.is_some_and(quiet) || self.now.since(shutdown.since) > most_s
     }
 
-    pub(crate) fn drain_housekeeping(&mut self) {
-        self.release_grant();
-        let releasing = self.release.is_some() || self.calls.values().any(is_release);
-        let me = &self.settings.platform.member;
-        let leader = self.cache.leader.rec.as_ref();
-        let led_by_another = leader.is_some_and(|l| l.member != *me);
-        let alone = self.settings.platform.siblings.is_empty();
+    pub(crate) fn shutdown_housekeeping(&mut self) {
+        self.release_lease();
+        let releasing =
+            self.lease_revocation.is_some() || self.pending_requests.values().any(is_release);
+        let me = &self.settings.platform.controller_id;
+        let leader = self.mirror.leader.record.as_ref();
+        let led_by_another = leader.is_some_and(|l| l.controller_id != *me);
+        let alone = self.settings.platform.peers.is_empty();
         let (now, idle) = (self.now, !releasing && (led_by_another || alone));
-        if let Some(drain) = &mut self.drain
+        if let Some(shutdown) = &mut self.shutdown
             && idle
         {
-            drain.idle_since.get_or_insert(now);
+            shutdown.idle_since.get_or_insert(now);
         }
     }
 
     /// A grant is to be given up. The successor may call the cloud as soon as it is over, so it
     /// stands until the last call of this controller was answered or is given up as in doubt.
-    pub(crate) fn release_when_quiet(&mut self, hold: u64) {
-        self.release = Some(Release {
-            hold,
+    pub(crate) fn revoke_when_quiet(&mut self, lease_id: u64) {
+        self.lease_revocation = Some(LeaseRevocation {
+            lease_id,
             since: self.now,
         });
-        self.release_grant();
+        self.release_lease();
     }
 
-    fn release_grant(&mut self) {
-        let Some(release) = &self.release else {
+    fn release_lease(&mut self) {
+        let Some(lease_revocation) = &self.lease_revocation else {
             return;
         };
         let changes = |(purpose, _): &(CloudPurpose, _)| purpose.changes();
         let under_way = self.cloud_calls.values().any(changes);
-        if under_way && self.now.since(release.since) < CLOUD_CALLS_S {
+        if under_way && self.now.since(lease_revocation.since) < CLOUD_REQUESTS_S {
             return;
         }
-        let op = StateOp::Release(release.hold);
-        let sent = self.state_call(op, Purpose::Release, Priority::First);
+        let op = StoreRequest::RevokeLease(lease_revocation.lease_id);
+        let sent = self.send_store_request(op, RequestPurpose::RevokeLease, Priority::First);
         if sent.is_ok() {
-            self.release = None;
+            self.lease_revocation = None;
         }
     }
 }
 
-fn is_release(call: &Call) -> bool {
-    matches!(call.purpose, Purpose::Release)
+fn is_release(call: &PendingRequest) -> bool {
+    matches!(call.purpose, RequestPurpose::RevokeLease)
 }
--- a/src/controller/leadership/standby.rs
+++ b/src/controller/leadership/standby.rs
@@ -1,15 +1,15 @@
 //! The standby in this controller: what its state machine is told, and what follows from it. The
 //! state machine itself is package `standby`.
 
-use crate::controller::Core;
+use crate::controller::Controller;
 use crate::controller::autoscaling::Pool;
 use crate::controller::events::Output;
-use crate::controller::shard::Holder;
+use crate::controller::shard::ShardOwner;
 use crate::controller::shard::burst_estimate::BurstEstimate;
 use crate::ids::{Image, MachineId, Time};
 use crate::peer::Message;
 use crate::settings::Settings;
-use crate::wire::ClassInfo;
+use crate::wire::MachineType;
 use log::info;
 use salttrestle_standby::detector::Suspicion;
 use salttrestle_standby::hints::{Estimates, HintStore, Hints, Rotation};
@@ -60,13 +60,18 @@
 }
 
 /// The standby of a process that begins.
-pub(crate) fn new_standby(settings: &Settings, boot: u64) -> Standby {
+pub(crate) fn new_standby(settings: &Settings, incarnation: u64) -> Standby {
     let platform = &settings.platform;
-    let peers = platform.siblings.iter().map(|s| s.member.to_string());
-    Standby::new(settings.standby(), platform.member.as_str(), boot, peers)
+    let peers = platform.peers.iter().map(|s| s.controller_id.to_string());
+    Standby::new(
+        settings.standby(),
+        platform.controller_id.as_str(),
+        incarnation,
+        peers,
+    )
 }
 
-impl Core {
+impl Controller {
     fn standby_config(&self) -> Config {
         self.settings.standby()
     }
@@ -84,7 +89,7 @@
             match before {
                 Some(why) => match self.standby.may_replace(self.now.0) {
                     Ok(()) => info!("the leader is suspected: {why:?}"),
-                    Err(hold) => info!("the leader is suspected: {why:?}; as yet {hold:?}"),
+                    Err(lease_id) => info!("the leader is suspected: {why:?}; as yet {lease_id:?}"),
                 },
                 None => info!("the leader isn't suspected any more"),
             }
@@ -101,14 +106,14 @@
     /// each holder calls the cloud for its own machines without leading: there the grant is
     /// waited for.
     pub(crate) fn may_replace_leader(&self) -> bool {
-        self.cache.blocks.len() <= 1 && self.standby.may_replace(self.now.0).is_ok()
+        self.mirror.shards.len() <= 1 && self.standby.may_replace(self.now.0).is_ok()
     }
 
     /// The leader's record may have changed.
     pub(crate) fn tell_standby_of_leader(&mut self) {
-        let term = self.cache.leader.rec.as_ref().map(|leader| Term {
-            leader: leader.member.to_string(),
-            boot: leader.boot,
+        let term = self.mirror.leader.record.as_ref().map(|leader| Term {
+            leader: leader.controller_id.to_string(),
+            incarnation: leader.incarnation,
             number: leader.number.0,
             fenced_ms: leader.fenced_ms,
         });
@@ -142,25 +147,25 @@
         if pause_ms == 0 || self.now < self.hint_sender.due {
             return;
         }
-        let (Some(lead), Some(holder)) = (&self.lead, self.parked.get(&0)) else {
+        let (Some(leadership), Some(owner)) = (&self.leadership, self.parked.get(&0)) else {
             return;
         };
-        if !holder.whole {
+        if !owner.whole {
             return;
         }
         self.hint_sender.due = Time(self.now.0 + pause_ms);
         let rotation = &mut self.hint_sender.rotation;
         let after = rotation.after().map(MachineId::from);
-        let machines = holder.machines.iter_after(after.as_ref());
+        let machines = owner.machines.iter_after(after.as_ref());
         let machines = machines.map(|(id, machine)| {
             let images = machine.images.iter().map(|(i, gb)| (i.as_str(), *gb));
             (id.as_str(), images.collect())
         });
         let (images, machines) = rotation.next(machines);
         let hints = Hints {
-            from: self.settings.platform.member.to_string(),
-            number: lead.number.0,
-            estimates: holder.estimates_for_standbys(self.now, &self.catalog),
+            from: self.settings.platform.controller_id.to_string(),
+            number: leadership.number.0,
+            estimates: owner.estimates_for_standbys(self.now, &self.catalog),
             images,
             machines,
         };
@@ -173,16 +178,16 @@
         let Some((age_ms, estimates)) = self.standby.hints().estimates(self.now.0) else {
             return;
         };
-        let Some(holder) = self.holder.as_mut().filter(|h| h.whole) else {
+        let Some(owner) = self.owner.as_mut().filter(|h| h.whole) else {
             return;
         };
         info!("takes over estimates that are {age_ms} ms old");
-        holder.take_hinted_estimates(self.now, age_ms, estimates, &self.catalog);
+        owner.take_hinted_estimates(self.now, age_ms, estimates, &self.catalog);
     }
 }
 
-impl Holder {
-    fn estimates_for_standbys(&self, now: Time, catalog: &[ClassInfo]) -> Estimates {
+impl ShardOwner {
+    fn estimates_for_standbys(&self, now: Time, catalog: &[MachineType]) -> Estimates {
         let named = |class: usize| catalog.get(class).map(|c| c.name.clone());
         let boots = self.boots.iter();
         let boots = boots.filter_map(|(class, boot_s)| Some((named(*class)?, *boot_s)));
@@ -201,7 +206,7 @@
         now: Time,
         age_ms: u64,
         estimates: &Estimates,
-        catalog: &[ClassInfo],
+        catalog: &[MachineType],
     ) {
         let class_of = |name: &str| catalog.iter().position(|c| c.name == name);
         for (name, boot_s) in &estimates.boots {
@@ -225,7 +230,7 @@
         &mut self,
         id: &MachineId,
         hints: &HintStore,
-        catalog: &[ClassInfo],
+        catalog: &[MachineType],
     ) {
         let images = hints.images_of(id.as_str());
         if images.is_empty() {
--- a/src/controller/machines/commands.rs
+++ b/src/controller/machines/commands.rs
@@ -1,38 +1,38 @@
 //! Commands: what a machine is to do now, and the answers that carry them.
 
-use crate::controller::Core;
+use crate::controller::Controller;
 use crate::controller::events::Reply;
 use crate::controller::machines::heartbeats::ListedTask;
-use crate::controller::shard::Holder;
+use crate::controller::shard::ShardOwner;
 use crate::controller::shard::job::Phase;
-use crate::ids::{MachineId, ReqId, TaskId};
-use crate::wire::{Cause, Command, ReportTask, TaskStance, commands_body};
+use crate::ids::{MachineId, RequestId, TaskId};
+use crate::wire::{Cause, Command, HeartbeatTask, TaskStatus, commands_body};
 
 /// Repeated saving halts turn into plain ones after the grace and this long.
 const GRACE_S: f64 = 1.0;
 
-impl Core {
+impl Controller {
     /// Answers a waiting report now, if there is one and a command for it.
     pub(crate) fn answer_held(&mut self, id: &MachineId) {
-        let held = self.holder.as_ref().and_then(|h| h.machines.get(id)?.held);
-        let Some((req, until)) = held else {
+        let held = self.owner.as_ref().and_then(|h| h.machines.get(id)?.held);
+        let Some((request_id, until)) = held else {
             return;
         };
         let commands = self.commands(id, &[]);
         if commands.is_empty() {
             return;
         }
-        if let Some(h) = &mut self.holder {
+        if let Some(h) = &mut self.owner {
             h.releases.remove(&(until, id.clone()));
         }
-        self.send_commands(id, req, &commands);
+        self.send_commands(id, request_id, &commands);
     }
 
     /// Answers the reports whose time to wait is over.
     pub(crate) fn release_reports(&mut self) {
         loop {
             let now = self.now;
-            let Some(h) = &mut self.holder else {
+            let Some(h) = &mut self.owner else {
                 return;
             };
             match h.releases.first() {
@@ -42,17 +42,22 @@
             let Some((_, id)) = h.releases.pop_first() else {
                 return;
             };
-            let Some((req, _)) = h.machines.get(&id).and_then(|m| m.held) else {
+            let Some((request_id, _)) = h.machines.get(&id).and_then(|m| m.held) else {
                 continue;
             };
             let commands = self.commands(&id, &[]);
-            self.send_commands(&id, req, &commands);
+            self.send_commands(&id, request_id, &commands);
         }
     }
 
-    pub(crate) fn send_commands(&mut self, id: &MachineId, req: ReqId, commands: &[Command]) {
+    pub(crate) fn send_commands(
+        &mut self,
+        id: &MachineId,
+        request_id: RequestId,
+        commands: &[Command],
+    ) {
         let now = self.now;
-        let Some(h) = &mut self.holder else {
+        let Some(h) = &mut self.owner else {
             return;
         };
         h.machines.touch(id, |m| {
@@ -60,7 +65,7 @@
             m.held = None;
         });
         let body = commands_body(h.number, commands);
-        self.answer(req, Reply::ok(200, body));
+        self.answer(request_id, Reply::ok(200, body));
     }
 
     /// What a machine is to do now. Derived from what is known, not from what was
@@ -68,24 +73,24 @@
     pub(crate) fn commands(&mut self, id: &MachineId, listed: &[ListedTask<'_>]) -> Vec<Command> {
         let now = self.now;
         // A start needs sight of the state service: a withdrawal may stand there.
-        let blind = self.blind();
-        let Some(h) = &mut self.holder else {
+        let is_stale = self.is_stale();
+        let Some(h) = &mut self.owner else {
             return Vec::new();
         };
         let strays = listed.iter();
         let strays = strays.filter_map(|l| stray_command(h, id, &l.task, l.report));
         let mut out: Vec<Command> = strays.collect();
-        let Holder { machines, jobs, .. } = &mut **h;
+        let ShardOwner { machines, jobs, .. } = &mut **h;
         let Some(m) = machines.get(id) else {
             return out;
         };
-        let starts = !blind && m.doomed.is_none();
+        let starts = !is_stale && m.doomed.is_none();
         for task in m.tasks.keys() {
             let Some(live) = jobs.get_mut(&task.job) else {
                 continue;
             };
-            let save_s = live.rec.save_s;
-            let grace = live.withdrawn.is_none() && live.rec.checkpoint_s > 0.0;
+            let save_s = live.record.save_s;
+            let grace = live.cancelled.is_none() && live.record.checkpoint_s > 0.0;
             let Some(p) = live.placed.get_mut(&task.index) else {
                 continue;
             };
@@ -118,14 +123,19 @@
 }
 
 /// What to do about a listed attempt that isn't a present placement.
-fn stray_command(h: &Holder, id: &MachineId, task: &TaskId, t: &ReportTask) -> Option<Command> {
+fn stray_command(
+    h: &ShardOwner,
+    id: &MachineId,
+    task: &TaskId,
+    t: &HeartbeatTask,
+) -> Option<Command> {
     let live = h.jobs.get(&task.job);
     let placed = live.and_then(|l| l.placed.get(&task.index));
     if placed.is_some_and(|p| p.machine == *id && p.attempt == t.attempt) {
         return None;
     }
     let (name, attempt) = (task.to_string(), t.attempt);
-    if t.stance != TaskStance::Ended {
+    if t.status != TaskStatus::Ended {
         return Some(Command::Halt {
             task: name,
             attempt,
@@ -137,7 +147,7 @@
     let unwritten = live.is_some_and(|l| {
         let chunk = l.layout.chunk_of(task.index);
         t.cause == Some(Cause::Done)
-            && l.withdrawn.is_none()
+            && l.cancelled.is_none()
             && l.chunks.get(&chunk).is_some_and(|c| c.unwritten)
     });
     (!unwritten).then_some(Command::Clear {
--- a/src/controller/machines/heartbeats.rs
+++ b/src/controller/machines/heartbeats.rs
@@ -2,12 +2,12 @@
 
 use crate::controller::events::Reply;
 use crate::controller::machines::inventory::Machine;
-use crate::controller::shard::Holder;
+use crate::controller::shard::ShardOwner;
 use crate::controller::shard::job::Phase;
-use crate::controller::store::records::Form;
-use crate::controller::{Core, GATHER_MS};
-use crate::ids::{Attempt, MachineId, ReqId, TaskId, Time};
-use crate::wire::{Cause, ClassInfo, Report, ReportTask, TaskStance, commands_body};
+use crate::controller::store::records::JobKind;
+use crate::controller::{Controller, GATHER_MS};
+use crate::ids::{Attempt, MachineId, RequestId, TaskId, Time};
+use crate::wire::{Cause, HeartbeatTask, MachineType, TaskStatus, WorkerHeartbeat, commands_body};
 use log::{debug, info, warn};
 
 /// A start is sent this often before its placement is given up.
@@ -25,27 +25,32 @@
 const UNKNOWN_PAUSE_S: f64 = 2.0;
 const UNKNOWN_PAUSES: u32 = 8;
 
-impl Core {
-    pub(crate) fn on_block_report(&mut self, req: ReqId, id: &MachineId, report: Report) {
+impl Controller {
+    pub(crate) fn on_shard_report(
+        &mut self,
+        request_id: RequestId,
+        id: &MachineId,
+        report: WorkerHeartbeat,
+    ) {
         let now = self.now;
-        let Some(h) = &mut self.holder else {
+        let Some(h) = &mut self.owner else {
             return;
         };
         h.heard = now;
         // Somebody newer gives commands. Its answers count, ours would be dropped.
         if report.number > h.number.0 {
-            return self.steer(req, id);
+            return self.steer(request_id, id);
         }
         if h.gone.contains_key(id) {
-            return self.answer(req, Reply::later(503, 5, "this machine is deleted"));
+            return self.answer(request_id, Reply::later(503, 5, "this machine is deleted"));
         }
         self.adopt(id, &report);
-        let Some(h) = &mut self.holder else {
+        let Some(h) = &mut self.owner else {
             return;
         };
         let number = h.number;
         let proof = report.number == number.0;
-        let via = self.relays.carrier(req);
+        let via = self.forwarding.carrier(request_id);
         let taken = h.machines.edit(id, |m| {
             m.via = via;
             m.take_report(now, &report, proof)
@@ -56,7 +61,7 @@
         if !taken.fresh {
             // A copy, or overtaken by a newer one: it is answered, since its worker
             // may still wait, but nothing in it is news.
-            return self.answer(req, Reply::ok(200, commands_body(number, &[])));
+            return self.answer(request_id, Reply::ok(200, commands_body(number, &[])));
         }
         if taken.first {
             debug!(
@@ -78,17 +83,17 @@
         let listed = listed_tasks(&report);
         self.read_tasks(id, &listed, proof);
         let commands = self.commands(id, &listed);
-        if commands.is_empty() && self.hold_report(id, req) {
+        if commands.is_empty() && self.hold_report(id, request_id) {
             return;
         }
-        self.send_commands(id, req, &commands);
+        self.send_commands(id, request_id, &commands);
     }
 
     /// A machine nobody here knows reports: an earlier leader's, or one whose rental
     /// was carried out late. It is used, or returned when it isn't wanted.
-    fn adopt(&mut self, id: &MachineId, report: &Report) {
+    fn adopt(&mut self, id: &MachineId, report: &WorkerHeartbeat) {
         let now = self.now;
-        let Some(h) = &mut self.holder else {
+        let Some(h) = &mut self.owner else {
             return;
         };
         let (class, zone, spot) = (&report.class, &report.zone, report.spot);
@@ -106,26 +111,26 @@
 
     /// Whether the answer may wait for a command. Only a quiet report waits, and
     /// less long than until the next one is due.
-    fn hold_report(&mut self, id: &MachineId, req: ReqId) -> bool {
-        let Some(h) = &mut self.holder else {
+    fn hold_report(&mut self, id: &MachineId, request_id: RequestId) -> bool {
+        let Some(h) = &mut self.owner else {
             return false;
         };
         let Some(m) = h.machines.get(id) else {
             return false;
         };
         // What ends meanwhile is heard of only when the worker is answered.
-        let ends = m.tasks.values().any(|s| s.rec.form == Form::Batch);
-        let hold = self.settings.hold_s(ends);
+        let ends = m.tasks.values().any(|s| s.record.kind == JobKind::Batch);
+        let poll_s = self.settings.hold_s(ends);
         // A worker without our number yet gets it at once.
-        if hold <= 0.0 || !m.shown {
+        if poll_s <= 0.0 || !m.shown {
             return false;
         }
         let until = match m.is_full() {
             // No start comes for it, and its lease counts from its last answered report.
             true => self.now.next_multiple(GATHER_MS),
-            false => answer_at(self.now, hold),
+            false => answer_at(self.now, poll_s),
         };
-        h.machines.touch(id, |m| m.held = Some((req, until)));
+        h.machines.touch(id, |m| m.held = Some((request_id, until)));
         h.releases.insert((until, id.clone()));
         true
     }
@@ -143,10 +148,10 @@
     /// What a report that proves absence doesn't list isn't on its machine.
     fn miss_tasks(&mut self, id: &MachineId, listed: &[ListedTask<'_>]) {
         let now = self.now;
-        let Some(h) = &mut self.holder else {
+        let Some(h) = &mut self.owner else {
             return;
         };
-        let Holder { machines, jobs, .. } = &mut **h;
+        let ShardOwner { machines, jobs, .. } = &mut **h;
         let Some(m) = machines.get(id) else {
             return;
         };
@@ -174,9 +179,9 @@
         }
     }
 
-    fn read_task(&mut self, id: &MachineId, task: &TaskId, t: &ReportTask) {
+    fn read_task(&mut self, id: &MachineId, task: &TaskId, t: &HeartbeatTask) {
         let now = self.now;
-        let Some(h) = &mut self.holder else {
+        let Some(h) = &mut self.owner else {
             return;
         };
         let Some(live) = h.jobs.get_mut(&task.job) else {
@@ -188,11 +193,11 @@
         if p.machine != *id || p.attempt != t.attempt {
             return;
         }
-        let phase = match t.stance {
-            TaskStance::Fetching => Phase::Fetching,
-            TaskStance::Running => Phase::Running,
-            TaskStance::Flushing => Phase::Flushing,
-            TaskStance::Ended => return self.read_end(id, task, t.cause),
+        let phase = match t.status {
+            TaskStatus::Fetching => Phase::Fetching,
+            TaskStatus::Running => Phase::Running,
+            TaskStatus::Flushing => Phase::Flushing,
+            TaskStatus::Ended => return self.read_end(id, task, t.cause),
         };
         if p.phase == phase {
             let runs_well = phase == Phase::Running && now.since(p.since) > RUNS_WELL_S;
@@ -206,15 +211,15 @@
         if phase == Phase::Fetching {
             return;
         }
-        let rec = live.rec.clone();
+        let record = live.record.clone();
         let catalog = &self.catalog;
         h.machines.edit(id, |m| {
             if let Some(seat) = m.tasks.get_mut(task) {
                 seat.settled = true;
             }
             if phase == Phase::Running {
-                let cache = catalog.get(m.class).map_or(f64::MAX, |c| c.cache_gb);
-                m.use_image(&rec.image, rec.image_gb, cache);
+                let cache_gb = catalog.get(m.class).map_or(f64::MAX, |c| c.cache_gb);
+                m.use_image(&record.image, record.image_gb, cache_gb);
             }
         });
     }
@@ -222,7 +227,7 @@
     /// An attempt ended. That it did is true however old the report is.
     fn read_end(&mut self, id: &MachineId, task: &TaskId, cause: Option<Cause>) {
         let now = self.now;
-        let Some(h) = &mut self.holder else {
+        let Some(h) = &mut self.owner else {
             return;
         };
         match cause {
@@ -245,14 +250,14 @@
             }
             _ => {}
         }
-        if let Some(h) = &mut self.holder {
+        if let Some(h) = &mut self.owner {
             h.take(now, task);
         }
     }
 
     fn task_failed(&mut self, id: &MachineId, task: &TaskId) {
         let now = self.now;
-        let Some(h) = &mut self.holder else {
+        let Some(h) = &mut self.owner else {
             return;
         };
         let Some(live) = h.jobs.get_mut(&task.job) else {
@@ -267,7 +272,7 @@
 /// A task that a report lists.
 pub(crate) struct ListedTask<'a> {
     pub(crate) task: TaskId,
-    pub(crate) report: &'a ReportTask,
+    pub(crate) report: &'a HeartbeatTask,
 }
 
 impl ListedTask<'_> {
@@ -277,7 +282,7 @@
 }
 
 /// The tasks of a report whose names can be read.
-fn listed_tasks(report: &Report) -> Vec<ListedTask<'_>> {
+fn listed_tasks(report: &WorkerHeartbeat) -> Vec<ListedTask<'_>> {
     let tasks = report.tasks.iter();
     let listed = tasks.filter_map(|report| {
         let task = TaskId::parse(&report.task)?;
@@ -303,12 +308,12 @@
     /// It is the machine's first.
     born: bool,
     /// The older report that waited for its answer.
-    held: Option<(ReqId, Time)>,
+    held: Option<(RequestId, Time)>,
 }
 
 impl Machine {
     /// Takes in all of a report but its tasks. An answer follows in any case.
-    fn take_report(&mut self, now: Time, report: &Report, proof: bool) -> Taken {
+    fn take_report(&mut self, now: Time, report: &WorkerHeartbeat, proof: bool) -> Taken {
         let fresh = (report.session, report.seq) > (self.session, self.seq);
         let born = fresh && self.up.is_none();
         if !fresh {
@@ -347,9 +352,9 @@
     }
 }
 
-impl Holder {
+impl ShardOwner {
     /// A machine came up. One that was merely heard of late tells nothing of its boot.
-    fn note_birth(&mut self, catalog: &[ClassInfo], id: &MachineId, now: Time) {
+    fn note_birth(&mut self, catalog: &[MachineType], id: &MachineId, now: Time) {
         let Some(m) = self.machines.get(id) else {
             return;
         };
--- a/src/controller/machines/inventory.rs
+++ b/src/controller/machines/inventory.rs
@@ -6,16 +6,16 @@
 //! knows what its tasks mean for a placement. Every change goes through `edit`, which
 //! files the machine anew: there is no second place that could forget to.
 
-use crate::controller::store::records::{JobRec, Rank, Room};
-use crate::ids::{Image, MachineId, Member, ReqId, TaskId, Time};
-use crate::wire::ClassInfo;
+use crate::controller::store::records::{JobRecord, PriorityClass, Resources};
+use crate::ids::{ControllerId, Image, MachineId, RequestId, TaskId, Time};
+use crate::wire::MachineType;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
 /// A task on a machine, as far as other placements there depend on it.
 #[derive(Clone, Debug)]
-pub struct Seat {
-    pub rec: Rc<JobRec>,
+pub struct Binding {
+    pub record: Rc<JobRecord>,
     /// Its image is there.
     pub settled: bool,
 }
@@ -27,7 +27,7 @@
     pub class: usize,
     pub class_name: Rc<str>,
     /// What its type has.
-    pub room: Room,
+    pub resources: Resources,
     pub zone: Rc<str>,
     pub spot: bool,
     /// When it was rented or first heard of.
@@ -42,18 +42,18 @@
     /// When this holder first had a report of it.
     pub heard: Option<Time>,
     /// The sibling that handed on its latest report; `None` if it came here.
-    pub via: Option<Member>,
+    pub via: Option<ControllerId>,
     /// When this process last answered one of its reports with 200.
     pub answered: Time,
     pub notice: Option<Time>,
-    pub tasks: BTreeMap<TaskId, Seat>,
-    pub used: Room,
+    pub tasks: BTreeMap<TaskId, Binding>,
+    pub used: Resources,
     /// To be deleted, at this moment even if tasks are left on it. Nothing is placed
     /// on it any more.
     pub doomed: Option<Time>,
     pub deleting: bool,
     /// The request that waits for a command, and until when.
-    pub held: Option<(ReqId, Time)>,
+    pub held: Option<(RequestId, Time)>,
     /// Images it should have, latest use last.
     pub images: Vec<(Image, f64)>,
     /// Since when it has had no task.
@@ -63,12 +63,12 @@
     /// A start was refused for want of room.
     pub full_until: Time,
     /// Where the indexes have it.
-    filed: Option<Filed>,
+    filed: Option<IndexEntry>,
 }
 
 impl Machine {
     pub(crate) fn new(
-        catalog: &[ClassInfo],
+        catalog: &[MachineType],
         class_name: &str,
         zone: &str,
         spot: bool,
@@ -77,7 +77,7 @@
         let mut machine = Self {
             class: usize::MAX,
             class_name: class_name.into(),
-            room: Room::default(),
+            resources: Resources::default(),
             zone: zone.into(),
             spot,
             since: now,
@@ -91,7 +91,7 @@
             answered: now,
             notice: None,
             tasks: BTreeMap::new(),
-            used: Room::default(),
+            used: Resources::default(),
             doomed: None,
             deleting: false,
             held: None,
@@ -106,16 +106,16 @@
     }
 
     /// Looks its type up in the catalogue.
-    pub(crate) fn find_class(&mut self, catalog: &[ClassInfo]) {
+    pub(crate) fn find_class(&mut self, catalog: &[MachineType]) {
         let class = catalog.iter().position(|c| *c.name == *self.class_name);
         self.class = class.unwrap_or(usize::MAX);
-        self.room = class.map_or(Room::default(), |c| catalog[c].room);
+        self.resources = class.map_or(Resources::default(), |c| catalog[c].resources);
     }
 
     /// What a machine that was known by name only is.
     pub(crate) fn learn(
         &mut self,
-        catalog: &[ClassInfo],
+        catalog: &[MachineType],
         class_name: &str,
         zone: &str,
         spot: bool,
@@ -140,8 +140,8 @@
         }
     }
 
-    pub(crate) fn free(&self) -> Room {
-        let mut free = self.room;
+    pub(crate) fn free(&self) -> Resources {
+        let mut free = self.resources;
         free.add(self.used, -1.0);
         free
     }
@@ -151,36 +151,36 @@
         let free = self.free();
         let least = |all: f64| all / STEPS - EDGE;
         let short = |free: f64, all: f64| all > 0.0 && free < least(all);
-        short(free.cpus, self.room.cpus) || short(free.gpus, self.room.gpus)
+        short(free.cpus, self.resources.cpus) || short(free.gpus, self.resources.gpus)
     }
 
     /// Enters a task: its room counts from now on.
-    pub(crate) fn seat(&mut self, task: TaskId, rec: &Rc<JobRec>) {
-        self.used.add(rec.need, 1.0);
+    pub(crate) fn seat(&mut self, task: TaskId, record: &Rc<JobRecord>) {
+        self.used.add(record.need, 1.0);
         self.empty = None;
-        let rec = rec.clone();
+        let record = record.clone();
         self.tasks.insert(
             task,
-            Seat {
-                rec,
+            Binding {
+                record,
                 settled: false,
             },
         );
     }
 
     /// Replaces the description of a task's job.
-    pub(crate) fn reseat(&mut self, task: &TaskId, rec: &Rc<JobRec>) {
+    pub(crate) fn reseat(&mut self, task: &TaskId, record: &Rc<JobRecord>) {
         if let Some(seat) = self.tasks.get_mut(task) {
-            seat.rec = rec.clone();
+            seat.record = record.clone();
         }
     }
 
     pub(crate) fn unseat(&mut self, now: Time, task: &TaskId) {
         if let Some(seat) = self.tasks.remove(task) {
-            self.used.add(seat.rec.need, -1.0);
+            self.used.add(seat.record.need, -1.0);
         }
         if self.tasks.is_empty() {
-            self.used = Room::default();
+            self.used = Resources::default();
             self.empty = Some(now);
         }
     }
@@ -191,30 +191,30 @@
         self.up.is_some() && staying && self.session > 0 && self.class != usize::MAX
     }
 
-    fn filing(&self) -> Filed {
-        Filed {
+    fn filing(&self) -> IndexEntry {
+        IndexEntry {
             open: self.open().then(|| self.shelf()),
             leaving: self.doomed.is_some() || self.notice.is_some(),
             booting: self.up.is_none() && self.doomed.is_none(),
         }
     }
 
-    fn shelf(&self) -> (Shelf, u64, Option<Rank>) {
+    fn shelf(&self) -> (CapacityBucket, u64, Option<PriorityClass>) {
         let free = self.free();
         let step = |free: f64, all: f64| {
             let share = if all > 0.0 { free / all } else { 1.0 };
             (share * STEPS + EDGE).clamp(0.0, STEPS) as u8
         };
-        let shelf = Shelf {
+        let shelf = CapacityBucket {
             class: self.class,
             spot: self.spot,
             zone: self.zone.clone(),
-            cpus: step(free.cpus, self.room.cpus),
-            gpus: step(free.gpus, self.room.gpus),
-            mem: step(free.mem, self.room.mem),
+            cpus: step(free.cpus, self.resources.cpus),
+            gpus: step(free.gpus, self.resources.gpus),
+            mem: step(free.mem, self.resources.mem),
         };
-        let share = (1.0 - self.used.share_of(self.room)).clamp(0.0, 1.0);
-        let lowest = self.tasks.values().map(|s| s.rec.rank).min();
+        let share = (1.0 - self.used.share_of(self.resources)).clamp(0.0, 1.0);
+        let lowest = self.tasks.values().map(|s| s.record.priority_class).min();
         (shelf, (share * PARTS) as u64, lowest)
     }
 }
@@ -228,7 +228,7 @@
 
 /// Machines of one type, zone and kind with about the same free room.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Shelf {
+struct CapacityBucket {
     class: usize,
     spot: bool,
     zone: Rc<str>,
@@ -237,15 +237,15 @@
     mem: u8,
 }
 
-impl Shelf {
+impl CapacityBucket {
     /// Whether a machine here may have room for a task: what it has is below the next
     /// step, so a task that takes a whole step more needn't look here.
-    fn may_hold(&self, room: Room, need: Room) -> bool {
+    fn may_hold(&self, resources: Resources, need: Resources) -> bool {
         let most = |steps: u8, all: f64| (f64::from(steps) + 1.0 - EDGE) / STEPS * all;
-        let free = Room {
-            cpus: most(self.cpus, room.cpus),
-            gpus: most(self.gpus, room.gpus),
-            mem: most(self.mem, room.mem),
+        let free = Resources {
+            cpus: most(self.cpus, resources.cpus),
+            gpus: most(self.gpus, resources.gpus),
+            mem: most(self.mem, resources.mem),
         };
         free.holds(need)
     }
@@ -253,18 +253,18 @@
 
 /// What the indexes say of a machine.
 #[derive(Clone, Debug, PartialEq)]
-struct Filed {
+struct IndexEntry {
     /// Its shelf, the free part of it, and the lowest rank of its tasks.
-    open: Option<(Shelf, u64, Option<Rank>)>,
+    open: Option<(CapacityBucket, u64, Option<PriorityClass>)>,
     leaving: bool,
     booting: bool,
 }
 
 #[derive(Debug, Default)]
 struct Index {
-    shelves: BTreeMap<Shelf, BTreeSet<MachineId>>,
+    shelves: BTreeMap<CapacityBucket, BTreeSet<MachineId>>,
     /// Open machines with tasks, by the lowest rank among these.
-    ranked: BTreeMap<(usize, bool, Rank), BTreeSet<MachineId>>,
+    ranked: BTreeMap<(usize, bool, PriorityClass), BTreeSet<MachineId>>,
     /// Free parts of open machines, by type and kind.
     free: BTreeMap<(usize, bool), u64>,
     leaving: BTreeSet<MachineId>,
@@ -282,11 +282,11 @@
         m.filed = Some(new);
     }
 
-    fn enter(&mut self, id: &MachineId, new: &Filed) {
+    fn enter(&mut self, id: &MachineId, new: &IndexEntry) {
         if let Some((shelf, free, lowest)) = &new.open {
             *self.free.entry((shelf.class, shelf.spot)).or_default() += free;
-            if let Some(rank) = lowest {
-                let key = (shelf.class, shelf.spot, *rank);
+            if let Some(priority_class) = lowest {
+                let key = (shelf.class, shelf.spot, *priority_class);
                 self.ranked.entry(key).or_default().insert(id.clone());
             }
             let machines = self.shelves.entry(shelf.clone()).or_default();
@@ -306,8 +306,12 @@
         };
         if let Some((shelf, free, lowest)) = &old.open {
             *self.free.entry((shelf.class, shelf.spot)).or_default() -= free;
-            if let Some(rank) = lowest {
-                drop_from(&mut self.ranked, &(shelf.class, shelf.spot, *rank), id);
+            if let Some(priority_class) = lowest {
+                drop_from(
+                    &mut self.ranked,
+                    &(shelf.class, shelf.spot, *priority_class),
+                    id,
+                );
             }
             drop_from(&mut self.shelves, shelf, id);
         }
@@ -326,12 +330,12 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Fleet {
+pub struct Inventory {
     all: BTreeMap<MachineId, Machine>,
     index: Index,
 }
 
-impl Fleet {
+impl Inventory {
     pub fn get(&self, id: &MachineId) -> Option<&Machine> {
         self.all.get(id)
     }
@@ -405,13 +409,16 @@
     /// `fits` lets pass.
     pub(crate) fn roomy(
         &self,
-        need: Room,
+        need: Resources,
         fits: impl Fn(usize, bool, &Rc<str>) -> bool,
     ) -> impl Iterator<Item = (&MachineId, &Machine)> {
-        let wide = move |shelf: &Shelf, ids: &BTreeSet<MachineId>| {
+        let wide = move |shelf: &CapacityBucket, ids: &BTreeSet<MachineId>| {
             // All machines of a shelf are of one type.
-            let room = ids.first().and_then(|id| self.all.get(id)).map(|m| m.room);
-            room.is_some_and(|room| shelf.may_hold(room, need))
+            let resources = ids
+                .first()
+                .and_then(|id| self.all.get(id))
+                .map(|m| m.resources);
+            resources.is_some_and(|resources| shelf.may_hold(resources, need))
                 && fits(shelf.class, shelf.spot, &shelf.zone)
         };
         let shelves = self.index.shelves.iter();
@@ -424,10 +431,11 @@
     /// pass.
     pub(crate) fn ranked(
         &self,
-        fits: impl Fn(usize, bool, Rank) -> bool,
+        fits: impl Fn(usize, bool, PriorityClass) -> bool,
     ) -> impl Iterator<Item = (&MachineId, &Machine)> {
         let sets = self.index.ranked.iter();
-        let sets = sets.filter(move |((class, spot, rank), _)| fits(*class, *spot, *rank));
+        let sets = sets
+            .filter(move |((class, spot, priority_class), _)| fits(*class, *spot, *priority_class));
         let ids = sets.flat_map(|(_, ids)| ids);
         ids.filter_map(|id| Some((id, self.all.get(id)?)))
     }
