--- a/src/controller/machines/liveness.rs
+++ b/src/controller/machines/liveness.rs
@@ -2,9 +2,9 @@
 
 use crate::controller::machines::inventory::Machine;
 use crate::controller::shard::job::Phase;
-use crate::controller::store::records::Form;
-use crate::controller::{Core, DRIFT, HEARD_S, MARGIN_S};
-use crate::ids::Member;
+use crate::controller::store::records::JobKind;
+use crate::controller::{Controller, DRIFT, HEARD_S, MARGIN_S};
+use crate::ids::ControllerId;
 use log::warn;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -40,7 +40,7 @@
 /// Seconds a machine of an older leadership has to report before it counts as silent.
 const FIRST_REPORT_S: f64 = 12.0;
 
-impl Core {
+impl Controller {
     /// A holder that hears none of its machines, while they report to a sibling, or no
     /// sibling either, is cut off from them and lets another controller try. When siblings
     /// hear none of them it is they who are gone, and giving up would only put off their
@@ -48,13 +48,13 @@
     pub(crate) fn check_deaf(&mut self) {
         let w = &self.settings.platform.facts.workers;
         let patience = w.report_s * DEAF_REPORTS;
-        let Some(h) = &self.holder else {
+        let Some(h) = &self.owner else {
             return;
         };
         let up = h.machines.values().filter(|m| m.up.is_some()).count();
         let settled = self.now.since(h.since) > FIRST_REPORT_S;
         let deaf = up >= 2 && settled && self.now.since(h.heard) > patience;
-        if deaf && !self.blind() && (self.sibling_hears() || self.unheard()) {
+        if deaf && !self.is_stale() && (self.peer_hears_workers() || self.unheard()) {
             self.resign("no worker reaches it");
         }
     }
@@ -63,7 +63,7 @@
     pub(crate) fn check_leases(&mut self) {
         let lease = self.settings.platform.facts.workers.lease_s * (1.0 + DRIFT) + MARGIN_S;
         let (now, fresh) = (self.now, self.fresh_at);
-        let Some(h) = &self.holder else {
+        let Some(h) = &self.owner else {
             return;
         };
         let mut lost = Vec::new();
@@ -75,7 +75,7 @@
                 lost.push((id.clone(), m.tasks.keys().cloned().collect::<Vec<_>>()));
             }
         }
-        let Some(h) = &mut self.holder else {
+        let Some(h) = &mut self.owner else {
             return;
         };
         for (id, tasks) in lost {
@@ -100,12 +100,12 @@
         let w = &self.settings.platform.facts.workers;
         let (cancel_s, lease_s) = (w.cancel_s, w.lease_s);
         let now = self.now;
-        let Some(h) = &mut self.holder else {
+        let Some(h) = &mut self.owner else {
             return;
         };
         let mut late = BTreeSet::new();
         for live in h.jobs.values() {
-            let Some(at) = live.withdrawn else {
+            let Some(at) = live.cancelled else {
                 continue;
             };
             for p in live.placed.values() {
@@ -132,14 +132,14 @@
         let w = &self.settings.platform.facts.workers;
         let (lease_s, silent_s) = (w.lease_s, self.settings.silent_s(false));
         let (silent_mute_s, mute) = (self.settings.silent_s(true), self.mute());
-        let (now, blind) = (self.now, self.blind());
+        let (now, is_stale) = (self.now, self.is_stale());
         let cut_zones = self.find_cut_zones();
         let sheltered: BTreeSet<Rc<str>> = cut_zones
             .iter()
             .filter(|z| self.has_shelter(z))
             .cloned()
             .collect();
-        let Some(h) = &mut self.holder else {
+        let Some(h) = &mut self.owner else {
             return;
         };
         let mut up = 0;
@@ -167,7 +167,7 @@
         if h.cut || !h.cut_zones.is_empty() {
             h.cut_at = now;
         }
-        if blind {
+        if is_stale {
             return;
         }
         for (id, quiet, patience, sheltered) in silent {
@@ -191,8 +191,8 @@
     /// placed there. Their leases have run out meanwhile; deleting them frees the tasks.
     pub(crate) fn check_unhearing(&mut self) {
         let lease_s = self.settings.platform.facts.workers.lease_s;
-        let (now, blind) = (self.now, self.blind());
-        let Some(h) = self.holder.as_mut().filter(|h| !blind && !h.cut) else {
+        let (now, is_stale) = (self.now, self.is_stale());
+        let Some(h) = self.owner.as_mut().filter(|h| !is_stale && !h.cut) else {
             return;
         };
         let mut unhearing = Vec::new();
@@ -212,17 +212,17 @@
     /// Controllers, `None` for this one, that lately heard no worker or weren't heard
     /// themselves. Workers that reported there look for another one, and may be sent back
     /// once, which takes two tries of 5 s: they looked as if their machines were gone.
-    fn mute(&mut self) -> BTreeSet<Option<Member>> {
+    fn mute(&mut self) -> BTreeSet<Option<ControllerId>> {
         let now = self.now;
         let lease_s = self.settings.platform.facts.workers.lease_s;
         let mut mute = Vec::new();
         if now.since(self.worker_heard) > HEARD_S {
             mute.push(None);
         }
-        let siblings = self.settings.platform.siblings.iter();
-        let deaf = siblings.filter(|s| !self.hears(&s.member));
-        mute.extend(deaf.map(|s| Some(s.member.clone())));
-        let Some(h) = &mut self.holder else {
+        let peers = self.settings.platform.peers.iter();
+        let deaf = peers.filter(|s| !self.hears(&s.controller_id));
+        mute.extend(deaf.map(|s| Some(s.controller_id.clone())));
+        let Some(h) = &mut self.owner else {
             return BTreeSet::new();
         };
         h.mute_at.extend(mute.into_iter().map(|m| (m, now)));
@@ -234,7 +234,7 @@
     /// off. Their own controllers keep them alive.
     fn find_cut_zones(&self) -> BTreeSet<Rc<str>> {
         let quiet_s = self.settings.platform.facts.workers.report_s * CUT_REPORTS;
-        let Some(h) = &self.holder else {
+        let Some(h) = &self.owner else {
             return BTreeSet::new();
         };
         let mut zones: BTreeMap<&Rc<str>, (usize, usize)> = BTreeMap::new();
@@ -259,7 +259,7 @@
     /// save, and on machines to be replaced.
     pub(crate) fn drain(&mut self) {
         let now = self.now;
-        let Some(h) = &self.holder else {
+        let Some(h) = &self.owner else {
             return;
         };
         let mut stop = Vec::new();
@@ -273,7 +273,7 @@
                 let Some(p) = live.and_then(|l| l.placed.get(&task.index)) else {
                     continue;
                 };
-                let moves = seat.rec.form == Form::Service || seat.rec.checkpoint_s > 0.0;
+                let moves = seat.record.kind == JobKind::Service || seat.record.checkpoint_s > 0.0;
                 if p.halted.is_none() && (sick || moves) && p.phase != Phase::Committing {
                     stop.push(task.clone());
                 }
--- a/src/controller/machines/mod.rs
+++ b/src/controller/machines/mod.rs
@@ -18,8 +18,8 @@
 pub mod inventory;
 pub(crate) mod liveness;
 
-use crate::controller::Core;
-use crate::controller::shard::Holder;
+use crate::controller::Controller;
+use crate::controller::shard::ShardOwner;
 use crate::ids::{MachineId, TaskId, Time};
 use log::{info, warn};
 
@@ -28,9 +28,9 @@
 /// Names of deleted machines are kept for late copies of their reports.
 const GONE_S: f64 = 900.0;
 
-impl Core {
-    pub(crate) fn holder_housekeeping(&mut self) {
-        if self.holder.is_none() {
+impl Controller {
+    pub(crate) fn owner_housekeeping(&mut self) {
+        if self.owner.is_none() {
             return;
         }
         self.check_deaf();
@@ -43,7 +43,7 @@
         self.delete_abandoned();
         self.delete_doomed();
         let now = self.now;
-        if let Some(h) = &mut self.holder {
+        if let Some(h) = &mut self.owner {
             h.gone.retain(|_, at| now.since(*at) < GONE_S);
         }
     }
@@ -51,7 +51,7 @@
     /// Tells a task to stop, as soon as its machine can hear it.
     pub(crate) fn halt(&mut self, task: &TaskId) {
         let now = self.now;
-        let Some(h) = &mut self.holder else {
+        let Some(h) = &mut self.owner else {
             return;
         };
         let Some(p) = h.placement_mut(task) else {
@@ -67,7 +67,7 @@
     }
 }
 
-impl Holder {
+impl ShardOwner {
     /// A task completed or runs well. A machine on which its job failed before is faulty
     /// then, if others say so too.
     pub(crate) fn task_succeeded(&mut self, now: Time, id: &MachineId, task: &TaskId) {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -20,71 +20,71 @@
 pub(crate) mod shards;
 pub mod store;
 
-use crate::controller::api::{Front, NamingSubmission, Question, Submission};
+use crate::controller::api::{Api, NamingSubmission, StatusQuery, Submission};
 use crate::controller::autoscaling::CloudPurpose;
-use crate::controller::dependencies::resolution::NeedReads;
+use crate::controller::dependencies::resolution::DependencyReads;
 use crate::controller::events::Input;
 use crate::controller::events::Load;
 use crate::controller::events::Output;
 use crate::controller::events::Queue;
-use crate::controller::forwarding::Relays;
+use crate::controller::forwarding::Forwarding;
 use crate::controller::leadership::election::Election;
-use crate::controller::leadership::shutdown::{Drain, Release};
+use crate::controller::leadership::shutdown::{LeaseRevocation, Shutdown};
 use crate::controller::leadership::standby::{HintSender, new_standby};
-use crate::controller::processor::ProcessorUse;
+use crate::controller::processor::ProcessorUtilization;
 use crate::controller::quota::cells::CellSharing;
 use crate::controller::quota::team_limits::TeamLimits;
-use crate::controller::rate_limits::token_bucket::Bucket;
-use crate::controller::rate_limits::write_rate::ChangeMeter;
-use crate::controller::shard::Holder;
-use crate::controller::shard::commits::FlushItem;
-use crate::controller::shards::leases::Lead;
-use crate::controller::store::mirror::Cache;
-use crate::ids::{CallId, JobId, Member, Number, Time};
-use crate::peer::{Hello, Message};
+use crate::controller::rate_limits::token_bucket::TokenBucket;
+use crate::controller::rate_limits::write_rate::WriteRateMeter;
+use crate::controller::shard::ShardOwner;
+use crate::controller::shard::commits::PlacementWrite;
+use crate::controller::shards::leases::Leadership;
+use crate::controller::store::mirror::StoreMirror;
+use crate::ids::{CallId, ControllerId, FencingToken, JobId, Time};
+use crate::peer::{Message, PeerHeartbeat};
 use crate::settings::Settings;
-use crate::wire::{Change, ClassInfo, Listed};
+use crate::wire::{Change, Listed, MachineType};
 use salttrestle_standby::Standby;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 /// What a call to the state service is for.
 #[derive(Debug)]
-pub(crate) enum Purpose {
+pub(crate) enum RequestPurpose {
     List,
-    Follow,
-    Fresh,
-    Grant,
+    Watch,
+    ReadRevision,
+    GrantLease,
     Elect,
-    Extend,
+    RenewLease,
     Submit(Vec<Submission>),
-    Cancel(Question),
-    ReadEnd(Question),
+    Cancel(StatusQuery),
+    ReadEnd(StatusQuery),
     /// The end of a job that a submission names.
-    ReadNamed(Box<NamingSubmission>, JobId),
+    ReadSubmissionDependency(Box<NamingSubmission>, JobId),
     /// The end of a job that one in the cache needs.
-    ReadNeed(JobId),
-    Flush(Vec<FlushItem>),
-    Reread(JobId, u32),
-    Finish(JobId),
-    Cleanup(Vec<(JobId, u32)>),
-    Plan,
-    Lease,
-    Release,
+    ReadDependency(JobId),
+    WritePlacements(Vec<PlacementWrite>),
+    RereadPlacements(JobId, u32),
+    WriteEnd(JobId),
+    DeletePlacements(Vec<(JobId, u32)>),
+    WritePlan,
+    UpdateShards,
+    RevokeLease,
     CellChange,
 }
 
-pub(crate) struct Call {
-    purpose: Purpose,
+pub(crate) struct PendingRequest {
+    purpose: RequestPurpose,
     sent: Time,
     /// Changes that it makes, if it is carried out.
     changes: f64,
     /// The block in hand when it was sent: its answer means nothing to another
     /// holding of that block.
-    tenure: Tenure,
+    ownership: ShardOwnership,
 }
 
 /// A read whose answer named a revision.
-struct FreshRead {
+struct RevisionRead {
     call: CallId,
     sent: Time,
     revision: u64,
@@ -92,7 +92,7 @@
 }
 
 /// One holding of one block.
-pub(crate) type Tenure = Option<(u32, Number)>;
+pub(crate) type ShardOwnership = Option<(u32, FencingToken)>;
 
 /// How often work that nothing else triggers is looked at.
 const HOUSEKEEPING_MS: u64 = 100;
@@ -100,7 +100,7 @@
 /// of this, so that one turn and one packet carry several of them.
 const GATHER_MS: u64 = HOUSEKEEPING_MS / 2;
 /// A controller without a fresh read for this long starts nothing and takes nothing.
-const BLIND_S: f64 = 2.5;
+const STALENESS_BOUND_S: f64 = 2.5;
 /// A controller has heard workers lately if one reported within this time.
 const HEARD_S: f64 = 3.0;
 /// Margin for the time a message takes and for late timers.
@@ -111,7 +111,7 @@
 const RETRY_S: f64 = 0.3;
 
 /// Whether the state service's content is known here.
-enum Sync {
+enum WatchState {
     Idle {
         retry_at: Time,
     },
@@ -127,23 +127,23 @@
     },
 }
 
-pub struct Core {
+pub struct Controller {
     pub(crate) settings: Settings,
-    pub(crate) boot: u64,
+    pub(crate) incarnation: u64,
     pub(crate) now: Time,
     /// When this process took its first input.
     began: Option<Time>,
     out: Vec<Output>,
     next_call: u64,
-    calls: HashMap<CallId, Call>,
-    cloud_calls: HashMap<CallId, (CloudPurpose, Tenure)>,
-    requests: Bucket,
-    changes: Bucket,
-    change_meter: ChangeMeter,
-    cloud_budget: Bucket,
-    pub(crate) cache: Cache,
-    sync: Sync,
-    listed: bool,
+    pending_requests: HashMap<CallId, PendingRequest>,
+    cloud_calls: HashMap<CallId, (CloudPurpose, ShardOwnership)>,
+    requests: TokenBucket,
+    changes: TokenBucket,
+    change_meter: WriteRateMeter,
+    cloud_budget: TokenBucket,
+    pub(crate) mirror: StoreMirror,
+    watch: WatchState,
+    initial_list_done: bool,
     /// When the latest read was sent whose revision is known here: whatever stood
     /// at the state service then is known.
     fresh_at: Time,
@@ -156,34 +156,34 @@
     /// The latest read that was sent to learn the present revision.
     fresh_asked: CallId,
     /// Reads that were answered, while the follow hasn't come as far yet.
-    fresh_waiting: VecDeque<FreshRead>,
-    need_reads: NeedReads,
+    fresh_waiting: VecDeque<RevisionRead>,
+    dependency_reads: DependencyReads,
     team_limits: TeamLimits,
     cells: CellSharing,
     heard_at: Time,
-    front: Front,
+    api: Api,
     election: Election,
-    /// The block in hand; see `in_block`. Boxed, since it changes places several times a step.
-    pub(crate) holder: Option<Box<Holder>>,
+    /// The block in hand; see `in_shard`. Boxed, since it changes places several times a step.
+    pub(crate) owner: Option<Box<ShardOwner>>,
     /// The blocks that this controller holds, but for the one in hand.
-    parked: BTreeMap<u32, Box<Holder>>,
+    parked: BTreeMap<u32, Box<ShardOwner>>,
     /// The number under which each block was last held and given up.
-    spent: BTreeMap<u32, Number>,
-    pub(crate) lead: Option<Lead>,
+    spent: BTreeMap<u32, FencingToken>,
+    pub(crate) leadership: Option<Leadership>,
     standby: Standby,
     /// How busy this process is.
-    processor: ProcessorUse,
+    processor: ProcessorUtilization,
     /// Whether the log says that the leader is suspected.
     leader_suspected: bool,
     hint_sender: HintSender,
     /// A grant that is to be given up.
-    release: Option<Release>,
-    drain: Option<Drain>,
-    pub(crate) catalog: Vec<ClassInfo>,
+    lease_revocation: Option<LeaseRevocation>,
+    shutdown: Option<Shutdown>,
+    pub(crate) catalog: Vec<MachineType>,
     catalog_retry: Time,
-    siblings: BTreeMap<Member, (Hello, Time)>,
-    hello_at: Time,
-    relays: Relays,
+    peers: BTreeMap<ControllerId, (PeerHeartbeat, Time)>,
+    heartbeat_at: Time,
+    forwarding: Forwarding,
     counts_at: Time,
     listing: bool,
     /// The pages of a list of machines of which the next one waits for the budget.
@@ -202,30 +202,30 @@
     pub(crate) placed: u64,
 }
 
-impl Core {
-    /// `boot` tells this process from earlier ones of the same controller.
-    pub fn new(settings: Settings, boot: u64) -> Self {
+impl Controller {
+    /// `incarnation` tells this process from earlier ones of the same controller.
+    pub fn new(settings: Settings, incarnation: u64) -> Self {
         let f = &settings.platform.facts;
         let share = settings.tuning.budget_share;
         let cloud = f.cloud.rps * share;
-        let cloud_budget = Bucket::new(cloud, cloud * 1.5);
-        let standby = new_standby(&settings, boot);
-        let mut core = Self {
-            requests: Bucket::new(1.0, 1.0),
-            changes: Bucket::new(1.0, 1.0),
-            change_meter: ChangeMeter::default(),
+        let cloud_budget = TokenBucket::new(cloud, cloud * 1.5);
+        let standby = new_standby(&settings, incarnation);
+        let mut controller = Self {
+            requests: TokenBucket::new(1.0, 1.0),
+            changes: TokenBucket::new(1.0, 1.0),
+            change_meter: WriteRateMeter::default(),
             cloud_budget,
             settings,
-            boot,
+            incarnation,
             now: Time(0),
             began: None,
             out: Vec::new(),
             next_call: 0,
-            calls: HashMap::new(),
+            pending_requests: HashMap::new(),
             cloud_calls: HashMap::new(),
-            cache: Cache::default(),
-            sync: Sync::Idle { retry_at: Time(0) },
-            listed: false,
+            mirror: StoreMirror::default(),
+            watch: WatchState::Idle { retry_at: Time(0) },
+            initial_list_done: false,
             fresh_at: Time(0),
             known_at: Time(0),
             fresh_call: CallId(0),
@@ -233,27 +233,27 @@
             fresh_last: Time(0),
             fresh_asked: CallId(0),
             fresh_waiting: VecDeque::new(),
-            need_reads: NeedReads::default(),
+            dependency_reads: DependencyReads::default(),
             team_limits: TeamLimits::default(),
             cells: CellSharing::default(),
             heard_at: Time(0),
-            front: Front::default(),
+            api: Api::default(),
             election: Election::default(),
-            holder: None,
+            owner: None,
             parked: BTreeMap::new(),
             spent: BTreeMap::new(),
-            lead: None,
+            leadership: None,
             standby,
-            processor: ProcessorUse::default(),
+            processor: ProcessorUtilization::default(),
             leader_suspected: false,
             hint_sender: HintSender::default(),
-            release: None,
-            drain: None,
+            lease_revocation: None,
+            shutdown: None,
             catalog: Vec::new(),
             catalog_retry: Time(0),
-            siblings: BTreeMap::new(),
-            hello_at: Time(0),
-            relays: Relays::default(),
+            peers: BTreeMap::new(),
+            heartbeat_at: Time(0),
+            forwarding: Forwarding::default(),
             counts_at: Time(0),
             listing: false,
             list_rest: None,
@@ -265,8 +265,8 @@
             looked: 0,
             placed: 0,
         };
-        core.share_budgets();
-        core
+        controller.share_budgets();
+        controller
     }
 
     /// Takes one input; `now` never goes back.
@@ -274,26 +274,28 @@
         self.now = self.now.max(now);
         self.note_start();
         match input {
-            Input::Request(req, ask) => self.on_request(req, ask),
-            Input::Disconnect(req) => self.on_disconnect(req),
-            Input::State(call, reply) => self.on_state(call, reply),
+            Input::Request(request_id, ask) => self.on_request(request_id, ask),
+            Input::Disconnect(request_id) => self.on_disconnect(request_id),
+            Input::Store(call, reply) => self.on_store_response(call, reply),
             Input::Cloud(call, reply) => self.on_cloud(call, reply),
-            Input::Peer(Message::Hello(hello)) => self.on_hello(hello),
-            Input::Peer(Message::BlockCounts(block_counts)) => self.on_block_counts(*block_counts),
-            Input::Peer(Message::RelayedReport(relayed)) => self.on_relayed_report(*relayed),
-            Input::Peer(Message::RelayedAnswer(answer)) => self.on_relayed_answer(answer),
+            Input::Peer(Message::PeerHeartbeat(heartbeat)) => self.on_peer_heartbeat(heartbeat),
+            Input::Peer(Message::ShardCounts(shard_counts)) => self.on_shard_counts(*shard_counts),
+            Input::Peer(Message::ForwardedHeartbeat(relayed)) => {
+                self.on_forwarded_heartbeat(*relayed)
+            }
+            Input::Peer(Message::ForwardedResponse(answer)) => self.on_forwarded_response(answer),
             Input::Peer(Message::Standby(message)) => self.on_standby_message(*message),
             Input::Cell(message) => self.on_cell_message(message),
-            Input::Link(member, link) => self.on_link(member, link),
-            Input::Busy(share) => self.processor.note(self.now, share),
-            Input::Drain => self.on_drain(),
+            Input::Link(controller_id, link) => self.on_link(controller_id, link),
+            Input::ProcessorUtilization(share) => self.processor.note(self.now, share),
+            Input::Shutdown => self.on_shutdown(),
             Input::Tick => {}
         }
         if self.now >= self.housekeeping_at {
             self.housekeeping_at = self.now.next_multiple(HOUSEKEEPING_MS);
             self.housekeeping();
         }
-        self.each_block(Self::release_reports);
+        self.each_shard(Self::release_reports);
         self.hand_on_gathered();
         self.tell_endings();
         self.pump();
@@ -303,19 +305,19 @@
     /// When `step` wants to be called again at the latest.
     pub fn wake_at(&self) -> Time {
         let held = self.parked.values().filter_map(|h| h.first_release());
-        let due = held.chain(self.front.first_telling());
-        let due = due.chain(self.relays.gathered_until()).min();
+        let due = held.chain(self.api.first_telling());
+        let due = due.chain(self.forwarding.gathered_until()).min();
         due.map_or(self.housekeeping_at, |t| t.min(self.housekeeping_at))
     }
 
     /// The highest number under which this controller holds a block.
-    pub fn holds(&self) -> Option<Number> {
+    pub fn holds(&self) -> Option<FencingToken> {
         self.parked.values().map(|h| h.number).max()
     }
 
     pub fn load(&self) -> Load {
-        let holders = self.parked.values();
-        let written = holders.map(|h| h.to_flush.len() + h.to_finish.len());
+        let owners = self.parked.values();
+        let written = owners.map(|h| h.to_flush.len() + h.to_finish.len());
         Load {
             requests: self.requests.spent(),
             requests_rate: self.requests.rate(),
@@ -323,7 +325,7 @@
             changes_rate: self.changes.rate(),
             cloud: self.cloud_budget.spent(),
             cloud_rate: self.cloud_budget.rate(),
-            queued: self.front.backlog() + written.sum::<usize>(),
+            queued: self.api.backlog() + written.sum::<usize>(),
             looked: self.looked,
             placed: self.placed,
         }
@@ -337,7 +339,7 @@
         let mut queue = Queue::default();
         for live in self.parked.values().flat_map(|h| h.jobs.values()) {
             let tasks = live.queued() as usize;
-            queue.waiting_for_others += usize::from(live.withdrawn.is_none() && !live.released);
+            queue.waiting_for_others += usize::from(live.cancelled.is_none() && !live.released);
             queue.waiting_for_room += usize::from(tasks > 0);
             queue.tasks += tasks;
         }
@@ -350,60 +352,60 @@
     }
 
     /// Whether this controller leads.
-    pub fn leads(&self) -> bool {
-        self.lead.is_some()
+    pub fn is_leader(&self) -> bool {
+        self.leadership.is_some()
     }
 
     /// Does something with one block in hand, if this controller holds it.
-    pub(crate) fn in_block(&mut self, block: u32, act: impl FnOnce(&mut Self)) {
-        let before = self.holder.take();
-        let outer = before.as_ref().map(|h| h.block);
+    pub(crate) fn in_shard(&mut self, shard: u32, act: impl FnOnce(&mut Self)) {
+        let before = self.owner.take();
+        let outer = before.as_ref().map(|h| h.shard);
         if let Some(h) = before {
-            self.parked.insert(h.block, h);
+            self.parked.insert(h.shard, h);
         }
-        self.holder = self.parked.remove(&block);
-        if self.holder.is_some() {
+        self.owner = self.parked.remove(&shard);
+        if self.owner.is_some() {
             act(self);
         }
-        if let Some(h) = self.holder.take() {
-            self.parked.insert(h.block, h);
+        if let Some(h) = self.owner.take() {
+            self.parked.insert(h.shard, h);
         }
-        self.holder = outer.and_then(|b| self.parked.remove(&b));
+        self.owner = outer.and_then(|b| self.parked.remove(&b));
     }
 
-    pub(crate) fn each_block(&mut self, act: fn(&mut Self)) {
-        let blocks: Vec<u32> = self.parked.keys().copied().collect();
-        for block in blocks {
-            self.in_block(block, act);
+    pub(crate) fn each_shard(&mut self, act: fn(&mut Self)) {
+        let shards: Vec<u32> = self.parked.keys().copied().collect();
+        for shard in shards {
+            self.in_shard(shard, act);
         }
     }
 
     fn housekeeping(&mut self) {
-        self.sync_housekeeping();
-        self.front_housekeeping();
+        self.watch_housekeeping();
+        self.api_housekeeping();
         self.standby_housekeeping();
         self.election_housekeeping();
-        self.drain_housekeeping();
-        self.relay_housekeeping();
-        self.each_block(Self::holder_housekeeping);
+        self.shutdown_housekeeping();
+        self.forwarding_housekeeping();
+        self.each_shard(Self::owner_housekeeping);
         self.catalog_housekeeping();
         self.cells_housekeeping();
-        self.lead_housekeeping();
+        self.leadership_housekeeping();
         if self.change_meter.advance(self.now) {
             self.share_budgets();
         }
-        if self.now >= self.hello_at {
-            self.hello_at = self.now.after(1.0);
-            self.say_hello();
+        if self.now >= self.heartbeat_at {
+            self.heartbeat_at = self.now.after(1.0);
+            self.send_heartbeat();
         }
     }
 
     fn pump(&mut self) {
         self.on_affected();
-        self.each_block(Self::place);
-        self.each_block(Self::pump_flush);
+        self.each_shard(Self::place);
+        self.each_shard(Self::pump_flush);
         self.pump_need_reads();
-        self.pump_front();
+        self.pump_api();
         self.pump_fresh();
     }
 }
--- a/src/controller/peers/links.rs
+++ b/src/controller/peers/links.rs
@@ -1,62 +1,68 @@
 //! Links to siblings: which of them can be reached, which hear workers, and who has kept workers
 //! alive in a holder's place.
 
-use crate::controller::Core;
+use crate::controller::Controller;
 use crate::controller::events::Link;
 use crate::controller::forwarding::TAKEOVER_S;
-use crate::ids::{Member, Time};
-use crate::settings::Sibling;
+use crate::ids::{ControllerId, Time};
+use crate::settings::Peer;
 
-impl Core {
+impl Controller {
     /// Whether a connection to a sibling could be made, or was refused.
-    pub(crate) fn on_link(&mut self, member: Member, link: Link) {
+    pub(crate) fn on_link(&mut self, controller_id: ControllerId, link: Link) {
         if link != Link::Up {
-            self.standby.on_disconnected(self.now.0, member.as_str());
+            self.standby
+                .on_disconnected(self.now.0, controller_id.as_str());
         }
         match link {
             Link::Up => {
-                self.relays.down.remove(&member);
+                self.forwarding.down.remove(&controller_id);
             }
             Link::Lost => {
-                self.relays.down.entry(member).or_insert(None);
+                self.forwarding.down.entry(controller_id).or_insert(None);
             }
             Link::Refused => {
-                let since = self.relays.down.entry(member).or_insert(None);
+                let since = self.forwarding.down.entry(controller_id).or_insert(None);
                 since.get_or_insert(self.now);
             }
         }
     }
 
     /// Whether messages reach a sibling, as far as is known.
-    pub(crate) fn linked(&self, member: &Member) -> bool {
-        self.heartbeat_fresh(member) && !self.relays.down.contains_key(member)
+    pub(crate) fn linked(&self, controller_id: &ControllerId) -> bool {
+        self.heartbeat_fresh(controller_id) && !self.forwarding.down.contains_key(controller_id)
     }
 
     /// Whether a holder runs, since its record stands, while it refuses connections
     /// from here: a filter between the controllers, which its workers may pass.
-    pub(crate) fn shut_off(&self, holder: &Member) -> bool {
-        let patience = self.settings.tuning.grant_s + TAKEOVER_S;
-        let refused = self.relays.down.get(holder).copied().flatten();
-        !self.blind() && refused.is_some_and(|since| self.now.since(since) > patience)
+    pub(crate) fn shut_off(&self, owner: &ControllerId) -> bool {
+        let patience = self.settings.tuning.leader_lease_s + TAKEOVER_S;
+        let refused = self.forwarding.down.get(owner).copied().flatten();
+        !self.is_stale() && refused.is_some_and(|since| self.now.since(since) > patience)
     }
 
     /// Whether this controller can hand reports on: to itself, or to who leads.
-    pub(crate) fn relays(&self) -> bool {
-        let leader = self.cache.leader.rec.as_ref().map(|l| l.member.clone());
-        let here = leader.as_ref() == Some(&self.settings.platform.member);
+    pub(crate) fn can_forward(&self) -> bool {
+        let leader = self
+            .mirror
+            .leader
+            .record
+            .as_ref()
+            .map(|l| l.controller_id.clone());
+        let here = leader.as_ref() == Some(&self.settings.platform.controller_id);
         here || leader.is_some_and(|l| self.linked(&l))
     }
 
     /// How long ago this process last answered in a holder's place or, if it never
     /// did, began: an earlier process may have.
     pub(crate) fn sheltered_ms(&self) -> u64 {
-        let last = self.relays.sheltered.unwrap_or(self.now);
+        let last = self.forwarding.sheltered.unwrap_or(self.now);
         self.now.0.saturating_sub(last.0)
     }
 
     pub(crate) fn note_start(&mut self) {
         let now = self.now;
-        self.relays.sheltered.get_or_insert(now);
+        self.forwarding.sheltered.get_or_insert(now);
         self.began.get_or_insert(now);
     }
 
@@ -69,40 +75,41 @@
     /// kept no worker alive for a whole lease. What it did since doesn't matter: by
     /// then the lease that ended at `over` had ended, and nothing revives it.
     pub(crate) fn nobody_sheltered(&self, zone: &str, over: Time, lease_s: f64) -> bool {
-        let siblings = self.settings.platform.siblings.iter();
+        let peers = self.settings.platform.peers.iter();
         // One whose zone isn't known may be of any.
-        let mut local = siblings.filter(|s| s.site == zone || s.site.is_empty());
+        let mut local = peers.filter(|s| s.site == zone || s.site.is_empty());
         local.all(|s| {
-            let Some((hello, _)) = self.siblings.get(&s.member) else {
+            let Some((heartbeat, _)) = self.peers.get(&s.controller_id) else {
                 return false;
             };
-            let me = &self.settings.platform.member;
-            let mut echoes = hello.echoes.iter();
-            let echo = echoes.find(|(m, boot, _)| m == me && *boot == self.boot);
+            let me = &self.settings.platform.controller_id;
+            let mut echoes = heartbeat.echoes.iter();
+            let echo =
+                echoes.find(|(m, incarnation, _)| m == me && *incarnation == self.incarnation);
             let after = echo.is_some_and(|(_, _, at)| Time(*at) >= over);
-            after && hello.sheltered_ms as f64 / 1000.0 >= lease_s
+            after && heartbeat.sheltered_ms as f64 / 1000.0 >= lease_s
         })
     }
 
     /// Whether a sibling is heard of, and hears workers.
-    pub(crate) fn hears(&self, member: &Member) -> bool {
-        let hello = self.siblings.get(member).map(|(h, _)| h);
-        self.linked(member) && hello.is_some_and(|h| h.heard)
+    pub(crate) fn hears(&self, controller_id: &ControllerId) -> bool {
+        let heartbeat = self.peers.get(controller_id).map(|(h, _)| h);
+        self.linked(controller_id) && heartbeat.is_some_and(|h| h.heard)
     }
 
     /// Whether a zone's controllers besides this one are all heard of, and hear workers.
     pub(crate) fn zone_heard(&self, zone: &str) -> bool {
-        let mut local = self.siblings_in(zone).peekable();
-        local.peek().is_some() && local.all(|s| self.hears(&s.member))
+        let mut local = self.peers_in(zone).peekable();
+        local.peek().is_some() && local.all(|s| self.hears(&s.controller_id))
     }
 
     /// Whether a zone has a controller besides this one, which may shelter its workers.
     pub(crate) fn has_shelter(&self, zone: &str) -> bool {
-        self.siblings_in(zone).next().is_some()
+        self.peers_in(zone).next().is_some()
     }
 
-    pub(crate) fn siblings_in<'a>(&'a self, zone: &'a str) -> impl Iterator<Item = &'a Sibling> {
-        let siblings = self.settings.platform.siblings.iter();
-        siblings.filter(move |s| s.site == zone)
+    pub(crate) fn peers_in<'a>(&'a self, zone: &'a str) -> impl Iterator<Item = &'a Peer> {
+        let peers = self.settings.platform.peers.iter();
+        peers.filter(move |s| s.site == zone)
     }
 }
--- a/src/controller/processor.rs
+++ b/src/controller/processor.rs
@@ -17,11 +17,11 @@
 
 /// How busy this process has been of late.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ProcessorUse {
+pub struct ProcessorUtilization {
     latest: Option<(Time, f64)>,
 }
 
-impl ProcessorUse {
+impl ProcessorUtilization {
     /// Takes in the share of its time, from 0 to 1, for which the process didn't wait since the
     /// measurement before this one.
     pub fn note(&mut self, now: Time, busy: f64) {
@@ -50,7 +50,7 @@
 
     /// How many machines would take all of a holder's processor, when it holds so many; `None`
     /// where that isn't measured, or it holds too few to tell.
-    pub fn machines_a_holder(&self, now: Time, held: usize) -> Option<f64> {
+    pub fn machines_per_owner(&self, now: Time, held: usize) -> Option<f64> {
         let share = self.share(now)?;
         (held > 0 && share > LEAST_SHARE).then(|| held as f64 / share)
     }
--- a/src/controller/quota/cells.rs
+++ b/src/controller/quota/cells.rs
@@ -9,14 +9,14 @@
 use crate::controller::events::Output;
 use crate::controller::quota::team_limits::LimitsWanted;
 use crate::controller::rate_limits::token_bucket::Priority;
-use crate::controller::shard::Holder;
-use crate::controller::store::mirror::Slot;
+use crate::controller::shard::ShardOwner;
+use crate::controller::store::mirror::Mirrored;
 use crate::controller::store::records::{Key, LimitsByTeam, Record};
-use crate::controller::{Core, Purpose};
+use crate::controller::{Controller, RequestPurpose};
 use crate::ids::Time;
 use crate::peer::TeamCount;
 use crate::settings::CellsFile;
-use crate::wire::{StateOp, StateReply, Write};
+use crate::wire::{StoreRequest, StoreResponse, Write};
 use log::{debug, info, warn};
 use salttrestle_cells::ledger::{CellRecord, LinkRecord, Refusal};
 use salttrestle_cells::message::{LinkMessage, Recall};
@@ -61,28 +61,28 @@
     cell: Option<CellRecord>,
     link: Option<(Cell, LinkRecord)>,
     /// The blocks' records have to be unchanged.
-    on_blocks: bool,
+    on_shards: bool,
     why: String,
 }
 
 impl CellChange {
-    fn of_cell(cell: CellRecord, on_blocks: bool, why: String) -> Self {
+    fn of_cell(cell: CellRecord, on_shards: bool, why: String) -> Self {
         Self {
             cell: Some(cell),
             link: None,
-            on_blocks,
+            on_shards,
             why,
         }
     }
 }
 
 /// A block with what its holder counted under its present record.
-struct CountedBlock<'a> {
+struct CountedShard<'a> {
     allowances: &'a LimitsByTeam,
     teams: &'a [(String, TeamCount)],
 }
 
-impl Core {
+impl Controller {
     /// Another cell's leader tells how things stand there.
     pub(crate) fn on_cell_message(&mut self, message: LinkMessage) {
         let Some(file) = &self.settings.cells else {
@@ -105,13 +105,13 @@
         let Some(file) = self.settings.cells.clone() else {
             return;
         };
-        if self.lead.is_none() || !self.grant_alive() || self.blind() {
+        if self.leadership.is_none() || !self.lease_valid() || self.is_stale() {
             return;
         }
         self.count_again();
         self.say_to_cells(&file);
         self.tell_of_cells(&file);
-        if self.cells.busy || self.cache.revision < self.cells.after {
+        if self.cells.busy || self.mirror.revision < self.cells.after {
             return;
         }
         if let Some(change) = self.next_cell_change(&file) {
@@ -126,14 +126,14 @@
     /// half second, they were out of date whenever allowances had just changed, and while demand
     /// moved that was always: no room was given, and starts waited for 10 s.
     fn count_again(&mut self) {
-        let current = |block: &u32, holder: &Holder| {
+        let current = |shard: &u32, owner: &ShardOwner| {
             let counts = self
-                .lead
+                .leadership
                 .as_ref()
-                .and_then(|lead| lead.block_counts.get(block));
-            counts.is_some_and(|(c, _)| c.revision == holder.block_revision)
+                .and_then(|leadership| leadership.shard_counts.get(shard));
+            counts.is_some_and(|(c, _)| c.revision == owner.shard_revision)
         };
-        if !self.parked.iter().all(|(block, h)| current(block, h)) {
+        if !self.parked.iter().all(|(shard, h)| current(shard, h)) {
             self.send_counts();
         }
     }
@@ -141,7 +141,7 @@
     // ---- changes
 
     fn next_cell_change(&mut self, file: &CellsFile) -> Option<CellChange> {
-        let Some(record) = self.cache.cell.rec.clone() else {
+        let Some(record) = self.mirror.cell.record.clone() else {
             let record = CellRecord::found(&file.here, file.generation, &file.teams);
             return Some(CellChange::of_cell(
                 record,
@@ -175,7 +175,7 @@
                 return Some(CellChange {
                     cell: None,
                     link: Some((from.clone(), forgotten)),
-                    on_blocks: false,
+                    on_shards: false,
                     why: format!("{from} has taken transfer {}", message.taken),
                 });
             }
@@ -186,7 +186,7 @@
                 return Some(CellChange {
                     cell: Some(cell),
                     link: Some((from.clone(), link)),
-                    on_blocks: false,
+                    on_shards: false,
                     why: format!("takes transfer {} of {from}", transfer.number),
                 });
             }
@@ -240,7 +240,7 @@
                     cell: Some(cell),
                     why: format!("gives room of {teams} teams to {to}"),
                     link: Some((to, link)),
-                    on_blocks: true,
+                    on_shards: true,
                 });
             }
         }
@@ -248,33 +248,36 @@
     }
 
     fn commit_cell_change(&mut self, change: CellChange) {
-        let mut when = vec![(Key::Leader, self.cache.leader.version())];
+        let mut preconditions = vec![(Key::Leader, self.mirror.leader.version())];
         let mut writes = Vec::new();
-        when.push((Key::Cell, self.cache.cell.version()));
+        preconditions.push((Key::Cell, self.mirror.cell.version()));
         if let Some(cell) = change.cell {
             writes.push(Write::put(Key::Cell, Record::Cell(Box::new(cell))));
         }
         if let Some((other, link)) = change.link {
             let key = Key::CellLink(other.clone());
-            let slot = self.cache.cell_links.get(&other);
-            when.push((key.clone(), slot.map_or(0, Slot::version)));
+            let slot = self.mirror.cell_links.get(&other);
+            preconditions.push((key.clone(), slot.map_or(0, Mirrored::version)));
             writes.push(Write::put(key, Record::CellLink(link)));
         }
-        if change.on_blocks {
-            let blocks = self.cache.blocks.iter();
-            when.extend(blocks.map(|(block, slot)| (Key::Block(*block), slot.version())));
+        if change.on_shards {
+            let shards = self.mirror.shards.iter();
+            preconditions.extend(shards.map(|(shard, slot)| (Key::Shard(*shard), slot.version())));
         }
         debug!("cells: {}", change.why);
-        let op = StateOp::Commit { when, writes };
+        let op = StoreRequest::Transaction {
+            preconditions,
+            writes,
+        };
         self.cells.busy = self
-            .state_call(op, Purpose::CellChange, Priority::First)
+            .send_store_request(op, RequestPurpose::CellChange, Priority::First)
             .is_ok();
     }
 
     /// Whatever came of it, the follow shows it, and the next look goes on from there.
-    pub(crate) fn on_cell_changed(&mut self, reply: StateReply) {
+    pub(crate) fn on_cell_changed(&mut self, reply: StoreResponse) {
         self.cells.busy = false;
-        if let StateReply::Committed { revision } = reply {
+        if let StoreResponse::Committed { revision } = reply {
             self.cells.after = revision;
         }
     }
@@ -282,8 +285,9 @@
     // ---- what is known
 
     fn cell_link(&self, other: &Cell) -> LinkRecord {
-        let slot = self.cache.cell_links.get(other);
-        slot.and_then(|slot| slot.rec.clone()).unwrap_or_default()
+        let slot = self.mirror.cell_links.get(other);
+        slot.and_then(|slot| slot.record.clone())
+            .unwrap_or_default()
     }
 
     fn believed_messages(&self) -> impl Iterator<Item = &LinkMessage> {
@@ -325,10 +329,10 @@
                 floor: file.floors.get(team).copied().unwrap_or_default(),
                 ..TeamView::default()
             };
-            for block in &counts {
-                let found = block.teams.iter().find(|(name, _)| name == team);
+            for shard in &counts {
+                let found = shard.teams.iter().find(|(name, _)| name == team);
                 let count = found.map(|(_, count)| *count).unwrap_or_default();
-                let allowed = block.allowances.get(team).copied().unwrap_or_default();
+                let allowed = shard.allowances.get(team).copied().unwrap_or_default();
                 let allowed = Amount::rounded_up(allowed.0, allowed.1);
                 let used = Amount::rounded_up(count.cpus, count.gpus);
                 let wanted = Amount::rounded_up(count.cpus_wanted, count.gpus_wanted);
@@ -342,14 +346,14 @@
     }
 
     /// Each block's allowances with its holder's counts under them.
-    fn current_counts(&self) -> Option<Vec<CountedBlock<'_>>> {
+    fn current_counts(&self) -> Option<Vec<CountedShard<'_>>> {
         let believed = self.believed();
-        let blocks = self.cache.blocks.iter();
-        let counts = blocks.map(|(block, slot)| {
-            let allowances = slot.rec.as_ref()?.allowances.as_ref()?;
+        let shards = self.mirror.shards.iter();
+        let counts = shards.map(|(shard, slot)| {
+            let allowances = slot.record.as_ref()?.allowances.as_ref()?;
             let mut current = believed.iter();
-            let found = current.find(|c| c.block == *block && c.revision == slot.revision)?;
-            Some(CountedBlock {
+            let found = current.find(|c| c.shard == *shard && c.revision == slot.revision)?;
+            Some(CountedShard {
                 allowances,
                 teams: &found.teams,
             })
@@ -361,7 +365,7 @@
     /// called back, and of what is left no more than the cell would like to have, so that the
     /// rest can be given away.
     pub(crate) fn cell_limits(&self, file: &CellsFile) -> LimitsWanted {
-        let Some(record) = &self.cache.cell.rec else {
+        let Some(record) = &self.mirror.cell.record else {
             return LimitsWanted::Set(LimitsByTeam::new());
         };
         let views = self.team_views(record, file);
@@ -390,11 +394,11 @@
     /// What the blocks allow now.
     fn allowed_now(&self, team: &str) -> Amount {
         let records = self
-            .cache
-            .blocks
+            .mirror
+            .shards
             .values()
-            .filter_map(|slot| slot.rec.as_ref());
-        let allowances = records.filter_map(|rec| rec.allowances.as_ref()?.get(team));
+            .filter_map(|slot| slot.record.as_ref());
+        let allowances = records.filter_map(|record| record.allowances.as_ref()?.get(team));
         allowances.fold(Amount::ZERO, |sum, (c, g)| {
             sum.plus(Amount::rounded_down(*c, *g))
         })
@@ -404,9 +408,9 @@
 
     fn say_to_cells(&mut self, file: &CellsFile) {
         let Some(record) = self
-            .cache
+            .mirror
             .cell
-            .rec
+            .record
             .as_ref()
             .filter(|_| self.now >= self.cells.say_at)
         else {
@@ -458,7 +462,7 @@
             return;
         }
         self.cells.tell_at = self.now.after(TELL_S);
-        let Some(record) = &self.cache.cell.rec else {
+        let Some(record) = &self.mirror.cell.record else {
             return;
         };
         for cell in file.others() {
@@ -473,7 +477,7 @@
                 None => warn!("cell {cell}: cut off, {pending} teams in transit"),
             }
         }
-        let revision = self.cache.cell.revision;
+        let revision = self.mirror.cell.revision;
         let dropped = self.cells.dropped;
         info!(
             "cell {}: shares of revision {revision}, {dropped} messages dropped",
--- a/src/controller/quota/team_limits.rs
+++ b/src/controller/quota/team_limits.rs
@@ -9,8 +9,8 @@
 //! A record that can't be read, or that names what there isn't, changes nothing: the last good one
 //! stays in force, also under a leader that never saw it, since the blocks' records keep it.
 
-use crate::controller::Core;
-use crate::controller::store::records::{LimitsByTeam, LimitsRec};
+use crate::controller::Controller;
+use crate::controller::store::records::{LimitsByTeam, LimitsRecord};
 use crate::settings::Team;
 use log::{info, warn};
 
@@ -36,19 +36,19 @@
     AsTheyAre,
 }
 
-impl Core {
+impl Controller {
     /// The operators' record may have changed.
     pub(crate) fn read_limits(&mut self) {
-        let slot = &self.cache.limits;
+        let slot = &self.mirror.limits;
         if slot.revision == self.team_limits.seen {
             return;
         }
         self.team_limits.seen = slot.revision;
         let revision = slot.revision;
-        let checked = match &slot.rec {
+        let checked = match &slot.record {
             None => Ok(None),
-            Some(LimitsRec::Unreadable(why)) => Err(why.clone()),
-            Some(LimitsRec::Teams(teams)) => {
+            Some(LimitsRecord::Unreadable(why)) => Err(why.clone()),
+            Some(LimitsRecord::Teams(teams)) => {
                 check_limits(teams, &self.settings.platform.facts.teams).map(|()| Some(teams))
             }
         };
--- a/src/controller/rate_limits/token_bucket.rs
+++ b/src/controller/rate_limits/token_bucket.rs
@@ -26,7 +26,7 @@
 
 /// A bucket that fills at a steady rate and holds `burst` at most.
 #[derive(Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     rate: f64,
     burst: f64,
     tokens: f64,
@@ -35,7 +35,7 @@
     spent: f64,
 }
 
-impl Bucket {
+impl TokenBucket {
     pub fn new(rate: f64, burst: f64) -> Self {
         Self {
             rate,
--- a/src/controller/rate_limits/write_rate.rs
+++ b/src/controller/rate_limits/write_rate.rs
@@ -13,7 +13,7 @@
 
 /// Counts changes by whom they were made.
 #[derive(Debug, Default)]
-pub(crate) struct ChangeMeter {
+pub(crate) struct WriteRateMeter {
     /// Changes seen through the follow in this window, and those of them made here.
     seen: f64,
     own: f64,
@@ -21,7 +21,7 @@
     others: f64,
 }
 
-impl ChangeMeter {
+impl WriteRateMeter {
     /// Takes note of changes that the follow brought.
     pub fn note_seen(&mut self, changes: usize) {
         self.seen += changes as f64;
--- a/src/controller/scheduling/consolidation.rs
+++ b/src/controller/scheduling/consolidation.rs
@@ -1,15 +1,15 @@
 //! Moves the replicas of little used machines to fuller ones, so that the former go back.
 
-use crate::controller::Core;
+use crate::controller::Controller;
 use crate::controller::machines::inventory::Machine;
 use crate::controller::scheduling::constraints::{suits, zone_allowed};
 use crate::controller::scheduling::usable;
-use crate::controller::shard::Holder;
+use crate::controller::shard::ShardOwner;
 use crate::controller::shard::job::Phase;
-use crate::controller::store::records::{Form, Rank, Room};
+use crate::controller::store::records::{JobKind, PriorityClass, Resources};
 use crate::ids::{JobId, MachineId, TaskId, Time};
 use crate::settings::Settings;
-use crate::wire::ClassInfo;
+use crate::wire::MachineType;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -22,14 +22,14 @@
 
 /// Moves the replicas of a little used machine to fuller ones that have their images,
 /// so that it empties and goes back: what a fleet that shrinks would otherwise never do.
-impl Core {
+impl Controller {
     pub(crate) fn consolidate(&mut self) {
         let now = self.now;
-        if self.blind() {
+        if self.is_stale() {
             return;
         }
         let headroom = self.settings.tuning.headroom;
-        let Some(h) = &mut self.holder else {
+        let Some(h) = &mut self.owner else {
             return;
         };
         if now < h.pack_at {
@@ -37,7 +37,11 @@
         }
         h.pack_at = now.after(self.settings.tuning.tick_s);
         // While somebody waits for room, none is given up.
-        let pressed = |id: &JobId| h.jobs.get(id).is_some_and(|l| l.rec.rank > Rank::Normal);
+        let pressed = |id: &JobId| {
+            h.jobs
+                .get(id)
+                .is_some_and(|l| l.record.priority_class > PriorityClass::Normal)
+        };
         let open = !h.cut && !h.waiting.iter().any(pressed);
         let spare = if open {
             spare_machines(h, &self.catalog, headroom, now)
@@ -63,7 +67,10 @@
                 break;
             };
             // What shall never be down is moved one machine at a time.
-            let critical = m.tasks.values().any(|s| s.rec.rank == Rank::Critical);
+            let critical = m
+                .tasks
+                .values()
+                .any(|s| s.record.priority_class == PriorityClass::Critical);
             if critical && standing > 0 {
                 continue;
             }
@@ -92,8 +99,8 @@
 /// free on the others, with the room for urgent starts kept. They get nothing new
 /// while there is another place for it; their batch tasks end by themselves.
 fn spare_machines(
-    h: &Holder,
-    catalog: &[ClassInfo],
+    h: &ShardOwner,
+    catalog: &[MachineType],
     headroom: f64,
     now: Time,
 ) -> BTreeSet<MachineId> {
@@ -101,7 +108,7 @@
     for (id, m) in h.machines.iter() {
         let here = m.up.is_some() && m.doomed.is_none() && m.notice.is_none();
         if let Some(class) = catalog.get(m.class).filter(|_| here && !m.tasks.is_empty()) {
-            let share = m.used.share_of(class.room);
+            let share = m.used.share_of(class.resources);
             pools
                 .entry((m.class, m.spot))
                 .or_default()
@@ -126,13 +133,13 @@
 }
 
 /// Room that moves of this tick take on other machines.
-type Taken = BTreeMap<MachineId, Room>;
+type Taken = BTreeMap<MachineId, Resources>;
 
 /// Whether all of a machine's tasks would fit elsewhere, beside what other moves take
 /// there; what is taken with them.
 fn fits_elsewhere(
-    h: &Holder,
-    catalog: &[ClassInfo],
+    h: &ShardOwner,
+    catalog: &[MachineType],
     settings: &Settings,
     now: Time,
     from: &MachineId,
@@ -144,12 +151,13 @@
         let live = h.jobs.get(&task.job)?;
         let p = live.placed.get(&task.index)?;
         let steady = p.phase == Phase::Running && now.since(p.since) > STEADY_S;
-        if live.rec.form != Form::Service || p.halted.is_some() || !steady {
+        if live.record.kind != JobKind::Service || p.halted.is_some() || !steady {
             return None;
         }
         let mut best: Option<(f64, &MachineId)> = None;
-        let fits = |class: usize, spot: bool, _: &Rc<str>| suits(&live.rec, catalog, class, spot);
-        for (id, m) in h.machines.roomy(live.rec.need, fits) {
+        let fits =
+            |class: usize, spot: bool, _: &Rc<str>| suits(&live.record, catalog, class, spot);
+        for (id, m) in h.machines.roomy(live.record.need, fits) {
             let mut free = m.free();
             free.add(taken.get(id).copied().unwrap_or_default(), -1.0);
             // In its own zone it takes its own place.
@@ -157,18 +165,21 @@
             let good = id != from
                 && !m.tasks.is_empty()
                 && !m.closing
-                && free.holds(live.rec.need)
-                && m.has_image(&live.rec.image)
+                && free.holds(live.record.need)
+                && m.has_image(&live.record.image)
                 && usable(m, settings, now)
                 && h.failures.rested(id, now)
                 && zoned;
-            let left = free.share_of(m.room);
+            let left = free.share_of(m.resources);
             if good && best.is_none_or(|(least, _)| left < least) {
                 best = Some((left, id));
             }
         }
         let (_, id) = best?;
-        taken.entry(id.clone()).or_default().add(live.rec.need, 1.0);
+        taken
+            .entry(id.clone())
+            .or_default()
+            .add(live.record.need, 1.0);
     }
     Some(taken)
 }
--- a/src/controller/scheduling/constraints.rs
+++ b/src/controller/scheduling/constraints.rs
@@ -1,25 +1,25 @@
 //! What teams, jobs and machine types allow: limits, guarantees, zones and kinds.
 
-use crate::controller::shard::Holder;
+use crate::controller::shard::ShardOwner;
 use crate::controller::shard::job::JobState;
-use crate::controller::store::records::JobRec;
+use crate::controller::store::records::JobRecord;
 use crate::settings::{Settings, Team};
-use crate::wire::ClassInfo;
+use crate::wire::MachineType;
 
 /// Whether one more task stays within its team's limit. Every task that isn't proven
 /// gone counts.
-pub(crate) fn within_limit(h: &Holder, settings: &Settings, rec: &JobRec) -> bool {
+pub(crate) fn within_limit(h: &ShardOwner, settings: &Settings, record: &JobRecord) -> bool {
     let teams = &settings.platform.facts.teams;
-    let Some(team) = teams.iter().find(|t| t.name == rec.team) else {
+    let Some(team) = teams.iter().find(|t| t.name == record.team) else {
         return false;
     };
-    let used = h.teams.get(&rec.team).copied().unwrap_or_default();
+    let used = h.teams.get(&record.team).copied().unwrap_or_default();
     let (cpus, gpus) = h.allowance(team);
     let fits = |used: f64, need: f64, max: f64| used + need <= max + 1e-6;
-    fits(used.cpus, rec.need.cpus, cpus) && fits(used.gpus, rec.need.gpus, gpus)
+    fits(used.cpus, record.need.cpus, cpus) && fits(used.gpus, record.need.gpus, gpus)
 }
 
-impl Holder {
+impl ShardOwner {
     /// How many CPUs and GPUs a team may use in this block.
     pub(crate) fn allowance(&self, team: &Team) -> (f64, f64) {
         let given = self.allowances.as_ref().map(|a| a.get(&team.name).copied());
@@ -33,22 +33,22 @@
 }
 
 /// Whether a task fits into what its team is guaranteed.
-pub(crate) fn within_guarantee(h: &Holder, settings: &Settings, live: &JobState) -> bool {
+pub(crate) fn within_guarantee(h: &ShardOwner, settings: &Settings, live: &JobState) -> bool {
     let teams = &settings.platform.facts.teams;
-    let Some(team) = teams.iter().find(|t| t.name == live.rec.team) else {
+    let Some(team) = teams.iter().find(|t| t.name == live.record.team) else {
         return false;
     };
     if team.gpus <= 0.0 && team.cpus <= 0.0 {
         return false;
     }
-    let used = h.teams.get(&live.rec.team).copied().unwrap_or_default();
-    let need = live.rec.need;
+    let used = h.teams.get(&live.record.team).copied().unwrap_or_default();
+    let need = live.record.need;
     let fits = |used: f64, need: f64, sure: f64| sure <= 0.0 || used + need <= sure + 1e-6;
     fits(used.cpus, need.cpus, team.cpus) && fits(used.gpus, need.gpus, team.gpus)
 }
 
 /// The other teams that use more than they are guaranteed, while they do.
-pub(crate) fn teams_over<'a>(h: &Holder, settings: &'a Settings, team: &str) -> Vec<&'a str> {
+pub(crate) fn teams_over<'a>(h: &ShardOwner, settings: &'a Settings, team: &str) -> Vec<&'a str> {
     let teams = settings.platform.facts.teams.iter();
     let over = teams.filter(|t| {
         let used = h.teams.get(&t.name).copied().unwrap_or_default();
@@ -60,22 +60,22 @@
 }
 
 /// Whether a job's tasks may run on a type and kind of machine.
-pub(crate) fn suits(rec: &JobRec, catalog: &[ClassInfo], class: usize, spot: bool) -> bool {
-    (rec.spot || !spot) && catalog.get(class).is_some_and(|c| rec.allows(&c.name))
+pub(crate) fn suits(record: &JobRecord, catalog: &[MachineType], class: usize, spot: bool) -> bool {
+    (record.spot || !spot) && catalog.get(class).is_some_and(|c| record.allows(&c.name))
 }
 
 /// Whether a zone may take this job's next task.
 pub(crate) fn zone_allowed(live: &JobState, zone: &str) -> bool {
-    let rec = &live.rec;
-    if rec.zone.as_ref().is_some_and(|z| z != zone) {
+    let record = &live.record;
+    if record.zone.as_ref().is_some_and(|z| z != zone) {
         return false;
     }
     // Tasks in doubt count: they may be there.
-    if rec.one_zone && live.placed.values().any(|p| *p.zone != *zone) {
+    if record.one_zone && live.placed.values().any(|p| *p.zone != *zone) {
         return false;
     }
-    if rec.scatter {
-        let most = rec.count.div_ceil(2) as usize;
+    if record.scatter {
+        let most = record.count.div_ceil(2) as usize;
         let there = live.placed.values().filter(|p| *p.zone == *zone).count();
         if there >= most {
             return false;
--- a/src/controller/scheduling/mod.rs
+++ b/src/controller/scheduling/mod.rs
@@ -8,20 +8,20 @@
 pub(crate) mod preemption;
 pub(crate) mod scoring;
 
-use crate::controller::Core;
+use crate::controller::Controller;
 use crate::controller::machines::inventory::Machine;
 use crate::controller::scheduling::constraints::within_limit;
 use crate::controller::scheduling::constraints::{teams_over, within_guarantee};
 use crate::controller::scheduling::preemption::cheapest_victims;
 use crate::controller::scheduling::scoring::{
-    ImageWorths, Offer, PlacementContext, best_offer, expected_s, fetch_s, ready_images,
+    Candidate, ImageWorths, PlacementContext, best_candidate, expected_s, fetch_s, ready_images,
 };
-use crate::controller::shard::Holder;
+use crate::controller::shard::ShardOwner;
 use crate::controller::shard::job::{Phase, Placement};
-use crate::controller::store::records::{JobRec, Rank};
+use crate::controller::store::records::{JobRecord, PriorityClass};
 use crate::ids::{JobId, Time};
 use crate::settings::Settings;
-use crate::wire::ClassInfo;
+use crate::wire::MachineType;
 use log::debug;
 use std::rc::Rc;
 
@@ -37,18 +37,18 @@
 const ROUND_MAX: usize = 64;
 
 /// Order in which queued jobs are served; lower comes first.
-type Turn = (std::cmp::Reverse<Rank>, bool, u32, u64, JobId);
+type Turn = (std::cmp::Reverse<PriorityClass>, bool, u32, u64, JobId);
 
-impl Core {
+impl Controller {
     /// Places queued tasks. Those that find no room are counted by the autoscaler.
     pub(crate) fn place(&mut self) {
-        let (now, blind) = (self.now, self.blind());
-        let Some(h) = &mut self.holder else {
+        let (now, is_stale) = (self.now, self.is_stale());
+        let Some(h) = &mut self.owner else {
             return;
         };
         // Pauses of failing jobs, of machines and of batch work end without any event.
         let due = now.since(h.place_at) > PLACE_EVERY_S && !h.waiting.is_empty();
-        if !(h.place_wanted || due) || blind || self.catalog.is_empty() || now < h.place_at {
+        if !(h.place_wanted || due) || is_stale || self.catalog.is_empty() || now < h.place_at {
             return;
         }
         h.place_at = Time(now.0 + PLACE_GAP_MS);
@@ -63,15 +63,15 @@
                 // Jobs with few tasks running go first: neither a swarm nor a large
                 // array keeps the others waiting.
                 let running = live.placed.len() as u32 / 8;
-                let rank = std::cmp::Reverse(live.rec.rank);
-                turns.push((rank, over, running, live.arrival, id.clone()));
+                let priority_class = std::cmp::Reverse(live.record.priority_class);
+                turns.push((priority_class, over, running, live.arrival, id.clone()));
             }
         }
         if turns.is_empty() {
             return;
         }
         turns.sort();
-        let mut round = Round {
+        let mut round = SchedulingCycle {
             images: ready_images(h, &self.catalog, &self.settings, now),
             full: full_pools(h, &self.catalog, self.settings.tuning.headroom, now),
             left: ROUND_MAX,
@@ -85,7 +85,7 @@
             }
         }
         if round.left == 0
-            && let Some(h) = &mut self.holder
+            && let Some(h) = &mut self.owner
         {
             h.place_wanted = true;
         }
@@ -95,26 +95,26 @@
     }
 
     /// Places a job's queued tasks; true if one found no machine.
-    fn place_job(&mut self, id: &JobId, round: &mut Round) -> bool {
+    fn place_job(&mut self, id: &JobId, round: &mut SchedulingCycle) -> bool {
         let now = self.now;
-        let Some(h) = &mut self.holder else {
+        let Some(h) = &mut self.owner else {
             return false;
         };
-        let Some(rec) = h.jobs.get(id).map(|l| l.rec.clone()) else {
+        let Some(record) = h.jobs.get(id).map(|l| l.record.clone()) else {
             return false;
         };
-        if round.failed.iter().any(|f| same_demand(f, &rec)) {
+        if round.failed.iter().any(|f| same_demand(f, &record)) {
             return true;
         }
         let context = PlacementContext {
             settings: &self.settings,
             catalog: &self.catalog,
-            expected: expected_s(&self.settings, &rec.class),
+            expected: expected_s(&self.settings, &record.class),
             now,
         };
-        let mut offers = None;
+        let mut candidates = None;
         while round.left > 0 {
-            if !within_limit(h, &self.settings, &rec) {
+            if !within_limit(h, &self.settings, &record) {
                 return false;
             }
             let Some(live) = h.jobs.get_mut(id) else {
@@ -128,14 +128,14 @@
             if h.failures.on_probation(id) && live.trying() {
                 return false;
             }
-            let offers = offers.get_or_insert_with(|| {
-                let (offers, looked) = context.offers(h, id, round);
+            let candidates = candidates.get_or_insert_with(|| {
+                let (candidates, looked) = context.candidates(h, id, round);
                 self.looked += looked;
-                offers
+                candidates
             });
-            let Some(machine) = best_offer(h, live, offers) else {
-                if !rec.one_zone && !rec.scatter {
-                    round.failed.push(rec);
+            let Some(machine) = best_candidate(h, live, candidates) else {
+                if !record.one_zone && !record.scatter {
+                    round.failed.push(record);
                 }
                 return true;
             };
@@ -147,7 +147,7 @@
             };
             debug!(
                 "task {id}/{index} goes to {machine}, its image takes {:.1} s",
-                fetch_s(&rec, &self.catalog[m.class], m)
+                fetch_s(&record, &self.catalog[m.class], m)
             );
             let placement = Placement {
                 machine: machine.clone(),
@@ -167,15 +167,15 @@
                 .machines
                 .get(&machine)
                 .and_then(|m| context.cost_of(h, (id, live), (&machine, m), round));
-            offers.extend(cost.map(|cost| Offer { cost, machine }));
+            candidates.extend(cost.map(|cost| Candidate { cost, machine }));
         }
         false
     }
 
     /// Stops tasks of lower rank where that makes room for a job that found none.
-    fn make_room(&mut self, id: &JobId, round: &mut Round) {
+    fn make_room(&mut self, id: &JobId, round: &mut SchedulingCycle) {
         let now = self.now;
-        let Some(h) = &mut self.holder else {
+        let Some(h) = &mut self.owner else {
             return;
         };
         let Some(live) = h.jobs.get(id) else {
@@ -186,16 +186,18 @@
         let boot_s = self.catalog.iter().map(|c| c.ready_s).fold(0.0, f64::max);
         let waited = now.since(live.since) > boot_s;
         let sure = waited && within_guarantee(h, &self.settings, live);
-        if (live.rec.rank <= Rank::Normal && !sure) || now < live.preempting {
+        if (live.record.priority_class <= PriorityClass::Normal && !sure) || now < live.preempting {
             return;
         }
-        let same = |f: &Rc<JobRec>| same_demand(f, &live.rec) && f.rank >= live.rec.rank;
+        let same = |f: &Rc<JobRecord>| {
+            same_demand(f, &live.record) && f.priority_class >= live.record.priority_class
+        };
         if !sure && round.unyielding.iter().any(same) {
             return;
         }
         // Teams beyond their guarantee make room for one that lacks its own.
         let over = if sure {
-            teams_over(h, &self.settings, &live.rec.team)
+            teams_over(h, &self.settings, &live.record.team)
         } else {
             Vec::new()
         };
@@ -203,8 +205,8 @@
         let (victims, looked) = cheapest_victims(h, &self.catalog, live, now, most, &over);
         self.looked += looked;
         let counts_for_all = !sure && !live.rank_inherited();
-        if victims.is_empty() && counts_for_all && !live.rec.one_zone && !live.rec.scatter {
-            round.unyielding.push(live.rec.clone());
+        if victims.is_empty() && counts_for_all && !live.record.one_zone && !live.record.scatter {
+            round.unyielding.push(live.record.clone());
         }
         // Room of tasks that were never sent is free at once.
         let pause = if victims.iter().all(|task| h.unsent(task)) {
@@ -224,22 +226,22 @@
 
 /// The types whose ordinary machines have no more room than is kept for urgent starts.
 /// Work that may use spot machines waits for one rather than take that room.
-fn full_pools(h: &Holder, catalog: &[ClassInfo], headroom: f64, now: Time) -> Vec<usize> {
+fn full_pools(h: &ShardOwner, catalog: &[MachineType], headroom: f64, now: Time) -> Vec<usize> {
     let full = |c: &usize| h.machines.free(*c, false) < h.keep((*c, false), catalog, headroom, now);
     (0..catalog.len()).filter(full).collect()
 }
 
-pub(crate) struct Round {
+pub(crate) struct SchedulingCycle {
     images: ImageWorths,
     full: Vec<usize>,
     left: usize,
     /// Demands that found no machine: others like them won't either.
-    failed: Vec<Rc<JobRec>>,
+    failed: Vec<Rc<JobRecord>>,
     /// Demands for which nothing of lower rank could be stopped.
-    unyielding: Vec<Rc<JobRec>>,
+    unyielding: Vec<Rc<JobRecord>>,
 }
 
-fn same_demand(a: &JobRec, b: &JobRec) -> bool {
+fn same_demand(a: &JobRecord, b: &JobRecord) -> bool {
     a.need == b.need
         && a.spot == b.spot
         && a.zone == b.zone
--- a/src/controller/scheduling/preemption.rs
+++ b/src/controller/scheduling/preemption.rs
@@ -3,26 +3,26 @@
 use crate::controller::machines::inventory::Machine;
 use crate::controller::scheduling::constraints::{suits, zone_allowed};
 use crate::controller::scheduling::scoring::fetch_s;
-use crate::controller::shard::Holder;
+use crate::controller::shard::ShardOwner;
 use crate::controller::shard::job::{JobState, Phase};
-use crate::controller::store::records::{JobRec, Rank, Room};
+use crate::controller::store::records::{JobRecord, PriorityClass, Resources};
 use crate::ids::{TaskId, Time};
-use crate::wire::ClassInfo;
+use crate::wire::MachineType;
 
 /// The tasks to stop for up to `most` tasks of a job: the least work of lower rank, one
 /// machine for each; and how many machines were looked at.
 pub(crate) fn cheapest_victims(
-    h: &Holder,
-    catalog: &[ClassInfo],
+    h: &ShardOwner,
+    catalog: &[MachineType],
     live: &JobState,
     now: Time,
     most: usize,
     over: &[&str],
 ) -> (Vec<TaskId>, u64) {
-    let rank = live.rec.rank;
-    let fits = |class: usize, spot: bool, lowest: Rank| {
-        let yields = lowest < rank || (lowest == rank && !over.is_empty());
-        yields && suits(&live.rec, catalog, class, spot)
+    let priority_class = live.record.priority_class;
+    let fits = |class: usize, spot: bool, lowest: PriorityClass| {
+        let yields = lowest < priority_class || (lowest == priority_class && !over.is_empty());
+        yields && suits(&live.record, catalog, class, spot)
     };
     let (mut found, mut looked) = (Vec::new(), 0);
     for (name, m) in h.machines.ranked(fits) {
@@ -31,7 +31,7 @@
             continue;
         }
         if let Some((loss, tasks)) = victims_on(h, live, m, over) {
-            let cost = loss + fetch_s(&live.rec, &catalog[m.class], m);
+            let cost = loss + fetch_s(&live.record, &catalog[m.class], m);
             found.push((cost, name, tasks));
         }
     }
@@ -42,49 +42,50 @@
 
 /// Which tasks to stop on one machine, and what that throws away.
 fn victims_on(
-    h: &Holder,
+    h: &ShardOwner,
     live: &JobState,
     m: &Machine,
     over: &[&str],
 ) -> Option<(f64, Vec<TaskId>)> {
-    let mut lower: Vec<(f64, &TaskId, Room)> = Vec::new();
+    let mut lower: Vec<(f64, &TaskId, Resources)> = Vec::new();
     for (t, seat) in &m.tasks {
-        let rec = &seat.rec;
-        let below = rec.rank < live.rec.rank && yields_to(rec, live);
-        let owed = rec.rank == live.rec.rank && over.contains(&rec.team.as_str());
+        let record = &seat.record;
+        let below = record.priority_class < live.record.priority_class && yields_to(record, live);
+        let owed = record.priority_class == live.record.priority_class
+            && over.contains(&record.team.as_str());
         if !below && !owed {
             continue;
         }
         let p = h.jobs.get(&t.job)?.placed.get(&t.index)?;
         if p.halted.is_none() && h.unsent(t) {
-            lower.push((0.0, t, rec.need));
+            lower.push((0.0, t, record.need));
             continue;
         }
         let started = matches!(p.phase, Phase::Fetching | Phase::Running);
         if p.halted.is_none() && started {
             let ran = h.heard.since(p.since);
-            let saved = rec.checkpoint_s > 0.0;
+            let saved = record.checkpoint_s > 0.0;
             let loss = if saved { 3.0 } else { 5.0 + ran * 0.2 };
-            lower.push((loss, t, rec.need));
+            lower.push((loss, t, record.need));
         }
     }
     lower.sort_by(|a, b| a.0.total_cmp(&b.0));
     let (mut free, mut loss, mut out) = (m.free(), 0.0, Vec::new());
     for (cost, task, need) in lower {
-        if free.holds(live.rec.need) {
+        if free.holds(live.record.need) {
             break;
         }
         free.add(need, 1.0);
         loss += cost;
         out.push(task.clone());
     }
-    (free.holds(live.rec.need) && !out.is_empty()).then_some((loss, out))
+    (free.holds(live.record.need) && !out.is_empty()).then_some((loss, out))
 }
 
 /// Whether work may be stopped for a job as far as it loses by it. For a rank that a job has only
 /// from those that need it, just work that saves its progress is, beside what the job's own rank
 /// is above: arrays needed by pipelines stopped others of their class, which lost all they had
 /// done, and were needed or waited themselves soon after, again and again.
-fn yields_to(rec: &JobRec, live: &JobState) -> bool {
-    !live.rank_inherited() || rec.rank < live.own_rank || rec.checkpoint_s > 0.0
+fn yields_to(record: &JobRecord, live: &JobState) -> bool {
+    !live.rank_inherited() || record.priority_class < live.own_rank || record.checkpoint_s > 0.0
 }
--- a/src/controller/scheduling/scoring.rs
+++ b/src/controller/scheduling/scoring.rs
@@ -2,13 +2,13 @@
 
 use crate::controller::machines::inventory::Machine;
 use crate::controller::scheduling::constraints::{suits, zone_allowed};
-use crate::controller::scheduling::{Round, usable};
-use crate::controller::shard::Holder;
+use crate::controller::scheduling::{SchedulingCycle, usable};
+use crate::controller::shard::ShardOwner;
 use crate::controller::shard::job::JobState;
-use crate::controller::store::records::{Form, JobRec, Rank, Room};
+use crate::controller::store::records::{JobKind, JobRecord, PriorityClass, Resources};
 use crate::ids::{Image, JobId, MachineId, Time};
 use crate::settings::Settings;
-use crate::wire::ClassInfo;
+use crate::wire::MachineType;
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
 use std::rc::Rc;
@@ -29,36 +29,36 @@
 const KEPT_S: f64 = 90.0;
 
 /// A machine for a job's next task. The cheapest one is the greatest, for the heap.
-pub(crate) struct Offer {
+pub(crate) struct Candidate {
     pub(crate) cost: f64,
     pub(crate) machine: MachineId,
 }
 
-impl Ord for Offer {
+impl Ord for Candidate {
     fn cmp(&self, other: &Self) -> Ordering {
         let cost = other.cost.total_cmp(&self.cost);
         cost.then_with(|| other.machine.cmp(&self.machine))
     }
 }
 
-impl PartialOrd for Offer {
+impl PartialOrd for Candidate {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl PartialEq for Offer {
+impl PartialEq for Candidate {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other).is_eq()
     }
 }
 
-impl Eq for Offer {}
+impl Eq for Candidate {}
 
 /// What placing one job's tasks goes by.
 pub(crate) struct PlacementContext<'a> {
     pub(crate) settings: &'a Settings,
-    pub(crate) catalog: &'a [ClassInfo],
+    pub(crate) catalog: &'a [MachineType],
     /// Within which time they are expected to start.
     pub(crate) expected: Option<f64>,
     pub(crate) now: Time,
@@ -67,14 +67,14 @@
 impl PlacementContext<'_> {
     /// What every machine with room for the job's next task costs, and how many were
     /// looked at.
-    pub(crate) fn offers(
+    pub(crate) fn candidates(
         &self,
-        h: &Holder,
+        h: &ShardOwner,
         job: &JobId,
-        round: &Round,
-    ) -> (BinaryHeap<Offer>, u64) {
+        round: &SchedulingCycle,
+    ) -> (BinaryHeap<Candidate>, u64) {
         let live = &h.jobs[job];
-        let rec = &live.rec;
+        let record = &live.record;
         let zones = self.catalog.iter().flat_map(|c| &c.zones);
         let zones: BTreeSet<&str> = zones.map(String::as_str).collect();
         let open: Vec<&str> = zones
@@ -82,36 +82,39 @@
             .filter(|z| zone_allowed(live, z))
             .collect();
         let fits = |class: usize, spot: bool, zone: &Rc<str>| {
-            open.contains(&&**zone) && suits(rec, self.catalog, class, spot)
+            open.contains(&&**zone) && suits(record, self.catalog, class, spot)
         };
         let mut looked = 0;
-        let machines = h.machines.roomy(rec.need, fits);
-        let offers = machines.filter_map(|(id, m)| {
+        let machines = h.machines.roomy(record.need, fits);
+        let candidates = machines.filter_map(|(id, m)| {
             looked += 1;
             let cost = self.cost_of(h, (job, live), (id, m), round)?;
             let machine = id.clone();
-            Some(Offer { cost, machine })
+            Some(Candidate { cost, machine })
         });
-        (offers.collect(), looked)
+        (candidates.collect(), looked)
     }
 
     /// What the job's next task costs on a machine that suits it; `None` if it can't go
     /// there.
     pub(crate) fn cost_of(
         &self,
-        h: &Holder,
+        h: &ShardOwner,
         (job, live): (&JobId, &JobState),
         (id, m): (&MachineId, &Machine),
-        round: &Round,
+        round: &SchedulingCycle,
     ) -> Option<f64> {
         let class = self.catalog.get(m.class)?;
         let usable = usable(m, self.settings, self.now) && h.failures.rested(id, self.now);
-        if !m.free().holds(live.rec.need) || !usable {
+        if !m.free().holds(live.record.need) || !usable {
             return None;
         }
         let young = self.now.since(live.since) < KEPT_S;
-        let loses = live.rec.checkpoint_s <= 0.0;
-        let waits = young && loses && live.rec.spot && live.rec.rank <= Rank::Normal;
+        let loses = live.record.checkpoint_s <= 0.0;
+        let waits = young
+            && loses
+            && live.record.spot
+            && live.record.priority_class <= PriorityClass::Normal;
         if waits && !m.spot && round.full.contains(&m.class) {
             return None;
         }
@@ -124,13 +127,13 @@
 }
 
 /// Takes the cheapest offer whose zone may still have a task of the job.
-pub(crate) fn best_offer(
-    h: &Holder,
+pub(crate) fn best_candidate(
+    h: &ShardOwner,
     live: &JobState,
-    offers: &mut BinaryHeap<Offer>,
+    candidates: &mut BinaryHeap<Candidate>,
 ) -> Option<MachineId> {
     loop {
-        let machine = offers.pop()?.machine;
+        let machine = candidates.pop()?.machine;
         let zone = h.machines.get(&machine).map(|m| &m.zone);
         if zone.is_some_and(|zone| zone_allowed(live, zone)) {
             return Some(machine);
@@ -138,24 +141,28 @@
     }
 }
 
-fn cost(context: &PlacementContext, live: &JobState, class: &ClassInfo, m: &Machine) -> f64 {
-    let rec = &live.rec;
-    let free_share = 1.0 - m.used.share_of(class.room);
+fn cost(context: &PlacementContext, live: &JobState, class: &MachineType, m: &Machine) -> f64 {
+    let record = &live.record;
+    let free_share = 1.0 - m.used.share_of(class.resources);
     // A start goes with the answer to a report: at once, where one waits for it.
     let report_s = context.settings.platform.facts.workers.report_s;
     let answer_s = match m.held {
         Some(_) => 0.0,
         None => (report_s - context.now.since(m.seen)).max(0.0),
     };
-    let delay = delay_cost(context.expected, class, answer_s + fetch_s(rec, class, m));
+    let delay = delay_cost(
+        context.expected,
+        class,
+        answer_s + fetch_s(record, class, m),
+    );
     let mut cost = delay + FREE_COST * free_share;
-    if rec.form == Form::Service {
+    if record.kind == JobKind::Service {
         // One machine's loss shall cost a job as little as can be.
         let seats = m.tasks.values();
-        let same = seats.filter(|s| Rc::ptr_eq(&s.rec, rec)).count();
+        let same = seats.filter(|s| Rc::ptr_eq(&s.record, record)).count();
         // Of a large one it costs little anyway: weighed in full, its replicas went back to
         // the machines that were being emptied of them, again and again.
-        let part = (SPREAD_SIZE / f64::from(rec.count.max(1))).min(1.0);
+        let part = (SPREAD_SIZE / f64::from(record.count.max(1))).min(1.0);
         cost += SPREAD_COST * part * same as f64;
     }
     if m.spot {
@@ -177,25 +184,25 @@
 /// What a start's delay costs: little while it is small against what is expected of the
 /// job's class, much once it comes near. Classes of which nothing is expected are
 /// measured by the time a machine takes to boot.
-fn delay_cost(expected: Option<f64>, class: &ClassInfo, delay_s: f64) -> f64 {
+fn delay_cost(expected: Option<f64>, class: &MachineType, delay_s: f64) -> f64 {
     let within = expected.unwrap_or(class.ready_s);
     DELAY_COST * (delay_s / within.max(1.0)).powi(2)
 }
 
 /// An image's worth on a machine that has it and has room for one of its tasks: what its
 /// next start would lose elsewhere, the less the more such machines there are.
-pub(crate) type ImageWorths = HashMap<Image, (Room, f64)>;
+pub(crate) type ImageWorths = HashMap<Image, (Resources, f64)>;
 
 pub(crate) fn ready_images(
-    h: &Holder,
-    catalog: &[ClassInfo],
+    h: &ShardOwner,
+    catalog: &[MachineType],
     settings: &Settings,
     now: Time,
 ) -> ImageWorths {
     let most = h.images.values().map(|w| w.asked(now)).fold(1e-9, f64::max);
     let mut ready: BTreeMap<&Image, u32> = BTreeMap::new();
     let needs = h.images.values().map(|w| w.need);
-    let least = needs.reduce(Room::least).unwrap_or_default();
+    let least = needs.reduce(Resources::least).unwrap_or_default();
     for (id, m) in h.machines.roomy(least, |_, spot, _| !spot) {
         if !usable(m, settings, now) || !h.failures.rested(id, now) {
             continue;
@@ -232,30 +239,30 @@
     }
     let before = m.free();
     let mut after = before;
-    after.add(live.rec.need, -1.0);
+    after.add(live.record.need, -1.0);
     let images = m
         .images
         .iter()
-        .filter(|(image, _)| *image != live.rec.image);
+        .filter(|(image, _)| *image != live.record.image);
     let images = images.filter_map(|(image, _)| worths.get(image));
     let lost = images.filter(|(need, _)| before.holds(*need) && !after.holds(*need));
     lost.map(|(_, worth)| worth).sum()
 }
 
 /// Seconds until the image would be there. Images fetched at once share the rate.
-pub(crate) fn fetch_s(rec: &JobRec, class: &ClassInfo, m: &Machine) -> f64 {
-    if m.has_image(&rec.image) {
+pub(crate) fn fetch_s(record: &JobRecord, class: &MachineType, m: &Machine) -> f64 {
+    if m.has_image(&record.image) {
         return 0.0;
     }
-    let whole = rec.image_gb / class.fetch_gb_s;
+    let whole = record.image_gb / class.fetch_gb_s;
     let mut others: Vec<(&Image, f64)> = Vec::new();
     for seat in m.tasks.values().filter(|s| !s.settled) {
-        let image = &seat.rec.image;
-        if *image == rec.image {
+        let image = &seat.record.image;
+        if *image == record.image {
             return whole / 2.0;
         }
         if !m.has_image(image) && others.iter().all(|(i, _)| *i != image) {
-            others.push((image, seat.rec.image_gb / class.fetch_gb_s));
+            others.push((image, seat.record.image_gb / class.fetch_gb_s));
         }
     }
     whole + others.iter().map(|(_, s)| s.min(whole)).sum::<f64>()
--- a/src/controller/shard/admission.rs
+++ b/src/controller/shard/admission.rs
@@ -1,64 +1,64 @@
 //! Jobs come into a block, are cancelled there, and leave it.
 
-use crate::controller::Core;
-use crate::controller::dependencies::graph::Needs;
+use crate::controller::Controller;
+use crate::controller::dependencies::graph::DependencyState;
 use crate::controller::machines::inventory::Machine;
-use crate::controller::shard::Holder;
+use crate::controller::shard::ShardOwner;
 use crate::controller::shard::job::{JobState, Phase, Placement};
-use crate::controller::store::mirror::CachedJob;
+use crate::controller::store::mirror::MirroredJob;
 use crate::controller::store::records::Placed;
 use crate::ids::{JobId, TaskId, Time};
 use log::info;
 use std::collections::BTreeSet;
 
-impl Core {
+impl Controller {
     /// A new holder's start: all that earlier ones committed is known, and nothing
     /// of it is believed to have ended without proof.
     pub(crate) fn rebuild(&mut self) {
-        let Some(block) = self.holder.as_ref().map(|h| h.block) else {
+        let Some(shard) = self.owner.as_ref().map(|h| h.shard) else {
             return;
         };
-        let of_block = |j: &CachedJob| j.rec.block == block;
-        let jobs = self.cache.jobs.iter().filter(|(_, j)| of_block(j));
+        let of_shard = |j: &MirroredJob| j.record.shard == shard;
+        let jobs = self.mirror.jobs.iter().filter(|(_, j)| of_shard(j));
         let ids: Vec<JobId> = jobs.map(|(id, _)| id.clone()).collect();
         for id in ids {
-            self.holder_job(&id);
+            self.owner_job(&id);
         }
-        let jobs = &self.cache.jobs;
+        let jobs = &self.mirror.jobs;
         let leftover_chunks = self
-            .cache
+            .mirror
             .runs
             .keys()
             .filter(|(id, _)| !jobs.contains_key(id));
         let leftover_chunks: Vec<_> = leftover_chunks.cloned().collect();
-        if let Some(h) = &mut self.holder {
+        if let Some(h) = &mut self.owner {
             // Chunks without a job belong to no block; the first one's holder clears
             // them away.
-            h.leftover_chunks = if block == 0 {
+            h.leftover_chunks = if shard == 0 {
                 leftover_chunks
             } else {
                 Vec::new()
             };
-            h.guess_demand(self.now, &self.catalog, self.cache.closed());
-            info!("took over {} jobs of block {block}", h.jobs.len());
+            h.guess_demand(self.now, &self.catalog, self.mirror.closed());
+            info!("took over {} jobs of block {shard}", h.jobs.len());
         }
         self.take_hinted_estimates();
     }
 
     /// A job was accepted, or its record changed.
-    pub(crate) fn holder_job(&mut self, id: &JobId) {
-        let Some(job) = self.cache.jobs.get(id) else {
+    pub(crate) fn owner_job(&mut self, id: &JobId) {
+        let Some(job) = self.mirror.jobs.get(id) else {
             return;
         };
-        let Some(h) = self.holder.as_mut().filter(|h| h.block == job.rec.block) else {
+        let Some(h) = self.owner.as_mut().filter(|h| h.shard == job.record.shard) else {
             return;
         };
         let Some(live) = h.jobs.get_mut(id) else {
             return self.take_in(id);
         };
         live.revision = job.revision;
-        if job.withdrawn.is_some() && live.withdrawn.is_none() {
-            live.withdrawn = job.withdrawn;
+        if job.cancelled.is_some() && live.cancelled.is_none() {
+            live.cancelled = job.cancelled;
             self.halt_cancelled(id);
         }
     }
@@ -66,12 +66,12 @@
     /// Takes in a job, with what earlier holders wrote of it.
     fn take_in(&mut self, id: &JobId) {
         let now = self.now;
-        let (Some(job), Some(h)) = (self.cache.jobs.get(id), &mut self.holder) else {
+        let (Some(job), Some(h)) = (self.mirror.jobs.get(id), &mut self.owner) else {
             return;
         };
-        let (runs, layout) = self.cache.effective_runs(id, &job.rec);
+        let (runs, layout) = self.mirror.effective_placements(id, &job.record);
         let mut live = JobState::new(job, layout, now);
-        live.set_rank(job.rank);
+        live.set_rank(job.priority_class);
         let mut doubts = Vec::new();
         for (chunk, revision, run) in runs {
             live.chunks.entry(chunk).or_default().revision = revision;
@@ -80,8 +80,8 @@
             h.failures
                 .restore(now, id, run.failed_tries, &run.failed_on);
         }
-        let cancelled = live.withdrawn.is_some();
-        let all_done = live.done_count == live.rec.count;
+        let cancelled = live.cancelled.is_some();
+        let all_done = live.done_count == live.record.count;
         h.jobs.insert(id.clone(), live);
         for placed in doubts {
             h.doubt(now, id, placed);
@@ -94,65 +94,65 @@
         if all_done {
             h.to_finish.insert(id.clone());
         }
-        self.holder_needs_changed(id);
+        self.owner_dependencies_changed(id);
     }
 
     /// Something changed for a job through one that it needs or that needs it: it may start, it is
     /// cancelled, or its rank is another.
-    pub(crate) fn holder_needs_changed(&mut self, id: &JobId) {
+    pub(crate) fn owner_dependencies_changed(&mut self, id: &JobId) {
         let now = self.now;
-        let Some(job) = self.cache.jobs.get(id) else {
+        let Some(job) = self.mirror.jobs.get(id) else {
             return;
         };
-        let Some(h) = self.holder.as_mut().filter(|h| h.block == job.rec.block) else {
+        let Some(h) = self.owner.as_mut().filter(|h| h.shard == job.record.shard) else {
             return;
         };
-        h.change_rank(id, job.rank);
+        h.change_rank(id, job.priority_class);
         let Some(live) = h.jobs.get_mut(id) else {
             return;
         };
-        if live.released || live.withdrawn.is_some() {
+        if live.released || live.cancelled.is_some() {
             return;
         }
-        match self.cache.needs(&job.rec) {
-            Needs::Open | Needs::Unknown => {}
-            Needs::Met => {
+        match self.mirror.needs(&job.record) {
+            DependencyState::Open | DependencyState::Unknown => {}
+            DependencyState::Met => {
                 live.released = true;
                 live.since = now;
-                if !job.rec.needs.is_empty() {
+                if !job.record.needs.is_empty() {
                     info!("job {id} may start: all that it needs is done");
                 }
-                h.note_demand(now, &self.catalog, self.cache.closed(), &job.rec);
-                h.note_image(now, &job.rec);
+                h.note_demand(now, &self.catalog, self.mirror.closed(), &job.record);
+                h.note_image(now, &job.record);
                 if h.jobs[id].queued() > 0 {
                     h.waiting.insert(id.clone());
                     h.place_wanted = true;
                 }
             }
-            Needs::Cancelled => {
+            DependencyState::Cancelled => {
                 info!("job {id} is cancelled with one that it needs");
-                live.withdrawn = Some(now);
+                live.cancelled = Some(now);
                 self.halt_cancelled(id);
             }
         }
     }
 
     /// A job's record is gone: it ended, and its end is committed.
-    pub(crate) fn holder_job_gone(&mut self, id: &JobId) {
+    pub(crate) fn owner_job_gone(&mut self, id: &JobId) {
         let leftover: Vec<_> = self
-            .cache
+            .mirror
             .chunks(id)
             .map(|(c, _)| (id.clone(), c))
             .collect();
         let now = self.now;
-        let Some(h) = &mut self.holder else {
+        let Some(h) = &mut self.owner else {
             return;
         };
         h.leftover_chunks.extend(leftover);
         let Some(live) = h.jobs.get(id) else {
             return;
         };
-        let all = live.withdrawn.is_none();
+        let all = live.cancelled.is_none();
         info!("job {id} {}", if all { "done" } else { "cleared away" });
         let tasks: Vec<u32> = live.placed.keys().copied().collect();
         for index in tasks {
@@ -169,7 +169,7 @@
     /// Stops every task of a withdrawn job: nothing they do is of use any more.
     fn halt_cancelled(&mut self, id: &JobId) {
         let now = self.now;
-        let Some(h) = &mut self.holder else {
+        let Some(h) = &mut self.owner else {
             return;
         };
         h.waiting.remove(id);
@@ -200,7 +200,7 @@
     }
 }
 
-impl Holder {
+impl ShardOwner {
     /// Enters a placement of an earlier holder: it counts until it is proven gone.
     fn doubt(&mut self, now: Time, job: &JobId, (index, attempt, machine, zone): Placed) {
         if !self.machines.contains_key(&machine) && !self.gone.contains_key(&machine) {
--- a/src/controller/shard/burst_estimate.rs
+++ b/src/controller/shard/burst_estimate.rs
@@ -4,10 +4,10 @@
 use crate::controller::autoscaling::Pool;
 use crate::controller::autoscaling::demand::{per_machine, pool_for};
 use crate::controller::shard::job::JobState;
-use crate::controller::shard::{Holder, faded};
-use crate::controller::store::records::{Closed, Form, JobRec};
+use crate::controller::shard::{ShardOwner, faded};
+use crate::controller::store::records::{ExhaustedPool, JobKind, JobRecord};
 use crate::ids::Time;
-use crate::wire::ClassInfo;
+use crate::wire::MachineType;
 use std::collections::BTreeMap;
 
 /// How services' demand for a pool comes: the squares of the jobs' sizes, in machines,
@@ -60,11 +60,16 @@
     }
 }
 
-impl Holder {
+impl ShardOwner {
     /// The pool of a service and its size there, in machines.
-    fn size(&self, catalog: &[ClassInfo], closed: &[Closed], rec: &JobRec) -> Option<(Pool, f64)> {
-        let pool = pool_for(catalog, rec, closed).filter(|_| rec.form == Form::Service)?;
-        let size = f64::from(rec.count) / per_machine(&catalog[pool.0], rec.need);
+    fn size(
+        &self,
+        catalog: &[MachineType],
+        closed: &[ExhaustedPool],
+        record: &JobRecord,
+    ) -> Option<(Pool, f64)> {
+        let pool = pool_for(catalog, record, closed).filter(|_| record.kind == JobKind::Service)?;
+        let size = f64::from(record.count) / per_machine(&catalog[pool.0], record.need);
         Some((pool, size))
     }
 
@@ -72,22 +77,27 @@
     pub(crate) fn note_demand(
         &mut self,
         now: Time,
-        catalog: &[ClassInfo],
-        closed: &[Closed],
-        rec: &JobRec,
+        catalog: &[MachineType],
+        closed: &[ExhaustedPool],
+        record: &JobRecord,
     ) {
-        if let Some((pool, size)) = self.size(catalog, closed, rec) {
+        if let Some((pool, size)) = self.size(catalog, closed, record) {
             let bursts = self.bursts.entry(pool).or_default();
             bursts.add(now, catalog[pool.0].ready_s, size);
         }
     }
 
     /// Takes those that run for a sign of what comes.
-    pub(crate) fn guess_demand(&mut self, now: Time, catalog: &[ClassInfo], closed: &[Closed]) {
+    pub(crate) fn guess_demand(
+        &mut self,
+        now: Time,
+        catalog: &[MachineType],
+        closed: &[ExhaustedPool],
+    ) {
         let mut squares: BTreeMap<Pool, f64> = BTreeMap::new();
-        let open = |live: &&JobState| live.withdrawn.is_none() && live.released;
+        let open = |live: &&JobState| live.cancelled.is_none() && live.released;
         for live in self.jobs.values().filter(open) {
-            if let Some((pool, size)) = self.size(catalog, closed, &live.rec) {
+            if let Some((pool, size)) = self.size(catalog, closed, &live.record) {
                 *squares.entry(pool).or_default() += size * size;
             }
         }
@@ -110,7 +120,13 @@
     }
 
     /// Machines' worth of room to keep free for urgent starts.
-    pub(crate) fn keep(&self, pool: Pool, catalog: &[ClassInfo], headroom: f64, now: Time) -> f64 {
+    pub(crate) fn keep(
+        &self,
+        pool: Pool,
+        catalog: &[MachineType],
+        headroom: f64,
+        now: Time,
+    ) -> f64 {
         let boot_s = catalog.get(pool.0).map_or(1.0, |c| c.ready_s.max(1.0));
         let bursts = self.bursts.get(&pool);
         let deviation = bursts.map_or(0.0, |b| b.deviation(now, boot_s));
--- a/src/controller/shard/commits.rs
+++ b/src/controller/shard/commits.rs
@@ -1,19 +1,19 @@
 //! How placements, results and ends are committed.
 
 use crate::controller::rate_limits::token_bucket::Priority;
-use crate::controller::shard::Holder;
+use crate::controller::shard::ShardOwner;
 use crate::controller::shard::job::{JobState, Phase, Placement};
 use crate::controller::store::chunks::{ChunkLayout, chunk_size, ranges};
-use crate::controller::store::records::{Key, Rank, Record, RunRec, json_bytes};
-use crate::controller::{Core, Purpose};
+use crate::controller::store::records::{Key, PlacementRecord, PriorityClass, Record, json_bytes};
+use crate::controller::{Controller, RequestPurpose};
 use crate::ids::{Attempt, JobId, MachineId, TaskId, Time};
-use crate::wire::{StateOp, StateReply, Write};
+use crate::wire::{StoreRequest, StoreResponse, Write};
 use log::{debug, info, warn};
 use std::collections::BTreeSet;
 
 /// One chunk in a commit, with the placements that it makes good.
 #[derive(Debug)]
-pub struct FlushItem {
+pub struct PlacementWrite {
     pub job: JobId,
     pub chunk: u32,
     pub placed: Vec<(u32, Attempt)>,
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WriteUrgency {
     /// Placements of jobs of this rank wait for the commit, the highest rank first.
-    Placements(std::cmp::Reverse<Rank>),
+    Placements(std::cmp::Reverse<PriorityClass>),
     /// Results only: nothing starts later for them.
     Results,
 }
@@ -31,16 +31,16 @@
 impl WriteUrgency {
     /// Every urgency there is, the most urgent first.
     const ALL: [Self; 5] = [
-        Self::placements(Rank::Critical),
-        Self::placements(Rank::Urgent),
-        Self::placements(Rank::Normal),
-        Self::placements(Rank::Idle),
+        Self::placements(PriorityClass::Critical),
+        Self::placements(PriorityClass::Urgent),
+        Self::placements(PriorityClass::Normal),
+        Self::placements(PriorityClass::Idle),
         Self::Results,
     ];
 
     /// The urgency of placements of a job of this rank.
-    pub const fn placements(rank: Rank) -> Self {
-        Self::Placements(std::cmp::Reverse(rank))
+    pub const fn placements(priority_class: PriorityClass) -> Self {
+        Self::Placements(std::cmp::Reverse(priority_class))
     }
 
     /// What the commit has to leave of the budgets. Batch work leaves enough for an urgent
@@ -48,15 +48,15 @@
     /// waited for seconds behind their commits.
     fn priority(self) -> Priority {
         match self {
-            Self::Placements(std::cmp::Reverse(rank)) => rank_priority(rank),
+            Self::Placements(std::cmp::Reverse(priority_class)) => rank_priority(priority_class),
             Self::Results => Priority::Last,
         }
     }
 }
 
 /// The priority of what is committed for a job of this rank.
-pub(crate) fn rank_priority(rank: Rank) -> Priority {
-    if rank > Rank::Normal {
+pub(crate) fn rank_priority(priority_class: PriorityClass) -> Priority {
+    if priority_class > PriorityClass::Normal {
         Priority::Usual
     } else {
         Priority::Last
@@ -64,7 +64,7 @@
 }
 
 /// Chunks to write, the most urgent first.
-pub type FlushQueue = BTreeSet<(WriteUrgency, JobId, u32)>;
+pub type WriteQueue = BTreeSet<(WriteUrgency, JobId, u32)>;
 
 /// Commits of chunks under way at once, and how many more there may be for urgent ones.
 const FLUSHES: usize = 4;
@@ -72,14 +72,14 @@
 /// JSON bytes of chunks in one transaction, below the limit of 64 KiB.
 const FLUSH_BYTES: usize = 40 * 1024;
 
-impl Core {
+impl Controller {
     /// Commits chunks, several to a transaction, the most urgent first.
     pub(crate) fn pump_flush(&mut self) {
         self.pump_endings();
         loop {
             let now = self.now;
             let mut limits = self.flush_limits();
-            let Some(h) = &mut self.holder else {
+            let Some(h) = &mut self.owner else {
                 return;
             };
             let Some((urgency, ..)) = h.to_flush.first() else {
@@ -102,14 +102,14 @@
             let Some((op, items)) = next_flush(h, &limits, priority) else {
                 return;
             };
-            match self.state_call(op, Purpose::Flush(items), priority) {
+            match self.send_store_request(op, RequestPurpose::WritePlacements(items), priority) {
                 Ok(_) => {
-                    if let Some(h) = &mut self.holder {
+                    if let Some(h) = &mut self.owner {
                         h.flushing += 1;
                     }
                 }
-                Err(Purpose::Flush(items)) => {
-                    if let Some(h) = &mut self.holder {
+                Err(RequestPurpose::WritePlacements(items)) => {
+                    if let Some(h) = &mut self.owner {
                         items.iter().for_each(|i| h.write_again(&i.job, i.chunk));
                     }
                     return;
@@ -119,16 +119,16 @@
         }
     }
 
-    pub(crate) fn on_flushed(&mut self, items: Vec<FlushItem>, reply: StateReply) {
-        if reply == StateReply::Rejected {
+    pub(crate) fn on_flushed(&mut self, items: Vec<PlacementWrite>, reply: StoreResponse) {
+        if reply == StoreResponse::Rejected {
             warn!("the state service takes no values of this size any more");
             self.values_shrunk = true;
         }
-        let Some(h) = &mut self.holder else {
+        let Some(h) = &mut self.owner else {
             return;
         };
         h.flushing = h.flushing.saturating_sub(1);
-        if !matches!(reply, StateReply::Committed { .. }) {
+        if !matches!(reply, StoreResponse::Committed { .. }) {
             debug!("{} chunks not written: {reply:?}", items.len());
         }
         let mut ready = BTreeSet::new();
@@ -141,7 +141,7 @@
             let chunk = live.chunks.entry(item.chunk).or_default();
             chunk.busy = false;
             match &reply {
-                StateReply::Committed { revision } => {
+                StoreResponse::Committed { revision } => {
                     chunk.revision = *revision;
                     // What came in meanwhile is still to be written.
                     let queued = |u| h.to_flush.contains(&(u, item.job.clone(), item.chunk));
@@ -150,7 +150,7 @@
                         ready.insert(machine);
                     }
                 }
-                StateReply::Conflict { failed } => {
+                StoreResponse::Conflict { failed } => {
                     let own = failed.contains(&Key::Run(item.job.clone(), item.chunk));
                     let job = failed.contains(&Key::Job(item.job.clone()));
                     if own {
@@ -181,32 +181,34 @@
     /// Reads a chunk whose revision isn't the expected one: an earlier commit whose
     /// answer was lost stands after all.
     fn reread(&mut self, job: JobId, chunk: u32) {
-        let op = StateOp::Get(Key::Run(job.clone(), chunk));
-        let purpose = Purpose::Reread(job, chunk);
-        if let Err(Purpose::Reread(job, chunk)) = self.state_call(op, purpose, Priority::First) {
+        let op = StoreRequest::Get(Key::Run(job.clone(), chunk));
+        let purpose = RequestPurpose::RereadPlacements(job, chunk);
+        if let Err(RequestPurpose::RereadPlacements(job, chunk)) =
+            self.send_store_request(op, purpose, Priority::First)
+        {
             self.reread_later(&job, chunk);
         }
     }
 
     fn reread_later(&mut self, job: &JobId, chunk: u32) {
         // The chunk is written again, fails again, and is read then.
-        if let Some(h) = &mut self.holder {
+        if let Some(h) = &mut self.owner {
             h.write_again(job, chunk);
         }
     }
 
-    pub(crate) fn on_reread(&mut self, job: JobId, chunk: u32, reply: StateReply) {
+    pub(crate) fn on_reread(&mut self, job: JobId, chunk: u32, reply: StoreResponse) {
         let (revision, run) = match reply {
-            StateReply::Found {
+            StoreResponse::Found {
                 record: Record::Run(run),
                 revision,
             } => (revision, run),
-            StateReply::Missing { .. } => (0, RunRec::default()),
+            StoreResponse::Missing { .. } => (0, PlacementRecord::default()),
             _ => return self.reread_later(&job, chunk),
         };
         let now = self.now;
         let mut ready = Vec::new();
-        if let Some(h) = &mut self.holder {
+        if let Some(h) = &mut self.owner {
             if let Some(live) = h.jobs.get_mut(&job) {
                 let entry = live.chunks.entry(chunk).or_default();
                 entry.revision = revision;
@@ -239,9 +241,9 @@
     machines
 }
 
-impl Holder {
+impl ShardOwner {
     /// The present content of a chunk's record.
-    fn run_rec(&self, job: &JobId, live: &JobState, chunk: u32) -> RunRec {
+    fn run_rec(&self, job: &JobId, live: &JobState, chunk: u32) -> PlacementRecord {
         let tasks = live.layout.tasks_of(chunk);
         let (failed_tries, failed_on) = self.failures.of_job(job);
         let done = tasks.clone().filter(|index| live.done[*index as usize]);
@@ -250,7 +252,7 @@
             let zone = p.zone.to_string();
             (*index, p.attempt, p.machine.clone(), zone)
         });
-        RunRec {
+        PlacementRecord {
             done: ranges(done),
             placed: placed.collect(),
             failed_tries,
@@ -273,7 +275,7 @@
     /// Queues the record of a placement that was just made.
     pub(crate) fn write_placement(&mut self, job: &JobId, index: u32) {
         if let Some(live) = self.jobs.get(job) {
-            let urgency = WriteUrgency::placements(live.rec.rank);
+            let urgency = WriteUrgency::placements(live.record.priority_class);
             let chunk = live.layout.chunk_of(index);
             self.to_flush.insert((urgency, job.clone(), chunk));
         }
@@ -286,7 +288,7 @@
             return;
         };
         info!("job {job}: its records are too large to be written again, and are cut into parts");
-        live.layout = ChunkLayout::new(&live.rec, Some(chunk_size(value_bytes)));
+        live.layout = ChunkLayout::new(&live.record, Some(chunk_size(value_bytes)));
         let unwritten = live.chunks.iter().filter(|(_, c)| c.unwritten);
         let mut chunks: BTreeSet<u32> = unwritten.map(|(chunk, _)| *chunk).collect();
         let queued = self.to_flush.iter().filter(|(_, id, _)| id == job);
@@ -318,7 +320,7 @@
     }
 
     /// The job changed under a commit, so its placements were never made.
-    fn drop_uncommitted(&mut self, now: Time, item: &FlushItem) {
+    fn drop_uncommitted(&mut self, now: Time, item: &PlacementWrite) {
         for (index, attempt) in &item.placed {
             let same = |p: &Placement| p.attempt == *attempt && p.phase == Phase::Committing;
             let live = self.jobs.get(&item.job);
@@ -334,14 +336,14 @@
 }
 
 /// Queues what is to be written of a chunk: itself or, if its job was cut into parts, these.
-fn queue_chunk(queue: &mut FlushQueue, job: &JobId, live: &JobState, chunk: u32) {
+fn queue_chunk(queue: &mut WriteQueue, job: &JobId, live: &JobState, chunk: u32) {
     for chunk in live.layout.chunks_for(chunk) {
         queue.insert((live.write_urgency(chunk), job.clone(), chunk));
     }
 }
 
 /// What a transaction of chunks may hold.
-struct FlushLimits {
+struct TransactionLimits {
     ops: usize,
     /// Bytes that a value may have now, as far as is known.
     value_bytes: usize,
@@ -349,15 +351,15 @@
     strict_bytes: usize,
 }
 
-impl Core {
-    fn flush_limits(&self) -> FlushLimits {
+impl Controller {
+    fn flush_limits(&self) -> TransactionLimits {
         let strict = self.settings.state_limits();
         let value_bytes = if self.values_shrunk {
             strict.value_bytes
         } else {
             self.settings.platform.facts.state.value_bytes_now()
         };
-        FlushLimits {
+        TransactionLimits {
             ops: strict.txn_ops,
             value_bytes,
             strict_bytes: strict.value_bytes,
@@ -368,12 +370,12 @@
 /// Builds the next transaction of chunks of one priority: urgent ones don't wait until there
 /// is budget for batch work as well.
 fn next_flush(
-    h: &mut Holder,
-    limits: &FlushLimits,
+    h: &mut ShardOwner,
+    limits: &TransactionLimits,
     priority: Priority,
-) -> Option<(StateOp, Vec<FlushItem>)> {
+) -> Option<(StoreRequest, Vec<PlacementWrite>)> {
     let ops = limits.ops;
-    let mut when = vec![(Key::Block(h.block), h.block_revision)];
+    let mut preconditions = vec![(Key::Shard(h.shard), h.shard_revision)];
     let (mut writes, mut items, mut bytes) = (Vec::new(), Vec::new(), 0);
     let same = |(urgency, ..): &&(WriteUrgency, JobId, u32)| urgency.priority() == priority;
     let candidates = h.to_flush.iter().take_while(same).take(4 * ops);
@@ -396,19 +398,22 @@
             continue;
         }
         let revision = live.chunks.get(chunk).map_or(0, |c| c.revision);
-        let rec = h.run_rec(job, live, *chunk);
+        let record = h.run_rec(job, live, *chunk);
         // Only chunks of jobs accepted under larger limits can have outgrown the present one.
         let old = live.layout.tasks_of(*chunk).len() > chunk_size(limits.strict_bytes) as usize;
-        if old && json_bytes(&rec) > limits.value_bytes {
+        if old && json_bytes(&record) > limits.value_bytes {
             h.cut_into_parts(job, limits.strict_bytes);
             continue;
         }
-        bytes += 60 * rec.placed.len() + 12 * rec.done.len();
-        when.push((Key::Job(job.clone()), live.revision));
-        when.push((Key::Run(job.clone(), *chunk), revision));
-        let placed = rec.placed.iter().map(|p| (p.0, p.1)).collect();
-        writes.push(Write::put(Key::Run(job.clone(), *chunk), Record::Run(rec)));
-        items.push(FlushItem {
+        bytes += 60 * record.placed.len() + 12 * record.done.len();
+        preconditions.push((Key::Job(job.clone()), live.revision));
+        preconditions.push((Key::Run(job.clone(), *chunk), revision));
+        let placed = record.placed.iter().map(|p| (p.0, p.1)).collect();
+        writes.push(Write::put(
+            Key::Run(job.clone(), *chunk),
+            Record::Run(record),
+        ));
+        items.push(PlacementWrite {
             job: job.clone(),
             chunk: *chunk,
             placed,
@@ -422,7 +427,13 @@
         }
     }
     // A job with several chunks in the transaction is compared once.
-    when.sort();
-    when.dedup();
-    (!writes.is_empty()).then_some((StateOp::Commit { when, writes }, items))
+    preconditions.sort();
+    preconditions.dedup();
+    (!writes.is_empty()).then_some((
+        StoreRequest::Transaction {
+            preconditions,
+            writes,
+        },
+        items,
+    ))
 }
--- a/src/controller/shard/completion.rs
+++ b/src/controller/shard/completion.rs
@@ -3,12 +3,12 @@
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::shard::commits::rank_priority;
 use crate::controller::store::records::{Ending, Key, Record};
-use crate::controller::{Core, Purpose};
+use crate::controller::{Controller, RequestPurpose};
 use crate::ids::JobId;
-use crate::wire::{StateOp, StateReply, Write};
+use crate::wire::{StoreRequest, StoreResponse, Write};
 use log::warn;
 
-impl Core {
+impl Controller {
     /// Writes the ends of jobs: first of cancelled ones, for which users wait, while the budget
     /// lasts.
     pub(crate) fn pump_endings(&mut self) {
@@ -22,7 +22,7 @@
 
     /// Jobs whose end can be committed now.
     fn ready_to_end(&self) -> Vec<JobId> {
-        let Some(h) = &self.holder else {
+        let Some(h) = &self.owner else {
             return Vec::new();
         };
         let (mut cancelled, mut done) = (Vec::new(), Vec::new());
@@ -34,8 +34,8 @@
             // The user of a cancelled job is told with its end. By then no task of it is left, and
             // no job is open that needs it: none can be called queued when that isn't true any
             // more, whatever fails from then on.
-            let settled = live.placed.is_empty() && !self.cache.is_needed(id);
-            match live.withdrawn {
+            let settled = live.placed.is_empty() && !self.mirror.is_needed(id);
+            match live.cancelled {
                 Some(_) if settled => cancelled.push(id.clone()),
                 Some(_) => {}
                 None => done.push(id.clone()),
@@ -49,35 +49,38 @@
     /// transaction go later. False if there is no budget for it.
     fn commit_end(&mut self, id: &JobId) -> bool {
         let ops = self.settings.state_limits().txn_ops;
-        let Some(h) = &mut self.holder else {
+        let Some(h) = &mut self.owner else {
             return false;
         };
         let Some(live) = h.jobs.get_mut(id) else {
             return true;
         };
         let (job, end) = (Key::Job(id.clone()), Key::End(id.clone()));
-        let when = vec![
-            (Key::Block(h.block), h.block_revision),
+        let preconditions = vec![
+            (Key::Shard(h.shard), h.shard_revision),
             (job.clone(), live.revision),
             (end.clone(), 0),
         ];
-        let (ending, priority) = match live.withdrawn {
-            None => (Ending::Done, rank_priority(live.rec.rank)),
-            Some(_) => (Ending::Withdrawn, Priority::First),
+        let (ending, priority) = match live.cancelled {
+            None => (Ending::Done, rank_priority(live.record.priority_class)),
+            Some(_) => (Ending::Cancelled, Priority::First),
         };
         let mut writes = vec![
             Write::put(end, Record::End(ending)),
             Write::Delete { key: job },
         ];
         let written = live.chunks.iter().filter(|(_, c)| c.revision > 0);
-        let room = ops - writes.len();
-        writes.extend(written.take(room).map(|(chunk, _)| Write::Delete {
+        let resources = ops - writes.len();
+        writes.extend(written.take(resources).map(|(chunk, _)| Write::Delete {
             key: Key::Run(id.clone(), *chunk),
         }));
-        let op = StateOp::Commit { when, writes };
-        let purpose = Purpose::Finish(id.clone());
-        let sent = self.state_call(op, purpose, priority).is_ok();
-        if let Some(live) = self.holder.as_mut().and_then(|h| h.jobs.get_mut(id)) {
+        let op = StoreRequest::Transaction {
+            preconditions,
+            writes,
+        };
+        let purpose = RequestPurpose::WriteEnd(id.clone());
+        let sent = self.send_store_request(op, purpose, priority).is_ok();
+        if let Some(live) = self.owner.as_mut().and_then(|h| h.jobs.get_mut(id)) {
             live.finishing = sent;
         }
         sent
@@ -86,7 +89,7 @@
     /// Deletes chunks of jobs that are over.
     fn pump_cleanup(&mut self) {
         let ops = self.settings.state_limits().txn_ops;
-        let Some(h) = &mut self.holder else {
+        let Some(h) = &mut self.owner else {
             return;
         };
         if h.cleaning || h.leftover_chunks.is_empty() {
@@ -97,37 +100,37 @@
         let writes = list.iter().map(|(job, chunk)| Write::Delete {
             key: Key::Run(job.clone(), *chunk),
         });
-        let op = StateOp::Commit {
-            when: vec![(Key::Block(h.block), h.block_revision)],
+        let op = StoreRequest::Transaction {
+            preconditions: vec![(Key::Shard(h.shard), h.shard_revision)],
             writes: writes.collect(),
         };
         h.cleaning = true;
-        if let Err(Purpose::Cleanup(list)) =
-            self.state_call(op, Purpose::Cleanup(list), Priority::Last)
+        if let Err(RequestPurpose::DeletePlacements(list)) =
+            self.send_store_request(op, RequestPurpose::DeletePlacements(list), Priority::Last)
         {
-            self.on_cleaned(list, StateReply::Refused);
+            self.on_cleaned(list, StoreResponse::Refused);
         }
     }
 
-    pub(crate) fn on_cleaned(&mut self, list: Vec<(JobId, u32)>, reply: StateReply) {
-        if let Some(h) = &mut self.holder {
+    pub(crate) fn on_cleaned(&mut self, list: Vec<(JobId, u32)>, reply: StoreResponse) {
+        if let Some(h) = &mut self.owner {
             h.cleaning = false;
-            if !matches!(reply, StateReply::Committed { .. }) {
+            if !matches!(reply, StoreResponse::Committed { .. }) {
                 h.leftover_chunks.extend(list);
             }
         }
     }
 
-    pub(crate) fn on_finished(&mut self, id: JobId, reply: StateReply) {
-        let Some(live) = self.holder.as_mut().and_then(|h| h.jobs.get_mut(&id)) else {
+    pub(crate) fn on_finished(&mut self, id: JobId, reply: StoreResponse) {
+        let Some(live) = self.owner.as_mut().and_then(|h| h.jobs.get_mut(&id)) else {
             return;
         };
         live.finishing = false;
         // The follow brings the end; a conflict means that a withdrawal came first,
         // and anything else is tried again.
-        if let StateReply::Committed { .. } = reply {
+        if let StoreResponse::Committed { .. } = reply {
             live.finishing = true;
-        } else if let StateReply::Conflict { failed } = reply {
+        } else if let StoreResponse::Conflict { failed } = reply {
             warn!("job {id} didn't end: {} changed", failed.len());
         }
     }
--- a/src/controller/shard/image_demand.rs
+++ b/src/controller/shard/image_demand.rs
@@ -1,7 +1,7 @@
 //! Which images services ask for, and how often.
 
-use crate::controller::shard::{Holder, faded};
-use crate::controller::store::records::{Form, JobRec, Room};
+use crate::controller::shard::{ShardOwner, faded};
+use crate::controller::store::records::{JobKind, JobRecord, Resources};
 use crate::ids::Time;
 
 /// What is known of an image that services use.
@@ -10,7 +10,7 @@
     pub(crate) class: String,
     pub(crate) gb: f64,
     /// What a task of the job that used it last takes.
-    pub(crate) need: Room,
+    pub(crate) need: Resources,
     /// Jobs that came with it, older ones counting less, and when that was reckoned.
     uses: f64,
     at: Time,
@@ -28,21 +28,21 @@
     }
 }
 
-impl Holder {
+impl ShardOwner {
     /// Takes note of the image that a service comes with.
-    pub(crate) fn note_image(&mut self, now: Time, rec: &JobRec) {
-        if rec.form != Form::Service {
+    pub(crate) fn note_image(&mut self, now: Time, record: &JobRecord) {
+        if record.kind != JobKind::Service {
             return;
         }
-        let known = self.images.get(&rec.image);
+        let known = self.images.get(&record.image);
         let demand = ImageDemand {
-            class: rec.class.clone(),
-            gb: rec.image_gb,
-            need: rec.need,
+            class: record.class.clone(),
+            gb: record.image_gb,
+            need: record.need,
             uses: 1.0 + known.map_or(0.0, |w| w.asked(now)),
             at: now,
         };
-        self.images.insert(rec.image.clone(), demand);
+        self.images.insert(record.image.clone(), demand);
         if self.images.len() > IMAGES_MAX {
             let all = self.images.iter();
             let least = all.min_by(|a, b| a.1.asked(now).total_cmp(&b.1.asked(now)));
--- a/src/controller/shard/job.rs
+++ b/src/controller/shard/job.rs
@@ -2,8 +2,8 @@
 
 use crate::controller::shard::commits::WriteUrgency;
 use crate::controller::store::chunks::ChunkLayout;
-use crate::controller::store::mirror::CachedJob;
-use crate::controller::store::records::{JobRec, Rank};
+use crate::controller::store::mirror::MirroredJob;
+use crate::controller::store::records::{JobRecord, PriorityClass};
 use crate::ids::{Attempt, MachineId, Time};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -42,16 +42,16 @@
 /// A job of the block.
 #[derive(Debug)]
 pub struct JobState {
-    pub rec: Rc<JobRec>,
-    /// The rank that it was submitted with; `rec` may have a higher one, of a job that needs it.
-    pub own_rank: Rank,
+    pub record: Rc<JobRecord>,
+    /// The rank that it was submitted with; `record` may have a higher one, of a job that needs it.
+    pub own_rank: PriorityClass,
     /// In which records its tasks are.
     pub layout: ChunkLayout,
     pub revision: u64,
     /// Order of arrival: the revision of its acceptance.
     pub arrival: u64,
     pub since: Time,
-    pub withdrawn: Option<Time>,
+    pub cancelled: Option<Time>,
     /// Whether all jobs that it needs are known to be done. Until then nothing of it starts.
     pub released: bool,
     pub done: Vec<bool>,
@@ -78,17 +78,17 @@
 }
 
 impl JobState {
-    pub(crate) fn new(job: &CachedJob, layout: ChunkLayout, now: Time) -> Self {
+    pub(crate) fn new(job: &MirroredJob, layout: ChunkLayout, now: Time) -> Self {
         Self {
-            rec: job.rec.clone(),
-            own_rank: job.rec.rank,
+            record: job.record.clone(),
+            own_rank: job.record.priority_class,
             layout,
             revision: job.revision,
             arrival: job.revision,
             since: now,
-            withdrawn: job.withdrawn,
+            cancelled: job.cancelled,
             released: false,
-            done: vec![false; job.rec.count as usize],
+            done: vec![false; job.record.count as usize],
             done_count: 0,
             placed: BTreeMap::new(),
             queue_from: 0,
@@ -102,16 +102,19 @@
 
     /// Gives the job another rank than its own: the highest of those that need it. Whatever goes
     /// by rank goes by this one.
-    pub(crate) fn set_rank(&mut self, rank: Rank) {
-        if rank != self.rec.rank {
-            let rec = JobRec::clone(&self.rec);
-            self.rec = Rc::new(JobRec { rank, ..rec });
+    pub(crate) fn set_rank(&mut self, priority_class: PriorityClass) {
+        if priority_class != self.record.priority_class {
+            let record = JobRecord::clone(&self.record);
+            self.record = Rc::new(JobRecord {
+                priority_class,
+                ..record
+            });
         }
     }
 
     /// Whether its rank is that of a job that needs it.
     pub(crate) fn rank_inherited(&self) -> bool {
-        self.rec.rank > self.own_rank
+        self.record.priority_class > self.own_rank
     }
 
     pub(crate) fn is_queued(&self, index: u32) -> bool {
@@ -121,7 +124,7 @@
     /// Takes over which tasks are finished.
     pub(crate) fn restore_done(&mut self, ranges: &[(u32, u32)]) {
         for (from, to) in ranges {
-            for index in *from..(*to).min(self.rec.count) {
+            for index in *from..(*to).min(self.record.count) {
                 if !std::mem::replace(&mut self.done[index as usize], true) {
                     self.done_count += 1;
                 }
@@ -133,7 +136,7 @@
     pub(crate) fn write_urgency(&self, chunk: u32) -> WriteUrgency {
         let mut placed = self.placed.range(self.layout.tasks_of(chunk));
         if placed.any(|(_, p)| p.phase == Phase::Committing) {
-            WriteUrgency::placements(self.rec.rank)
+            WriteUrgency::placements(self.record.priority_class)
         } else {
             WriteUrgency::Results
         }
@@ -146,17 +149,17 @@
 
     /// How many tasks wait for a machine: none while the job waits for others.
     pub(crate) fn queued(&self) -> u32 {
-        if self.withdrawn.is_some() || !self.released {
+        if self.cancelled.is_some() || !self.released {
             return 0;
         }
-        (self.rec.count - self.done_count).saturating_sub(self.placed.len() as u32)
+        (self.record.count - self.done_count).saturating_sub(self.placed.len() as u32)
     }
 
     /// The first queued task from `queue_from` on; moves that index along.
     pub(crate) fn next_queued(&mut self) -> Option<u32> {
-        while self.queue_from < self.rec.count && !self.is_queued(self.queue_from) {
+        while self.queue_from < self.record.count && !self.is_queued(self.queue_from) {
             self.queue_from += 1;
         }
-        (self.queue_from < self.rec.count).then_some(self.queue_from)
+        (self.queue_from < self.record.count).then_some(self.queue_from)
     }
 }
--- a/src/controller/shard/mod.rs
+++ b/src/controller/shard/mod.rs
@@ -14,17 +14,19 @@
 use crate::controller::HEARD_S;
 use crate::controller::autoscaling::Pool;
 use crate::controller::machines::failures::FailureLog;
-use crate::controller::machines::inventory::{Fleet, Machine};
+use crate::controller::machines::inventory::{Inventory, Machine};
 use crate::controller::shard::burst_estimate::BurstEstimate;
-use crate::controller::shard::commits::FlushQueue;
+use crate::controller::shard::commits::WriteQueue;
 use crate::controller::shard::commits::WriteUrgency;
 use crate::controller::shard::image_demand::ImageDemand;
 use crate::controller::shard::job::JobState;
 use crate::controller::shard::job::Phase;
 use crate::controller::shard::job::Placement;
-use crate::controller::store::records::{BlockRec, Rank, Room};
-use crate::ids::{Attempt, Image, JobId, MachineId, Member, Number, ReqId, TaskId, Time};
-use crate::wire::ClassInfo;
+use crate::controller::store::records::{PriorityClass, Resources, ShardRecord};
+use crate::ids::{
+    Attempt, ControllerId, FencingToken, Image, JobId, MachineId, RequestId, TaskId, Time,
+};
+use crate::wire::MachineType;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
@@ -34,10 +36,10 @@
 }
 
 /// One holding of a block: all that its holder knows and decides.
-pub struct Holder {
-    pub block: u32,
-    pub number: Number,
-    pub block_revision: u64,
+pub struct ShardOwner {
+    pub shard: u32,
+    pub number: FencingToken,
+    pub shard_revision: u64,
     pub since: Time,
     /// Whether it is the only block, with every machine there is in it.
     pub whole: bool,
@@ -46,15 +48,15 @@
     /// When there last was one.
     pub(crate) zones_cut_at: Option<Time>,
     /// When each controller was last found to hear no worker, or not to be heard.
-    pub(crate) mute_at: BTreeMap<Option<Member>, Time>,
+    pub(crate) mute_at: BTreeMap<Option<ControllerId>, Time>,
     /// What teams with a limit may use here; `None` for their whole limit.
     pub(crate) allowances: Option<BTreeMap<String, (f64, f64)>>,
     /// Whether the limits are shared with other cells.
     pub(crate) shares_limits: bool,
     pub(crate) count: u64,
     pub jobs: BTreeMap<JobId, JobState>,
-    pub machines: Fleet,
-    pub(crate) teams: HashMap<String, Room>,
+    pub machines: Inventory,
+    pub(crate) teams: HashMap<String, Resources>,
     /// How services' demand for each pool comes.
     pub(crate) bursts: BTreeMap<Pool, BurstEstimate>,
     /// What failed, and whom it speaks against.
@@ -69,7 +71,7 @@
     pub(crate) place_at: Time,
     pub(crate) pack_at: Time,
     /// Chunks to write, by urgency.
-    pub(crate) to_flush: FlushQueue,
+    pub(crate) to_flush: WriteQueue,
     pub(crate) flushing: usize,
     /// Jobs whose last record is to be written: all done, or withdrawn and gone.
     pub(crate) to_finish: BTreeSet<JobId>,
@@ -85,12 +87,12 @@
     pub(crate) cut_at: Time,
 }
 
-impl Holder {
-    pub fn new(block: u32, number: Number, now: Time, shares_limits: bool) -> Self {
+impl ShardOwner {
+    pub fn new(shard: u32, number: FencingToken, now: Time, shares_limits: bool) -> Self {
         Self {
-            block,
+            shard,
             number,
-            block_revision: 0,
+            shard_revision: 0,
             since: now,
             whole: true,
             cut_zones: BTreeSet::new(),
@@ -100,7 +102,7 @@
             shares_limits,
             count: 0,
             jobs: BTreeMap::new(),
-            machines: Fleet::default(),
+            machines: Inventory::default(),
             teams: HashMap::new(),
             bursts: BTreeMap::new(),
             failures: FailureLog::default(),
@@ -127,22 +129,28 @@
         self.releases.first().map(|(t, _)| *t)
     }
 
-    pub(crate) fn held_requests(&self) -> Vec<ReqId> {
+    pub(crate) fn held_requests(&self) -> Vec<RequestId> {
         let held = self.machines.values().filter_map(|m| m.held);
-        held.map(|(req, _)| req).collect()
+        held.map(|(request_id, _)| request_id).collect()
     }
 
     /// Takes over what the block's record says besides who holds it.
-    pub(crate) fn sync(&mut self, now: Time, revision: u64, rec: &BlockRec, catalog: &[ClassInfo]) {
-        self.block_revision = revision;
-        self.whole = rec.machines.is_none();
-        self.allowances = rec.allowances.clone();
+    pub(crate) fn sync(
+        &mut self,
+        now: Time,
+        revision: u64,
+        record: &ShardRecord,
+        catalog: &[MachineType],
+    ) {
+        self.shard_revision = revision;
+        self.whole = record.machines.is_none();
+        self.allowances = record.allowances.clone();
         if self.shares_limits {
             // Until the block's record says what it may use, it may use nothing.
             self.allowances.get_or_insert_default();
         }
         self.place_wanted = true;
-        let Some(list) = &rec.machines else {
+        let Some(list) = &record.machines else {
             return;
         };
         for (id, class_name, zone, spot) in list {
@@ -153,13 +161,13 @@
         }
     }
 
-    pub(crate) fn forget_request(&mut self, req: ReqId) {
+    pub(crate) fn forget_request(&mut self, request_id: RequestId) {
         let held = self
             .releases
             .iter()
             .find(|(_, id)| {
                 let m = self.machines.get(id);
-                m.and_then(|m| m.held).is_some_and(|(r, _)| r == req)
+                m.and_then(|m| m.held).is_some_and(|(r, _)| r == request_id)
             })
             .cloned();
         if let Some(entry) = held {
@@ -188,13 +196,13 @@
             job: job.clone(),
             index,
         };
-        let rec = &live.rec;
+        let record = &live.record;
         self.machines
-            .edit(&placement.machine, |m| m.seat(task, rec));
+            .edit(&placement.machine, |m| m.seat(task, record));
         self.teams
-            .entry(rec.team.clone())
+            .entry(record.team.clone())
             .or_default()
-            .add(rec.need, 1.0);
+            .add(record.need, 1.0);
         live.placed.insert(index, placement);
     }
 
@@ -205,16 +213,20 @@
     }
 
     /// Gives a job another rank, also where its tasks are.
-    pub(crate) fn change_rank(&mut self, job: &JobId, rank: Rank) {
-        let Some(live) = self.jobs.get_mut(job).filter(|l| l.rec.rank != rank) else {
+    pub(crate) fn change_rank(&mut self, job: &JobId, priority_class: PriorityClass) {
+        let Some(live) = self
+            .jobs
+            .get_mut(job)
+            .filter(|l| l.record.priority_class != priority_class)
+        else {
             return;
         };
-        live.set_rank(rank);
+        live.set_rank(priority_class);
         for (index, placement) in &live.placed {
             let (job, index) = (job.clone(), *index);
             let task = TaskId { job, index };
             self.machines
-                .edit(&placement.machine, |m| m.reseat(&task, &live.rec));
+                .edit(&placement.machine, |m| m.reseat(&task, &live.record));
         }
         self.place_wanted = true;
     }
@@ -244,13 +256,13 @@
         let Some(p) = live.placed.remove(&task.index) else {
             return;
         };
-        let need = live.rec.need;
-        if let Some(used) = self.teams.get_mut(&live.rec.team) {
+        let need = live.record.need;
+        if let Some(used) = self.teams.get_mut(&live.record.team) {
             used.add(need, -1.0);
         }
         self.machines.edit(&p.machine, |m| m.unseat(now, task));
         let done = live.done.get(task.index as usize).copied().unwrap_or(true);
-        if live.withdrawn.is_some() {
+        if live.cancelled.is_some() {
             if live.placed.is_empty() {
                 self.to_finish.insert(task.job.clone());
             }
@@ -273,8 +285,8 @@
         live.done_count += 1;
         let chunk = live.layout.chunk_of(task.index);
         live.chunks.entry(chunk).or_default().unwritten = true;
-        let all = live.done_count == live.rec.count;
-        if all && live.withdrawn.is_none() {
+        let all = live.done_count == live.record.count;
+        if all && live.cancelled.is_none() {
             self.to_finish.insert(task.job.clone());
         } else {
             self.to_flush
@@ -285,14 +297,14 @@
 
     /// Recounts what teams use and which tasks machines have, and checks the indexes.
     pub(crate) fn audit(&self) -> Result<(), String> {
-        let (mut seats, mut teams) = (0, HashMap::<&str, Room>::new());
+        let (mut seats, mut teams) = (0, HashMap::<&str, Resources>::new());
         for (job, live) in &self.jobs {
             for (index, p) in &live.placed {
                 let (job, index) = (job.clone(), *index);
                 teams
-                    .entry(&live.rec.team)
+                    .entry(&live.record.team)
                     .or_default()
-                    .add(live.rec.need, 1.0);
+                    .add(live.record.need, 1.0);
                 if let Some(m) = self.machines.get(&p.machine) {
                     seats += 1;
                     let task = TaskId { job, index };
--- a/src/controller/shards/leases.rs
+++ b/src/controller/shards/leases.rs
@@ -4,18 +4,18 @@
 //! leader itself. Cutting a fleet cuts packing, limits and caches as well, so there
 //! are more blocks only once each has enough machines.
 
-use crate::controller::autoscaling::plan::Scale;
+use crate::controller::autoscaling::plan::ScalingState;
 use crate::controller::events::Output;
 use crate::controller::quota::team_limits::LimitsWanted;
 use crate::controller::rate_limits::token_bucket::Priority;
-use crate::controller::shard::Holder;
+use crate::controller::shard::ShardOwner;
 use crate::controller::store::records::{
-    BlockRec, Entry, Key, LimitsByTeam, NumberRec, Record, json_bytes,
+    Entry, FencingTokenRecord, Key, LimitsByTeam, Record, ShardRecord, json_bytes,
 };
-use crate::controller::{Core, Purpose};
-use crate::ids::{JobId, MachineId, Member, Number, Time};
-use crate::peer::{BlockCounts, Message, TeamCount};
-use crate::wire::{Report, StateOp, StateReply, Write};
+use crate::controller::{Controller, RequestPurpose};
+use crate::ids::{ControllerId, FencingToken, JobId, MachineId, Time};
+use crate::peer::{Message, ShardCounts, TeamCount};
+use crate::wire::{StoreRequest, StoreResponse, WorkerHeartbeat, Write};
 use log::{info, warn};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -41,10 +41,10 @@
 
 /// What a leader knows besides what it holds itself.
 #[derive(Debug, Default)]
-pub(crate) struct Lead {
-    pub(crate) scale: Scale,
+pub(crate) struct Leadership {
+    pub(crate) scale: ScalingState,
     /// The latest counts of each block, and when they came.
-    pub(crate) block_counts: BTreeMap<u32, (BlockCounts, Time)>,
+    pub(crate) shard_counts: BTreeMap<u32, (ShardCounts, Time)>,
     /// Machines that each block lacks, by type and kind.
     pub(crate) needs: BTreeMap<(String, bool, u32), u32>,
     /// Machines that belong to no block yet.
@@ -52,66 +52,67 @@
     /// Machines that holders deleted, and when that was heard: lists show them still.
     gone: BTreeMap<MachineId, Time>,
     /// Since when more blocks are needed than there are.
-    short_of_blocks: Option<Time>,
+    short_of_shards_since: Option<Time>,
     /// A change of leases is being committed.
     busy: bool,
     /// There are machines that no block's record has room for.
     crowded: bool,
     since: Time,
     /// This leadership's own number: no other one has it.
-    pub(crate) number: Number,
+    pub(crate) number: FencingToken,
     /// From when it may rent and delete: before, a leader that it replaced might.
     pub(crate) cloud_from: Time,
 }
 
-impl Core {
+impl Controller {
     /// The blocks that a new leader takes for itself: the only one, and those whose
     /// holders aren't heard of.
-    pub(crate) fn blocks_to_take(&self) -> Vec<u32> {
-        let recs = self.cache.blocks.iter();
-        let recs: Vec<(u32, &BlockRec)> = recs
-            .filter_map(|(k, b)| Some((*k, b.rec.as_ref()?)))
+    pub(crate) fn shards_to_take(&self) -> Vec<u32> {
+        let records = self.mirror.shards.iter();
+        let records: Vec<(u32, &ShardRecord)> = records
+            .filter_map(|(k, b)| Some((*k, b.record.as_ref()?)))
             .collect();
-        if recs.len() <= 1 {
+        if records.len() <= 1 {
             return vec![0];
         }
-        let lost = recs
+        let lost = records
             .iter()
-            .filter(|(_, b)| !self.process_lives(&b.holder, b.boot));
+            .filter(|(_, b)| !self.process_lives(&b.owner, b.incarnation));
         lost.map(|(k, _)| *k).collect()
     }
 
     /// Whether a process, this one or a sibling's, was heard of lately.
-    fn process_lives(&self, member: &Member, boot: u64) -> bool {
-        if *member == self.settings.platform.member {
-            return boot == self.boot;
+    fn process_lives(&self, controller_id: &ControllerId, incarnation: u64) -> bool {
+        if *controller_id == self.settings.platform.controller_id {
+            return incarnation == self.incarnation;
         }
-        self.lately().any(|h| h.from == *member && h.boot == boot)
+        self.lately()
+            .any(|h| h.from == *controller_id && h.incarnation == incarnation)
     }
 
     /// A block's record with this process as its holder, and the revision it replaces.
-    pub(crate) fn lease_to_me(&self, block: u32, number: Number) -> (u64, BlockRec) {
-        let slot = self.cache.blocks.get(&block).cloned().unwrap_or_default();
+    pub(crate) fn lease_to_self(&self, shard: u32, number: FencingToken) -> (u64, ShardRecord) {
+        let slot = self.mirror.shards.get(&shard).cloned().unwrap_or_default();
         let version = slot.version();
-        let old = slot.rec;
-        let rec = BlockRec {
-            holder: self.settings.platform.member.clone(),
-            boot: self.boot,
+        let old = slot.record;
+        let record = ShardRecord {
+            owner: self.settings.platform.controller_id.clone(),
+            incarnation: self.incarnation,
             number,
             machines: old.as_ref().and_then(|b| b.machines.clone()),
             allowances: old.and_then(|b| b.allowances),
         };
-        (version, rec)
+        (version, record)
     }
 
-    pub(crate) fn start_leading(&mut self) {
-        let rec = self.cache.leader.rec.as_ref();
-        let number = rec.map_or(Number(0), |l| l.number);
-        self.lead = Some(Lead {
+    pub(crate) fn become_leader(&mut self) {
+        let record = self.mirror.leader.record.as_ref();
+        let number = record.map_or(FencingToken(0), |l| l.number);
+        self.leadership = Some(Leadership {
             since: self.now,
             number,
             cloud_from: self.cloud_from(number),
-            ..Lead::default()
+            ..Leadership::default()
         });
         self.share_budgets();
         self.rebuild_scale();
@@ -119,17 +120,22 @@
 
     /// The block that takes a new job: by the job's name, in proportion to the shares
     /// in the plan, so that every node comes to the same block.
-    pub(crate) fn block_for(&self, id: &JobId) -> u32 {
-        let shares = self.cache.plan.rec.as_ref().map(|p| p.shares.as_slice());
+    pub(crate) fn shard_for(&self, id: &JobId) -> u32 {
+        let shares = self
+            .mirror
+            .plan
+            .record
+            .as_ref()
+            .map(|p| p.shares.as_slice());
         let shares = shares.unwrap_or(&[]);
         let total: u64 = shares.iter().map(|(_, n)| u64::from(*n)).sum();
         if total == 0 {
             return 0;
         }
         let mut at = stable_hash(id.as_str()) % total;
-        for (block, n) in shares {
+        for (shard, n) in shares {
             if at < u64::from(*n) {
-                return *block;
+                return *shard;
             }
             at -= u64::from(*n);
         }
@@ -139,24 +145,29 @@
     // ---- counts
 
     /// Tells the leader what the block in hand counts.
-    fn send_block_counts(&mut self) {
-        let Some(block_counts) = self.block_counts() else {
+    fn send_shard_counts(&mut self) {
+        let Some(shard_counts) = self.shard_counts() else {
             return;
         };
-        if self.lead.is_some() {
-            return self.on_block_counts(block_counts);
-        }
-        let leader = self.cache.leader.rec.as_ref().map(|l| l.member.clone());
+        if self.leadership.is_some() {
+            return self.on_shard_counts(shard_counts);
+        }
+        let leader = self
+            .mirror
+            .leader
+            .record
+            .as_ref()
+            .map(|l| l.controller_id.clone());
         if leader.is_some() {
-            let message = Message::BlockCounts(Box::new(block_counts));
+            let message = Message::ShardCounts(Box::new(shard_counts));
             self.out.push(Output::Peer(leader, message));
         }
     }
 
-    fn block_counts(&self) -> Option<BlockCounts> {
-        let h = self.holder.as_ref()?;
+    fn shard_counts(&self) -> Option<ShardCounts> {
+        let h = self.owner.as_ref()?;
         let catalog = &self.catalog;
-        let closed = self.cache.closed();
+        let closed = self.mirror.closed();
         let named = |class: usize| catalog.get(class).map(|c| c.name.clone());
         let pools = h
             .counts(catalog, &self.settings, closed, self.now)
@@ -178,11 +189,11 @@
         empty.sort();
         let empty = empty.into_iter().map(|(_, e)| e).take(NAMES_MAX);
         let zones = zones.into_iter().map(|((c, s, z), n)| (c, s, z, n));
-        Some(BlockCounts {
-            from: self.settings.platform.member.clone(),
-            block: h.block,
+        Some(ShardCounts {
+            from: self.settings.platform.controller_id.clone(),
+            shard: h.shard,
             number: h.number,
-            revision: h.block_revision,
+            revision: h.shard_revision,
             pools: pools.collect(),
             zones: zones.collect(),
             pins: pins.collect(),
@@ -192,27 +203,33 @@
         })
     }
 
-    pub(crate) fn on_block_counts(&mut self, block_counts: BlockCounts) {
+    pub(crate) fn on_shard_counts(&mut self, shard_counts: ShardCounts) {
         let now = self.now;
-        if let Some(lead) = &mut self.lead {
-            lead.gone.retain(|_, at| now.since(*at) < GONE_S);
-            lead.gone
-                .extend(block_counts.gone.iter().map(|id| (id.clone(), now)));
-            lead.block_counts
-                .insert(block_counts.block, (block_counts, now));
+        if let Some(leadership) = &mut self.leadership {
+            leadership.gone.retain(|_, at| now.since(*at) < GONE_S);
+            leadership
+                .gone
+                .extend(shard_counts.gone.iter().map(|id| (id.clone(), now)));
+            leadership
+                .shard_counts
+                .insert(shard_counts.shard, (shard_counts, now));
         }
     }
 
     /// Counts that are believed: of the present holder, and not too old.
-    pub(crate) fn believed(&self) -> Vec<&BlockCounts> {
+    pub(crate) fn believed(&self) -> Vec<&ShardCounts> {
         let stale = self.settings.tuning.tick_s * STALE_TICKS;
-        let Some(lead) = &self.lead else {
+        let Some(leadership) = &self.leadership else {
             return Vec::new();
         };
-        let all = lead.block_counts.values();
+        let all = leadership.shard_counts.values();
         let good = all.filter(|(t, at)| {
-            let rec = self.cache.blocks.get(&t.block).and_then(|b| b.rec.as_ref());
-            rec.is_some_and(|b| b.number == t.number) && self.now.since(*at) < stale
+            let record = self
+                .mirror
+                .shards
+                .get(&t.shard)
+                .and_then(|b| b.record.as_ref());
+            record.is_some_and(|b| b.number == t.number) && self.now.since(*at) < stale
         });
         good.map(|(t, _)| t).collect()
     }
@@ -221,7 +238,7 @@
 
     /// A worker reports that belongs to no block here. The leader sees to it that
     /// it comes to belong to one.
-    pub(crate) fn note_stray(&mut self, id: &MachineId, report: &Report) {
+    pub(crate) fn note_stray(&mut self, id: &MachineId, report: &WorkerHeartbeat) {
         let entry = (
             id.clone(),
             report.class.clone(),
@@ -232,38 +249,38 @@
     }
 
     pub(crate) fn add_stray(&mut self, entry: Entry) {
-        let recs = self.cache.blocks.values();
-        let mut lists = recs.filter_map(|b| b.rec.as_ref());
+        let records = self.mirror.shards.values();
+        let mut lists = records.filter_map(|b| b.record.as_ref());
         let known = lists.any(|b| b.has(&entry.0));
-        if let Some(lead) = self.lead.as_mut().filter(|_| !known)
-            && !lead.gone.contains_key(&entry.0)
+        if let Some(leadership) = self.leadership.as_mut().filter(|_| !known)
+            && !leadership.gone.contains_key(&entry.0)
         {
-            lead.strays.insert(entry.0.clone(), entry);
+            leadership.strays.insert(entry.0.clone(), entry);
         }
     }
 
     pub(crate) fn send_counts(&mut self) {
-        self.each_block(Self::send_block_counts);
+        self.each_shard(Self::send_shard_counts);
     }
 
     /// Commits what has to change about the leases, all at once.
     pub(crate) fn lease_housekeeping(&mut self) {
-        let Some(lead) = &self.lead else {
+        let Some(leadership) = &self.leadership else {
             return;
         };
-        if lead.busy || !self.grant_alive() || self.blind() {
+        if leadership.busy || !self.lease_valid() || self.is_stale() {
             return;
         }
-        let before: BTreeMap<u32, (u64, BlockRec)> = self
-            .cache
-            .blocks
+        let before: BTreeMap<u32, (u64, ShardRecord)> = self
+            .mirror
+            .shards
             .iter()
-            .filter_map(|(k, b)| Some((*k, (b.revision, b.rec.clone()?))))
+            .filter_map(|(k, b)| Some((*k, (b.revision, b.record.clone()?))))
             .collect();
-        let mut after: BTreeMap<u32, BlockRec> =
+        let mut after: BTreeMap<u32, ShardRecord> =
             before.iter().map(|(k, (_, b))| (*k, b.clone())).collect();
-        let mut highest = self.cache.highest();
-        self.replace_holders(&mut after, &mut highest);
+        let mut highest = self.mirror.highest();
+        self.replace_owners(&mut after, &mut highest);
         self.split(&mut after, &mut highest);
         self.assign_machines(&mut after);
         self.share_limits(&mut after);
@@ -272,93 +289,106 @@
 
     fn commit_leases(
         &mut self,
-        before: &BTreeMap<u32, (u64, BlockRec)>,
-        after: BTreeMap<u32, BlockRec>,
-        highest: Number,
+        before: &BTreeMap<u32, (u64, ShardRecord)>,
+        after: BTreeMap<u32, ShardRecord>,
+        highest: FencingToken,
     ) {
-        let mut when = vec![(Key::Leader, self.cache.leader.version())];
+        let mut preconditions = vec![(Key::Leader, self.mirror.leader.version())];
         if self.settings.cells.is_some() {
             // What the blocks may use was taken from this record.
-            when.push((Key::Cell, self.cache.cell.version()));
+            preconditions.push((Key::Cell, self.mirror.cell.version()));
         }
         let (mut writes, mut bytes) = (Vec::new(), 0);
         let most = self.settings.state_limits().txn_ops - 1;
-        for (block, rec) in after {
-            let old = before.get(&block);
+        for (shard, record) in after {
+            let old = before.get(&shard);
             let full = writes.len() >= most || bytes >= COMMIT_BYTES;
-            if old.is_some_and(|(_, b)| *b == rec) || full {
+            if old.is_some_and(|(_, b)| *b == record) || full {
                 continue;
             }
-            bytes += json_bytes(&rec);
-            when.push((Key::Block(block), old.map_or(0, |(revision, _)| *revision)));
-            writes.push(Write::put(Key::Block(block), Record::Block(rec)));
+            bytes += json_bytes(&record);
+            preconditions.push((Key::Shard(shard), old.map_or(0, |(revision, _)| *revision)));
+            writes.push(Write::put(Key::Shard(shard), Record::Shard(record)));
         }
         if writes.is_empty() {
             return;
         }
-        if highest > self.cache.highest() {
-            when.push((Key::Number, self.cache.number.version()));
-            let fence = self.cache.number.rec.as_ref().and_then(|n| n.fence);
-            let rec = NumberRec { highest, fence };
-            writes.push(Write::put(Key::Number, Record::Number(rec)));
+        if highest > self.mirror.highest() {
+            preconditions.push((Key::FencingToken, self.mirror.number.version()));
+            let fence = self.mirror.number.record.as_ref().and_then(|n| n.fence);
+            let record = FencingTokenRecord { highest, fence };
+            writes.push(Write::put(Key::FencingToken, Record::FencingToken(record)));
         }
-        let op = StateOp::Commit { when, writes };
-        if self.state_call(op, Purpose::Lease, Priority::First).is_ok()
-            && let Some(lead) = &mut self.lead
+        let op = StoreRequest::Transaction {
+            preconditions,
+            writes,
+        };
+        if self
+            .send_store_request(op, RequestPurpose::UpdateShards, Priority::First)
+            .is_ok()
+            && let Some(leadership) = &mut self.leadership
         {
-            lead.busy = true;
+            leadership.busy = true;
         }
     }
 
     /// Whatever came of it, the follow shows it, and the next look goes on from there.
-    pub(crate) fn on_leased(&mut self, _reply: StateReply) {
-        if let Some(lead) = &mut self.lead {
-            lead.busy = false;
+    pub(crate) fn on_leased(&mut self, _reply: StoreResponse) {
+        if let Some(leadership) = &mut self.leadership {
+            leadership.busy = false;
         }
     }
 
     /// Blocks whose holder restarted or counts no more go to another controller,
     /// under a higher number.
-    fn replace_holders(&self, recs: &mut BTreeMap<u32, BlockRec>, highest: &mut Number) {
-        let Some(lead) = &self.lead else {
+    fn replace_owners(&self, records: &mut BTreeMap<u32, ShardRecord>, highest: &mut FencingToken) {
+        let Some(leadership) = &self.leadership else {
             return;
         };
-        let patience = self.settings.tuning.block_lease_s * SILENT_SHARE;
-        let mut load: BTreeMap<Member, usize> = BTreeMap::new();
-        for b in recs.values() {
-            *load.entry(b.holder.clone()).or_default() += 1;
+        let patience = self.settings.tuning.shard_lease_s * SILENT_SHARE;
+        let mut load: BTreeMap<ControllerId, usize> = BTreeMap::new();
+        for b in records.values() {
+            *load.entry(b.owner.clone()).or_default() += 1;
         }
-        for (block, rec) in recs.iter_mut() {
-            let told = lead.block_counts.get(block);
+        for (shard, record) in records.iter_mut() {
+            let told = leadership.shard_counts.get(shard);
             let told = told
-                .filter(|(t, _)| t.number == rec.number)
+                .filter(|(t, _)| t.number == record.number)
                 .map(|(_, at)| *at);
-            let quiet = self.now.since(told.unwrap_or(lead.since)) > patience;
-            let spent = self.spent.get(block).is_some_and(|n| rec.number <= *n);
-            let mine = rec.holder == self.settings.platform.member;
-            let restarted = mine && (rec.boot != self.boot || spent) || self.rebooted(rec);
+            let quiet = self.now.since(told.unwrap_or(leadership.since)) > patience;
+            let spent = self.spent.get(shard).is_some_and(|n| record.number <= *n);
+            let mine = record.owner == self.settings.platform.controller_id;
+            let restarted =
+                mine && (record.incarnation != self.incarnation || spent) || self.rebooted(record);
             if !quiet && !restarted {
                 continue;
             }
-            let (member, boot) = self.least_loaded(&load);
-            info!("block {block} goes from {} to {member}", rec.holder);
-            *load.entry(member.clone()).or_default() += 1;
+            let (controller_id, incarnation) = self.least_loaded(&load);
+            info!(
+                "block {shard} goes from {} to {controller_id}",
+                record.owner
+            );
+            *load.entry(controller_id.clone()).or_default() += 1;
             highest.0 += 1;
-            (rec.holder, rec.boot, rec.number) = (member, boot, *highest);
+            (record.owner, record.incarnation, record.number) =
+                (controller_id, incarnation, *highest);
         }
     }
 
     /// Whether a block's holder is heard of, but as another process.
-    fn rebooted(&self, rec: &BlockRec) -> bool {
-        let mut heard = self.lately().filter(|h| h.from == rec.holder);
-        heard.any(|h| h.boot != rec.boot)
+    fn rebooted(&self, record: &ShardRecord) -> bool {
+        let mut heard = self.lately().filter(|h| h.from == record.owner);
+        heard.any(|h| h.incarnation != record.incarnation)
     }
 
     /// The controller that sees the state service and holds the fewest blocks.
-    fn least_loaded(&self, load: &BTreeMap<Member, usize>) -> (Member, u64) {
-        let me = (self.settings.platform.member.clone(), self.boot);
-        let others = self.lately().filter(|h| h.sighted);
-        let others = others.map(|h| (h.from.clone(), h.boot));
+    fn least_loaded(&self, load: &BTreeMap<ControllerId, usize>) -> (ControllerId, u64) {
+        let me = (
+            self.settings.platform.controller_id.clone(),
+            self.incarnation,
+        );
+        let others = self.lately().filter(|h| h.is_fresh);
+        let others = others.map(|h| (h.from.clone(), h.incarnation));
         let all = std::iter::once(me.clone()).chain(others);
         let least = all.min_by_key(|(m, _)| load.get(m).copied().unwrap_or(0));
         least.unwrap_or(me)
@@ -367,52 +397,52 @@
     /// Into how many blocks a fleet is cut. Where it is measured how busy the holder is, that
     /// decides, and only once it has said so for long: a cut costs more than a full processor for
     /// some seconds, and isn't undone.
-    fn blocks_needed(&mut self, machines: u32, blocks: usize) -> usize {
+    fn shards_needed(&mut self, machines: u32, shards: usize) -> usize {
         let now = self.now;
         if !self.processor.measured() {
             // A process that has just begun will be.
             let never = self.age_s() > UNMEASURED_S;
             return if never {
-                self.settings.blocks_for(machines)
+                self.settings.shards_for(machines)
             } else {
-                blocks
+                shards
             };
         }
         let held = self.parked.values().map(|h| h.machines.len()).sum();
-        let by_use = self.processor.machines_a_holder(now, held);
-        let needed = by_use.map_or(1, |most| self.settings.blocks_at(machines, most));
-        let Some(lead) = &mut self.lead else {
-            return blocks;
+        let by_use = self.processor.machines_per_owner(now, held);
+        let needed = by_use.map_or(1, |most| self.settings.shards_at(machines, most));
+        let Some(leadership) = &mut self.leadership else {
+            return shards;
         };
-        if needed <= blocks {
-            lead.short_of_blocks = None;
-            return blocks;
+        if needed <= shards {
+            leadership.short_of_shards_since = None;
+            return shards;
         }
-        let since = *lead.short_of_blocks.get_or_insert(now);
-        let patience = self.settings.tuning.block_lease_s * CUT_LEASES;
+        let since = *leadership.short_of_shards_since.get_or_insert(now);
+        let patience = self.settings.tuning.shard_lease_s * CUT_LEASES;
         if now.since(since) < patience {
-            return blocks;
+            return shards;
         }
-        lead.short_of_blocks = None;
+        leadership.short_of_shards_since = None;
         info!("one holder is too busy for {machines} machines: {needed} blocks are needed");
         needed
     }
 
     /// One more block, once each of them has enough machines.
-    fn split(&mut self, recs: &mut BTreeMap<u32, BlockRec>, highest: &mut Number) {
+    fn split(&mut self, records: &mut BTreeMap<u32, ShardRecord>, highest: &mut FencingToken) {
         let machines: u32 = self
             .believed()
             .iter()
             .flat_map(|t| &t.zones)
             .map(|(_, _, _, n)| n)
             .sum();
-        let controllers = 1 + self.lately().filter(|h| h.sighted).count();
-        let by_size = self.blocks_needed(machines, recs.len());
-        let crowded = self.lead.as_ref().is_some_and(|l| l.crowded);
-        if recs.is_empty() || (recs.len() >= by_size.min(controllers) && !crowded) {
+        let controllers = 1 + self.lately().filter(|h| h.is_fresh).count();
+        let by_size = self.shards_needed(machines, records.len());
+        let crowded = self.leadership.as_ref().is_some_and(|l| l.crowded);
+        if records.is_empty() || (records.len() >= by_size.min(controllers) && !crowded) {
             return;
         }
-        if let Some(first) = recs.get_mut(&0).filter(|b| b.machines.is_none()) {
+        if let Some(first) = records.get_mut(&0).filter(|b| b.machines.is_none()) {
             // The only block gets a list before there is a second one.
             let Some(h) = self.parked.get(&0).filter(|h| h.number == first.number) else {
                 return;
@@ -431,39 +461,40 @@
             }
             *first = listed;
         }
-        let load: BTreeMap<Member, usize> = recs.values().fold(BTreeMap::new(), |mut l, b| {
-            *l.entry(b.holder.clone()).or_default() += 1;
-            l
-        });
-        let (holder, boot) = self.least_loaded(&load);
-        let block = recs.keys().max().map_or(0, |k| k + 1);
-        info!("block {block} is made for {holder}");
+        let load: BTreeMap<ControllerId, usize> =
+            records.values().fold(BTreeMap::new(), |mut l, b| {
+                *l.entry(b.owner.clone()).or_default() += 1;
+                l
+            });
+        let (owner, incarnation) = self.least_loaded(&load);
+        let shard = records.keys().max().map_or(0, |k| k + 1);
+        info!("block {shard} is made for {owner}");
         highest.0 += 1;
-        let rec = BlockRec {
-            holder,
-            boot,
+        let record = ShardRecord {
+            owner,
+            incarnation,
             number: *highest,
             machines: Some(Vec::new()),
             allowances: Some(BTreeMap::new()),
         };
-        recs.insert(block, rec);
+        records.insert(shard, record);
     }
 
     /// Lets the only block use what the limits allow, once that has changed.
-    fn limit_only_block(&self, recs: &mut BTreeMap<u32, BlockRec>) {
+    fn limit_only_shard(&self, records: &mut BTreeMap<u32, ShardRecord>) {
         let wanted = match self.limits_wanted() {
             LimitsWanted::OfSettings => None,
             LimitsWanted::Set(limits) => Some(limits),
             LimitsWanted::AsTheyAre => return,
         };
-        let Some(rec) = recs.get_mut(&0) else {
+        let Some(record) = records.get_mut(&0) else {
             return;
         };
-        let limited = BlockRec {
+        let limited = ShardRecord {
             allowances: wanted,
-            ..rec.clone()
+            ..record.clone()
         };
-        if limited.allowances == rec.allowances {
+        if limited.allowances == record.allowances {
             return;
         }
         let (bytes, most) = (json_bytes(&limited), self.record_most());
@@ -471,7 +502,7 @@
             warn!("the limits of all teams take {bytes} bytes, of at most {most}: not in force");
             return;
         }
-        *rec = limited;
+        *record = limited;
     }
 
     /// Most bytes of a block's record.
@@ -482,41 +513,43 @@
 
     /// New machines go to the block that lacks them most; deleted ones leave the lists. A machine
     /// never changes its block: only the holder knows what is on it.
-    fn assign_machines(&mut self, recs: &mut BTreeMap<u32, BlockRec>) {
+    fn assign_machines(&mut self, records: &mut BTreeMap<u32, ShardRecord>) {
         let most = self.record_most();
-        let Some(lead) = &mut self.lead else {
+        let Some(leadership) = &mut self.leadership else {
             return;
         };
-        for list in recs.values_mut().filter_map(|b| b.machines.as_mut()) {
-            list.retain(|e| !lead.gone.contains_key(&e.0));
+        for list in records.values_mut().filter_map(|b| b.machines.as_mut()) {
+            list.retain(|e| !leadership.gone.contains_key(&e.0));
         }
-        lead.strays.retain(|id, _| !lead.gone.contains_key(id));
-        let lists = recs.values().filter_map(|b| b.machines.as_ref());
+        leadership
+            .strays
+            .retain(|id, _| !leadership.gone.contains_key(id));
+        let lists = records.values().filter_map(|b| b.machines.as_ref());
         let listed: BTreeSet<MachineId> = lists.flatten().map(|e| e.0.clone()).collect();
-        lead.strays.retain(|id, _| !listed.contains(id));
-        lead.crowded = false;
-        let lists = recs.iter().filter(|(_, b)| b.machines.is_some());
-        let mut bytes: BTreeMap<u32, usize> = if lead.strays.is_empty() {
+        leadership.strays.retain(|id, _| !listed.contains(id));
+        leadership.crowded = false;
+        let lists = records.iter().filter(|(_, b)| b.machines.is_some());
+        let mut bytes: BTreeMap<u32, usize> = if leadership.strays.is_empty() {
             BTreeMap::new()
         } else {
             lists.map(|(k, b)| (*k, json_bytes(b))).collect()
         };
-        for entry in lead.strays.values() {
-            let lists = recs.iter_mut();
+        for entry in leadership.strays.values() {
+            let lists = records.iter_mut();
             let lists = lists.filter_map(|(k, b)| Some((*k, b.machines.as_mut()?)));
             // A new type or zone costs its own group in the list.
             let size = 2 * entry.0.as_str().len() + entry.1.len() + entry.2.len() + 20;
             let open = lists.filter(|(k, _)| bytes.get(k).is_some_and(|n| n + size < most));
-            let key = |block: u32| (entry.1.clone(), entry.3, block);
-            let lack = |block: u32| lead.needs.get(&key(block)).copied().unwrap_or(0);
+            let key = |shard: u32| (entry.1.clone(), entry.3, shard);
+            let lack = |shard: u32| leadership.needs.get(&key(shard)).copied().unwrap_or(0);
             let best = open.max_by_key(|(k, list)| (lack(*k), std::cmp::Reverse(list.len())));
-            let Some((block, list)) = best else {
-                lead.crowded = !bytes.is_empty();
+            let Some((shard, list)) = best else {
+                leadership.crowded = !bytes.is_empty();
                 return;
             };
             list.push(entry.clone());
-            *bytes.entry(block).or_default() += entry.0.as_str().len() + 1;
-            if let Some(n) = lead.needs.get_mut(&key(block)) {
+            *bytes.entry(shard).or_default() += entry.0.as_str().len() + 1;
+            if let Some(n) = leadership.needs.get_mut(&key(shard)) {
                 *n = n.saturating_sub(1);
             }
         }
@@ -524,43 +557,43 @@
 
     /// Moves what teams may use to where they want it. What one block loses another
     /// gets only once the first one's use, counted under its new record, is below.
-    fn share_limits(&self, recs: &mut BTreeMap<u32, BlockRec>) {
-        if recs.len() < 2 {
-            return self.limit_only_block(recs);
+    fn share_limits(&self, records: &mut BTreeMap<u32, ShardRecord>) {
+        if records.len() < 2 {
+            return self.limit_only_shard(records);
         }
         let limits = match self.limits_wanted() {
             LimitsWanted::OfSettings => self.limits_of_settings(),
             LimitsWanted::Set(limits) => limits,
             LimitsWanted::AsTheyAre => return,
         };
-        let marks = self.cache.blocks.iter();
+        let marks = self.mirror.shards.iter();
         let marks: BTreeMap<u32, u64> = marks.map(|(k, b)| (*k, b.revision)).collect();
         let all = self.believed();
-        let current = |t: &&&BlockCounts| marks.get(&t.block) == Some(&t.revision);
-        let told: BTreeMap<u32, &BlockCounts> =
-            all.iter().filter(current).map(|t| (t.block, *t)).collect();
-        if recs.keys().any(|k| !told.contains_key(k)) {
+        let current = |t: &&&ShardCounts| marks.get(&t.shard) == Some(&t.revision);
+        let told: BTreeMap<u32, &ShardCounts> =
+            all.iter().filter(current).map(|t| (t.shard, *t)).collect();
+        if records.keys().any(|k| !told.contains_key(k)) {
             return;
         }
-        let lease_s = self.settings.tuning.block_lease_s;
-        let turns = (self.now.since(Time(0)) / lease_s) as usize % recs.len();
-        let turn = recs.keys().nth(turns).copied().unwrap_or(0);
+        let lease_s = self.settings.tuning.shard_lease_s;
+        let turns = (self.now.since(Time(0)) / lease_s) as usize % records.len();
+        let turn = records.keys().nth(turns).copied().unwrap_or(0);
         for (team, limit) in limits {
-            let count = |t: &BlockCounts| {
+            let count = |t: &ShardCounts| {
                 let found = t.teams.iter().find(|(name, _)| *name == team);
                 found.map(|(_, c)| *c).unwrap_or_default()
             };
             let counts: BTreeMap<u32, TeamCount> =
                 told.iter().map(|(k, t)| (*k, count(t))).collect();
-            share_limit(recs, &team, limit, &counts, turn);
+            share_limit(records, &team, limit, &counts, turn);
         }
     }
 
     /// The shares of new jobs, by machines.
     pub(crate) fn job_shares(&self) -> Vec<(u32, u32)> {
-        let recs = self.cache.blocks.iter();
-        let shares = recs.filter_map(|(k, b)| {
-            let machines = b.rec.as_ref()?.machines.as_ref()?;
+        let records = self.mirror.shards.iter();
+        let shares = records.filter_map(|(k, b)| {
+            let machines = b.record.as_ref()?.machines.as_ref()?;
             Some((*k, machines.len() as u32 + 1))
         });
         shares.collect()
@@ -569,14 +602,14 @@
 
 /// Shares one team's limit among the blocks. `turn` is the block whose turn it is.
 fn share_limit(
-    recs: &mut BTreeMap<u32, BlockRec>,
+    records: &mut BTreeMap<u32, ShardRecord>,
     team: &str,
     limit: (f64, f64),
     counts: &BTreeMap<u32, TeamCount>,
     turn: u32,
 ) {
     let has = |k: &u32| {
-        let given = recs[k].allowances.as_ref().and_then(|a| a.get(team));
+        let given = records[k].allowances.as_ref().and_then(|a| a.get(team));
         given.copied().unwrap_or_default()
     };
     let pick = |f: fn(&TeamCount) -> f64| counts.iter().map(|(k, c)| (*k, f(c))).collect();
@@ -597,7 +630,7 @@
         &pick(|c| c.gpus_wanted),
     );
     for k in counts.keys() {
-        if let Some(all) = recs.get_mut(k).and_then(|b| b.allowances.as_mut()) {
+        if let Some(all) = records.get_mut(k).and_then(|b| b.allowances.as_mut()) {
             let (cpus, gpus) = (cpus[k], gpus[k]);
             if cpus > 0.0 || gpus > 0.0 || all.contains_key(team) {
                 all.insert(team.to_string(), (cpus, gpus));
@@ -606,7 +639,7 @@
     }
 }
 
-type PerBlock = BTreeMap<u32, f64>;
+type PerShard = BTreeMap<u32, f64>;
 
 /// Room for rounding when amounts are added and taken away many times.
 const SLACK: f64 = 1e-6;
@@ -615,7 +648,7 @@
 /// wants and the limit wasn't lowered. Otherwise the block whose turn it is gets all it wants, so that even a task
 /// as large as the limit starts one day, and the others share the rest evenly. Room is
 /// given only once nobody uses it.
-fn shares(limit: f64, turn: u32, old: &PerBlock, used: &PerBlock, wanted: &PerBlock) -> PerBlock {
+fn shares(limit: f64, turn: u32, old: &PerShard, used: &PerShard, wanted: &PerShard) -> PerShard {
     let mut new = old.clone();
     let lowered = old.values().sum::<f64>() > limit + SLACK;
     let served = wanted.iter().all(|(k, w)| *w <= old[k] + SLACK);
@@ -623,7 +656,7 @@
         return new;
     }
     let mut left = limit;
-    let mut targets = PerBlock::new();
+    let mut targets = PerShard::new();
     if let Some(w) = wanted.get(&turn) {
         targets.insert(turn, w.min(left));
         left -= w.min(left);
@@ -669,7 +702,7 @@
     })
 }
 
-impl Holder {
+impl ShardOwner {
     /// The block's machines as its record lists them.
     fn entries(&self) -> Vec<Entry> {
         let all = self.machines.iter();
@@ -688,9 +721,9 @@
             (c.cpus_wanted, c.gpus_wanted) = (used.cpus, used.gpus);
         }
         for live in self.waiting.iter().filter_map(|id| self.jobs.get(id)) {
-            let c = counts.entry(&live.rec.team).or_default();
-            c.cpus_wanted += f64::from(live.queued()) * live.rec.need.cpus;
-            c.gpus_wanted += f64::from(live.queued()) * live.rec.need.gpus;
+            let c = counts.entry(&live.record.team).or_default();
+            c.cpus_wanted += f64::from(live.queued()) * live.record.need.cpus;
+            c.gpus_wanted += f64::from(live.queued()) * live.record.need.gpus;
         }
         let counts = counts.into_iter();
         counts.map(|(team, c)| (team.to_string(), c)).collect()
--- a/src/controller/store/chunks.rs
+++ b/src/controller/store/chunks.rs
@@ -6,7 +6,7 @@
 //! for the tasks that they cover, so each part can be written by itself, and the chunk is left as
 //! it is until the job ends.
 
-use crate::controller::store::records::{JobRec, RunRec};
+use crate::controller::store::records::{JobRecord, PlacementRecord};
 use std::borrow::Cow;
 use std::ops::Range;
 
@@ -39,10 +39,10 @@
     pub const PART_BASE: u32 = 1 << 20;
 
     /// The layout of a job whose records have parts of this size, if they have any.
-    pub fn new(rec: &JobRec, part: Option<u32>) -> Self {
+    pub fn new(record: &JobRecord, part: Option<u32>) -> Self {
         Self {
-            count: rec.count,
-            chunk: rec.chunk.max(1),
+            count: record.count,
+            chunk: record.chunk.max(1),
             part: part.filter(|size| *size > 0),
         }
     }
@@ -100,16 +100,16 @@
 }
 
 /// One record of a job as far as it counts: its number, its revision, and what it says.
-pub type EffectiveRun<'a> = (u32, u64, Cow<'a, RunRec>);
+pub type EffectivePlacements<'a> = (u32, u64, Cow<'a, PlacementRecord>);
 
 /// What a job's records say together, each task spoken of once, and how they are laid out.
-pub fn effective_runs<'a>(
-    rec: &JobRec,
-    runs: impl Iterator<Item = (u32, &'a (u64, RunRec))>,
-) -> (Vec<EffectiveRun<'a>>, ChunkLayout) {
+pub fn effective_placements<'a>(
+    record: &JobRecord,
+    runs: impl Iterator<Item = (u32, &'a (u64, PlacementRecord))>,
+) -> (Vec<EffectivePlacements<'a>>, ChunkLayout) {
     let runs: Vec<_> = runs.collect();
     let part = runs.iter().find_map(|(_, (_, run))| run.part);
-    let layout = ChunkLayout::new(rec, part);
+    let layout = ChunkLayout::new(record, part);
     let parts = runs.iter().map(|(chunk, _)| *chunk);
     let parts = parts.filter(|chunk| ChunkLayout::is_part(*chunk));
     let replaced: Vec<Range<u32>> = parts.map(|chunk| layout.tasks_of(chunk)).collect();
--- a/src/controller/store/mirror.rs
+++ b/src/controller/store/mirror.rs
@@ -1,12 +1,12 @@
 //! What this controller knows of the state service's content, by following it.
 
 use crate::controller::dependencies::graph::Dependencies;
-use crate::controller::store::chunks::{ChunkLayout, EffectiveRun, effective_runs};
+use crate::controller::store::chunks::{ChunkLayout, EffectivePlacements, effective_placements};
 use crate::controller::store::records::{
-    BlockRec, Closed, Ending, JobRec, Key, LeaderRec, LimitsRec, NumberRec, PlanRec, Rank, Record,
-    RunRec,
+    Ending, ExhaustedPool, FencingTokenRecord, JobRecord, Key, LeaderRecord, LimitsRecord,
+    PlacementRecord, PriorityClass, Record, ScalingPlanRecord, ShardRecord,
 };
-use crate::ids::{JobId, Number, Time};
+use crate::ids::{FencingToken, JobId, Time};
 use crate::wire::Change;
 use salttrestle_cells::Cell;
 use salttrestle_cells::ledger::{CellRecord, LinkRecord};
@@ -17,47 +17,51 @@
 const ENDINGS_MAX: usize = 20_000;
 
 #[derive(Clone, Debug)]
-pub struct CachedJob {
-    pub rec: Rc<JobRec>,
+pub struct MirroredJob {
+    pub record: Rc<JobRecord>,
     pub revision: u64,
     /// When this process learnt that the job is withdrawn.
-    pub withdrawn: Option<Time>,
+    pub cancelled: Option<Time>,
     /// The highest rank of the job and of the open ones that need it.
-    pub rank: Rank,
+    pub priority_class: PriorityClass,
 }
 
 /// A record with its revision; revision 0 stands for one that doesn't exist.
 #[derive(Clone, Debug)]
-pub struct Slot<T> {
+pub struct Mirrored<T> {
     pub revision: u64,
-    pub rec: Option<T>,
+    pub record: Option<T>,
 }
 
-impl<T> Default for Slot<T> {
+impl<T> Default for Mirrored<T> {
     fn default() -> Self {
         Self {
             revision: 0,
-            rec: None,
+            record: None,
         }
     }
 }
 
-impl<T> Slot<T> {
+impl<T> Mirrored<T> {
     /// Takes a change unless a newer one is known. True if something changed.
-    fn set(&mut self, revision: u64, rec: Option<T>) -> bool {
+    fn set(&mut self, revision: u64, record: Option<T>) -> bool {
         if revision <= self.revision {
             return false;
         }
         // A deleted key compares as revision 0 at the state service, but its
         // deletion must still outrank older changes that come late.
         self.revision = revision;
-        self.rec = rec;
+        self.record = record;
         true
     }
 
     /// The revision to compare with in a commit.
     pub fn version(&self) -> u64 {
-        if self.rec.is_some() { self.revision } else { 0 }
+        if self.record.is_some() {
+            self.revision
+        } else {
+            0
+        }
     }
 }
 
@@ -72,31 +76,33 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Cache {
+pub struct StoreMirror {
     /// The revision up to which everything is known.
     pub revision: u64,
-    pub leader: Slot<LeaderRec>,
-    pub number: Slot<NumberRec>,
-    pub plan: Slot<PlanRec>,
-    pub limits: Slot<LimitsRec>,
-    pub cell: Slot<CellRecord>,
-    pub cell_links: BTreeMap<Cell, Slot<LinkRecord>>,
-    pub blocks: BTreeMap<u32, Slot<BlockRec>>,
-    pub jobs: BTreeMap<JobId, CachedJob>,
-    pub runs: BTreeMap<(JobId, u32), (u64, RunRec)>,
+    pub leader: Mirrored<LeaderRecord>,
+    pub number: Mirrored<FencingTokenRecord>,
+    pub plan: Mirrored<ScalingPlanRecord>,
+    pub limits: Mirrored<LimitsRecord>,
+    pub cell: Mirrored<CellRecord>,
+    pub cell_links: BTreeMap<Cell, Mirrored<LinkRecord>>,
+    pub shards: BTreeMap<u32, Mirrored<ShardRecord>>,
+    pub jobs: BTreeMap<JobId, MirroredJob>,
+    pub runs: BTreeMap<(JobId, u32), (u64, PlacementRecord)>,
     /// How jobs ended, and when this process learnt it.
     endings: HashMap<JobId, (Ending, Time)>,
     endings_order: VecDeque<JobId>,
     pub(crate) dependencies: Dependencies,
 }
 
-impl Cache {
+impl StoreMirror {
     /// Takes one change. Changes come again and late, and are then ignored.
     pub fn apply(&mut self, now: Time, (key, revision, record): Change) -> Option<Event> {
         match (key, record) {
             (Key::Leader, Some(Record::Leader(r))) => control(self.leader.set(revision, Some(r))),
             (Key::Leader, None) => control(self.leader.set(revision, None)),
-            (Key::Number, Some(Record::Number(r))) => control(self.number.set(revision, Some(r))),
+            (Key::FencingToken, Some(Record::FencingToken(r))) => {
+                control(self.number.set(revision, Some(r)))
+            }
             (Key::Plan, Some(Record::Plan(r))) => control(self.plan.set(revision, Some(r))),
             (Key::Limits, Some(Record::Limits(r))) => control(self.limits.set(revision, Some(r))),
             (Key::Cell, Some(Record::Cell(r))) => control(self.cell.set(revision, Some(*r))),
@@ -105,8 +111,8 @@
                 control(slot.set(revision, Some(r)))
             }
             (Key::Limits, None) => control(self.limits.set(revision, None)),
-            (Key::Block(k), Some(Record::Block(r))) => {
-                control(self.blocks.entry(k).or_default().set(revision, Some(r)))
+            (Key::Shard(k), Some(Record::Shard(r))) => {
+                control(self.shards.entry(k).or_default().set(revision, Some(r)))
             }
             (Key::Job(id), Some(Record::Job(r))) => self.set_job(now, id, revision, *r),
             (Key::Job(id), None) => {
@@ -139,25 +145,25 @@
         }
     }
 
-    fn set_job(&mut self, now: Time, id: JobId, revision: u64, rec: JobRec) -> Option<Event> {
+    fn set_job(&mut self, now: Time, id: JobId, revision: u64, record: JobRecord) -> Option<Event> {
         if self.jobs.get(&id).is_some_and(|j| j.revision >= revision) {
             return None;
         }
         let before = self.jobs.get(&id);
-        let since = before.and_then(|j| j.withdrawn).unwrap_or(now);
-        let withdrawn = rec.withdrawn.then_some(since);
-        let job = CachedJob {
+        let since = before.and_then(|j| j.cancelled).unwrap_or(now);
+        let cancelled = record.cancelled.then_some(since);
+        let job = MirroredJob {
             revision,
-            withdrawn,
-            rank: before.map_or(rec.rank, |j| j.rank),
-            rec: Rc::new(rec),
+            cancelled,
+            priority_class: before.map_or(record.priority_class, |j| j.priority_class),
+            record: Rc::new(record),
         };
         let new = before.is_none();
         self.jobs.insert(id.clone(), job);
         if new {
             self.link(&id);
         }
-        if withdrawn.is_some() {
+        if cancelled.is_some() {
             self.note_mark(&id);
         }
         Some(Event::Job(id))
@@ -221,21 +227,25 @@
     }
 
     /// What the cloud has nothing left of, as the plan says.
-    pub fn closed(&self) -> &[Closed] {
-        let plan = self.plan.rec.as_ref();
+    pub fn closed(&self) -> &[ExhaustedPool] {
+        let plan = self.plan.record.as_ref();
         plan.map_or(&[], |p| &p.closed)
     }
 
     /// The chunks written for a job.
-    pub fn chunks(&self, id: &JobId) -> impl Iterator<Item = (u32, &(u64, RunRec))> {
+    pub fn chunks(&self, id: &JobId) -> impl Iterator<Item = (u32, &(u64, PlacementRecord))> {
         self.runs
             .range((id.clone(), 0)..=(id.clone(), u32::MAX))
             .map(|((_, chunk), run)| (*chunk, run))
     }
 
     /// What a job's records say together, and how they are laid out.
-    pub fn effective_runs(&self, id: &JobId, rec: &JobRec) -> (Vec<EffectiveRun<'_>>, ChunkLayout) {
-        effective_runs(rec, self.chunks(id))
+    pub fn effective_placements(
+        &self,
+        id: &JobId,
+        record: &JobRecord,
+    ) -> (Vec<EffectivePlacements<'_>>, ChunkLayout) {
+        effective_placements(record, self.chunks(id))
     }
 
     /// Finished and placed tasks as far as they are written.
@@ -243,7 +253,7 @@
         let Some(job) = self.jobs.get(id) else {
             return (0, 0);
         };
-        let (runs, _) = self.effective_runs(id, &job.rec);
+        let (runs, _) = self.effective_placements(id, &job.record);
         runs.iter().fold((0, 0), |(done, placed), (_, _, run)| {
             let ended: u32 = run.done.iter().map(|(a, b)| b.saturating_sub(*a)).sum();
             (done + ended, placed + run.placed.len() as u32)
@@ -251,9 +261,9 @@
     }
 
     /// The highest number that anything known here speaks of.
-    pub fn highest(&self) -> Number {
-        let said = self.number.rec.as_ref().map(|r| r.highest);
-        let held = self.blocks.values().filter_map(|b| b.rec.as_ref());
+    pub fn highest(&self) -> FencingToken {
+        let said = self.number.record.as_ref().map(|r| r.highest);
+        let held = self.shards.values().filter_map(|b| b.record.as_ref());
         held.map(|b| b.number).chain(said).max().unwrap_or_default()
     }
 }
--- a/src/controller/store/records.rs
+++ b/src/controller/store/records.rs
@@ -2,7 +2,7 @@
 //! that one follow sees every change.
 
 use crate::controller::store::chunks::ranges;
-use crate::ids::{Attempt, Image, JobId, MachineId, Member, Number};
+use crate::ids::{Attempt, ControllerId, FencingToken, Image, JobId, MachineId};
 use salttrestle_cells::Cell;
 use salttrestle_cells::ledger::{CellRecord, LinkRecord};
 use salttrestle_standby::fence::Fence;
@@ -20,9 +20,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Key {
     Leader,
-    Number,
+    FencingToken,
     Plan,
-    Block(u32),
+    Shard(u32),
     /// Team limits that operators set at run time.
     Limits,
     /// What this cell may use of limits that it shares with others.
@@ -40,13 +40,13 @@
         let (kind, rest) = path.strip_prefix(PREFIX)?.split_once('/')?;
         match (kind, rest) {
             ("own", "leader") => Some(Self::Leader),
-            ("own", "number") => Some(Self::Number),
+            ("own", "number") => Some(Self::FencingToken),
             ("own", "plan") => Some(Self::Plan),
             ("own", "limits") => Some(Self::Limits),
             ("own", "cell") => Some(Self::Cell),
             ("own", other) => match other.strip_prefix("link/") {
                 Some(cell) => Some(Self::CellLink(cell.into())),
-                None => other.strip_prefix("block/")?.parse().ok().map(Self::Block),
+                None => other.strip_prefix("block/")?.parse().ok().map(Self::Shard),
             },
             ("job", id) => JobId::parse(id).map(Self::Job),
             ("end", id) => JobId::parse(id).map(Self::End),
@@ -63,12 +63,12 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Leader => write!(f, "{PREFIX}own/leader"),
-            Self::Number => write!(f, "{PREFIX}own/number"),
+            Self::FencingToken => write!(f, "{PREFIX}own/number"),
             Self::Plan => write!(f, "{PREFIX}own/plan"),
             Self::Limits => write!(f, "{PREFIX}own/limits"),
             Self::Cell => write!(f, "{PREFIX}own/cell"),
             Self::CellLink(cell) => write!(f, "{PREFIX}own/link/{cell}"),
-            Self::Block(k) => write!(f, "{PREFIX}own/block/{k}"),
+            Self::Shard(k) => write!(f, "{PREFIX}own/block/{k}"),
             Self::Job(id) => write!(f, "{PREFIX}job/{id}"),
             Self::Run(id, chunk) => write!(f, "{PREFIX}run/{id}/{chunk}"),
             Self::End(id) => write!(f, "{PREFIX}end/{id}"),
@@ -76,15 +76,18 @@
     }
 }
 
-/// Who leads, and which of its processes: a restarted one has another `boot`.
+/// Who leads, and which of its processes: a restarted one has another `incarnation`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LeaderRec {
-    pub member: Member,
-    pub boot: u64,
-    pub number: Number,
+pub struct LeaderRecord {
+    #[serde(rename = "member")]
+    pub controller_id: ControllerId,
+    #[serde(rename = "boot")]
+    pub incarnation: u64,
+    #[serde(rename = "number")]
+    pub number: FencingToken,
     /// The grant that the record hangs on.
-    #[serde(default)]
-    pub hold: u64,
+    #[serde(rename = "hold", default)]
+    pub lease_id: u64,
     /// The leader calls the cloud only within so many milliseconds of a read of this record, so
     /// that a successor that replaces it knows for how long to wait.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -93,8 +96,8 @@
 
 /// The highest number ever given.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct NumberRec {
-    pub highest: Number,
+pub struct FencingTokenRecord {
+    pub highest: FencingToken,
     /// How long the leader that was elected last leaves the cloud alone.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub fence: Option<Fence>,
@@ -106,16 +109,19 @@
 /// A block: who holds it and under which number. Starts are committed on the
 /// condition that this record is unchanged.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct BlockRec {
-    pub holder: Member,
-    pub boot: u64,
-    pub number: Number,
+pub struct ShardRecord {
+    #[serde(rename = "holder")]
+    pub owner: ControllerId,
+    #[serde(rename = "boot")]
+    pub incarnation: u64,
+    #[serde(rename = "number")]
+    pub number: FencingToken,
     /// The block's machines; `None` for all there are, while it is the only block.
     #[serde(default, with = "packed")]
     pub machines: Option<Vec<Entry>>,
     /// CPUs and GPUs that each team with a limit may use here; `None` for the whole
     /// limit, while this is the only block.
-    #[serde(default)]
+    #[serde(rename = "allowances", default)]
     pub allowances: Option<BTreeMap<String, (f64, f64)>>,
 }
 
@@ -175,7 +181,7 @@
     }
 }
 
-impl BlockRec {
+impl ShardRecord {
     /// Whether a machine belongs to this block.
     pub fn has(&self, machine: &MachineId) -> bool {
         let list = self.machines.as_ref();
@@ -186,8 +192,9 @@
 /// One request to rent, written before it is sent, so that a new leader can repeat
 /// it under the same name and learn its machines instead of renting again.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RentalRec {
+pub struct ScaleOutRecord {
     pub name: String,
+    #[serde(rename = "class")]
     pub class: String,
     pub zone: String,
     pub spot: bool,
@@ -195,35 +202,36 @@
 }
 
 /// A type, zone and kind (spot or not) of which the cloud has nothing left.
-pub type Closed = (String, String, bool);
+pub type ExhaustedPool = (String, String, bool);
 
 /// The leader's plan of a tick: wanted counts and the requests to rent under way.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct PlanRec {
-    pub number: Number,
+pub struct ScalingPlanRecord {
+    #[serde(rename = "number")]
+    pub number: FencingToken,
     pub wanted: Vec<(String, bool, u32)>,
     #[serde(rename = "hires")]
-    pub rentals: Vec<RentalRec>,
+    pub rentals: Vec<ScaleOutRecord>,
     /// Blocks that take new jobs, each with its share.
     #[serde(default)]
     pub shares: Vec<(u32, u32)>,
     /// What isn't to be had for now; tasks count on other pools meanwhile.
-    #[serde(default)]
-    pub closed: Vec<Closed>,
+    #[serde(rename = "closed", default)]
+    pub closed: Vec<ExhaustedPool>,
     /// Machines to return, if they are empty.
-    #[serde(default)]
+    #[serde(rename = "returns", default)]
     pub returns: Vec<MachineId>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Form {
+pub enum JobKind {
     Batch,
     Service,
 }
 
 /// Higher ranks compare as greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Rank {
+pub enum PriorityClass {
     Idle,
     Normal,
     Urgent,
@@ -232,7 +240,7 @@
 
 /// An amount of a machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Room {
+pub struct Resources {
     pub cpus: f64,
     pub gpus: f64,
     pub mem: f64,
@@ -241,23 +249,23 @@
 /// Room for rounding when amounts are added and taken away many times.
 const SLACK: f64 = 1e-6;
 
-impl Room {
-    pub fn add(&mut self, other: Room, times: f64) {
+impl Resources {
+    pub fn add(&mut self, other: Resources, times: f64) {
         self.cpus += other.cpus * times;
         self.gpus += other.gpus * times;
         self.mem += other.mem * times;
     }
 
     /// Whether `need` fits into this much free room.
-    pub fn holds(&self, need: Room) -> bool {
+    pub fn holds(&self, need: Resources) -> bool {
         need.cpus <= self.cpus + SLACK
             && need.gpus <= self.gpus + SLACK
             && need.mem <= self.mem + SLACK
     }
 
     /// The smaller amount of each.
-    pub fn least(self, other: Room) -> Room {
-        Room {
+    pub fn least(self, other: Resources) -> Resources {
+        Resources {
             cpus: self.cpus.min(other.cpus),
             gpus: self.gpus.min(other.gpus),
             mem: self.mem.min(other.mem),
@@ -265,7 +273,7 @@
     }
 
     /// The largest share that this takes of a whole.
-    pub fn share_of(&self, whole: Room) -> f64 {
+    pub fn share_of(&self, whole: Resources) -> f64 {
         let part = |a: f64, b: f64| if b > 0.0 { a / b } else { 0.0 };
         part(self.cpus, whole.cpus)
             .max(part(self.gpus, whole.gpus))
@@ -275,18 +283,23 @@
 
 /// A job as its user submitted it, and what became of it since.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct JobRec {
+pub struct JobRecord {
     pub class: String,
     pub team: String,
-    pub form: Form,
-    pub rank: Rank,
+    #[serde(rename = "form")]
+    pub kind: JobKind,
+    #[serde(rename = "rank")]
+    pub priority_class: PriorityClass,
     pub count: u32,
-    pub need: Room,
+    #[serde(rename = "need")]
+    pub need: Resources,
     pub image: Image,
     pub image_gb: f64,
     pub types: Option<Vec<String>>,
     pub zone: Option<String>,
+    #[serde(rename = "one_zone")]
     pub one_zone: bool,
+    #[serde(rename = "scatter")]
     pub scatter: bool,
     pub spot: bool,
     pub estimate_s: f64,
@@ -295,15 +308,16 @@
     pub deadline_s: Option<f64>,
     /// Tasks per `run` record. Kept here, since settings may change.
     pub chunk: u32,
-    pub block: u32,
-    #[serde(default)]
-    pub withdrawn: bool,
+    #[serde(rename = "block")]
+    pub shard: u32,
+    #[serde(rename = "withdrawn", default)]
+    pub cancelled: bool,
     /// Jobs that have to be done before any task of this one starts, each named once.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
+    #[serde(rename = "needs", default, skip_serializing_if = "Vec::is_empty")]
     pub needs: Vec<JobId>,
 }
 
-impl JobRec {
+impl JobRecord {
     /// Whether its tasks may run on a type of machine.
     pub fn allows(&self, class: &str) -> bool {
         let types = self.types.as_ref();
@@ -316,7 +330,7 @@
 
 /// One chunk of a job's tasks: ranges of finished ones, and those placed.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct RunRec {
+pub struct PlacementRecord {
     pub done: Vec<(u32, u32)>,
     pub placed: Vec<Placed>,
     /// Failed tries of the job since a task of it last succeeded, when this was written. The
@@ -332,15 +346,15 @@
     pub part: Option<u32>,
 }
 
-impl RunRec {
+impl PlacementRecord {
     /// What is left when these tasks are passed over.
     pub fn without(&self, passed: &[std::ops::Range<u32>]) -> Self {
         let spoken_of = |index: &u32| !passed.iter().any(|tasks| tasks.contains(index));
-        let mut rec = self.clone();
-        rec.placed.retain(|(index, ..)| spoken_of(index));
+        let mut record = self.clone();
+        record.placed.retain(|(index, ..)| spoken_of(index));
         let done = self.done.iter().flat_map(|(from, to)| *from..*to);
-        rec.done = ranges(done.filter(spoken_of));
-        rec
+        record.done = ranges(done.filter(spoken_of));
+        record
     }
 }
 
@@ -359,7 +373,7 @@
 /// Team limits that operators set at run time, in place of those of the settings. Written by
 /// operators alone, so that anything may stand there.
 #[derive(Clone, Debug, PartialEq)]
-pub enum LimitsRec {
+pub enum LimitsRecord {
     /// The limits, not yet checked against the teams that there are.
     Teams(LimitsByTeam),
     /// What stands there can't be read, and why.
@@ -370,19 +384,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Ending {
     Done,
-    Withdrawn,
+    #[serde(rename = "Withdrawn")]
+    Cancelled,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
-    Leader(LeaderRec),
-    Number(NumberRec),
-    Plan(PlanRec),
-    Block(BlockRec),
-    Limits(LimitsRec),
+    Leader(LeaderRecord),
+    FencingToken(FencingTokenRecord),
+    Plan(ScalingPlanRecord),
+    Shard(ShardRecord),
+    Limits(LimitsRecord),
     Cell(Box<CellRecord>),
     CellLink(LinkRecord),
-    Job(Box<JobRec>),
-    Run(RunRec),
+    Job(Box<JobRecord>),
+    Run(PlacementRecord),
     End(Ending),
 }
