--- a/src/controller/store/requests.rs
+++ b/src/controller/store/requests.rs
@@ -2,35 +2,35 @@
 
 use crate::controller::events::Output;
 use crate::controller::rate_limits::token_bucket::Priority;
-use crate::controller::{Call, Core, FreshRead, Purpose, Tenure};
+use crate::controller::{Controller, PendingRequest, RequestPurpose, RevisionRead, ShardOwnership};
 use crate::ids::CallId;
-use crate::wire::{StateOp, StateReply};
+use crate::wire::{StoreRequest, StoreResponse};
 
 /// Share of what the other controllers may write that the holder leaves to them at least.
 const KEPT_FOR_OTHERS: f64 = 0.35;
 /// How much more than they wrote of late the others may write before the holder knows.
 const USED_MARGIN: f64 = 1.5;
 
-impl Core {
+impl Controller {
     /// Splits the limits that all controllers use together. A single block's holder
     /// places for all and gets more, the others share the rest; with several blocks
     /// the shares are even.
     pub(crate) fn share_budgets(&mut self) {
         let f = &self.settings.platform.facts;
         let (t, others) = (&self.settings.tuning, f.count.saturating_sub(1));
-        let single = self.cache.blocks.len() <= 1;
-        let sole_holder = others > 0 && single && !self.parked.is_empty();
+        let single = self.mirror.shards.len() <= 1;
+        let sole_owner = others > 0 && single && !self.parked.is_empty();
         let part = match others {
             0 => 1.0,
             n if !single => 1.0 / f64::from(n + 1),
-            _ if sole_holder => t.budget_holder,
-            n => (1.0 - t.budget_holder) / f64::from(n),
+            _ if sole_owner => t.budget_owner,
+            n => (1.0 - t.budget_owner) / f64::from(n),
         };
         let limits = self.settings.state_limits();
         let rps = limits.rps * part * t.budget_share;
         let all = limits.write_rps * t.budget_share;
         let mut wps = all * part;
-        if sole_holder {
+        if sole_owner {
             // Placements, results and ends are written here alone, and the others seldom use all
             // of their share: with many short tasks that kept ends waiting for seconds.
             let theirs = all - wps;
@@ -39,7 +39,7 @@
         }
         // Those who don't lead ask the cloud for its catalogue and delete machines.
         let cloud = f.cloud.rps * t.budget_share;
-        let cloud = match (others, single, self.lead.is_some()) {
+        let cloud = match (others, single, self.leadership.is_some()) {
             (0, _, _) | (_, true, _) => cloud,
             (_, _, true) => cloud * 0.6,
             (n, _, false) => cloud * 0.4 / f64::from(n),
@@ -49,20 +49,20 @@
         self.cloud_budget.set(self.now, cloud, cloud * 1.5);
     }
 
-    pub(crate) fn write_cost(op: &StateOp) -> f64 {
+    pub(crate) fn write_cost(op: &StoreRequest) -> f64 {
         match op {
-            StateOp::Commit { writes, .. } => writes.len() as f64,
+            StoreRequest::Transaction { writes, .. } => writes.len() as f64,
             _ => 0.0,
         }
     }
 
     /// Sends a call if the budget allows; hands the purpose back if it doesn't.
-    pub(crate) fn state_call(
+    pub(crate) fn send_store_request(
         &mut self,
-        op: StateOp,
-        purpose: Purpose,
+        op: StoreRequest,
+        purpose: RequestPurpose,
         priority: Priority,
-    ) -> Result<CallId, Purpose> {
+    ) -> Result<CallId, RequestPurpose> {
         let cost = Self::write_cost(&op);
         if !self.requests.has(self.now, 1.0, priority)
             || (cost > 0.0 && !self.changes.has(self.now, cost, priority))
@@ -73,20 +73,20 @@
         self.changes.take(cost);
         let id = self.call_id();
         let sent = self.now;
-        let tenure = self.tenure();
-        let call = Call {
+        let ownership = self.ownership();
+        let call = PendingRequest {
             purpose,
             sent,
             changes: cost,
-            tenure,
+            ownership,
         };
-        self.calls.insert(id, call);
-        self.out.push(Output::State(id, op));
+        self.pending_requests.insert(id, call);
+        self.out.push(Output::Store(id, op));
         Ok(id)
     }
 
-    pub(crate) fn tenure(&self) -> Tenure {
-        self.holder.as_ref().map(|h| (h.block, h.number))
+    pub(crate) fn ownership(&self) -> ShardOwnership {
+        self.owner.as_ref().map(|h| (h.shard, h.number))
     }
 
     pub(crate) fn call_id(&mut self) -> CallId {
@@ -98,26 +98,26 @@
         CallId(self.next_call)
     }
 
-    pub(crate) fn on_state(&mut self, id: CallId, reply: StateReply) {
-        let Some(call) = self.calls.remove(&id) else {
+    pub(crate) fn on_store_response(&mut self, id: CallId, reply: StoreResponse) {
+        let Some(call) = self.pending_requests.remove(&id) else {
             return;
         };
-        let Call {
+        let PendingRequest {
             purpose,
             sent,
             changes,
-            tenure,
+            ownership,
         } = call;
-        if matches!(reply, StateReply::Committed { .. }) {
+        if matches!(reply, StoreResponse::Committed { .. }) {
             self.change_meter.note_own(changes);
         }
         match &reply {
-            StateReply::Refused | StateReply::NoAnswer | StateReply::Strange => {}
+            StoreResponse::Refused | StoreResponse::NoAnswer | StoreResponse::Malformed => {}
             _ => self.heard_at = self.now,
         }
         match &reply {
-            StateReply::Missing { revision } | StateReply::Committed { revision } => {
-                self.fresh_waiting.push_back(FreshRead {
+            StoreResponse::Missing { revision } | StoreResponse::Committed { revision } => {
+                self.fresh_waiting.push_back(RevisionRead {
                     call: id,
                     sent,
                     revision: *revision,
@@ -127,39 +127,48 @@
             _ => {}
         }
         match purpose {
-            Purpose::List => self.on_list(reply),
-            Purpose::Follow => self.on_follow(reply, sent),
-            Purpose::Fresh => self.on_fresh(&reply),
-            Purpose::Grant => self.on_grant(reply, sent),
-            Purpose::Elect => self.on_elected(reply),
-            Purpose::Extend => self.on_extended(reply, sent),
-            Purpose::Submit(list) => self.on_submitted(list, reply, sent),
-            Purpose::Cancel(q) => self.on_cancelled(q, reply),
-            Purpose::ReadEnd(q) => self.on_end_read(q, reply),
-            Purpose::ReadNamed(naming, need) => self.on_named_read(*naming, need, reply),
-            Purpose::ReadNeed(need) => self.on_need_read(need, reply),
-            Purpose::Plan => self.on_planned(reply),
-            Purpose::Lease => self.on_leased(reply),
-            Purpose::Release => {}
-            Purpose::CellChange => self.on_cell_changed(reply),
-            of_block => self.on_block_reply(of_block, tenure, reply),
+            RequestPurpose::List => self.on_list(reply),
+            RequestPurpose::Watch => self.on_watch_response(reply, sent),
+            RequestPurpose::ReadRevision => self.on_fresh(&reply),
+            RequestPurpose::GrantLease => self.on_lease_granted(reply, sent),
+            RequestPurpose::Elect => self.on_elected(reply),
+            RequestPurpose::RenewLease => self.on_lease_renewed(reply, sent),
+            RequestPurpose::Submit(list) => self.on_submitted(list, reply, sent),
+            RequestPurpose::Cancel(q) => self.on_cancelled(q, reply),
+            RequestPurpose::ReadEnd(q) => self.on_end_read(q, reply),
+            RequestPurpose::ReadSubmissionDependency(naming, need) => {
+                self.on_named_read(*naming, need, reply)
+            }
+            RequestPurpose::ReadDependency(need) => self.on_need_read(need, reply),
+            RequestPurpose::WritePlan => self.on_planned(reply),
+            RequestPurpose::UpdateShards => self.on_leased(reply),
+            RequestPurpose::RevokeLease => {}
+            RequestPurpose::CellChange => self.on_cell_changed(reply),
+            of_shard => self.on_shard_response(of_shard, ownership, reply),
         }
         self.catch_up();
     }
 
-    pub(crate) fn on_block_reply(&mut self, purpose: Purpose, tenure: Tenure, reply: StateReply) {
-        let Some((block, number)) = tenure else {
+    pub(crate) fn on_shard_response(
+        &mut self,
+        purpose: RequestPurpose,
+        ownership: ShardOwnership,
+        reply: StoreResponse,
+    ) {
+        let Some((shard, number)) = ownership else {
             return;
         };
-        self.in_block(block, |core| {
-            if core.tenure() != Some((block, number)) {
+        self.in_shard(shard, |controller| {
+            if controller.ownership() != Some((shard, number)) {
                 return;
             }
             match purpose {
-                Purpose::Flush(items) => core.on_flushed(items, reply),
-                Purpose::Reread(job, chunk) => core.on_reread(job, chunk, reply),
-                Purpose::Finish(job) => core.on_finished(job, reply),
-                Purpose::Cleanup(list) => core.on_cleaned(list, reply),
+                RequestPurpose::WritePlacements(items) => controller.on_flushed(items, reply),
+                RequestPurpose::RereadPlacements(job, chunk) => {
+                    controller.on_reread(job, chunk, reply)
+                }
+                RequestPurpose::WriteEnd(job) => controller.on_finished(job, reply),
+                RequestPurpose::DeletePlacements(list) => controller.on_cleaned(list, reply),
                 _ => {}
             }
         });
--- a/src/controller/store/staleness.rs
+++ b/src/controller/store/staleness.rs
@@ -2,9 +2,9 @@
 //! a controller is blind.
 
 use crate::controller::rate_limits::token_bucket::Priority;
-use crate::controller::{BLIND_S, Core, Purpose, RETRY_S};
+use crate::controller::{Controller, RETRY_S, RequestPurpose, STALENESS_BOUND_S};
 use crate::ids::CallId;
-use crate::wire::{StateOp, StateReply};
+use crate::wire::{StoreRequest, StoreResponse};
 
 /// Shortest pause between two reads of the present revision, and the share of its requests
 /// that a controller reads it with for users who ask. With that and the follow's share, some
@@ -14,17 +14,17 @@
 /// A controller reads the present revision at least this often.
 const FRESH_EVERY_S: f64 = 1.0;
 
-impl Core {
+impl Controller {
     /// Asks for the present revision when somebody waits for it, or when it was
     /// last read too long ago.
     pub(crate) fn pump_fresh(&mut self) {
-        if self.fresh_sent.is_some() || !self.listed {
+        if self.fresh_sent.is_some() || !self.initial_list_done {
             return;
         }
         let since = self.now.since(self.fresh_last);
         let news = |after: Option<CallId>| after.is_some_and(|after| after >= self.fresh_asked);
-        let asked = news(self.front.newest_question());
-        let urgent = news(self.front.newest_urgent()) && since >= FRESH_GAP_S;
+        let asked = news(self.api.newest_status_query());
+        let urgent = news(self.api.newest_urgent()) && since >= FRESH_GAP_S;
         let gap_s = 1.0 / (self.requests.rate() * QUESTION_SHARE).max(1.0);
         let due = urgent || since >= FRESH_EVERY_S;
         let wanted = asked && since >= gap_s.max(FRESH_GAP_S);
@@ -38,22 +38,26 @@
         } else {
             Priority::Usual
         };
-        if let Ok(call) = self.state_call(StateOp::Fresh, Purpose::Fresh, priority) {
+        if let Ok(call) = self.send_store_request(
+            StoreRequest::ReadRevision,
+            RequestPurpose::ReadRevision,
+            priority,
+        ) {
             self.fresh_sent = Some(self.now);
             self.fresh_last = self.now;
             self.fresh_asked = call;
         }
     }
 
-    pub(crate) fn on_fresh(&mut self, reply: &StateReply) {
+    pub(crate) fn on_fresh(&mut self, reply: &StoreResponse) {
         self.fresh_sent = None;
-        if !matches!(reply, StateReply::Missing { .. }) {
+        if !matches!(reply, StoreResponse::Missing { .. }) {
             self.fresh_last = self.now.after(RETRY_S);
         }
     }
 
     pub(crate) fn catch_up(&mut self) {
-        let revision = self.cache.revision;
+        let revision = self.mirror.revision;
         let (fresh, call) = (&mut self.fresh_at, &mut self.fresh_call);
         let known = &mut self.known_at;
         self.fresh_waiting.retain(|r| {
@@ -64,16 +68,16 @@
             }
             r.revision > revision
         });
-        self.answer_questions();
+        self.answer_status_queries();
     }
 
     /// Seconds since this controller last knew all that stood at the state service.
-    pub(crate) fn blind_s(&self) -> f64 {
+    pub(crate) fn staleness_s(&self) -> f64 {
         self.now.since(self.fresh_at)
     }
 
     /// Whether it can't know what the state service holds now.
-    pub(crate) fn blind(&self) -> bool {
-        !self.listed || self.blind_s() > BLIND_S
+    pub(crate) fn is_stale(&self) -> bool {
+        !self.initial_list_done || self.staleness_s() > STALENESS_BOUND_S
     }
 }
--- a/src/controller/store/watch.rs
+++ b/src/controller/store/watch.rs
@@ -4,39 +4,39 @@
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::store::mirror::Event;
 use crate::controller::store::records::LIST_AFTER;
-use crate::controller::{Core, Purpose, RETRY_S, Sync};
+use crate::controller::{Controller, RETRY_S, RequestPurpose, WatchState};
 use crate::ids::Time;
-use crate::wire::{StateOp, StateReply};
+use crate::wire::{StoreRequest, StoreResponse};
 
 /// A follow that hasn't brought a revision known to exist for this long hangs.
-const FOLLOW_STUCK_S: f64 = 1.5;
+const WATCH_STUCK_S: f64 = 1.5;
 /// Share of its requests that a controller which places nothing follows with.
-const FOLLOW_SHARE: f64 = 0.4;
+const WATCH_SHARE: f64 = 0.4;
 
-impl Core {
-    pub(crate) fn sync_housekeeping(&mut self) {
-        match self.sync {
-            Sync::Idle { retry_at } if self.now >= retry_at => {
-                self.sync = Sync::Listing {
+impl Controller {
+    pub(crate) fn watch_housekeeping(&mut self) {
+        match self.watch {
+            WatchState::Idle { retry_at } if self.now >= retry_at => {
+                self.watch = WatchState::Listing {
                     first: None,
                     entries: Vec::new(),
                 };
                 self.list_from(LIST_AFTER.into());
             }
-            Sync::Paused { retry_at } if self.now >= retry_at => self.follow(),
-            Sync::Paused { .. } if self.suspects_leader().is_some() => self.follow(),
-            Sync::Following { call } => {
+            WatchState::Paused { retry_at } if self.now >= retry_at => self.start_watch(),
+            WatchState::Paused { .. } if self.suspects_leader().is_some() => self.start_watch(),
+            WatchState::Following { call } => {
                 // A cut can leave the follow's connection open and dead: a revision
                 // that is known to exist doesn't come through it.
                 let stuck = self
                     .fresh_waiting
                     .front()
-                    .is_some_and(|r| self.now.since(r.answered) > FOLLOW_STUCK_S);
+                    .is_some_and(|r| self.now.since(r.answered) > WATCH_STUCK_S);
                 if stuck {
-                    self.calls.remove(&call);
+                    self.pending_requests.remove(&call);
                     self.out.push(Output::Forget(call));
                     self.fresh_waiting.clear();
-                    self.follow();
+                    self.start_watch();
                 }
             }
             _ => {}
@@ -44,28 +44,31 @@
     }
 
     pub(crate) fn list_from(&mut self, after: String) {
-        let op = StateOp::List { after };
-        if self.state_call(op, Purpose::List, Priority::First).is_err() {
-            self.sync = Sync::Idle {
+        let op = StoreRequest::List { after };
+        if self
+            .send_store_request(op, RequestPurpose::List, Priority::First)
+            .is_err()
+        {
+            self.watch = WatchState::Idle {
                 retry_at: self.now.after(RETRY_S),
             };
         }
     }
 
-    pub(crate) fn on_list(&mut self, reply: StateReply) {
-        let StateReply::Page {
+    pub(crate) fn on_list(&mut self, reply: StoreResponse) {
+        let StoreResponse::Page {
             entries: page,
             last,
             more,
             revision,
         } = reply
         else {
-            self.sync = Sync::Idle {
+            self.watch = WatchState::Idle {
                 retry_at: self.now.after(RETRY_S),
             };
             return;
         };
-        let Sync::Listing { first, entries } = &mut self.sync else {
+        let WatchState::Listing { first, entries } = &mut self.watch else {
             return;
         };
         // Later pages may show later changes; the follow starts at the first
@@ -77,19 +80,19 @@
             return;
         }
         let entries = std::mem::take(entries);
-        let events = self.cache.replace(self.now, began, entries);
-        self.listed = true;
-        self.follow();
+        let events = self.mirror.replace(self.now, began, entries);
+        self.initial_list_done = true;
+        self.start_watch();
         self.on_events(events);
     }
 
-    pub(crate) fn follow(&mut self) {
-        let op = StateOp::Follow {
-            after: self.cache.revision,
+    pub(crate) fn start_watch(&mut self) {
+        let op = StoreRequest::Watch {
+            after: self.mirror.revision,
         };
-        self.sync = match self.state_call(op, Purpose::Follow, Priority::First) {
-            Ok(call) => Sync::Following { call },
-            Err(_) => Sync::Paused {
+        self.watch = match self.send_store_request(op, RequestPurpose::Watch, Priority::First) {
+            Ok(call) => WatchState::Following { call },
+            Err(_) => WatchState::Paused {
                 retry_at: self.now.after(RETRY_S),
             },
         };
@@ -98,46 +101,46 @@
     /// Goes on following: at once where tasks are placed. The others let changes gather,
     /// so that opening the follow again for each of them doesn't use up their requests:
     /// with five controllers that kept submissions waiting for a second.
-    pub(crate) fn follow_on(&mut self) {
+    pub(crate) fn continue_watch(&mut self) {
         let takes_over = self.suspects_leader().is_some() || self.has_won();
-        if !self.parked.is_empty() || self.lead.is_some() || takes_over {
-            return self.follow();
+        if !self.parked.is_empty() || self.leadership.is_some() || takes_over {
+            return self.start_watch();
         }
-        let gap_s = 1.0 / (self.requests.rate() * FOLLOW_SHARE).max(1.0);
-        self.sync = Sync::Paused {
+        let gap_s = 1.0 / (self.requests.rate() * WATCH_SHARE).max(1.0);
+        self.watch = WatchState::Paused {
             retry_at: self.now.after(gap_s),
         };
     }
 
     /// Goes on following without the pause: something is known to have changed.
-    pub(crate) fn follow_at_once(&mut self) {
-        if matches!(self.sync, Sync::Paused { .. }) {
-            self.follow();
+    pub(crate) fn watch_at_once(&mut self) {
+        if matches!(self.watch, WatchState::Paused { .. }) {
+            self.start_watch();
         }
     }
 
-    pub(crate) fn on_follow(&mut self, reply: StateReply, sent: Time) {
+    pub(crate) fn on_watch_response(&mut self, reply: StoreResponse, sent: Time) {
         match reply {
-            StateReply::News { revision, news } => {
+            StoreResponse::Changes { revision, news } => {
                 let now = self.now;
                 self.change_meter.note_seen(news.len());
                 self.known_at = self.known_at.max(sent);
                 let events: Vec<Event> = news
                     .into_iter()
-                    .filter_map(|change| self.cache.apply(now, change))
+                    .filter_map(|change| self.mirror.apply(now, change))
                     .collect();
-                self.cache.revision = self.cache.revision.max(revision);
-                self.follow_on();
+                self.mirror.revision = self.mirror.revision.max(revision);
+                self.continue_watch();
                 self.on_events(events);
             }
-            StateReply::TooOld => {
+            StoreResponse::Compacted => {
                 // What was missed can't be told apart from what never was.
                 self.give_up("the follow fell behind");
-                self.listed = false;
-                self.sync = Sync::Idle { retry_at: self.now };
+                self.initial_list_done = false;
+                self.watch = WatchState::Idle { retry_at: self.now };
             }
             _ => {
-                self.sync = Sync::Paused {
+                self.watch = WatchState::Paused {
                     retry_at: self.now.after(RETRY_S),
                 }
             }
@@ -149,14 +152,14 @@
         for event in events {
             match event {
                 Event::Job(id) => {
-                    let block = self.cache.jobs.get(&id).map(|j| j.rec.block);
-                    self.in_block(block.unwrap_or(0), |core| core.holder_job(&id));
+                    let shard = self.mirror.jobs.get(&id).map(|j| j.record.shard);
+                    self.in_shard(shard.unwrap_or(0), |controller| controller.owner_job(&id));
                 }
                 Event::JobGone(id) => {
-                    let mut holders = self.parked.values();
-                    let holder = holders.find(|h| h.jobs.contains_key(&id));
-                    if let Some(block) = holder.map(|h| h.block) {
-                        self.in_block(block, |core| core.holder_job_gone(&id));
+                    let mut owners = self.parked.values();
+                    let owner = owners.find(|h| h.jobs.contains_key(&id));
+                    if let Some(shard) = owner.map(|h| h.shard) {
+                        self.in_shard(shard, |controller| controller.owner_job_gone(&id));
                     }
                 }
                 Event::Control => control = true,
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -41,7 +41,7 @@
 );
 name_type!(
     /// One controller of the service.
-    Member
+    ControllerId
 );
 name_type!(
     /// An image: a model's weights with the engine that serves them.
@@ -100,26 +100,26 @@
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Default,
 )]
-pub struct Number(pub u64);
+pub struct FencingToken(pub u64);
 
 impl Attempt {
     /// Bits left for the placements made under one number.
     const COUNT_BITS: u32 = 28;
 
     /// The `count`th placement under `number`.
-    pub fn new(number: Number, count: u64) -> Self {
+    pub fn new(number: FencingToken, count: u64) -> Self {
         Self((number.0 << Self::COUNT_BITS) | (count & ((1 << Self::COUNT_BITS) - 1)))
     }
 
     /// The number under which it was placed.
-    pub fn number(self) -> Number {
-        Number(self.0 >> Self::COUNT_BITS)
+    pub fn number(self) -> FencingToken {
+        FencingToken(self.0 >> Self::COUNT_BITS)
     }
 }
 
 /// A request that waits for its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ReqId(pub u64);
+pub struct RequestId(pub u64);
 
 /// A call to the state service or the cloud.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -95,7 +95,7 @@
     }
 }
 
-pub struct Gauge {
+pub struct Metrics {
     /// Time that one input took, in microseconds.
     steps: Histogram<u32>,
     /// Time that the state service took to answer a commit, in microseconds.
@@ -105,7 +105,7 @@
     queued: usize,
     busy: Busy,
     /// To other controllers of this cell, and to those of other cells.
-    to_siblings: Sent,
+    to_peers: Sent,
     to_cells: Sent,
     before: Load,
     since: Time,
@@ -115,7 +115,7 @@
     Histogram::new_with_max(LONGEST_US, DIGITS).expect("bounds that hdrhistogram takes")
 }
 
-impl Gauge {
+impl Metrics {
     pub fn new(now: Time, began: Instant) -> Self {
         Self {
             steps: histogram(),
@@ -123,7 +123,7 @@
             refused: 0,
             queued: 0,
             busy: Busy::new(began),
-            to_siblings: Sent::default(),
+            to_peers: Sent::default(),
             to_cells: Sent::default(),
             before: Load::default(),
             since: now,
@@ -159,8 +159,8 @@
     }
 
     /// A message was sent to a sibling.
-    pub fn sent_to_sibling(&mut self, bytes: usize) {
-        self.to_siblings.add(bytes);
+    pub fn sent_to_peer(&mut self, bytes: usize) {
+        self.to_peers.add(bytes);
     }
 
     /// A message was sent to a controller of another cell.
@@ -200,13 +200,13 @@
             self.queued,
             load.looked - b.looked,
             load.placed - b.placed,
-            self.to_siblings.line(passed),
+            self.to_peers.line(passed),
             self.to_cells.line(passed),
         );
         self.steps.reset();
         self.commits.reset();
         (self.refused, self.queued) = (0, 0);
-        (self.to_siblings, self.to_cells) = (Sent::default(), Sent::default());
+        (self.to_peers, self.to_cells) = (Sent::default(), Sent::default());
         (self.before, self.since) = (load.clone(), now);
         Some(line)
     }
--- a/src/net/calls.rs
+++ b/src/net/calls.rs
@@ -5,7 +5,7 @@
 use crate::ids::{CallId, Time};
 use crate::net::Net;
 use crate::net::connections::{ANSWER_MAX, Conn, Role, open};
-use crate::wire::{Call, CloudOp, CloudReply, StateOp, StateReply};
+use crate::wire::{Call, CloudOp, CloudReply, StoreRequest, StoreResponse};
 use crate::{http, wire};
 use log::debug;
 use std::net::SocketAddrV4;
@@ -15,11 +15,11 @@
 /// How long answers are waited for.
 const STATE_CALL_S: f64 = 2.0;
 const CLOUD_CALL_S: f64 = 6.0;
-const FOLLOW_CALL_S: f64 = wire::FOLLOW_MS as f64 / 1000.0 + 2.0;
+const WATCH_CALL_S: f64 = wire::WATCH_MS as f64 / 1000.0 + 2.0;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Service {
-    State,
+    Store,
     Cloud,
 }
 
@@ -32,36 +32,36 @@
 }
 
 pub(super) enum Op {
-    State(StateOp),
+    Store(StoreRequest),
     Cloud(CloudOp),
 }
 
 impl Op {
     pub(super) fn service(&self) -> Service {
         match self {
-            Self::State(_) => Service::State,
+            Self::Store(_) => Service::Store,
             Self::Cloud(_) => Service::Cloud,
         }
     }
 
     pub(super) fn call(&self) -> Call {
         match self {
-            Self::State(op) => op.call(),
+            Self::Store(op) => op.call(),
             Self::Cloud(op) => op.call(),
         }
     }
 
     pub(super) fn patience_s(&self) -> f64 {
         match self {
-            Self::State(StateOp::Follow { .. }) => FOLLOW_CALL_S,
-            Self::State(_) => STATE_CALL_S,
+            Self::Store(StoreRequest::Watch { .. }) => WATCH_CALL_S,
+            Self::Store(_) => STATE_CALL_S,
             Self::Cloud(_) => CLOUD_CALL_S,
         }
     }
 
     pub(super) fn no_answer(&self, call: CallId) -> Input {
         match self {
-            Self::State(_) => Input::State(call, StateReply::NoAnswer),
+            Self::Store(_) => Input::Store(call, StoreResponse::NoAnswer),
             Self::Cloud(_) => Input::Cloud(call, CloudReply::NoAnswer),
         }
     }
@@ -69,7 +69,7 @@
     pub(super) fn reply(&self, call: CallId, message: &Message) -> Input {
         let status = message.status().unwrap_or(0);
         match self {
-            Self::State(op) => Input::State(call, op.reply(status, &message.body)),
+            Self::Store(op) => Input::Store(call, op.reply(status, &message.body)),
             Self::Cloud(op) => Input::Cloud(call, op.reply(status, &message.body)),
         }
     }
@@ -77,7 +77,7 @@
 
 impl Net {
     pub(super) fn start_call(&mut self, id: CallId, op: Op) {
-        if let Op::State(StateOp::Commit { writes, .. }) = &op {
+        if let Op::Store(StoreRequest::Transaction { writes, .. }) = &op {
             debug!("commits {writes:?}");
         }
         let began = self.now();
@@ -97,7 +97,7 @@
 
     pub(super) fn start_queued(&mut self, service: Service) {
         let most = match service {
-            Service::State => STATE_CONNS,
+            Service::Store => STATE_CONNS,
             Service::Cloud => CLOUD_CONNS,
         };
         loop {
@@ -148,7 +148,7 @@
 
     pub(super) fn address(&self, service: Service) -> SocketAddrV4 {
         match service {
-            Service::State => self.settings.platform.services.state,
+            Service::Store => self.settings.platform.services.state,
             Service::Cloud => self.settings.platform.services.cloud,
         }
     }
@@ -184,7 +184,7 @@
             return;
         };
         self.deadlines.remove(&(out.deadline, id));
-        if matches!(out.op, Op::State(StateOp::Commit { .. })) {
+        if matches!(out.op, Op::Store(StoreRequest::Transaction { .. })) {
             self.gauge.commit(self.now().since(out.began));
         }
         if message.is_some_and(|m| matches!(m.status(), Some(429 | 503))) {
--- a/src/net/cells.rs
+++ b/src/net/cells.rs
@@ -46,8 +46,8 @@
             Ok(bytes) => bytes,
             Err(why) => return warn!("a message to cell {to} isn't sent: {why}"),
         };
-        let members = file.cells.get(to).into_iter().flat_map(|m| m.values());
-        let addresses: Vec<SocketAddrV4> = members.copied().collect();
+        let controller_ids = file.cells.get(to).into_iter().flat_map(|m| m.values());
+        let addresses: Vec<SocketAddrV4> = controller_ids.copied().collect();
         for address in addresses {
             let Some(key) = self.cell_link(address) else {
                 continue;
--- a/src/net/connections.rs
+++ b/src/net/connections.rs
@@ -2,7 +2,7 @@
 
 use crate::controller::events::{Input, Link};
 use crate::http::{Decoder, Side};
-use crate::ids::{CallId, Member, ReqId, Time};
+use crate::ids::{CallId, ControllerId, RequestId, Time};
 use crate::net::Net;
 use crate::net::calls::Service;
 use crate::net::waiting::Ready;
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Inbound {
     UsersAndWorkers,
-    Siblings,
+    Peers,
     Cells,
 }
 
@@ -42,7 +42,7 @@
     Server {
         decoder: Decoder,
         /// The request being answered; no other is read meanwhile.
-        pending: Option<ReqId>,
+        pending: Option<RequestId>,
         close: bool,
         worker: bool,
     },
@@ -55,7 +55,7 @@
         buf: Vec<u8>,
     },
     PeerOut {
-        to: Member,
+        to: ControllerId,
         /// Whether the connection stands.
         made: bool,
     },
@@ -86,7 +86,7 @@
         loop {
             let listener = match from {
                 Inbound::UsersAndWorkers => Some(&self.listener),
-                Inbound::Siblings => Some(&self.peer_listener),
+                Inbound::Peers => Some(&self.peer_listener),
                 Inbound::Cells => self.cell_listener.as_ref(),
             };
             let Some(listener) = listener else {
@@ -110,7 +110,7 @@
             return;
         }
         let role = match from {
-            Inbound::Siblings => Role::PeerIn { buf: Vec::new() },
+            Inbound::Peers => Role::PeerIn { buf: Vec::new() },
             Inbound::Cells => Role::CellIn { buf: Vec::new() },
             Inbound::UsersAndWorkers => Role::Server {
                 decoder: Decoder::new(Side::Request, wire::BODY_MAX),
@@ -191,9 +191,9 @@
             } => {
                 self.inbound -= 1;
                 self.workers -= usize::from(*worker);
-                if let Some(req) = pending.take() {
-                    self.requests.remove(&req);
-                    self.inputs.push_back(Input::Disconnect(req));
+                if let Some(request_id) = pending.take() {
+                    self.requests.remove(&request_id);
+                    self.inputs.push_back(Input::Disconnect(request_id));
                 }
             }
             Role::PeerIn { .. } | Role::CellIn { .. } => self.inbound -= 1,
@@ -262,7 +262,7 @@
                 }
                 Role::PeerIn { buf: all } => {
                     all.extend_from_slice(&buf[..n]);
-                    self.hellos(key)
+                    self.heartbeats(key)
                 }
                 Role::CellIn { buf: all } => {
                     all.extend_from_slice(&buf[..n]);
@@ -291,7 +291,7 @@
             return false;
         };
         let most = match conn.role {
-            Role::PeerOut { .. } => self.settings.sibling_out_bytes(),
+            Role::PeerOut { .. } => self.settings.peer_out_bytes(),
             Role::CellOut { .. } => CELL_OUT_MAX,
             _ => OUT_MAX,
         };
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -8,10 +8,10 @@
 mod requests;
 pub mod waiting;
 
-use crate::controller::Core;
+use crate::controller::Controller;
 use crate::controller::events::{Input, Output};
-use crate::ids::{CallId, Member, ReqId, Time};
-use crate::metrics::Gauge;
+use crate::ids::{CallId, ControllerId, RequestId, Time};
+use crate::metrics::Metrics;
 use crate::net::calls::{Op, Outgoing, Service};
 use crate::net::connections::{Conn, FIRST_CONN, Inbound};
 use crate::net::waiting::{Ready, Waiting};
@@ -43,20 +43,20 @@
     /// For other cells, if limits are shared with any.
     cell_listener: Option<TcpListener>,
     settings: Settings,
-    core: Core,
+    controller: Controller,
     started: Instant,
     conns: HashMap<usize, Conn>,
     next_key: usize,
     next_req: u64,
     /// Which connection a request came on.
-    requests: HashMap<ReqId, usize>,
+    requests: HashMap<RequestId, usize>,
     calls: HashMap<CallId, Outgoing>,
     deadlines: BTreeSet<(Time, CallId)>,
     idle: HashMap<Service, Vec<usize>>,
     open: HashMap<Service, usize>,
     queued: HashMap<Service, VecDeque<CallId>>,
-    peers: HashMap<Member, usize>,
-    peer_retry: HashMap<Member, Time>,
+    peers: HashMap<ControllerId, usize>,
+    peer_retry: HashMap<ControllerId, Time>,
     /// Connections to siblings with messages of this turn.
     unflushed: BTreeSet<usize>,
     /// Connections to controllers of other cells, and when the next may be begun.
@@ -67,18 +67,18 @@
     inbound: usize,
     /// Connections on which workers reported.
     workers: usize,
-    gauge: Gauge,
+    gauge: Metrics,
     /// The process is told to end.
     end: Arc<AtomicBool>,
 }
 
 /// Runs the service until the process is killed or, once `end` is raised, has handed over.
-pub fn run(settings: Settings, boot: u64, end: Arc<AtomicBool>) -> io::Result<()> {
+pub fn run(settings: Settings, incarnation: u64, end: Arc<AtomicBool>) -> io::Result<()> {
     let waiting = Waiting::new()?;
     let listener = listen(&waiting, settings.platform.listen, LISTEN)?;
     let peer_listener = listen(&waiting, settings.platform.peer_listen, PEER_LISTEN)?;
     let cells = settings.cells.as_ref();
-    let cell_address = cells.and_then(|file| file.listen(&settings.platform.member));
+    let cell_address = cells.and_then(|file| file.listen(&settings.platform.controller_id));
     let cell_listener = match cell_address {
         Some(address) => Some(listen(&waiting, address, CELL_LISTEN)?),
         None => None,
@@ -87,7 +87,7 @@
     info!(
         "salttrestle {} as {} on {}",
         env!("CARGO_PKG_VERSION"),
-        settings.platform.member,
+        settings.platform.controller_id,
         settings.platform.listen
     );
     let mut net = Net {
@@ -95,7 +95,7 @@
         listener,
         peer_listener,
         cell_listener,
-        core: Core::new(settings.clone(), boot),
+        controller: Controller::new(settings.clone(), incarnation),
         settings,
         started: Instant::now(),
         conns: HashMap::new(),
@@ -116,7 +116,7 @@
         sweep_at: Time(0),
         inbound: 0,
         workers: 0,
-        gauge: Gauge::new(Time(CLOCK_START_MS), Instant::now()),
+        gauge: Metrics::new(Time(CLOCK_START_MS), Instant::now()),
         end,
     };
     net.run()
@@ -150,12 +150,12 @@
         let mut buf = vec![0; READ_CHUNK];
         loop {
             self.work();
-            if self.core.drained() {
+            if self.controller.shutdown_complete() {
                 info!("ends: everything is handed over");
                 return Ok(());
             }
             let now = self.now();
-            let wake = self.core.wake_at().min(self.sweep_at);
+            let wake = self.controller.wake_at().min(self.sweep_at);
             let wait = Duration::from_millis(wake.0.saturating_sub(now.0));
             events.clear();
             let began = Instant::now();
@@ -168,7 +168,7 @@
             for event in &events {
                 match event.key {
                     LISTEN => self.accept(Inbound::UsersAndWorkers),
-                    PEER_LISTEN => self.accept(Inbound::Siblings),
+                    PEER_LISTEN => self.accept(Inbound::Peers),
                     CELL_LISTEN => self.accept(Inbound::Cells),
                     _ => self.ready(*event, &mut buf),
                 }
@@ -187,15 +187,15 @@
             self.sweep_at = now.next_multiple(SWEEP_MS);
             self.sweep(now);
             if self.end.load(Ordering::Relaxed) {
-                self.inputs.push_back(Input::Drain);
+                self.inputs.push_back(Input::Shutdown);
             }
             if let Some(share) = self.gauge.busy(Instant::now()) {
-                self.inputs.push_back(Input::Busy(share));
+                self.inputs.push_back(Input::ProcessorUtilization(share));
             }
             self.tell_load(now);
         }
         self.take_inputs();
-        if now >= self.core.wake_at() {
+        if now >= self.controller.wake_at() {
             self.step(Input::Tick);
             self.take_inputs();
         }
@@ -207,7 +207,7 @@
             while let Some(input) = self.inputs.pop_front() {
                 self.step(input);
             }
-            self.flush_siblings();
+            self.flush_peers();
             if self.inputs.is_empty() {
                 return;
             }
@@ -217,16 +217,16 @@
     fn step(&mut self, input: Input) {
         let began = Instant::now();
         let now = self.now();
-        let outputs = self.core.step(now, input);
+        let outputs = self.controller.step(now, input);
         self.gauge.step(began.elapsed());
         for output in outputs {
             match output {
-                Output::Answer(req, reply) => self.answer(req, &reply),
-                Output::State(call, op) => self.start_call(call, Op::State(op)),
+                Output::Answer(request_id, reply) => self.answer(request_id, &reply),
+                Output::Store(call, op) => self.start_call(call, Op::Store(op)),
                 Output::Cloud(call, op) => self.start_call(call, Op::Cloud(op)),
                 Output::Forget(call) => self.end_call(call),
-                Output::Reconnect(member) => {
-                    self.peer_retry.remove(&member);
+                Output::Reconnect(controller_id) => {
+                    self.peer_retry.remove(&controller_id);
                 }
                 Output::Cell(to, message) => self.tell_cell(&to, &message),
                 Output::Peer(to, message) => match peer::frame(&message) {
@@ -240,14 +240,14 @@
 
     /// Tells an operator from time to time which limit is near.
     fn tell_load(&mut self, now: Time) {
-        let load = self.core.load();
+        let load = self.controller.load();
         let most = self.settings.platform.facts.resources.max_sockets;
         if let Some(line) = self.gauge.line(now, &load, self.conns.len(), most) {
             info!("{line}");
-            if let Some(queue) = self.core.queue() {
+            if let Some(queue) = self.controller.queue() {
                 info!("{queue}");
             }
-            if let Some(status) = self.core.standby_status() {
+            if let Some(status) = self.controller.standby_status() {
                 info!("{status}");
             }
         }
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -1,7 +1,7 @@
 //! Messages between controllers.
 
 use crate::controller::events::{Input, Link};
-use crate::ids::Member;
+use crate::ids::ControllerId;
 use crate::net::Net;
 use crate::net::connections::{Conn, Role, open};
 use crate::peer;
@@ -33,7 +33,7 @@
         }
     }
 
-    pub(super) fn hellos(&mut self, key: usize) -> bool {
+    pub(super) fn heartbeats(&mut self, key: usize) -> bool {
         let Some(Conn {
             role: Role::PeerIn { buf },
             ..
@@ -55,18 +55,18 @@
 
     /// Queues a message to one sibling, or to all. It is written at the end of the turn, so that
     /// all that goes to a sibling then is one write.
-    pub(super) fn say(&mut self, to: Option<&Member>, bytes: &[u8]) {
-        for index in 0..self.settings.platform.siblings.len() {
-            let sibling = &self.settings.platform.siblings[index];
-            if to.is_some_and(|to| *to != sibling.member) {
+    pub(super) fn say(&mut self, to: Option<&ControllerId>, bytes: &[u8]) {
+        for index in 0..self.settings.platform.peers.len() {
+            let peer = &self.settings.platform.peers[index];
+            if to.is_some_and(|to| *to != peer.controller_id) {
                 continue;
             }
-            let (member, endpoint) = (sibling.member.clone(), sibling.endpoint);
-            let Some(key) = self.sibling_link(&member, endpoint) else {
+            let (controller_id, endpoint) = (peer.controller_id.clone(), peer.endpoint);
+            let Some(key) = self.peer_link(&controller_id, endpoint) else {
                 continue;
             };
             if self.queue(key, bytes) {
-                self.gauge.sent_to_sibling(bytes.len());
+                self.gauge.sent_to_peer(bytes.len());
                 self.unflushed.insert(key);
             } else {
                 self.close(key);
@@ -75,34 +75,35 @@
     }
 
     /// The connection to a sibling; begins one if there is none and none was tried just now.
-    fn sibling_link(&mut self, member: &Member, endpoint: SocketAddrV4) -> Option<usize> {
-        if let Some(key) = self.peers.get(member) {
+    fn peer_link(&mut self, controller_id: &ControllerId, endpoint: SocketAddrV4) -> Option<usize> {
+        if let Some(key) = self.peers.get(controller_id) {
             return Some(*key);
         }
         let now = self.now();
-        let retry = self.peer_retry.get(member);
+        let retry = self.peer_retry.get(controller_id);
         if retry.is_some_and(|at| now < *at) {
             return None;
         }
         let next_try = now.after(CONNECT_PEER_S);
-        self.peer_retry.insert(member.clone(), next_try);
+        self.peer_retry.insert(controller_id.clone(), next_try);
         let opened = open(endpoint);
         if let Err(e) = &opened {
             let refused = e.kind() == ErrorKind::ConnectionRefused;
             let link = if refused { Link::Refused } else { Link::Lost };
-            self.inputs.push_back(Input::Link(member.clone(), link));
+            self.inputs
+                .push_back(Input::Link(controller_id.clone(), link));
         }
         let role = Role::PeerOut {
-            to: member.clone(),
+            to: controller_id.clone(),
             made: false,
         };
         let key = self.add(opened.ok()?, role)?;
-        self.peers.insert(member.clone(), key);
+        self.peers.insert(controller_id.clone(), key);
         Some(key)
     }
 
     /// Writes what was queued for siblings in this turn.
-    pub(super) fn flush_siblings(&mut self) {
+    pub(super) fn flush_peers(&mut self) {
         for key in std::mem::take(&mut self.unflushed) {
             if self.flush(key) {
                 // A connection that was made at once takes all of the first message, and never
--- a/src/net/requests.rs
+++ b/src/net/requests.rs
@@ -2,7 +2,7 @@
 
 use crate::controller::events::{Input, Reply, Request};
 use crate::http::{Decoder, HttpError, Message, Side};
-use crate::ids::{JobId, ReqId};
+use crate::ids::{JobId, RequestId};
 use crate::net::Net;
 use crate::net::connections::{Conn, Role, WORKER_SHARE};
 use crate::{http, wire};
@@ -65,7 +65,7 @@
             ..
         }) = self.conns.get_mut(&key)
         {
-            let reports = matches!(ask, Ok(Request::Report(_)));
+            let reports = matches!(ask, Ok(Request::Heartbeat(_)));
             if reports && !*worker && full {
                 (ask, close) = (Err((503, "too many workers")), true);
             } else if reports && !*worker {
@@ -77,16 +77,16 @@
         match ask {
             Ok(ask) => {
                 self.next_req += 1;
-                let req = ReqId(self.next_req);
+                let request_id = RequestId(self.next_req);
                 if let Some(Conn {
                     role: Role::Server { pending, .. },
                     ..
                 }) = self.conns.get_mut(&key)
                 {
-                    *pending = Some(req);
+                    *pending = Some(request_id);
                 }
-                self.requests.insert(req, key);
-                self.inputs.push_back(Input::Request(req, ask));
+                self.requests.insert(request_id, key);
+                self.inputs.push_back(Input::Request(request_id, ask));
             }
             Err((status, why)) => {
                 let later = (status == 503).then_some(REFUSED_RETRY_S);
@@ -120,8 +120,8 @@
         }
     }
 
-    pub(super) fn answer(&mut self, req: ReqId, reply: &Reply) {
-        let Some(key) = self.requests.remove(&req) else {
+    pub(super) fn answer(&mut self, request_id: RequestId, reply: &Reply) {
+        let Some(key) = self.requests.remove(&request_id) else {
             return;
         };
         let Some(Conn {
@@ -150,7 +150,7 @@
         "/work" if method == "POST" => return Ok(Request::Submit(wire::submission(body))),
         "/agent/beat" if method == "POST" => {
             let report = wire::decode(body).ok_or((400, "not a report"))?;
-            return Ok(Request::Report(report));
+            return Ok(Request::Heartbeat(report));
         }
         "/work" | "/agent/beat" => return Err((405, "wrong method")),
         _ => {}
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -1,8 +1,8 @@
 //! What controllers tell each other: `postcard` behind a length and a version.
 //! Nothing a rule depends on travels here; it only makes the right thing come sooner.
 
-use crate::ids::{Attempt, MachineId, Member, Number, ReqId};
-use crate::wire::{Cause, Num, Report, ReportTask, TaskStance};
+use crate::ids::{Attempt, ControllerId, FencingToken, MachineId, RequestId};
+use crate::wire::{Cause, HeartbeatTask, Num, TaskStatus, WorkerHeartbeat};
 use salttrestle_standby::message::{MessageError, StandbyMessage};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -19,10 +19,10 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    Hello(Hello),
-    BlockCounts(Box<BlockCounts>),
-    RelayedReport(Box<RelayedReport>),
-    RelayedAnswer(RelayedAnswer),
+    PeerHeartbeat(PeerHeartbeat),
+    ShardCounts(Box<ShardCounts>),
+    ForwardedHeartbeat(Box<ForwardedHeartbeat>),
+    ForwardedResponse(ForwardedResponse),
     /// Travels in frames of a version of its own.
     #[serde(skip)]
     Standby(Box<StandbyMessage>),
@@ -44,28 +44,28 @@
 
 /// What a controller says of itself about once a second.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Hello {
-    pub from: Member,
+pub struct PeerHeartbeat {
+    pub from: ControllerId,
     /// Tells this process from earlier ones of the same controller.
-    pub boot: u64,
+    pub incarnation: u64,
     /// Who leads, as far as it knows.
-    pub leader: Option<Member>,
+    pub leader: Option<ControllerId>,
     /// Who holds each block, and under which number.
-    pub blocks: Vec<(u32, Number, Member)>,
+    pub shards: Vec<(u32, FencingToken, ControllerId)>,
     /// Whether the state service has answered it lately.
-    pub sighted: bool,
+    pub is_fresh: bool,
     /// How long ago it last knew all that stood at the state service, in milliseconds.
-    pub blind_ms: u64,
+    pub staleness_ms: u64,
     /// Whether a worker has reported to it lately, wherever it was sent on to.
     pub heard: bool,
     /// Whether it holds a block whose workers have stopped reporting to it.
     pub deaf: bool,
     /// Whether it can hand reports on to the holder.
-    pub relays: bool,
+    pub can_forward: bool,
     /// The sender's clock, in milliseconds.
     pub at_ms: u64,
     /// The clock and the process of the latest message like this one from each sibling.
-    pub echoes: Vec<(Member, u64, u64)>,
+    pub echoes: Vec<(ControllerId, u64, u64)>,
     /// How long ago it last answered a worker in a holder's place, in milliseconds.
     pub sheltered_ms: u64,
     /// Machines of its blocks that have tasks and don't report, within a bound: what is
@@ -75,11 +75,11 @@
 
 /// A worker's report, handed on to its block's holder.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RelayedReport {
-    pub from: Member,
-    pub boot: u64,
+pub struct ForwardedHeartbeat {
+    pub from: ControllerId,
+    pub incarnation: u64,
     /// The sender's request, for the answer.
-    pub req: u64,
+    pub request_id: u64,
     machine: String,
     endpoint: String,
     class: String,
@@ -89,17 +89,22 @@
     seq: u64,
     number: u64,
     notice_s: Option<f64>,
-    tasks: Vec<(String, Attempt, TaskStance, Option<Cause>)>,
+    tasks: Vec<(String, Attempt, TaskStatus, Option<Cause>)>,
 }
 
-impl RelayedReport {
-    pub fn new(from: &Member, boot: u64, req: ReqId, report: &Report) -> Self {
+impl ForwardedHeartbeat {
+    pub fn new(
+        from: &ControllerId,
+        incarnation: u64,
+        request_id: RequestId,
+        report: &WorkerHeartbeat,
+    ) -> Self {
         let tasks = report.tasks.iter();
-        let tasks = tasks.map(|t| (t.task.clone(), t.attempt, t.stance, t.cause));
+        let tasks = tasks.map(|t| (t.task.clone(), t.attempt, t.status, t.cause));
         Self {
             from: from.clone(),
-            boot,
-            req: req.0,
+            incarnation,
+            request_id: request_id.0,
             machine: report.machine.clone(),
             endpoint: report.endpoint.clone(),
             class: report.class.clone(),
@@ -113,15 +118,15 @@
         }
     }
 
-    pub fn report(self) -> Report {
+    pub fn report(self) -> WorkerHeartbeat {
         let tasks = self.tasks.into_iter();
-        let tasks = tasks.map(|(task, attempt, stance, cause)| ReportTask {
+        let tasks = tasks.map(|(task, attempt, status, cause)| HeartbeatTask {
             task,
             attempt,
-            stance,
+            status,
             cause,
         });
-        Report {
+        WorkerHeartbeat {
             machine: self.machine,
             endpoint: self.endpoint,
             class: self.class,
@@ -138,10 +143,10 @@
 
 /// The answer to a report that was handed on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RelayedAnswer {
+pub struct ForwardedResponse {
     /// The process that asked, and its request.
-    pub boot: u64,
-    pub req: u64,
+    pub incarnation: u64,
+    pub request_id: u64,
     pub status: u16,
     pub body: Vec<u8>,
     pub retry_after: Option<u32>,
@@ -149,10 +154,10 @@
 
 /// What a block's holder counts for the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct BlockCounts {
-    pub from: Member,
-    pub block: u32,
-    pub number: Number,
+pub struct ShardCounts {
+    pub from: ControllerId,
+    pub shard: u32,
+    pub number: FencingToken,
     /// The revision of the block's record under which this was counted.
     pub revision: u64,
     /// Each pool by type and kind.
--- a/src/settings/cells.rs
+++ b/src/settings/cells.rs
@@ -1,7 +1,7 @@
 //! The cells that share team limits, as Java-style properties: the same file for all cells but for
 //! `cells.here`.
 
-use crate::ids::Member;
+use crate::ids::ControllerId;
 use crate::settings::platform::{Platform, Team};
 use crate::settings::{SettingsError, bad};
 use salttrestle_cells::ledger::HomeTeam;
@@ -23,7 +23,7 @@
     /// `cells.here`: the cell that this controller belongs to.
     pub here: Cell,
     /// `cell.CELL.MEMBER`: where each cell's controllers listen for other cells.
-    pub cells: BTreeMap<Cell, BTreeMap<Member, SocketAddrV4>>,
+    pub cells: BTreeMap<Cell, BTreeMap<ControllerId, SocketAddrV4>>,
     /// `team.TEAM.home` and `team.TEAM.since`: the cell that makes a team's limit, and the
     /// generation with which the team came.
     pub teams: BTreeMap<String, HomeTeam>,
@@ -90,14 +90,14 @@
     }
 
     fn check_here(&self, file: &str, platform: &Platform) -> Result<(), SettingsError> {
-        let Some(members) = self.cells.get(&self.here) else {
+        let Some(controller_ids) = self.cells.get(&self.here) else {
             let reason = format!("there is no cell {}", self.here);
             return Err(bad(file, "cells.here", reason));
         };
-        let siblings = platform.siblings.iter().map(|s| &s.member);
-        for member in siblings.chain([&platform.member]) {
-            if !members.contains_key(member) {
-                let key = format!("cell.{}.{member}", self.here);
+        let peers = platform.peers.iter().map(|s| &s.controller_id);
+        for controller_id in peers.chain([&platform.controller_id]) {
+            if !controller_ids.contains_key(controller_id) {
+                let key = format!("cell.{}.{controller_id}", self.here);
                 return Err(bad(file, &key, "is missing"));
             }
         }
@@ -105,8 +105,8 @@
     }
 
     /// Where this controller listens for other cells.
-    pub fn listen(&self, member: &Member) -> Option<SocketAddrV4> {
-        self.cells.get(&self.here)?.get(member).copied()
+    pub fn listen(&self, controller_id: &ControllerId) -> Option<SocketAddrV4> {
+        self.cells.get(&self.here)?.get(controller_id).copied()
     }
 
     /// The other cells.
@@ -122,18 +122,19 @@
 
 fn read_cells(
     table: &mut Table,
-) -> Result<BTreeMap<Cell, BTreeMap<Member, SocketAddrV4>>, SettingsError> {
-    let mut cells: BTreeMap<Cell, BTreeMap<Member, SocketAddrV4>> = BTreeMap::new();
+) -> Result<BTreeMap<Cell, BTreeMap<ControllerId, SocketAddrV4>>, SettingsError> {
+    let mut cells: BTreeMap<Cell, BTreeMap<ControllerId, SocketAddrV4>> = BTreeMap::new();
     for name in table.names("cell.", "") {
         let key = format!("cell.{name}");
         let text = table.text(&key)?;
-        let Some((cell, member)) = name.split_once('.').filter(|(cell, _)| is_name(cell)) else {
+        let Some((cell, controller_id)) = name.split_once('.').filter(|(cell, _)| is_name(cell))
+        else {
             return Err(bad(table.file, &key, "isn't cell.CELL.MEMBER"));
         };
         let address = text.parse();
         let address = address.map_err(|_| bad(table.file, &key, format!("'{text}' is no address")));
-        let members = cells.entry(cell.to_string()).or_default();
-        members.insert(Member::from(member), address?);
+        let controller_ids = cells.entry(cell.to_string()).or_default();
+        controller_ids.insert(ControllerId::from(controller_id), address?);
     }
     match cells.len() {
         2..=CELLS_MAX => Ok(cells),
@@ -149,7 +150,7 @@
     table: &mut Table,
     generation: u64,
     platform: &Platform,
-    cells: &BTreeMap<Cell, BTreeMap<Member, SocketAddrV4>>,
+    cells: &BTreeMap<Cell, BTreeMap<ControllerId, SocketAddrV4>>,
 ) -> Result<BTreeMap<String, HomeTeam>, SettingsError> {
     let limited = |t: &&Team| t.cpus_max > 0.0 || t.gpus_max > 0.0;
     let limited: Vec<&Team> = platform.facts.teams.iter().filter(limited).collect();
--- a/src/settings/derived.rs
+++ b/src/settings/derived.rs
@@ -46,13 +46,13 @@
 
     /// Most bytes that wait to be written to one sibling. All workers that one controller has
     /// connections for may have reports handed on at once, as a new holder appears.
-    pub fn sibling_out_bytes(&self) -> usize {
+    pub fn peer_out_bytes(&self) -> usize {
         let sockets = self.platform.facts.resources.max_sockets;
         (2 * MESSAGE_MAX).max(sockets * RELAYED_REPORT_BYTES)
     }
 
     /// Machines that one holder can serve with all of its processor.
-    fn machines_a_holder(&self) -> f64 {
+    fn machines_per_owner(&self) -> f64 {
         let f = &self.platform.facts;
         f.resources.cpu * f.workers.report_s / REPORT_CPU_S
     }
@@ -62,8 +62,8 @@
     /// hear of it within 3 s.
     pub fn hold_s(&self, ends: bool) -> f64 {
         let most = if ends { HOLD_ENDS } else { HOLD_MOST };
-        let hold = self.tuning.report_hold * self.platform.facts.workers.report_s;
-        hold.min(WORKER_WAITS_S * most)
+        let poll_s = self.tuning.report_hold * self.platform.facts.workers.report_s;
+        poll_s.min(WORKER_WAITS_S * most)
     }
 
     /// How long a cancellation waits for the machines' word that its tasks are gone: until
@@ -93,16 +93,16 @@
 
     /// Into how many blocks a fleet is cut: no more than its holders' processors need,
     /// and none smaller than is worth it.
-    pub fn blocks_for(&self, machines: u32) -> usize {
-        self.blocks_at(machines, self.machines_a_holder())
+    pub fn shards_for(&self, machines: u32) -> usize {
+        self.shards_at(machines, self.machines_per_owner())
     }
 
     /// The same, where so many machines would take all of a holder's processor.
-    pub fn blocks_at(&self, machines: u32, machines_a_holder: f64) -> usize {
+    pub fn shards_at(&self, machines: u32, machines_per_owner: f64) -> usize {
         let machines = f64::from(machines);
-        let most = machines_a_holder * self.tuning.block_cpu;
+        let most = machines_per_owner * self.tuning.shard_cpu;
         let needed = (machines / most).ceil();
-        needed.min((machines / self.tuning.block_min).floor()) as usize
+        needed.min((machines / self.tuning.shard_min).floor()) as usize
     }
 
     /// Most machines that one tick may add to a pool that lacks `gap`. Ten a tick took an
@@ -121,7 +121,7 @@
         }
         let f = &self.platform.facts;
         let sockets = f.resources.max_sockets.saturating_sub(OTHER_SOCKETS).max(1);
-        let each = self.machines_a_holder().min(sockets as f64).max(1.0);
+        let each = self.machines_per_owner().min(sockets as f64).max(1.0);
         (each * f64::from(f.count.max(1))) as u32
     }
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -13,7 +13,7 @@
 
 pub use crate::settings::cells::CellsFile;
 pub use crate::settings::platform::{
-    CloudLimits, Facts, Objective, Platform, Resources, Services, Sibling, Team, Workers,
+    CloudLimits, ControllerResources, Facts, Objective, Peer, Platform, Services, Team, Workers,
 };
 pub use crate::settings::state_limits::{NextStateLimits, StateLimits, StrictestLimits};
 pub use crate::settings::tuning::Tuning;
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -1,6 +1,6 @@
 //! What the platform hands over, as JSON.
 
-use crate::ids::Member;
+use crate::ids::ControllerId;
 use crate::settings::state_limits::StateLimits;
 use crate::settings::{SettingsError, bad};
 use serde::Deserialize;
@@ -10,7 +10,8 @@
 #[derive(Clone, Debug, Deserialize)]
 pub struct Platform {
     /// This controller's name.
-    pub member: Member,
+    #[serde(rename = "member")]
+    pub controller_id: ControllerId,
     /// Its zone.
     pub site: String,
     /// For users, workers and health checks.
@@ -18,8 +19,8 @@
     /// For the other controllers.
     pub peer_listen: SocketAddrV4,
     /// The other controllers.
-    #[serde(default)]
-    pub siblings: Vec<Sibling>,
+    #[serde(rename = "siblings", default)]
+    pub peers: Vec<Peer>,
     /// State service and cloud.
     pub services: Services,
     /// What is the same for all controllers.
@@ -28,9 +29,10 @@
 
 /// Another controller of the service.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Sibling {
+pub struct Peer {
     /// Its name.
-    pub member: Member,
+    #[serde(rename = "member")]
+    pub controller_id: ControllerId,
     /// Its zone.
     #[serde(default)]
     pub site: String,
@@ -67,7 +69,7 @@
     /// Limits of the cloud's interface.
     pub cloud: CloudLimits,
     /// What each controller's machine gives it.
-    pub resources: Resources,
+    pub resources: ControllerResources,
 }
 
 /// A team, with what it is guaranteed and its limits; 0 for none.
@@ -106,6 +108,7 @@
 #[derive(Clone, Debug, Deserialize)]
 pub struct Workers {
     /// Between two reports.
+    #[serde(rename = "report_s")]
     pub report_s: f64,
     /// After the last answered report a worker kills its tasks.
     pub lease_s: f64,
@@ -124,7 +127,7 @@
 
 /// What a controller's machine gives it.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Resources {
+pub struct ControllerResources {
     /// Share of a processor's core that each controller has.
     #[serde(default = "whole_core")]
     pub cpu: f64,
@@ -180,17 +183,21 @@
                 "must be longer than facts.workers.lease_s",
             ));
         }
-        self.check_members(file)?;
+        self.check_controller_ids(file)?;
         self.check_teams(file)
     }
 
-    fn check_members(&self, file: &str) -> Result<(), SettingsError> {
-        let mut seen = vec![&self.member];
-        for s in &self.siblings {
-            if seen.contains(&&s.member) {
-                return Err(bad(file, "siblings", format!("{} stands twice", s.member)));
+    fn check_controller_ids(&self, file: &str) -> Result<(), SettingsError> {
+        let mut seen = vec![&self.controller_id];
+        for s in &self.peers {
+            if seen.contains(&&s.controller_id) {
+                return Err(bad(
+                    file,
+                    "siblings",
+                    format!("{} stands twice", s.controller_id),
+                ));
             }
-            seen.push(&s.member);
+            seen.push(&s.controller_id);
         }
         if self.listen == self.peer_listen {
             return Err(bad(file, "peer_listen", "must differ from listen"));
--- a/src/settings/tuning.rs
+++ b/src/settings/tuning.rs
@@ -11,13 +11,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tuning {
     /// `leader.grant-s`: life of the leader's grant, in seconds.
-    pub grant_s: f64,
-    /// `block.lease-s`: life of a block's lease, in seconds.
-    pub block_lease_s: f64,
-    /// `block.min-machines`: fewest machines of a block.
-    pub block_min: f64,
-    /// `block.cpu`: share of the processor that a block's holder may use.
-    pub block_cpu: f64,
+    pub leader_lease_s: f64,
+    /// `shard.lease-s`: life of a block's lease, in seconds.
+    pub shard_lease_s: f64,
+    /// `shard.min-machines`: fewest machines of a block.
+    pub shard_min: f64,
+    /// `shard.cpu`: share of the processor that a block's holder may use.
+    pub shard_cpu: f64,
     /// `standby.heartbeat-s`: between two heartbeats of the leader; 0 for no standby.
     pub heartbeat_s: f64,
     /// `standby.missed`: heartbeats missed before the leader is suspected.
@@ -40,13 +40,13 @@
     pub headroom: f64,
     /// `budget.share`: part of the limits that the controllers use together.
     pub budget_share: f64,
-    /// `budget.holder`: part of that for a block's holder.
-    pub budget_holder: f64,
-    /// `report.hold`: how long a report's answer may wait, in report intervals.
+    /// `budget.owner`: part of that for a block's holder.
+    pub budget_owner: f64,
+    /// `report.lease_id`: how long a report's answer may wait, in report intervals.
     pub report_hold: f64,
     /// `health.silent`: when a silent machine is deleted, in leases.
     pub silent: f64,
-    /// `health.boot`: when a booting machine is replaced, in usual boot times.
+    /// `health.incarnation`: when a booting machine is replaced, in usual boot times.
     pub boot: f64,
 }
 
@@ -65,10 +65,10 @@
         }
         let num = |key: &str, low: f64, high: f64| number(&table, file, key, low, high);
         let tuning = Self {
-            grant_s: num("leader.grant-s", 0.5, 60.0)?,
-            block_lease_s: num("block.lease-s", 1.0, 600.0)?,
-            block_min: num("block.min-machines", 1.0, 1e6)?,
-            block_cpu: num("block.cpu", 1e-6, 1.0)?,
+            leader_lease_s: num("leader.grant-s", 0.5, 60.0)?,
+            shard_lease_s: num("block.lease-s", 1.0, 600.0)?,
+            shard_min: num("block.min-machines", 1.0, 1e6)?,
+            shard_cpu: num("block.cpu", 1e-6, 1.0)?,
             heartbeat_s: num("standby.heartbeat-s", 0.0, 10.0)?,
             missed: num("standby.missed", 2.0, 100.0)?,
             takeovers_per_minute: num("standby.takeovers-per-minute", 1.0, 60.0)?,
@@ -80,7 +80,7 @@
             window: num("scale.window", 0.0, 100.0)?,
             headroom: num("scale.headroom", 0.0, 10.0)?,
             budget_share: num("budget.share", 0.05, 1.0)?,
-            budget_holder: num("budget.holder", 0.1, 0.9)?,
+            budget_owner: num("budget.holder", 0.1, 0.9)?,
             report_hold: num("report.hold", 0.0, 1.0)?,
             silent: num("health.silent", 0.3, 100.0)?,
             boot: num("health.boot", 1.5, 100.0)?,
@@ -99,7 +99,7 @@
             missed: self.missed as u32,
             takeovers_per_minute: self.takeovers_per_minute as u32,
             hints_ms: ms(self.hints_s),
-            grant_ms: ms(self.grant_s),
+            lease_ms: ms(self.leader_lease_s),
         }
     }
 }
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -1,6 +1,6 @@
 //! Calls to the cloud and its answers.
 
-use crate::controller::store::records::{RentalRec, Room};
+use crate::controller::store::records::{Resources, ScaleOutRecord};
 use crate::ids::MachineId;
 use crate::wire::{Call, Num, decode, encode, get};
 use serde::{Deserialize, Serialize};
@@ -8,14 +8,14 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudOp {
     Catalog,
-    Rent(RentalRec),
+    Rent(ScaleOutRecord),
     Delete(Vec<MachineId>),
     List { after: Option<MachineId> },
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudReply {
-    Catalog(Vec<ClassInfo>),
+    Catalog(Vec<MachineType>),
     Rented(Vec<MachineId>),
     /// No capacity for this type, zone and kind.
     Refused,
@@ -31,9 +31,9 @@
 
 /// A machine type as the cloud describes it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ClassInfo {
+pub struct MachineType {
     pub name: String,
-    pub room: Room,
+    pub resources: Resources,
     pub cache_gb: f64,
     pub fetch_gb_s: f64,
     pub price: f64,
@@ -77,7 +77,8 @@
     pub zone: String,
     #[serde(rename = "borrowed")]
     pub spot: bool,
-    pub stance: MachineStance,
+    #[serde(rename = "stance")]
+    pub status: MachineStatus,
     #[serde(rename = "ageS")]
     age: Num,
 }
@@ -90,7 +91,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum MachineStance {
+pub enum MachineStatus {
     Starting,
     Running,
     Failed,
@@ -184,9 +185,9 @@
 }
 
 fn catalog(body: CatalogBody) -> CloudReply {
-    let classes = body.builds.into_iter().map(|b| ClassInfo {
+    let classes = body.builds.into_iter().map(|b| MachineType {
         name: b.name,
-        room: Room {
+        resources: Resources {
             cpus: b.cores.0,
             gpus: b.accelerators.0,
             mem: b.mem_gb.0,
--- a/src/wire/state.rs
+++ b/src/wire/state.rs
@@ -1,6 +1,6 @@
 //! Calls to the state service and its answers.
 
-use crate::controller::store::records::{Key, LimitsByTeam, LimitsRec, PREFIX, Record};
+use crate::controller::store::records::{Key, LimitsByTeam, LimitsRecord, PREFIX, Record};
 use crate::wire::{Call, Num, decode, encode, get};
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
@@ -11,7 +11,7 @@
     Put {
         key: Key,
         record: Record,
-        hold: Option<u64>,
+        lease_id: Option<u64>,
     },
     Delete {
         key: Key,
@@ -23,30 +23,30 @@
         Self::Put {
             key,
             record,
-            hold: None,
+            lease_id: None,
         }
     }
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum StateOp {
+pub enum StoreRequest {
     /// Reads a key that never exists: the answer is the present revision.
-    Fresh,
+    ReadRevision,
     Get(Key),
     List {
         after: String,
     },
-    Commit {
-        when: Vec<(Key, u64)>,
+    Transaction {
+        preconditions: Vec<(Key, u64)>,
         writes: Vec<Write>,
     },
-    Grant {
+    GrantLease {
         ttl_ms: u64,
     },
-    Extend(u64),
+    RenewLease(u64),
     /// Ends a grant now, and with it the keys that hang on it.
-    Release(u64),
-    Follow {
+    RevokeLease(u64),
+    Watch {
         after: u64,
     },
 }
@@ -55,7 +55,7 @@
 pub type Change = (Key, u64, Option<Record>);
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum StateReply {
+pub enum StoreResponse {
     Found {
         record: Record,
         revision: u64,
@@ -75,16 +75,16 @@
     Conflict {
         failed: Vec<Key>,
     },
-    Granted(u64),
-    Extended,
-    News {
+    LeaseGranted(u64),
+    LeaseRenewed,
+    Changes {
         revision: u64,
         news: Vec<Change>,
     },
     /// 410: too old to follow from.
-    TooOld,
+    Compacted,
     /// A grant that is over.
-    NoGrant,
+    LeaseNotFound,
     /// 400: not executed, and never will be as it is: beyond a limit of size.
     Rejected,
     /// 429 or 503: not executed.
@@ -92,16 +92,17 @@
     /// No answer: may have been executed, or may be yet.
     NoAnswer,
     /// An answer that makes no sense.
-    Strange,
+    Malformed,
 }
 
 /// How long the state service lets a follow wait, and a page's size.
-pub const FOLLOW_MS: u64 = 10_000;
+pub const WATCH_MS: u64 = 10_000;
 const PAGE: usize = 500;
 
 #[derive(Serialize)]
 struct CommitBody {
-    when: Vec<WhenBody>,
+    #[serde(rename = "when")]
+    preconditions: Vec<WhenBody>,
     writes: Vec<WriteBody>,
 }
 
@@ -118,8 +119,8 @@
     Put {
         write: String,
         data: Value,
-        #[serde(skip_serializing_if = "Option::is_none")]
-        hold: Option<u64>,
+        #[serde(rename = "hold", skip_serializing_if = "Option::is_none")]
+        lease_id: Option<u64>,
     },
     Delete {
         delete: String,
@@ -136,13 +137,13 @@
 pub fn record_value(record: &Record) -> Value {
     let value = match record {
         Record::Leader(r) => Value::serialized(r),
-        Record::Number(r) => Value::serialized(r),
+        Record::FencingToken(r) => Value::serialized(r),
         Record::Plan(r) => Value::serialized(r),
-        Record::Block(r) => Value::serialized(r),
-        Record::Limits(LimitsRec::Teams(teams)) => Value::serialized(&LimitsBody {
+        Record::Shard(r) => Value::serialized(r),
+        Record::Limits(LimitsRecord::Teams(teams)) => Value::serialized(&LimitsBody {
             teams: teams.clone(),
         }),
-        Record::Limits(LimitsRec::Unreadable(_)) => Ok(Value::Null),
+        Record::Limits(LimitsRecord::Unreadable(_)) => Ok(Value::Null),
         Record::Cell(r) => Value::serialized(r),
         Record::CellLink(r) => Value::serialized(r),
         Record::Job(r) => Value::serialized(r),
@@ -156,9 +157,9 @@
 fn record_from(key: &Key, data: Value) -> Option<Record> {
     match key {
         Key::Leader => data.deserialized().ok().map(Record::Leader),
-        Key::Number => data.deserialized().ok().map(Record::Number),
+        Key::FencingToken => data.deserialized().ok().map(Record::FencingToken),
         Key::Plan => data.deserialized().ok().map(Record::Plan),
-        Key::Block(_) => data.deserialized().ok().map(Record::Block),
+        Key::Shard(_) => data.deserialized().ok().map(Record::Shard),
         Key::Cell => data.deserialized().ok().map(|r| Record::Cell(Box::new(r))),
         Key::CellLink(_) => data.deserialized().ok().map(Record::CellLink),
         // Operators write it: what can't be read has to be seen, and told.
@@ -180,17 +181,17 @@
     teams: BTreeMap<String, (Num, Num)>,
 }
 
-fn read_limits(data: &Value) -> LimitsRec {
+fn read_limits(data: &Value) -> LimitsRecord {
     match data.deserialized::<LimitsRead>() {
         Ok(body) => {
             let teams = body.teams.into_iter();
-            LimitsRec::Teams(teams.map(|(team, (c, g))| (team, (c.0, g.0))).collect())
+            LimitsRecord::Teams(teams.map(|(team, (c, g))| (team, (c.0, g.0))).collect())
         }
-        Err(e) => LimitsRec::Unreadable(e.to_string()),
+        Err(e) => LimitsRecord::Unreadable(e.to_string()),
     }
 }
 
-impl StateOp {
+impl StoreRequest {
     pub fn call(&self) -> Call {
         let post = |path: String, body| Call {
             method: "POST",
@@ -198,96 +199,105 @@
             body: Some(body),
         };
         match self {
-            Self::Fresh => get(format!("/keys/{PREFIX}none")),
+            Self::ReadRevision => get(format!("/keys/{PREFIX}none")),
             Self::Get(key) => get(format!("/keys/{key}")),
             Self::List { after } => {
                 get(format!("/keys?prefix={PREFIX}&after={after}&limit={PAGE}"))
             }
-            Self::Commit { when, writes } => post("/commit".into(), commit_body(when, writes)),
-            Self::Grant { ttl_ms } => {
+            Self::Transaction {
+                preconditions,
+                writes,
+            } => post("/commit".into(), commit_body(preconditions, writes)),
+            Self::GrantLease { ttl_ms } => {
                 post("/grants".into(), encode(&GrantBody { ttl_ms: *ttl_ms }))
             }
-            Self::Extend(hold) => post(format!("/grants/{hold}/extend"), Vec::new()),
-            Self::Release(hold) => Call {
+            Self::RenewLease(lease_id) => post(format!("/grants/{lease_id}/extend"), Vec::new()),
+            Self::RevokeLease(lease_id) => Call {
                 method: "DELETE",
-                path: format!("/grants/{hold}"),
+                path: format!("/grants/{lease_id}"),
                 body: None,
             },
-            Self::Follow { after } => get(format!(
-                "/follow?prefix={PREFIX}&after={after}&blockMs={FOLLOW_MS}"
+            Self::Watch { after } => get(format!(
+                "/follow?prefix={PREFIX}&after={after}&blockMs={WATCH_MS}"
             )),
         }
     }
 
     /// Makes sense of the answer to this request.
-    pub fn reply(&self, status: u16, body: &[u8]) -> StateReply {
+    pub fn reply(&self, status: u16, body: &[u8]) -> StoreResponse {
         if status == 429 || status == 503 {
-            return StateReply::Refused;
+            return StoreResponse::Refused;
         }
         let read = match (self, status) {
-            (Self::Fresh | Self::Get(_), 404) => {
-                decode::<RevisionBody>(body).map(|b| StateReply::Missing {
+            (Self::ReadRevision | Self::Get(_), 404) => {
+                decode::<RevisionBody>(body).map(|b| StoreResponse::Missing {
                     revision: b.revision,
                 })
             }
             (Self::Get(key), 200) => decode::<EntryBody>(body).and_then(|b| {
                 let record = record_from(key, b.data)?;
-                Some(StateReply::Found {
+                Some(StoreResponse::Found {
                     record,
                     revision: b.revision,
                 })
             }),
             (Self::List { .. }, 200) => decode::<PageBody>(body).map(page),
-            (Self::Commit { .. }, 200) => {
-                decode::<RevisionBody>(body).map(|b| StateReply::Committed {
+            (Self::Transaction { .. }, 200) => {
+                decode::<RevisionBody>(body).map(|b| StoreResponse::Committed {
                     revision: b.revision,
                 })
             }
-            (Self::Commit { .. }, 409) => {
-                decode::<ConflictBody>(body).map(|b| StateReply::Conflict {
+            (Self::Transaction { .. }, 409) => {
+                decode::<ConflictBody>(body).map(|b| StoreResponse::Conflict {
                     failed: b.failed.iter().filter_map(|p| Key::parse(p)).collect(),
                 })
             }
-            (Self::Commit { .. }, 400) => Some(rejected(body)),
-            (Self::Grant { .. }, 200) => {
-                decode::<HoldBody>(body).map(|b| StateReply::Granted(b.hold))
+            (Self::Transaction { .. }, 400) => Some(rejected(body)),
+            (Self::GrantLease { .. }, 200) => {
+                decode::<HoldBody>(body).map(|b| StoreResponse::LeaseGranted(b.lease_id))
             }
-            (Self::Extend(_) | Self::Release(_), 200..=204) => Some(StateReply::Extended),
-            (Self::Extend(_) | Self::Release(_), 404) => Some(StateReply::NoGrant),
-            (Self::Follow { .. }, 200) => decode::<NewsBody>(body).map(news),
-            (Self::Follow { .. }, 410) => Some(StateReply::TooOld),
+            (Self::RenewLease(_) | Self::RevokeLease(_), 200..=204) => {
+                Some(StoreResponse::LeaseRenewed)
+            }
+            (Self::RenewLease(_) | Self::RevokeLease(_), 404) => Some(StoreResponse::LeaseNotFound),
+            (Self::Watch { .. }, 200) => decode::<NewsBody>(body).map(news),
+            (Self::Watch { .. }, 410) => Some(StoreResponse::Compacted),
             _ => None,
         };
-        read.unwrap_or(StateReply::Strange)
+        read.unwrap_or(StoreResponse::Malformed)
     }
 }
 
-fn commit_body(when: &[(Key, u64)], writes: &[Write]) -> Vec<u8> {
-    let when = when.iter().map(|(key, revision)| WhenBody {
+fn commit_body(preconditions: &[(Key, u64)], writes: &[Write]) -> Vec<u8> {
+    let preconditions = preconditions.iter().map(|(key, revision)| WhenBody {
         path: key.to_string(),
         revision: *revision,
     });
     let writes = writes.iter().map(|w| match w {
-        Write::Put { key, record, hold } => WriteBody::Put {
+        Write::Put {
+            key,
+            record,
+            lease_id,
+        } => WriteBody::Put {
             write: key.to_string(),
             data: record_value(record),
-            hold: *hold,
+            lease_id: *lease_id,
         },
         Write::Delete { key } => WriteBody::Delete {
             delete: key.to_string(),
         },
     });
     encode(&CommitBody {
-        when: when.collect(),
+        preconditions: preconditions.collect(),
         writes: writes.collect(),
     })
 }
 
 /// What a 400 to a transaction says: a lease is over, or a limit of size is passed.
-fn rejected(body: &[u8]) -> StateReply {
+fn rejected(body: &[u8]) -> StoreResponse {
     match decode::<ErrorBody>(body) {
-        Some(body) if body.error == NO_LEASE => StateReply::NoGrant,
-        _ => StateReply::Rejected,
+        Some(body) if body.error == NO_LEASE => StoreResponse::LeaseNotFound,
+        _ => StoreResponse::Rejected,
     }
 }
 
@@ -308,7 +318,8 @@
 
 #[derive(Deserialize)]
 struct HoldBody {
-    hold: u64,
+    #[serde(rename = "hold")]
+    lease_id: u64,
 }
 
 #[derive(Deserialize)]
@@ -361,14 +372,14 @@
     news: Vec<NewsEntry>,
 }
 
-fn page(body: PageBody) -> StateReply {
+fn page(body: PageBody) -> StoreResponse {
     let last = body.entries.last().map(|e| e.path.clone());
     let entries = body.entries.into_iter().filter_map(|e| {
         let key = Key::parse(&e.path)?;
         let record = record_from(&key, e.data)?;
         Some((key, e.revision, Some(record)))
     });
-    StateReply::Page {
+    StoreResponse::Page {
         entries: entries.collect(),
         last,
         more: body.has_next,
@@ -376,7 +387,7 @@
     }
 }
 
-fn news(body: NewsBody) -> StateReply {
+fn news(body: NewsBody) -> StoreResponse {
     let news = body
         .news
         .into_iter()
@@ -389,7 +400,7 @@
             (None, Some(path)) => Some((Key::parse(&path)?, e.revision, None)),
             (None, None) => None,
         });
-    StateReply::News {
+    StoreResponse::Changes {
         revision: body.revision,
         news: news.collect(),
     }
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -1,6 +1,6 @@
 //! Submissions, and what users are answered.
 
-use crate::controller::store::records::{Form, JobRec, Rank, Room};
+use crate::controller::store::records::{JobKind, JobRecord, PriorityClass, Resources};
 use crate::ids::{Image, JobId};
 use crate::wire::{AMOUNT_MAX, NAME_MAX, Num, TASKS_MAX, TYPES_MAX, encode};
 use serde::{Deserialize, Serialize};
@@ -11,8 +11,10 @@
     id: String,
     troupe: String,
     crew: String,
-    form: FormWord,
-    rank: RankWord,
+    #[serde(rename = "form")]
+    kind: JobKindWord,
+    #[serde(rename = "rank")]
+    priority_class: PriorityClassWord,
     verses: u32,
     cores: Num,
     accelerators: Num,
@@ -40,14 +42,14 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum FormWord {
+enum JobKindWord {
     Batch,
     Service,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum RankWord {
+enum PriorityClassWord {
     Critical,
     Urgent,
     Normal,
@@ -81,7 +83,7 @@
 }
 
 /// Reads and checks a submission. Chunk size and block are for the core to set.
-pub fn submission(body: &[u8]) -> Result<(JobId, JobRec), BadBody> {
+pub fn submission(body: &[u8]) -> Result<(JobId, JobRecord), BadBody> {
     checked(body).map_err(|bad| {
         let named = ciborium::from_reader::<Named, _>(body).ok();
         let id = named.and_then(|n| JobId::parse(&n.id));
@@ -89,7 +91,7 @@
     })
 }
 
-fn checked(body: &[u8]) -> Result<(JobId, JobRec), BadBody> {
+fn checked(body: &[u8]) -> Result<(JobId, JobRecord), BadBody> {
     let mut rest = body;
     let b: SubmitBody = ciborium::from_reader(&mut rest).map_err(|e| format!("malformed: {e}"))?;
     if !rest.is_empty() {
@@ -120,21 +122,21 @@
     for need in b.awaits.unwrap_or_default() {
         needs.insert(JobId::parse(&need).ok_or("awaits")?);
     }
-    let rec = JobRec {
+    let record = JobRecord {
         class: name("troupe", b.troupe)?,
         team: name("crew", b.crew)?,
-        form: match b.form {
-            FormWord::Batch => Form::Batch,
-            FormWord::Service => Form::Service,
+        kind: match b.kind {
+            JobKindWord::Batch => JobKind::Batch,
+            JobKindWord::Service => JobKind::Service,
         },
-        rank: match b.rank {
-            RankWord::Critical => Rank::Critical,
-            RankWord::Urgent => Rank::Urgent,
-            RankWord::Normal => Rank::Normal,
-            RankWord::Idle => Rank::Idle,
+        priority_class: match b.priority_class {
+            PriorityClassWord::Critical => PriorityClass::Critical,
+            PriorityClassWord::Urgent => PriorityClass::Urgent,
+            PriorityClassWord::Normal => PriorityClass::Normal,
+            PriorityClassWord::Idle => PriorityClass::Idle,
         },
         count: b.verses,
-        need: Room {
+        need: Resources {
             cpus: amount("cores", b.cores)?,
             gpus: amount("accelerators", b.accelerators)?,
             mem: amount("memGb", b.mem_gb)?,
@@ -151,36 +153,38 @@
         save_s: amount("stashS", b.stash_s)?,
         deadline_s: b.curtain_s.map(|n| amount("curtainS", n)).transpose()?,
         chunk: 1,
-        block: 0,
-        withdrawn: false,
+        shard: 0,
+        cancelled: false,
         needs: needs.into_iter().collect(),
     };
-    Ok((id, rec))
+    Ok((id, record))
 }
 
 /// A job's stance as users are told it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Stance {
+pub enum JobStatus {
     Queued,
     Running,
     Done,
-    Withdrawn,
+    #[serde(rename = "withdrawn")]
+    Cancelled,
 }
 
 #[derive(Serialize)]
-struct StanceBody<'a> {
+struct JobStatusBody<'a> {
     id: &'a str,
-    stance: Stance,
+    #[serde(rename = "stance")]
+    status: JobStatus,
     done: u32,
     running: u32,
 }
 
 /// The answer to a submission, a question or a withdrawal.
-pub fn stance_body(id: &JobId, stance: Stance, done: u32, running: u32) -> Vec<u8> {
-    encode(&StanceBody {
+pub fn job_status_body(id: &JobId, status: JobStatus, done: u32, running: u32) -> Vec<u8> {
+    encode(&JobStatusBody {
         id: id.as_str(),
-        stance,
+        status,
         done,
         running,
     })
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -1,12 +1,12 @@
 //! Workers' reports, and the commands in the answers.
 
-use crate::ids::{Attempt, Member, Number};
+use crate::ids::{Attempt, ControllerId, FencingToken};
 use crate::wire::{Num, encode};
 use serde::{Deserialize, Serialize};
 
 /// One worker's report.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Report {
+pub struct WorkerHeartbeat {
     #[serde(rename = "rig")]
     pub machine: String,
     pub endpoint: String,
@@ -25,24 +25,24 @@
     #[serde(rename = "warningS", default)]
     pub notice_s: Option<Num>,
     #[serde(rename = "verses", default)]
-    pub tasks: Vec<ReportTask>,
+    pub tasks: Vec<HeartbeatTask>,
 }
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct ReportTask {
+pub struct HeartbeatTask {
     #[serde(rename = "verse")]
     pub task: String,
     #[serde(rename = "take")]
     pub attempt: Attempt,
     #[serde(rename = "stance")]
-    pub stance: TaskStance,
+    pub status: TaskStatus,
     #[serde(default)]
     pub cause: Option<Cause>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum TaskStance {
+pub enum TaskStatus {
     Fetching,
     Running,
     Flushing,
@@ -91,12 +91,12 @@
 
 #[derive(Serialize)]
 struct CommandsBody<'a> {
-    baton: Number,
+    baton: FencingToken,
     cues: &'a [Command],
 }
 
 /// The answer to a report.
-pub fn commands_body(number: Number, commands: &[Command]) -> Vec<u8> {
+pub fn commands_body(number: FencingToken, commands: &[Command]) -> Vec<u8> {
     encode(&CommandsBody {
         baton: number,
         cues: commands,
@@ -110,8 +110,8 @@
 }
 
 /// The answer that sends a worker to another controller.
-pub fn steer_body(to: Option<&Member>) -> Vec<u8> {
+pub fn steer_body(to: Option<&ControllerId>) -> Vec<u8> {
     encode(&SteerBody {
-        conductor: to.map(Member::as_str),
+        conductor: to.map(ControllerId::as_str),
     })
 }
--- a/standby/src/config.rs
+++ b/standby/src/config.rs
@@ -15,19 +15,19 @@
     /// Between two hints of the leader; 0 for none.
     pub hints_ms: Millis,
     /// Life of the leader's grant.
-    pub grant_ms: Millis,
+    pub lease_ms: Millis,
 }
 
 /// Settings that contradict each other.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ConfigError {
     /// The grant is over before the heartbeats tell anything.
-    #[error("{silence_ms} ms without a heartbeat are no less than the grant's {grant_ms} ms")]
+    #[error("{silence_ms} ms without a heartbeat are no less than the grant's {lease_ms} ms")]
     SilenceOutlastsGrant {
         /// Silence after which a leader is suspected.
         silence_ms: Millis,
         /// Life of the grant.
-        grant_ms: Millis,
+        lease_ms: Millis,
     },
     /// Hints go with heartbeats.
     #[error("hints are sent only with heartbeats, and these are switched off")]
@@ -53,11 +53,11 @@
                 _ => Err(ConfigError::HintsWithoutHeartbeats),
             };
         }
-        let (silence_ms, grant_ms) = (self.silence_ms(), self.grant_ms);
-        if silence_ms >= grant_ms {
+        let (silence_ms, lease_ms) = (self.silence_ms(), self.lease_ms);
+        if silence_ms >= lease_ms {
             return Err(ConfigError::SilenceOutlastsGrant {
                 silence_ms,
-                grant_ms,
+                lease_ms,
             });
         }
         Ok(())
--- a/standby/src/fence.rs
+++ b/standby/src/fence.rs
@@ -20,6 +20,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fence {
     /// The number of the leadership that has to wait.
+    #[serde(rename = "number")]
     pub number: u64,
     /// For how long from its election.
     pub ms: Millis,
--- a/standby/src/hints.rs
+++ b/standby/src/hints.rs
@@ -2,7 +2,7 @@
 //! which machine. Each message stands for itself, so that one which is lost, late, copied or out of
 //! order costs nothing but age.
 
-use crate::{Member, Millis};
+use crate::{ControllerId, Millis};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use thiserror::Error;
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Hints {
     /// The sender.
-    pub from: Member,
+    pub from: ControllerId,
     /// The number of its leadership.
     pub number: u64,
     /// What it estimates.
--- a/standby/src/lib.rs
+++ b/standby/src/lib.rs
@@ -28,6 +28,6 @@
 pub use standby::Standby;
 
 /// The name of a controller.
-pub type Member = String;
+pub type ControllerId = String;
 /// A moment on the caller's steady clock, in milliseconds.
 pub type Millis = u64;
--- a/standby/src/message.rs
+++ b/standby/src/message.rs
@@ -2,7 +2,7 @@
 //! other messages by the version of its frame. A release that doesn't know that version drops the
 //! frame and keeps the connection.
 
-use crate::Member;
+use crate::ControllerId;
 use crate::hints::{Hints, HintsError};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -20,13 +20,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The sender.
-    pub from: Member,
+    pub from: ControllerId,
     /// Tells this process from earlier ones of the same controller.
-    pub boot: u64,
+    pub incarnation: u64,
     /// The number of the leadership that the sender knows of; 0 if there is none.
     pub number: u64,
     /// Whether the sender leads under that number.
-    pub leads: bool,
+    pub is_leader: bool,
     /// Whether the sender has lost the leader of that number.
     pub lost: bool,
 }
--- a/standby/src/standby.rs
+++ b/standby/src/standby.rs
@@ -4,7 +4,7 @@
 use crate::detector::{Detector, Suspicion};
 use crate::hints::{HintStore, Hints};
 use crate::message::Heartbeat;
-use crate::{Config, Member, Millis};
+use crate::{Config, ControllerId, Millis};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Controllers that don't lead say so often that they run; what counts is that the others know
@@ -18,9 +18,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Term {
     /// Who leads.
-    pub leader: Member,
+    pub leader: ControllerId,
     /// Which of its processes.
-    pub boot: u64,
+    pub incarnation: u64,
     /// The leadership's number.
     pub number: u64,
     /// The time within which the leader must have read its own record before it calls the cloud.
@@ -54,15 +54,15 @@
 #[derive(Debug)]
 pub struct Standby {
     config: Config,
-    me: Member,
-    boot: u64,
-    peers: BTreeSet<Member>,
+    me: ControllerId,
+    incarnation: u64,
+    peers: BTreeSet<ControllerId>,
     term: Option<Term>,
     detector: Detector,
-    votes: BTreeMap<Member, Vote>,
+    votes: BTreeMap<ControllerId, Vote>,
     /// Peers that have sent heartbeats since this process began: none of them will ever run an
     /// older release again.
-    announced: BTreeSet<Member>,
+    announced: BTreeSet<ControllerId>,
     /// When leadership changed within the last minute.
     changes: VecDeque<Millis>,
     next_heartbeat: Millis,
@@ -74,11 +74,16 @@
 
 impl Standby {
     /// The state of a process that has just begun.
-    pub fn new(config: Config, me: &str, boot: u64, peers: impl Iterator<Item = Member>) -> Self {
+    pub fn new(
+        config: Config,
+        me: &str,
+        incarnation: u64,
+        peers: impl Iterator<Item = ControllerId>,
+    ) -> Self {
         Self {
             config,
             me: me.into(),
-            boot,
+            incarnation,
             peers: peers.collect(),
             term: None,
             detector: Detector::default(),
@@ -117,8 +122,8 @@
         let Some(term) = &self.term else {
             return;
         };
-        if beat.leads && beat.from == term.leader && beat.number == term.number {
-            if beat.boot == term.boot {
+        if beat.is_leader && beat.from == term.leader && beat.number == term.number {
+            if beat.incarnation == term.incarnation {
                 self.detector.heard(now);
             }
         } else if beat.lost {
@@ -141,8 +146,12 @@
     }
 
     /// The connection to a sibling is lost, or refused.
-    pub fn on_disconnected(&mut self, now: Millis, member: &str) {
-        if self.term.as_ref().is_some_and(|t| t.leader == member) {
+    pub fn on_disconnected(&mut self, now: Millis, controller_id: &str) {
+        if self
+            .term
+            .as_ref()
+            .is_some_and(|t| t.leader == controller_id)
+        {
             self.detector.disconnected(now);
         }
     }
@@ -184,9 +193,9 @@
     /// How many controllers, this one included, have lost the leader.
     fn lost_by(&self, now: Millis, term: &Term) -> usize {
         let life_ms = VOTE_INTERVALS * self.config.heartbeat_ms;
-        let counts = |(member, vote): &(&Member, &Vote)| {
+        let counts = |(controller_id, vote): &(&ControllerId, &Vote)| {
             let fresh = now.saturating_sub(vote.at) <= life_ms;
-            **member != term.leader && vote.number == term.number && fresh
+            **controller_id != term.leader && vote.number == term.number && fresh
         };
         1 + self.votes.iter().filter(counts).count()
     }
@@ -218,18 +227,18 @@
             return None;
         }
         self.was_suspected = lost;
-        let leads = |t: &Term| t.leader == self.me && t.boot == self.boot;
-        let leads = self.term.as_ref().is_some_and(leads);
-        let pause_ms = match leads || lost {
+        let is_leader = |t: &Term| t.leader == self.me && t.incarnation == self.incarnation;
+        let is_leader = self.term.as_ref().is_some_and(is_leader);
+        let pause_ms = match is_leader || lost {
             true => self.config.heartbeat_ms,
             false => ANNOUNCE_MS.max(self.config.heartbeat_ms),
         };
         self.next_heartbeat = now + pause_ms;
         Some(Heartbeat {
             from: self.me.clone(),
-            boot: self.boot,
+            incarnation: self.incarnation,
             number: self.term.as_ref().map_or(0, |t| t.number),
-            leads,
+            is_leader,
             lost,
         })
     }
--- a/standby/tests/world/mod.rs
+++ b/standby/tests/world/mod.rs
@@ -20,7 +20,7 @@
         missed: 4,
         takeovers_per_minute: 10,
         hints_ms: 1_000,
-        grant_ms: GRANT_MS,
+        lease_ms: GRANT_MS,
     }
 }
 
@@ -81,7 +81,7 @@
 
 /// What one leading process knows.
 #[derive(Clone, Debug)]
-struct Lead {
+struct Leadership {
     number: u64,
     block: u64,
     cloud_from: u64,
@@ -91,7 +91,7 @@
 }
 
 pub struct Controller {
-    boot: u64,
+    incarnation: u64,
     up: bool,
     paused: bool,
     standby: Standby,
@@ -102,8 +102,8 @@
     grants: Vec<(usize, u64)>,
     /// The grant that its record names, and when its renewal was last sent.
     lease: Option<(usize, u64)>,
-    lead: Option<Lead>,
-    pub leads: bool,
+    leadership: Option<Leadership>,
+    pub is_leader: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -146,15 +146,15 @@
     format!("c-{n}")
 }
 
-fn standby(n: usize, boot: u64) -> Standby {
+fn standby(n: usize, incarnation: u64) -> Standby {
     let peers = (0..CONTROLLERS).filter(|p| *p != n).map(name);
-    Standby::new(config(), &name(n), boot, peers)
+    Standby::new(config(), &name(n), incarnation, peers)
 }
 
 impl World {
     pub fn new(mistake: Mistake) -> Self {
         let controllers = (0..CONTROLLERS).map(|n| Controller {
-            boot: 1,
+            incarnation: 1,
             up: true,
             paused: false,
             standby: standby(n, 1),
@@ -162,8 +162,8 @@
             read_at: 0,
             grants: Vec::new(),
             lease: None,
-            lead: None,
-            leads: false,
+            leadership: None,
+            is_leader: false,
         });
         Self {
             now: 100_000,
@@ -210,13 +210,16 @@
         (c.view, c.read_at) = (self.records.clone(), now);
         let term = c.view.leader.1.as_ref().map(|l| l.term.clone());
         c.standby.set_term(now, term.clone());
-        let mine = term.filter(|t| t.leader == name(n) && t.boot == c.boot);
+        let mine = term.filter(|t| t.leader == name(n) && t.incarnation == c.incarnation);
         let Some(term) = mine else {
-            c.lead = None;
-            c.leads = false;
+            c.leadership = None;
+            c.is_leader = false;
             return;
         };
-        if c.lead.as_ref().is_none_or(|l| l.number != term.number) {
+        if c.leadership
+            .as_ref()
+            .is_none_or(|l| l.number != term.number)
+        {
             let named = c.view.leader.1.as_ref().map(|l| l.lease);
             let of_record = |grant: &&(usize, u64)| Some(grant.0) == named;
             c.lease = c.grants.iter().find(of_record).copied();
@@ -225,19 +228,19 @@
                 Mistake::NoFence => 0,
                 _ => fence.map_or(0, |f| f.ms),
             };
-            c.lead = Some(Lead {
+            c.leadership = Some(Leadership {
                 number: term.number,
                 block: c.view.block.1,
                 cloud_from: now + wait_ms,
                 own: None,
                 planned_at: now,
             });
-            c.leads = true;
+            c.is_leader = true;
         }
-        if let (Some(lead), Some(placed)) = (&mut c.lead, c.view.run.1)
-            && placed.attempt >> 8 == lead.block
+        if let (Some(leadership), Some(placed)) = (&mut c.leadership, c.view.run.1)
+            && placed.attempt >> 8 == leadership.block
         {
-            lead.own = Some(placed);
+            leadership.own = Some(placed);
         }
     }
 
@@ -254,7 +257,7 @@
             }
         }
         let c = &mut self.controllers[n];
-        if c.lead.is_some() {
+        if c.leadership.is_some() {
             if let Some((lease, renewed)) = &mut c.lease
                 && self.leases[*lease] >= now
             {
@@ -286,7 +289,7 @@
         let number = c.view.highest.1 + 1;
         let term = Term {
             leader: name(n),
-            boot: c.boot,
+            incarnation: c.incarnation,
             number,
             fenced_ms: Some(GRANT_MS),
         };
@@ -302,10 +305,10 @@
     /// Whether a leader takes its grant to be alive and its record to stand.
     fn may_call(&self, n: usize) -> Option<u64> {
         let c = &self.controllers[n];
-        let lead = c.lead.as_ref().filter(|l| self.now >= l.cloud_from)?;
+        let leadership = c.leadership.as_ref().filter(|l| self.now >= l.cloud_from)?;
         let renewed = c.lease.is_some_and(|(_, at)| self.now - at < GRANT_MS);
         let read = self.now - c.read_at < GRANT_MS || self.mistake == Mistake::CallsWithoutReading;
-        (renewed && read).then_some(lead.number)
+        (renewed && read).then_some(leadership.number)
     }
 
     fn plan(&mut self, n: usize) {
@@ -314,10 +317,14 @@
         };
         let now = self.now;
         let c = &mut self.controllers[n];
-        let Some(lead) = c.lead.as_mut().filter(|l| now >= l.planned_at + PLAN_MS) else {
+        let Some(leadership) = c
+            .leadership
+            .as_mut()
+            .filter(|l| now >= l.planned_at + PLAN_MS)
+        else {
             return;
         };
-        lead.planned_at = now;
+        leadership.planned_at = now;
         let conditions = c.view.clone();
         self.commits.push(Commit {
             conditions,
@@ -388,14 +395,14 @@
         }
         let early = self.mistake == Mistake::OrdersBeforeCaughtUp;
         let c = &self.controllers[n];
-        let Some(lead) = &c.lead else {
+        let Some(leadership) = &c.leadership else {
             return;
         };
-        let known = if early { lead.own } else { c.view.run.1 };
+        let known = if early { leadership.own } else { c.view.run.1 };
         if known.is_some() {
             return;
         }
-        let attempt = (lead.block << 8) + self.commits.len() as u64 + self.now % 100;
+        let attempt = (leadership.block << 8) + self.commits.len() as u64 + self.now % 100;
         let change = Change::Place(Placed { machine, attempt });
         let conditions = c.view.clone();
         self.commits.push(Commit {
@@ -412,16 +419,16 @@
         }
         let (newest, runs) = (self.workers[machine].newest, self.workers[machine].runs);
         let c = &self.controllers[n];
-        let Some(lead) = c.lead.as_ref().filter(|l| l.block >= newest) else {
+        let Some(leadership) = c.leadership.as_ref().filter(|l| l.block >= newest) else {
             return;
         };
-        let shown = lead.block == newest;
+        let shown = leadership.block == newest;
         let placed = c.view.run.1.filter(|p| p.machine == machine);
-        let own = lead.own.filter(|p| p.machine == machine);
+        let own = leadership.own.filter(|p| p.machine == machine);
         let sighted = self.now - c.read_at < GRANT_MS;
         let start = own.filter(|p| shown && sighted && runs != Some(p.attempt));
         // Placed by an earlier holder, and not there under the present number: proven gone.
-        let foreign = placed.filter(|p| p.attempt >> 8 != lead.block);
+        let foreign = placed.filter(|p| p.attempt >> 8 != leadership.block);
         if shown && foreign.is_some_and(|p| runs != Some(p.attempt)) {
             let conditions = c.view.clone();
             self.commits.push(Commit {
@@ -432,7 +439,10 @@
         }
         self.answers.push(Answer {
             machine,
-            number: self.controllers[n].lead.as_ref().map_or(0, |l| l.block),
+            number: self.controllers[n]
+                .leadership
+                .as_ref()
+                .map_or(0, |l| l.block),
             start: start.map(|p| p.attempt),
             sent: self.now,
         });
@@ -464,8 +474,8 @@
 
     /// The leader tells what it knows; a lie says that the task has ended.
     pub fn hint(&mut self, n: usize, lie: bool) {
-        let number = match &self.controllers[n].lead {
-            Some(lead) if self.acts(n) => lead.number,
+        let number = match &self.controllers[n].leadership {
+            Some(leadership) if self.acts(n) => leadership.number,
             _ => return,
         };
         let hints = Hints {
@@ -515,8 +525,8 @@
     }
 
     /// Delivers a message that isn't for anybody else; false if there is none.
-    pub fn deliver_between(&mut self, members: &[usize]) -> bool {
-        self.letters.retain(|(to, _)| members.contains(to));
+    pub fn deliver_between(&mut self, controller_ids: &[usize]) -> bool {
+        self.letters.retain(|(to, _)| controller_ids.contains(to));
         let any = !self.letters.is_empty();
         self.deliver(0, false);
         any
@@ -529,7 +539,7 @@
 
     /// Who takes itself for the leader.
     pub fn leader(&self) -> Option<usize> {
-        self.controllers.iter().position(|c| c.leads)
+        self.controllers.iter().position(|c| c.is_leader)
     }
 
     /// Who leads by the record.
@@ -556,11 +566,11 @@
     /// A process ends; another one of the same controller begins.
     pub fn restart(&mut self, n: usize, up: bool) {
         let c = &mut self.controllers[n];
-        c.boot += 1;
+        c.incarnation += 1;
         (c.up, c.paused) = (up, false);
-        c.standby = standby(n, c.boot);
+        c.standby = standby(n, c.incarnation);
         (c.view, c.read_at) = (Records::default(), 0);
-        (c.lease, c.lead, c.leads) = (None, None, false);
+        (c.lease, c.leadership, c.is_leader) = (None, None, false);
         c.grants.clear();
     }
 
@@ -588,7 +598,7 @@
                 self.call_cloud(n);
             }
         }
-        let leading = self.controllers.iter().filter(|c| c.leads).count();
+        let leading = self.controllers.iter().filter(|c| c.is_leader).count();
         if leading != 1 {
             self.fail(format!("{leading} controllers lead after quiet"));
         }
--- a/standins/src/checker.rs
+++ b/standins/src/checker.rs
@@ -1,6 +1,6 @@
 //! The rules, seen from outside: by what users are told and what machines run.
 
-use salttrestle::controller::store::records::{Form, JobRec, Room};
+use salttrestle::controller::store::records::{JobKind, JobRecord, Resources};
 use salttrestle::ids::{JobId, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -31,7 +31,7 @@
 /// A job as it looks from outside.
 pub struct JobView {
     /// What was submitted.
-    pub rec: JobRec,
+    pub record: JobRecord,
     /// What its user has been told.
     pub told: Told,
     /// When its user first asked to cancel it.
@@ -57,7 +57,7 @@
 impl JobView {
     /// Whether all of its tasks have finished.
     pub fn finished(&self) -> bool {
-        self.finished.len() as u32 == self.rec.count
+        self.finished.len() as u32 == self.record.count
     }
 }
 
@@ -71,7 +71,7 @@
     /// All its tasks are done.
     Done,
     /// It is cancelled.
-    Withdrawn,
+    Cancelled,
     /// 404.
     Unknown,
     /// 400 or 422.
@@ -90,7 +90,7 @@
     /// Where tasks are.
     pub on: BTreeMap<TaskId, Vec<Place>>,
     /// What each team's tasks use.
-    used: BTreeMap<String, Room>,
+    used: BTreeMap<String, Resources>,
     /// Jobs told to be cancelled of which tasks are on machines.
     cancelled: BTreeSet<JobId>,
     /// What was broken, with when and which rule.
@@ -118,9 +118,9 @@
     }
 
     /// A job was submitted for the first time.
-    pub fn submitted(&mut self, now: u64, id: &JobId, rec: JobRec) {
+    pub fn submitted(&mut self, now: u64, id: &JobId, record: JobRecord) {
         self.jobs.entry(id.clone()).or_insert(JobView {
-            rec,
+            record,
             told: Told::default(),
             cancel_asked: None,
             unfit: false,
@@ -170,13 +170,13 @@
                 job.told.accepted = true;
                 job.done_told_at.get_or_insert(now);
             }
-            Said::Withdrawn => {
+            Said::Cancelled => {
                 job.told.withdrawn_at.get_or_insert(now);
                 job.told.accepted = true;
             }
             Said::Queued | Said::Running => job.told.accepted = true,
         }
-        if said == Said::Withdrawn && self.runs(id) {
+        if said == Said::Cancelled && self.runs(id) {
             self.cancelled.insert(id.clone());
         }
         let asked = self.cancel_asked_above(id).is_some();
@@ -190,11 +190,11 @@
                 self.fault(now, "forgotten", format!("{id} is {said:?}"));
             }
             // More than the rule asks for, and what its proof rests on here.
-            Said::Withdrawn if before.withdrawn_at.is_none() && self.runs(id) => {
+            Said::Cancelled if before.withdrawn_at.is_none() && self.runs(id) => {
                 self.fault(now, "told_early", format!("{id} still runs"));
             }
             Said::Done if !all => self.fault(now, "not_done", format!("{id} is called done")),
-            Said::Withdrawn if !asked => {
+            Said::Cancelled if !asked => {
                 self.fault(
                     now,
                     "went_back",
@@ -205,7 +205,7 @@
         }
         let over = before.done || before.withdrawn_at.is_some();
         let same = (before.done && said == Said::Done)
-            || (before.withdrawn_at.is_some() && said == Said::Withdrawn);
+            || (before.withdrawn_at.is_some() && said == Said::Cancelled);
         if over && !same {
             self.fault(now, "went_back", format!("{id} was over and is {said:?}"));
         }
@@ -217,7 +217,7 @@
                 format!("{id} can't run and is {said:?}"),
             );
         }
-        let ends = matches!(said, Said::Done | Said::Withdrawn);
+        let ends = matches!(said, Said::Done | Said::Cancelled);
         accepted && !before.accepted || ends && !over
     }
 
@@ -228,7 +228,7 @@
             if let Some(job) = self.jobs.get(&id)
                 && all.insert(id)
             {
-                left.extend(job.rec.needs.iter().cloned());
+                left.extend(job.record.needs.iter().cloned());
             }
         }
         all
@@ -256,9 +256,9 @@
     }
 
     /// A job that this one needs and that isn't done, if there is one.
-    pub fn open_need(&self, rec: &JobRec) -> Option<JobId> {
+    pub fn open_need(&self, record: &JobRecord) -> Option<JobId> {
         let done = |id: &&JobId| self.jobs.get(id).is_some_and(JobView::finished);
-        rec.needs.iter().find(|id| !done(id)).cloned()
+        record.needs.iter().find(|id| !done(id)).cloned()
     }
 
     /// When jobs were told to be cancelled whose own cancellation nobody asked for.
@@ -270,7 +270,11 @@
     /// When the last need of each job was done, and how long it took then until a task started.
     pub fn released(&self) -> impl Iterator<Item = (u64, u64)> {
         self.jobs.values().filter_map(|j| {
-            let needs = j.rec.needs.iter().map(|id| self.jobs.get(id)?.finished_at);
+            let needs = j
+                .record
+                .needs
+                .iter()
+                .map(|id| self.jobs.get(id)?.finished_at);
             let last = needs.collect::<Option<Vec<u64>>>()?.into_iter().max()?;
             Some((last, j.first_start?.saturating_sub(last)))
         })
@@ -289,7 +293,7 @@
             self.fault(now, "ran_twice", what);
         }
         self.check_place(now, task, &place);
-        let needs = self.jobs.get(&task.job).map(|j| self.open_need(&j.rec));
+        let needs = self.jobs.get(&task.job).map(|j| self.open_need(&j.record));
         if let Some(need) = needs.flatten() {
             self.fault(
                 now,
@@ -300,8 +304,8 @@
         self.on.entry(task.clone()).or_default().push(place);
         let job = self.jobs.get_mut(&task.job);
         let confirmed = job.is_some_and(|job| {
-            let used = self.used.entry(job.rec.team.clone()).or_default();
-            used.add(job.rec.need, 1.0);
+            let used = self.used.entry(job.record.team.clone()).or_default();
+            used.add(job.record.need, 1.0);
             job.first_start.get_or_insert(now);
             job.started.insert(task.index);
             job.told.withdrawn_at.is_some()
@@ -326,8 +330,8 @@
             self.on.remove(task);
         }
         if let Some(job) = self.jobs.get(&task.job) {
-            let used = self.used.entry(job.rec.team.clone()).or_default();
-            used.add(job.rec.need, -(gone as f64));
+            let used = self.used.entry(job.record.team.clone()).or_default();
+            used.add(job.record.need, -(gone as f64));
         }
         if empty && !self.runs(&task.job) {
             self.cancelled.remove(&task.job);
@@ -348,7 +352,7 @@
         let Some(job) = self.jobs.get(&task.job) else {
             return self.fault(now, "invented", format!("{task} was never submitted"));
         };
-        let rec = &job.rec;
+        let record = &job.record;
         let others: Vec<&Place> = self
             .on
             .range(first(&task.job)..)
@@ -357,23 +361,23 @@
             .collect();
         let in_zone = others.iter().filter(|p| p.zone == place.zone).count() as u32;
         let mut wrong = Vec::new();
-        if rec
+        if record
             .types
             .as_ref()
             .is_some_and(|t| !t.contains(&place.class))
         {
             wrong.push("type");
         }
-        if rec.zone.as_ref().is_some_and(|z| *z != place.zone) {
+        if record.zone.as_ref().is_some_and(|z| *z != place.zone) {
             wrong.push("zone");
         }
-        if place.spot && !rec.spot {
+        if place.spot && !record.spot {
             wrong.push("spot");
         }
-        if rec.one_zone && in_zone as usize != others.len() {
+        if record.one_zone && in_zone as usize != others.len() {
             wrong.push("samePlace");
         }
-        if rec.scatter && in_zone + 1 > rec.count.div_ceil(2) {
+        if record.scatter && in_zone + 1 > record.count.div_ceil(2) {
             wrong.push("scatter");
         }
         if !wrong.is_empty() {
@@ -384,7 +388,7 @@
 
     /// Whether the team of a task that has just started uses more than its limit.
     fn check_quota(&mut self, now: u64, task: &TaskId) {
-        let team = self.jobs.get(&task.job).map(|j| j.rec.team.clone());
+        let team = self.jobs.get(&task.job).map(|j| j.record.team.clone());
         if let Some(team) = team {
             self.check_team(now, &team);
         }
@@ -429,7 +433,7 @@
             .iter()
             .filter(|(_, j)| {
                 let ends = j.told.done || j.told.withdrawn_at.is_some();
-                let runs = j.rec.form == Form::Service && j.first_start.is_some();
+                let runs = j.record.kind == JobKind::Service && j.first_start.is_some();
                 j.told.accepted && !ends && !runs
             })
             .map(|(id, _)| id.to_string())
@@ -447,22 +451,22 @@
             |(id, j): &(&JobId, &JobView)| j.told.accepted && self.cancel_asked_above(id).is_none();
         for (_, j) in self.jobs.iter().filter(wanted) {
             for name in [
-                format!("class {}", j.rec.class),
-                format!("team {}", j.rec.team),
+                format!("class {}", j.record.class),
+                format!("team {}", j.record.team),
             ] {
                 groups.entry(name).or_default().push(j);
             }
         }
-        let served = |j: &&&JobView| j.told.done || j.started.len() as u32 == j.rec.count;
+        let served = |j: &&&JobView| j.told.done || j.started.len() as u32 == j.record.count;
         let starved = |jobs: &[&JobView]| 2 * jobs.iter().filter(served).count() < jobs.len();
         let mut poor = Vec::new();
         for (name, jobs) in &mut groups {
             if starved(jobs) {
                 poor.push(name.clone());
             }
-            jobs.sort_by_key(|j| std::cmp::Reverse(j.rec.count));
-            let most = jobs.first().map_or(0, |j| j.rec.count);
-            let largest = jobs.partition_point(|j| j.rec.count == most);
+            jobs.sort_by_key(|j| std::cmp::Reverse(j.record.count));
+            let most = jobs.first().map_or(0, |j| j.record.count);
+            let largest = jobs.partition_point(|j| j.record.count == most);
             if most > 1 && starved(&jobs[..largest]) {
                 poor.push(format!("largest of {name}"));
             }
@@ -501,11 +505,11 @@
     }
 
     /// Whether one more task of a job stays within its team's limit.
-    pub fn below_limit(&self, rec: &JobRec) -> bool {
-        let used = self.used.get(&rec.team).copied().unwrap_or_default();
-        let most = self.limits.get(&rec.team).copied().unwrap_or_default();
+    pub fn below_limit(&self, record: &JobRecord) -> bool {
+        let used = self.used.get(&record.team).copied().unwrap_or_default();
+        let most = self.limits.get(&record.team).copied().unwrap_or_default();
         let fits = |used: f64, need: f64, most: f64| most <= 0.0 || used + need <= most + SLACK;
-        fits(used.cpus, rec.need.cpus, most.0) && fits(used.gpus, rec.need.gpus, most.1)
+        fits(used.cpus, record.need.cpus, most.0) && fits(used.gpus, record.need.gpus, most.1)
     }
 }
 
--- a/standins/src/cloud.rs
+++ b/standins/src/cloud.rs
@@ -2,7 +2,7 @@
 
 use ciborium::cbor;
 use salttrestle::ids::MachineId;
-use salttrestle::wire::{ClassInfo, CloudOp, CloudReply};
+use salttrestle::wire::{CloudOp, CloudReply, MachineType};
 use std::collections::BTreeMap;
 
 /// Most machines in one page of the list.
@@ -31,7 +31,7 @@
 #[derive(Default)]
 pub struct Cloud {
     /// The types of machines that it has.
-    pub catalog: Vec<ClassInfo>,
+    pub catalog: Vec<MachineType>,
     /// Every machine that was ever rented, by name.
     pub rigs: BTreeMap<String, Rig>,
     /// What rental requests were answered, by their names.
@@ -104,12 +104,12 @@
                 } else {
                     usual
                 };
-                let boot = if fast { 200 + now % 1800 } else { usual };
+                let incarnation = if fast { 200 + now % 1800 } else { usual };
                 let rigs: Vec<MachineId> = (0..n)
                     .map(|_| {
                         let dead = self.stillborn > 0;
                         self.stillborn = self.stillborn.saturating_sub(1);
-                        let boots = (!dead).then_some(now + boot);
+                        let boots = (!dead).then_some(now + incarnation);
                         self.add(now, &h.class, &h.zone, h.spot, boots)
                     })
                     .collect();
@@ -141,7 +141,7 @@
             behind && r.rented <= at && r.gone.is_none_or(|g| g > at)
         });
         let machines = shown.by_ref().take(PAGE).map(|(id, r)| {
-            let stance = match (r.failed, r.boots) {
+            let status = match (r.failed, r.boots) {
                 (Some(failed), _) if failed <= at => "failed",
                 (_, Some(b)) if b <= at => "running",
                 _ => "starting",
@@ -149,7 +149,7 @@
             let age = (at - r.rented) as f64 / 1000.0;
             let body = cbor!({
                 "id" => id, "endpoint" => "10.1.0.1:9000", "build" => r.class,
-                "quarter" => r.zone, "borrowed" => r.spot, "stance" => stance, "ageS" => age
+                "quarter" => r.zone, "borrowed" => r.spot, "stance" => status, "ageS" => age
             });
             body.expect("a map")
                 .deserialized()
--- a/standins/src/orders.rs
+++ b/standins/src/orders.rs
@@ -3,7 +3,7 @@
 //! no attempt that falls, and calls to the cloud by one leader after the other ([`Duties`]).
 
 use crate::duties::Duties;
-use salttrestle::controller::store::records::RunRec;
+use salttrestle::controller::store::records::PlacementRecord;
 use salttrestle::ids::{Attempt, JobId, MachineId, TaskId};
 use std::collections::{HashMap, HashSet};
 
@@ -35,7 +35,7 @@
     }
 
     /// A chunk of a job's placements was written.
-    pub fn committed(&mut self, job: &JobId, run: &RunRec) {
+    pub fn committed(&mut self, job: &JobId, run: &PlacementRecord) {
         for (index, attempt, machine, ..) in &run.placed {
             let (job, index) = (job.clone(), *index);
             self.committed
--- a/standins/src/user.rs
+++ b/standins/src/user.rs
@@ -26,7 +26,7 @@
             "queued" => Some(Said::Queued),
             "running" => Some(Said::Running),
             "done" => Some(Said::Done),
-            "withdrawn" => Some(Said::Withdrawn),
+            "withdrawn" => Some(Said::Cancelled),
             _ => None,
         },
         404 => Some(Said::Unknown),
--- a/standins/src/worker.rs
+++ b/standins/src/worker.rs
@@ -2,7 +2,7 @@
 //! caller hands in the time and carries reports and answers.
 
 use salttrestle::ids::{Attempt, TaskId};
-use salttrestle::wire::{self, Cause, TaskStance};
+use salttrestle::wire::{self, Cause, TaskStatus};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -138,17 +138,17 @@
     #[serde(rename = "warningS")]
     notice_s: Option<f64>,
     #[serde(rename = "verses")]
-    tasks: Vec<ReportTask>,
+    tasks: Vec<HeartbeatTask>,
 }
 
 #[derive(Serialize)]
-struct ReportTask {
+struct HeartbeatTask {
     #[serde(rename = "verse")]
     task: String,
     #[serde(rename = "take")]
     attempt: Attempt,
     #[serde(rename = "stance")]
-    state: TaskStance,
+    state: TaskStatus,
     #[serde(skip_serializing_if = "Option::is_none")]
     cause: Option<Cause>,
 }
@@ -294,12 +294,12 @@
     pub fn report_body(&self, machine: &str, endpoint: &str, now: u64) -> Vec<u8> {
         let tasks = self.tasks.iter().map(|(task, t)| {
             let (state, cause) = match t.state {
-                TaskState::Fetching => (TaskStance::Fetching, None),
-                TaskState::Running => (TaskStance::Running, None),
-                TaskState::Saving => (TaskStance::Flushing, None),
-                TaskState::Ended(cause) => (TaskStance::Ended, Some(cause)),
+                TaskState::Fetching => (TaskStatus::Fetching, None),
+                TaskState::Running => (TaskStatus::Running, None),
+                TaskState::Saving => (TaskStatus::Flushing, None),
+                TaskState::Ended(cause) => (TaskStatus::Ended, Some(cause)),
             };
-            ReportTask {
+            HeartbeatTask {
                 task: task.to_string(),
                 attempt: t.attempt,
                 state,
@@ -340,7 +340,7 @@
         now: u64,
         sent: u64,
         (status, body): (u16, &[u8]),
-        members: &[String],
+        controller_ids: &[String],
         specs: &impl TaskSpecs,
     ) -> Result<Vec<TaskEvent>, String> {
         self.flight = None;
@@ -349,17 +349,17 @@
             421 => {
                 let steer: Option<SteerBody> = wire::decode(body);
                 let to = steer.and_then(|s| s.to);
-                let to = to.and_then(|name| members.iter().position(|m| *m == name));
+                let to = to.and_then(|name| controller_ids.iter().position(|m| *m == name));
                 match to.filter(|controller| *controller != self.controller) {
                     Some(controller) => {
                         self.controller = controller;
                         self.next_at = now;
                         self.changed = true;
                     }
-                    None => self.try_next(now, members.len()),
+                    None => self.try_next(now, controller_ids.len()),
                 }
             }
-            _ => self.try_next(now, members.len()),
+            _ => self.try_next(now, controller_ids.len()),
         }
         Ok(Vec::new())
     }
--- a/standins/tests/orders.rs
+++ b/standins/tests/orders.rs
@@ -1,7 +1,7 @@
 //! The judge of orders sees each kind of wrong order, and nothing wrong in a right history.
 
-use salttrestle::controller::store::records::RunRec;
-use salttrestle::ids::{Attempt, JobId, MachineId, Number, TaskId};
+use salttrestle::controller::store::records::PlacementRecord;
+use salttrestle::ids::{Attempt, FencingToken, JobId, MachineId, TaskId};
 use salttrestle_standins::orders::Orders;
 
 const MACHINE: &str = "i-1";
@@ -12,7 +12,7 @@
 }
 
 fn attempt(number: u64, count: u64) -> Attempt {
-    Attempt::new(Number(number), count)
+    Attempt::new(FencingToken(number), count)
 }
 
 /// A holder under 4, then one under 6, each with a placement of the task on the machine.
@@ -21,9 +21,9 @@
     for number in [4, 6] {
         orders.held(number);
         let placed = (3, attempt(number, 1), MachineId::from(MACHINE), "a".into());
-        let run = RunRec {
+        let run = PlacementRecord {
             placed: vec![placed],
-            ..RunRec::default()
+            ..PlacementRecord::default()
         };
         orders.committed(&JobId::from("j-1"), &run);
     }
@@ -37,9 +37,9 @@
     orders.started(20, MACHINE, 6, &task(), attempt(6, 1));
     assert_eq!(orders.broken, Vec::<String>::new());
     assert_eq!(orders.repeats.len(), 1);
-    for (number, member) in [(3, "n0"), (5, "n1"), (7, "n0")] {
-        orders.duties.leader_is(Some((number, member)));
-        orders.duties.cloud_changed(number, member);
+    for (number, controller_id) in [(3, "n0"), (5, "n1"), (7, "n0")] {
+        orders.duties.leader_is(Some((number, controller_id)));
+        orders.duties.cloud_changed(number, controller_id);
     }
     assert_eq!(orders.duties.broken, Vec::<String>::new());
 }
--- a/tests/malformed.rs
+++ b/tests/malformed.rs
@@ -306,57 +306,58 @@
             "{:?}",
             &body[..body.len().min(20)]
         );
-        assert!(wire::decode::<wire::Report>(&body).is_none());
+        assert!(wire::decode::<wire::WorkerHeartbeat>(&body).is_none());
     }
 }
 
 #[test]
 fn reports() {
-    let body = |attempt: Value, stance: &str, baton: Value| {
+    let body = |attempt: Value, status: &str, baton: Value| {
         wire::encode(
             &cbor!({
                 "rig" => "i-1", "endpoint" => "10.0.0.1:1", "build" => "g8", "quarter" => "a",
                 "borrowed" => false, "shift" => 1, "tally" => 2, "baton" => baton,
-                "verses" => [{"verse" => "wk-1/0", "take" => attempt, "stance" => stance,
+                "verses" => [{"verse" => "wk-1/0", "take" => attempt, "stance" => status,
                               "cause" => "something new", "more" => 1}]
             })
             .expect("a map"),
         )
     };
     let int = |n: i64| Value::Integer(n.into());
-    let good = wire::decode::<wire::Report>(&body(int(1), "ended", int(3))).expect("a report");
+    let good =
+        wire::decode::<wire::WorkerHeartbeat>(&body(int(1), "ended", int(3))).expect("a report");
     assert_eq!(good.tasks[0].cause, Some(wire::Cause::Other));
-    for (attempt, stance, baton) in [
+    for (attempt, status, baton) in [
         (int(-1), "running", int(1)),
         (Value::Float(1.5), "running", int(1)),
         (int(1), "dancing", int(1)),
         (int(1), "running", int(-1)),
         (int(1), "running", Value::Text("3".into())),
     ] {
-        assert!(wire::decode::<wire::Report>(&body(attempt, stance, baton)).is_none());
+        assert!(wire::decode::<wire::WorkerHeartbeat>(&body(attempt, status, baton)).is_none());
     }
 }
 
 #[test]
 fn peer_messages() {
-    let hello = peer::Message::Hello(peer::Hello {
+    let heartbeat = peer::Message::PeerHeartbeat(peer::PeerHeartbeat {
         from: "node-1".into(),
-        boot: 7,
+        incarnation: 7,
         leader: None,
-        blocks: vec![(0, salttrestle::ids::Number(4), "node-2".into())],
-        sighted: true,
-        blind_ms: 40,
+        shards: vec![(0, salttrestle::ids::FencingToken(4), "node-2".into())],
+        is_fresh: true,
+        staleness_ms: 40,
         heard: false,
         deaf: false,
-        relays: true,
+        can_forward: true,
         at_ms: 7,
         echoes: vec![("n1".into(), 3, 5)],
         sheltered_ms: 9,
         overdue: vec!["i-7".into()],
     });
-    let framed = peer::frame(&hello).expect("a message of usual size");
+    let framed = peer::frame(&heartbeat).expect("a message of usual size");
     let mut buf = [framed.clone(), framed[..4].to_vec()].concat();
-    assert_eq!(peer::unframe(&mut buf), Ok(Some(hello)));
+    assert_eq!(peer::unframe(&mut buf), Ok(Some(heartbeat)));
     assert_eq!(peer::unframe(&mut buf), Ok(None));
     assert!(
         peer::unframe(&mut vec![0xff, 0xff, 0, 0, 1]).is_err(),
@@ -372,9 +373,9 @@
     assert!(other_version.is_empty(), "another version is passed over");
     standby_messages();
     // A message that no sibling would take is refused here, not cut off.
-    let large = peer::Message::RelayedAnswer(peer::RelayedAnswer {
-        boot: 1,
-        req: 2,
+    let large = peer::Message::ForwardedResponse(peer::ForwardedResponse {
+        incarnation: 1,
+        request_id: 2,
         status: 200,
         body: vec![0; peer::MESSAGE_MAX],
         retry_after: None,
@@ -392,9 +393,9 @@
     };
     let heartbeat = StandbyMessage::Heartbeat(Heartbeat {
         from: "n1".into(),
-        boot: 7,
+        incarnation: 7,
         number: 41,
-        leads: true,
+        is_leader: true,
         lost: false,
     });
     let mut bytes = framed(&heartbeat);
@@ -437,13 +438,13 @@
 /// 1,200 of them fit into a value.
 #[test]
 fn a_list_of_machines_is_packed() {
-    use salttrestle::controller::store::records::{BlockRec, Entry};
-    use salttrestle::ids::Number;
+    use salttrestle::controller::store::records::{Entry, ShardRecord};
+    use salttrestle::ids::FencingToken;
     let entry = |id: &str, zone: &str| -> Entry { (id.into(), "g8".into(), zone.into(), true) };
-    let rec = |machines| BlockRec {
-        holder: "n0".into(),
-        boot: 1,
-        number: Number(7),
+    let record = |machines| ShardRecord {
+        owner: "n0".into(),
+        incarnation: 1,
+        number: FencingToken(7),
         machines,
         allowances: None,
     };
@@ -451,8 +452,8 @@
     let mut list: Vec<Entry> = odd.iter().map(|id| entry(id, "a")).collect();
     list.push(entry("i-1", "b"));
     for machines in [None, Some(Vec::new()), Some(list)] {
-        let json = serde_json::to_vec(&rec(machines.clone())).expect("JSON");
-        let back: BlockRec = serde_json::from_slice(&json).expect("a block's record");
+        let json = serde_json::to_vec(&record(machines.clone())).expect("JSON");
+        let back: ShardRecord = serde_json::from_slice(&json).expect("a block's record");
         let sorted = |m: Option<Vec<Entry>>| {
             m.map(|mut m| {
                 m.sort();
@@ -462,6 +463,6 @@
         assert_eq!(sorted(back.machines), sorted(machines));
     }
     let many = (0..1200).map(|n| entry(&format!("i-{n:06}"), ["a", "b", "c"][n % 3]));
-    let json = serde_json::to_vec(&rec(Some(many.collect()))).expect("JSON");
+    let json = serde_json::to_vec(&record(Some(many.collect()))).expect("JSON");
     assert!(json.len() < 8 * 1024, "{} bytes", json.len());
 }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -170,7 +170,7 @@
     let looked = |end| {
         let mut world = World::new(&words(&text(end)));
         world.run();
-        let cores = world.nodes.iter().filter_map(|n| n.core.as_ref());
+        let cores = world.nodes.iter().filter_map(|n| n.controller.as_ref());
         let loads: Vec<_> = cores.map(|c| c.load()).collect();
         let sum =
             |f: fn(&salttrestle::controller::events::Load) -> u64| loads.iter().map(f).sum::<u64>();
@@ -272,7 +272,7 @@
             let on = world.checker.on.keys().filter(|t| t.job == id).count() as u32;
             let moved = l.get(2).and_then(|word| word.strip_prefix("but="));
             let moved = moved.map_or(0, |n| n.parse().expect("a count"));
-            on <= j.rec.count && on + moved >= j.rec.count
+            on <= j.record.count && on + moved >= j.record.count
         }
         "status" | "no-status" => {
             let id = JobId::from(l[1].as_str());
@@ -288,8 +288,8 @@
         }
         "blocks" => {
             let keys = world.state.store.entries.keys();
-            let blocks = keys.filter(|k| k.contains("own/block/")).count();
-            blocks == l[1].parse::<usize>().expect("a count")
+            let shards = keys.filter(|k| k.contains("own/block/")).count();
+            shards == l[1].parse::<usize>().expect("a count")
         }
         "killed-at-most" => at_most(world.killed)?,
         "deleted-tasks-at-most" => at_most(world.deleted_tasks)?,
@@ -370,7 +370,12 @@
     }),
     ("quota: t uses 0 CPUs, 2 GPUs", |c| {
         for task in &mut [task(0), task(1)] {
-            c.jobs.get_mut(&task.job).expect("submitted").rec.need.cpus = 0.0;
+            c.jobs
+                .get_mut(&task.job)
+                .expect("submitted")
+                .record
+                .need
+                .cpus = 0.0;
             c.starts(1, task, place("m1", "a"));
         }
         assert!(c.broken.is_empty(), "two are allowed");
@@ -386,7 +391,7 @@
     ("ran_cancelled", |c| {
         c.starts(1, &task(0), place("m1", "a"));
         c.cancel_asked(1, &JobId::from("j-1"));
-        c.said(2, &JobId::from("j-1"), Said::Withdrawn);
+        c.said(2, &JobId::from("j-1"), Said::Cancelled);
         c.check_cancelled(36_000);
     }),
     ("forgotten", |c| {
@@ -407,21 +412,21 @@
         c.said(2, &JobId::from("j-1"), Said::Running);
     }),
     ("too_early", |c| {
-        let mut rec = c.jobs[&JobId::from("j-1")].rec.clone();
-        rec.needs = vec![JobId::from("j-1")];
-        c.submitted(1, &JobId::from("j-2"), rec);
+        let mut record = c.jobs[&JobId::from("j-1")].record.clone();
+        record.needs = vec![JobId::from("j-1")];
+        c.submitted(1, &JobId::from("j-2"), record);
         (0..3).for_each(|n| c.finishes(1, &task(n)));
         let job = JobId::from("j-2");
         c.starts(2, &TaskId { job, index: 0 }, place("m1", "a"));
     }),
     ("orphaned", |c| {
         let (needed, job) = (JobId::from("j-1"), JobId::from("j-2"));
-        let mut rec = c.jobs[&needed].rec.clone();
-        rec.needs = vec![needed.clone()];
-        c.submitted(1, &job, rec);
+        let mut record = c.jobs[&needed].record.clone();
+        record.needs = vec![needed.clone()];
+        c.submitted(1, &job, record);
         c.said(1, &job, Said::Queued);
         c.cancel_asked(1, &needed);
-        c.said(2, &needed, Said::Withdrawn);
+        c.said(2, &needed, Said::Cancelled);
         c.said(35_000, &job, Said::Queued);
         assert!(c.broken.is_empty(), "there is a moment left");
         c.said(36_000, &job, Said::Queued);
@@ -429,7 +434,7 @@
     ("nothing_ran", |c| c.check_end(1)),
     ("started_cancelled", |c| {
         c.cancel_asked(1, &JobId::from("j-1"));
-        c.said(2, &JobId::from("j-1"), Said::Withdrawn);
+        c.said(2, &JobId::from("j-1"), Said::Cancelled);
         c.starts(3, &task(0), place("m1", "a"));
     }),
     ("odd_accepted", |c| {
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -5,7 +5,7 @@
 use salttrestle::wire;
 
 const PLATFORM: &str = r#"{"member":"n0","site":"a","listen":"127.0.0.1:1","peer_listen":"127.0.0.1:2",
- "siblings":[{"member":"n1","site":"b","endpoint":"127.0.0.1:3"}],
+ "peers":[{"member":"n1","site":"b","endpoint":"127.0.0.1:3"}],
  "services":{"cloud":"127.0.0.1:4","state":"127.0.0.1:5"},"new":1,
  "facts":{"count":2,"zones":["a","b"],"teams":[{"name":"t","gpus_max":4}],
   "workers":{"report_s":1,"lease_s":10,"cancel_s":35},
@@ -105,39 +105,43 @@
         }
     };
     let usual = settings("0.1", "500");
-    assert_eq!((usual.blocks_for(10), usual.blocks_for(500)), (0, 1));
+    assert_eq!((usual.shards_for(10), usual.shards_for(500)), (0, 1));
     // 1,333 machines would take all of the processor, of which 0.85 may be used.
-    assert_eq!((usual.blocks_for(1100), usual.blocks_for(1200)), (1, 2));
+    assert_eq!((usual.shards_for(1100), usual.shards_for(1200)), (1, 2));
     assert_eq!(
-        (usual.blocks_at(1200, 2000.0), usual.blocks_at(1200, 700.0)),
+        (usual.shards_at(1200, 2000.0), usual.shards_at(1200, 700.0)),
         (1, 3)
     );
     assert_eq!(usual.ceiling(), 800, "two controllers' sockets");
     // All workers of a controller that has 4,000 sockets report as a new holder appears.
     let large = settings("1.0", "4000");
-    let report =
-        peer::RelayedReport::new(&"n".into(), 7, salttrestle::ids::ReqId(3), &report_of(96));
-    let report = peer::frame(&peer::Message::RelayedReport(Box::new(report)));
+    let report = peer::ForwardedHeartbeat::new(
+        &"n".into(),
+        7,
+        salttrestle::ids::RequestId(3),
+        &report_of(96),
+    );
+    let report = peer::frame(&peer::Message::ForwardedHeartbeat(Box::new(report)));
     let report = report.expect("short enough").len();
-    assert!(large.sibling_out_bytes() >= 4000 * report, "{report} bytes");
-    assert_eq!(usual.sibling_out_bytes(), 500 * 4096);
+    assert!(large.peer_out_bytes() >= 4000 * report, "{report} bytes");
+    assert_eq!(usual.peer_out_bytes(), 500 * 4096);
     let slow = settings("0.01", "500");
-    assert_eq!((slow.blocks_for(100), slow.blocks_for(120)), (1, 2));
+    assert_eq!((slow.shards_for(100), slow.shards_for(120)), (1, 2));
     let slowest = settings("0.001", "500");
-    assert_eq!(slowest.blocks_for(100), 2, "no smaller than is worth it");
+    assert_eq!(slowest.shards_for(100), 2, "no smaller than is worth it");
     assert_eq!(slow.ceiling(), 266, "two controllers' processors");
     assert!(Platform::parse(&PLATFORM.replace("\"cpu\":0.1", "\"cpu\":0"), "f").is_err());
 }
 
 /// A report of a machine with so many tasks.
-fn report_of(tasks: usize) -> wire::Report {
-    let task = |index: usize| wire::ReportTask {
+fn report_of(tasks: usize) -> wire::WorkerHeartbeat {
+    let task = |index: usize| wire::HeartbeatTask {
         task: format!("wk-000398/{index}"),
-        attempt: salttrestle::ids::Attempt::new(salttrestle::ids::Number(90), index as u64),
-        stance: wire::TaskStance::Running,
+        attempt: salttrestle::ids::Attempt::new(salttrestle::ids::FencingToken(90), index as u64),
+        status: wire::TaskStatus::Running,
         cause: None,
     };
-    wire::Report {
+    wire::WorkerHeartbeat {
         machine: "i-000231".into(),
         endpoint: "10.1.0.232:9000".into(),
         class: "g8".into(),
--- a/tests/sheltered_tasks.rs
+++ b/tests/sheltered_tasks.rs
@@ -1,16 +1,18 @@
 //! What a controller answers a worker of its zone while the holder can't be reached.
 
-use salttrestle::controller::Core;
+use salttrestle::controller::Controller;
 use salttrestle::controller::events::{Input, Output, Request};
-use salttrestle::controller::store::records::{BlockRec, Ending, Key, LeaderRec, Record};
-use salttrestle::ids::{Attempt, CallId, JobId, Number, ReqId, Time};
+use salttrestle::controller::store::records::{Ending, Key, LeaderRecord, Record, ShardRecord};
+use salttrestle::ids::{Attempt, CallId, FencingToken, JobId, RequestId, Time};
 use salttrestle::settings::{Platform, Settings, Tuning};
-use salttrestle::wire::{Change, Report, ReportTask, StateOp, StateReply, TaskStance};
+use salttrestle::wire::{
+    Change, HeartbeatTask, StoreRequest, StoreResponse, TaskStatus, WorkerHeartbeat,
+};
 
 const REVISION: u64 = 10;
 
 const PLATFORM: &str = r#"{"member":"n0","site":"a","listen":"127.0.0.1:1","peer_listen":"127.0.0.1:2",
-    "siblings":[{"member":"n1","site":"b","endpoint":"127.0.0.1:3"}],
+    "peers":[{"member":"n1","site":"b","endpoint":"127.0.0.1:3"}],
     "services":{"cloud":"127.0.0.1:4","state":"127.0.0.1:5"},
     "facts":{"count":2,"zones":["a","b"],"teams":[],
     "workers":{"report_s":1,"lease_s":10,"cancel_s":35},
@@ -18,74 +20,76 @@
     "cloud":{"rps":4,"list_lag_s":8},"resources":{"cpu":1,"mem_mb":56,"max_sockets":64}}}"#;
 
 fn records() -> Vec<Change> {
-    let leader = LeaderRec {
-        member: "n1".into(),
-        boot: 7,
-        number: Number(3),
-        hold: 1,
+    let leader = LeaderRecord {
+        controller_id: "n1".into(),
+        incarnation: 7,
+        number: FencingToken(3),
+        lease_id: 1,
         fenced_ms: None,
     };
-    let block = BlockRec {
-        holder: "n1".into(),
-        boot: 7,
-        number: Number(4),
+    let shard = ShardRecord {
+        owner: "n1".into(),
+        incarnation: 7,
+        number: FencingToken(4),
         machines: None,
         allowances: None,
     };
     vec![
         (Key::Leader, 8, Some(Record::Leader(leader))),
-        (Key::Block(0), 8, Some(Record::Block(block))),
+        (Key::Shard(0), 8, Some(Record::Shard(shard))),
     ]
 }
 
-fn reply(op: &StateOp, news: &[Change]) -> Option<StateReply> {
+fn reply(op: &StoreRequest, news: &[Change]) -> Option<StoreResponse> {
     match op {
-        StateOp::List { .. } => Some(StateReply::Page {
+        StoreRequest::List { .. } => Some(StoreResponse::Page {
             entries: records(),
             last: None,
             more: false,
             revision: REVISION,
         }),
-        StateOp::Fresh => Some(StateReply::Missing { revision: REVISION }),
-        StateOp::Follow { after: REVISION } if !news.is_empty() => Some(StateReply::News {
-            revision: REVISION + 1,
-            news: news.to_vec(),
-        }),
+        StoreRequest::ReadRevision => Some(StoreResponse::Missing { revision: REVISION }),
+        StoreRequest::Watch { after: REVISION } if !news.is_empty() => {
+            Some(StoreResponse::Changes {
+                revision: REVISION + 1,
+                news: news.to_vec(),
+            })
+        }
         _ => None,
     }
 }
 
 /// A controller of zone a that knows the holder's record, and these news.
-fn controller(now: &mut u64, news: &[Change]) -> Core {
+fn controller(now: &mut u64, news: &[Change]) -> Controller {
     let settings = Settings {
         platform: Platform::parse(PLATFORM, "test").expect("good"),
         tuning: Tuning::parse(None).expect("good"),
         cells: None,
     };
-    let mut core = Core::new(settings, 1);
-    let mut replies: Vec<(CallId, StateReply)> = Vec::new();
+    let mut controller = Controller::new(settings, 1);
+    let mut replies: Vec<(CallId, StoreResponse)> = Vec::new();
     for _ in 0..12 {
         *now += 50;
-        let mut outputs = core.step(Time(*now), Input::Tick);
+        let mut outputs = controller.step(Time(*now), Input::Tick);
         for (call, reply) in std::mem::take(&mut replies) {
-            outputs.extend(core.step(Time(*now), Input::State(call, reply)));
+            outputs.extend(controller.step(Time(*now), Input::Store(call, reply)));
         }
         for output in outputs {
-            if let Output::State(call, op) = output
+            if let Output::Store(call, op) = output
                 && let Some(reply) = reply(&op, news)
             {
                 replies.push((call, reply));
             }
         }
     }
-    core
+    controller
 }
 
 /// The body of the answer to a worker whose task runs.
 fn answer(news: &[Change]) -> String {
     let mut now = 10_000_000;
-    let mut core = controller(&mut now, news);
-    let report = Report {
+    let mut controller = controller(&mut now, news);
+    let report = WorkerHeartbeat {
         machine: "i-1".into(),
         endpoint: "127.0.0.1:9".into(),
         class: "g8".into(),
@@ -95,17 +99,17 @@
         seq: 5,
         number: 4,
         notice_s: None,
-        tasks: vec![ReportTask {
+        tasks: vec![HeartbeatTask {
             task: "wk-7/0".into(),
-            attempt: Attempt::new(Number(4), 1),
-            stance: TaskStance::Running,
+            attempt: Attempt::new(FencingToken(4), 1),
+            status: TaskStatus::Running,
             cause: None,
         }],
     };
-    let input = Input::Request(ReqId(1), Request::Report(report));
-    let outputs = core.step(Time(now), input);
+    let input = Input::Request(RequestId(1), Request::Heartbeat(report));
+    let outputs = controller.step(Time(now), input);
     let answered = outputs.iter().find_map(|output| match output {
-        Output::Answer(ReqId(1), reply) if reply.status == 200 => Some(reply.body.clone()),
+        Output::Answer(RequestId(1), reply) if reply.status == 200 => Some(reply.body.clone()),
         _ => None,
     });
     String::from_utf8_lossy(&answered.expect("an answer")).into_owned()
@@ -122,6 +126,6 @@
 #[test]
 fn tasks_of_a_job_that_ended_are_halted() {
     let end = Key::End(JobId::from("wk-7"));
-    let body = answer(&[(end, REVISION + 1, Some(Record::End(Ending::Withdrawn)))]);
+    let body = answer(&[(end, REVISION + 1, Some(Record::End(Ending::Cancelled)))]);
     assert!(body.contains("halt"), "{body}");
 }
--- a/tests/sim/digest.rs
+++ b/tests/sim/digest.rs
@@ -32,7 +32,7 @@
                 self.number(reply.retry_after.map_or(u64::MAX, u64::from));
                 self.bytes(&reply.body);
             }
-            Output::State(call, op) => self.call(1, call.0, &op.call()),
+            Output::Store(call, op) => self.call(1, call.0, &op.call()),
             Output::Cloud(call, op) => self.call(2, call.0, &op.call()),
             Output::Forget(call) => {
                 self.number(3);
--- a/tests/sim/limits.rs
+++ b/tests/sim/limits.rs
@@ -1,7 +1,7 @@
 //! Operators who change team limits at run time, and when a change is in force.
 
 use super::world::{Args, Ev, World, ms, num};
-use salttrestle::controller::store::records::{Key, LimitsByTeam, LimitsRec, Record};
+use salttrestle::controller::store::records::{Key, LimitsByTeam, LimitsRecord, Record};
 use salttrestle_standins::store::{CommitOutcome, Write};
 
 /// A lowered limit has stopped new starts within this time.
@@ -20,12 +20,12 @@
 }
 
 impl World {
-    fn write_limits(&mut self, rec: Option<LimitsRec>) {
+    fn write_limits(&mut self, record: Option<LimitsRecord>) {
         let path = Key::Limits.to_string();
-        let write = match rec {
-            Some(rec) => Write::Put {
+        let write = match record {
+            Some(record) => Write::Put {
                 path,
-                value: Record::Limits(rec),
+                value: Record::Limits(record),
                 lease: None,
             },
             None => Write::Delete { path },
@@ -39,8 +39,8 @@
     pub fn set_limits(&mut self, args: Args) {
         let (team, limit) = (&args[0], (num(args, "cpus", 0.0), num(args, "gpus", 0.0)));
         self.limit_changes.set.insert(team.clone(), limit);
-        let rec = LimitsRec::Teams(self.limit_changes.set.clone());
-        self.write_limits(Some(rec));
+        let record = LimitsRecord::Teams(self.limit_changes.set.clone());
+        self.write_limits(Some(record));
         if !self.checker.limits.contains_key(team) {
             // It is refused, and mustn't be part of what comes next.
             self.limit_changes.set.remove(team);
@@ -71,7 +71,7 @@
 
     /// What stands there can't be read from now on, or nothing stands there.
     pub fn spoil_limits(&mut self, gone: bool) {
-        let unreadable = || LimitsRec::Unreadable("invalid type".into());
+        let unreadable = || LimitsRecord::Unreadable("invalid type".into());
         self.write_limits((!gone).then(unreadable));
         if gone {
             self.limit_changes.set.clear();
@@ -83,22 +83,22 @@
     /// Notes which changes the blocks' records show by now.
     pub fn check_limits(&mut self) {
         let entries = self.state.store.entries.values();
-        let blocks: Vec<_> = entries
+        let shards: Vec<_> = entries
             .filter_map(|entry| match &entry.value {
-                Record::Block(block) => block.allowances.clone(),
+                Record::Shard(shard) => shard.allowances.clone(),
                 _ => None,
             })
             .collect();
         let changes = &mut self.limit_changes;
         let (now, set) = (self.now, &changes.set);
         let in_force = |team: &str| {
-            let here = blocks.iter().filter_map(|b| b.get(team));
+            let here = shards.iter().filter_map(|b| b.get(team));
             let sum = here.fold((0.0, 0.0), |sum, a| (sum.0 + a.0, sum.1 + a.1));
             let Some(limit) = set.get(team) else {
                 return false;
             };
             let all = sum.0 <= limit.0 + 1e-6 && sum.1 <= limit.1 + 1e-6;
-            all && (blocks.len() > 1 || sum == *limit)
+            all && (shards.len() > 1 || sum == *limit)
         };
         let (done, open): (Vec<_>, Vec<_>) =
             changes.open.drain(..).partition(|(_, team)| in_force(team));
--- a/tests/sim/nodes.rs
+++ b/tests/sim/nodes.rs
@@ -1,43 +1,43 @@
 //! Nodes: how they are started and killed, and what reaches them over links that can be cut.
 
 use super::world::{Cut, Ev, Far, Origin, World};
-use salttrestle::controller::Core;
+use salttrestle::controller::Controller;
 use salttrestle::controller::events::{Input, Link, Output, Reply};
 use salttrestle::ids::Time;
 use salttrestle::settings::{Platform, Settings, Tuning};
-use salttrestle::wire::{CloudReply, StateOp, StateReply};
+use salttrestle::wire::{CloudReply, StoreRequest, StoreResponse};
 
 impl World {
     pub(super) fn restart(&mut self, n: usize) {
-        let siblings: Vec<_> = (0..self.members.len())
+        let peers: Vec<_> = (0..self.controller_ids.len())
             .filter(|m| *m != n)
             .map(|m| {
-                serde_json::json!({"member": self.members[m], "site": self.zones[m % self.zones.len()],
+                serde_json::json!({"member": self.controller_ids[m], "site": self.zones[m % self.zones.len()],
                     "endpoint": format!("10.0.0.{}:8081", m + 1)})
             })
             .collect();
         let mut p = self.platform.clone();
-        p["member"] = self.members[n].clone().into();
+        p["member"] = self.controller_ids[n].clone().into();
         p["site"] = self.zones[n % self.zones.len()].clone().into();
         p["listen"] = format!("10.0.0.{}:8080", n + 1).into();
         p["peer_listen"] = format!("10.0.0.{}:8081", n + 1).into();
-        p["siblings"] = siblings.into();
+        p["siblings"] = peers.into();
         if let Some(next) = self.next.filter(|_| self.nodes[n].announced) {
             p["facts"]["state"]["next"] = serde_json::json!({"write_rps": next.write_rps,
                 "value_kb": next.value_kb, "txn_ops": next.txn_ops});
         }
         let platform = Platform::parse(&p.to_string(), "scenario").expect("good settings");
         let tuning = Tuning::parse(Some(("scenario", &self.tuning))).expect("good tuning");
-        self.nodes[n].boot += 1;
+        self.nodes[n].incarnation += 1;
         (self.nodes[n].woken_for, self.nodes[n].frozen_until) = (u64::MAX, 0);
-        let boot = self.nodes[n].boot * 10 + n as u64;
-        self.nodes[n].core = Some(Core::new(
+        let incarnation = self.nodes[n].incarnation * 10 + n as u64;
+        self.nodes[n].controller = Some(Controller::new(
             Settings {
                 platform,
                 tuning,
                 cells: None,
             },
-            boot,
+            incarnation,
         ));
         self.feed(n, Input::Tick);
     }
@@ -48,82 +48,88 @@
         if self.now < until
             && let Some(n) = self.leader()
         {
-            self.feed(n, Input::Busy(share));
+            self.feed(n, Input::ProcessorUtilization(share));
         }
     }
 
     pub(super) fn kill(&mut self, n: usize, down: u64) {
-        if self.nodes[n].core.take().is_none() {
+        if self.nodes[n].controller.take().is_none() {
             return;
         }
-        self.nodes[n].boot += 1;
+        self.nodes[n].incarnation += 1;
         // Its host closes its connections.
         for m in (0..self.nodes.len()).filter(|m| *m != n) {
             self.link(m, n, Link::Lost);
             self.refused_links.insert((m, n));
         }
-        let boot = self.nodes[n].boot;
-        self.state.waiters.retain(|w| w.node != n || w.boot == boot);
-        for req in std::mem::take(&mut self.nodes[n].requests) {
-            self.deliver(req, None);
+        let incarnation = self.nodes[n].incarnation;
+        self.state
+            .waiters
+            .retain(|w| w.node != n || w.incarnation == incarnation);
+        for request_id in std::mem::take(&mut self.nodes[n].requests) {
+            self.deliver(request_id, None);
         }
         self.after(down, Ev::Restart(n));
     }
 
     pub(super) fn feed(&mut self, n: usize, input: Input) {
-        if let Input::Request(req, _) = &input {
-            if self.nodes[n].core.is_none() {
-                let req = req.0;
-                return self.deliver(req, None);
+        if let Input::Request(request_id, _) = &input {
+            if self.nodes[n].controller.is_none() {
+                let request_id = request_id.0;
+                return self.deliver(request_id, None);
             }
-            self.nodes[n].requests.push(req.0);
+            self.nodes[n].requests.push(request_id.0);
         }
         let node = &mut self.nodes[n];
-        let Some(core) = &mut node.core else {
+        let Some(controller) = &mut node.controller else {
             return;
         };
         let local = node.offset + (self.now as f64 * (1.0 + node.drift)) as u64;
-        let out = core.step(Time(local), input);
-        let wake = core.wake_at().0.saturating_sub(local).max(1);
-        let taken = core.holds().is_some_and(|n| self.numbers.insert(n.0));
-        let boot = node.boot;
+        let out = controller.step(Time(local), input);
+        let wake = controller.wake_at().0.saturating_sub(local).max(1);
+        let taken = controller.holds().is_some_and(|n| self.numbers.insert(n.0));
+        let incarnation = node.incarnation;
         let at = self.now + wake;
         if at < self.nodes[n].woken_for {
             self.nodes[n].woken_for = at;
-            self.at(at, Ev::Wake(n, boot));
+            self.at(at, Ev::Wake(n, incarnation));
         }
         for o in out {
-            self.digest.add(self.now, n, boot, &o);
-            self.output(n, boot, o);
+            self.digest.add(self.now, n, incarnation, &o);
+            self.output(n, incarnation, o);
         }
         if taken {
             self.note_takeover();
         }
-        let drained = |core: &Core| core.drained();
-        if self.nodes[n].core.as_ref().is_some_and(drained)
+        let shutdown_complete = |controller: &Controller| controller.shutdown_complete();
+        if self.nodes[n]
+            .controller
+            .as_ref()
+            .is_some_and(shutdown_complete)
             && let Some(down) = self.nodes[n].drain_down.take()
         {
             self.kill(n, down);
         }
     }
 
-    pub(super) fn output(&mut self, n: usize, boot: u64, output: Output) {
+    pub(super) fn output(&mut self, n: usize, incarnation: u64, output: Output) {
         match output {
-            Output::Answer(req, reply) => self.node_answers(n, req.0, reply),
-            Output::State(call, op) => {
-                let patience = if matches!(op, StateOp::Follow { .. }) {
+            Output::Answer(request_id, reply) => self.node_answers(n, request_id.0, reply),
+            Output::Store(call, op) => {
+                let patience = if matches!(op, StoreRequest::Watch { .. }) {
                     12_000
                 } else {
                     2000
                 };
-                let none = Input::State(call, StateReply::NoAnswer);
-                self.after(patience, Ev::Node(n, boot, none));
-                if matches!(op, StateOp::Commit { .. }) && self.strikes(|t| t.late_writes) {
+                let none = Input::Store(call, StoreResponse::NoAnswer);
+                self.after(patience, Ev::Node(n, incarnation, none));
+                if matches!(op, StoreRequest::Transaction { .. }) && self.strikes(|t| t.late_writes)
+                {
                     let delay = 2000 + self.random(10_000);
                     return self.after(delay, Ev::LateCommit(op));
                 }
                 let delay = 2 + self.random(4);
-                self.cross(n, Far::State, delay, Ev::State(n, boot, call, op));
+                self.cross(n, Far::State, delay, Ev::State(n, incarnation, call, op));
             }
             // Links here need no connection.
             Output::Reconnect(_) => {}
@@ -131,8 +137,8 @@
             Output::Cloud(call, op) => {
                 self.note_duty(n, &op);
                 let none = Input::Cloud(call, CloudReply::NoAnswer);
-                self.after(6000, Ev::Node(n, boot, none));
-                self.cross(n, Far::Cloud, 50, Ev::Cloud(n, boot, call, op));
+                self.after(6000, Ev::Node(n, incarnation, none));
+                self.cross(n, Far::Cloud, 50, Ev::Cloud(n, incarnation, call, op));
             }
             Output::Cell(to, _) => {
                 let what = format!("a message to cell {to}, though no limits are shared");
@@ -140,10 +146,12 @@
             }
             Output::Peer(to, message) => {
                 for m in 0..self.nodes.len() {
-                    let other = self.nodes[m].boot;
+                    let other = self.nodes[m].incarnation;
                     let cut = self.cut(m, Far::Peers).is_some();
-                    let meant = to.as_ref().is_none_or(|t| t.as_str() == self.members[m]);
-                    let ended = self.nodes[m].core.is_none();
+                    let meant = to
+                        .as_ref()
+                        .is_none_or(|t| t.as_str() == self.controller_ids[m]);
+                    let ended = self.nodes[m].controller.is_none();
                     if m != n && meant && (ended || self.now < self.peers_refuse_until) {
                         self.refused_links.insert((n, m));
                         self.link(n, m, Link::Refused);
@@ -160,9 +168,9 @@
     }
 
     pub(super) fn link(&mut self, n: usize, to: usize, link: Link) {
-        let input = Input::Link(self.members[to].as_str().into(), link);
-        let boot = self.nodes[n].boot;
-        self.after(1, Ev::Node(n, boot, input));
+        let input = Input::Link(self.controller_ids[to].as_str().into(), link);
+        let incarnation = self.nodes[n].incarnation;
+        self.after(1, Ev::Node(n, incarnation, input));
     }
 
     /// Whether a worker and a node can't reach each other.
@@ -209,18 +217,18 @@
     }
 
     pub fn send_later(&mut self, n: usize, delay: u64, input: Input) {
-        let boot = self.nodes[n].boot;
-        if let Input::Request(req, _) = &input
-            && let Some(o) = self.origins.get_mut(&req.0)
+        let incarnation = self.nodes[n].incarnation;
+        if let Input::Request(request_id, _) = &input
+            && let Some(o) = self.origins.get_mut(&request_id.0)
         {
             o.1 = n;
         }
         // A late message reaches whichever process is there by then.
         if delay > 1000 {
-            let restarts = self.nodes[n].boot;
+            let restarts = self.nodes[n].incarnation;
             self.after(delay, Ev::Node(n, restarts, input));
         } else {
-            self.after(delay, Ev::Node(n, boot, input));
+            self.after(delay, Ev::Node(n, incarnation, input));
         }
     }
 
@@ -228,30 +236,30 @@
         if self.parted(n, id) {
             return;
         }
-        if self.nodes[n].core.is_none() {
-            if let Input::Request(req, _) = input {
-                self.after(1, Ev::ToWorker(id.into(), req.0, None));
+        if self.nodes[n].controller.is_none() {
+            if let Input::Request(request_id, _) = input {
+                self.after(1, Ev::ToWorker(id.into(), request_id.0, None));
             }
             return;
         }
         self.send(n, input);
     }
 
-    pub(super) fn node_answers(&mut self, n: usize, req: u64, reply: Reply) {
-        self.nodes[n].requests.retain(|r| *r != req);
-        if let Some((Origin::Worker(id), _)) = self.origins.get(&req)
+    pub(super) fn node_answers(&mut self, n: usize, request_id: u64, reply: Reply) {
+        self.nodes[n].requests.retain(|r| *r != request_id);
+        if let Some((Origin::Worker(id), _)) = self.origins.get(&request_id)
             && self.parted(n, id)
         {
             return;
         }
-        self.deliver(req, Some(reply));
+        self.deliver(request_id, Some(reply));
     }
 
-    pub(super) fn deliver(&mut self, req: u64, reply: Option<Reply>) {
-        match self.origins.remove(&req) {
-            Some((Origin::Worker(id), _)) => self.after(1, Ev::ToWorker(id, req, reply)),
+    pub(super) fn deliver(&mut self, request_id: u64, reply: Option<Reply>) {
+        match self.origins.remove(&request_id) {
+            Some((Origin::Worker(id), _)) => self.after(1, Ev::ToWorker(id, request_id, reply)),
             Some((Origin::User(id, intent), _)) => {
-                self.note_refusal(req, &id, intent, reply.as_ref());
+                self.note_refusal(request_id, &id, intent, reply.as_ref());
                 self.user_answer(id, intent, reply);
             }
             _ => {}
--- a/tests/sim/script.rs
+++ b/tests/sim/script.rs
@@ -3,7 +3,7 @@
 use super::users::Intent;
 use super::world::{Args, Cut, Ev, Far, Node, Spec, World, arg, flag, ms, num};
 use ciborium::cbor;
-use salttrestle::controller::Core;
+use salttrestle::controller::Controller;
 use salttrestle::controller::events::Input;
 use salttrestle::ids::JobId;
 use salttrestle::wire;
@@ -11,7 +11,7 @@
 
 impl World {
     pub fn leader(&self) -> Option<usize> {
-        let holds = |n: &&Node| n.core.as_ref().and_then(Core::holds);
+        let holds = |n: &&Node| n.controller.as_ref().and_then(Controller::holds);
         let best = self
             .nodes
             .iter()
@@ -72,7 +72,7 @@
             "drain" => {
                 let n = self.node_arg(&args[0]);
                 self.nodes[n].drain_down = Some(ms(num(args, "down", 3.0)));
-                self.feed(n, Input::Drain);
+                self.feed(n, Input::Shutdown);
             }
             // It ends, and comes back with settings that announce the limits to come.
             "upgrade" => {
--- a/tests/sim/services.rs
+++ b/tests/sim/services.rs
@@ -5,15 +5,21 @@
 use salttrestle::controller::events::Input;
 use salttrestle::controller::store::records::Record;
 use salttrestle::ids::CallId;
-use salttrestle::wire::{CloudOp, StateOp, StateReply};
+use salttrestle::wire::{CloudOp, StoreRequest, StoreResponse};
 
 impl World {
-    pub(super) fn state_executes(&mut self, n: usize, boot: u64, call: CallId, op: StateOp) {
+    pub(super) fn state_executes(
+        &mut self,
+        n: usize,
+        incarnation: u64,
+        call: CallId,
+        op: StoreRequest,
+    ) {
         let now = self.now;
         let refused = self.nodes[n].refused_until > now || self.throttled();
-        let waits = matches!(op, StateOp::Follow { .. });
+        let waits = matches!(op, StoreRequest::Watch { .. });
         let reply = if refused && !waits {
-            Some(StateReply::Refused)
+            Some(StoreResponse::Refused)
         } else if refused {
             None
         } else {
@@ -21,23 +27,23 @@
         };
         match reply {
             None => {
-                let StateOp::Follow { after } = op else {
+                let StoreRequest::Watch { after } = op else {
                     return;
                 };
                 let until = now + 10_000;
                 let w = Waiter {
                     node: n,
-                    boot,
+                    incarnation,
                     call,
                     after,
                     until,
                 };
                 self.state.waiters.push(w);
-                self.after(10_000, Ev::FollowEnd(n, boot, call));
+                self.after(10_000, Ev::FollowEnd(n, incarnation, call));
             }
             Some(reply) => {
-                let carried_out = matches!(op, StateOp::Commit { .. })
-                    && matches!(reply, StateReply::Committed { .. });
+                let carried_out = matches!(op, StoreRequest::Transaction { .. })
+                    && matches!(reply, StoreResponse::Committed { .. });
                 let counted = carried_out && self.lose_commits > 0;
                 if counted || carried_out && self.strikes(|t| t.lost_answers) {
                     self.lose_commits = self.lose_commits.saturating_sub(1);
@@ -49,8 +55,8 @@
                         0
                     };
                     let delay = 2 + self.random(slow);
-                    let input = Input::State(call, reply);
-                    self.cross(n, Far::State, delay, Ev::Node(n, boot, input));
+                    let input = Input::Store(call, reply);
+                    self.cross(n, Far::State, delay, Ev::Node(n, incarnation, input));
                 }
             }
         }
@@ -63,10 +69,12 @@
     pub(super) fn note_leader(&mut self) {
         let entry = self.state.store.entries.get("s/own/leader");
         let leader = entry.and_then(|entry| match &entry.value {
-            Record::Leader(leader) => Some((leader.number.0, leader.member.to_string())),
+            Record::Leader(leader) => Some((leader.number.0, leader.controller_id.to_string())),
             _ => None,
         });
-        let leader = leader.as_ref().map(|(n, member)| (*n, member.as_str()));
+        let leader = leader
+            .as_ref()
+            .map(|(n, controller_id)| (*n, controller_id.as_str()));
         self.state.orders.duties.leader_is(leader);
     }
 
@@ -74,7 +82,7 @@
         let several = self.state.store.entries.contains_key("s/own/block/1");
         if !several && matches!(op, CloudOp::Rent(_) | CloudOp::Delete(_)) {
             let duties = &mut self.state.orders.duties;
-            duties.cloud_changed(self.now, &self.members[n]);
+            duties.cloud_changed(self.now, &self.controller_ids[n]);
         }
     }
 
@@ -98,34 +106,39 @@
             let open = self.nodes[w.node].refused_until <= self.now;
             match self.state.news(w.after).filter(|_| open) {
                 Some(reply) => {
-                    let input = Input::State(w.call, reply);
-                    self.cross(w.node, Far::State, 2, Ev::Node(w.node, w.boot, input));
+                    let input = Input::Store(w.call, reply);
+                    self.cross(
+                        w.node,
+                        Far::State,
+                        2,
+                        Ev::Node(w.node, w.incarnation, input),
+                    );
                 }
                 None => self.state.waiters.push(w),
             }
         }
     }
 
-    pub(super) fn follow_end(&mut self, n: usize, boot: u64, call: CallId) {
+    pub(super) fn follow_end(&mut self, n: usize, incarnation: u64, call: CallId) {
         let before = self.state.waiters.len();
         let now = self.now;
-        self.state
-            .waiters
-            .retain(|w| !(w.node == n && w.boot == boot && w.call == call && w.until <= now));
+        self.state.waiters.retain(|w| {
+            !(w.node == n && w.incarnation == incarnation && w.call == call && w.until <= now)
+        });
         // A watch whose time is over while its node is refused waits as in an outage: an
         // empty answer would say that nothing has changed.
         let waits = self.state.outage || self.nodes[n].refused_until > now;
         if self.state.waiters.len() < before && !waits {
-            let reply = StateReply::News {
+            let reply = StoreResponse::Changes {
                 revision: self.state.store.revision,
                 news: Vec::new(),
             };
-            let input = Input::State(call, reply);
-            self.cross(n, Far::State, 2, Ev::Node(n, boot, input));
+            let input = Input::Store(call, reply);
+            self.cross(n, Far::State, 2, Ev::Node(n, incarnation, input));
         }
     }
 
-    pub(super) fn cloud_executes(&mut self, n: usize, boot: u64, call: CallId, op: CloudOp) {
+    pub(super) fn cloud_executes(&mut self, n: usize, incarnation: u64, call: CallId, op: CloudOp) {
         let now = self.now;
         let before = self.cloud.rigs.len();
         let (reply, gone) = self.cloud.execute(now, &op);
@@ -145,6 +158,6 @@
             self.at(at, Ev::Boot(id));
         }
         let input = Input::Cloud(call, reply);
-        self.cross(n, Far::Cloud, 50, Ev::Node(n, boot, input));
+        self.cross(n, Far::Cloud, 50, Ev::Node(n, incarnation, input));
     }
 }
--- a/tests/sim/state.rs
+++ b/tests/sim/state.rs
@@ -4,7 +4,7 @@
 use salttrestle::controller::store::records::{Key, PREFIX, Record};
 use salttrestle::ids::CallId;
 use salttrestle::settings::NextStateLimits;
-use salttrestle::wire::{Change, StateOp, StateReply, Write, record_value};
+use salttrestle::wire::{Change, StoreRequest, StoreResponse, Write, record_value};
 use salttrestle_standins::orders::Orders;
 use salttrestle_standins::rate::RateLimit;
 use salttrestle_standins::store::{self, CommitOutcome, Store};
@@ -12,7 +12,7 @@
 /// A follow that waits for news.
 pub struct Waiter {
     pub node: usize,
-    pub boot: u64,
+    pub incarnation: u64,
     pub call: CallId,
     pub after: u64,
     pub until: u64,
@@ -76,60 +76,65 @@
     }
 
     /// The news after a revision, if there are any.
-    pub fn news(&self, after: u64) -> Option<StateReply> {
+    pub fn news(&self, after: u64) -> Option<StoreResponse> {
         let Some(changes) = self.store.changes_after(after) else {
-            return Some(StateReply::TooOld);
+            return Some(StoreResponse::Compacted);
         };
         let news: Vec<Change> = changes.iter().filter_map(change).collect();
         let revision = self.store.revision;
-        (!news.is_empty()).then_some(StateReply::News { revision, news })
+        (!news.is_empty()).then_some(StoreResponse::Changes { revision, news })
     }
 
     /// Executes a request; `None` for a follow that has to wait.
-    pub fn execute(&mut self, now: u64, op: &StateOp) -> Option<StateReply> {
+    pub fn execute(&mut self, now: u64, op: &StoreRequest) -> Option<StoreResponse> {
         if self.outage {
             return match op {
-                StateOp::Follow { .. } => None,
-                _ => Some(StateReply::Refused),
+                StoreRequest::Watch { .. } => None,
+                _ => Some(StoreResponse::Refused),
             };
         }
         self.expire(now);
-        if let StateOp::Commit { writes, .. } = op
+        if let StoreRequest::Transaction { writes, .. } = op
             && let Some(limit) = &mut self.write_limit
             && !limit.take(now, writes.len() as f64)
         {
             self.limited += 1;
-            return Some(StateReply::Refused);
+            return Some(StoreResponse::Refused);
         }
         let lives = |known: bool| match known {
-            true => StateReply::Extended,
-            false => StateReply::NoGrant,
+            true => StoreResponse::LeaseRenewed,
+            false => StoreResponse::LeaseNotFound,
         };
         let revision = self.store.revision;
         Some(match op {
-            StateOp::Fresh => StateReply::Missing { revision },
-            StateOp::Get(key) => match self.store.entries.get(&key.to_string()) {
-                Some(entry) => StateReply::Found {
+            StoreRequest::ReadRevision => StoreResponse::Missing { revision },
+            StoreRequest::Get(key) => match self.store.entries.get(&key.to_string()) {
+                Some(entry) => StoreResponse::Found {
                     record: entry.value.clone(),
                     revision: entry.revision,
                 },
-                None => StateReply::Missing { revision },
+                None => StoreResponse::Missing { revision },
             },
-            StateOp::List { after } => self.list(after),
-            StateOp::Commit { when, writes } => self.commit(when, writes),
-            StateOp::Grant { ttl_ms } => StateReply::Granted(self.store.grant(now, *ttl_ms)),
-            StateOp::Extend(id) => lives(self.store.extend(now, *id)),
-            StateOp::Release(id) => lives(self.store.release(*id)),
-            StateOp::Follow { after } => return self.news(*after),
+            StoreRequest::List { after } => self.list(after),
+            StoreRequest::Transaction {
+                preconditions,
+                writes,
+            } => self.commit(preconditions, writes),
+            StoreRequest::GrantLease { ttl_ms } => {
+                StoreResponse::LeaseGranted(self.store.grant(now, *ttl_ms))
+            }
+            StoreRequest::RenewLease(id) => lives(self.store.extend(now, *id)),
+            StoreRequest::RevokeLease(id) => lives(self.store.release(*id)),
+            StoreRequest::Watch { after } => return self.news(*after),
         })
     }
 
-    fn list(&self, after: &str) -> StateReply {
+    fn list(&self, after: &str) -> StoreResponse {
         let (page, more) = self.store.list(PREFIX, after, PAGE);
         let entries = page.iter().filter_map(|(path, entry)| {
             Some((Key::parse(path)?, entry.revision, Some(entry.value.clone())))
         });
-        StateReply::Page {
+        StoreResponse::Page {
             entries: entries.collect(),
             last: page.last().map(|(path, _)| (*path).clone()),
             more,
@@ -137,15 +142,15 @@
         }
     }
 
-    fn commit(&mut self, when: &[(Key, u64)], writes: &[Write]) -> StateReply {
-        if writes.len() > self.txn_ops || when.len() > 4 * self.txn_ops {
+    fn commit(&mut self, preconditions: &[(Key, u64)], writes: &[Write]) -> StoreResponse {
+        if writes.len() > self.txn_ops || preconditions.len() > 4 * self.txn_ops {
             self.defects.push(format!(
                 "{} writes, {} conditions",
                 writes.len(),
-                when.len()
+                preconditions.len()
             ));
         }
-        self.defects.extend(unconditional(when, writes));
+        self.defects.extend(unconditional(preconditions, writes));
         self.defects.extend(misnamed_parts(writes));
         for w in writes {
             let Write::Put { key, record, .. } = w else {
@@ -155,13 +160,13 @@
             let too_large = size as f64 > self.value_kb * 1024.0;
             if too_large && self.write_limit.is_some() {
                 self.rejected += 1;
-                return StateReply::Rejected;
+                return StoreResponse::Rejected;
             }
             if too_large {
                 self.defects.push(format!("{key} has {size} bytes"));
             }
         }
-        let conditions: Vec<(String, u64)> = when
+        let conditions: Vec<(String, u64)> = preconditions
             .iter()
             .map(|(key, revision)| (key.to_string(), *revision))
             .collect();
@@ -171,10 +176,10 @@
         {
             CommitOutcome::Committed(revision) => {
                 self.note_committed(writes);
-                StateReply::Committed { revision }
+                StoreResponse::Committed { revision }
             }
-            CommitOutcome::NoSuchLease => StateReply::NoGrant,
-            CommitOutcome::Conflict(failed) => StateReply::Conflict {
+            CommitOutcome::NoSuchLease => StoreResponse::LeaseNotFound,
+            CommitOutcome::Conflict(failed) => StoreResponse::Conflict {
                 failed: failed.iter().filter_map(|path| Key::parse(path)).collect(),
             },
         }
@@ -186,9 +191,9 @@
         for write in writes {
             match write {
                 Write::Put {
-                    record: Record::Block(block),
+                    record: Record::Shard(shard),
                     ..
-                } => self.orders.held(block.number.0),
+                } => self.orders.held(shard.number.0),
                 Write::Put {
                     key: Key::Run(job, _),
                     record: Record::Run(run),
@@ -209,10 +214,14 @@
 /// A write as the store takes it.
 fn stored(write: &Write) -> store::Write<Record> {
     match write {
-        Write::Put { key, record, hold } => store::Write::Put {
+        Write::Put {
+            key,
+            record,
+            lease_id,
+        } => store::Write::Put {
             path: key.to_string(),
             value: record.clone(),
-            lease: *hold,
+            lease: *lease_id,
         },
         Write::Delete { key } => store::Write::Delete {
             path: key.to_string(),
@@ -237,9 +246,9 @@
 
 /// What a transaction changes without a condition on what that rests on. Some of these
 /// conditions overlap, so that no meeting shows that one of them is missing.
-fn unconditional(when: &[(Key, u64)], writes: &[Write]) -> Vec<String> {
-    let on = |wanted: &dyn Fn(&Key) -> bool| when.iter().any(|(key, _)| wanted(key));
-    let block = on(&|key| matches!(key, Key::Block(_)));
+fn unconditional(preconditions: &[(Key, u64)], writes: &[Write]) -> Vec<String> {
+    let on = |wanted: &dyn Fn(&Key) -> bool| preconditions.iter().any(|(key, _)| wanted(key));
+    let shard = on(&|key| matches!(key, Key::Shard(_)));
     let leader = on(&|key| *key == Key::Leader);
     let mut lacking = Vec::new();
     for w in writes {
@@ -249,12 +258,12 @@
         };
         let itself = on(&|k| k == key);
         let good = match (key, put) {
-            (Key::Run(id, _), true) => itself && block && on(&|k| *k == Key::Job(id.clone())),
-            (Key::Run(..), false) => block,
+            (Key::Run(id, _), true) => itself && shard && on(&|k| *k == Key::Job(id.clone())),
+            (Key::Run(..), false) => shard,
             (Key::Job(_), true) => itself,
-            (Key::Job(id), false) => itself && block && on(&|k| *k == Key::End(id.clone())),
-            (Key::End(id), true) => itself && block && on(&|k| *k == Key::Job(id.clone())),
-            (Key::Block(_) | Key::Number, true) => itself && leader,
+            (Key::Job(id), false) => itself && shard && on(&|k| *k == Key::End(id.clone())),
+            (Key::End(id), true) => itself && shard && on(&|k| *k == Key::Job(id.clone())),
+            (Key::Shard(_) | Key::FencingToken, true) => itself && leader,
             (Key::Leader, true) => itself,
             (Key::Plan, true) => leader,
             _ => false,
--- a/tests/sim/troubles.rs
+++ b/tests/sim/troubles.rs
@@ -5,9 +5,9 @@
 use super::world::{Args, Ev, Origin, Spec, World, arg, ms, num};
 use ciborium::Value;
 use salttrestle::controller::events::{Input, Reply, Request};
-use salttrestle::controller::store::records::{JobRec, Key, Record, Room};
+use salttrestle::controller::store::records::{JobRecord, Key, Record, Resources};
 use salttrestle::ids::JobId;
-use salttrestle::wire::{Report, StateOp, StateReply};
+use salttrestle::wire::{StoreRequest, StoreResponse, WorkerHeartbeat};
 use salttrestle_standins::checker::Said;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -33,7 +33,7 @@
     pub close_looks: u64,
     /// Users send odd requests.
     pub odd: u64,
-    kept: Vec<Report>,
+    kept: Vec<WorkerHeartbeat>,
     odd_count: u32,
 }
 
@@ -90,9 +90,9 @@
         self.now < until && self.random(1000) < (share * 1000.0) as u64
     }
 
-    pub fn carry_out_late(&mut self, op: &StateOp) {
+    pub fn carry_out_late(&mut self, op: &StoreRequest) {
         let now = self.now;
-        if let Some(StateReply::Committed { .. }) = self.state.execute(now, op) {
+        if let Some(StoreResponse::Committed { .. }) = self.state.execute(now, op) {
             self.met.late_writes += 1;
         }
         self.wake_followers();
@@ -101,7 +101,7 @@
     // ---- reports
 
     /// Copies of a report, as far as troubles make any.
-    pub fn copy_report(&mut self, report: &Report) {
+    pub fn copy_report(&mut self, report: &WorkerHeartbeat) {
         if self.strikes(|t| t.late_reports) {
             let delay = 2000 + self.random(self.lease_ms * 3 / 2);
             let n = self.random(self.nodes.len() as u64) as usize;
@@ -113,9 +113,9 @@
         }
     }
 
-    fn send_copy(&mut self, n: usize, delay: u64, report: Report) {
+    fn send_copy(&mut self, n: usize, delay: u64, report: WorkerHeartbeat) {
         let copy = self.request(Origin::Nobody);
-        self.send_later(n, delay, Input::Request(copy, Request::Report(report)));
+        self.send_later(n, delay, Input::Request(copy, Request::Heartbeat(report)));
     }
 
     /// Somebody holds a block under a new number: kept reports come everywhere at once.
@@ -155,7 +155,7 @@
     /// A job's last task has ended: some are called off at this moment.
     pub fn cancel_at_end(&mut self, id: &JobId) {
         let job = &self.checker.jobs[id];
-        let all = job.finished.len() as u32 == job.rec.count;
+        let all = job.finished.len() as u32 == job.record.count;
         if all && self.strikes(|t| t.cancel_at_end) {
             self.met.cancelled_at_end += 1;
             self.user(id, Intent::Withdraw);
@@ -222,10 +222,10 @@
                 (&right, "rank=normal", format!("needs={first}")),
                 (&last, "rank=urgent", format!("needs={left},{right}")),
             ];
-            for (id, rank, needs) in stages {
+            for (id, priority_class, needs) in stages {
                 let mut line = vec![String::from("submit"), id.clone()];
                 line.extend_from_slice(&args[1..]);
-                line.extend([String::from(rank), needs]);
+                line.extend([String::from(priority_class), needs]);
                 if comes_late && *id == last {
                     line.push(String::from("late"));
                 }
@@ -294,8 +294,14 @@
         self.user(&id, Intent::Submit);
     }
 
-    pub fn note_refusal(&mut self, req: u64, id: &JobId, intent: Intent, reply: Option<&Reply>) {
-        let asked = self.met.asked.remove(&req);
+    pub fn note_refusal(
+        &mut self,
+        request_id: u64,
+        id: &JobId,
+        intent: Intent,
+        reply: Option<&Reply>,
+    ) {
+        let asked = self.met.asked.remove(&request_id);
         let refused = reply.is_some_and(|r| r.status == 503);
         if let (Intent::Withdraw, true, Some(at)) = (intent, refused, asked) {
             self.met.refusals.push((id.clone(), self.now - at));
@@ -323,31 +329,36 @@
         }
         let jobs = self.checker.jobs.iter().filter(|(id, j)| {
             let over = j.told.done || self.checker.cancel_asked_above(id).is_some();
-            let held = self.checker.open_need(&j.rec).is_some();
+            let held = self.checker.open_need(&j.record).is_some();
             let runs = self.checker.on.keys().any(|t| t.job == **id);
-            let left = (j.finished.len() as u32) < j.rec.count;
-            j.told.accepted && !over && !held && !runs && left && self.checker.below_limit(&j.rec)
+            let left = (j.finished.len() as u32) < j.record.count;
+            j.told.accepted
+                && !over
+                && !held
+                && !runs
+                && left
+                && self.checker.below_limit(&j.record)
         });
-        let roomy = jobs.filter(|(id, j)| !self.specs[*id].task.broken && self.has_room(&j.rec));
+        let roomy = jobs.filter(|(id, j)| !self.specs[*id].task.broken && self.has_room(&j.record));
         let roomy = roomy.map(|(id, _)| id.clone()).collect();
         let now = self.now;
         self.checker.check_waiting(now, &roomy);
     }
 
-    fn has_room(&self, rec: &JobRec) -> bool {
+    fn has_room(&self, record: &JobRecord) -> bool {
         self.workers.iter().any(|(_, w)| {
             let well = !w.sick && w.taken_at.is_none() && w.hung_until <= self.now;
-            let kind = rec.spot || !w.spot;
-            let zone = rec.zone.as_ref().is_none_or(|z| *z == w.zone);
+            let kind = record.spot || !w.spot;
+            let zone = record.zone.as_ref().is_none_or(|z| *z == w.zone);
             let class = self.cloud.catalog.iter().find(|c| c.name == w.class);
-            let mut used = Room::default();
+            let mut used = Resources::default();
             for task in w.tasks.keys() {
                 if let Some(j) = self.checker.jobs.get(&task.job) {
-                    used.add(j.rec.need, 1.0);
+                    used.add(j.record.need, 1.0);
                 }
             }
-            used.add(rec.need, 1.0);
-            let fits = class.is_some_and(|c| rec.allows(&c.name) && c.room.holds(used));
+            used.add(record.need, 1.0);
+            let fits = class.is_some_and(|c| record.allows(&c.name) && c.resources.holds(used));
             well && kind && zone && fits
         })
     }
@@ -370,7 +381,7 @@
         let within = |at: &u64| (from..=to).contains(at);
         let jobs = self.checker.jobs.values();
         let named = |j: &&salttrestle_standins::checker::JobView| {
-            arg(args, "class").is_none_or(|class| j.rec.class == class)
+            arg(args, "class").is_none_or(|class| j.record.class == class)
         };
         let jobs = jobs.filter(named);
         Some(match what {
--- a/tests/sim/users.rs
+++ b/tests/sim/users.rs
@@ -35,7 +35,7 @@
         }
         // The balancer passes over nodes that don't answer `/up`.
         let alive: Vec<usize> = (0..self.nodes.len())
-            .filter(|n| self.nodes[*n].core.is_some())
+            .filter(|n| self.nodes[*n].controller.is_some())
             .collect();
         let pick = self.random(alive.len() as u64) as usize;
         // With no node there, the request times out.
@@ -81,14 +81,14 @@
             }
             (_, None) => return,
         };
-        let req = self.request(Origin::User(id.clone(), intent));
+        let request_id = self.request(Origin::User(id.clone(), intent));
         log::debug!("{} {intent:?} {id} at node {n}", self.now);
         if intent == Intent::Withdraw {
-            self.met.asked.insert(req.0, self.now);
+            self.met.asked.insert(request_id.0, self.now);
         }
-        self.after(wait, Ev::UserTimeout(req.0));
-        if self.nodes[n].core.is_some() {
-            self.send(n, Input::Request(req, ask));
+        self.after(wait, Ev::UserTimeout(request_id.0));
+        if self.nodes[n].controller.is_some() {
+            self.send(n, Input::Request(request_id, ask));
         }
     }
 
@@ -116,7 +116,7 @@
                 self.look_closely(&id, said);
             }
         }
-        let over = matches!(said, Some(Said::Done | Said::Withdrawn | Said::Refused));
+        let over = matches!(said, Some(Said::Done | Said::Cancelled | Said::Refused));
         match intent {
             Intent::Submit if said.is_some() && !over => {
                 self.after(POLL_MS, Ev::User(id, Intent::Poll));
@@ -131,8 +131,8 @@
     }
 
     pub fn add_spec(&mut self, id: &JobId, spec: Spec) {
-        if let Ok((_, rec)) = wire::submission(&spec.body) {
-            self.checker.submitted(self.now, id, rec);
+        if let Ok((_, record)) = wire::submission(&spec.body) {
+            self.checker.submitted(self.now, id, record);
         }
         self.specs.insert(id.clone(), spec);
     }
--- a/tests/sim/workers.rs
+++ b/tests/sim/workers.rs
@@ -121,36 +121,40 @@
         }
         w.begin_report(now, interval * 3 / 4 + jitter);
         let body = w.report_body(id, ENDPOINT, now);
-        let report: wire::Report = wire::decode(&body).expect("a report");
+        let report: wire::WorkerHeartbeat = wire::decode(&body).expect("a report");
         let controller = w.controller;
         let cut = w.cut_until > now || w.mute_until > now;
-        let req = self.request(Origin::Worker(id.into()));
+        let request_id = self.request(Origin::Worker(id.into()));
         if let Some(w) = self.workers.get_mut(id) {
-            w.flight = Some((req.0, now));
+            w.flight = Some((request_id.0, now));
         }
         if let Some((delay, until)) = self.copies
             && now < until
         {
             for n in 0..self.nodes.len() {
                 let copy = self.request(Origin::Nobody);
-                let ask = Request::Report(report.clone());
+                let ask = Request::Heartbeat(report.clone());
                 self.send_later(n, delay, Input::Request(copy, ask));
             }
         }
         self.copy_report(&report);
         if !cut {
-            self.worker_to_node(id, controller, Input::Request(req, Request::Report(report)));
+            self.worker_to_node(
+                id,
+                controller,
+                Input::Request(request_id, Request::Heartbeat(report)),
+            );
         }
     }
 
     /// An answer to a report reached its worker.
-    pub fn worker_answer(&mut self, id: &str, req: u64, reply: Option<Reply>) {
+    pub fn worker_answer(&mut self, id: &str, request_id: u64, reply: Option<Reply>) {
         let now = self.now;
         let controllers = self.nodes.len();
         let Some(w) = self.workers.get_mut(id) else {
             return;
         };
-        let Some((_, sent)) = w.flight.filter(|(r, _)| *r == req) else {
+        let Some((_, sent)) = w.flight.filter(|(r, _)| *r == request_id) else {
             return;
         };
         if now > sent + ANSWER_MS || w.deaf_until > now || w.cut_until > now {
@@ -159,13 +163,13 @@
         if w.hung_until > now {
             // It reads the answer when it goes on.
             let on_at = w.hung_until;
-            return self.at(on_at, Ev::ToWorker(id.into(), req, reply));
+            return self.at(on_at, Ev::ToWorker(id.into(), request_id, reply));
         }
         let Some(reply) = reply else {
             return w.unanswered(now, controllers);
         };
         let answer = (reply.status, reply.body.as_slice());
-        match w.answered(now, sent, answer, &self.members, &Specs(&self.specs)) {
+        match w.answered(now, sent, answer, &self.controller_ids, &Specs(&self.specs)) {
             Ok(events) => self.note_tasks(id, events),
             Err(why) => self.checker.broken.push(why),
         }
--- a/tests/sim/world.rs
+++ b/tests/sim/world.rs
@@ -8,12 +8,12 @@
 use super::users::Intent;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use salttrestle::controller::Core;
+use salttrestle::controller::Controller;
 use salttrestle::controller::events::{Input, Reply};
-use salttrestle::controller::store::records::Room;
-use salttrestle::ids::{CallId, JobId, ReqId};
+use salttrestle::controller::store::records::Resources;
+use salttrestle::ids::{CallId, JobId, RequestId};
 use salttrestle::settings::NextStateLimits;
-use salttrestle::wire::{ClassInfo, CloudOp, StateOp};
+use salttrestle::wire::{CloudOp, MachineType, StoreRequest};
 use salttrestle_standins::checker::Checker;
 use salttrestle_standins::cloud::Cloud;
 use salttrestle_standins::worker::{TaskSpec, Worker};
@@ -42,7 +42,7 @@
     Node(usize, u64, Input),
     Wake(usize, u64),
     Restart(usize),
-    State(usize, u64, CallId, StateOp),
+    State(usize, u64, CallId, StoreRequest),
     Cloud(usize, u64, CallId, CloudOp),
     FollowEnd(usize, u64, CallId),
     Boot(String),
@@ -56,7 +56,7 @@
     /// One user asks at one node.
     Asks(JobId, Intent, usize),
     /// A transaction that got no answer is carried out after all.
-    LateCommit(StateOp),
+    LateCommit(StoreRequest),
     Odd,
     Heal(u64),
     /// Leases at the state service end up to a tenth of a second late.
@@ -83,8 +83,8 @@
 }
 
 pub struct Node {
-    pub core: Option<Core>,
-    pub boot: u64,
+    pub controller: Option<Controller>,
+    pub incarnation: u64,
     /// Its clock against the world's, in milliseconds, and its drift.
     pub offset: u64,
     pub(super) drift: f64,
@@ -107,7 +107,7 @@
     pub(super) seq: u64,
     pub(super) rng: StdRng,
     pub nodes: Vec<Node>,
-    pub members: Vec<String>,
+    pub controller_ids: Vec<String>,
     /// Nodes refuse each other's connections until then.
     pub(super) peers_refuse_until: u64,
     /// For which share of its time the leader is busy, and until when that is told.
@@ -218,7 +218,7 @@
             "cloud": {"rps": value("cloud", 4.0), "list_lag_s": lag},
             "resources": {"cpu": 0.1, "mem_mb": 56.0, "max_sockets": 500}
         });
-        let members: Vec<String> = (0..count).map(|n| format!("node-{n}")).collect();
+        let controller_ids: Vec<String> = (0..count).map(|n| format!("node-{n}")).collect();
         let platform = serde_json::json!({
             "site": zones[0], "services": {"cloud": "10.2.0.2:1", "state": "10.2.0.1:1"}, "facts": facts
         });
@@ -227,9 +227,9 @@
         for l in many("set") {
             tuning += &format!("{} = {}\n", l[0], l[1]);
         }
-        let catalog = many("type").map(|t| ClassInfo {
+        let catalog = many("type").map(|t| MachineType {
             name: t[0].clone(),
-            room: Room {
+            resources: Resources {
                 cpus: num(t, "cpus", 64.0),
                 gpus: num(t, "gpus", 8.0),
                 mem: num(t, "mem", 256.0),
@@ -252,8 +252,8 @@
         }
         let drift = value("drift", 0.0);
         let nodes = (0..count).map(|n| Node {
-            core: None,
-            boot: 0,
+            controller: None,
+            incarnation: 0,
             offset: 10_000_000 + 1000 * n as u64,
             drift: if n % 2 == 0 { drift } else { -drift },
             requests: Vec::new(),
@@ -269,7 +269,7 @@
             seq: 0,
             rng: StdRng::seed_from_u64(value("seed", 1.0) as u64),
             nodes: nodes.collect(),
-            members,
+            controller_ids,
             peers_refuse_until: 0,
             busy: (0.0, 0),
             refused_links: BTreeSet::new(),
@@ -351,10 +351,10 @@
         }
     }
 
-    pub fn request(&mut self, origin: Origin) -> ReqId {
+    pub fn request(&mut self, origin: Origin) -> RequestId {
         self.next_req += 1;
         self.origins.insert(self.next_req, (origin, usize::MAX));
-        ReqId(self.next_req)
+        RequestId(self.next_req)
     }
 
     /// Plays to the end.
@@ -391,29 +391,29 @@
             return self.at(until, ev);
         }
         match ev {
-            Ev::Node(n, boot, input) => {
-                if self.nodes[n].boot == boot {
+            Ev::Node(n, incarnation, input) => {
+                if self.nodes[n].incarnation == incarnation {
                     self.feed(n, input);
                 }
             }
-            Ev::Wake(n, boot) => {
+            Ev::Wake(n, incarnation) => {
                 // An earlier wake-up has taken the place of one that isn't due any more. Without
                 // this each of them began a row of its own, which never ended.
-                if self.nodes[n].boot == boot && self.nodes[n].woken_for <= self.now {
+                if self.nodes[n].incarnation == incarnation && self.nodes[n].woken_for <= self.now {
                     self.nodes[n].woken_for = u64::MAX;
                     self.feed(n, Input::Tick);
                 }
             }
             Ev::Restart(n) => self.restart(n),
-            Ev::State(n, boot, call, op) => self.state_executes(n, boot, call, op),
-            Ev::Cloud(n, boot, call, op) => self.cloud_executes(n, boot, call, op),
-            Ev::FollowEnd(n, boot, call) => self.follow_end(n, boot, call),
+            Ev::State(n, incarnation, call, op) => self.state_executes(n, incarnation, call, op),
+            Ev::Cloud(n, incarnation, call, op) => self.cloud_executes(n, incarnation, call, op),
+            Ev::FollowEnd(n, incarnation, call) => self.follow_end(n, incarnation, call),
             Ev::Boot(id) => self.boot_worker(&id),
             Ev::WorkerTick(id) => self.worker_tick(&id),
-            Ev::ToWorker(id, req, reply) => self.worker_answer(&id, req, reply),
+            Ev::ToWorker(id, request_id, reply) => self.worker_answer(&id, request_id, reply),
             Ev::User(id, intent) => self.user(&id, intent),
-            Ev::UserTimeout(req) => {
-                if let Some((Origin::User(id, intent), _)) = self.origins.remove(&req) {
+            Ev::UserTimeout(request_id) => {
+                if let Some((Origin::User(id, intent), _)) = self.origins.remove(&request_id) {
                     self.user_answer(id, intent, None);
                 }
             }
@@ -427,10 +427,13 @@
             Ev::Odd => self.odd_request(),
             Ev::Heal(id) => self.heal(id),
             Ev::Check => {
-                let cores = self.nodes.iter().filter_map(|n| n.core.as_ref());
+                let cores = self.nodes.iter().filter_map(|n| n.controller.as_ref());
                 let wrong = cores.filter_map(|c| c.audit().err());
                 self.checker.broken.extend(wrong);
-                let queues = self.nodes.iter().filter_map(|n| n.core.as_ref()?.queue());
+                let queues = self
+                    .nodes
+                    .iter()
+                    .filter_map(|n| n.controller.as_ref()?.queue());
                 let held = queues.map(|q| q.waiting_for_others).max().unwrap_or(0);
                 self.met.waiting_for_others = self.met.waiting_for_others.max(held);
                 let now = self.now;
