--- a/tests/stored_forms.rs
+++ b/tests/stored_forms.rs
@@ -7,13 +7,14 @@
 //! [`HEARTBEAT`], [`HINTS`]), which are newer.
 
 use ciborium::cbor;
-use salttrestle::controller::store::chunks::{ChunkLayout, effective_runs};
+use salttrestle::controller::store::chunks::{ChunkLayout, effective_placements};
 use salttrestle::controller::store::records::*;
-use salttrestle::ids::{Attempt, Image, MachineId, Member, Number, ReqId};
+use salttrestle::ids::{Attempt, ControllerId, FencingToken, Image, MachineId, RequestId};
 use salttrestle::peer::{
-    self, BlockCounts, Hello, Message, PoolCount, RelayedAnswer, RelayedReport, TeamCount,
+    self, ForwardedHeartbeat, ForwardedResponse, Message, PeerHeartbeat, PoolCount, ShardCounts,
+    TeamCount,
 };
-use salttrestle::wire::{self, Cause, Num, Report, ReportTask, TaskStance};
+use salttrestle::wire::{self, Cause, HeartbeatTask, Num, TaskStatus, WorkerHeartbeat};
 use salttrestle_standby::fence::Fence;
 use salttrestle_standby::hints::{Estimates, Hints, ImageHint, MachineHint};
 use salttrestle_standby::message::{Heartbeat, StandbyMessage};
@@ -42,18 +43,18 @@
     MachineId::from("i-000231")
 }
 
-fn member() -> Member {
-    Member::from("trestlehand-0")
+fn controller_id() -> ControllerId {
+    ControllerId::from("trestlehand-0")
 }
 
-fn job() -> JobRec {
-    JobRec {
+fn job() -> JobRecord {
+    JobRecord {
         class: "train".into(),
         team: "vision".into(),
-        form: Form::Batch,
-        rank: Rank::Urgent,
+        kind: JobKind::Batch,
+        priority_class: PriorityClass::Urgent,
         count: 16,
-        need: Room {
+        need: Resources {
             cpus: 8.0,
             gpus: 1.0,
             mem: 64.0,
@@ -70,33 +71,33 @@
         save_s: 4.0,
         deadline_s: Some(900.0),
         chunk: 68,
-        block: 0,
-        withdrawn: false,
+        shard: 0,
+        cancelled: false,
         needs: Vec::new(),
     }
 }
 
 #[test]
 fn control_records() {
-    let leader = LeaderRec {
-        member: member(),
-        boot: 7,
-        number: Number(41),
-        hold: 12,
+    let leader = LeaderRecord {
+        controller_id: controller_id(),
+        incarnation: 7,
+        number: FencingToken(41),
+        lease_id: 12,
         fenced_ms: None,
     };
     check_record(&leader, LEADER);
-    let fenced = LeaderRec {
+    let fenced = LeaderRecord {
         fenced_ms: Some(3000),
         ..leader
     };
     check_record(&fenced, FENCED_LEADER);
-    let number = NumberRec {
-        highest: Number(42),
+    let number = FencingTokenRecord {
+        highest: FencingToken(42),
         fence: None,
     };
     check_record(&number, NUMBER);
-    let fenced = NumberRec {
+    let fenced = FencingTokenRecord {
         fence: Some(Fence {
             number: 41,
             ms: 3000,
@@ -104,18 +105,18 @@
         ..number
     };
     check_record(&fenced, FENCED_NUMBER);
-    let block = BlockRec {
-        holder: member(),
-        boot: 7,
-        number: Number(41),
+    let shard = ShardRecord {
+        owner: controller_id(),
+        incarnation: 7,
+        number: FencingToken(41),
         machines: Some(vec![(machine(), "g8".into(), "a".into(), true)]),
         allowances: Some([("vision".into(), (8.0, 1.0))].into()),
     };
-    check_record(&block, BLOCK);
-    let plan = PlanRec {
-        number: Number(41),
+    check_record(&shard, BLOCK);
+    let plan = ScalingPlanRecord {
+        number: FencingToken(41),
         wanted: vec![("g8".into(), false, 3)],
-        rentals: vec![RentalRec {
+        rentals: vec![ScaleOutRecord {
             name: "r-41-1".into(),
             class: "g8".into(),
             zone: "a".into(),
@@ -133,11 +134,11 @@
 fn job_records() {
     check_record(&job(), JOB);
     check_record(&Ending::Done, DONE);
-    check_record(&Ending::Withdrawn, WITHDRAWN);
-    let mut run = RunRec {
+    check_record(&Ending::Cancelled, WITHDRAWN);
+    let mut run = PlacementRecord {
         done: vec![(0, 3)],
         placed: vec![(4, Attempt(99), machine(), "a".into())],
-        ..RunRec::default()
+        ..PlacementRecord::default()
     };
     // As written before failures were, and since where there are none.
     check_record(&run, RUN);
@@ -151,32 +152,33 @@
 /// A chunk that was written under a larger limit on values, and the parts that stand for it.
 #[test]
 fn parts_stand_before_their_chunk() {
-    let rec = JobRec { count: 70, ..job() };
+    let record = JobRecord { count: 70, ..job() };
     let placed = |indexes: std::ops::Range<u32>, attempt| {
         let task = |index| (index, Attempt(attempt), machine(), String::from("a"));
         indexes.map(task).collect::<Vec<Placed>>()
     };
-    let chunk = RunRec {
+    let chunk = PlacementRecord {
         done: vec![(0, 4)],
         placed: placed(4..68, 1),
-        ..RunRec::default()
+        ..PlacementRecord::default()
     };
-    let part = RunRec {
+    let part = PlacementRecord {
         done: vec![(20, 30)],
         placed: placed(30..34, 2),
         part: Some(17),
-        ..RunRec::default()
+        ..PlacementRecord::default()
     };
-    let last = RunRec {
+    let last = PlacementRecord {
         part: Some(17),
-        ..RunRec::default()
+        ..PlacementRecord::default()
     };
     let runs = [
         (0, (5, chunk)),
         (ChunkLayout::PART_BASE + 17, (9, part)),
         (ChunkLayout::PART_BASE + 68, (9, last)),
     ];
-    let (effective, layout) = effective_runs(&rec, runs.iter().map(|(chunk, run)| (*chunk, run)));
+    let (effective, layout) =
+        effective_placements(&record, runs.iter().map(|(chunk, run)| (*chunk, run)));
     assert_eq!(effective[0].2.done, [(0, 4)]);
     let of_chunk = effective[0].2.placed.iter().map(|p| p.0);
     assert!(of_chunk.eq((4..17).chain(34..68)));
@@ -189,7 +191,7 @@
     assert_eq!(layout.tasks_of(ChunkLayout::PART_BASE + 51), 51..68);
     assert_eq!(layout.tasks_of(ChunkLayout::PART_BASE + 68), 68..70);
     assert_eq!(layout.chunks_for(1), [ChunkLayout::PART_BASE + 68]);
-    assert_eq!(ChunkLayout::new(&rec, None).chunks_for(1), [1]);
+    assert_eq!(ChunkLayout::new(&record, None).chunks_for(1), [1]);
 }
 
 fn check_message(message: &Message, bytes: &str) {
@@ -202,23 +204,23 @@
 
 #[test]
 fn messages() {
-    let hello = Hello {
-        from: member(),
-        boot: 7,
-        leader: Some(member()),
-        blocks: vec![(0, Number(41), member())],
-        sighted: true,
-        blind_ms: 20,
+    let heartbeat = PeerHeartbeat {
+        from: controller_id(),
+        incarnation: 7,
+        leader: Some(controller_id()),
+        shards: vec![(0, FencingToken(41), controller_id())],
+        is_fresh: true,
+        staleness_ms: 20,
         heard: true,
         deaf: false,
-        relays: true,
+        can_forward: true,
         at_ms: 1000,
-        echoes: vec![(Member::from("trestlehand-1"), 8, 900)],
+        echoes: vec![(ControllerId::from("trestlehand-1"), 8, 900)],
         sheltered_ms: 5000,
         overdue: vec![machine()],
     };
-    check_message(&Message::Hello(hello), HELLO);
-    let report = Report {
+    check_message(&Message::PeerHeartbeat(heartbeat), HELLO);
+    let report = WorkerHeartbeat {
         machine: "i-000231".into(),
         endpoint: "10.1.0.232:9000".into(),
         class: "g8".into(),
@@ -228,27 +230,27 @@
         seq: 88,
         number: 41,
         notice_s: Some(Num(12.5)),
-        tasks: vec![ReportTask {
+        tasks: vec![HeartbeatTask {
             task: "wk-000398/0".into(),
             attempt: Attempt(1),
-            stance: TaskStance::Ended,
+            status: TaskStatus::Ended,
             cause: Some(Cause::Done),
         }],
     };
-    let relayed = RelayedReport::new(&member(), 7, ReqId(3), &report);
-    check_message(&Message::RelayedReport(Box::new(relayed)), BEAT);
-    let answer = RelayedAnswer {
-        boot: 7,
-        req: 3,
+    let relayed = ForwardedHeartbeat::new(&controller_id(), 7, RequestId(3), &report);
+    check_message(&Message::ForwardedHeartbeat(Box::new(relayed)), BEAT);
+    let answer = ForwardedResponse {
+        incarnation: 7,
+        request_id: 3,
         status: 200,
         body: vec![0xa0],
         retry_after: Some(2),
     };
-    check_message(&Message::RelayedAnswer(answer), BEAT_ANSWER);
-    let block_counts = BlockCounts {
-        from: member(),
-        block: 0,
-        number: Number(41),
+    check_message(&Message::ForwardedResponse(answer), BEAT_ANSWER);
+    let shard_counts = ShardCounts {
+        from: controller_id(),
+        shard: 0,
+        number: FencingToken(41),
         revision: 412,
         pools: vec![("g8".into(), false, PoolCount::default())],
         zones: vec![("g8".into(), false, "a".into(), 3)],
@@ -257,18 +259,18 @@
         gone: vec![machine()],
         teams: vec![("vision".into(), TeamCount::default())],
     };
-    check_message(&Message::BlockCounts(Box::new(block_counts)), TALLY);
+    check_message(&Message::ShardCounts(Box::new(shard_counts)), TALLY);
     let standby = |message| Message::Standby(Box::new(message));
     let heartbeat = StandbyMessage::Heartbeat(Heartbeat {
-        from: member().to_string(),
-        boot: 7,
+        from: controller_id().to_string(),
+        incarnation: 7,
         number: 41,
-        leads: true,
+        is_leader: true,
         lost: false,
     });
     check_message(&standby(heartbeat), HEARTBEAT);
     let hints = StandbyMessage::Hints(Hints {
-        from: member().to_string(),
+        from: controller_id().to_string(),
         number: 41,
         estimates: Estimates {
             boots: vec![("g8".into(), 52.5)],
@@ -307,11 +309,11 @@
 const TALLY: &str = "0000008b04010d74726573746c6568616e642d3000299c030102673800000000000000000000000000000000000000000000000000000000000000000000000001026738000161030102673800016201010267380008692d3030303233310108692d3030303233310106766973696f6e0000000000000000000000000000000000000000000000000000000000000000";
 
 /// What a controller reads of a record of team limits with this content.
-fn limits_read(data: &ciborium::Value) -> LimitsRec {
+fn limits_read(data: &ciborium::Value) -> LimitsRecord {
     let body = cbor!({"path" => "s/own/limits", "data" => data, "mark" => 7});
     let body = wire::encode(&body.expect("a map"));
-    match wire::StateOp::Get(Key::Limits).reply(200, &body) {
-        wire::StateReply::Found {
+    match wire::StoreRequest::Get(Key::Limits).reply(200, &body) {
+        wire::StoreResponse::Found {
             record: Record::Limits(limits),
             revision: 7,
         } => limits,
@@ -323,7 +325,7 @@
 #[test]
 fn limits_that_operators_write() {
     let good = cbor!({"teams" => {"vision" => [64, 2.5]}, "note" => "June"});
-    let limits = LimitsRec::Teams([("vision".to_string(), (64.0, 2.5))].into());
+    let limits = LimitsRecord::Teams([("vision".to_string(), (64.0, 2.5))].into());
     assert_eq!(limits_read(&good.expect("a map")), limits);
     let value = wire::record_value(&Record::Limits(limits.clone()));
     assert_eq!(limits_read(&value), limits);
@@ -339,7 +341,7 @@
         let value = value.expect("a value");
         let read = limits_read(&value);
         assert!(
-            matches!(read, LimitsRec::Unreadable(_)),
+            matches!(read, LimitsRecord::Unreadable(_)),
             "{value:?}: {read:?}"
         );
     }
--- a/tests/wire_words.rs
+++ b/tests/wire_words.rs
@@ -2,9 +2,9 @@
 //! stand-ins take typed calls, so only these tests see whether a rename here changed a body.
 
 use ciborium::{Value, cbor};
-use salttrestle::controller::store::records::{Ending, Key, Record, RentalRec};
+use salttrestle::controller::store::records::{Ending, Key, Record, ScaleOutRecord};
 use salttrestle::ids::{JobId, MachineId};
-use salttrestle::wire::{self, CloudOp, CloudReply, StateOp, StateReply, Write};
+use salttrestle::wire::{self, CloudOp, CloudReply, StoreRequest, StoreResponse, Write};
 
 fn body(value: Result<Value, ciborium::value::Error>) -> Vec<u8> {
     wire::encode(&value.expect("a value"))
@@ -16,13 +16,13 @@
 
 #[test]
 fn state_requests() {
-    let commit = StateOp::Commit {
-        when: vec![(end(), 0)],
+    let commit = StoreRequest::Transaction {
+        preconditions: vec![(end(), 0)],
         writes: vec![
             Write::Put {
                 key: end(),
                 record: Record::End(Ending::Done),
-                hold: Some(7),
+                lease_id: Some(7),
             },
             Write::Delete {
                 key: Key::Job(JobId::from("wk-1")),
@@ -40,7 +40,7 @@
     });
     let sent: Value = wire::decode(&call.body.expect("a body")).expect("CBOR");
     assert_eq!(sent, wanted.expect("a value"));
-    let grant = StateOp::Grant { ttl_ms: 3000 }.call();
+    let grant = StoreRequest::GrantLease { ttl_ms: 3000 }.call();
     let sent: Value = wire::decode(&grant.body.expect("a body")).expect("CBOR");
     assert_eq!(sent, cbor!({"ttlMs" => 3000}).expect("a value"));
 }
@@ -48,70 +48,73 @@
 #[test]
 fn state_answers() {
     let found = body(cbor!({"path" => "s/end/wk-1", "data" => "Done", "mark" => 412, "hold" => 7}));
-    let read = StateReply::Found {
+    let read = StoreResponse::Found {
         record: Record::End(Ending::Done),
         revision: 412,
     };
-    assert_eq!(StateOp::Get(end()).reply(200, &found), read);
+    assert_eq!(StoreRequest::Get(end()).reply(200, &found), read);
     let missing = body(cbor!({"ledger" => 431}));
     assert_eq!(
-        StateOp::Fresh.reply(404, &missing),
-        StateReply::Missing { revision: 431 }
+        StoreRequest::ReadRevision.reply(404, &missing),
+        StoreResponse::Missing { revision: 431 }
     );
-    let commit = StateOp::Commit {
-        when: Vec::new(),
+    let commit = StoreRequest::Transaction {
+        preconditions: Vec::new(),
         writes: Vec::new(),
     };
     assert_eq!(
         commit.reply(200, &body(cbor!({"ledger" => 432}))),
-        StateReply::Committed { revision: 432 }
+        StoreResponse::Committed { revision: 432 }
     );
     let conflict = body(cbor!({"failed" => ["s/end/wk-1"], "ledger" => 431}));
     assert_eq!(
         commit.reply(409, &conflict),
-        StateReply::Conflict {
+        StoreResponse::Conflict {
             failed: vec![end()]
         }
     );
     let over = body(cbor!({"error" => "no such lease"}));
-    assert_eq!(commit.reply(400, &over), StateReply::NoGrant);
+    assert_eq!(commit.reply(400, &over), StoreResponse::LeaseNotFound);
     let large = body(cbor!({"error" => "value too large"}));
-    assert_eq!(commit.reply(400, &large), StateReply::Rejected);
-    assert_eq!(commit.reply(400, &[]), StateReply::Rejected);
+    assert_eq!(commit.reply(400, &large), StoreResponse::Rejected);
+    assert_eq!(commit.reply(400, &[]), StoreResponse::Rejected);
     let page = body(cbor!({
         "entries" => [{"path" => "s/end/wk-1", "data" => "Done", "mark" => 5}],
         "hasNext" => true, "ledger" => 431
     }));
-    let listed = StateReply::Page {
+    let listed = StoreResponse::Page {
         entries: vec![(end(), 5, Some(Record::End(Ending::Done)))],
         last: Some("s/end/wk-1".into()),
         more: true,
         revision: 431,
     };
-    let list = StateOp::List { after: "s/".into() };
+    let list = StoreRequest::List { after: "s/".into() };
     assert_eq!(list.reply(200, &page), listed);
     let news = body(cbor!({"ledger" => 433, "news" => [
         {"write" => "s/end/wk-1", "data" => "Done", "mark" => 433},
         {"delete" => "s/job/wk-1", "mark" => 432}
     ]}));
-    let followed = StateReply::News {
+    let followed = StoreResponse::Changes {
         revision: 433,
         news: vec![
             (end(), 433, Some(Record::End(Ending::Done))),
             (Key::Job(JobId::from("wk-1")), 432, None),
         ],
     };
-    assert_eq!(StateOp::Follow { after: 431 }.reply(200, &news), followed);
+    assert_eq!(
+        StoreRequest::Watch { after: 431 }.reply(200, &news),
+        followed
+    );
     let granted = body(cbor!({"hold" => 7}));
     assert_eq!(
-        StateOp::Grant { ttl_ms: 3000 }.reply(200, &granted),
-        StateReply::Granted(7)
+        StoreRequest::GrantLease { ttl_ms: 3000 }.reply(200, &granted),
+        StoreResponse::LeaseGranted(7)
     );
 }
 
 #[test]
 fn cloud_calls() {
-    let rent = CloudOp::Rent(RentalRec {
+    let rent = CloudOp::Rent(ScaleOutRecord {
         name: "r-17".into(),
         class: "g8".into(),
         zone: "a".into(),
