--- a/benches/core.rs
+++ b/benches/core.rs
@@ -104,8 +104,8 @@
         image_gb: 16.0,
         types: None,
         zone: None,
-        one_zone: false,
-        scatter: false,
+        zone_affinity: false,
+        zone_spread: false,
         spot: false,
         estimate_s: 0.0,
         checkpoint_s: 0.0,
@@ -123,16 +123,16 @@
     let leader = LeaderRecord {
         controller_id: HOLDER.into(),
         incarnation: BOOT,
-        number: FencingToken(3),
+        token: FencingToken(3),
         lease_id: 1,
         fenced_ms: None,
     };
     let shard = ShardRecord {
         owner: HOLDER.into(),
         incarnation: BOOT,
-        number: NUMBER,
+        token: NUMBER,
         machines: None,
-        allowances: None,
+        quota_shares: None,
     };
     let mut all = vec![
         (Key::Leader, 8, Some(Record::Leader(leader))),
@@ -153,7 +153,7 @@
     all
 }
 
-fn report(n: usize, seq: u64) -> WorkerHeartbeat {
+fn report(n: usize, sequence: u64) -> WorkerHeartbeat {
     let tasks = (0..TASKS_A_MACHINE).map(|index| HeartbeatTask {
         task: format!("{}/{index}", job(n)),
         attempt: attempt(n, index),
@@ -166,9 +166,9 @@
         class: "g8".into(),
         zone: "a".into(),
         spot: false,
-        session: 1,
-        seq,
-        number: NUMBER.0,
+        agent_epoch: 1,
+        sequence,
+        token: NUMBER.0,
         notice_s: None,
         tasks: tasks.collect(),
     }
--- a/scale/src/capacity.rs
+++ b/scale/src/capacity.rs
@@ -378,7 +378,7 @@
 
 fn worker_bytes(tasks: u32) -> (usize, usize) {
     let mut worker = Worker::new(0, "kithara-large", "attica", false, 0);
-    (worker.number, worker.seq) = (41, 28_800);
+    (worker.token, worker.sequence) = (41, 28_800);
     for index in 0..tasks {
         let job = JobId::from("wk-004213");
         let task = WorkerTask {
--- a/scale/src/hollow/users.rs
+++ b/scale/src/hollow/users.rs
@@ -73,7 +73,8 @@
     quarter: Option<String>,
     #[serde(rename = "samePlace")]
     same_zone: bool,
-    scatter: bool,
+    #[serde(rename = "scatter")]
+    zone_spread: bool,
     #[serde(rename = "borrowed")]
     spot: bool,
     #[serde(rename = "reckonS")]
@@ -272,7 +273,7 @@
             builds: None,
             quarter: None,
             same_zone: false,
-            scatter: false,
+            zone_spread: false,
             spot: false,
             estimate_s: if service { 0.0 } else { load.run_s },
             checkpoint_s: 0.0,
--- a/scale/src/hollow/workers.rs
+++ b/scale/src/hollow/workers.rs
@@ -71,7 +71,7 @@
 
     /// Workers that have been answered under a token.
     pub fn joined(&self) -> usize {
-        let joined = |w: &&HollowWorker| !w.stopped && w.worker.number > 0;
+        let joined = |w: &&HollowWorker| !w.stopped && w.worker.token > 0;
         self.workers.iter().filter(joined).count()
     }
 
@@ -200,10 +200,10 @@
         let before = found.worker.controller;
         let answer = (message.status().unwrap_or(0), message.body.as_slice());
         let members = &self.plan.members;
-        let number = found.worker.number;
+        let number = found.worker.token;
         let events = found.worker.answered(now, sent, answer, members, jobs)?;
-        if self.plan.sole && found.worker.number > number {
-            self.shared.takeovers().shown(now, found.worker.number);
+        if self.plan.sole && found.worker.token > number {
+            self.shared.takeovers().shown(now, found.worker.token);
         }
         if found.worker.controller != before
             && let Some(key) = found.connection.take()
@@ -239,7 +239,7 @@
                 TaskEvent::Accepted(task, attempt) if self.plan.sole => {
                     let job = checker.jobs.get(&task.job);
                     let urgent = job.is_some_and(|j| j.record.class == URGENT);
-                    let worker = (found.id.as_str(), found.worker.number);
+                    let worker = (found.id.as_str(), found.worker.token);
                     let mut watch = self.shared.takeovers();
                     watch.started(now, worker, (&task, attempt), urgent);
                 }
--- a/scale/src/limit_watch.rs
+++ b/scale/src/limit_watch.rs
@@ -13,7 +13,7 @@
 pub struct BlockView {
     /// What each team may use in the block.
     #[serde(default)]
-    pub allowances: Option<LimitsByTeam>,
+    pub quota_shares: Option<LimitsByTeam>,
 }
 
 struct Change {
@@ -27,7 +27,7 @@
 #[derive(Default)]
 pub struct LimitWatch {
     /// What the blocks allow, by cell.
-    allowances: BTreeMap<usize, LimitsByTeam>,
+    quota_shares: BTreeMap<usize, LimitsByTeam>,
     /// The limits that the homes have made.
     made: LimitsByTeam,
     open: Vec<Change>,
@@ -56,8 +56,8 @@
 
     /// A cell's block allows something else.
     pub fn block_changed(&mut self, now: u64, cell: usize, view: BlockView) {
-        self.allowances
-            .insert(cell, view.allowances.unwrap_or_default());
+        self.quota_shares
+            .insert(cell, view.quota_shares.unwrap_or_default());
         self.look(now);
     }
 
@@ -76,12 +76,12 @@
     }
 
     fn look(&mut self, now: u64) {
-        let (allowances, made) = (&self.allowances, &self.made);
+        let (quota_shares, made) = (&self.quota_shares, &self.made);
         let in_force = |change: &Change| {
             if change.raised {
                 return made.get(&change.team) == Some(&change.limit);
             }
-            let here = allowances.values().filter_map(|a| a.get(&change.team));
+            let here = quota_shares.values().filter_map(|a| a.get(&change.team));
             let sum = here.fold((0.0, 0.0), |sum, a| (sum.0 + a.0, sum.1 + a.1));
             sum.0 <= change.limit.0 + SLACK && sum.1 <= change.limit.1 + SLACK
         };
--- a/scale/src/takeovers.rs
+++ b/scale/src/takeovers.rs
@@ -105,15 +105,15 @@
 
     /// The leader's record was written, or is gone.
     pub fn leader_written(&mut self, leader: Option<&LeaderRecord>) {
-        let leader = leader.map(|l| (l.number.0, l.controller_id.as_str()));
+        let leader = leader.map(|l| (l.token.0, l.controller_id.as_str()));
         self.orders.duties.leader_is(leader);
     }
 
     /// A block's record was written.
     pub fn block_written(&mut self, now: u64, block: &ShardRecord) {
-        self.number = block.number.0;
-        self.orders.held(block.number.0);
-        self.note(now, block.number.0, |row| &mut row.elected_ms);
+        self.number = block.token.0;
+        self.orders.held(block.token.0);
+        self.note(now, block.token.0, |row| &mut row.elected_ms);
     }
 
     /// A chunk of a job's placements was written.
@@ -135,7 +135,7 @@
         urgent: bool,
     ) {
         self.orders.started(now, machine, newest, task, attempt);
-        let number = attempt.number().0;
+        let number = attempt.token().0;
         self.note(now, number, |row| &mut row.started_ms);
         if urgent {
             self.note(now, number, |row| &mut row.urgent_ms);
--- a/src/controller/api/cancellations.rs
+++ b/src/controller/api/cancellations.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeSet;
 
 impl Controller {
-    pub(crate) fn pump_cancellations(&mut self) {
+    pub(crate) fn write_cancellations(&mut self) {
         while let Some(q) = self.api.cancellations.pop_front() {
             let Some(job) = self.mirror.jobs.get(&q.id) else {
                 self.api.unknown.push_back(q);
@@ -42,7 +42,7 @@
             StoreResponse::Committed { .. } => {
                 info!("job {} withdrawn by its user", q.id);
                 self.api.leaving.push_back(q);
-                self.answer_leaving();
+                self.answer_cancelled();
             }
             StoreResponse::Refused => self.api.cancellations.push_back(q),
             // Somebody changed the job, or the commit may stand: look again.
@@ -56,7 +56,7 @@
 
     /// Tells users whose jobs have gone. A withdrawal is told only now, when every task
     /// is proven gone: then nothing that fails later can let one run on past the bound.
-    pub(crate) fn answer_leaving(&mut self) {
+    pub(crate) fn answer_cancelled(&mut self) {
         for q in std::mem::take(&mut self.api.leaving) {
             match self.mirror.ending(&q.id) {
                 Some(ending) => self.answer_ending(q.request_id, &q.id, ending),
@@ -68,12 +68,14 @@
 
     /// Cancellations whose confirmation isn't in sight: their users are told to come back
     /// at once rather than after a wait for something that can't happen.
-    pub(crate) fn stuck_departures(&self) -> Vec<RequestId> {
+    pub(crate) fn blocked_cancellations(&self) -> Vec<RequestId> {
         let mut leaving = self.api.leaving.iter().peekable();
         if leaving.peek().is_none() {
             return Vec::new();
         }
-        let told = self.lately().flat_map(|h| h.overdue.iter().cloned());
+        let told = self
+            .recent_heartbeats()
+            .flat_map(|h| h.overdue.iter().cloned());
         let overdue: BTreeSet<MachineId> = told.chain(self.overdue()).collect();
         let stuck = leaving.filter(|q| self.is_stale() || self.departs_late(&q.id, &overdue));
         stuck.map(|q| q.request_id).collect()
--- a/src/controller/api/mod.rs
+++ b/src/controller/api/mod.rs
@@ -26,7 +26,7 @@
 /// came are known once a read that was sent after it has been caught up with, or their ends are
 /// read.
 #[derive(Debug)]
-pub(crate) struct NamingSubmission {
+pub(crate) struct DependentSubmission {
     submission: Submission,
     /// The last call sent before it came.
     after: CallId,
@@ -64,7 +64,7 @@
     unknown: VecDeque<StatusQuery>,
     cancellations: VecDeque<StatusQuery>,
     /// Submissions that name jobs of which it isn't known here that they were accepted.
-    naming: VecDeque<NamingSubmission>,
+    awaiting_dependencies: VecDeque<DependentSubmission>,
     /// Cancellations that are marked, and told once no task of their job is left; and questions
     /// about jobs that are cancelled with one that they need, until their end is committed.
     leaving: VecDeque<StatusQuery>,
@@ -72,7 +72,7 @@
     /// cancellation, or a submission that has to be looked up.
     urgent: Option<CallId>,
     /// Who is to be told that a job is over, and not before when.
-    telling: VecDeque<(Time, RequestId, JobId, Ending)>,
+    delayed_endings: VecDeque<(Time, RequestId, JobId, Ending)>,
 }
 
 /// Users wait 2 s for the answer to a question, and 5 s for other ones.
@@ -87,12 +87,12 @@
 impl Api {
     /// Requests that wait to be written.
     pub(crate) fn backlog(&self) -> usize {
-        self.submissions.len() + self.naming.len() + self.cancellations.len()
+        self.submissions.len() + self.awaiting_dependencies.len() + self.cancellations.len()
     }
 
     /// When somebody is next to be told that a job is over.
-    pub(crate) fn first_telling(&self) -> Option<Time> {
-        self.telling.iter().map(|(at, ..)| *at).min()
+    pub(crate) fn first_delayed_ending(&self) -> Option<Time> {
+        self.delayed_endings.iter().map(|(at, ..)| *at).min()
     }
 
     /// The last call sent before the newest request that isn't a mere question, if any came.
@@ -110,7 +110,7 @@
     pub(crate) fn on_request(&mut self, request_id: RequestId, ask: Request) {
         match ask {
             Request::Up => self.on_up(request_id),
-            Request::Heartbeat(report) => self.on_report(request_id, report),
+            Request::Heartbeat(report) => self.on_worker_heartbeat(request_id, report),
             Request::Submit(_) if self.shutting_down() => {
                 self.answer(request_id, Reply::later(503, 1, ABOUT_TO_END));
             }
@@ -123,7 +123,7 @@
 
     pub(crate) fn on_disconnect(&mut self, request_id: RequestId) {
         self.forget_report(request_id);
-        for h in self.parked.values_mut() {
+        for h in self.shards.values_mut() {
             h.forget_request(request_id);
         }
     }
@@ -132,7 +132,7 @@
     /// taking all nodes away would only slow the return. Who neither sees it nor hears any
     /// sibling is cut off, and users who reach it were refused for as long as that lasted.
     fn on_up(&mut self, request_id: RequestId) {
-        let alone = self.singled_out() || self.unheard();
+        let alone = self.isolated_from_store() || self.peers_unreachable();
         let reply = if self.shutting_down() {
             Reply::later(503, 1, ABOUT_TO_END)
         } else if self.is_stale() && (!self.initial_list_done || alone) {
@@ -144,21 +144,21 @@
     }
 
     /// Most requests of a kind that wait at once.
-    fn waiting_most(&self) -> usize {
+    fn waiting_max(&self) -> usize {
         let sockets = self.settings.platform.facts.resources.max_sockets;
         (sockets as f64 * WAITING_SHARE) as usize
     }
 
     pub(crate) fn pump_api(&mut self) {
-        self.pump_naming();
-        self.pump_cancellations();
-        self.pump_unknown();
-        self.pump_submissions();
+        self.check_named_dependencies();
+        self.write_cancellations();
+        self.read_unknown_ends();
+        self.write_submissions();
     }
 
     /// Gives up what can't be answered in time. The answer goes out at once.
     pub(crate) fn api_housekeeping(&mut self) {
-        let (now, mut late) = (self.now, self.stuck_departures());
+        let (now, mut late) = (self.now, self.blocked_cancellations());
         let leave_s = self.settings.leave_s();
         let f = &mut self.api;
         f.leaving.retain(|q| !late.contains(&q.request_id));
@@ -188,7 +188,7 @@
             keep
         };
         f.submissions.retain(&mut in_time);
-        f.naming.retain(|n| in_time(&n.submission));
+        f.awaiting_dependencies.retain(|n| in_time(&n.submission));
         for request_id in late {
             self.answer(
                 request_id,
--- a/src/controller/api/status_queries.rs
+++ b/src/controller/api/status_queries.rs
@@ -16,14 +16,14 @@
 /// job isn't told before every older answer has become too old to be given, no node gives an
 /// answer that another one's has overtaken, however slowly the state service answers.
 pub(crate) const PRESENT_S: f64 = 0.1;
-const TELL_AFTER_S: f64 = 1.2 * PRESENT_S;
+const ENDING_DELAY_S: f64 = 1.2 * PRESENT_S;
 
 impl Controller {
     pub(crate) fn on_status_query(&mut self, request_id: RequestId, id: JobId, intent: Intent) {
         if let Some(ending) = self.mirror.ending(&id) {
             return self.answer_ending(request_id, &id, ending);
         }
-        if self.is_stale() || self.api.status_queries.len() >= self.waiting_most() {
+        if self.is_stale() || self.api.status_queries.len() >= self.waiting_max() {
             return self.answer(
                 request_id,
                 Reply::later(503, 1, "present state isn't known"),
@@ -50,26 +50,27 @@
         id: &JobId,
         (ending, known): (Ending, Time),
     ) {
-        let due = known.after(TELL_AFTER_S);
+        let due = known.after(ENDING_DELAY_S);
         if self.now < due {
             let later = (due, request_id, id.clone(), ending);
-            self.api.telling.push_back(later);
+            self.api.delayed_endings.push_back(later);
         } else {
-            self.tell_ending(request_id, id, ending);
+            self.send_ending(request_id, id, ending);
         }
     }
 
-    pub(crate) fn tell_endings(&mut self) {
+    pub(crate) fn send_due_endings(&mut self) {
         let now = self.now;
-        let telling = std::mem::take(&mut self.api.telling);
-        let (due, later): (VecDeque<_>, _) = telling.into_iter().partition(|(at, ..)| *at <= now);
-        self.api.telling = later;
+        let delayed_endings = std::mem::take(&mut self.api.delayed_endings);
+        let (due, later): (VecDeque<_>, _) =
+            delayed_endings.into_iter().partition(|(at, ..)| *at <= now);
+        self.api.delayed_endings = later;
         for (_, request_id, id, ending) in due {
-            self.tell_ending(request_id, &id, ending);
+            self.send_ending(request_id, &id, ending);
         }
     }
 
-    fn tell_ending(&mut self, request_id: RequestId, id: &JobId, ending: Ending) {
+    fn send_ending(&mut self, request_id: RequestId, id: &JobId, ending: Ending) {
         let status = match ending {
             Ending::Done => JobStatus::Done,
             Ending::Cancelled => JobStatus::Cancelled,
@@ -83,7 +84,7 @@
     /// Answers what the latest fresh read allows. Questions stand in order of time.
     pub(crate) fn answer_status_queries(&mut self) {
         while let Some(q) = self.api.status_queries.front() {
-            if q.after >= self.fresh_call {
+            if q.after >= self.linearized_call {
                 break;
             }
             if let Some(q) = self.api.status_queries.pop_front() {
@@ -94,7 +95,7 @@
 
     /// Whether what is known here is what stood at the state service just now.
     pub(crate) fn present(&self) -> bool {
-        self.now.since(self.known_at) <= PRESENT_S
+        self.now.since(self.changes_known_at) <= PRESENT_S
     }
 
     fn answer_status_query(&mut self, q: StatusQuery) {
@@ -113,7 +114,7 @@
             self.api.unknown.push_back(q);
             return;
         };
-        if self.mirror.is_cancelled_by_need(&q.id) {
+        if self.mirror.is_cancelled_by_dependency(&q.id) {
             // It has no task, and ends as soon as its holder has written so. Called queued for
             // much longer, it would be taken for one that was left behind.
             return self.api.leaving.push_back(q);
@@ -143,7 +144,7 @@
         self.answer(q.request_id, Reply::ok(200, body));
     }
 
-    pub(crate) fn pump_unknown(&mut self) {
+    pub(crate) fn read_unknown_ends(&mut self) {
         while let Some(q) = self.api.unknown.pop_front() {
             let op = StoreRequest::Get(Key::End(q.id.clone()));
             if let Err(RequestPurpose::ReadEnd(q)) =
--- a/src/controller/api/submissions.rs
+++ b/src/controller/api/submissions.rs
@@ -1,7 +1,7 @@
 //! Submissions: whether a job can be taken, the jobs that it names, and the commit.
 
 use crate::controller::api::status_queries::PRESENT_S;
-use crate::controller::api::{Intent, NamingSubmission, Submission};
+use crate::controller::api::{DependentSubmission, Intent, Submission};
 use crate::controller::dependencies::graph::DependencyState;
 use crate::controller::events::Reply;
 use crate::controller::rate_limits::token_bucket::Priority;
@@ -57,8 +57,8 @@
             return self.on_status_query(request_id, id, Intent::Refuse(422, why));
         }
         let resources = (limits.write_rps * SUBMIT_BACKLOG_S) as usize;
-        if self.api.submissions.len() + self.api.naming.len()
-            >= resources.min(self.waiting_most()).max(8)
+        if self.api.submissions.len() + self.api.awaiting_dependencies.len()
+            >= resources.min(self.waiting_max()).max(8)
         {
             return self.answer(request_id, Reply::later(429, 2, "too many submissions"));
         }
@@ -112,10 +112,10 @@
     /// Takes a submission whose needed jobs are all known to be accepted, and looks the others up.
     fn check_needs(&mut self, submission: Submission) {
         let needs = &submission.record.needs;
-        let mut live = needs.iter().filter_map(|n| self.mirror.jobs.get(n));
+        let mut job_state = needs.iter().filter_map(|n| self.mirror.jobs.get(n));
         let why = if needs.contains(&submission.id) {
             Some("a job can't need itself")
-        } else if live.any(|j| j.record.kind == JobKind::Service) {
+        } else if job_state.any(|j| j.record.kind == JobKind::Service) {
             Some("a service is never done, so no job can need one")
         } else {
             None
@@ -129,52 +129,64 @@
         }
         let after = self.last_call();
         self.api.urgent = Some(after);
-        let naming = NamingSubmission { submission, after };
-        self.api.naming.push_back(naming);
+        let awaiting_dependencies = DependentSubmission { submission, after };
+        self.api
+            .awaiting_dependencies
+            .push_back(awaiting_dependencies);
     }
 
     /// Goes on with submissions whose needed jobs are known by now, or of which an end has to be
     /// read.
-    pub(crate) fn pump_naming(&mut self) {
-        let fresh = self.fresh_call;
-        for naming in std::mem::take(&mut self.api.naming) {
-            if naming.after >= fresh {
-                self.api.naming.push_back(naming);
+    pub(crate) fn check_named_dependencies(&mut self) {
+        let fresh = self.linearized_call;
+        for awaiting_dependencies in std::mem::take(&mut self.api.awaiting_dependencies) {
+            if awaiting_dependencies.after >= fresh {
+                self.api
+                    .awaiting_dependencies
+                    .push_back(awaiting_dependencies);
                 continue;
             }
-            let needs = &naming.submission.record.needs;
+            let needs = &awaiting_dependencies.submission.record.needs;
             let Some(need) = needs
                 .iter()
                 .find(|need| !self.mirror.accepted(need))
                 .cloned()
             else {
-                self.check_needs(naming.submission);
+                self.check_needs(awaiting_dependencies.submission);
                 continue;
             };
             let op = StoreRequest::Get(Key::End(need.clone()));
-            let purpose = RequestPurpose::ReadSubmissionDependency(Box::new(naming), need);
-            if let Err(RequestPurpose::ReadSubmissionDependency(naming, _)) =
+            let purpose =
+                RequestPurpose::ReadSubmissionDependency(Box::new(awaiting_dependencies), need);
+            if let Err(RequestPurpose::ReadSubmissionDependency(awaiting_dependencies, _)) =
                 self.send_store_request(op, purpose, Priority::Usual)
             {
-                self.api.naming.push_back(*naming);
+                self.api
+                    .awaiting_dependencies
+                    .push_back(*awaiting_dependencies);
             }
         }
     }
 
     /// The end of a job that a submission names was read.
-    pub(crate) fn on_named_read(
+    pub(crate) fn on_submission_dependency_read(
         &mut self,
-        naming: NamingSubmission,
+        awaiting_dependencies: DependentSubmission,
         need: JobId,
         reply: StoreResponse,
     ) {
-        let Submission { request_id, id, .. } = &naming.submission;
+        let Submission { request_id, id, .. } = &awaiting_dependencies.submission;
         let (request_id, id) = (*request_id, id.clone());
         let ended = self.learn_ending(&need, &reply).is_some();
         match reply {
-            _ if ended => self.api.naming.push_back(naming),
+            _ if ended => self
+                .api
+                .awaiting_dependencies
+                .push_back(awaiting_dependencies),
             StoreResponse::Missing { .. } if self.mirror.accepted(&need) => {
-                self.api.naming.push_back(naming);
+                self.api
+                    .awaiting_dependencies
+                    .push_back(awaiting_dependencies);
             }
             StoreResponse::Missing { .. } => {
                 let why = format!("{need} was never accepted");
@@ -188,7 +200,7 @@
     }
 
     /// Commits waiting submissions, several to a transaction.
-    pub(crate) fn pump_submissions(&mut self) {
+    pub(crate) fn write_submissions(&mut self) {
         // What a commit of two jobs says of one applies to both, so a conflict
         // makes its jobs ask one by one. Conflicts are rare: only retries make them.
         let most = self.settings.state_limits().txn_ops;
--- a/src/controller/autoscaling/demand.rs
+++ b/src/controller/autoscaling/demand.rs
@@ -114,9 +114,9 @@
             }
         }
         for m in self.machines.values() {
-            let quiet = now.since(m.seen.max(self.since)) > lease_s;
-            let cut = self.cut || self.cut_zones.contains(&m.zone);
-            let silent = m.up.is_some() && m.held.is_none() && quiet && !cut;
+            let quiet = now.since(m.last_heartbeat.max(self.since)) > lease_s;
+            let cut = self.cut || self.partitioned_zones.contains(&m.zone);
+            let silent = m.ready_since.is_some() && m.long_poll.is_none() && quiet && !cut;
             // An overdue machine is replaced. If it comes after all, it is used or returned.
             let overdue = settings.tuning.boot;
             let silent = silent || self.boots_longer_than(overdue, catalog, m, now);
@@ -124,14 +124,26 @@
         }
         let mut team_left = HashMap::new();
         for id in &self.waiting {
-            let Some(live) = self.jobs.get(id) else {
+            let Some(job_state) = self.jobs.get(id) else {
                 continue;
             };
-            if self.failures.hopeless(id) || !within_limit(self, settings, &live.record) {
+            if self.failures.unplaceable(id) || !within_limit(self, settings, &job_state.record) {
                 continue;
             }
-            let tasks = self.within_team(settings, live.queued(), &live.record, &mut team_left);
-            count_queued(catalog, &live.record, closed, &mut slow, tasks, &mut counts);
+            let tasks = self.within_team(
+                settings,
+                job_state.queued(),
+                &job_state.record,
+                &mut team_left,
+            );
+            count_queued(
+                catalog,
+                &job_state.record,
+                closed,
+                &mut slow,
+                tasks,
+                &mut counts,
+            );
         }
         for (pool, waiting) in slow.urgent_waiting {
             let late = slow.late.get(&pool).copied().unwrap_or(0);
@@ -173,24 +185,24 @@
         let mut pins = Zones::new();
         let mut ahead: BTreeMap<(Pool, &str), u32> = BTreeMap::new();
         for m in self.machines.values() {
-            if m.tasks.is_empty() && m.doomed.is_none() && m.notice.is_none() {
+            if m.tasks.is_empty() && m.decommission_at.is_none() && m.notice.is_none() {
                 *ahead.entry(((m.class, m.spot), &*m.zone)).or_default() += 1;
             }
         }
         let waiting = self.waiting.iter();
-        let waiting = waiting.filter(|id| !self.failures.hopeless(id));
-        for live in waiting.filter_map(|id| self.jobs.get(id)) {
-            let Some(pool) = pool_for(catalog, &live.record, closed) else {
+        let waiting = waiting.filter(|id| !self.failures.unplaceable(id));
+        for job_state in waiting.filter_map(|id| self.jobs.get(id)) {
+            let Some(pool) = pool_for(catalog, &job_state.record, closed) else {
                 continue;
             };
             let class = &catalog[pool.0];
-            let zones = class.zones.iter().filter(|z| zone_allowed(live, z));
+            let zones = class.zones.iter().filter(|z| zone_allowed(job_state, z));
             let zones: Vec<&String> = zones.collect();
             if zones.is_empty() || zones.len() == class.zones.len() {
                 continue;
             }
-            let per = per_machine(class, live.record.need);
-            let mut need = (f64::from(live.queued()) / per).ceil() as u32;
+            let per = per_machine(class, job_state.record.need);
+            let mut need = (f64::from(job_state.queued()) / per).ceil() as u32;
             for zone in &zones {
                 let have = ahead.entry((pool, zone.as_str())).or_default();
                 let taken = need.min(*have);
@@ -215,7 +227,7 @@
         silent: bool,
         counts: &mut BTreeMap<Pool, PoolCount>,
     ) {
-        let leaving = silent || m.doomed.is_some() || m.notice.is_some();
+        let leaving = silent || m.decommission_at.is_some() || m.notice.is_some();
         let Some(class) = catalog.get(m.class).filter(|_| !leaving) else {
             return;
         };
@@ -256,7 +268,7 @@
         };
         let used = self.teams.get(&record.team).copied().unwrap_or_default();
         let resources = left.entry(record.team.clone()).or_insert_with(|| {
-            let (cpus, gpus) = self.allowance(team);
+            let (cpus, gpus) = self.quota_share(team);
             let part = |max: f64, used: f64| if max < f64::MAX { max - used } else { max };
             Resources {
                 cpus: part(cpus, used.cpus),
--- a/src/controller/autoscaling/machines.rs
+++ b/src/controller/autoscaling/machines.rs
@@ -26,7 +26,7 @@
     /// The leader lists machines to find those nobody expected; with several blocks,
     /// the other holders list them, less often, to learn what became of their own.
     pub(crate) fn list_machines(&mut self) {
-        if let Some(so_far) = self.list_rest.take() {
+        if let Some(so_far) = self.list_pages.take() {
             return self.list_on(so_far);
         }
         let lag = self.settings.platform.facts.cloud.list_lag_s.max(2.0);
@@ -58,17 +58,17 @@
         let lag = self.settings.platform.facts.cloud.list_lag_s;
         let (now, settled_s) = (self.now, LISTED_LAGS * lag + REPEAT_S);
         let listed: BTreeSet<&str> = so_far.iter().map(|l| l.id.as_str()).collect();
-        for h in self.parked.values_mut() {
+        for h in self.shards.values_mut() {
             for l in &so_far {
-                h.see_listed(now, &self.catalog, l);
+                h.observe_listed(now, &self.catalog, l);
             }
-            h.miss_listed(now, settled_s, &listed);
+            h.decommission_unlisted(now, settled_s, &listed);
         }
         if let Some(leadership) = &mut self.leadership {
             leadership.scale.listed = true;
             for l in so_far {
                 let id = MachineId::from(l.id.as_str());
-                self.add_stray((id, l.class, l.zone, l.spot));
+                self.add_unassigned((id, l.class, l.zone, l.spot));
             }
         }
     }
@@ -79,8 +79,8 @@
         let after = so_far.last().map(|l| MachineId::from(l.id.as_str()));
         let op = CloudOp::List { after };
         self.listing = true;
-        if !self.cloud_budget.has(self.now, 1.0, Priority::Usual) {
-            self.list_rest = Some(so_far);
+        if !self.cloud_rate_limit.has(self.now, 1.0, Priority::Usual) {
+            self.list_pages = Some(so_far);
             return;
         }
         self.cloud_call(op, CloudPurpose::List(so_far), Priority::Usual);
@@ -89,7 +89,7 @@
     /// Machines that never come up are paid for until they are deleted. That is long after
     /// they were replaced: on a night on which all boots took several times as long, each was
     /// deleted shortly before it was up, and rented anew.
-    pub(crate) fn delete_abandoned(&mut self) {
+    pub(crate) fn decommission_abandoned(&mut self) {
         let (now, boot) = (self.now, self.settings.tuning.boot);
         let Some(h) = &mut self.owner else {
             return;
@@ -99,13 +99,13 @@
         let never = h.machines.booting().filter(|(_, m)| never(m));
         let never: Vec<MachineId> = never.map(|(id, _)| id.clone()).collect();
         for id in never {
-            h.doom(now, &id, "it never came up");
+            h.decommission(now, &id, "it never came up");
         }
     }
 
     /// A deletion needs no lease: it can only cost a machine, and proves its tasks gone. Only a
     /// leader that replaced another before its grant's end waits until that one deletes nothing.
-    pub(crate) fn delete_doomed(&mut self) {
+    pub(crate) fn delete_decommissioned(&mut self) {
         let now = self.now;
         if self.is_stale() || self.fenced() {
             return;
@@ -115,7 +115,9 @@
         };
         let mut ids = Vec::new();
         for (id, m) in h.machines.leaving() {
-            let due = m.doomed.is_some_and(|at| now >= at || m.tasks.is_empty());
+            let due = m
+                .decommission_at
+                .is_some_and(|at| now >= at || m.tasks.is_empty());
             if due && !m.deleting && ids.len() < DELETE_MAX && !h.committing_on(m) {
                 ids.push(id.clone());
             }
@@ -154,19 +156,19 @@
     }
 
     /// Returns the machines that the leader's plan names, if they are still empty.
-    pub(crate) fn obey_plan(&mut self) {
+    pub(crate) fn apply_scale_in(&mut self) {
         let revision = self.mirror.plan.revision;
         if revision == self.plan_seen {
             return;
         }
         self.plan_seen = revision;
         let now = self.now;
-        let returns = self.mirror.plan.record.iter().flat_map(|p| &p.returns);
-        for id in returns {
-            for h in self.parked.values_mut() {
-                let idle = |m: &Machine| m.up.is_some() && m.tasks.is_empty();
+        let scale_in = self.mirror.plan.record.iter().flat_map(|p| &p.scale_in);
+        for id in scale_in {
+            for h in self.shards.values_mut() {
+                let idle = |m: &Machine| m.ready_since.is_some() && m.tasks.is_empty();
                 if h.machines.get(id).is_some_and(idle) {
-                    h.doom(now, id, "it is empty and no longer wanted");
+                    h.decommission(now, id, "it is empty and no longer wanted");
                 }
             }
         }
@@ -182,7 +184,7 @@
     }
 
     /// Takes note of a listed machine.
-    fn see_listed(&mut self, now: Time, catalog: &[MachineType], l: &Listed) {
+    fn observe_listed(&mut self, now: Time, catalog: &[MachineType], l: &Listed) {
         let id = MachineId::from(l.id.as_str());
         if self.gone.contains_key(&id) {
             return;
@@ -193,31 +195,31 @@
             self.machines.insert(id.clone(), m);
         }
         let known = self.machines.get(&id);
-        let wakes = |m: &Machine| l.status == MachineStatus::Running && m.up.is_none();
+        let wakes = |m: &Machine| l.status == MachineStatus::Running && m.ready_since.is_none();
         if known.is_some_and(|m| m.class == usize::MAX || wakes(m)) {
             self.machines.edit(&id, |m| {
                 if wakes(m) {
                     // From now on it counts as silent unless it reports.
-                    (m.up, m.seen) = (Some(now), now);
+                    (m.ready_since, m.last_heartbeat) = (Some(now), now);
                 }
-                m.learn(catalog, &l.class, &l.zone, l.spot);
+                m.set_machine_type(catalog, &l.class, &l.zone, l.spot);
             });
         }
         if l.status == MachineStatus::Failed {
-            self.doom(now, &id, "the cloud lists it as failed");
+            self.decommission(now, &id, "the cloud lists it as failed");
         }
     }
 
     /// Machines that should be listed by now and never were, nor ever reported, are
     /// gone or never came to be. Absence proves nothing, so they are deleted.
-    fn miss_listed(&mut self, now: Time, settled_s: f64, listed: &BTreeSet<&str>) {
+    fn decommission_unlisted(&mut self, now: Time, settled_s: f64, listed: &BTreeSet<&str>) {
         let since = self.since;
         let unseen = |m: &Machine| now.since(m.since.max(since)) > settled_s;
         let missing = self.machines.booting();
         let missing = missing.filter(|(id, m)| unseen(m) && !listed.contains(id.as_str()));
         let missing: Vec<MachineId> = missing.map(|(id, _)| id.clone()).collect();
         for id in missing {
-            self.doom(now, &id, "the cloud doesn't list it");
+            self.decommission(now, &id, "the cloud doesn't list it");
         }
     }
 
@@ -232,25 +234,25 @@
     ) -> bool {
         let ready_s = catalog.get(m.class).map_or(UNKNOWN_BOOT_S, |c| c.ready_s);
         let most_s = times * self.usual_boot_s(m.class, ready_s);
-        m.up.is_none() && now.since(m.since) > most_s
+        m.ready_since.is_none() && now.since(m.since) > most_s
     }
 
     /// Forgets a deleted machine; its tasks are proven gone. Returns the request
     /// that waited for its commands.
     fn remove_machine(&mut self, now: Time, id: &MachineId) -> Option<RequestId> {
         let m = self.machines.get(id)?;
-        let held = m.held;
+        let held = m.long_poll;
         let tasks: Vec<TaskId> = m.tasks.keys().cloned().collect();
         for task in tasks {
-            self.take(now, &task);
+            self.remove_placement(now, &task);
         }
         if let Some((_, until)) = held {
-            self.releases.remove(&(until, id.clone()));
+            self.long_poll_deadlines.remove(&(until, id.clone()));
         }
         self.machines.remove(id);
         self.failures.forget_machine(id);
         self.gone.insert(id.clone(), now);
-        self.place_wanted = true;
+        self.scheduling_wanted = true;
         held.map(|(request_id, _)| request_id)
     }
 }
--- a/src/controller/autoscaling/mod.rs
+++ b/src/controller/autoscaling/mod.rs
@@ -2,7 +2,7 @@
 //! tick compares the larger of two counts, what waits and what runs, with what is
 //! provisioned, booting machines included.
 //!
-//! [`demand`] counts, `tick` decides, `plan` writes the decision down, `rentals` carries
+//! [`demand`] counts, `tick` decides, `plan` writes the decision down, `scale_out_requests` carries
 //! rentals out, and `machines` follows what becomes of the machines, to their deletion.
 
 pub(crate) mod demand;
@@ -61,23 +61,23 @@
         if self.catalog.is_empty() {
             return;
         }
-        let several = self.parked.values().any(|h| !h.whole);
+        let several = self.shards.values().any(|h| !h.whole);
         if self.lease_valid() || several {
             self.list_machines();
         }
         if !self.may_use_cloud() {
             return;
         }
-        self.send_rentals();
-        self.tick();
+        self.send_scale_out_requests();
+        self.reconcile();
         self.write_plan();
     }
 
     fn cloud_call(&mut self, op: CloudOp, purpose: CloudPurpose, priority: Priority) -> bool {
-        if !self.cloud_budget.has(self.now, 1.0, priority) {
+        if !self.cloud_rate_limit.has(self.now, 1.0, priority) {
             return false;
         }
-        self.cloud_budget.take(1.0);
+        self.cloud_rate_limit.take(1.0);
         let id = self.call_id();
         let ownership = self.ownership();
         self.cloud_calls.insert(id, (purpose, ownership));
@@ -90,11 +90,11 @@
             return;
         };
         if reply == CloudReply::Trouble {
-            self.cloud_budget.drain();
+            self.cloud_rate_limit.drain();
         }
         match purpose {
             CloudPurpose::Catalog => self.on_catalog(reply),
-            CloudPurpose::Rent(name) => self.on_rented(&name, reply),
+            CloudPurpose::Rent(name) => self.on_scaled_out(&name, reply),
             CloudPurpose::Delete(ids) => {
                 if let Some((shard, _)) = ownership {
                     self.in_shard(shard, |controller| controller.on_deleted(ids, reply));
@@ -110,9 +110,9 @@
         };
         self.catalog = classes;
         let catalog = &self.catalog;
-        for h in self.parked.values_mut() {
-            h.machines.edit_all(|m| m.find_class(catalog));
-            h.place_wanted = true;
+        for h in self.shards.values_mut() {
+            h.machines.edit_all(|m| m.resolve_machine_type(catalog));
+            h.scheduling_wanted = true;
         }
     }
 }
--- a/src/controller/autoscaling/plan.rs
+++ b/src/controller/autoscaling/plan.rs
@@ -19,24 +19,24 @@
     /// Whether counts are rebuilt, so that renting may begin.
     pub(crate) ready: Option<Time>,
     pub(crate) listed: bool,
-    pub(crate) tick_at: Time,
+    pub(crate) reconcile_at: Time,
     pub(crate) wanted: BTreeMap<Pool, VecDeque<(Time, u32)>>,
-    pub(crate) rentals: Vec<ScaleOutRequest>,
-    pub(crate) rental_count: u64,
+    pub(crate) scale_out_requests: Vec<ScaleOutRequest>,
+    pub(crate) scale_out_count: u64,
     /// Until when a pool's zone isn't asked again, and how often it refused.
-    pub(crate) refused: HashMap<(usize, String, bool), (Time, u32)>,
+    pub(crate) exhausted: HashMap<(usize, String, bool), (Time, u32)>,
     pub(crate) shares: Vec<(u32, u32)>,
     pub(crate) closed: Vec<ExhaustedPool>,
     /// Machines to return, for the next plan.
-    pub(crate) returns: Vec<MachineId>,
-    pub(crate) plan_busy: bool,
-    pub(crate) plan_dirty: bool,
+    pub(crate) scale_in: Vec<MachineId>,
+    pub(crate) plan_write_pending: bool,
+    pub(crate) plan_changed: bool,
 }
 
 impl Controller {
     /// A new leader first repeats the rentals that the plan speaks of, under their
     /// names, and lists: it rents only once it knows what is there.
-    pub(crate) fn rebuild_scale(&mut self) {
+    pub(crate) fn rebuild_scaling_state(&mut self) {
         let now = self.now;
         let plan = self.mirror.plan.record.clone().unwrap_or_default();
         let Some(leadership) = &mut self.leadership else {
@@ -47,8 +47,9 @@
             step: ScaleOutStep::Written,
             at: now,
         };
-        leadership.scale.rentals = plan.rentals.into_iter().map(written).collect();
-        leadership.scale.tick_at = now;
+        leadership.scale.scale_out_requests =
+            plan.scale_out_requests.into_iter().map(written).collect();
+        leadership.scale.reconcile_at = now;
     }
 
     /// Writes wanted counts and rentals. A rental is sent only once it stands here.
@@ -61,14 +62,15 @@
             return;
         };
         let s = &mut leadership.scale;
-        let before = s.rentals.len();
+        let before = s.scale_out_requests.len();
         let kept_s = 3.0 * lag + 5.0;
-        s.rentals.retain(|rental| {
-            rental.step != ScaleOutStep::Answered || now.since(rental.at) < kept_s
+        s.scale_out_requests.retain(|request| {
+            request.step != ScaleOutStep::Answered || now.since(request.at) < kept_s
         });
         let closed = s.closed(&self.catalog, now);
-        s.plan_dirty |= s.rentals.len() != before || s.shares != shares || s.closed != closed;
-        if s.plan_busy || !s.plan_dirty {
+        s.plan_changed |=
+            s.scale_out_requests.len() != before || s.shares != shares || s.closed != closed;
+        if s.plan_write_pending || !s.plan_changed {
             return;
         }
         let wanted = s.wanted.iter().filter_map(|((class, spot), w)| {
@@ -76,7 +78,7 @@
             Some((name, *spot, w.back()?.1))
         });
         let mut plan = ScalingPlanRecord {
-            number: leadership.number,
+            token: leadership.token,
             wanted: wanted.collect(),
             shares: shares.clone(),
             closed: closed.clone(),
@@ -85,7 +87,7 @@
         let value_bytes = self.settings.state_limits().value_bytes;
         let most = (value_bytes as f64 * PLAN_SHARE) as usize;
         let left = most.saturating_sub(json_bytes(&plan));
-        (plan.rentals, plan.returns) = s.fit(left);
+        (plan.scale_out_requests, plan.scale_in) = s.fit(left);
         if json_bytes(&plan) > value_bytes {
             // An earlier leader's rentals, from a time of larger values, wait for their answers.
             // Once enough are answered, the rest fits.
@@ -100,34 +102,34 @@
             .is_ok()
             && let Some(leadership) = &mut self.leadership
         {
-            leadership.scale.plan_busy = true;
-            leadership.scale.plan_dirty = false;
+            leadership.scale.plan_write_pending = true;
+            leadership.scale.plan_changed = false;
             leadership.scale.shares = shares;
             leadership.scale.closed = closed;
-            leadership.scale.returns.clear();
+            leadership.scale.scale_in.clear();
         }
     }
 
-    pub(crate) fn on_planned(&mut self, reply: StoreResponse) {
+    pub(crate) fn on_plan_written(&mut self, reply: StoreResponse) {
         let now = self.now;
         let Some(leadership) = &mut self.leadership else {
             return;
         };
         let s = &mut leadership.scale;
-        s.plan_busy = false;
+        s.plan_write_pending = false;
         if let StoreResponse::Committed { .. } = reply {
             // Rentals planned while the commit was under way made the plan dirty
             // again, and wait for the next one.
-            if !s.plan_dirty {
-                for rental in &mut s.rentals {
-                    if rental.step == ScaleOutStep::Planned {
-                        (rental.step, rental.at) = (ScaleOutStep::Written, now);
+            if !s.plan_changed {
+                for request in &mut s.scale_out_requests {
+                    if request.step == ScaleOutStep::Planned {
+                        (request.step, request.at) = (ScaleOutStep::Written, now);
                     }
                 }
             }
-            self.send_rentals();
+            self.send_scale_out_requests();
         } else {
-            s.plan_dirty = true;
+            s.plan_changed = true;
         }
     }
 }
@@ -139,23 +141,24 @@
     /// that nobody has sent are planned again.
     fn fit(&mut self, bytes: usize) -> (Vec<ScaleOutRecord>, Vec<MachineId>) {
         let mut used: usize = self
-            .rentals
+            .scale_out_requests
             .iter()
-            .map(|rental| json_bytes(&rental.record))
+            .map(|request| json_bytes(&request.record))
             .sum();
         while used > bytes {
-            let answered = |rental: &ScaleOutRequest| rental.step == ScaleOutStep::Answered;
-            let planned = |rental: &ScaleOutRequest| rental.step == ScaleOutStep::Planned;
-            let oldest = self.rentals.iter().position(answered);
-            let Some(at) = oldest.or_else(|| self.rentals.iter().rposition(planned)) else {
+            let answered = |request: &ScaleOutRequest| request.step == ScaleOutStep::Answered;
+            let planned = |request: &ScaleOutRequest| request.step == ScaleOutStep::Planned;
+            let oldest = self.scale_out_requests.iter().position(answered);
+            let Some(at) = oldest.or_else(|| self.scale_out_requests.iter().rposition(planned))
+            else {
                 break;
             };
-            used -= json_bytes(&self.rentals.remove(at).record);
+            used -= json_bytes(&self.scale_out_requests.remove(at).record);
         }
-        let rentals = self
-            .rentals
+        let scale_out_requests = self
+            .scale_out_requests
             .iter()
-            .map(|rental| rental.record.clone())
+            .map(|request| request.record.clone())
             .collect();
         let mut left = bytes.saturating_sub(used);
         let fits = |id: &&MachineId| {
@@ -165,16 +168,16 @@
             fits
         };
         (
-            rentals,
-            self.returns.iter().take_while(fits).cloned().collect(),
+            scale_out_requests,
+            self.scale_in.iter().take_while(fits).cloned().collect(),
         )
     }
 
     /// Keeps the counts of the stabilization window.
-    pub(crate) fn remember(&mut self, pool: Pool, now: Time, wanted: u32, window_s: f64) {
+    pub(crate) fn record_wanted(&mut self, pool: Pool, now: Time, wanted: u32, window_s: f64) {
         let w = self.wanted.entry(pool).or_default();
         if w.back().map(|(_, n)| *n) != Some(wanted) {
-            self.plan_dirty = true;
+            self.plan_changed = true;
         }
         w.push_back((now, wanted));
         while w.front().is_some_and(|(at, _)| now.since(*at) > window_s) {
--- a/src/controller/autoscaling/reconcile.rs
+++ b/src/controller/autoscaling/reconcile.rs
@@ -20,30 +20,30 @@
 }
 
 impl Controller {
-    pub(crate) fn tick(&mut self) {
+    pub(crate) fn reconcile(&mut self) {
         let now = self.now;
         let Some(leadership) = &mut self.leadership else {
             return;
         };
         let s = &mut leadership.scale;
         let unanswered = s
-            .rentals
+            .scale_out_requests
             .iter()
-            .any(|rental| rental.step != ScaleOutStep::Answered);
+            .any(|request| request.step != ScaleOutStep::Answered);
         let shards = self.mirror.shards.len();
         if s.ready.is_none() && s.listed && !unanswered && leadership.shard_counts.len() >= shards {
             s.ready = Some(now);
-            s.tick_at = now;
+            s.reconcile_at = now;
             info!("counts are rebuilt");
         }
         let Some(ready) = leadership
             .scale
             .ready
-            .filter(|_| now >= leadership.scale.tick_at)
+            .filter(|_| now >= leadership.scale.reconcile_at)
         else {
             return;
         };
-        leadership.scale.tick_at = now.after(self.settings.tuning.tick_s);
+        leadership.scale.reconcile_at = now.after(self.settings.tuning.tick_s);
         self.send_counts();
         let fleet = self.count_fleet();
         let Some(leadership) = &mut self.leadership else {
@@ -64,7 +64,7 @@
                 leadership.needs.insert((name, pool.1, *shard), need);
             }
             let window_s = self.settings.tuning.window * self.catalog[pool.0].ready_s;
-            leadership.scale.remember(pool, now, wanted, window_s);
+            leadership.scale.record_wanted(pool, now, wanted, window_s);
             let resources = ceiling.saturating_sub(provisioned);
             if wanted >= ceiling {
                 warn!("pool {pool:?} wants {wanted} machines, as many as its ceiling allows");
@@ -77,12 +77,12 @@
             let gap = gap.min(resources).saturating_sub(asked);
             let gap = gap.min(self.settings.rise(gap));
             if gap > 0 {
-                leadership.scale.rent(
+                leadership.scale.plan_scale_out(
                     &self.catalog,
                     pool,
                     gap,
                     (&fleet.zones, &pins),
-                    leadership.number,
+                    leadership.token,
                     now,
                 );
             }
@@ -93,9 +93,12 @@
             let keep = leadership.scale.highest(pool).max(wanted);
             let surplus = (provisioned + asked).saturating_sub(keep) as usize;
             let idle = fleet.empty.get(&pool).into_iter().flatten();
-            let before = leadership.scale.returns.len();
-            leadership.scale.returns.extend(idle.take(surplus).cloned());
-            leadership.scale.plan_dirty |= leadership.scale.returns.len() > before;
+            let before = leadership.scale.scale_in.len();
+            leadership
+                .scale
+                .scale_in
+                .extend(idle.take(surplus).cloned());
+            leadership.scale.plan_changed |= leadership.scale.scale_in.len() > before;
         }
     }
 
@@ -129,10 +132,14 @@
                 }
             }
         }
-        let rentals = self.leadership.iter().flat_map(|l| &l.scale.rentals);
-        for rental in rentals.filter(|rental| rental.step != ScaleOutStep::Answered) {
-            if let Some(class) = class(&rental.record.class) {
-                *fleet.asked.entry((class, rental.record.spot)).or_default() += rental.record.count;
+        let scale_out_requests = self
+            .leadership
+            .iter()
+            .flat_map(|l| &l.scale.scale_out_requests);
+        for request in scale_out_requests.filter(|request| request.step != ScaleOutStep::Answered) {
+            if let Some(class) = class(&request.record.class) {
+                *fleet.asked.entry((class, request.record.spot)).or_default() +=
+                    request.record.count;
             }
         }
         fleet
--- a/src/controller/autoscaling/scale_out.rs
+++ b/src/controller/autoscaling/scale_out.rs
@@ -15,7 +15,7 @@
 const REFUSED_S: f64 = 10.0;
 const REFUSED_MAX_S: f64 = 80.0;
 /// Most machines that one rental may ask for.
-const RENT_MAX: u32 = 50;
+const SCALE_OUT_MAX: u32 = 50;
 
 /// A request to rent.
 #[derive(Debug)]
@@ -37,17 +37,17 @@
 }
 
 impl Controller {
-    pub(crate) fn send_rentals(&mut self) {
+    pub(crate) fn send_scale_out_requests(&mut self) {
         let now = self.now;
         let Some(leadership) = self.leadership.as_ref().filter(|_| self.may_use_cloud()) else {
             return;
         };
         let due: Vec<ScaleOutRecord> = leadership
             .scale
-            .rentals
+            .scale_out_requests
             .iter()
-            .filter(|rental| rental.step == ScaleOutStep::Written && now >= rental.at)
-            .map(|rental| rental.record.clone())
+            .filter(|request| request.step == ScaleOutStep::Written && now >= request.at)
+            .map(|request| request.record.clone())
             .collect();
         for record in due {
             let name = record.name.clone();
@@ -61,16 +61,16 @@
         }
     }
 
-    pub(crate) fn on_rented(&mut self, name: &str, reply: CloudReply) {
+    pub(crate) fn on_scaled_out(&mut self, name: &str, reply: CloudReply) {
         let now = self.now;
         let Some(leadership) = &mut self.leadership else {
             return;
         };
         let Some(record) = leadership
             .scale
-            .rentals
+            .scale_out_requests
             .iter()
-            .find(|rental| rental.record.name == name)
+            .find(|request| request.record.name == name)
         else {
             return;
         };
@@ -91,21 +91,21 @@
                     if record.spot { ", spot" } else { "" }
                 );
                 if (rigs.len() as u32) < record.count {
-                    leadership.scale.refuse(place, now);
+                    leadership.scale.mark_exhausted(place, now);
                 } else {
-                    leadership.scale.refused.remove(&place);
+                    leadership.scale.exhausted.remove(&place);
                 }
                 leadership.scale.step(name, ScaleOutStep::Answered, now);
-                self.take_rented(&record, rigs);
+                self.add_machines(&record, rigs);
             }
             CloudReply::Refused => {
                 warn!("no capacity for {} in {}", record.class, record.zone);
-                leadership.scale.refuse(place, now);
+                leadership.scale.mark_exhausted(place, now);
                 leadership
                     .scale
-                    .rentals
-                    .retain(|rental| rental.record.name != name);
-                leadership.scale.plan_dirty = true;
+                    .scale_out_requests
+                    .retain(|request| request.record.name != name);
+                leadership.scale.plan_changed = true;
             }
             _ => leadership
                 .scale
@@ -114,9 +114,9 @@
     }
 
     /// New machines join the only block at once, or a block's list.
-    fn take_rented(&mut self, record: &ScaleOutRecord, rigs: Vec<MachineId>) {
+    fn add_machines(&mut self, record: &ScaleOutRecord, rigs: Vec<MachineId>) {
         let now = self.now;
-        let whole = self.parked.values_mut().find(|h| h.whole);
+        let whole = self.shards.values_mut().find(|h| h.whole);
         if let Some(h) = whole {
             for id in rigs {
                 if !h.machines.contains_key(&id) && !h.gone.contains_key(&id) {
@@ -128,7 +128,7 @@
             return;
         }
         for id in rigs {
-            self.add_stray((id, record.class.clone(), record.zone.clone(), record.spot));
+            self.add_unassigned((id, record.class.clone(), record.zone.clone(), record.spot));
         }
         self.lease_housekeeping();
     }
@@ -136,7 +136,7 @@
 
 impl ScalingState {
     /// Plans rentals, each machine to the open zone with fewest such machines.
-    pub(crate) fn rent(
+    pub(crate) fn plan_scale_out(
         &mut self,
         catalog: &[MachineType],
         pool: Pool,
@@ -167,29 +167,29 @@
         for (_, zone, mut count) in zones {
             // One request holds no more than the cloud takes.
             while count > 0 {
-                let part = count.min(RENT_MAX);
+                let part = count.min(SCALE_OUT_MAX);
                 count -= part;
-                self.rental_count += 1;
+                self.scale_out_count += 1;
                 let record = ScaleOutRecord {
-                    name: format!("r-{}-{}", term.0, self.rental_count),
+                    name: format!("r-{}-{}", term.0, self.scale_out_count),
                     class: info.name.clone(),
                     zone: zone.clone(),
                     spot: pool.1,
                     count: part,
                 };
-                self.rentals.push(ScaleOutRequest {
+                self.scale_out_requests.push(ScaleOutRequest {
                     record,
                     step: ScaleOutStep::Planned,
                     at: now,
                 });
-                self.plan_dirty = true;
+                self.plan_changed = true;
             }
         }
     }
 
     /// What the cloud has nothing left of, for the plan.
     pub(crate) fn closed(&self, catalog: &[MachineType], now: Time) -> Vec<ExhaustedPool> {
-        let shut = self.refused.iter().filter(|(_, (until, _))| now < *until);
+        let shut = self.exhausted.iter().filter(|(_, (until, _))| now < *until);
         let shut = shut.filter_map(|((class, zone, spot), _)| {
             Some((catalog.get(*class)?.name.clone(), zone.clone(), *spot))
         });
@@ -200,24 +200,24 @@
 
     fn open(&self, pool: &Pool, zone: &str, now: Time) -> bool {
         let key = (pool.0, zone.to_string(), pool.1);
-        self.refused
+        self.exhausted
             .get(&key)
             .is_none_or(|(until, _)| now >= *until)
     }
 
-    fn refuse(&mut self, place: (usize, String, bool), now: Time) {
-        let entry = self.refused.entry(place).or_insert((now, 0));
+    fn mark_exhausted(&mut self, place: (usize, String, bool), now: Time) {
+        let entry = self.exhausted.entry(place).or_insert((now, 0));
         let pause = (REFUSED_S * 2f64.powi(entry.1.min(6) as i32)).min(REFUSED_MAX_S);
         *entry = (now.after(pause), entry.1 + 1);
     }
 
     fn step(&mut self, name: &str, step: ScaleOutStep, at: Time) {
-        for rental in self
-            .rentals
+        for request in self
+            .scale_out_requests
             .iter_mut()
-            .filter(|rental| rental.record.name == name)
+            .filter(|request| request.record.name == name)
         {
-            (rental.step, rental.at) = (step, at);
+            (request.step, request.at) = (step, at);
         }
     }
 }
--- a/src/controller/dependencies/graph.rs
+++ b/src/controller/dependencies/graph.rs
@@ -55,7 +55,7 @@
     }
 
     /// Whether a job that isn't over needs this one.
-    pub fn is_needed(&self, id: &JobId) -> bool {
+    pub fn has_dependents(&self, id: &JobId) -> bool {
         self.dependencies.dependents.contains_key(id)
     }
 
@@ -68,11 +68,11 @@
     /// needs is.
     pub fn is_cancelled(&self, id: &JobId) -> bool {
         let marked = self.jobs.get(id).is_some_and(|j| j.cancelled.is_some());
-        marked || self.is_cancelled_by_need(id)
+        marked || self.is_cancelled_by_dependency(id)
     }
 
     /// Whether a job that isn't over is cancelled with one that it needs.
-    pub fn is_cancelled_by_need(&self, id: &JobId) -> bool {
+    pub fn is_cancelled_by_dependency(&self, id: &JobId) -> bool {
         self.dependencies.cancelled.contains(id)
     }
 
@@ -95,7 +95,7 @@
     }
 
     /// Needed jobs whose ends are to be read.
-    pub fn unread_needs(&self) -> &BTreeSet<JobId> {
+    pub fn unread_dependencies(&self) -> &BTreeSet<JobId> {
         &self.dependencies.unread
     }
 
--- a/src/controller/dependencies/resolution.rs
+++ b/src/controller/dependencies/resolution.rs
@@ -25,11 +25,11 @@
 
 impl Controller {
     /// Reads the ends of needed jobs of which nothing is known here.
-    pub(crate) fn pump_need_reads(&mut self) {
+    pub(crate) fn read_dependencies(&mut self) {
         if !self.initial_list_done || self.now < self.dependency_reads.not_before {
             return;
         }
-        let unread = self.mirror.unread_needs().iter();
+        let unread = self.mirror.unread_dependencies().iter();
         let reading = &self.dependency_reads.reading;
         let resources = READS_MOST.saturating_sub(reading.len());
         let next = unread.filter(|id| !reading.contains(*id)).take(resources);
@@ -47,7 +47,7 @@
         }
     }
 
-    pub(crate) fn on_need_read(&mut self, need: JobId, reply: StoreResponse) {
+    pub(crate) fn on_dependency_read(&mut self, need: JobId, reply: StoreResponse) {
         self.dependency_reads.reading.remove(&need);
         if self.learn_ending(&need, &reply).is_none() {
             self.dependency_reads.not_before = self.now.after(READ_AGAIN_S);
@@ -72,9 +72,7 @@
         for id in self.mirror.take_affected() {
             let shard = self.mirror.jobs.get(&id).map(|j| j.record.shard);
             if let Some(shard) = shard {
-                self.in_shard(shard, |controller| {
-                    controller.owner_dependencies_changed(&id)
-                });
+                self.in_shard(shard, |controller| controller.on_dependencies_changed(&id));
             }
         }
     }
--- a/src/controller/events.rs
+++ b/src/controller/events.rs
@@ -129,7 +129,7 @@
     /// Writes that wait.
     pub queued: usize,
     /// Machines looked at to place tasks.
-    pub looked: u64,
+    pub machines_scanned: u64,
     /// Tasks placed.
     pub placed: u64,
 }
--- a/src/controller/forwarding.rs
+++ b/src/controller/forwarding.rs
@@ -9,22 +9,22 @@
 //! Why that is safe. An answer under the holder's number gives a worker nothing but
 //! time, and halts what is cancelled. Time breaks two things only. A lease proves a
 //! task gone only once the zone's other controllers have said that they sheltered
-//! nobody while it ran out (`nobody_sheltered`). And a cancellation is told to its user
+//! nobody while it ran out (`no_keepalive_by_peers`). And a cancellation is told to its user
 //! only once every task is proven gone (`front`), so no bound runs against a worker
 //! that nobody with sight of the state service reaches.
 
 use crate::controller::events::{Output, Reply};
 use crate::controller::shards::leases::stable_hash;
-use crate::controller::{Controller, GATHER_MS, HEARD_S};
+use crate::controller::{BATCH_MS, Controller, RECENT_S};
 use crate::ids::{ControllerId, FencingToken, MachineId, RequestId, TaskId, Time};
 use crate::peer::{ForwardedHeartbeat, ForwardedResponse, Message, PeerHeartbeat};
 use crate::settings::Peer;
-use crate::wire::{Command, TaskStatus, WorkerHeartbeat, commands_body, steer_body};
+use crate::wire::{Command, TaskStatus, WorkerHeartbeat, commands_body, redirect_body};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 /// A report whose machine's holder is down.
 #[derive(Debug)]
-struct LostReport {
+struct OwnerlessHeartbeat {
     request_id: RequestId,
     report: WorkerHeartbeat,
     since: Time,
@@ -34,7 +34,7 @@
 
 /// How long such a report waits at most, in seconds. Workers wait for 4 s. How many do at
 /// once is bounded by the connections on which they came.
-const LOST_S: f64 = 3.8;
+const OWNERLESS_MAX_S: f64 = 3.8;
 /// A report handed on is answered here when no answer came this long after the time
 /// for which the holder may hold it.
 const RELAY_GRACE_S: f64 = 0.9;
@@ -57,8 +57,8 @@
 
 impl ForwardedOut {
     /// The report, now that its holder didn't answer it.
-    fn lost(self, request_id: RequestId) -> LostReport {
-        LostReport {
+    fn ownerless(self, request_id: RequestId) -> OwnerlessHeartbeat {
+        OwnerlessHeartbeat {
             request_id,
             report: self.report,
             since: self.since,
@@ -81,17 +81,17 @@
     guests: HashMap<RequestId, ForwardedIn>,
     guest_count: u64,
     /// Reports to be handed on together, and when.
-    gathered: Vec<(ControllerId, Box<ForwardedHeartbeat>)>,
-    gathered_until: Option<Time>,
+    batched: Vec<(ControllerId, Box<ForwardedHeartbeat>)>,
+    batched_until: Option<Time>,
     /// Reports that wait until there is somebody to send their workers to.
-    lost: VecDeque<LostReport>,
+    ownerless: VecDeque<OwnerlessHeartbeat>,
     /// Siblings to whom no connection can be made, and since when they refuse it.
     pub(crate) down: BTreeMap<ControllerId, Option<Time>>,
     /// When this process last answered in a holder's place; at first its start.
-    pub(crate) sheltered: Option<Time>,
-    trials: BTreeMap<ControllerId, Time>,
+    pub(crate) last_keepalive: Option<Time>,
+    probes: BTreeMap<ControllerId, Time>,
     /// Workers sent to a safer controller of this zone, and when.
-    sent_away: BTreeMap<MachineId, Time>,
+    redirected: BTreeMap<MachineId, Time>,
 }
 
 /// A worker that came back after it was sent to a safer controller is kept for so many leases.
@@ -111,60 +111,64 @@
 
 impl Forwarding {
     /// When the reports gathered so far are to be handed on.
-    pub(crate) fn gathered_until(&self) -> Option<Time> {
-        self.gathered_until
+    pub(crate) fn batched_until(&self) -> Option<Time> {
+        self.batched_until
     }
 
     /// The sibling that handed on a report.
-    pub(crate) fn carrier(&self, request_id: RequestId) -> Option<ControllerId> {
+    pub(crate) fn forwarder(&self, request_id: RequestId) -> Option<ControllerId> {
         self.guests.get(&request_id).map(|g| g.from.clone())
     }
 }
 
 impl Controller {
-    pub(crate) fn on_report(&mut self, request_id: RequestId, report: WorkerHeartbeat) {
-        self.worker_heard = self.now;
+    pub(crate) fn on_worker_heartbeat(&mut self, request_id: RequestId, report: WorkerHeartbeat) {
+        self.last_worker_heartbeat = self.now;
         let id = MachineId::from(report.machine.as_str());
-        if let Some(home) = self.home_of(&id, &report) {
-            return self.answer(request_id, Reply::ok(421, steer_body(Some(&home))));
+        if let Some(home) = self.preferred_controller(&id, &report) {
+            return self.answer(request_id, Reply::ok(421, redirect_body(Some(&home))));
         }
         if let Some(shard) = self.shard_here(&id) {
             return self.in_shard(shard, |controller| {
-                controller.on_shard_report(request_id, &id, report)
+                controller.on_owned_heartbeat(request_id, &id, report)
             });
         }
-        self.note_stray(&id, &report);
-        self.pass_on(request_id, report);
+        self.note_unassigned(&id, &report);
+        self.forward(request_id, report);
     }
 
     /// The block held here to which a machine belongs.
     fn shard_here(&self, id: &MachineId) -> Option<u32> {
-        let mut held = self.parked.iter();
+        let mut held = self.shards.iter();
         let mine = held.find(|(_, h)| h.machines.contains_key(id));
-        let whole = || self.parked.iter().find(|(_, h)| h.whole);
+        let whole = || self.shards.iter().find(|(_, h)| h.whole);
         mine.or_else(whole).map(|(shard, _)| *shard)
     }
 
     /// The controller of a worker's own zone to which it had better report. One that
     /// hears nobody yet gets workers one by one: if they can't reach it, the others
     /// mustn't lose half a lease by trying.
-    fn home_of(&mut self, id: &MachineId, report: &WorkerHeartbeat) -> Option<ControllerId> {
+    fn preferred_controller(
+        &mut self,
+        id: &MachineId,
+        report: &WorkerHeartbeat,
+    ) -> Option<ControllerId> {
         if report.tasks.len() > RELAY_TASKS || self.unanswered(id, report) {
             return None;
         }
         if report.zone == self.settings.platform.site {
-            return self.safer_home(id);
+            return self.safer_controller(id);
         }
         let local = self.forwarders_in(&report.zone);
         let safe: Vec<&ControllerId> = local.iter().filter(|m| self.has_next(m)).copied().collect();
         let local = if safe.is_empty() { local } else { safe };
         let home = pick_by_name(id, &local)?.clone();
-        let heard = self.peers.get(&home).is_some_and(|(h, _)| h.heard);
-        let trial = self.forwarding.trials.get(&home);
+        let heard = self.peers.get(&home).is_some_and(|(h, _)| h.hears_workers);
+        let trial = self.forwarding.probes.get(&home);
         if !heard && trial.is_some_and(|at| self.now.since(*at) < TRIAL_PAUSE_S) {
             return None;
         }
-        self.forwarding.trials.insert(home.clone(), self.now);
+        self.forwarding.probes.insert(home.clone(), self.now);
         Some(home)
     }
 
@@ -177,23 +181,23 @@
             .shards
             .values()
             .filter_map(|b| b.record.as_ref());
-        let number = records.find(|b| b.has(id)).map(|b| b.number.0);
-        number.is_some_and(|number| report.number < number)
+        let token = records.find(|b| b.has(id)).map(|b| b.token.0);
+        token.is_some_and(|token| report.token < token)
     }
 
     /// Another controller of this zone for a worker that would find nobody if this one fell
     /// silent: the next one that it would try has been silent for long, and the two tries take
     /// as long as its lease. Two controllers of three silent at once cost 95 machines their
     /// tasks. Each worker is sent away once, should the controllers disagree on who is silent.
-    fn safer_home(&mut self, id: &MachineId) -> Option<ControllerId> {
+    fn safer_controller(&mut self, id: &MachineId) -> Option<ControllerId> {
         let platform = &self.settings.platform;
-        if self.has_next(&platform.controller_id) || self.forwarding.sent_away.contains_key(id) {
+        if self.has_next(&platform.controller_id) || self.forwarding.redirected.contains_key(id) {
             return None;
         }
         let local = self.forwarders_in(&platform.site);
         let safe: Vec<&ControllerId> = local.into_iter().filter(|m| self.has_next(m)).collect();
         let home = pick_by_name(id, &safe)?.clone();
-        self.forwarding.sent_away.insert(id.clone(), self.now);
+        self.forwarding.redirected.insert(id.clone(), self.now);
         Some(home)
     }
 
@@ -222,7 +226,7 @@
     }
 
     /// Hands a report on to its holder, or does what can be done without it.
-    fn pass_on(&mut self, request_id: RequestId, report: WorkerHeartbeat) {
+    fn forward(&mut self, request_id: RequestId, report: WorkerHeartbeat) {
         let id = MachineId::from(report.machine.as_str());
         let owner = self.owner_of(&id);
         let reached = owner.filter(|h| self.reachable(h));
@@ -234,21 +238,21 @@
                     request_id,
                     &report,
                 );
-                let gathered = (to.clone(), Box::new(relayed));
-                self.forwarding.gathered.push(gathered);
-                let until = self.now.next_multiple(GATHER_MS);
-                self.forwarding.gathered_until.get_or_insert(until);
+                let batched = (to.clone(), Box::new(relayed));
+                self.forwarding.batched.push(batched);
+                let until = self.now.next_multiple(BATCH_MS);
+                self.forwarding.batched_until.get_or_insert(until);
                 let since = self.now;
                 self.forwarding
                     .out
                     .insert(request_id, ForwardedOut { to, report, since });
             }
             Some(to) if report.tasks.len() > RELAY_TASKS => {
-                self.answer(request_id, Reply::ok(421, steer_body(Some(&to))));
+                self.answer(request_id, Reply::ok(421, redirect_body(Some(&to))));
             }
             _ => {
                 let since = self.now;
-                self.without_owner(LostReport {
+                self.without_owner(OwnerlessHeartbeat {
                     request_id,
                     report,
                     since,
@@ -259,56 +263,52 @@
     }
 
     /// Hands on the reports that were gathered, once their time has come.
-    pub(crate) fn hand_on_gathered(&mut self) {
-        if self
-            .forwarding
-            .gathered_until
-            .is_none_or(|at| self.now < at)
-        {
+    pub(crate) fn send_batched_forwards(&mut self) {
+        if self.forwarding.batched_until.is_none_or(|at| self.now < at) {
             return;
         }
-        self.forwarding.gathered_until = None;
-        for (to, report) in std::mem::take(&mut self.forwarding.gathered) {
+        self.forwarding.batched_until = None;
+        for (to, report) in std::mem::take(&mut self.forwarding.batched) {
             let message = Message::ForwardedHeartbeat(report);
             self.out.push(Output::Peer(Some(to), message));
         }
     }
 
     /// Answers a report in its holder's place, or keeps it for a while.
-    fn without_owner(&mut self, lost: LostReport) {
-        if let Some(reply) = self.shelter(&lost.report) {
-            self.forwarding.sheltered = Some(self.now);
-            return self.answer(lost.request_id, reply);
+    fn without_owner(&mut self, ownerless: OwnerlessHeartbeat) {
+        if let Some(reply) = self.keepalive_for_owner(&ownerless.report) {
+            self.forwarding.last_keepalive = Some(self.now);
+            return self.answer(ownerless.request_id, reply);
         }
-        let id = MachineId::from(lost.report.machine.as_str());
-        let known = self.owner_for(&lost).is_some();
-        let waited = self.now.since(lost.since) >= LOST_S;
+        let id = MachineId::from(ownerless.report.machine.as_str());
+        let known = self.owner_for(&ownerless).is_some();
+        let waited = self.now.since(ownerless.since) >= OWNERLESS_MAX_S;
         let starting = !self.initial_list_done;
         let sockets = self.settings.platform.facts.resources.max_sockets;
-        let full = self.forwarding.lost.len() >= sockets;
+        let full = self.forwarding.ownerless.len() >= sockets;
         // A holder that takes over says so here only if somebody is heard here: a worker whose
         // report waited at a controller that was cut off from the others lost its lease.
-        let alone = self.unheard() && self.age_s() > HEARD_S;
+        let alone = self.peers_unreachable() && self.age_s() > RECENT_S;
         if known || waited || full || alone || (self.is_stale() && !starting) {
-            return self.steer(lost.request_id, &id);
+            return self.redirect(ownerless.request_id, &id);
         }
         // While the holder is down, a worker that is sent there, or on to the next
         // node, loses a second each time.
-        self.forwarding.lost.push_back(lost);
+        self.forwarding.ownerless.push_back(ownerless);
     }
 
     /// The holder that a kept report's worker can be sent to. One that didn't answer when the
     /// report was handed to it seems to run until its next message is missed: workers that
     /// were sent there waited for 5 s, and then for another 5 s where it had sent them before.
-    fn owner_for(&self, lost: &LostReport) -> Option<ControllerId> {
-        let owner = self.owner_of(&MachineId::from(lost.report.machine.as_str()))?;
-        let runs = self.reachable(&owner) && lost.tried.as_ref() != Some(&owner);
-        (runs || self.shut_off(&owner)).then_some(owner)
+    fn owner_for(&self, ownerless: &OwnerlessHeartbeat) -> Option<ControllerId> {
+        let owner = self.owner_of(&MachineId::from(ownerless.report.machine.as_str()))?;
+        let runs = self.reachable(&owner) && ownerless.tried.as_ref() != Some(&owner);
+        (runs || self.refuses_connections(&owner)).then_some(owner)
     }
 
     /// The answer that keeps a worker of this controller's own zone alive while its
     /// holder can't be reached: no starts, but halts for what is cancelled or over.
-    fn shelter(&self, report: &WorkerHeartbeat) -> Option<Reply> {
+    fn keepalive_for_owner(&self, report: &WorkerHeartbeat) -> Option<Reply> {
         let id = MachineId::from(report.machine.as_str());
         if report.zone != self.settings.platform.site {
             return None;
@@ -317,14 +317,14 @@
         let records = self.mirror.shards.values();
         let mut records = records.filter_map(|b| b.record.as_ref());
         let record = records.find(|b| b.has(&id));
-        if record.is_some_and(|b| self.shut_off(&b.owner)) {
+        if record.is_some_and(|b| self.refuses_connections(&b.owner)) {
             return None;
         }
         // A process that began in a zone that is cut off knows no number, or an old one.
         // The worker's own tells it nothing that it doesn't know, and gives it time.
-        let known = record.map(|b| b.number).filter(|n| n.0 >= report.number);
-        let own = Some(FencingToken(report.number)).filter(|n| is_stale && n.0 > 0);
-        let number = known.or(own)?;
+        let known = record.map(|b| b.token).filter(|n| n.0 >= report.token);
+        let own = Some(FencingToken(report.token)).filter(|n| is_stale && n.0 > 0);
+        let token = known.or(own)?;
         // A job that isn't known here may be newer than what is: only one whose end is known is
         // over. Tasks that the holder had started just before it ended were halted here, since the
         // follow hadn't brought their jobs yet, and started again by its successor.
@@ -342,14 +342,14 @@
             })
         });
         let halts: Vec<Command> = halts.collect();
-        Some(Reply::ok(200, commands_body(number, &halts)))
+        Some(Reply::ok(200, commands_body(token, &halts)))
     }
 
     /// Sends a worker to its block's holder, if it is known.
-    pub(crate) fn steer(&mut self, request_id: RequestId, machine: &MachineId) {
+    pub(crate) fn redirect(&mut self, request_id: RequestId, machine: &MachineId) {
         let owner = self.owner_of(machine);
         let owner = owner.filter(|h| self.surely_runs(h));
-        self.answer(request_id, Reply::ok(421, steer_body(owner.as_ref())));
+        self.answer(request_id, Reply::ok(421, redirect_body(owner.as_ref())));
     }
 
     /// Whether a holder runs for sure: it was heard just now or, where it hasn't been for
@@ -358,23 +358,23 @@
     fn surely_runs(&self, owner: &ControllerId) -> bool {
         let takeover_s = self.settings.tuning.leader_lease_s + TAKEOVER_S;
         let heard = self.peers.get(owner).map(|(_, at)| *at);
-        let unheard = heard.is_none_or(|at| self.now.since(at) > takeover_s);
-        self.heartbeat_fresh(owner) || unheard && !self.is_stale()
+        let peers_unreachable = heard.is_none_or(|at| self.now.since(at) > takeover_s);
+        self.heartbeat_fresh(owner) || peers_unreachable && !self.is_stale()
     }
 
     pub(crate) fn forwarding_housekeeping(&mut self) {
         let kept_s = KEPT_LEASES * self.settings.platform.facts.workers.lease_s;
         let now = self.now;
-        let sent_away = &mut self.forwarding.sent_away;
-        sent_away.retain(|_, at| now.since(*at) < kept_s);
-        for lost in std::mem::take(&mut self.forwarding.lost) {
-            let id = MachineId::from(lost.report.machine.as_str());
+        let redirected = &mut self.forwarding.redirected;
+        redirected.retain(|_, at| now.since(*at) < kept_s);
+        for ownerless in std::mem::take(&mut self.forwarding.ownerless) {
+            let id = MachineId::from(ownerless.report.machine.as_str());
             let held = self.shard_here(&id).is_some();
-            let owner = self.owner_for(&lost);
+            let owner = self.owner_for(&ownerless);
             if held || owner.is_some_and(|h| self.reachable(&h)) {
-                self.on_report(lost.request_id, lost.report);
+                self.on_worker_heartbeat(ownerless.request_id, ownerless.report);
             } else {
-                self.without_owner(lost);
+                self.without_owner(ownerless);
             }
         }
         let patience = self.settings.hold_s(false) + RELAY_GRACE_S;
@@ -386,7 +386,7 @@
         let late: Vec<RequestId> = late.map(|(request_id, _)| *request_id).collect();
         for request_id in late {
             if let Some(r) = self.forwarding.out.remove(&request_id) {
-                self.without_owner(r.lost(request_id));
+                self.without_owner(r.ownerless(request_id));
             }
         }
     }
@@ -408,9 +408,9 @@
         let id = MachineId::from(report.machine.as_str());
         match self.shard_here(&id) {
             Some(shard) => self.in_shard(shard, |controller| {
-                controller.on_shard_report(request_id, &id, report)
+                controller.on_owned_heartbeat(request_id, &id, report)
             }),
-            None => self.answer(request_id, Reply::ok(421, steer_body(None))),
+            None => self.answer(request_id, Reply::ok(421, redirect_body(None))),
         }
     }
 
@@ -425,7 +425,7 @@
         };
         if answer.status == 421 {
             // It doesn't hold the block any more; who does is soon known here.
-            return self.without_owner(relayed.lost(request_id));
+            return self.without_owner(relayed.ownerless(request_id));
         }
         let reply = Reply {
             status: answer.status,
@@ -451,7 +451,9 @@
     }
 
     pub(crate) fn forget_report(&mut self, request_id: RequestId) {
-        self.forwarding.lost.retain(|l| l.request_id != request_id);
+        self.forwarding
+            .ownerless
+            .retain(|l| l.request_id != request_id);
         self.forwarding.out.remove(&request_id);
     }
 }
--- a/src/controller/leadership/election.rs
+++ b/src/controller/leadership/election.rs
@@ -14,7 +14,7 @@
 use crate::controller::store::records::{
     FencingTokenRecord, Key, LeaderRecord, Record, ShardRecord,
 };
-use crate::controller::{Controller, DRIFT, RequestPurpose, STALENESS_BOUND_S};
+use crate::controller::{CLOCK_DRIFT, Controller, RequestPurpose, STALENESS_BOUND_S};
 use crate::ids::{FencingToken, Time};
 use crate::wire::{StoreRequest, StoreResponse, Write, commands_body};
 use log::{info, warn};
@@ -96,16 +96,15 @@
     }
 
     /// From when a leader that has just been elected may call the cloud.
-    pub(crate) fn cloud_from(&self, number: FencingToken) -> Time {
-        let record = self.mirror.number.record.as_ref();
-        let fence = record
-            .and_then(|n| n.fence)
-            .filter(|f| f.number == number.0);
+    pub(crate) fn cloud_from(&self, token: FencingToken) -> Time {
+        let record = self.mirror.token.record.as_ref();
+        let fence = record.and_then(|n| n.fence).filter(|f| f.token == token.0);
         match fence {
             None => self.now,
             Some(fence) => {
                 let wait_s = fence.ms as f64 / 1000.0;
-                self.now.after(wait_s * (1.0 + DRIFT) + FENCE_MARGIN_S)
+                self.now
+                    .after(wait_s * (1.0 + CLOCK_DRIFT) + FENCE_MARGIN_S)
             }
         }
     }
@@ -176,7 +175,7 @@
     fn candidates_before(&self) -> usize {
         let me = &self.settings.platform.controller_id;
         let lost = self.mirror.leader.record.as_ref().map(|l| &l.controller_id);
-        let heard = self.lately().map(|h| &h.from);
+        let heard = self.recent_heartbeats().map(|h| &h.from);
         heard.filter(|m| *m < me && Some(*m) != lost).count()
     }
 
@@ -240,18 +239,18 @@
         let replaced = leader.filter(|_| self.has_leader());
         Predecessors {
             replaced_grant_ms: replaced.and_then(|l| l.fenced_ms),
-            fence: self.mirror.number.record.as_ref().and_then(|n| n.fence),
-            plan_number: self.mirror.plan.record.as_ref().map_or(0, |p| p.number.0),
+            fence: self.mirror.token.record.as_ref().and_then(|n| n.fence),
+            plan_token: self.mirror.plan.record.as_ref().map_or(0, |p| p.token.0),
         }
     }
 
     fn commit_leadership(&mut self, lease_id: u64) {
         // The leadership's own number comes first: rentals are named after it.
-        let number = FencingToken(self.mirror.highest().0 + 1);
-        let mut highest = number;
+        let token = FencingToken(self.mirror.highest().0 + 1);
+        let mut highest = token;
         let mut preconditions = vec![
             (Key::Leader, self.mirror.leader.version()),
-            (Key::FencingToken, self.mirror.number.version()),
+            (Key::FencingToken, self.mirror.token.version()),
         ];
         let mut writes = Vec::new();
         // Two changes are kept for the leader's and the number's records.
@@ -266,7 +265,7 @@
         let leader = LeaderRecord {
             controller_id: self.settings.platform.controller_id.clone(),
             incarnation: self.incarnation,
-            number,
+            token,
             lease_id,
             fenced_ms: heartbeats.then_some(self.fenced_ms()),
         };
@@ -275,7 +274,7 @@
             record: Record::Leader(leader),
             lease_id: Some(lease_id),
         });
-        let fence = self.predecessors().fence(number.0);
+        let fence = self.predecessors().fence(token.0);
         writes.push(Write::put(
             Key::FencingToken,
             Record::FencingToken(FencingTokenRecord { highest, fence }),
@@ -321,15 +320,15 @@
     }
 
     /// The leader's, a block's, the number's or the plan's record changed.
-    pub(crate) fn on_control(&mut self) {
+    pub(crate) fn on_control_records_changed(&mut self) {
         self.read_limits();
         self.tell_standby_of_leader();
         let me = &self.settings.platform.controller_id;
-        let rested = self.now >= self.election.not_before;
+        let may_run_tasks = self.now >= self.election.not_before;
         let leader = self.mirror.leader.record.as_ref();
         let is_leader =
             leader.is_some_and(|l| l.controller_id == *me && l.incarnation == self.incarnation);
-        if is_leader && self.leadership.is_none() && rested {
+        if is_leader && self.leadership.is_none() && may_run_tasks {
             info!("leads from now on");
             self.election.renew_at = self.now;
             self.adopt_lease();
@@ -349,22 +348,23 @@
             };
             // A number once given up is never used again: what was answered under it
             // is forgotten, and copies of reports from then may still come.
-            let spent = self.spent.get(&shard).is_some_and(|n| record.number <= *n);
+            let released_tokens = self
+                .released_tokens
+                .get(&shard)
+                .is_some_and(|n| record.token <= *n);
             let me = &self.settings.platform.controller_id;
-            let mine = record.owner == *me && record.incarnation == self.incarnation && !spent;
-            self.sync_shard(shard, slot.revision, &record, mine && rested);
+            let mine =
+                record.owner == *me && record.incarnation == self.incarnation && !released_tokens;
+            self.sync_shard(shard, slot.revision, &record, mine && may_run_tasks);
         }
-        self.obey_plan();
+        self.apply_scale_in();
     }
 
     /// Brings what is held here in line with a block's record.
     fn sync_shard(&mut self, shard: u32, revision: u64, record: &ShardRecord, mine: bool) {
-        let held = self
-            .parked
-            .get(&shard)
-            .map(|h| (h.number, h.shard_revision));
+        let held = self.shards.get(&shard).map(|h| (h.token, h.shard_revision));
         match held {
-            Some((number, _)) if !mine || number != record.number => {
+            Some((token, _)) if !mine || token != record.token => {
                 self.in_shard(shard, |controller| {
                     controller.release_shard("it has another holder")
                 });
@@ -375,17 +375,17 @@
         if !mine {
             return;
         }
-        let fresh = !self.parked.contains_key(&shard);
+        let fresh = !self.shards.contains_key(&shard);
         if fresh {
-            info!("holds block {shard} under number {}", record.number.0);
+            info!("holds block {shard} under number {}", record.token.0);
             let shares_limits = self.settings.cells.is_some();
-            let owner = ShardOwner::new(shard, record.number, self.now, shares_limits);
-            self.parked.insert(shard, Box::new(owner));
+            let owner = ShardOwner::new(shard, record.token, self.now, shares_limits);
+            self.shards.insert(shard, Box::new(owner));
         }
-        self.share_budgets();
+        self.update_rate_limits();
         self.in_shard(shard, |controller| {
             if fresh {
-                controller.rebuild();
+                controller.rebuild_from_mirror();
             }
             if let Some(h) = &mut controller.owner {
                 h.sync(controller.now, revision, record, &controller.catalog);
@@ -404,12 +404,12 @@
             return;
         };
         warn!("no longer holds block {}: {why}", owner.shard);
-        self.spent.insert(owner.shard, owner.number);
-        self.share_budgets();
+        self.released_tokens.insert(owner.shard, owner.token);
+        self.update_rate_limits();
         // Its workers stay where they are until there is a new holder. An answer under
         // the number given up is worth nothing to those that have shown a higher one.
-        for request_id in owner.held_requests() {
-            let body = commands_body(owner.number, &[]);
+        for request_id in owner.long_polling_requests() {
+            let body = commands_body(owner.token, &[]);
             self.answer(request_id, Reply::ok(200, body));
         }
     }
@@ -420,13 +420,13 @@
         }
         self.election.lease_id = None;
         self.election.busy = false;
-        self.share_budgets();
+        self.update_rate_limits();
     }
 
     /// Gives up everything this controller holds.
     pub(crate) fn give_up(&mut self, why: &str) {
         self.step_down(why);
-        let shards: Vec<u32> = self.parked.keys().copied().collect();
+        let shards: Vec<u32> = self.shards.keys().copied().collect();
         for shard in shards {
             self.in_shard(shard, |controller| controller.release_shard(why));
         }
--- a/src/controller/leadership/standby.rs
+++ b/src/controller/leadership/standby.rs
@@ -114,7 +114,7 @@
         let term = self.mirror.leader.record.as_ref().map(|leader| Term {
             leader: leader.controller_id.to_string(),
             incarnation: leader.incarnation,
-            number: leader.number.0,
+            token: leader.token.0,
             fenced_ms: leader.fenced_ms,
         });
         self.standby.set_term(self.now.0, term);
@@ -147,7 +147,7 @@
         if pause_ms == 0 || self.now < self.hint_sender.due {
             return;
         }
-        let (Some(leadership), Some(owner)) = (&self.leadership, self.parked.get(&0)) else {
+        let (Some(leadership), Some(owner)) = (&self.leadership, self.shards.get(&0)) else {
             return;
         };
         if !owner.whole {
@@ -164,8 +164,8 @@
         let (images, machines) = rotation.next(machines);
         let hints = Hints {
             from: self.settings.platform.controller_id.to_string(),
-            number: leadership.number.0,
-            estimates: owner.estimates_for_standbys(self.now, &self.catalog),
+            token: leadership.token.0,
+            estimates: owner.estimates_for_peers(self.now, &self.catalog),
             images,
             machines,
         };
@@ -174,7 +174,7 @@
     }
 
     /// A new holder begins with what the one before it estimated.
-    pub(crate) fn take_hinted_estimates(&mut self) {
+    pub(crate) fn apply_hinted_estimates(&mut self) {
         let Some((age_ms, estimates)) = self.standby.hints().estimates(self.now.0) else {
             return;
         };
@@ -182,18 +182,18 @@
             return;
         };
         info!("takes over estimates that are {age_ms} ms old");
-        owner.take_hinted_estimates(self.now, age_ms, estimates, &self.catalog);
+        owner.apply_hinted_estimates(self.now, age_ms, estimates, &self.catalog);
     }
 }
 
 impl ShardOwner {
-    fn estimates_for_standbys(&self, now: Time, catalog: &[MachineType]) -> Estimates {
+    fn estimates_for_peers(&self, now: Time, catalog: &[MachineType]) -> Estimates {
         let named = |class: usize| catalog.get(class).map(|c| c.name.clone());
         let boots = self.boots.iter();
         let boots = boots.filter_map(|(class, boot_s)| Some((named(*class)?, *boot_s)));
         let bursts = self.bursts.iter().filter_map(|((class, spot), burst)| {
             let boot_s = catalog.get(*class)?.ready_s;
-            Some((named(*class)?, *spot, burst.faded(now, boot_s)))
+            Some((named(*class)?, *spot, burst.decayed(now, boot_s)))
         });
         Estimates {
             boots: boots.collect(),
@@ -201,7 +201,7 @@
         }
     }
 
-    fn take_hinted_estimates(
+    fn apply_hinted_estimates(
         &mut self,
         now: Time,
         age_ms: u64,
@@ -219,14 +219,14 @@
             if let Some(class) = class_of(name) {
                 let pool: Pool = (class, *spot);
                 self.bursts
-                    .insert(pool, BurstEstimate::told(told_at, *squares));
+                    .insert(pool, BurstEstimate::observed(told_at, *squares));
             }
         }
     }
 
     /// Which images a machine has isn't in its reports: what the leader before this holder told
     /// of it is where starts are tried first.
-    pub(crate) fn take_hinted_images(
+    pub(crate) fn apply_hinted_images(
         &mut self,
         id: &MachineId,
         hints: &HintStore,
--- a/src/controller/machines/commands.rs
+++ b/src/controller/machines/commands.rs
@@ -13,8 +13,8 @@
 
 impl Controller {
     /// Answers a waiting report now, if there is one and a command for it.
-    pub(crate) fn answer_held(&mut self, id: &MachineId) {
-        let held = self.owner.as_ref().and_then(|h| h.machines.get(id)?.held);
+    pub(crate) fn answer_long_poll(&mut self, id: &MachineId) {
+        let held = self.owner.as_ref().and_then(|h| h.machines.get(id)?.long_poll);
         let Some((request_id, until)) = held else {
             return;
         };
@@ -23,26 +23,26 @@
             return;
         }
         if let Some(h) = &mut self.owner {
-            h.releases.remove(&(until, id.clone()));
+            h.long_poll_deadlines.remove(&(until, id.clone()));
         }
         self.send_commands(id, request_id, &commands);
     }
 
     /// Answers the reports whose time to wait is over.
-    pub(crate) fn release_reports(&mut self) {
+    pub(crate) fn answer_due_long_polls(&mut self) {
         loop {
             let now = self.now;
             let Some(h) = &mut self.owner else {
                 return;
             };
-            match h.releases.first() {
+            match h.long_poll_deadlines.first() {
                 Some((until, _)) if *until <= now => {}
                 _ => return,
             }
-            let Some((_, id)) = h.releases.pop_first() else {
+            let Some((_, id)) = h.long_poll_deadlines.pop_first() else {
                 return;
             };
-            let Some((request_id, _)) = h.machines.get(&id).and_then(|m| m.held) else {
+            let Some((request_id, _)) = h.machines.get(&id).and_then(|m| m.long_poll) else {
                 continue;
             };
             let commands = self.commands(&id, &[]);
@@ -61,10 +61,10 @@
             return;
         };
         h.machines.touch(id, |m| {
-            m.answered = now;
-            m.held = None;
+            m.last_acknowledged = now;
+            m.long_poll = None;
         });
-        let body = commands_body(h.number, commands);
+        let body = commands_body(h.token, commands);
         self.answer(request_id, Reply::ok(200, body));
     }
 
@@ -77,24 +77,24 @@
         let Some(h) = &mut self.owner else {
             return Vec::new();
         };
-        let strays = listed.iter();
-        let strays = strays.filter_map(|l| stray_command(h, id, &l.task, l.report));
-        let mut out: Vec<Command> = strays.collect();
+        let unassigned = listed.iter();
+        let unassigned = unassigned.filter_map(|l| unplaced_command(h, id, &l.task, l.report));
+        let mut out: Vec<Command> = unassigned.collect();
         let ShardOwner { machines, jobs, .. } = &mut **h;
         let Some(m) = machines.get(id) else {
             return out;
         };
-        let starts = !is_stale && m.doomed.is_none();
+        let starts = !is_stale && m.decommission_at.is_none();
         for task in m.tasks.keys() {
-            let Some(live) = jobs.get_mut(&task.job) else {
+            let Some(job_state) = jobs.get_mut(&task.job) else {
                 continue;
             };
-            let save_s = live.record.save_s;
-            let grace = live.cancelled.is_none() && live.record.checkpoint_s > 0.0;
-            let Some(p) = live.placed.get_mut(&task.index) else {
+            let save_s = job_state.record.save_s;
+            let grace = job_state.cancelled.is_none() && job_state.record.checkpoint_s > 0.0;
+            let Some(p) = job_state.placed.get_mut(&task.index) else {
                 continue;
             };
-            match (p.halted, p.phase) {
+            match (p.stop_requested, p.phase) {
                 (None, Phase::Ready) if starts => {
                     (p.phase, p.since) = (Phase::Sent, now);
                     p.sends += 1;
@@ -123,14 +123,14 @@
 }
 
 /// What to do about a listed attempt that isn't a present placement.
-fn stray_command(
+fn unplaced_command(
     h: &ShardOwner,
     id: &MachineId,
     task: &TaskId,
     t: &HeartbeatTask,
 ) -> Option<Command> {
-    let live = h.jobs.get(&task.job);
-    let placed = live.and_then(|l| l.placed.get(&task.index));
+    let job_state = h.jobs.get(&task.job);
+    let placed = job_state.and_then(|l| l.placed.get(&task.index));
     if placed.is_some_and(|p| p.machine == *id && p.attempt == t.attempt) {
         return None;
     }
@@ -144,7 +144,7 @@
     }
     // A result is cleared only once it is written: after a clear, nothing else
     // tells that the task is done.
-    let unwritten = live.is_some_and(|l| {
+    let unwritten = job_state.is_some_and(|l| {
         let chunk = l.layout.chunk_of(task.index);
         t.cause == Some(Cause::Done)
             && l.cancelled.is_none()
--- a/src/controller/machines/failures.rs
+++ b/src/controller/machines/failures.rs
@@ -14,19 +14,19 @@
 /// Jobs that failed on a machine, of which one succeeded elsewhere, that prove it as well.
 const FAULTY_SUSPECTED: usize = 3;
 /// How long a machine rests after a failure, in seconds; doubles with each job that failed.
-const REST_S: f64 = 5.0;
+const QUARANTINE_S: f64 = 5.0;
 /// Longest rest while no job that failed there has succeeded elsewhere, and once one has.
-const REST_SUSPECTED_MAX_S: f64 = 20.0;
-const REST_PROVEN_MAX_S: f64 = 120.0;
+const QUARANTINE_SUSPECTED_MAX_S: f64 = 20.0;
+const QUARANTINE_PROVEN_MAX_S: f64 = 120.0;
 /// A job that failed on this many machines without any success between is flawed.
-const FLAWED_MACHINES: usize = 3;
+const CRASH_LOOP_MACHINES: usize = 3;
 /// Machines remembered of each job's failures.
 const MACHINES_MAX: usize = 8;
 /// Failures of one job on one machine within this time are one failed try: the tasks of an
 /// array that were started there together.
 const SAME_TRY_S: f64 = 2.0;
 /// After so many failed tries in a row a job doesn't make the fleet grow.
-const HOPELESS_TRIES: u32 = 6;
+const UNPLACEABLE_TRIES: u32 = 6;
 /// So many failed tries in a row are followed by the next at once, with all tasks: mostly they
 /// are the machine's fault.
 const PROMPT_TRIES: u32 = 2;
@@ -53,8 +53,8 @@
         }
     }
 
-    fn flawed(&self) -> bool {
-        self.tries as usize >= FLAWED_MACHINES && self.machines.len() >= FLAWED_MACHINES
+    fn is_crash_looping(&self) -> bool {
+        self.tries as usize >= CRASH_LOOP_MACHINES && self.machines.len() >= CRASH_LOOP_MACHINES
     }
 }
 
@@ -65,32 +65,32 @@
     suspected_by: BTreeSet<JobId>,
     /// Those of them that have succeeded elsewhere.
     proven_by: BTreeSet<JobId>,
-    rest_until: Time,
+    quarantined_until: Time,
 }
 
 impl MachineFailures {
-    fn faulty(&self) -> bool {
+    fn is_faulty(&self) -> bool {
         let proven = self.proven_by.len();
         proven >= FAULTY_PROVEN || proven > 0 && self.suspected_by.len() >= FAULTY_SUSPECTED
     }
 
-    fn blame(&mut self, now: Time, job: &JobId) {
+    fn attribute_failure(&mut self, now: Time, job: &JobId) {
         self.suspected_by.insert(job.clone());
         let doublings = self.suspected_by.len() - 1;
-        let rest_s = REST_S * 2f64.powi(doublings.min(16) as i32);
+        let rest_s = QUARANTINE_S * 2f64.powi(doublings.min(16) as i32);
         let most_s = if self.proven_by.is_empty() {
-            REST_SUSPECTED_MAX_S
+            QUARANTINE_SUSPECTED_MAX_S
         } else {
-            REST_PROVEN_MAX_S
+            QUARANTINE_PROVEN_MAX_S
         };
-        self.rest_until = now.after(rest_s.min(most_s));
+        self.quarantined_until = now.after(rest_s.min(most_s));
     }
 
-    fn absolve(&mut self, job: &JobId) {
+    fn clear_failures(&mut self, job: &JobId) {
         self.suspected_by.remove(job);
         self.proven_by.remove(job);
         if self.suspected_by.is_empty() {
-            self.rest_until = Time(0);
+            self.quarantined_until = Time(0);
         }
     }
 }
@@ -108,11 +108,11 @@
         let failures = self.jobs.entry(job.clone()).or_default();
         failures.note(now, machine);
         let tries = failures.tries;
-        if failures.flawed() {
-            self.absolve_machines(job);
+        if failures.is_crash_looping() {
+            self.clear_machine_failures(job);
         } else {
             let on = self.machines.entry(machine.clone()).or_default();
-            on.blame(now, job);
+            on.attribute_failure(now, job);
         }
         tries
     }
@@ -129,7 +129,7 @@
             let Some(on) = self.machines.get_mut(id) else {
                 continue;
             };
-            if on.suspected_by.contains(job) && on.proven_by.insert(job.clone()) && on.faulty() {
+            if on.suspected_by.contains(job) && on.proven_by.insert(job.clone()) && on.is_faulty() {
                 faulty.push(id.clone());
             }
         }
@@ -144,12 +144,12 @@
         let failures = self.jobs.entry(job.clone()).or_default();
         failures.tries = failures.tries.max(tries);
         failures.machines.extend(machines.iter().cloned());
-        if failures.flawed() {
-            return self.absolve_machines(job);
+        if failures.is_crash_looping() {
+            return self.clear_machine_failures(job);
         }
         for machine in machines {
             let on = self.machines.entry(machine.clone()).or_default();
-            on.blame(now, job);
+            on.attribute_failure(now, job);
         }
     }
 
@@ -176,9 +176,9 @@
     }
 
     /// Whether a job has failed so often that no machine is rented for it.
-    pub fn hopeless(&self, job: &JobId) -> bool {
+    pub fn unplaceable(&self, job: &JobId) -> bool {
         let failures = self.jobs.get(job);
-        failures.is_some_and(|f| f.tries >= HOPELESS_TRIES)
+        failures.is_some_and(|f| f.tries >= UNPLACEABLE_TRIES)
     }
 
     /// How long a job waits before its next try, in seconds.
@@ -191,9 +191,9 @@
     }
 
     /// Whether a machine may be given tasks.
-    pub fn rested(&self, machine: &MachineId, now: Time) -> bool {
+    pub fn may_run_tasks(&self, machine: &MachineId, now: Time) -> bool {
         let on = self.machines.get(machine);
-        on.is_none_or(|on| now >= on.rest_until)
+        on.is_none_or(|on| now >= on.quarantined_until)
     }
 
     /// Forgets a job that is over.
@@ -205,7 +205,7 @@
             if let Some(on) = self.machines.get_mut(&machine)
                 && !on.proven_by.contains(job)
             {
-                on.absolve(job);
+                on.clear_failures(job);
             }
         }
     }
@@ -215,13 +215,13 @@
         self.machines.remove(machine);
     }
 
-    fn absolve_machines(&mut self, job: &JobId) {
+    fn clear_machine_failures(&mut self, job: &JobId) {
         let Some(failures) = self.jobs.get(job) else {
             return;
         };
         for machine in &failures.machines {
             if let Some(on) = self.machines.get_mut(machine) {
-                on.absolve(job);
+                on.clear_failures(job);
             }
         }
     }
--- a/src/controller/machines/heartbeats.rs
+++ b/src/controller/machines/heartbeats.rs
@@ -5,7 +5,7 @@
 use crate::controller::shard::ShardOwner;
 use crate::controller::shard::job::Phase;
 use crate::controller::store::records::JobKind;
-use crate::controller::{Controller, GATHER_MS};
+use crate::controller::{BATCH_MS, Controller};
 use crate::ids::{Attempt, MachineId, RequestId, TaskId, Time};
 use crate::wire::{Cause, HeartbeatTask, MachineType, TaskStatus, WorkerHeartbeat, commands_body};
 use log::{debug, info, warn};
@@ -26,7 +26,7 @@
 const UNKNOWN_PAUSES: u32 = 8;
 
 impl Controller {
-    pub(crate) fn on_shard_report(
+    pub(crate) fn on_owned_heartbeat(
         &mut self,
         request_id: RequestId,
         id: &MachineId,
@@ -38,22 +38,22 @@
         };
         h.heard = now;
         // Somebody newer gives commands. Its answers count, ours would be dropped.
-        if report.number > h.number.0 {
-            return self.steer(request_id, id);
+        if report.token > h.token.0 {
+            return self.redirect(request_id, id);
         }
         if h.gone.contains_key(id) {
             return self.answer(request_id, Reply::later(503, 5, "this machine is deleted"));
         }
-        self.adopt(id, &report);
+        self.adopt_unknown_machine(id, &report);
         let Some(h) = &mut self.owner else {
             return;
         };
-        let number = h.number;
-        let proof = report.number == number.0;
-        let via = self.forwarding.carrier(request_id);
+        let token = h.token;
+        let proof = report.token == token.0;
+        let forwarded_by = self.forwarding.forwarder(request_id);
         let taken = h.machines.edit(id, |m| {
-            m.via = via;
-            m.take_report(now, &report, proof)
+            m.forwarded_by = forwarded_by;
+            m.record_heartbeat(now, &report, proof)
         });
         let Some(taken) = taken else {
             return;
@@ -61,29 +61,29 @@
         if !taken.fresh {
             // A copy, or overtaken by a newer one: it is answered, since its worker
             // may still wait, but nothing in it is news.
-            return self.answer(request_id, Reply::ok(200, commands_body(number, &[])));
+            return self.answer(request_id, Reply::ok(200, commands_body(token, &[])));
         }
         if taken.first {
             debug!(
                 "first report of machine {id}: session {}, number {}, {} tasks",
-                report.session,
-                report.number,
+                report.agent_epoch,
+                report.token,
                 report.tasks.len()
             );
-            h.take_hinted_images(id, self.standby.hints(), &self.catalog);
+            h.apply_hinted_images(id, self.standby.hints(), &self.catalog);
         }
         if taken.born {
-            h.place_wanted = true;
-            h.note_birth(&self.catalog, id, now);
+            h.scheduling_wanted = true;
+            h.record_boot(&self.catalog, id, now);
         }
         if let Some((old, until)) = taken.held {
-            h.releases.remove(&(until, id.clone()));
-            self.answer(old, Reply::ok(200, commands_body(number, &[])));
+            h.long_poll_deadlines.remove(&(until, id.clone()));
+            self.answer(old, Reply::ok(200, commands_body(token, &[])));
         }
         let listed = listed_tasks(&report);
-        self.read_tasks(id, &listed, proof);
+        self.update_tasks(id, &listed, proof);
         let commands = self.commands(id, &listed);
-        if commands.is_empty() && self.hold_report(id, request_id) {
+        if commands.is_empty() && self.start_long_poll(id, request_id) {
             return;
         }
         self.send_commands(id, request_id, &commands);
@@ -91,7 +91,7 @@
 
     /// A machine nobody here knows reports: an earlier leader's, or one whose rental
     /// was carried out late. It is used, or returned when it isn't wanted.
-    fn adopt(&mut self, id: &MachineId, report: &WorkerHeartbeat) {
+    fn adopt_unknown_machine(&mut self, id: &MachineId, report: &WorkerHeartbeat) {
         let now = self.now;
         let Some(h) = &mut self.owner else {
             return;
@@ -100,8 +100,9 @@
         if h.machines.contains_key(id) {
             // It may be known by name only, or from before the catalogue was.
             if h.machines.get(id).is_some_and(|m| m.class == usize::MAX) {
-                let learn = |m: &mut Machine| m.learn(&self.catalog, class, zone, spot);
-                h.machines.edit(id, learn);
+                let set_machine_type =
+                    |m: &mut Machine| m.set_machine_type(&self.catalog, class, zone, spot);
+                h.machines.edit(id, set_machine_type);
             }
             return;
         }
@@ -111,7 +112,7 @@
 
     /// Whether the answer may wait for a command. Only a quiet report waits, and
     /// less long than until the next one is due.
-    fn hold_report(&mut self, id: &MachineId, request_id: RequestId) -> bool {
+    fn start_long_poll(&mut self, id: &MachineId, request_id: RequestId) -> bool {
         let Some(h) = &mut self.owner else {
             return false;
         };
@@ -122,31 +123,32 @@
         let ends = m.tasks.values().any(|s| s.record.kind == JobKind::Batch);
         let poll_s = self.settings.hold_s(ends);
         // A worker without our number yet gets it at once.
-        if poll_s <= 0.0 || !m.shown {
+        if poll_s <= 0.0 || !m.token_acknowledged {
             return false;
         }
         let until = match m.is_full() {
             // No start comes for it, and its lease counts from its last answered report.
-            true => self.now.next_multiple(GATHER_MS),
+            true => self.now.next_multiple(BATCH_MS),
             false => answer_at(self.now, poll_s),
         };
-        h.machines.touch(id, |m| m.held = Some((request_id, until)));
-        h.releases.insert((until, id.clone()));
+        h.machines
+            .touch(id, |m| m.long_poll = Some((request_id, until)));
+        h.long_poll_deadlines.insert((until, id.clone()));
         true
     }
 
     /// Takes in what a report lists, and what it doesn't.
-    fn read_tasks(&mut self, id: &MachineId, listed: &[ListedTask<'_>], proof: bool) {
+    fn update_tasks(&mut self, id: &MachineId, listed: &[ListedTask<'_>], proof: bool) {
         for entry in listed {
-            self.read_task(id, &entry.task, entry.report);
+            self.update_task(id, &entry.task, entry.report);
         }
         if proof {
-            self.miss_tasks(id, listed);
+            self.remove_unlisted_tasks(id, listed);
         }
     }
 
     /// What a report that proves absence doesn't list isn't on its machine.
-    fn miss_tasks(&mut self, id: &MachineId, listed: &[ListedTask<'_>]) {
+    fn remove_unlisted_tasks(&mut self, id: &MachineId, listed: &[ListedTask<'_>]) {
         let now = self.now;
         let Some(h) = &mut self.owner else {
             return;
@@ -157,8 +159,8 @@
         };
         let mut gone = Vec::new();
         for task in m.tasks.keys() {
-            let live = jobs.get_mut(&task.job);
-            let Some(p) = live.and_then(|l| l.placed.get_mut(&task.index)) else {
+            let job_state = jobs.get_mut(&task.job);
+            let Some(p) = job_state.and_then(|l| l.placed.get_mut(&task.index)) else {
                 continue;
             };
             if listed.iter().any(|l| l.is(task, p.attempt)) {
@@ -169,25 +171,27 @@
                 // The answer that carried the start was lost: its worker reported
                 // again, so it has dropped that answer for good. The same attempt
                 // was never there, so it can be sent once more.
-                Phase::Sent if p.halted.is_none() && p.sends < SENDS_MAX => p.phase = Phase::Ready,
+                Phase::Sent if p.stop_requested.is_none() && p.sends < SENDS_MAX => {
+                    p.phase = Phase::Ready
+                }
                 _ => gone.push(task.clone()),
             }
         }
         for task in gone {
             debug!("task {task} is gone from {id}");
-            h.take(now, &task);
+            h.remove_placement(now, &task);
         }
     }
 
-    fn read_task(&mut self, id: &MachineId, task: &TaskId, t: &HeartbeatTask) {
+    fn update_task(&mut self, id: &MachineId, task: &TaskId, t: &HeartbeatTask) {
         let now = self.now;
         let Some(h) = &mut self.owner else {
             return;
         };
-        let Some(live) = h.jobs.get_mut(&task.job) else {
+        let Some(job_state) = h.jobs.get_mut(&task.job) else {
             return;
         };
-        let Some(p) = live.placed.get_mut(&task.index) else {
+        let Some(p) = job_state.placed.get_mut(&task.index) else {
             return;
         };
         if p.machine != *id || p.attempt != t.attempt {
@@ -197,7 +201,7 @@
             TaskStatus::Fetching => Phase::Fetching,
             TaskStatus::Running => Phase::Running,
             TaskStatus::Flushing => Phase::Flushing,
-            TaskStatus::Ended => return self.read_end(id, task, t.cause),
+            TaskStatus::Ended => return self.on_task_ended(id, task, t.cause),
         };
         if p.phase == phase {
             let runs_well = phase == Phase::Running && now.since(p.since) > RUNS_WELL_S;
@@ -211,11 +215,11 @@
         if phase == Phase::Fetching {
             return;
         }
-        let record = live.record.clone();
+        let record = job_state.record.clone();
         let catalog = &self.catalog;
         h.machines.edit(id, |m| {
-            if let Some(seat) = m.tasks.get_mut(task) {
-                seat.settled = true;
+            if let Some(bind) = m.tasks.get_mut(task) {
+                bind.image_cached = true;
             }
             if phase == Phase::Running {
                 let cache_gb = catalog.get(m.class).map_or(f64::MAX, |c| c.cache_gb);
@@ -225,7 +229,7 @@
     }
 
     /// An attempt ended. That it did is true however old the report is.
-    fn read_end(&mut self, id: &MachineId, task: &TaskId, cause: Option<Cause>) {
+    fn on_task_ended(&mut self, id: &MachineId, task: &TaskId, cause: Option<Cause>) {
         let now = self.now;
         let Some(h) = &mut self.owner else {
             return;
@@ -233,7 +237,7 @@
         match cause {
             Some(Cause::Done) => {
                 h.task_succeeded(now, id, task);
-                return h.set_done(now, task);
+                return h.record_done(now, task);
             }
             Some(Cause::Error) => self.task_failed(id, task),
             Some(Cause::Full) => {
@@ -242,16 +246,16 @@
             }
             Some(Cause::Unknown) => {
                 // Its description isn't there yet, or never will be.
-                if let Some(live) = h.jobs.get_mut(&task.job) {
-                    live.unknown_starts += 1;
-                    let pauses = live.unknown_starts.min(UNKNOWN_PAUSES);
-                    live.not_before = now.after(UNKNOWN_PAUSE_S * f64::from(pauses));
+                if let Some(job_state) = h.jobs.get_mut(&task.job) {
+                    job_state.unknown_starts += 1;
+                    let pauses = job_state.unknown_starts.min(UNKNOWN_PAUSES);
+                    job_state.not_before = now.after(UNKNOWN_PAUSE_S * f64::from(pauses));
                 }
             }
             _ => {}
         }
         if let Some(h) = &mut self.owner {
-            h.take(now, task);
+            h.remove_placement(now, task);
         }
     }
 
@@ -260,11 +264,11 @@
         let Some(h) = &mut self.owner else {
             return;
         };
-        let Some(live) = h.jobs.get_mut(&task.job) else {
+        let Some(job_state) = h.jobs.get_mut(&task.job) else {
             return;
         };
         let tries = h.failures.task_failed(now, &task.job, id);
-        live.not_before = now.after(h.failures.pause_s(&task.job));
+        job_state.not_before = now.after(h.failures.pause_s(&task.job));
         warn!("task {task} failed on {id}, failed try {tries} in a row");
     }
 }
@@ -295,7 +299,7 @@
 /// there is a moment for it meanwhile.
 fn answer_at(now: Time, hold_s: f64) -> Time {
     let most = now.after(hold_s);
-    let together = most.round_down(GATHER_MS);
+    let together = most.round_down(BATCH_MS);
     if together > now { together } else { most }
 }
 
@@ -313,11 +317,11 @@
 
 impl Machine {
     /// Takes in all of a report but its tasks. An answer follows in any case.
-    fn take_report(&mut self, now: Time, report: &WorkerHeartbeat, proof: bool) -> Taken {
-        let fresh = (report.session, report.seq) > (self.session, self.seq);
-        let born = fresh && self.up.is_none();
+    fn record_heartbeat(&mut self, now: Time, report: &WorkerHeartbeat, proof: bool) -> Taken {
+        let fresh = (report.agent_epoch, report.sequence) > (self.agent_epoch, self.sequence);
+        let born = fresh && self.ready_since.is_none();
         if !fresh {
-            self.answered = now;
+            self.last_acknowledged = now;
             return Taken {
                 fresh,
                 first: false,
@@ -325,23 +329,24 @@
                 held: None,
             };
         }
-        (self.session, self.seq, self.seen) = (report.session, report.seq, now);
-        let first = self.heard.is_none();
-        self.heard.get_or_insert(now);
-        self.shown |= proof;
+        (self.agent_epoch, self.sequence, self.last_heartbeat) =
+            (report.agent_epoch, report.sequence, now);
+        let first = self.first_heartbeat.is_none();
+        self.first_heartbeat.get_or_insert(now);
+        self.token_acknowledged |= proof;
         if born {
-            self.up = Some(now);
+            self.ready_since = Some(now);
             self.empty.get_or_insert(now);
             let boot = now.since(self.since);
             info!(
                 "machine {} ({}, {}) is up after {boot:.0} s",
-                report.machine, self.class_name, self.zone
+                report.machine, self.type_name, self.zone
             );
         }
         self.notice = report.notice_s.map(|s| now.after(s.0));
-        let held = self.held.take();
+        let held = self.long_poll.take();
         if held.is_some() {
-            self.answered = now;
+            self.last_acknowledged = now;
         }
         Taken {
             fresh,
@@ -354,7 +359,7 @@
 
 impl ShardOwner {
     /// A machine came up. One that was merely heard of late tells nothing of its boot.
-    fn note_birth(&mut self, catalog: &[MachineType], id: &MachineId, now: Time) {
+    fn record_boot(&mut self, catalog: &[MachineType], id: &MachineId, now: Time) {
         let Some(m) = self.machines.get(id) else {
             return;
         };
@@ -362,7 +367,7 @@
         if let Some(ready_s) = catalog.get(class).map(|c| c.ready_s)
             && took_s > ready_s * LEAST_BOOT
         {
-            self.note_boot(class, ready_s, took_s);
+            self.observe_boot_time(class, ready_s, took_s);
         }
     }
 }
--- a/src/controller/machines/inventory.rs
+++ b/src/controller/machines/inventory.rs
@@ -17,7 +17,7 @@
 pub struct Binding {
     pub record: Rc<JobRecord>,
     /// Its image is there.
-    pub settled: bool,
+    pub image_cached: bool,
 }
 
 /// A machine of the block.
@@ -25,7 +25,7 @@
 pub struct Machine {
     /// Its type's place in the catalogue; `usize::MAX` while that isn't known.
     pub class: usize,
-    pub class_name: Rc<str>,
+    pub type_name: Rc<str>,
     /// What its type has.
     pub resources: Resources,
     pub zone: Rc<str>,
@@ -33,96 +33,96 @@
     /// When it was rented or first heard of.
     pub since: Time,
     /// When its first report came; `None` while it boots.
-    pub up: Option<Time>,
-    pub session: u64,
-    pub seq: u64,
+    pub ready_since: Option<Time>,
+    pub agent_epoch: u64,
+    pub sequence: u64,
     /// A report showed that it has this block's number.
-    pub shown: bool,
-    pub seen: Time,
+    pub token_acknowledged: bool,
+    pub last_heartbeat: Time,
     /// When this holder first had a report of it.
-    pub heard: Option<Time>,
+    pub first_heartbeat: Option<Time>,
     /// The sibling that handed on its latest report; `None` if it came here.
-    pub via: Option<ControllerId>,
+    pub forwarded_by: Option<ControllerId>,
     /// When this process last answered one of its reports with 200.
-    pub answered: Time,
+    pub last_acknowledged: Time,
     pub notice: Option<Time>,
     pub tasks: BTreeMap<TaskId, Binding>,
     pub used: Resources,
     /// To be deleted, at this moment even if tasks are left on it. Nothing is placed
     /// on it any more.
-    pub doomed: Option<Time>,
+    pub decommission_at: Option<Time>,
     pub deleting: bool,
     /// The request that waits for a command, and until when.
-    pub held: Option<(RequestId, Time)>,
+    pub long_poll: Option<(RequestId, Time)>,
     /// Images it should have, latest use last.
     pub images: Vec<(Image, f64)>,
     /// Since when it has had no task.
     pub empty: Option<Time>,
     /// Its work would fit elsewhere: it gets nothing new while there is another place.
-    pub closing: bool,
+    pub cordoned: bool,
     /// A start was refused for want of room.
     pub full_until: Time,
     /// Where the indexes have it.
-    filed: Option<IndexEntry>,
+    indexed: Option<IndexEntry>,
 }
 
 impl Machine {
     pub(crate) fn new(
         catalog: &[MachineType],
-        class_name: &str,
+        type_name: &str,
         zone: &str,
         spot: bool,
         now: Time,
     ) -> Self {
         let mut machine = Self {
             class: usize::MAX,
-            class_name: class_name.into(),
+            type_name: type_name.into(),
             resources: Resources::default(),
             zone: zone.into(),
             spot,
             since: now,
-            up: None,
-            session: 0,
-            seq: 0,
-            shown: false,
-            seen: now,
-            heard: None,
-            via: None,
-            answered: now,
+            ready_since: None,
+            agent_epoch: 0,
+            sequence: 0,
+            token_acknowledged: false,
+            last_heartbeat: now,
+            first_heartbeat: None,
+            forwarded_by: None,
+            last_acknowledged: now,
             notice: None,
             tasks: BTreeMap::new(),
             used: Resources::default(),
-            doomed: None,
+            decommission_at: None,
             deleting: false,
-            held: None,
+            long_poll: None,
             images: Vec::new(),
             empty: Some(now),
-            closing: false,
+            cordoned: false,
             full_until: Time(0),
-            filed: None,
+            indexed: None,
         };
-        machine.find_class(catalog);
+        machine.resolve_machine_type(catalog);
         machine
     }
 
     /// Looks its type up in the catalogue.
-    pub(crate) fn find_class(&mut self, catalog: &[MachineType]) {
-        let class = catalog.iter().position(|c| *c.name == *self.class_name);
+    pub(crate) fn resolve_machine_type(&mut self, catalog: &[MachineType]) {
+        let class = catalog.iter().position(|c| *c.name == *self.type_name);
         self.class = class.unwrap_or(usize::MAX);
         self.resources = class.map_or(Resources::default(), |c| catalog[c].resources);
     }
 
     /// What a machine that was known by name only is.
-    pub(crate) fn learn(
+    pub(crate) fn set_machine_type(
         &mut self,
         catalog: &[MachineType],
-        class_name: &str,
+        type_name: &str,
         zone: &str,
         spot: bool,
     ) {
         if self.class == usize::MAX {
-            (self.class_name, self.zone, self.spot) = (class_name.into(), zone.into(), spot);
-            self.find_class(catalog);
+            (self.type_name, self.zone, self.spot) = (type_name.into(), zone.into(), spot);
+            self.resolve_machine_type(catalog);
         }
     }
 
@@ -155,7 +155,7 @@
     }
 
     /// Enters a task: its room counts from now on.
-    pub(crate) fn seat(&mut self, task: TaskId, record: &Rc<JobRecord>) {
+    pub(crate) fn bind(&mut self, task: TaskId, record: &Rc<JobRecord>) {
         self.used.add(record.need, 1.0);
         self.empty = None;
         let record = record.clone();
@@ -163,21 +163,21 @@
             task,
             Binding {
                 record,
-                settled: false,
+                image_cached: false,
             },
         );
     }
 
     /// Replaces the description of a task's job.
-    pub(crate) fn reseat(&mut self, task: &TaskId, record: &Rc<JobRecord>) {
-        if let Some(seat) = self.tasks.get_mut(task) {
-            seat.record = record.clone();
+    pub(crate) fn rebind(&mut self, task: &TaskId, record: &Rc<JobRecord>) {
+        if let Some(bind) = self.tasks.get_mut(task) {
+            bind.record = record.clone();
         }
     }
 
-    pub(crate) fn unseat(&mut self, now: Time, task: &TaskId) {
-        if let Some(seat) = self.tasks.remove(task) {
-            self.used.add(seat.record.need, -1.0);
+    pub(crate) fn unbind(&mut self, now: Time, task: &TaskId) {
+        if let Some(bind) = self.tasks.remove(task) {
+            self.used.add(bind.record.need, -1.0);
         }
         if self.tasks.is_empty() {
             self.used = Resources::default();
@@ -186,26 +186,26 @@
     }
 
     /// Whether it can be given tasks, but for what passes by itself.
-    fn open(&self) -> bool {
-        let staying = self.doomed.is_none() && self.notice.is_none();
-        self.up.is_some() && staying && self.session > 0 && self.class != usize::MAX
+    fn is_schedulable(&self) -> bool {
+        let staying = self.decommission_at.is_none() && self.notice.is_none();
+        self.ready_since.is_some() && staying && self.agent_epoch > 0 && self.class != usize::MAX
     }
 
-    fn filing(&self) -> IndexEntry {
+    fn index_entry(&self) -> IndexEntry {
         IndexEntry {
-            open: self.open().then(|| self.shelf()),
-            leaving: self.doomed.is_some() || self.notice.is_some(),
-            booting: self.up.is_none() && self.doomed.is_none(),
+            schedulable: self.is_schedulable().then(|| self.capacity_bucket()),
+            leaving: self.decommission_at.is_some() || self.notice.is_some(),
+            booting: self.ready_since.is_none() && self.decommission_at.is_none(),
         }
     }
 
-    fn shelf(&self) -> (CapacityBucket, u64, Option<PriorityClass>) {
+    fn capacity_bucket(&self) -> (CapacityBucket, u64, Option<PriorityClass>) {
         let free = self.free();
         let step = |free: f64, all: f64| {
             let share = if all > 0.0 { free / all } else { 1.0 };
             (share * STEPS + EDGE).clamp(0.0, STEPS) as u8
         };
-        let shelf = CapacityBucket {
+        let capacity_bucket = CapacityBucket {
             class: self.class,
             spot: self.spot,
             zone: self.zone.clone(),
@@ -215,7 +215,7 @@
         };
         let share = (1.0 - self.used.share_of(self.resources)).clamp(0.0, 1.0);
         let lowest = self.tasks.values().map(|s| s.record.priority_class).min();
-        (shelf, (share * PARTS) as u64, lowest)
+        (capacity_bucket, (share * PARTS) as u64, lowest)
     }
 }
 
@@ -255,14 +255,14 @@
 #[derive(Clone, Debug, PartialEq)]
 struct IndexEntry {
     /// Its shelf, the free part of it, and the lowest rank of its tasks.
-    open: Option<(CapacityBucket, u64, Option<PriorityClass>)>,
+    schedulable: Option<(CapacityBucket, u64, Option<PriorityClass>)>,
     leaving: bool,
     booting: bool,
 }
 
 #[derive(Debug, Default)]
 struct Index {
-    shelves: BTreeMap<CapacityBucket, BTreeSet<MachineId>>,
+    buckets: BTreeMap<CapacityBucket, BTreeSet<MachineId>>,
     /// Open machines with tasks, by the lowest rank among these.
     ranked: BTreeMap<(usize, bool, PriorityClass), BTreeSet<MachineId>>,
     /// Free parts of open machines, by type and kind.
@@ -272,24 +272,27 @@
 }
 
 impl Index {
-    fn file(&mut self, id: &MachineId, m: &mut Machine) {
-        let new = m.filing();
-        if m.filed.as_ref() == Some(&new) {
+    fn update_entry(&mut self, id: &MachineId, m: &mut Machine) {
+        let new = m.index_entry();
+        if m.indexed.as_ref() == Some(&new) {
             return;
         }
-        self.unfile(id, m);
-        self.enter(id, &new);
-        m.filed = Some(new);
+        self.remove_entry(id, m);
+        self.add_entry(id, &new);
+        m.indexed = Some(new);
     }
 
-    fn enter(&mut self, id: &MachineId, new: &IndexEntry) {
-        if let Some((shelf, free, lowest)) = &new.open {
-            *self.free.entry((shelf.class, shelf.spot)).or_default() += free;
+    fn add_entry(&mut self, id: &MachineId, new: &IndexEntry) {
+        if let Some((capacity_bucket, free, lowest)) = &new.schedulable {
+            *self
+                .free
+                .entry((capacity_bucket.class, capacity_bucket.spot))
+                .or_default() += free;
             if let Some(priority_class) = lowest {
-                let key = (shelf.class, shelf.spot, *priority_class);
+                let key = (capacity_bucket.class, capacity_bucket.spot, *priority_class);
                 self.ranked.entry(key).or_default().insert(id.clone());
             }
-            let machines = self.shelves.entry(shelf.clone()).or_default();
+            let machines = self.buckets.entry(capacity_bucket.clone()).or_default();
             machines.insert(id.clone());
         }
         if new.leaving {
@@ -300,20 +303,23 @@
         }
     }
 
-    fn unfile(&mut self, id: &MachineId, m: &mut Machine) {
-        let Some(old) = m.filed.take() else {
+    fn remove_entry(&mut self, id: &MachineId, m: &mut Machine) {
+        let Some(old) = m.indexed.take() else {
             return;
         };
-        if let Some((shelf, free, lowest)) = &old.open {
-            *self.free.entry((shelf.class, shelf.spot)).or_default() -= free;
+        if let Some((capacity_bucket, free, lowest)) = &old.schedulable {
+            *self
+                .free
+                .entry((capacity_bucket.class, capacity_bucket.spot))
+                .or_default() -= free;
             if let Some(priority_class) = lowest {
                 drop_from(
                     &mut self.ranked,
-                    &(shelf.class, shelf.spot, *priority_class),
+                    &(capacity_bucket.class, capacity_bucket.spot, *priority_class),
                     id,
                 );
             }
-            drop_from(&mut self.shelves, shelf, id);
+            drop_from(&mut self.buckets, capacity_bucket, id);
         }
         self.leaving.remove(id);
         self.booting.remove(id);
@@ -368,13 +374,13 @@
 
     pub(crate) fn insert(&mut self, id: MachineId, mut machine: Machine) {
         self.remove(&id);
-        self.index.file(&id, &mut machine);
+        self.index.update_entry(&id, &mut machine);
         self.all.insert(id, machine);
     }
 
     pub(crate) fn remove(&mut self, id: &MachineId) -> Option<Machine> {
         let mut machine = self.all.remove(id)?;
-        self.index.unfile(id, &mut machine);
+        self.index.remove_entry(id, &mut machine);
         Some(machine)
     }
 
@@ -394,14 +400,14 @@
     ) -> Option<R> {
         let machine = self.all.get_mut(id)?;
         let result = change(machine);
-        self.index.file(id, machine);
+        self.index.update_entry(id, machine);
         Some(result)
     }
 
     pub(crate) fn edit_all(&mut self, mut change: impl FnMut(&mut Machine)) {
         for (id, machine) in &mut self.all {
             change(machine);
-            self.index.file(id, machine);
+            self.index.update_entry(id, machine);
         }
     }
 
@@ -412,18 +418,22 @@
         need: Resources,
         fits: impl Fn(usize, bool, &Rc<str>) -> bool,
     ) -> impl Iterator<Item = (&MachineId, &Machine)> {
-        let wide = move |shelf: &CapacityBucket, ids: &BTreeSet<MachineId>| {
+        let wide = move |capacity_bucket: &CapacityBucket, ids: &BTreeSet<MachineId>| {
             // All machines of a shelf are of one type.
             let resources = ids
                 .first()
                 .and_then(|id| self.all.get(id))
                 .map(|m| m.resources);
-            resources.is_some_and(|resources| shelf.may_hold(resources, need))
-                && fits(shelf.class, shelf.spot, &shelf.zone)
+            resources.is_some_and(|resources| capacity_bucket.may_hold(resources, need))
+                && fits(
+                    capacity_bucket.class,
+                    capacity_bucket.spot,
+                    &capacity_bucket.zone,
+                )
         };
-        let shelves = self.index.shelves.iter();
-        let shelves = shelves.filter(move |(shelf, ids)| wide(shelf, ids));
-        let ids = shelves.flat_map(|(_, ids)| ids);
+        let buckets = self.index.buckets.iter();
+        let buckets = buckets.filter(move |(capacity_bucket, ids)| wide(capacity_bucket, ids));
+        let ids = buckets.flat_map(|(_, ids)| ids);
         ids.filter_map(|id| Some((id, self.all.get(id)?)))
     }
 
@@ -462,16 +472,16 @@
     pub fn audit(&self) -> Result<(), String> {
         let mut again = Index::default();
         for (id, m) in &self.all {
-            let filed = m.filing();
-            if m.filed.as_ref() != Some(&filed) {
-                return Err(format!("machine {id} isn't filed as it is: {filed:?}"));
+            let indexed = m.index_entry();
+            if m.indexed.as_ref() != Some(&indexed) {
+                return Err(format!("machine {id} isn't filed as it is: {indexed:?}"));
             }
-            again.enter(id, &filed);
+            again.add_entry(id, &indexed);
         }
         again.free.retain(|_, n| *n > 0);
         let mut free = self.index.free.clone();
         free.retain(|_, n| *n > 0);
-        let same = again.shelves == self.index.shelves
+        let same = again.buckets == self.index.buckets
             && again.ranked == self.index.ranked
             && again.free == free
             && again.leaving == self.index.leaving
--- a/src/controller/machines/liveness.rs
+++ b/src/controller/machines/liveness.rs
@@ -3,7 +3,7 @@
 use crate::controller::machines::inventory::Machine;
 use crate::controller::shard::job::Phase;
 use crate::controller::store::records::JobKind;
-use crate::controller::{Controller, DRIFT, HEARD_S, MARGIN_S};
+use crate::controller::{CLOCK_DRIFT, Controller, MARGIN_S, RECENT_S};
 use crate::ids::ControllerId;
 use log::warn;
 use std::collections::{BTreeMap, BTreeSet};
@@ -45,33 +45,44 @@
     /// sibling either, is cut off from them and lets another controller try. When siblings
     /// hear none of them it is they who are gone, and giving up would only put off their
     /// replacement.
-    pub(crate) fn check_deaf(&mut self) {
+    pub(crate) fn check_workers_reachable(&mut self) {
         let w = &self.settings.platform.facts.workers;
         let patience = w.report_s * DEAF_REPORTS;
         let Some(h) = &self.owner else {
             return;
         };
-        let up = h.machines.values().filter(|m| m.up.is_some()).count();
+        let up = h
+            .machines
+            .values()
+            .filter(|m| m.ready_since.is_some())
+            .count();
         let settled = self.now.since(h.since) > FIRST_REPORT_S;
-        let deaf = up >= 2 && settled && self.now.since(h.heard) > patience;
-        if deaf && !self.is_stale() && (self.peer_hears_workers() || self.unheard()) {
+        let workers_unreachable = up >= 2 && settled && self.now.since(h.heard) > patience;
+        if workers_unreachable
+            && !self.is_stale()
+            && (self.peer_hears_workers() || self.peers_unreachable())
+        {
             self.resign("no worker reaches it");
         }
     }
 
     /// Proof 2: leases that must be over.
     pub(crate) fn check_leases(&mut self) {
-        let lease = self.settings.platform.facts.workers.lease_s * (1.0 + DRIFT) + MARGIN_S;
-        let (now, fresh) = (self.now, self.fresh_at);
+        let lease = self.settings.platform.facts.workers.lease_s * (1.0 + CLOCK_DRIFT) + MARGIN_S;
+        let (now, fresh) = (self.now, self.linearized_at);
         let Some(h) = &self.owner else {
             return;
         };
         let mut lost = Vec::new();
         for (id, m) in h.machines.iter() {
-            let over = m.answered.after(lease);
+            let over = m.last_acknowledged.after(lease);
             // The read was sent after the lease's end, and the block is still ours.
-            let known = m.shown && m.held.is_none() && !m.tasks.is_empty();
-            if known && fresh > over && now > over && self.nobody_sheltered(&m.zone, over, lease) {
+            let known = m.token_acknowledged && m.long_poll.is_none() && !m.tasks.is_empty();
+            if known
+                && fresh > over
+                && now > over
+                && self.no_keepalive_by_peers(&m.zone, over, lease)
+            {
                 lost.push((id.clone(), m.tasks.keys().cloned().collect::<Vec<_>>()));
             }
         }
@@ -84,10 +95,10 @@
                 tasks.len()
             );
             for task in tasks {
-                let live = h.jobs.get(&task.job);
-                let phase = live.and_then(|l| Some(l.placed.get(&task.index)?.phase));
+                let job_state = h.jobs.get(&task.job);
+                let phase = job_state.and_then(|l| Some(l.placed.get(&task.index)?.phase));
                 if phase != Some(Phase::Committing) {
-                    h.take(now, &task);
+                    h.remove_placement(now, &task);
                 }
             }
         }
@@ -104,13 +115,14 @@
             return;
         };
         let mut late = BTreeSet::new();
-        for live in h.jobs.values() {
-            let Some(at) = live.cancelled else {
+        for job_state in h.jobs.values() {
+            let Some(at) = job_state.cancelled else {
                 continue;
             };
-            for p in live.placed.values() {
+            for p in job_state.placed.values() {
                 // When a cut ends, the last ones to come back get time as well.
-                let cut = h.cut_zones.contains(&p.zone) || now.since(h.cut_at) < lease_s;
+                let cut =
+                    h.partitioned_zones.contains(&p.zone) || now.since(h.partitioned_at) < lease_s;
                 let share = if cut { CUT_CANCEL_SHARE } else { CANCEL_SHARE };
                 // A new holder sees only after a while which zones are cut off. Counting
                 // from the cancellation, it deleted the machines of one at once.
@@ -120,7 +132,7 @@
             }
         }
         for id in late {
-            h.doom(now, &id, "a cancelled task may still be on it");
+            h.decommission(now, &id, "a cancelled task may still be on it");
         }
     }
 
@@ -131,12 +143,13 @@
     pub(crate) fn check_silent(&mut self) {
         let w = &self.settings.platform.facts.workers;
         let (lease_s, silent_s) = (w.lease_s, self.settings.silent_s(false));
-        let (silent_mute_s, mute) = (self.settings.silent_s(true), self.mute());
+        let (silent_mute_s, unreachable_controllers) =
+            (self.settings.silent_s(true), self.unreachable_controllers());
         let (now, is_stale) = (self.now, self.is_stale());
-        let cut_zones = self.find_cut_zones();
-        let sheltered: BTreeSet<Rc<str>> = cut_zones
+        let partitioned_zones = self.find_partitioned_zones();
+        let sheltered: BTreeSet<Rc<str>> = partitioned_zones
             .iter()
-            .filter(|z| self.has_shelter(z))
+            .filter(|z| self.zone_has_peer(z))
             .cloned()
             .collect();
         let Some(h) = &mut self.owner else {
@@ -144,12 +157,12 @@
         };
         let mut up = 0;
         let mut silent = Vec::new();
-        for (id, m) in h.machines.iter().filter(|(_, m)| m.up.is_some()) {
+        for (id, m) in h.machines.iter().filter(|(_, m)| m.ready_since.is_some()) {
             up += 1;
-            let quiet = now.since(m.seen.max(h.since));
-            if m.held.is_none() && quiet > silent_s * NEARLY_SILENT {
-                let provable = m.shown || m.tasks.is_empty();
-                let patience = match (provable, mute.contains(&m.via)) {
+            let quiet = now.since(m.last_heartbeat.max(h.since));
+            if m.long_poll.is_none() && quiet > silent_s * NEARLY_SILENT {
+                let provable = m.token_acknowledged || m.tasks.is_empty();
+                let patience = match (provable, unreachable_controllers.contains(&m.forwarded_by)) {
                     (true, false) => silent_s,
                     (true, true) => silent_mute_s,
                     (false, _) => UNPROVABLE * lease_s,
@@ -157,15 +170,17 @@
                 silent.push((id.clone(), quiet, patience, sheltered.contains(&m.zone)));
             }
         }
-        if !cut_zones.is_empty() {
-            h.zones_cut_at = Some(now);
+        if !partitioned_zones.is_empty() {
+            h.zones_partitioned_at = Some(now);
         }
-        h.cut_zones = cut_zones;
-        let back = h.zones_cut_at.is_some_and(|at| now.since(at) < lease_s);
-        let calm = h.cut_at;
+        h.partitioned_zones = partitioned_zones;
+        let back = h
+            .zones_partitioned_at
+            .is_some_and(|at| now.since(at) < lease_s);
+        let calm = h.partitioned_at;
         h.cut = silent.len() as f64 > (FEW_SILENT_SHARE * f64::from(up)).max(2.0);
-        if h.cut || !h.cut_zones.is_empty() {
-            h.cut_at = now;
+        if h.cut || !h.partitioned_zones.is_empty() {
+            h.partitioned_at = now;
         }
         if is_stale {
             return;
@@ -181,7 +196,7 @@
             let given_up = quiet > SHELTERED_SILENT * lease_s;
             let late = (h.cut && !back) || given_up || now.since(calm) > patience;
             if quiet > patience.max(least) && late {
-                h.doom(now, &id, "it is silent");
+                h.decommission(now, &id, "it is silent");
             }
         }
     }
@@ -189,61 +204,64 @@
     /// Machines whose reports come while nothing told them arrives never show this block's
     /// number, so that no report of theirs proves what became of the tasks an earlier holder
     /// placed there. Their leases have run out meanwhile; deleting them frees the tasks.
-    pub(crate) fn check_unhearing(&mut self) {
+    pub(crate) fn check_unacknowledged(&mut self) {
         let lease_s = self.settings.platform.facts.workers.lease_s;
         let (now, is_stale) = (self.now, self.is_stale());
         let Some(h) = self.owner.as_mut().filter(|h| !is_stale && !h.cut) else {
             return;
         };
-        let mut unhearing = Vec::new();
-        for (id, m) in h.machines.iter().filter(|(_, m)| !m.shown) {
+        let mut unacknowledged = Vec::new();
+        for (id, m) in h.machines.iter().filter(|(_, m)| !m.token_acknowledged) {
             let long = m
-                .heard
+                .first_heartbeat
                 .is_some_and(|at| now.since(at) > UNHEARING * lease_s);
-            if long && !m.tasks.is_empty() && !h.cut_zones.contains(&m.zone) {
-                unhearing.push(id.clone());
+            if long && !m.tasks.is_empty() && !h.partitioned_zones.contains(&m.zone) {
+                unacknowledged.push(id.clone());
             }
         }
-        for id in unhearing {
-            h.doom(now, &id, "it hears nothing");
+        for id in unacknowledged {
+            h.decommission(now, &id, "it hears nothing");
         }
     }
 
     /// Controllers, `None` for this one, that lately heard no worker or weren't heard
     /// themselves. Workers that reported there look for another one, and may be sent back
     /// once, which takes two tries of 5 s: they looked as if their machines were gone.
-    fn mute(&mut self) -> BTreeSet<Option<ControllerId>> {
+    fn unreachable_controllers(&mut self) -> BTreeSet<Option<ControllerId>> {
         let now = self.now;
         let lease_s = self.settings.platform.facts.workers.lease_s;
-        let mut mute = Vec::new();
-        if now.since(self.worker_heard) > HEARD_S {
-            mute.push(None);
+        let mut unreachable_controllers = Vec::new();
+        if now.since(self.last_worker_heartbeat) > RECENT_S {
+            unreachable_controllers.push(None);
         }
         let peers = self.settings.platform.peers.iter();
-        let deaf = peers.filter(|s| !self.hears(&s.controller_id));
-        mute.extend(deaf.map(|s| Some(s.controller_id.clone())));
+        let workers_unreachable = peers.filter(|s| !self.hears_workers(&s.controller_id));
+        unreachable_controllers.extend(workers_unreachable.map(|s| Some(s.controller_id.clone())));
         let Some(h) = &mut self.owner else {
             return BTreeSet::new();
         };
-        h.mute_at.extend(mute.into_iter().map(|m| (m, now)));
-        h.mute_at.retain(|_, at| now.since(*at) < lease_s);
-        h.mute_at.keys().cloned().collect()
+        h.unreachable_at
+            .extend(unreachable_controllers.into_iter().map(|m| (m, now)));
+        h.unreachable_at.retain(|_, at| now.since(*at) < lease_s);
+        h.unreachable_at.keys().cloned().collect()
     }
 
     /// Zones of which so many machines have missed their reports that they must be cut
     /// off. Their own controllers keep them alive.
-    fn find_cut_zones(&self) -> BTreeSet<Rc<str>> {
+    fn find_partitioned_zones(&self) -> BTreeSet<Rc<str>> {
         let quiet_s = self.settings.platform.facts.workers.report_s * CUT_REPORTS;
         let Some(h) = &self.owner else {
             return BTreeSet::new();
         };
         let mut zones: BTreeMap<&Rc<str>, (usize, usize)> = BTreeMap::new();
-        let staying = |m: &&Machine| m.up.is_some() && m.notice.is_none() && m.doomed.is_none();
+        let staying = |m: &&Machine| {
+            m.ready_since.is_some() && m.notice.is_none() && m.decommission_at.is_none()
+        };
         for m in h.machines.values().filter(staying) {
             let count = zones.entry(&m.zone).or_default();
             count.0 += 1;
-            let quiet = self.now.since(m.seen.max(h.since)) > quiet_s;
-            count.1 += usize::from(quiet && m.held.is_none());
+            let quiet = self.now.since(m.last_heartbeat.max(h.since)) > quiet_s;
+            count.1 += usize::from(quiet && m.long_poll.is_none());
         }
         let cut = |(all, quiet): (usize, usize)| {
             quiet >= CUT_LEAST && quiet as f64 >= CUT_SHARE * all as f64
@@ -252,7 +270,9 @@
         // wave that took many spot machines looked like one.
         let cut_off = zones.into_iter().filter(|(_, count)| cut(*count));
         let cut_off = cut_off.map(|(zone, _)| zone.clone());
-        cut_off.filter(|zone| !self.zone_heard(zone)).collect()
+        cut_off
+            .filter(|zone| !self.zone_hears_workers(zone))
+            .collect()
     }
 
     /// Tasks on machines that are about to go are stopped: at once where they can
@@ -264,23 +284,23 @@
         };
         let mut stop = Vec::new();
         for (_, m) in h.machines.leaving() {
-            let sick = m.doomed.is_some();
+            let sick = m.decommission_at.is_some();
             if !sick && m.notice.is_none_or(|at| at <= now) {
                 continue;
             }
-            for (task, seat) in &m.tasks {
-                let live = h.jobs.get(&task.job);
-                let Some(p) = live.and_then(|l| l.placed.get(&task.index)) else {
+            for (task, bind) in &m.tasks {
+                let job_state = h.jobs.get(&task.job);
+                let Some(p) = job_state.and_then(|l| l.placed.get(&task.index)) else {
                     continue;
                 };
-                let moves = seat.record.kind == JobKind::Service || seat.record.checkpoint_s > 0.0;
-                if p.halted.is_none() && (sick || moves) && p.phase != Phase::Committing {
+                let moves = bind.record.kind == JobKind::Service || bind.record.checkpoint_s > 0.0;
+                if p.stop_requested.is_none() && (sick || moves) && p.phase != Phase::Committing {
                     stop.push(task.clone());
                 }
             }
         }
         for task in stop {
-            self.halt(&task);
+            self.stop(&task);
         }
     }
 }
--- a/src/controller/machines/mod.rs
+++ b/src/controller/machines/mod.rs
@@ -33,15 +33,15 @@
         if self.owner.is_none() {
             return;
         }
-        self.check_deaf();
+        self.check_workers_reachable();
         self.check_leases();
         self.check_cancels();
         self.check_silent();
-        self.check_unhearing();
+        self.check_unacknowledged();
         self.drain();
         self.consolidate();
-        self.delete_abandoned();
-        self.delete_doomed();
+        self.decommission_abandoned();
+        self.delete_decommissioned();
         let now = self.now;
         if let Some(h) = &mut self.owner {
             h.gone.retain(|_, at| now.since(*at) < GONE_S);
@@ -49,7 +49,7 @@
     }
 
     /// Tells a task to stop, as soon as its machine can hear it.
-    pub(crate) fn halt(&mut self, task: &TaskId) {
+    pub(crate) fn stop(&mut self, task: &TaskId) {
         let now = self.now;
         let Some(h) = &mut self.owner else {
             return;
@@ -57,12 +57,12 @@
         let Some(p) = h.placement_mut(task) else {
             return;
         };
-        p.halted.get_or_insert(now);
+        p.stop_requested.get_or_insert(now);
         let machine = p.machine.clone();
-        if h.unsent(task) {
-            h.take(now, task);
+        if h.was_never_sent(task) {
+            h.remove_placement(now, task);
         } else {
-            self.answer_held(&machine);
+            self.answer_long_poll(&machine);
         }
     }
 }
@@ -73,20 +73,20 @@
     pub(crate) fn task_succeeded(&mut self, now: Time, id: &MachineId, task: &TaskId) {
         for faulty in self.failures.task_succeeded(&task.job, id) {
             self.machines.edit(&faulty, |m| {
-                if m.doomed.is_none() {
+                if m.decommission_at.is_none() {
                     warn!("machine {faulty} fails what others can run: to be replaced");
-                    m.doomed = Some(now.after(DRAIN_S));
+                    m.decommission_at = Some(now.after(DRAIN_S));
                 }
             });
         }
     }
 
     /// Decides to delete a machine. Nothing is placed on it from now on.
-    pub(crate) fn doom(&mut self, now: Time, id: &MachineId, why: &str) {
+    pub(crate) fn decommission(&mut self, now: Time, id: &MachineId, why: &str) {
         self.machines.edit(id, |m| {
-            if m.doomed.is_none() {
+            if m.decommission_at.is_none() {
                 info!("machine {id} is to be deleted: {why}");
-                m.doomed = Some(now);
+                m.decommission_at = Some(now);
             }
         });
     }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -20,7 +20,7 @@
 pub(crate) mod shards;
 pub mod store;
 
-use crate::controller::api::{Api, NamingSubmission, StatusQuery, Submission};
+use crate::controller::api::{Api, DependentSubmission, StatusQuery, Submission};
 use crate::controller::autoscaling::CloudPurpose;
 use crate::controller::dependencies::resolution::DependencyReads;
 use crate::controller::events::Input;
@@ -60,7 +60,7 @@
     Cancel(StatusQuery),
     ReadEnd(StatusQuery),
     /// The end of a job that a submission names.
-    ReadSubmissionDependency(Box<NamingSubmission>, JobId),
+    ReadSubmissionDependency(Box<DependentSubmission>, JobId),
     /// The end of a job that one in the cache needs.
     ReadDependency(JobId),
     WritePlacements(Vec<PlacementWrite>),
@@ -98,15 +98,15 @@
 const HOUSEKEEPING_MS: u64 = 100;
 /// Reports that are handed on and answers that needn't go out at once wait for a whole multiple
 /// of this, so that one turn and one packet carry several of them.
-const GATHER_MS: u64 = HOUSEKEEPING_MS / 2;
+const BATCH_MS: u64 = HOUSEKEEPING_MS / 2;
 /// A controller without a fresh read for this long starts nothing and takes nothing.
 const STALENESS_BOUND_S: f64 = 2.5;
 /// A controller has heard workers lately if one reported within this time.
-const HEARD_S: f64 = 3.0;
+const RECENT_S: f64 = 3.0;
 /// Margin for the time a message takes and for late timers.
 const MARGIN_S: f64 = 2.0;
 /// Steady clocks drift apart by at most this share.
-const DRIFT: f64 = 0.001;
+const CLOCK_DRIFT: f64 = 0.001;
 /// Pause before a refused or failed list or follow is tried again.
 const RETRY_S: f64 = 0.3;
 
@@ -139,36 +139,36 @@
     cloud_calls: HashMap<CallId, (CloudPurpose, ShardOwnership)>,
     requests: TokenBucket,
     changes: TokenBucket,
-    change_meter: WriteRateMeter,
-    cloud_budget: TokenBucket,
+    write_rate: WriteRateMeter,
+    cloud_rate_limit: TokenBucket,
     pub(crate) mirror: StoreMirror,
     watch: WatchState,
     initial_list_done: bool,
     /// When the latest read was sent whose revision is known here: whatever stood
     /// at the state service then is known.
-    fresh_at: Time,
+    linearized_at: Time,
     /// When the latest read or follow was sent whose changes are known here.
-    known_at: Time,
+    changes_known_at: Time,
     /// The latest such read itself.
-    fresh_call: CallId,
-    fresh_sent: Option<Time>,
-    fresh_last: Time,
+    linearized_call: CallId,
+    revision_read_sent: Option<Time>,
+    revision_read_last: Time,
     /// The latest read that was sent to learn the present revision.
-    fresh_asked: CallId,
+    revision_read_call: CallId,
     /// Reads that were answered, while the follow hasn't come as far yet.
-    fresh_waiting: VecDeque<RevisionRead>,
+    revision_reads: VecDeque<RevisionRead>,
     dependency_reads: DependencyReads,
     team_limits: TeamLimits,
     cells: CellSharing,
-    heard_at: Time,
+    store_heard_at: Time,
     api: Api,
     election: Election,
     /// The block in hand; see `in_shard`. Boxed, since it changes places several times a step.
     pub(crate) owner: Option<Box<ShardOwner>>,
     /// The blocks that this controller holds, but for the one in hand.
-    parked: BTreeMap<u32, Box<ShardOwner>>,
+    shards: BTreeMap<u32, Box<ShardOwner>>,
     /// The number under which each block was last held and given up.
-    spent: BTreeMap<u32, FencingToken>,
+    released_tokens: BTreeMap<u32, FencingToken>,
     pub(crate) leadership: Option<Leadership>,
     standby: Standby,
     /// How busy this process is.
@@ -187,18 +187,18 @@
     counts_at: Time,
     listing: bool,
     /// The pages of a list of machines of which the next one waits for the budget.
-    list_rest: Option<Vec<Listed>>,
+    list_pages: Option<Vec<Listed>>,
     list_at: Time,
     /// The revision of the plan that was carried out here.
     plan_seen: u64,
     /// When a worker last reported here.
-    worker_heard: Time,
+    last_worker_heartbeat: Time,
     housekeeping_at: Time,
     /// Whether the state service has refused a value for its size: the limits that were
     /// announced are in force.
     values_shrunk: bool,
     /// Machines looked at to place tasks, in all, and tasks placed.
-    pub(crate) looked: u64,
+    pub(crate) machines_scanned: u64,
     pub(crate) placed: u64,
 }
 
@@ -208,13 +208,13 @@
         let f = &settings.platform.facts;
         let share = settings.tuning.budget_share;
         let cloud = f.cloud.rps * share;
-        let cloud_budget = TokenBucket::new(cloud, cloud * 1.5);
+        let cloud_rate_limit = TokenBucket::new(cloud, cloud * 1.5);
         let standby = new_standby(&settings, incarnation);
         let mut controller = Self {
             requests: TokenBucket::new(1.0, 1.0),
             changes: TokenBucket::new(1.0, 1.0),
-            change_meter: WriteRateMeter::default(),
-            cloud_budget,
+            write_rate: WriteRateMeter::default(),
+            cloud_rate_limit,
             settings,
             incarnation,
             now: Time(0),
@@ -226,22 +226,22 @@
             mirror: StoreMirror::default(),
             watch: WatchState::Idle { retry_at: Time(0) },
             initial_list_done: false,
-            fresh_at: Time(0),
-            known_at: Time(0),
-            fresh_call: CallId(0),
-            fresh_sent: None,
-            fresh_last: Time(0),
-            fresh_asked: CallId(0),
-            fresh_waiting: VecDeque::new(),
+            linearized_at: Time(0),
+            changes_known_at: Time(0),
+            linearized_call: CallId(0),
+            revision_read_sent: None,
+            revision_read_last: Time(0),
+            revision_read_call: CallId(0),
+            revision_reads: VecDeque::new(),
             dependency_reads: DependencyReads::default(),
             team_limits: TeamLimits::default(),
             cells: CellSharing::default(),
-            heard_at: Time(0),
+            store_heard_at: Time(0),
             api: Api::default(),
             election: Election::default(),
             owner: None,
-            parked: BTreeMap::new(),
-            spent: BTreeMap::new(),
+            shards: BTreeMap::new(),
+            released_tokens: BTreeMap::new(),
             leadership: None,
             standby,
             processor: ProcessorUtilization::default(),
@@ -256,16 +256,16 @@
             forwarding: Forwarding::default(),
             counts_at: Time(0),
             listing: false,
-            list_rest: None,
+            list_pages: None,
             list_at: Time(0),
             plan_seen: 0,
-            worker_heard: Time(0),
+            last_worker_heartbeat: Time(0),
             housekeeping_at: Time(0),
             values_shrunk: false,
-            looked: 0,
+            machines_scanned: 0,
             placed: 0,
         };
-        controller.share_budgets();
+        controller.update_rate_limits();
         controller
     }
 
@@ -295,51 +295,55 @@
             self.housekeeping_at = self.now.next_multiple(HOUSEKEEPING_MS);
             self.housekeeping();
         }
-        self.each_shard(Self::release_reports);
-        self.hand_on_gathered();
-        self.tell_endings();
+        self.each_shard(Self::answer_due_long_polls);
+        self.send_batched_forwards();
+        self.send_due_endings();
         self.pump();
         std::mem::take(&mut self.out)
     }
 
     /// When `step` wants to be called again at the latest.
     pub fn wake_at(&self) -> Time {
-        let held = self.parked.values().filter_map(|h| h.first_release());
-        let due = held.chain(self.api.first_telling());
-        let due = due.chain(self.forwarding.gathered_until()).min();
+        let held = self
+            .shards
+            .values()
+            .filter_map(|h| h.first_long_poll_deadline());
+        let due = held.chain(self.api.first_delayed_ending());
+        let due = due.chain(self.forwarding.batched_until()).min();
         due.map_or(self.housekeeping_at, |t| t.min(self.housekeeping_at))
     }
 
     /// The highest number under which this controller holds a block.
     pub fn holds(&self) -> Option<FencingToken> {
-        self.parked.values().map(|h| h.number).max()
+        self.shards.values().map(|h| h.token).max()
     }
 
     pub fn load(&self) -> Load {
-        let owners = self.parked.values();
-        let written = owners.map(|h| h.to_flush.len() + h.to_finish.len());
+        let owners = self.shards.values();
+        let written = owners.map(|h| h.write_queue.len() + h.ready_to_end_jobs.len());
         Load {
             requests: self.requests.spent(),
             requests_rate: self.requests.rate(),
             changes: self.changes.spent(),
             changes_rate: self.changes.rate(),
-            cloud: self.cloud_budget.spent(),
-            cloud_rate: self.cloud_budget.rate(),
+            cloud: self.cloud_rate_limit.spent(),
+            cloud_rate: self.cloud_rate_limit.rate(),
             queued: self.api.backlog() + written.sum::<usize>(),
-            looked: self.looked,
+            machines_scanned: self.machines_scanned,
             placed: self.placed,
         }
     }
 
     /// What waits here, if this controller holds a block.
     pub fn queue(&self) -> Option<Queue> {
-        if self.parked.is_empty() {
+        if self.shards.is_empty() {
             return None;
         }
         let mut queue = Queue::default();
-        for live in self.parked.values().flat_map(|h| h.jobs.values()) {
-            let tasks = live.queued() as usize;
-            queue.waiting_for_others += usize::from(live.cancelled.is_none() && !live.released);
+        for job_state in self.shards.values().flat_map(|h| h.jobs.values()) {
+            let tasks = job_state.queued() as usize;
+            queue.waiting_for_others +=
+                usize::from(job_state.cancelled.is_none() && !job_state.released);
             queue.waiting_for_room += usize::from(tasks > 0);
             queue.tasks += tasks;
         }
@@ -348,7 +352,7 @@
 
     /// Recounts what is kept up to date from change to change; says what is wrong.
     pub fn audit(&self) -> Result<(), String> {
-        self.parked.values().try_for_each(|h| h.audit())
+        self.shards.values().try_for_each(|h| h.audit())
     }
 
     /// Whether this controller leads.
@@ -361,20 +365,20 @@
         let before = self.owner.take();
         let outer = before.as_ref().map(|h| h.shard);
         if let Some(h) = before {
-            self.parked.insert(h.shard, h);
+            self.shards.insert(h.shard, h);
         }
-        self.owner = self.parked.remove(&shard);
+        self.owner = self.shards.remove(&shard);
         if self.owner.is_some() {
             act(self);
         }
         if let Some(h) = self.owner.take() {
-            self.parked.insert(h.shard, h);
+            self.shards.insert(h.shard, h);
         }
-        self.owner = outer.and_then(|b| self.parked.remove(&b));
+        self.owner = outer.and_then(|b| self.shards.remove(&b));
     }
 
     pub(crate) fn each_shard(&mut self, act: fn(&mut Self)) {
-        let shards: Vec<u32> = self.parked.keys().copied().collect();
+        let shards: Vec<u32> = self.shards.keys().copied().collect();
         for shard in shards {
             self.in_shard(shard, act);
         }
@@ -391,8 +395,8 @@
         self.catalog_housekeeping();
         self.cells_housekeeping();
         self.leadership_housekeeping();
-        if self.change_meter.advance(self.now) {
-            self.share_budgets();
+        if self.write_rate.advance(self.now) {
+            self.update_rate_limits();
         }
         if self.now >= self.heartbeat_at {
             self.heartbeat_at = self.now.after(1.0);
@@ -402,10 +406,10 @@
 
     fn pump(&mut self) {
         self.on_affected();
-        self.each_shard(Self::place);
-        self.each_shard(Self::pump_flush);
-        self.pump_need_reads();
+        self.each_shard(Self::schedule);
+        self.each_shard(Self::write_placements);
+        self.read_dependencies();
         self.pump_api();
-        self.pump_fresh();
+        self.read_revision();
     }
 }
--- a/src/controller/peers/heartbeats.rs
+++ b/src/controller/peers/heartbeats.rs
@@ -1,7 +1,7 @@
 //! Heartbeats between controllers, and what they tell of who runs and who holds what.
 
 use crate::controller::events::Output;
-use crate::controller::{Controller, HEARD_S, STALENESS_BOUND_S};
+use crate::controller::{Controller, RECENT_S, STALENESS_BOUND_S};
 use crate::ids::{ControllerId, MachineId, Time};
 use crate::peer::{Message, PeerHeartbeat};
 
@@ -21,7 +21,7 @@
     fn heartbeat(&self) -> PeerHeartbeat {
         let shards = self.mirror.shards.iter().filter_map(|(k, b)| {
             let record = b.record.as_ref()?;
-            Some((*k, record.number, record.owner.clone()))
+            Some((*k, record.token, record.owner.clone()))
         });
         PeerHeartbeat {
             from: self.settings.platform.controller_id.clone(),
@@ -35,12 +35,15 @@
             shards: shards.collect(),
             is_fresh: !self.is_stale(),
             staleness_ms: (self.staleness_s() * 1000.0) as u64,
-            heard: self.now.since(self.worker_heard) < HEARD_S,
-            deaf: self.parked.values().any(|h| h.deaf(self.now)),
+            hears_workers: self.now.since(self.last_worker_heartbeat) < RECENT_S,
+            workers_unreachable: self
+                .shards
+                .values()
+                .any(|h| h.workers_unreachable(self.now)),
             can_forward: self.can_forward(),
             at_ms: self.now.0,
             echoes: self.echoes(),
-            sheltered_ms: self.sheltered_ms(),
+            since_keepalive_ms: self.since_keepalive_ms(),
             overdue: self.overdue(),
         }
     }
@@ -57,17 +60,19 @@
     /// Machines of this controller's blocks that can't be counted on to confirm anything.
     pub(crate) fn overdue(&self) -> Vec<MachineId> {
         let patience = self.settings.overdue_s();
-        let held = self.parked.values();
+        let held = self.shards.values();
         let late = held.flat_map(|h| h.machines.iter().map(move |(id, m)| (h.since, id, m)));
         let late = late.filter(|(since, _, m)| {
-            !m.tasks.is_empty() && m.held.is_none() && self.now.since(m.seen.max(*since)) > patience
+            !m.tasks.is_empty()
+                && m.long_poll.is_none()
+                && self.now.since(m.last_heartbeat.max(*since)) > patience
         });
         late.map(|(_, id, _)| id.clone())
             .take(OVERDUE_MAX)
             .collect()
     }
 
-    /// Which message of each sibling came last, for `nobody_sheltered` there.
+    /// Which message of each sibling came last, for `no_keepalive_by_peers` there.
     pub(crate) fn echoes(&self) -> Vec<(ControllerId, u64, u64)> {
         let all = self.peers.values();
         all.map(|(h, _)| (h.from.clone(), h.incarnation, h.at_ms))
@@ -85,8 +90,8 @@
         }
         // Cut off from the state service, a holder learns here that it has been
         // replaced, and stops answering for its workers.
-        for (shard, number, _) in &heartbeat.shards {
-            let replaced = self.parked.get(shard).is_some_and(|h| *number > h.number);
+        for (shard, token, _) in &heartbeat.shards {
+            let replaced = self.shards.get(shard).is_some_and(|h| *token > h.token);
             if replaced {
                 self.in_shard(*shard, |controller| {
                     controller.release_shard("a sibling knows a higher number");
@@ -117,10 +122,10 @@
                 .map(|l| l.controller_id.clone());
             return leader.filter(|l| l != me);
         };
-        let said = self.lately().filter(|h| h.is_fresh);
+        let said = self.recent_heartbeats().filter(|h| h.is_fresh);
         let said = said
             .flat_map(|h| &h.shards)
-            .filter(|(k, n, _)| *k == shard && *n > record.number);
+            .filter(|(k, n, _)| *k == shard && *n > record.token);
         let newest = said
             .max_by_key(|(_, n, _)| *n)
             .map(|(_, _, owner)| owner.clone());
@@ -129,7 +134,7 @@
 
     /// Whether a sibling has seen the state service for clearly longer than this
     /// controller: the trouble is then here, and not an outage that all share.
-    pub(crate) fn singled_out(&self) -> bool {
+    pub(crate) fn isolated_from_store(&self) -> bool {
         let behind = |(h, at): &&(PeerHeartbeat, Time)| {
             let theirs = h.staleness_ms as f64 / 1000.0 + self.now.since(*at);
             theirs + STALENESS_BOUND_S < self.staleness_s()
@@ -141,8 +146,11 @@
     /// holder that they can't reach says hello all the same, and a worker sent back to
     /// it loses 5 s of its lease. A new holder has none to lose yet.
     pub(crate) fn reachable(&self, controller_id: &ControllerId) -> bool {
-        let deaf = self.peers.get(controller_id).is_some_and(|(h, _)| h.deaf);
-        !deaf && self.heartbeat_fresh(controller_id)
+        let workers_unreachable = self
+            .peers
+            .get(controller_id)
+            .is_some_and(|(h, _)| h.workers_unreachable);
+        !workers_unreachable && self.heartbeat_fresh(controller_id)
     }
 
     /// Whether a sibling was heard of so lately that it surely runs.
@@ -153,16 +161,17 @@
 
     /// Whether workers report to a sibling that could lead.
     pub(crate) fn peer_hears_workers(&self) -> bool {
-        self.lately().any(|h| h.is_fresh && h.heard)
+        self.recent_heartbeats()
+            .any(|h| h.is_fresh && h.hears_workers)
     }
 
     /// Whether there are siblings and none is heard.
-    pub(crate) fn unheard(&self) -> bool {
-        !self.settings.platform.peers.is_empty() && self.lately().next().is_none()
+    pub(crate) fn peers_unreachable(&self) -> bool {
+        !self.settings.platform.peers.is_empty() && self.recent_heartbeats().next().is_none()
     }
 
-    pub(crate) fn lately(&self) -> impl Iterator<Item = &PeerHeartbeat> {
-        let recent = |at: &Time| self.now.since(*at) < HEARD_S;
+    pub(crate) fn recent_heartbeats(&self) -> impl Iterator<Item = &PeerHeartbeat> {
+        let recent = |at: &Time| self.now.since(*at) < RECENT_S;
         let all = self.peers.values();
         all.filter(move |(_, at)| recent(at)).map(|(h, _)| h)
     }
--- a/src/controller/peers/links.rs
+++ b/src/controller/peers/links.rs
@@ -35,7 +35,7 @@
 
     /// Whether a holder runs, since its record stands, while it refuses connections
     /// from here: a filter between the controllers, which its workers may pass.
-    pub(crate) fn shut_off(&self, owner: &ControllerId) -> bool {
+    pub(crate) fn refuses_connections(&self, owner: &ControllerId) -> bool {
         let patience = self.settings.tuning.leader_lease_s + TAKEOVER_S;
         let refused = self.forwarding.down.get(owner).copied().flatten();
         !self.is_stale() && refused.is_some_and(|since| self.now.since(since) > patience)
@@ -55,14 +55,14 @@
 
     /// How long ago this process last answered in a holder's place or, if it never
     /// did, began: an earlier process may have.
-    pub(crate) fn sheltered_ms(&self) -> u64 {
-        let last = self.forwarding.sheltered.unwrap_or(self.now);
+    pub(crate) fn since_keepalive_ms(&self) -> u64 {
+        let last = self.forwarding.last_keepalive.unwrap_or(self.now);
         self.now.0.saturating_sub(last.0)
     }
 
     pub(crate) fn note_start(&mut self) {
         let now = self.now;
-        self.forwarding.sheltered.get_or_insert(now);
+        self.forwarding.last_keepalive.get_or_insert(now);
         self.began.get_or_insert(now);
     }
 
@@ -74,7 +74,7 @@
     /// Whether every other controller of a zone has said, after `over`, that it had
     /// kept no worker alive for a whole lease. What it did since doesn't matter: by
     /// then the lease that ended at `over` had ended, and nothing revives it.
-    pub(crate) fn nobody_sheltered(&self, zone: &str, over: Time, lease_s: f64) -> bool {
+    pub(crate) fn no_keepalive_by_peers(&self, zone: &str, over: Time, lease_s: f64) -> bool {
         let peers = self.settings.platform.peers.iter();
         // One whose zone isn't known may be of any.
         let mut local = peers.filter(|s| s.site == zone || s.site.is_empty());
@@ -87,24 +87,24 @@
             let echo =
                 echoes.find(|(m, incarnation, _)| m == me && *incarnation == self.incarnation);
             let after = echo.is_some_and(|(_, _, at)| Time(*at) >= over);
-            after && heartbeat.sheltered_ms as f64 / 1000.0 >= lease_s
+            after && heartbeat.since_keepalive_ms as f64 / 1000.0 >= lease_s
         })
     }
 
     /// Whether a sibling is heard of, and hears workers.
-    pub(crate) fn hears(&self, controller_id: &ControllerId) -> bool {
+    pub(crate) fn hears_workers(&self, controller_id: &ControllerId) -> bool {
         let heartbeat = self.peers.get(controller_id).map(|(h, _)| h);
-        self.linked(controller_id) && heartbeat.is_some_and(|h| h.heard)
+        self.linked(controller_id) && heartbeat.is_some_and(|h| h.hears_workers)
     }
 
     /// Whether a zone's controllers besides this one are all heard of, and hear workers.
-    pub(crate) fn zone_heard(&self, zone: &str) -> bool {
+    pub(crate) fn zone_hears_workers(&self, zone: &str) -> bool {
         let mut local = self.peers_in(zone).peekable();
-        local.peek().is_some() && local.all(|s| self.hears(&s.controller_id))
+        local.peek().is_some() && local.all(|s| self.hears_workers(&s.controller_id))
     }
 
     /// Whether a zone has a controller besides this one, which may shelter its workers.
-    pub(crate) fn has_shelter(&self, zone: &str) -> bool {
+    pub(crate) fn zone_has_peer(&self, zone: &str) -> bool {
         self.peers_in(zone).next().is_some()
     }
 
--- a/src/controller/quota/cells.rs
+++ b/src/controller/quota/cells.rs
@@ -78,7 +78,7 @@
 
 /// A block with what its holder counted under its present record.
 struct CountedShard<'a> {
-    allowances: &'a LimitsByTeam,
+    quota_shares: &'a LimitsByTeam,
     teams: &'a [(String, TeamCount)],
 }
 
@@ -133,7 +133,7 @@
                 .and_then(|leadership| leadership.shard_counts.get(shard));
             counts.is_some_and(|(c, _)| c.revision == owner.shard_revision)
         };
-        if !self.parked.iter().all(|(shard, h)| current(shard, h)) {
+        if !self.shards.iter().all(|(shard, h)| current(shard, h)) {
             self.send_counts();
         }
     }
@@ -332,7 +332,7 @@
             for shard in &counts {
                 let found = shard.teams.iter().find(|(name, _)| name == team);
                 let count = found.map(|(_, count)| *count).unwrap_or_default();
-                let allowed = shard.allowances.get(team).copied().unwrap_or_default();
+                let allowed = shard.quota_shares.get(team).copied().unwrap_or_default();
                 let allowed = Amount::rounded_up(allowed.0, allowed.1);
                 let used = Amount::rounded_up(count.cpus, count.gpus);
                 let wanted = Amount::rounded_up(count.cpus_wanted, count.gpus_wanted);
@@ -350,11 +350,11 @@
         let believed = self.believed();
         let shards = self.mirror.shards.iter();
         let counts = shards.map(|(shard, slot)| {
-            let allowances = slot.record.as_ref()?.allowances.as_ref()?;
+            let quota_shares = slot.record.as_ref()?.quota_shares.as_ref()?;
             let mut current = believed.iter();
             let found = current.find(|c| c.shard == *shard && c.revision == slot.revision)?;
             Some(CountedShard {
-                allowances,
+                quota_shares,
                 teams: &found.teams,
             })
         });
@@ -398,8 +398,8 @@
             .shards
             .values()
             .filter_map(|slot| slot.record.as_ref());
-        let allowances = records.filter_map(|record| record.allowances.as_ref()?.get(team));
-        allowances.fold(Amount::ZERO, |sum, (c, g)| {
+        let quota_shares = records.filter_map(|record| record.quota_shares.as_ref()?.get(team));
+        quota_shares.fold(Amount::ZERO, |sum, (c, g)| {
             sum.plus(Amount::rounded_down(*c, *g))
         })
     }
--- a/src/controller/scheduling/consolidation.rs
+++ b/src/controller/scheduling/consolidation.rs
@@ -32,10 +32,10 @@
         let Some(h) = &mut self.owner else {
             return;
         };
-        if now < h.pack_at {
+        if now < h.consolidate_at {
             return;
         }
-        h.pack_at = now.after(self.settings.tuning.tick_s);
+        h.consolidate_at = now.after(self.settings.tuning.tick_s);
         // While somebody waits for room, none is given up.
         let pressed = |id: &JobId| {
             h.jobs
@@ -50,13 +50,13 @@
         };
         // One that has been emptied stays closed: opened again, it drew the replicas of the next
         // one to be emptied, which then drew them back, without end.
-        let emptied = |m: &Machine| open && m.closing && m.tasks.is_empty();
+        let emptied = |m: &Machine| open && m.cordoned && m.tasks.is_empty();
         let changed =
-            |(id, m): &(&MachineId, &Machine)| m.closing != (spare.contains(*id) || emptied(m));
+            |(id, m): &(&MachineId, &Machine)| m.cordoned != (spare.contains(*id) || emptied(m));
         let changed = h.machines.iter().filter(changed);
         let changed: Vec<MachineId> = changed.map(|(id, _)| id.clone()).collect();
         for id in changed {
-            h.machines.edit(&id, |m| m.closing = !m.closing);
+            h.machines.edit(&id, |m| m.cordoned = !m.cordoned);
         }
         // One a tick never caught up with a fleet of hundreds that shrinks.
         let most = (h.machines.len() as f64 * MOVE_SHARE).ceil() as usize;
@@ -89,7 +89,7 @@
                 tasks.len()
             );
             for task in tasks {
-                self.halt(&task);
+                self.stop(&task);
             }
         }
     }
@@ -106,7 +106,7 @@
 ) -> BTreeSet<MachineId> {
     let mut pools: BTreeMap<(usize, bool), Vec<(f64, &MachineId)>> = BTreeMap::new();
     for (id, m) in h.machines.iter() {
-        let here = m.up.is_some() && m.doomed.is_none() && m.notice.is_none();
+        let here = m.ready_since.is_some() && m.decommission_at.is_none() && m.notice.is_none();
         if let Some(class) = catalog.get(m.class).filter(|_| here && !m.tasks.is_empty()) {
             let share = m.used.share_of(class.resources);
             pools
@@ -148,27 +148,27 @@
 ) -> Option<Taken> {
     let mut taken = taken.clone();
     for task in tasks {
-        let live = h.jobs.get(&task.job)?;
-        let p = live.placed.get(&task.index)?;
+        let job_state = h.jobs.get(&task.job)?;
+        let p = job_state.placed.get(&task.index)?;
         let steady = p.phase == Phase::Running && now.since(p.since) > STEADY_S;
-        if live.record.kind != JobKind::Service || p.halted.is_some() || !steady {
+        if job_state.record.kind != JobKind::Service || p.stop_requested.is_some() || !steady {
             return None;
         }
         let mut best: Option<(f64, &MachineId)> = None;
         let fits =
-            |class: usize, spot: bool, _: &Rc<str>| suits(&live.record, catalog, class, spot);
-        for (id, m) in h.machines.roomy(live.record.need, fits) {
+            |class: usize, spot: bool, _: &Rc<str>| suits(&job_state.record, catalog, class, spot);
+        for (id, m) in h.machines.roomy(job_state.record.need, fits) {
             let mut free = m.free();
             free.add(taken.get(id).copied().unwrap_or_default(), -1.0);
             // In its own zone it takes its own place.
-            let zoned = m.zone == p.zone || zone_allowed(live, &m.zone);
+            let zoned = m.zone == p.zone || zone_allowed(job_state, &m.zone);
             let good = id != from
                 && !m.tasks.is_empty()
-                && !m.closing
-                && free.holds(live.record.need)
-                && m.has_image(&live.record.image)
+                && !m.cordoned
+                && free.holds(job_state.record.need)
+                && m.has_image(&job_state.record.image)
                 && usable(m, settings, now)
-                && h.failures.rested(id, now)
+                && h.failures.may_run_tasks(id, now)
                 && zoned;
             let left = free.share_of(m.resources);
             if good && best.is_none_or(|(least, _)| left < least) {
@@ -179,7 +179,7 @@
         taken
             .entry(id.clone())
             .or_default()
-            .add(live.record.need, 1.0);
+            .add(job_state.record.need, 1.0);
     }
     Some(taken)
 }
--- a/src/controller/scheduling/constraints.rs
+++ b/src/controller/scheduling/constraints.rs
@@ -14,15 +14,18 @@
         return false;
     };
     let used = h.teams.get(&record.team).copied().unwrap_or_default();
-    let (cpus, gpus) = h.allowance(team);
+    let (cpus, gpus) = h.quota_share(team);
     let fits = |used: f64, need: f64, max: f64| used + need <= max + 1e-6;
     fits(used.cpus, record.need.cpus, cpus) && fits(used.gpus, record.need.gpus, gpus)
 }
 
 impl ShardOwner {
     /// How many CPUs and GPUs a team may use in this block.
-    pub(crate) fn allowance(&self, team: &Team) -> (f64, f64) {
-        let given = self.allowances.as_ref().map(|a| a.get(&team.name).copied());
+    pub(crate) fn quota_share(&self, team: &Team) -> (f64, f64) {
+        let given = self
+            .quota_shares
+            .as_ref()
+            .map(|a| a.get(&team.name).copied());
         let (cpus, gpus) = match given {
             None => (team.cpus_max, team.gpus_max),
             Some(given) => given.unwrap_or((0.0, 0.0)),
@@ -33,22 +36,30 @@
 }
 
 /// Whether a task fits into what its team is guaranteed.
-pub(crate) fn within_guarantee(h: &ShardOwner, settings: &Settings, live: &JobState) -> bool {
+pub(crate) fn within_guarantee(h: &ShardOwner, settings: &Settings, job_state: &JobState) -> bool {
     let teams = &settings.platform.facts.teams;
-    let Some(team) = teams.iter().find(|t| t.name == live.record.team) else {
+    let Some(team) = teams.iter().find(|t| t.name == job_state.record.team) else {
         return false;
     };
     if team.gpus <= 0.0 && team.cpus <= 0.0 {
         return false;
     }
-    let used = h.teams.get(&live.record.team).copied().unwrap_or_default();
-    let need = live.record.need;
+    let used = h
+        .teams
+        .get(&job_state.record.team)
+        .copied()
+        .unwrap_or_default();
+    let need = job_state.record.need;
     let fits = |used: f64, need: f64, sure: f64| sure <= 0.0 || used + need <= sure + 1e-6;
     fits(used.cpus, need.cpus, team.cpus) && fits(used.gpus, need.gpus, team.gpus)
 }
 
 /// The other teams that use more than they are guaranteed, while they do.
-pub(crate) fn teams_over<'a>(h: &ShardOwner, settings: &'a Settings, team: &str) -> Vec<&'a str> {
+pub(crate) fn teams_over_guarantee<'a>(
+    h: &ShardOwner,
+    settings: &'a Settings,
+    team: &str,
+) -> Vec<&'a str> {
     let teams = settings.platform.facts.teams.iter();
     let over = teams.filter(|t| {
         let used = h.teams.get(&t.name).copied().unwrap_or_default();
@@ -65,18 +76,22 @@
 }
 
 /// Whether a zone may take this job's next task.
-pub(crate) fn zone_allowed(live: &JobState, zone: &str) -> bool {
-    let record = &live.record;
+pub(crate) fn zone_allowed(job_state: &JobState, zone: &str) -> bool {
+    let record = &job_state.record;
     if record.zone.as_ref().is_some_and(|z| z != zone) {
         return false;
     }
     // Tasks in doubt count: they may be there.
-    if record.one_zone && live.placed.values().any(|p| *p.zone != *zone) {
+    if record.zone_affinity && job_state.placed.values().any(|p| *p.zone != *zone) {
         return false;
     }
-    if record.scatter {
+    if record.zone_spread {
         let most = record.count.div_ceil(2) as usize;
-        let there = live.placed.values().filter(|p| *p.zone == *zone).count();
+        let there = job_state
+            .placed
+            .values()
+            .filter(|p| *p.zone == *zone)
+            .count();
         if there >= most {
             return false;
         }
--- a/src/controller/scheduling/mod.rs
+++ b/src/controller/scheduling/mod.rs
@@ -11,7 +11,7 @@
 use crate::controller::Controller;
 use crate::controller::machines::inventory::Machine;
 use crate::controller::scheduling::constraints::within_limit;
-use crate::controller::scheduling::constraints::{teams_over, within_guarantee};
+use crate::controller::scheduling::constraints::{teams_over_guarantee, within_guarantee};
 use crate::controller::scheduling::preemption::cheapest_victims;
 use crate::controller::scheduling::scoring::{
     Candidate, ImageWorths, PlacementContext, best_candidate, expected_s, fetch_s, ready_images,
@@ -34,68 +34,72 @@
 /// How long room made by stopping others is waited for before more is made.
 const PREEMPT_S: f64 = 6.0;
 /// Most tasks placed in one round, so that a swarm doesn't hold up everything else.
-const ROUND_MAX: usize = 64;
+const CYCLE_TASKS_MAX: usize = 64;
 
 /// Order in which queued jobs are served; lower comes first.
-type Turn = (std::cmp::Reverse<PriorityClass>, bool, u32, u64, JobId);
+type QueueOrder = (std::cmp::Reverse<PriorityClass>, bool, u32, u64, JobId);
 
 impl Controller {
     /// Places queued tasks. Those that find no room are counted by the autoscaler.
-    pub(crate) fn place(&mut self) {
+    pub(crate) fn schedule(&mut self) {
         let (now, is_stale) = (self.now, self.is_stale());
         let Some(h) = &mut self.owner else {
             return;
         };
         // Pauses of failing jobs, of machines and of batch work end without any event.
-        let due = now.since(h.place_at) > PLACE_EVERY_S && !h.waiting.is_empty();
-        if !(h.place_wanted || due) || is_stale || self.catalog.is_empty() || now < h.place_at {
+        let due = now.since(h.schedule_at) > PLACE_EVERY_S && !h.waiting.is_empty();
+        if !(h.scheduling_wanted || due)
+            || is_stale
+            || self.catalog.is_empty()
+            || now < h.schedule_at
+        {
             return;
         }
-        h.place_at = Time(now.0 + PLACE_GAP_MS);
-        h.place_wanted = false;
-        let mut turns: Vec<Turn> = Vec::new();
+        h.schedule_at = Time(now.0 + PLACE_GAP_MS);
+        h.scheduling_wanted = false;
+        let mut queue_order: Vec<QueueOrder> = Vec::new();
         h.waiting
             .retain(|id| h.jobs.get(id).is_some_and(|l| l.queued() > 0));
         for id in &h.waiting {
-            let live = &h.jobs[id];
-            if now >= live.not_before && !live.finishing {
-                let over = !within_guarantee(h, &self.settings, live);
+            let job_state = &h.jobs[id];
+            if now >= job_state.not_before && !job_state.finishing {
+                let over = !within_guarantee(h, &self.settings, job_state);
                 // Jobs with few tasks running go first: neither a swarm nor a large
                 // array keeps the others waiting.
-                let running = live.placed.len() as u32 / 8;
-                let priority_class = std::cmp::Reverse(live.record.priority_class);
-                turns.push((priority_class, over, running, live.arrival, id.clone()));
+                let running = job_state.placed.len() as u32 / 8;
+                let priority_class = std::cmp::Reverse(job_state.record.priority_class);
+                queue_order.push((priority_class, over, running, job_state.arrival, id.clone()));
             }
         }
-        if turns.is_empty() {
+        if queue_order.is_empty() {
             return;
         }
-        turns.sort();
-        let mut round = SchedulingCycle {
+        queue_order.sort();
+        let mut cycle = SchedulingCycle {
             images: ready_images(h, &self.catalog, &self.settings, now),
             full: full_pools(h, &self.catalog, self.settings.tuning.headroom, now),
-            left: ROUND_MAX,
+            left: CYCLE_TASKS_MAX,
             failed: Vec::new(),
-            unyielding: Vec::new(),
+            without_victims: Vec::new(),
         };
         let mut unplaced = Vec::new();
-        for (_, _, _, _, id) in turns {
-            if self.place_job(&id, &mut round) {
+        for (_, _, _, _, id) in queue_order {
+            if self.schedule_job(&id, &mut cycle) {
                 unplaced.push(id);
             }
         }
-        if round.left == 0
+        if cycle.left == 0
             && let Some(h) = &mut self.owner
         {
-            h.place_wanted = true;
+            h.scheduling_wanted = true;
         }
         for id in unplaced {
-            self.make_room(&id, &mut round);
+            self.preempt_for(&id, &mut cycle);
         }
     }
 
     /// Places a job's queued tasks; true if one found no machine.
-    fn place_job(&mut self, id: &JobId, round: &mut SchedulingCycle) -> bool {
+    fn schedule_job(&mut self, id: &JobId, cycle: &mut SchedulingCycle) -> bool {
         let now = self.now;
         let Some(h) = &mut self.owner else {
             return false;
@@ -103,7 +107,7 @@
         let Some(record) = h.jobs.get(id).map(|l| l.record.clone()) else {
             return false;
         };
-        if round.failed.iter().any(|f| same_demand(f, &record)) {
+        if cycle.failed.iter().any(|f| same_demand(f, &record)) {
             return true;
         }
         let context = PlacementContext {
@@ -113,33 +117,33 @@
             now,
         };
         let mut candidates = None;
-        while round.left > 0 {
+        while cycle.left > 0 {
             if !within_limit(h, &self.settings, &record) {
                 return false;
             }
-            let Some(live) = h.jobs.get_mut(id) else {
+            let Some(job_state) = h.jobs.get_mut(id) else {
                 return false;
             };
-            let Some(index) = live.next_queued() else {
+            let Some(index) = job_state.next_queued() else {
                 return false;
             };
-            let live = &h.jobs[id];
+            let job_state = &h.jobs[id];
             // All tasks of a flawed job at once took room on every machine at each try.
-            if h.failures.on_probation(id) && live.trying() {
+            if h.failures.on_probation(id) && job_state.trying() {
                 return false;
             }
             let candidates = candidates.get_or_insert_with(|| {
-                let (candidates, looked) = context.candidates(h, id, round);
-                self.looked += looked;
+                let (candidates, machines_scanned) = context.candidates(h, id, cycle);
+                self.machines_scanned += machines_scanned;
                 candidates
             });
-            let Some(machine) = best_candidate(h, live, candidates) else {
-                if !record.one_zone && !record.scatter {
-                    round.failed.push(record);
+            let Some(machine) = best_candidate(h, job_state, candidates) else {
+                if !record.zone_affinity && !record.zone_spread {
+                    cycle.failed.push(record);
                 }
                 return true;
             };
-            round.left -= 1;
+            cycle.left -= 1;
             self.placed += 1;
             let attempt = h.next_attempt();
             let Some(m) = h.machines.get(&machine) else {
@@ -155,71 +159,78 @@
                 attempt,
                 phase: Phase::Committing,
                 since: now,
-                halted: None,
+                stop_requested: None,
                 sends: 0,
                 runs_well: false,
             };
-            h.put(id, index, placement);
+            h.add_placement(id, index, placement);
             h.write_placement(id, index);
             // Only this machine costs something else now.
-            let live = &h.jobs[id];
+            let job_state = &h.jobs[id];
             let cost = h
                 .machines
                 .get(&machine)
-                .and_then(|m| context.cost_of(h, (id, live), (&machine, m), round));
+                .and_then(|m| context.cost_of(h, (id, job_state), (&machine, m), cycle));
             candidates.extend(cost.map(|cost| Candidate { cost, machine }));
         }
         false
     }
 
     /// Stops tasks of lower rank where that makes room for a job that found none.
-    fn make_room(&mut self, id: &JobId, round: &mut SchedulingCycle) {
+    fn preempt_for(&mut self, id: &JobId, cycle: &mut SchedulingCycle) {
         let now = self.now;
         let Some(h) = &mut self.owner else {
             return;
         };
-        let Some(live) = h.jobs.get(id) else {
+        let Some(job_state) = h.jobs.get(id) else {
             return;
         };
         // Work of the same rank is stopped only where renting didn't help: it may lose
         // all it has done.
         let boot_s = self.catalog.iter().map(|c| c.ready_s).fold(0.0, f64::max);
-        let waited = now.since(live.since) > boot_s;
-        let sure = waited && within_guarantee(h, &self.settings, live);
-        if (live.record.priority_class <= PriorityClass::Normal && !sure) || now < live.preempting {
+        let waited = now.since(job_state.since) > boot_s;
+        let sure = waited && within_guarantee(h, &self.settings, job_state);
+        if (job_state.record.priority_class <= PriorityClass::Normal && !sure)
+            || now < job_state.preempting_until
+        {
             return;
         }
         let same = |f: &Rc<JobRecord>| {
-            same_demand(f, &live.record) && f.priority_class >= live.record.priority_class
+            same_demand(f, &job_state.record) && f.priority_class >= job_state.record.priority_class
         };
-        if !sure && round.unyielding.iter().any(same) {
+        if !sure && cycle.without_victims.iter().any(same) {
             return;
         }
         // Teams beyond their guarantee make room for one that lacks its own.
         let over = if sure {
-            teams_over(h, &self.settings, &live.record.team)
+            teams_over_guarantee(h, &self.settings, &job_state.record.team)
         } else {
             Vec::new()
         };
-        let most = live.queued().min(8) as usize;
-        let (victims, looked) = cheapest_victims(h, &self.catalog, live, now, most, &over);
-        self.looked += looked;
-        let counts_for_all = !sure && !live.rank_inherited();
-        if victims.is_empty() && counts_for_all && !live.record.one_zone && !live.record.scatter {
-            round.unyielding.push(live.record.clone());
+        let most = job_state.queued().min(8) as usize;
+        let (victims, machines_scanned) =
+            cheapest_victims(h, &self.catalog, job_state, now, most, &over);
+        self.machines_scanned += machines_scanned;
+        let counts_for_all = !sure && !job_state.inherits_priority_class();
+        if victims.is_empty()
+            && counts_for_all
+            && !job_state.record.zone_affinity
+            && !job_state.record.zone_spread
+        {
+            cycle.without_victims.push(job_state.record.clone());
         }
         // Room of tasks that were never sent is free at once.
-        let pause = if victims.iter().all(|task| h.unsent(task)) {
+        let pause = if victims.iter().all(|task| h.was_never_sent(task)) {
             PLACE_EVERY_S
         } else {
             PREEMPT_S
         };
-        if let Some(live) = h.jobs.get_mut(id) {
-            live.preempting = now.after(pause);
+        if let Some(job_state) = h.jobs.get_mut(id) {
+            job_state.preempting_until = now.after(pause);
         }
         for task in victims {
             log::info!("task {task} makes room for {id}");
-            self.halt(&task);
+            self.stop(&task);
         }
     }
 }
@@ -238,7 +249,7 @@
     /// Demands that found no machine: others like them won't either.
     failed: Vec<Rc<JobRecord>>,
     /// Demands for which nothing of lower rank could be stopped.
-    unyielding: Vec<Rc<JobRecord>>,
+    without_victims: Vec<Rc<JobRecord>>,
 }
 
 fn same_demand(a: &JobRecord, b: &JobRecord) -> bool {
@@ -246,17 +257,17 @@
         && a.spot == b.spot
         && a.zone == b.zone
         && a.types == b.types
-        && !b.one_zone
-        && !b.scatter
+        && !b.zone_affinity
+        && !b.zone_spread
 }
 
 /// Whether a machine takes tasks at all now.
 fn usable(m: &Machine, settings: &Settings, now: Time) -> bool {
     let quiet = settings.platform.facts.workers.report_s * FRESH_REPORTS;
-    m.up.is_some()
-        && m.doomed.is_none()
+    m.ready_since.is_some()
+        && m.decommission_at.is_none()
         && m.notice.is_none()
-        && m.session > 0
-        && (m.held.is_some() || now.since(m.seen) < quiet)
+        && m.agent_epoch > 0
+        && (m.long_poll.is_some() || now.since(m.last_heartbeat) < quiet)
         && now >= m.full_until
 }
