--- a/src/controller/scheduling/preemption.rs
+++ b/src/controller/scheduling/preemption.rs
@@ -14,55 +14,56 @@
 pub(crate) fn cheapest_victims(
     h: &ShardOwner,
     catalog: &[MachineType],
-    live: &JobState,
+    job_state: &JobState,
     now: Time,
     most: usize,
     over: &[&str],
 ) -> (Vec<TaskId>, u64) {
-    let priority_class = live.record.priority_class;
+    let priority_class = job_state.record.priority_class;
     let fits = |class: usize, spot: bool, lowest: PriorityClass| {
         let yields = lowest < priority_class || (lowest == priority_class && !over.is_empty());
-        yields && suits(&live.record, catalog, class, spot)
+        yields && suits(&job_state.record, catalog, class, spot)
     };
-    let (mut found, mut looked) = (Vec::new(), 0);
+    let (mut found, mut machines_scanned) = (Vec::new(), 0);
     for (name, m) in h.machines.ranked(fits) {
-        looked += 1;
-        if !zone_allowed(live, &m.zone) || !h.failures.rested(name, now) {
+        machines_scanned += 1;
+        if !zone_allowed(job_state, &m.zone) || !h.failures.may_run_tasks(name, now) {
             continue;
         }
-        if let Some((loss, tasks)) = victims_on(h, live, m, over) {
-            let cost = loss + fetch_s(&live.record, &catalog[m.class], m);
+        if let Some((loss, tasks)) = victims_on(h, job_state, m, over) {
+            let cost = loss + fetch_s(&job_state.record, &catalog[m.class], m);
             found.push((cost, name, tasks));
         }
     }
     found.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| a.1.cmp(b.1)));
     let tasks = found.into_iter().take(most).flat_map(|(_, _, tasks)| tasks);
-    (tasks.collect(), looked)
+    (tasks.collect(), machines_scanned)
 }
 
 /// Which tasks to stop on one machine, and what that throws away.
 fn victims_on(
     h: &ShardOwner,
-    live: &JobState,
+    job_state: &JobState,
     m: &Machine,
     over: &[&str],
 ) -> Option<(f64, Vec<TaskId>)> {
     let mut lower: Vec<(f64, &TaskId, Resources)> = Vec::new();
-    for (t, seat) in &m.tasks {
-        let record = &seat.record;
-        let below = record.priority_class < live.record.priority_class && yields_to(record, live);
-        let owed = record.priority_class == live.record.priority_class
+    for (t, bind) in &m.tasks {
+        let record = &bind.record;
+        let below =
+            record.priority_class < job_state.record.priority_class && yields_to(record, job_state);
+        let owed = record.priority_class == job_state.record.priority_class
             && over.contains(&record.team.as_str());
         if !below && !owed {
             continue;
         }
         let p = h.jobs.get(&t.job)?.placed.get(&t.index)?;
-        if p.halted.is_none() && h.unsent(t) {
+        if p.stop_requested.is_none() && h.was_never_sent(t) {
             lower.push((0.0, t, record.need));
             continue;
         }
         let started = matches!(p.phase, Phase::Fetching | Phase::Running);
-        if p.halted.is_none() && started {
+        if p.stop_requested.is_none() && started {
             let ran = h.heard.since(p.since);
             let saved = record.checkpoint_s > 0.0;
             let loss = if saved { 3.0 } else { 5.0 + ran * 0.2 };
@@ -72,20 +73,22 @@
     lower.sort_by(|a, b| a.0.total_cmp(&b.0));
     let (mut free, mut loss, mut out) = (m.free(), 0.0, Vec::new());
     for (cost, task, need) in lower {
-        if free.holds(live.record.need) {
+        if free.holds(job_state.record.need) {
             break;
         }
         free.add(need, 1.0);
         loss += cost;
         out.push(task.clone());
     }
-    (free.holds(live.record.need) && !out.is_empty()).then_some((loss, out))
+    (free.holds(job_state.record.need) && !out.is_empty()).then_some((loss, out))
 }
 
 /// Whether work may be stopped for a job as far as it loses by it. For a rank that a job has only
 /// from those that need it, just work that saves its progress is, beside what the job's own rank
 /// is above: arrays needed by pipelines stopped others of their class, which lost all they had
 /// done, and were needed or waited themselves soon after, again and again.
-fn yields_to(record: &JobRecord, live: &JobState) -> bool {
-    !live.rank_inherited() || record.priority_class < live.own_rank || record.checkpoint_s > 0.0
+fn yields_to(record: &JobRecord, job_state: &JobState) -> bool {
+    !job_state.inherits_priority_class()
+        || record.priority_class < job_state.own_priority_class
+        || record.checkpoint_s > 0.0
 }
--- a/src/controller/scheduling/scoring.rs
+++ b/src/controller/scheduling/scoring.rs
@@ -71,28 +71,28 @@
         &self,
         h: &ShardOwner,
         job: &JobId,
-        round: &SchedulingCycle,
+        cycle: &SchedulingCycle,
     ) -> (BinaryHeap<Candidate>, u64) {
-        let live = &h.jobs[job];
-        let record = &live.record;
+        let job_state = &h.jobs[job];
+        let record = &job_state.record;
         let zones = self.catalog.iter().flat_map(|c| &c.zones);
         let zones: BTreeSet<&str> = zones.map(String::as_str).collect();
         let open: Vec<&str> = zones
             .into_iter()
-            .filter(|z| zone_allowed(live, z))
+            .filter(|z| zone_allowed(job_state, z))
             .collect();
         let fits = |class: usize, spot: bool, zone: &Rc<str>| {
             open.contains(&&**zone) && suits(record, self.catalog, class, spot)
         };
-        let mut looked = 0;
+        let mut machines_scanned = 0;
         let machines = h.machines.roomy(record.need, fits);
         let candidates = machines.filter_map(|(id, m)| {
-            looked += 1;
-            let cost = self.cost_of(h, (job, live), (id, m), round)?;
+            machines_scanned += 1;
+            let cost = self.cost_of(h, (job, job_state), (id, m), cycle)?;
             let machine = id.clone();
             Some(Candidate { cost, machine })
         });
-        (candidates.collect(), looked)
+        (candidates.collect(), machines_scanned)
     }
 
     /// What the job's next task costs on a machine that suits it; `None` if it can't go
@@ -100,25 +100,26 @@
     pub(crate) fn cost_of(
         &self,
         h: &ShardOwner,
-        (job, live): (&JobId, &JobState),
+        (job, job_state): (&JobId, &JobState),
         (id, m): (&MachineId, &Machine),
-        round: &SchedulingCycle,
+        cycle: &SchedulingCycle,
     ) -> Option<f64> {
         let class = self.catalog.get(m.class)?;
-        let usable = usable(m, self.settings, self.now) && h.failures.rested(id, self.now);
-        if !m.free().holds(live.record.need) || !usable {
+        let usable = usable(m, self.settings, self.now) && h.failures.may_run_tasks(id, self.now);
+        if !m.free().holds(job_state.record.need) || !usable {
             return None;
         }
-        let young = self.now.since(live.since) < KEPT_S;
-        let loses = live.record.checkpoint_s <= 0.0;
+        let young = self.now.since(job_state.since) < KEPT_S;
+        let loses = job_state.record.checkpoint_s <= 0.0;
         let waits = young
             && loses
-            && live.record.spot
-            && live.record.priority_class <= PriorityClass::Normal;
-        if waits && !m.spot && round.full.contains(&m.class) {
+            && job_state.record.spot
+            && job_state.record.priority_class <= PriorityClass::Normal;
+        if waits && !m.spot && cycle.full.contains(&m.class) {
             return None;
         }
-        let mut cost = cost(self, live, class, m) + displacement_cost(&round.images, live, m);
+        let mut cost =
+            cost(self, job_state, class, m) + displacement_cost(&cycle.images, job_state, m);
         if h.failures.failed_on(job, id) {
             cost += FAILED_COST;
         }
@@ -129,26 +130,26 @@
 /// Takes the cheapest offer whose zone may still have a task of the job.
 pub(crate) fn best_candidate(
     h: &ShardOwner,
-    live: &JobState,
+    job_state: &JobState,
     candidates: &mut BinaryHeap<Candidate>,
 ) -> Option<MachineId> {
     loop {
         let machine = candidates.pop()?.machine;
         let zone = h.machines.get(&machine).map(|m| &m.zone);
-        if zone.is_some_and(|zone| zone_allowed(live, zone)) {
+        if zone.is_some_and(|zone| zone_allowed(job_state, zone)) {
             return Some(machine);
         }
     }
 }
 
-fn cost(context: &PlacementContext, live: &JobState, class: &MachineType, m: &Machine) -> f64 {
-    let record = &live.record;
+fn cost(context: &PlacementContext, job_state: &JobState, class: &MachineType, m: &Machine) -> f64 {
+    let record = &job_state.record;
     let free_share = 1.0 - m.used.share_of(class.resources);
     // A start goes with the answer to a report: at once, where one waits for it.
     let report_s = context.settings.platform.facts.workers.report_s;
-    let answer_s = match m.held {
+    let answer_s = match m.long_poll {
         Some(_) => 0.0,
-        None => (report_s - context.now.since(m.seen)).max(0.0),
+        None => (report_s - context.now.since(m.last_heartbeat)).max(0.0),
     };
     let delay = delay_cost(
         context.expected,
@@ -168,7 +169,7 @@
     if m.spot {
         cost -= SPOT_GAIN;
     }
-    if m.closing {
+    if m.cordoned {
         cost += CLOSING_COST;
     }
     cost
@@ -204,7 +205,7 @@
     let needs = h.images.values().map(|w| w.need);
     let least = needs.reduce(Resources::least).unwrap_or_default();
     for (id, m) in h.machines.roomy(least, |_, spot, _| !spot) {
-        if !usable(m, settings, now) || !h.failures.rested(id, now) {
+        if !usable(m, settings, now) || !h.failures.may_run_tasks(id, now) {
             continue;
         }
         let free = m.free();
@@ -233,17 +234,17 @@
 
 /// What is lost when a task takes the room that a machine has for services whose images
 /// it holds.
-fn displacement_cost(worths: &ImageWorths, live: &JobState, m: &Machine) -> f64 {
+fn displacement_cost(worths: &ImageWorths, job_state: &JobState, m: &Machine) -> f64 {
     if m.spot {
         return 0.0;
     }
     let before = m.free();
     let mut after = before;
-    after.add(live.record.need, -1.0);
+    after.add(job_state.record.need, -1.0);
     let images = m
         .images
         .iter()
-        .filter(|(image, _)| *image != live.record.image);
+        .filter(|(image, _)| *image != job_state.record.image);
     let images = images.filter_map(|(image, _)| worths.get(image));
     let lost = images.filter(|(need, _)| before.holds(*need) && !after.holds(*need));
     lost.map(|(_, worth)| worth).sum()
@@ -256,13 +257,13 @@
     }
     let whole = record.image_gb / class.fetch_gb_s;
     let mut others: Vec<(&Image, f64)> = Vec::new();
-    for seat in m.tasks.values().filter(|s| !s.settled) {
-        let image = &seat.record.image;
+    for bind in m.tasks.values().filter(|s| !s.image_cached) {
+        let image = &bind.record.image;
         if *image == record.image {
             return whole / 2.0;
         }
         if !m.has_image(image) && others.iter().all(|(i, _)| *i != image) {
-            others.push((image, seat.record.image_gb / class.fetch_gb_s));
+            others.push((image, bind.record.image_gb / class.fetch_gb_s));
         }
     }
     whole + others.iter().map(|(_, s)| s.min(whole)).sum::<f64>()
--- a/src/controller/shard/admission.rs
+++ b/src/controller/shard/admission.rs
@@ -14,7 +14,7 @@
 impl Controller {
     /// A new holder's start: all that earlier ones committed is known, and nothing
     /// of it is believed to have ended without proof.
-    pub(crate) fn rebuild(&mut self) {
+    pub(crate) fn rebuild_from_mirror(&mut self) {
         let Some(shard) = self.owner.as_ref().map(|h| h.shard) else {
             return;
         };
@@ -22,84 +22,84 @@
         let jobs = self.mirror.jobs.iter().filter(|(_, j)| of_shard(j));
         let ids: Vec<JobId> = jobs.map(|(id, _)| id.clone()).collect();
         for id in ids {
-            self.owner_job(&id);
+            self.on_job_changed(&id);
         }
         let jobs = &self.mirror.jobs;
-        let leftover_chunks = self
+        let leftover_placements = self
             .mirror
             .runs
             .keys()
             .filter(|(id, _)| !jobs.contains_key(id));
-        let leftover_chunks: Vec<_> = leftover_chunks.cloned().collect();
+        let leftover_placements: Vec<_> = leftover_placements.cloned().collect();
         if let Some(h) = &mut self.owner {
             // Chunks without a job belong to no block; the first one's holder clears
             // them away.
-            h.leftover_chunks = if shard == 0 {
-                leftover_chunks
+            h.leftover_placements = if shard == 0 {
+                leftover_placements
             } else {
                 Vec::new()
             };
-            h.guess_demand(self.now, &self.catalog, self.mirror.closed());
+            h.estimate_demand(self.now, &self.catalog, self.mirror.closed());
             info!("took over {} jobs of block {shard}", h.jobs.len());
         }
-        self.take_hinted_estimates();
+        self.apply_hinted_estimates();
     }
 
     /// A job was accepted, or its record changed.
-    pub(crate) fn owner_job(&mut self, id: &JobId) {
+    pub(crate) fn on_job_changed(&mut self, id: &JobId) {
         let Some(job) = self.mirror.jobs.get(id) else {
             return;
         };
         let Some(h) = self.owner.as_mut().filter(|h| h.shard == job.record.shard) else {
             return;
         };
-        let Some(live) = h.jobs.get_mut(id) else {
-            return self.take_in(id);
+        let Some(job_state) = h.jobs.get_mut(id) else {
+            return self.admit(id);
         };
-        live.revision = job.revision;
-        if job.cancelled.is_some() && live.cancelled.is_none() {
-            live.cancelled = job.cancelled;
-            self.halt_cancelled(id);
+        job_state.revision = job.revision;
+        if job.cancelled.is_some() && job_state.cancelled.is_none() {
+            job_state.cancelled = job.cancelled;
+            self.stop_cancelled(id);
         }
     }
 
     /// Takes in a job, with what earlier holders wrote of it.
-    fn take_in(&mut self, id: &JobId) {
+    fn admit(&mut self, id: &JobId) {
         let now = self.now;
         let (Some(job), Some(h)) = (self.mirror.jobs.get(id), &mut self.owner) else {
             return;
         };
         let (runs, layout) = self.mirror.effective_placements(id, &job.record);
-        let mut live = JobState::new(job, layout, now);
-        live.set_rank(job.priority_class);
-        let mut doubts = Vec::new();
+        let mut job_state = JobState::new(job, layout, now);
+        job_state.set_priority_class(job.priority_class);
+        let mut unconfirmed = Vec::new();
         for (chunk, revision, run) in runs {
-            live.chunks.entry(chunk).or_default().revision = revision;
-            live.restore_done(&run.done);
-            doubts.extend(run.placed.iter().cloned());
+            job_state.chunks.entry(chunk).or_default().revision = revision;
+            job_state.restore_done(&run.done);
+            unconfirmed.extend(run.placed.iter().cloned());
             h.failures
                 .restore(now, id, run.failed_tries, &run.failed_on);
         }
-        let cancelled = live.cancelled.is_some();
-        let all_done = live.done_count == live.record.count;
-        h.jobs.insert(id.clone(), live);
-        for placed in doubts {
-            h.doubt(now, id, placed);
+        let cancelled = job_state.cancelled.is_some();
+        let all_done = job_state.done_count == job_state.record.count;
+        h.jobs.insert(id.clone(), job_state);
+        for placed in unconfirmed {
+            h.add_unconfirmed_placement(now, id, placed);
         }
         if cancelled {
             // It was cancelled under an earlier holder, whose halts may never have
             // gone out: this one has to send its own.
-            return self.halt_cancelled(id);
+            return self.stop_cancelled(id);
         }
         if all_done {
-            h.to_finish.insert(id.clone());
+            h.ready_to_end_jobs.insert(id.clone());
         }
-        self.owner_dependencies_changed(id);
+        self.on_dependencies_changed(id);
     }
 
     /// Something changed for a job through one that it needs or that needs it: it may start, it is
     /// cancelled, or its rank is another.
-    pub(crate) fn owner_dependencies_changed(&mut self, id: &JobId) {
+    pub(crate) fn on_dependencies_changed(&mut self, id: &JobId) {
         let now = self.now;
         let Some(job) = self.mirror.jobs.get(id) else {
             return;
@@ -107,38 +107,38 @@
         let Some(h) = self.owner.as_mut().filter(|h| h.shard == job.record.shard) else {
             return;
         };
-        h.change_rank(id, job.priority_class);
-        let Some(live) = h.jobs.get_mut(id) else {
+        h.set_priority_class(id, job.priority_class);
+        let Some(job_state) = h.jobs.get_mut(id) else {
             return;
         };
-        if live.released || live.cancelled.is_some() {
+        if job_state.released || job_state.cancelled.is_some() {
             return;
         }
         match self.mirror.needs(&job.record) {
             DependencyState::Open | DependencyState::Unknown => {}
             DependencyState::Met => {
-                live.released = true;
-                live.since = now;
+                job_state.released = true;
+                job_state.since = now;
                 if !job.record.needs.is_empty() {
                     info!("job {id} may start: all that it needs is done");
                 }
-                h.note_demand(now, &self.catalog, self.mirror.closed(), &job.record);
-                h.note_image(now, &job.record);
+                h.record_demand(now, &self.catalog, self.mirror.closed(), &job.record);
+                h.record_image_use(now, &job.record);
                 if h.jobs[id].queued() > 0 {
                     h.waiting.insert(id.clone());
-                    h.place_wanted = true;
+                    h.scheduling_wanted = true;
                 }
             }
             DependencyState::Cancelled => {
                 info!("job {id} is cancelled with one that it needs");
-                live.cancelled = Some(now);
-                self.halt_cancelled(id);
+                job_state.cancelled = Some(now);
+                self.stop_cancelled(id);
             }
         }
     }
 
     /// A job's record is gone: it ended, and its end is committed.
-    pub(crate) fn owner_job_gone(&mut self, id: &JobId) {
+    pub(crate) fn on_job_removed(&mut self, id: &JobId) {
         let leftover: Vec<_> = self
             .mirror
             .chunks(id)
@@ -148,66 +148,71 @@
         let Some(h) = &mut self.owner else {
             return;
         };
-        h.leftover_chunks.extend(leftover);
-        let Some(live) = h.jobs.get(id) else {
+        h.leftover_placements.extend(leftover);
+        let Some(job_state) = h.jobs.get(id) else {
             return;
         };
-        let all = live.cancelled.is_none();
+        let all = job_state.cancelled.is_none();
         info!("job {id} {}", if all { "done" } else { "cleared away" });
-        let tasks: Vec<u32> = live.placed.keys().copied().collect();
+        let tasks: Vec<u32> = job_state.placed.keys().copied().collect();
         for index in tasks {
             let job = id.clone();
-            h.take(now, &TaskId { job, index });
+            h.remove_placement(now, &TaskId { job, index });
         }
         h.jobs.remove(id);
         h.failures.forget_job(id);
         h.waiting.remove(id);
-        h.to_finish.remove(id);
-        h.to_flush.retain(|(_, job, _)| job != id);
+        h.ready_to_end_jobs.remove(id);
+        h.write_queue.retain(|(_, job, _)| job != id);
     }
 
     /// Stops every task of a withdrawn job: nothing they do is of use any more.
-    fn halt_cancelled(&mut self, id: &JobId) {
+    fn stop_cancelled(&mut self, id: &JobId) {
         let now = self.now;
         let Some(h) = &mut self.owner else {
             return;
         };
         h.waiting.remove(id);
-        let Some(live) = h.jobs.get_mut(id) else {
+        let Some(job_state) = h.jobs.get_mut(id) else {
             return;
         };
-        let mut unsent = Vec::new();
+        let mut was_never_sent = Vec::new();
         let mut machines = BTreeSet::new();
-        for (index, p) in &mut live.placed {
-            p.halted.get_or_insert(now);
+        for (index, p) in &mut job_state.placed {
+            p.stop_requested.get_or_insert(now);
             match p.phase {
-                Phase::Ready => unsent.push(*index),
+                Phase::Ready => was_never_sent.push(*index),
                 _ => {
                     machines.insert(p.machine.clone());
                 }
             }
         }
-        if live.placed.is_empty() {
-            h.to_finish.insert(id.clone());
+        if job_state.placed.is_empty() {
+            h.ready_to_end_jobs.insert(id.clone());
         }
-        for index in unsent {
+        for index in was_never_sent {
             let job = id.clone();
-            h.take(now, &TaskId { job, index });
+            h.remove_placement(now, &TaskId { job, index });
         }
         for machine in machines {
-            self.answer_held(&machine);
+            self.answer_long_poll(&machine);
         }
     }
 }
 
 impl ShardOwner {
     /// Enters a placement of an earlier holder: it counts until it is proven gone.
-    fn doubt(&mut self, now: Time, job: &JobId, (index, attempt, machine, zone): Placed) {
+    fn add_unconfirmed_placement(
+        &mut self,
+        now: Time,
+        job: &JobId,
+        (index, attempt, machine, zone): Placed,
+    ) {
         if !self.machines.contains_key(&machine) && !self.gone.contains_key(&machine) {
             // Known by name only until it reports. If it never does, it is
             // deleted, which proves its tasks gone.
             let mut known = Machine::new(&[], "", &zone, false, now);
-            known.up = Some(now);
+            known.ready_since = Some(now);
             self.machines.insert(machine.clone(), known);
         }
         let placement = Placement {
@@ -216,11 +221,11 @@
             attempt,
             phase: Phase::Doubt,
             since: now,
-            halted: None,
+            stop_requested: None,
             sends: 0,
             // An earlier holder has seen it start: that it runs is no news of its machine.
             runs_well: true,
         };
-        self.put(job, index, placement);
+        self.add_placement(job, index, placement);
     }
 }
--- a/src/controller/shard/burst_estimate.rs
+++ b/src/controller/shard/burst_estimate.rs
@@ -4,7 +4,7 @@
 use crate::controller::autoscaling::Pool;
 use crate::controller::autoscaling::demand::{per_machine, pool_for};
 use crate::controller::shard::job::JobState;
-use crate::controller::shard::{ShardOwner, faded};
+use crate::controller::shard::{ShardOwner, decayed};
 use crate::controller::store::records::{ExhaustedPool, JobKind, JobRecord};
 use crate::ids::Time;
 use crate::wire::MachineType;
@@ -30,16 +30,16 @@
 
 impl BurstEstimate {
     /// What the holder before this one estimated, at that moment.
-    pub(crate) fn told(at: Time, squares: f64) -> Self {
+    pub(crate) fn observed(at: Time, squares: f64) -> Self {
         Self { squares, at }
     }
 
-    pub(crate) fn faded(&self, now: Time, boot_s: f64) -> f64 {
-        faded(self.squares, now.since(self.at), BURST_HALF * boot_s)
+    pub(crate) fn decayed(&self, now: Time, boot_s: f64) -> f64 {
+        decayed(self.squares, now.since(self.at), BURST_HALF * boot_s)
     }
 
     fn add(&mut self, now: Time, boot_s: f64, size: f64) {
-        self.squares = self.faded(now, boot_s) + size * size;
+        self.squares = self.decayed(now, boot_s) + size * size;
         self.at = now;
     }
 
@@ -55,7 +55,7 @@
     /// The standard deviation of demand, jobs coming and going, over a boot time: what
     /// may come on top before a machine rented for it is up.
     pub(crate) fn deviation(&self, now: Time, boot_s: f64) -> f64 {
-        let per_boot = self.faded(now, boot_s) * std::f64::consts::LN_2 / BURST_HALF;
+        let per_boot = self.decayed(now, boot_s) * std::f64::consts::LN_2 / BURST_HALF;
         (2.0 * per_boot).sqrt()
     }
 }
@@ -74,7 +74,7 @@
     }
 
     /// Takes note of a job that came.
-    pub(crate) fn note_demand(
+    pub(crate) fn record_demand(
         &mut self,
         now: Time,
         catalog: &[MachineType],
@@ -88,16 +88,16 @@
     }
 
     /// Takes those that run for a sign of what comes.
-    pub(crate) fn guess_demand(
+    pub(crate) fn estimate_demand(
         &mut self,
         now: Time,
         catalog: &[MachineType],
         closed: &[ExhaustedPool],
     ) {
         let mut squares: BTreeMap<Pool, f64> = BTreeMap::new();
-        let open = |live: &&JobState| live.cancelled.is_none() && live.released;
-        for live in self.jobs.values().filter(open) {
-            if let Some((pool, size)) = self.size(catalog, closed, &live.record) {
+        let open = |job_state: &&JobState| job_state.cancelled.is_none() && job_state.released;
+        for job_state in self.jobs.values().filter(open) {
+            if let Some((pool, size)) = self.size(catalog, closed, &job_state.record) {
                 *squares.entry(pool).or_default() += size * size;
             }
         }
@@ -108,15 +108,15 @@
     /// How long a machine of a type usually takes to boot: no less than the catalogue says,
     /// and longer when they have taken longer lately.
     pub(crate) fn usual_boot_s(&self, class: usize, ready_s: f64) -> f64 {
-        let lately = self.boots.get(&class).copied().unwrap_or(ready_s);
-        lately.clamp(ready_s, ready_s * SLOW_BOOT)
+        let recent_heartbeats = self.boots.get(&class).copied().unwrap_or(ready_s);
+        recent_heartbeats.clamp(ready_s, ready_s * SLOW_BOOT)
     }
 
     /// Takes note of a boot.
-    pub(crate) fn note_boot(&mut self, class: usize, ready_s: f64, took_s: f64) {
+    pub(crate) fn observe_boot_time(&mut self, class: usize, ready_s: f64, took_s: f64) {
         let usual = self.usual_boot_s(class, ready_s);
-        let lately = usual + (took_s - usual) * BOOT_NEWS;
-        self.boots.insert(class, lately);
+        let recent_heartbeats = usual + (took_s - usual) * BOOT_NEWS;
+        self.boots.insert(class, recent_heartbeats);
     }
 
     /// Machines' worth of room to keep free for urgent starts.
--- a/src/controller/shard/commits.rs
+++ b/src/controller/shard/commits.rs
@@ -48,14 +48,14 @@
     /// waited for seconds behind their commits.
     fn priority(self) -> Priority {
         match self {
-            Self::Placements(std::cmp::Reverse(priority_class)) => rank_priority(priority_class),
+            Self::Placements(std::cmp::Reverse(priority_class)) => write_priority(priority_class),
             Self::Results => Priority::Last,
         }
     }
 }
 
 /// The priority of what is committed for a job of this rank.
-pub(crate) fn rank_priority(priority_class: PriorityClass) -> Priority {
+pub(crate) fn write_priority(priority_class: PriorityClass) -> Priority {
     if priority_class > PriorityClass::Normal {
         Priority::Usual
     } else {
@@ -67,22 +67,22 @@
 pub type WriteQueue = BTreeSet<(WriteUrgency, JobId, u32)>;
 
 /// Commits of chunks under way at once, and how many more there may be for urgent ones.
-const FLUSHES: usize = 4;
-const URGENT_FLUSHES: usize = 2;
+const WRITES_IN_FLIGHT_MAX: usize = 4;
+const URGENT_WRITES_IN_FLIGHT_MAX: usize = 2;
 /// JSON bytes of chunks in one transaction, below the limit of 64 KiB.
-const FLUSH_BYTES: usize = 40 * 1024;
+const TRANSACTION_BYTES: usize = 40 * 1024;
 
 impl Controller {
     /// Commits chunks, several to a transaction, the most urgent first.
-    pub(crate) fn pump_flush(&mut self) {
-        self.pump_endings();
+    pub(crate) fn write_placements(&mut self) {
+        self.write_job_ends();
         loop {
             let now = self.now;
-            let mut limits = self.flush_limits();
+            let mut limits = self.transaction_limits();
             let Some(h) = &mut self.owner else {
                 return;
             };
-            let Some((urgency, ..)) = h.to_flush.first() else {
+            let Some((urgency, ..)) = h.write_queue.first() else {
                 return;
             };
             let priority = urgency.priority();
@@ -90,27 +90,27 @@
             let largest = self.changes.largest_call(priority) as usize;
             limits.ops = limits.ops.min(largest);
             let most = match priority {
-                Priority::Last => FLUSHES,
-                _ => FLUSHES + URGENT_FLUSHES,
+                Priority::Last => WRITES_IN_FLIGHT_MAX,
+                _ => WRITES_IN_FLIGHT_MAX + URGENT_WRITES_IN_FLIGHT_MAX,
             };
-            if h.flushing >= most
+            if h.writes_in_flight >= most
                 || !self.requests.has(now, 1.0, priority)
                 || !self.changes.has(now, 1.0, priority)
             {
                 return;
             }
-            let Some((op, items)) = next_flush(h, &limits, priority) else {
+            let Some((op, items)) = next_transaction(h, &limits, priority) else {
                 return;
             };
             match self.send_store_request(op, RequestPurpose::WritePlacements(items), priority) {
                 Ok(_) => {
                     if let Some(h) = &mut self.owner {
-                        h.flushing += 1;
+                        h.writes_in_flight += 1;
                     }
                 }
                 Err(RequestPurpose::WritePlacements(items)) => {
                     if let Some(h) = &mut self.owner {
-                        items.iter().for_each(|i| h.write_again(&i.job, i.chunk));
+                        items.iter().for_each(|i| h.requeue_write(&i.job, i.chunk));
                     }
                     return;
                 }
@@ -119,7 +119,11 @@
         }
     }
 
-    pub(crate) fn on_flushed(&mut self, items: Vec<PlacementWrite>, reply: StoreResponse) {
+    pub(crate) fn on_placements_written(
+        &mut self,
+        items: Vec<PlacementWrite>,
+        reply: StoreResponse,
+    ) {
         if reply == StoreResponse::Rejected {
             warn!("the state service takes no values of this size any more");
             self.values_shrunk = true;
@@ -127,26 +131,26 @@
         let Some(h) = &mut self.owner else {
             return;
         };
-        h.flushing = h.flushing.saturating_sub(1);
+        h.writes_in_flight = h.writes_in_flight.saturating_sub(1);
         if !matches!(reply, StoreResponse::Committed { .. }) {
             debug!("{} chunks not written: {reply:?}", items.len());
         }
         let mut ready = BTreeSet::new();
-        let mut reread = Vec::new();
+        let mut reread_placements = Vec::new();
         for item in &items {
             let now = self.now;
-            let Some(live) = h.jobs.get_mut(&item.job) else {
+            let Some(job_state) = h.jobs.get_mut(&item.job) else {
                 continue;
             };
-            let chunk = live.chunks.entry(item.chunk).or_default();
+            let chunk = job_state.chunks.entry(item.chunk).or_default();
             chunk.busy = false;
             match &reply {
                 StoreResponse::Committed { revision } => {
                     chunk.revision = *revision;
                     // What came in meanwhile is still to be written.
-                    let queued = |u| h.to_flush.contains(&(u, item.job.clone(), item.chunk));
+                    let queued = |u| h.write_queue.contains(&(u, item.job.clone(), item.chunk));
                     chunk.unwritten = WriteUrgency::ALL.into_iter().any(queued);
-                    for machine in make_ready(now, live, &item.placed) {
+                    for machine in mark_committed(now, job_state, &item.placed) {
                         ready.insert(machine);
                     }
                 }
@@ -155,81 +159,85 @@
                     let job = failed.contains(&Key::Job(item.job.clone()));
                     if own {
                         chunk.busy = true;
-                        reread.push((item.job.clone(), item.chunk));
+                        reread_placements.push((item.job.clone(), item.chunk));
                     } else if job {
-                        h.drop_uncommitted(now, item);
+                        h.remove_uncommitted(now, item);
                     } else {
-                        h.write_again(&item.job, item.chunk);
+                        h.requeue_write(&item.job, item.chunk);
                     }
                 }
                 // Not executed, or perhaps: the same conditions make it happen once.
-                _ => h.write_again(&item.job, item.chunk),
+                _ => h.requeue_write(&item.job, item.chunk),
             }
         }
         let jobs: BTreeSet<JobId> = items.into_iter().map(|i| i.job).collect();
         for job in &jobs {
-            h.drop_unsent(self.now, job);
+            h.remove_unsent(self.now, job);
         }
-        for (job, chunk) in reread {
-            self.reread(job, chunk);
+        for (job, chunk) in reread_placements {
+            self.reread_placements(job, chunk);
         }
         for machine in ready {
-            self.answer_held(&machine);
+            self.answer_long_poll(&machine);
         }
     }
 
     /// Reads a chunk whose revision isn't the expected one: an earlier commit whose
     /// answer was lost stands after all.
-    fn reread(&mut self, job: JobId, chunk: u32) {
+    fn reread_placements(&mut self, job: JobId, chunk: u32) {
         let op = StoreRequest::Get(Key::Run(job.clone(), chunk));
         let purpose = RequestPurpose::RereadPlacements(job, chunk);
         if let Err(RequestPurpose::RereadPlacements(job, chunk)) =
             self.send_store_request(op, purpose, Priority::First)
         {
-            self.reread_later(&job, chunk);
+            self.retry_write(&job, chunk);
         }
     }
 
-    fn reread_later(&mut self, job: &JobId, chunk: u32) {
+    fn retry_write(&mut self, job: &JobId, chunk: u32) {
         // The chunk is written again, fails again, and is read then.
         if let Some(h) = &mut self.owner {
-            h.write_again(job, chunk);
+            h.requeue_write(job, chunk);
         }
     }
 
-    pub(crate) fn on_reread(&mut self, job: JobId, chunk: u32, reply: StoreResponse) {
+    pub(crate) fn on_placements_reread(&mut self, job: JobId, chunk: u32, reply: StoreResponse) {
         let (revision, run) = match reply {
             StoreResponse::Found {
                 record: Record::Run(run),
                 revision,
             } => (revision, run),
             StoreResponse::Missing { .. } => (0, PlacementRecord::default()),
-            _ => return self.reread_later(&job, chunk),
+            _ => return self.retry_write(&job, chunk),
         };
         let now = self.now;
         let mut ready = Vec::new();
         if let Some(h) = &mut self.owner {
-            if let Some(live) = h.jobs.get_mut(&job) {
-                let entry = live.chunks.entry(chunk).or_default();
+            if let Some(job_state) = h.jobs.get_mut(&job) {
+                let entry = job_state.chunks.entry(chunk).or_default();
                 entry.revision = revision;
                 entry.busy = false;
                 let placed: Vec<_> = run.placed.iter().map(|p| (p.0, p.1)).collect();
-                ready = make_ready(now, live, &placed);
+                ready = mark_committed(now, job_state, &placed);
             }
-            h.drop_unsent(now, &job);
-            h.write_again(&job, chunk);
+            h.remove_unsent(now, &job);
+            h.requeue_write(&job, chunk);
         }
         for machine in ready {
-            self.answer_held(&machine);
+            self.answer_long_poll(&machine);
         }
     }
 }
 
 /// Marks committed placements; returns their machines.
-fn make_ready(now: Time, live: &mut JobState, placed: &[(u32, Attempt)]) -> Vec<MachineId> {
+fn mark_committed(
+    now: Time,
+    job_state: &mut JobState,
+    placed: &[(u32, Attempt)],
+) -> Vec<MachineId> {
     let mut machines = Vec::new();
     for (index, attempt) in placed {
-        if let Some(p) = live.placed.get_mut(index)
+        if let Some(p) = job_state.placed.get_mut(index)
             && p.attempt == *attempt
             && p.phase == Phase::Committing
         {
@@ -243,11 +251,13 @@
 
 impl ShardOwner {
     /// The present content of a chunk's record.
-    fn run_rec(&self, job: &JobId, live: &JobState, chunk: u32) -> PlacementRecord {
-        let tasks = live.layout.tasks_of(chunk);
+    fn placement_record(&self, job: &JobId, job_state: &JobState, chunk: u32) -> PlacementRecord {
+        let tasks = job_state.layout.tasks_of(chunk);
         let (failed_tries, failed_on) = self.failures.of_job(job);
-        let done = tasks.clone().filter(|index| live.done[*index as usize]);
-        let placed = live.placed.range(tasks);
+        let done = tasks
+            .clone()
+            .filter(|index| job_state.done[*index as usize]);
+        let placed = job_state.placed.range(tasks);
         let placed = placed.map(|(index, p)| {
             let zone = p.zone.to_string();
             (*index, p.attempt, p.machine.clone(), zone)
@@ -257,88 +267,91 @@
             placed: placed.collect(),
             failed_tries,
             failed_on,
-            part: live.layout.part_size(chunk),
+            part: job_state.layout.part_size(chunk),
         }
     }
 
     /// Queues a chunk whose commit didn't succeed, with the urgency of what it holds by now.
     /// Put before all others, the batch work's chunks overtook urgent ones whenever the budget
     /// for changes ran out.
-    fn write_again(&mut self, job: &JobId, chunk: u32) {
-        let Some(live) = self.jobs.get_mut(job) else {
+    fn requeue_write(&mut self, job: &JobId, chunk: u32) {
+        let Some(job_state) = self.jobs.get_mut(job) else {
             return;
         };
-        live.chunks.entry(chunk).or_default().busy = false;
-        queue_chunk(&mut self.to_flush, job, live, chunk);
+        job_state.chunks.entry(chunk).or_default().busy = false;
+        queue_chunk(&mut self.write_queue, job, job_state, chunk);
     }
 
     /// Queues the record of a placement that was just made.
     pub(crate) fn write_placement(&mut self, job: &JobId, index: u32) {
-        if let Some(live) = self.jobs.get(job) {
-            let urgency = WriteUrgency::placements(live.record.priority_class);
-            let chunk = live.layout.chunk_of(index);
-            self.to_flush.insert((urgency, job.clone(), chunk));
+        if let Some(job_state) = self.jobs.get(job) {
+            let urgency = WriteUrgency::placements(job_state.record.priority_class);
+            let chunk = job_state.layout.chunk_of(index);
+            self.write_queue.insert((urgency, job.clone(), chunk));
         }
     }
 
     /// Turns to writing a job's chunks in parts that fit into values of so many bytes. What waits
     /// to be written of a chunk is written with its parts, results before they are cleared.
     fn cut_into_parts(&mut self, job: &JobId, value_bytes: usize) {
-        let Some(live) = self.jobs.get_mut(job) else {
+        let Some(job_state) = self.jobs.get_mut(job) else {
             return;
         };
         info!("job {job}: its records are too large to be written again, and are cut into parts");
-        live.layout = ChunkLayout::new(&live.record, Some(chunk_size(value_bytes)));
-        let unwritten = live.chunks.iter().filter(|(_, c)| c.unwritten);
+        job_state.layout = ChunkLayout::new(&job_state.record, Some(chunk_size(value_bytes)));
+        let unwritten = job_state.chunks.iter().filter(|(_, c)| c.unwritten);
         let mut chunks: BTreeSet<u32> = unwritten.map(|(chunk, _)| *chunk).collect();
-        let queued = self.to_flush.iter().filter(|(_, id, _)| id == job);
+        let queued = self.write_queue.iter().filter(|(_, id, _)| id == job);
         chunks.extend(queued.map(|(_, _, chunk)| *chunk));
-        self.to_flush.retain(|(_, id, _)| id != job);
+        self.write_queue.retain(|(_, id, _)| id != job);
         for chunk in chunks {
-            let unwritten = live.chunks.get(&chunk).is_some_and(|c| c.unwritten);
-            for part in live.layout.chunks_for(chunk) {
-                live.chunks.entry(part).or_default().unwritten |= unwritten;
+            let unwritten = job_state.chunks.get(&chunk).is_some_and(|c| c.unwritten);
+            for part in job_state.layout.chunks_for(chunk) {
+                job_state.chunks.entry(part).or_default().unwritten |= unwritten;
             }
-            queue_chunk(&mut self.to_flush, job, live, chunk);
+            queue_chunk(&mut self.write_queue, job, job_state, chunk);
         }
     }
 
     /// Placements told to stop before their start was sent: they can't be there.
-    fn drop_unsent(&mut self, now: Time, job: &JobId) {
-        let Some(live) = self.jobs.get(job) else {
+    fn remove_unsent(&mut self, now: Time, job: &JobId) {
+        let Some(job_state) = self.jobs.get(job) else {
             return;
         };
-        let unsent = live
+        let was_never_sent = job_state
             .placed
             .iter()
-            .filter(|(_, p)| p.halted.is_some() && p.phase == Phase::Ready);
-        let unsent: Vec<u32> = unsent.map(|(index, _)| *index).collect();
-        for index in unsent {
+            .filter(|(_, p)| p.stop_requested.is_some() && p.phase == Phase::Ready);
+        let was_never_sent: Vec<u32> = was_never_sent.map(|(index, _)| *index).collect();
+        for index in was_never_sent {
             let job = job.clone();
-            self.take(now, &TaskId { job, index });
+            self.remove_placement(now, &TaskId { job, index });
         }
     }
 
     /// The job changed under a commit, so its placements were never made.
-    fn drop_uncommitted(&mut self, now: Time, item: &PlacementWrite) {
+    fn remove_uncommitted(&mut self, now: Time, item: &PlacementWrite) {
         for (index, attempt) in &item.placed {
             let same = |p: &Placement| p.attempt == *attempt && p.phase == Phase::Committing;
-            let live = self.jobs.get(&item.job);
-            if live.and_then(|l| l.placed.get(index)).is_some_and(same) {
+            let job_state = self.jobs.get(&item.job);
+            if job_state
+                .and_then(|l| l.placed.get(index))
+                .is_some_and(same)
+            {
                 let task = TaskId {
                     job: item.job.clone(),
                     index: *index,
                 };
-                self.take(now, &task);
+                self.remove_placement(now, &task);
             }
         }
     }
 }
 
 /// Queues what is to be written of a chunk: itself or, if its job was cut into parts, these.
-fn queue_chunk(queue: &mut WriteQueue, job: &JobId, live: &JobState, chunk: u32) {
-    for chunk in live.layout.chunks_for(chunk) {
-        queue.insert((live.write_urgency(chunk), job.clone(), chunk));
+fn queue_chunk(queue: &mut WriteQueue, job: &JobId, job_state: &JobState, chunk: u32) {
+    for chunk in job_state.layout.chunks_for(chunk) {
+        queue.insert((job_state.write_urgency(chunk), job.clone(), chunk));
     }
 }
 
@@ -352,7 +365,7 @@
 }
 
 impl Controller {
-    fn flush_limits(&self) -> TransactionLimits {
+    fn transaction_limits(&self) -> TransactionLimits {
         let strict = self.settings.state_limits();
         let value_bytes = if self.values_shrunk {
             strict.value_bytes
@@ -369,7 +382,7 @@
 
 /// Builds the next transaction of chunks of one priority: urgent ones don't wait until there
 /// is budget for batch work as well.
-fn next_flush(
+fn next_transaction(
     h: &mut ShardOwner,
     limits: &TransactionLimits,
     priority: Priority,
@@ -378,35 +391,36 @@
     let mut preconditions = vec![(Key::Shard(h.shard), h.shard_revision)];
     let (mut writes, mut items, mut bytes) = (Vec::new(), Vec::new(), 0);
     let same = |(urgency, ..): &&(WriteUrgency, JobId, u32)| urgency.priority() == priority;
-    let candidates = h.to_flush.iter().take_while(same).take(4 * ops);
+    let candidates = h.write_queue.iter().take_while(same).take(4 * ops);
     let candidates: Vec<_> = candidates.cloned().collect();
     for entry in candidates {
-        if writes.len() >= ops || bytes > FLUSH_BYTES {
+        if writes.len() >= ops || bytes > TRANSACTION_BYTES {
             break;
         }
         // Cutting a job's chunk into parts takes its other chunks out of the queue as well. Written
         // whole after that, one said that it was a part, and its tasks were spoken of twice.
-        if !h.to_flush.contains(&entry) {
+        if !h.write_queue.contains(&entry) {
             continue;
         }
         let (_, job, chunk) = &entry;
-        let Some(live) = h.jobs.get(job) else {
-            h.to_flush.remove(&entry);
+        let Some(job_state) = h.jobs.get(job) else {
+            h.write_queue.remove(&entry);
             continue;
         };
-        if live.finishing || live.chunks.get(chunk).is_some_and(|c| c.busy) {
+        if job_state.finishing || job_state.chunks.get(chunk).is_some_and(|c| c.busy) {
             continue;
         }
-        let revision = live.chunks.get(chunk).map_or(0, |c| c.revision);
-        let record = h.run_rec(job, live, *chunk);
+        let revision = job_state.chunks.get(chunk).map_or(0, |c| c.revision);
+        let record = h.placement_record(job, job_state, *chunk);
         // Only chunks of jobs accepted under larger limits can have outgrown the present one.
-        let old = live.layout.tasks_of(*chunk).len() > chunk_size(limits.strict_bytes) as usize;
+        let old =
+            job_state.layout.tasks_of(*chunk).len() > chunk_size(limits.strict_bytes) as usize;
         if old && json_bytes(&record) > limits.value_bytes {
             h.cut_into_parts(job, limits.strict_bytes);
             continue;
         }
         bytes += 60 * record.placed.len() + 12 * record.done.len();
-        preconditions.push((Key::Job(job.clone()), live.revision));
+        preconditions.push((Key::Job(job.clone()), job_state.revision));
         preconditions.push((Key::Run(job.clone(), *chunk), revision));
         let placed = record.placed.iter().map(|p| (p.0, p.1)).collect();
         writes.push(Write::put(
@@ -420,10 +434,10 @@
         });
         // One commit carries all that is to be written of the chunk.
         for urgency in WriteUrgency::ALL {
-            h.to_flush.remove(&(urgency, job.clone(), *chunk));
+            h.write_queue.remove(&(urgency, job.clone(), *chunk));
         }
-        if let Some(live) = h.jobs.get_mut(job) {
-            live.chunks.entry(*chunk).or_default().busy = true;
+        if let Some(job_state) = h.jobs.get_mut(job) {
+            job_state.chunks.entry(*chunk).or_default().busy = true;
         }
     }
     // A job with several chunks in the transaction is compared once.
--- a/src/controller/shard/image_demand.rs
+++ b/src/controller/shard/image_demand.rs
@@ -1,6 +1,6 @@
 //! Which images services ask for, and how often.
 
-use crate::controller::shard::{ShardOwner, faded};
+use crate::controller::shard::{ShardOwner, decayed};
 use crate::controller::store::records::{JobKind, JobRecord, Resources};
 use crate::ids::Time;
 
@@ -24,13 +24,13 @@
 impl ImageDemand {
     /// How much it is asked for now.
     pub(crate) fn asked(&self, now: Time) -> f64 {
-        faded(self.uses, now.since(self.at), USE_HALF_S)
+        decayed(self.uses, now.since(self.at), USE_HALF_S)
     }
 }
 
 impl ShardOwner {
     /// Takes note of the image that a service comes with.
-    pub(crate) fn note_image(&mut self, now: Time, record: &JobRecord) {
+    pub(crate) fn record_image_use(&mut self, now: Time, record: &JobRecord) {
         if record.kind != JobKind::Service {
             return;
         }
--- a/src/controller/shard/job.rs
+++ b/src/controller/shard/job.rs
@@ -33,7 +33,7 @@
     /// Since when it is in this phase.
     pub since: Time,
     /// When it was first told to stop, if it was.
-    pub halted: Option<Time>,
+    pub stop_requested: Option<Time>,
     pub sends: u32,
     /// It has run for so long that neither its job nor its machine can be at fault.
     pub runs_well: bool,
@@ -44,7 +44,7 @@
 pub struct JobState {
     pub record: Rc<JobRecord>,
     /// The rank that it was submitted with; `record` may have a higher one, of a job that needs it.
-    pub own_rank: PriorityClass,
+    pub own_priority_class: PriorityClass,
     /// In which records its tasks are.
     pub layout: ChunkLayout,
     pub revision: u64,
@@ -65,7 +65,7 @@
     /// Starts that machines refused for not knowing the job.
     pub unknown_starts: u32,
     /// Room is being made by stopping others until then.
-    pub preempting: Time,
+    pub preempting_until: Time,
 }
 
 /// What is written of a chunk.
@@ -81,7 +81,7 @@
     pub(crate) fn new(job: &MirroredJob, layout: ChunkLayout, now: Time) -> Self {
         Self {
             record: job.record.clone(),
-            own_rank: job.record.priority_class,
+            own_priority_class: job.record.priority_class,
             layout,
             revision: job.revision,
             arrival: job.revision,
@@ -96,13 +96,13 @@
             finishing: false,
             not_before: now,
             unknown_starts: 0,
-            preempting: now,
+            preempting_until: now,
         }
     }
 
     /// Gives the job another rank than its own: the highest of those that need it. Whatever goes
     /// by rank goes by this one.
-    pub(crate) fn set_rank(&mut self, priority_class: PriorityClass) {
+    pub(crate) fn set_priority_class(&mut self, priority_class: PriorityClass) {
         if priority_class != self.record.priority_class {
             let record = JobRecord::clone(&self.record);
             self.record = Rc::new(JobRecord {
@@ -113,8 +113,8 @@
     }
 
     /// Whether its rank is that of a job that needs it.
-    pub(crate) fn rank_inherited(&self) -> bool {
-        self.record.priority_class > self.own_rank
+    pub(crate) fn inherits_priority_class(&self) -> bool {
+        self.record.priority_class > self.own_priority_class
     }
 
     pub(crate) fn is_queued(&self, index: u32) -> bool {
--- a/src/controller/shard/mod.rs
+++ b/src/controller/shard/mod.rs
@@ -11,7 +11,7 @@
 pub(crate) mod image_demand;
 pub mod job;
 
-use crate::controller::HEARD_S;
+use crate::controller::RECENT_S;
 use crate::controller::autoscaling::Pool;
 use crate::controller::machines::failures::FailureLog;
 use crate::controller::machines::inventory::{Inventory, Machine};
@@ -31,26 +31,26 @@
 use std::rc::Rc;
 
 /// What is left of an amount of which half is forgotten in `half_s`.
-fn faded(amount: f64, passed_s: f64, half_s: f64) -> f64 {
+fn decayed(amount: f64, passed_s: f64, half_s: f64) -> f64 {
     amount * 0.5f64.powf(passed_s / half_s)
 }
 
 /// One holding of a block: all that its holder knows and decides.
 pub struct ShardOwner {
     pub shard: u32,
-    pub number: FencingToken,
+    pub token: FencingToken,
     pub shard_revision: u64,
     pub since: Time,
     /// Whether it is the only block, with every machine there is in it.
     pub whole: bool,
     /// Zones of which so many machines are silent that they must be cut off.
-    pub(crate) cut_zones: BTreeSet<Rc<str>>,
+    pub(crate) partitioned_zones: BTreeSet<Rc<str>>,
     /// When there last was one.
-    pub(crate) zones_cut_at: Option<Time>,
+    pub(crate) zones_partitioned_at: Option<Time>,
     /// When each controller was last found to hear no worker, or not to be heard.
-    pub(crate) mute_at: BTreeMap<Option<ControllerId>, Time>,
+    pub(crate) unreachable_at: BTreeMap<Option<ControllerId>, Time>,
     /// What teams with a limit may use here; `None` for their whole limit.
-    pub(crate) allowances: Option<BTreeMap<String, (f64, f64)>>,
+    pub(crate) quota_shares: Option<BTreeMap<String, (f64, f64)>>,
     /// Whether the limits are shared with other cells.
     pub(crate) shares_limits: bool,
     pub(crate) count: u64,
@@ -67,38 +67,38 @@
     pub(crate) images: HashMap<Image, ImageDemand>,
     /// Jobs with queued tasks.
     pub(crate) waiting: BTreeSet<JobId>,
-    pub(crate) place_wanted: bool,
-    pub(crate) place_at: Time,
-    pub(crate) pack_at: Time,
+    pub(crate) scheduling_wanted: bool,
+    pub(crate) schedule_at: Time,
+    pub(crate) consolidate_at: Time,
     /// Chunks to write, by urgency.
-    pub(crate) to_flush: WriteQueue,
-    pub(crate) flushing: usize,
+    pub(crate) write_queue: WriteQueue,
+    pub(crate) writes_in_flight: usize,
     /// Jobs whose last record is to be written: all done, or withdrawn and gone.
-    pub(crate) to_finish: BTreeSet<JobId>,
-    pub(crate) leftover_chunks: Vec<(JobId, u32)>,
-    pub(crate) cleaning: bool,
+    pub(crate) ready_to_end_jobs: BTreeSet<JobId>,
+    pub(crate) leftover_placements: Vec<(JobId, u32)>,
+    pub(crate) deleting_placements: bool,
     /// When held answers must go out.
-    pub(crate) releases: BTreeSet<(Time, MachineId)>,
+    pub(crate) long_poll_deadlines: BTreeSet<(Time, MachineId)>,
     pub(crate) gone: BTreeMap<MachineId, Time>,
     pub(crate) heard: Time,
     /// So many machines are silent that they must be cut off rather than down.
     pub(crate) cut: bool,
     /// When that was last so. Machines get time from then to come back.
-    pub(crate) cut_at: Time,
+    pub(crate) partitioned_at: Time,
 }
 
 impl ShardOwner {
-    pub fn new(shard: u32, number: FencingToken, now: Time, shares_limits: bool) -> Self {
+    pub fn new(shard: u32, token: FencingToken, now: Time, shares_limits: bool) -> Self {
         Self {
             shard,
-            number,
+            token,
             shard_revision: 0,
             since: now,
             whole: true,
-            cut_zones: BTreeSet::new(),
-            zones_cut_at: None,
-            mute_at: BTreeMap::new(),
-            allowances: None,
+            partitioned_zones: BTreeSet::new(),
+            zones_partitioned_at: None,
+            unreachable_at: BTreeMap::new(),
+            quota_shares: None,
             shares_limits,
             count: 0,
             jobs: BTreeMap::new(),
@@ -109,28 +109,28 @@
             boots: BTreeMap::new(),
             images: HashMap::new(),
             waiting: BTreeSet::new(),
-            place_wanted: true,
-            place_at: now,
-            pack_at: now,
-            to_flush: BTreeSet::new(),
-            flushing: 0,
-            to_finish: BTreeSet::new(),
-            leftover_chunks: Vec::new(),
-            cleaning: false,
-            releases: BTreeSet::new(),
+            scheduling_wanted: true,
+            schedule_at: now,
+            consolidate_at: now,
+            write_queue: BTreeSet::new(),
+            writes_in_flight: 0,
+            ready_to_end_jobs: BTreeSet::new(),
+            leftover_placements: Vec::new(),
+            deleting_placements: false,
+            long_poll_deadlines: BTreeSet::new(),
             gone: BTreeMap::new(),
             heard: now,
             cut: false,
-            cut_at: now,
+            partitioned_at: now,
         }
     }
 
-    pub fn first_release(&self) -> Option<Time> {
-        self.releases.first().map(|(t, _)| *t)
+    pub fn first_long_poll_deadline(&self) -> Option<Time> {
+        self.long_poll_deadlines.first().map(|(t, _)| *t)
     }
 
-    pub(crate) fn held_requests(&self) -> Vec<RequestId> {
-        let held = self.machines.values().filter_map(|m| m.held);
+    pub(crate) fn long_polling_requests(&self) -> Vec<RequestId> {
+        let held = self.machines.values().filter_map(|m| m.long_poll);
         held.map(|(request_id, _)| request_id).collect()
     }
 
@@ -144,18 +144,18 @@
     ) {
         self.shard_revision = revision;
         self.whole = record.machines.is_none();
-        self.allowances = record.allowances.clone();
+        self.quota_shares = record.quota_shares.clone();
         if self.shares_limits {
             // Until the block's record says what it may use, it may use nothing.
-            self.allowances.get_or_insert_default();
+            self.quota_shares.get_or_insert_default();
         }
-        self.place_wanted = true;
+        self.scheduling_wanted = true;
         let Some(list) = &record.machines else {
             return;
         };
-        for (id, class_name, zone, spot) in list {
+        for (id, type_name, zone, spot) in list {
             if !self.machines.contains_key(id) && !self.gone.contains_key(id) {
-                let machine = Machine::new(catalog, class_name, zone, *spot, now);
+                let machine = Machine::new(catalog, type_name, zone, *spot, now);
                 self.machines.insert(id.clone(), machine);
             }
         }
@@ -163,85 +163,86 @@
 
     pub(crate) fn forget_request(&mut self, request_id: RequestId) {
         let held = self
-            .releases
+            .long_poll_deadlines
             .iter()
             .find(|(_, id)| {
                 let m = self.machines.get(id);
-                m.and_then(|m| m.held).is_some_and(|(r, _)| r == request_id)
+                m.and_then(|m| m.long_poll)
+                    .is_some_and(|(r, _)| r == request_id)
             })
             .cloned();
         if let Some(entry) = held {
-            self.releases.remove(&entry);
-            self.machines.edit(&entry.1, |m| m.held = None);
+            self.long_poll_deadlines.remove(&entry);
+            self.machines.edit(&entry.1, |m| m.long_poll = None);
         }
     }
 
     /// Whether workers have reported here and none does any more.
-    pub(crate) fn deaf(&self, now: Time) -> bool {
-        let had = self.machines.values().any(|m| m.session > 0);
-        had && now.since(self.heard) > HEARD_S
+    pub(crate) fn workers_unreachable(&self, now: Time) -> bool {
+        let had = self.machines.values().any(|m| m.agent_epoch > 0);
+        had && now.since(self.heard) > RECENT_S
     }
 
     pub(crate) fn next_attempt(&mut self) -> Attempt {
         self.count += 1;
-        Attempt::new(self.number, self.count)
+        Attempt::new(self.token, self.count)
     }
 
     /// Enters a placement: its room and quota count from now on.
-    pub(crate) fn put(&mut self, job: &JobId, index: u32, placement: Placement) {
-        let Some(live) = self.jobs.get_mut(job) else {
+    pub(crate) fn add_placement(&mut self, job: &JobId, index: u32, placement: Placement) {
+        let Some(job_state) = self.jobs.get_mut(job) else {
             return;
         };
         let task = TaskId {
             job: job.clone(),
             index,
         };
-        let record = &live.record;
+        let record = &job_state.record;
         self.machines
-            .edit(&placement.machine, |m| m.seat(task, record));
+            .edit(&placement.machine, |m| m.bind(task, record));
         self.teams
             .entry(record.team.clone())
             .or_default()
             .add(record.need, 1.0);
-        live.placed.insert(index, placement);
+        job_state.placed.insert(index, placement);
     }
 
     /// A task's placement, to be changed.
     pub(crate) fn placement_mut(&mut self, task: &TaskId) -> Option<&mut Placement> {
-        let live = self.jobs.get_mut(&task.job)?;
-        live.placed.get_mut(&task.index)
+        let job_state = self.jobs.get_mut(&task.job)?;
+        job_state.placed.get_mut(&task.index)
     }
 
     /// Gives a job another rank, also where its tasks are.
-    pub(crate) fn change_rank(&mut self, job: &JobId, priority_class: PriorityClass) {
-        let Some(live) = self
+    pub(crate) fn set_priority_class(&mut self, job: &JobId, priority_class: PriorityClass) {
+        let Some(job_state) = self
             .jobs
             .get_mut(job)
             .filter(|l| l.record.priority_class != priority_class)
         else {
             return;
         };
-        live.set_rank(priority_class);
-        for (index, placement) in &live.placed {
+        job_state.set_priority_class(priority_class);
+        for (index, placement) in &job_state.placed {
             let (job, index) = (job.clone(), *index);
             let task = TaskId { job, index };
             self.machines
-                .edit(&placement.machine, |m| m.reseat(&task, &live.record));
+                .edit(&placement.machine, |m| m.rebind(&task, &job_state.record));
         }
-        self.place_wanted = true;
+        self.scheduling_wanted = true;
     }
 
     /// Whether a task's start was never sent and no commit of it is under way: it can't be on
     /// its machine. An earlier commit without an answer may yet be carried out, but the
     /// attempt that it names is never sent once the placement is taken out. While commits of
     /// a guest's array were waited for, their tasks kept all room from urgent starts.
-    pub(crate) fn unsent(&self, task: &TaskId) -> bool {
-        let Some(live) = self.jobs.get(&task.job) else {
+    pub(crate) fn was_never_sent(&self, task: &TaskId) -> bool {
+        let Some(job_state) = self.jobs.get(&task.job) else {
             return false;
         };
-        let chunk = live.layout.chunk_of(task.index);
-        let busy = live.chunks.get(&chunk).is_some_and(|c| c.busy);
-        match live.placed.get(&task.index).map(|p| p.phase) {
+        let chunk = job_state.layout.chunk_of(task.index);
+        let busy = job_state.chunks.get(&chunk).is_some_and(|c| c.busy);
+        match job_state.placed.get(&task.index).map(|p| p.phase) {
             Some(Phase::Ready) => true,
             Some(Phase::Committing) => !busy,
             _ => false,
@@ -249,62 +250,66 @@
     }
 
     /// Takes a placement out, once its task is proven gone or was never sent.
-    pub(crate) fn take(&mut self, now: Time, task: &TaskId) {
-        let Some(live) = self.jobs.get_mut(&task.job) else {
+    pub(crate) fn remove_placement(&mut self, now: Time, task: &TaskId) {
+        let Some(job_state) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let Some(p) = live.placed.remove(&task.index) else {
+        let Some(p) = job_state.placed.remove(&task.index) else {
             return;
         };
-        let need = live.record.need;
-        if let Some(used) = self.teams.get_mut(&live.record.team) {
+        let need = job_state.record.need;
+        if let Some(used) = self.teams.get_mut(&job_state.record.team) {
             used.add(need, -1.0);
         }
-        self.machines.edit(&p.machine, |m| m.unseat(now, task));
-        let done = live.done.get(task.index as usize).copied().unwrap_or(true);
-        if live.cancelled.is_some() {
-            if live.placed.is_empty() {
-                self.to_finish.insert(task.job.clone());
+        self.machines.edit(&p.machine, |m| m.unbind(now, task));
+        let done = job_state
+            .done
+            .get(task.index as usize)
+            .copied()
+            .unwrap_or(true);
+        if job_state.cancelled.is_some() {
+            if job_state.placed.is_empty() {
+                self.ready_to_end_jobs.insert(task.job.clone());
             }
         } else if !done {
-            live.queue_from = live.queue_from.min(task.index);
+            job_state.queue_from = job_state.queue_from.min(task.index);
             self.waiting.insert(task.job.clone());
         }
-        self.place_wanted = true;
+        self.scheduling_wanted = true;
     }
 
     /// Notes a finished task.
-    pub(crate) fn set_done(&mut self, now: Time, task: &TaskId) {
-        let Some(live) = self.jobs.get_mut(&task.job) else {
+    pub(crate) fn record_done(&mut self, now: Time, task: &TaskId) {
+        let Some(job_state) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        match live.done.get_mut(task.index as usize) {
+        match job_state.done.get_mut(task.index as usize) {
             Some(done) if !*done => *done = true,
-            _ => return self.take(now, task),
+            _ => return self.remove_placement(now, task),
         }
-        live.done_count += 1;
-        let chunk = live.layout.chunk_of(task.index);
-        live.chunks.entry(chunk).or_default().unwritten = true;
-        let all = live.done_count == live.record.count;
-        if all && live.cancelled.is_none() {
-            self.to_finish.insert(task.job.clone());
+        job_state.done_count += 1;
+        let chunk = job_state.layout.chunk_of(task.index);
+        job_state.chunks.entry(chunk).or_default().unwritten = true;
+        let all = job_state.done_count == job_state.record.count;
+        if all && job_state.cancelled.is_none() {
+            self.ready_to_end_jobs.insert(task.job.clone());
         } else {
-            self.to_flush
+            self.write_queue
                 .insert((WriteUrgency::Results, task.job.clone(), chunk));
         }
-        self.take(now, task);
+        self.remove_placement(now, task);
     }
 
     /// Recounts what teams use and which tasks machines have, and checks the indexes.
     pub(crate) fn audit(&self) -> Result<(), String> {
         let (mut seats, mut teams) = (0, HashMap::<&str, Resources>::new());
-        for (job, live) in &self.jobs {
-            for (index, p) in &live.placed {
+        for (job, job_state) in &self.jobs {
+            for (index, p) in &job_state.placed {
                 let (job, index) = (job.clone(), *index);
                 teams
-                    .entry(&live.record.team)
+                    .entry(&job_state.record.team)
                     .or_default()
-                    .add(live.record.need, 1.0);
+                    .add(job_state.record.need, 1.0);
                 if let Some(m) = self.machines.get(&p.machine) {
                     seats += 1;
                     let task = TaskId { job, index };
--- a/src/controller/shards/leases.rs
+++ b/src/controller/shards/leases.rs
@@ -48,7 +48,7 @@
     /// Machines that each block lacks, by type and kind.
     pub(crate) needs: BTreeMap<(String, bool, u32), u32>,
     /// Machines that belong to no block yet.
-    strays: BTreeMap<MachineId, Entry>,
+    unassigned: BTreeMap<MachineId, Entry>,
     /// Machines that holders deleted, and when that was heard: lists show them still.
     gone: BTreeMap<MachineId, Time>,
     /// Since when more blocks are needed than there are.
@@ -59,7 +59,7 @@
     crowded: bool,
     since: Time,
     /// This leadership's own number: no other one has it.
-    pub(crate) number: FencingToken,
+    pub(crate) token: FencingToken,
     /// From when it may rent and delete: before, a leader that it replaced might.
     pub(crate) cloud_from: Time,
 }
@@ -86,36 +86,36 @@
         if *controller_id == self.settings.platform.controller_id {
             return incarnation == self.incarnation;
         }
-        self.lately()
+        self.recent_heartbeats()
             .any(|h| h.from == *controller_id && h.incarnation == incarnation)
     }
 
     /// A block's record with this process as its holder, and the revision it replaces.
-    pub(crate) fn lease_to_self(&self, shard: u32, number: FencingToken) -> (u64, ShardRecord) {
+    pub(crate) fn lease_to_self(&self, shard: u32, token: FencingToken) -> (u64, ShardRecord) {
         let slot = self.mirror.shards.get(&shard).cloned().unwrap_or_default();
         let version = slot.version();
         let old = slot.record;
         let record = ShardRecord {
             owner: self.settings.platform.controller_id.clone(),
             incarnation: self.incarnation,
-            number,
+            token,
             machines: old.as_ref().and_then(|b| b.machines.clone()),
-            allowances: old.and_then(|b| b.allowances),
+            quota_shares: old.and_then(|b| b.quota_shares),
         };
         (version, record)
     }
 
     pub(crate) fn become_leader(&mut self) {
         let record = self.mirror.leader.record.as_ref();
-        let number = record.map_or(FencingToken(0), |l| l.number);
+        let token = record.map_or(FencingToken(0), |l| l.token);
         self.leadership = Some(Leadership {
             since: self.now,
-            number,
-            cloud_from: self.cloud_from(number),
+            token,
+            cloud_from: self.cloud_from(token),
             ..Leadership::default()
         });
-        self.share_budgets();
-        self.rebuild_scale();
+        self.update_rate_limits();
+        self.rebuild_scaling_state();
     }
 
     /// The block that takes a new job: by the job's name, in proportion to the shares
@@ -176,10 +176,10 @@
         let mut zones: BTreeMap<(String, bool, String), u32> = BTreeMap::new();
         let mut empty = Vec::new();
         for (id, m) in h.machines.iter() {
-            let key = (m.class_name.to_string(), m.spot, m.zone.to_string());
+            let key = (m.type_name.to_string(), m.spot, m.zone.to_string());
             *zones.entry(key).or_default() += 1;
-            if m.up.is_some() && m.tasks.is_empty() && m.doomed.is_none() {
-                let name = m.class_name.to_string();
+            if m.ready_since.is_some() && m.tasks.is_empty() && m.decommission_at.is_none() {
+                let name = m.type_name.to_string();
                 empty.push((m.images.len(), (name, m.spot, id.clone())));
             }
         }
@@ -192,7 +192,7 @@
         Some(ShardCounts {
             from: self.settings.platform.controller_id.clone(),
             shard: h.shard,
-            number: h.number,
+            token: h.token,
             revision: h.shard_revision,
             pools: pools.collect(),
             zones: zones.collect(),
@@ -229,7 +229,7 @@
                 .shards
                 .get(&t.shard)
                 .and_then(|b| b.record.as_ref());
-            record.is_some_and(|b| b.number == t.number) && self.now.since(*at) < stale
+            record.is_some_and(|b| b.token == t.token) && self.now.since(*at) < stale
         });
         good.map(|(t, _)| t).collect()
     }
@@ -238,24 +238,24 @@
 
     /// A worker reports that belongs to no block here. The leader sees to it that
     /// it comes to belong to one.
-    pub(crate) fn note_stray(&mut self, id: &MachineId, report: &WorkerHeartbeat) {
+    pub(crate) fn note_unassigned(&mut self, id: &MachineId, report: &WorkerHeartbeat) {
         let entry = (
             id.clone(),
             report.class.clone(),
             report.zone.clone(),
             report.spot,
         );
-        self.add_stray(entry);
+        self.add_unassigned(entry);
     }
 
-    pub(crate) fn add_stray(&mut self, entry: Entry) {
+    pub(crate) fn add_unassigned(&mut self, entry: Entry) {
         let records = self.mirror.shards.values();
         let mut lists = records.filter_map(|b| b.record.as_ref());
         let known = lists.any(|b| b.has(&entry.0));
         if let Some(leadership) = self.leadership.as_mut().filter(|_| !known)
             && !leadership.gone.contains_key(&entry.0)
         {
-            leadership.strays.insert(entry.0.clone(), entry);
+            leadership.unassigned.insert(entry.0.clone(), entry);
         }
     }
 
@@ -314,8 +314,8 @@
             return;
         }
         if highest > self.mirror.highest() {
-            preconditions.push((Key::FencingToken, self.mirror.number.version()));
-            let fence = self.mirror.number.record.as_ref().and_then(|n| n.fence);
+            preconditions.push((Key::FencingToken, self.mirror.token.version()));
+            let fence = self.mirror.token.record.as_ref().and_then(|n| n.fence);
             let record = FencingTokenRecord { highest, fence };
             writes.push(Write::put(Key::FencingToken, Record::FencingToken(record)));
         }
@@ -353,13 +353,16 @@
         for (shard, record) in records.iter_mut() {
             let told = leadership.shard_counts.get(shard);
             let told = told
-                .filter(|(t, _)| t.number == record.number)
+                .filter(|(t, _)| t.token == record.token)
                 .map(|(_, at)| *at);
             let quiet = self.now.since(told.unwrap_or(leadership.since)) > patience;
-            let spent = self.spent.get(shard).is_some_and(|n| record.number <= *n);
+            let released_tokens = self
+                .released_tokens
+                .get(shard)
+                .is_some_and(|n| record.token <= *n);
             let mine = record.owner == self.settings.platform.controller_id;
-            let restarted =
-                mine && (record.incarnation != self.incarnation || spent) || self.rebooted(record);
+            let restarted = mine && (record.incarnation != self.incarnation || released_tokens)
+                || self.rebooted(record);
             if !quiet && !restarted {
                 continue;
             }
@@ -370,14 +373,14 @@
             );
             *load.entry(controller_id.clone()).or_default() += 1;
             highest.0 += 1;
-            (record.owner, record.incarnation, record.number) =
+            (record.owner, record.incarnation, record.token) =
                 (controller_id, incarnation, *highest);
         }
     }
 
     /// Whether a block's holder is heard of, but as another process.
     fn rebooted(&self, record: &ShardRecord) -> bool {
-        let mut heard = self.lately().filter(|h| h.from == record.owner);
+        let mut heard = self.recent_heartbeats().filter(|h| h.from == record.owner);
         heard.any(|h| h.incarnation != record.incarnation)
     }
 
@@ -387,7 +390,7 @@
             self.settings.platform.controller_id.clone(),
             self.incarnation,
         );
-        let others = self.lately().filter(|h| h.is_fresh);
+        let others = self.recent_heartbeats().filter(|h| h.is_fresh);
         let others = others.map(|h| (h.from.clone(), h.incarnation));
         let all = std::iter::once(me.clone()).chain(others);
         let least = all.min_by_key(|(m, _)| load.get(m).copied().unwrap_or(0));
@@ -408,7 +411,7 @@
                 shards
             };
         }
-        let held = self.parked.values().map(|h| h.machines.len()).sum();
+        let held = self.shards.values().map(|h| h.machines.len()).sum();
         let by_use = self.processor.machines_per_owner(now, held);
         let needed = by_use.map_or(1, |most| self.settings.shards_at(machines, most));
         let Some(leadership) = &mut self.leadership else {
@@ -436,7 +439,7 @@
             .flat_map(|t| &t.zones)
             .map(|(_, _, _, n)| n)
             .sum();
-        let controllers = 1 + self.lately().filter(|h| h.is_fresh).count();
+        let controllers = 1 + self.recent_heartbeats().filter(|h| h.is_fresh).count();
         let by_size = self.shards_needed(machines, records.len());
         let crowded = self.leadership.as_ref().is_some_and(|l| l.crowded);
         if records.is_empty() || (records.len() >= by_size.min(controllers) && !crowded) {
@@ -444,7 +447,7 @@
         }
         if let Some(first) = records.get_mut(&0).filter(|b| b.machines.is_none()) {
             // The only block gets a list before there is a second one.
-            let Some(h) = self.parked.get(&0).filter(|h| h.number == first.number) else {
+            let Some(h) = self.shards.get(&0).filter(|h| h.token == first.token) else {
                 return;
             };
             let mut listed = first.clone();
@@ -454,7 +457,7 @@
                 None => self.limits_of_settings(),
                 Some(_) => LimitsByTeam::new(),
             };
-            listed.allowances.get_or_insert_with(whole);
+            listed.quota_shares.get_or_insert_with(whole);
             if json_bytes(&listed) > self.record_most() {
                 // It goes on as one block, which needs no list.
                 return;
@@ -473,9 +476,9 @@
         let record = ShardRecord {
             owner,
             incarnation,
-            number: *highest,
+            token: *highest,
             machines: Some(Vec::new()),
-            allowances: Some(BTreeMap::new()),
+            quota_shares: Some(BTreeMap::new()),
         };
         records.insert(shard, record);
     }
@@ -491,10 +494,10 @@
             return;
         };
         let limited = ShardRecord {
-            allowances: wanted,
+            quota_shares: wanted,
             ..record.clone()
         };
-        if limited.allowances == record.allowances {
+        if limited.quota_shares == record.quota_shares {
             return;
         }
         let (bytes, most) = (json_bytes(&limited), self.record_most());
@@ -522,19 +525,19 @@
             list.retain(|e| !leadership.gone.contains_key(&e.0));
         }
         leadership
-            .strays
+            .unassigned
             .retain(|id, _| !leadership.gone.contains_key(id));
         let lists = records.values().filter_map(|b| b.machines.as_ref());
         let listed: BTreeSet<MachineId> = lists.flatten().map(|e| e.0.clone()).collect();
-        leadership.strays.retain(|id, _| !listed.contains(id));
+        leadership.unassigned.retain(|id, _| !listed.contains(id));
         leadership.crowded = false;
         let lists = records.iter().filter(|(_, b)| b.machines.is_some());
-        let mut bytes: BTreeMap<u32, usize> = if leadership.strays.is_empty() {
+        let mut bytes: BTreeMap<u32, usize> = if leadership.unassigned.is_empty() {
             BTreeMap::new()
         } else {
             lists.map(|(k, b)| (*k, json_bytes(b))).collect()
         };
-        for entry in leadership.strays.values() {
+        for entry in leadership.unassigned.values() {
             let lists = records.iter_mut();
             let lists = lists.filter_map(|(k, b)| Some((*k, b.machines.as_mut()?)));
             // A new type or zone costs its own group in the list.
@@ -576,8 +579,8 @@
             return;
         }
         let lease_s = self.settings.tuning.shard_lease_s;
-        let turns = (self.now.since(Time(0)) / lease_s) as usize % records.len();
-        let turn = records.keys().nth(turns).copied().unwrap_or(0);
+        let queue_order = (self.now.since(Time(0)) / lease_s) as usize % records.len();
+        let turn = records.keys().nth(queue_order).copied().unwrap_or(0);
         for (team, limit) in limits {
             let count = |t: &ShardCounts| {
                 let found = t.teams.iter().find(|(name, _)| *name == team);
@@ -609,7 +612,7 @@
     turn: u32,
 ) {
     let has = |k: &u32| {
-        let given = records[k].allowances.as_ref().and_then(|a| a.get(team));
+        let given = records[k].quota_shares.as_ref().and_then(|a| a.get(team));
         given.copied().unwrap_or_default()
     };
     let pick = |f: fn(&TeamCount) -> f64| counts.iter().map(|(k, c)| (*k, f(c))).collect();
@@ -630,7 +633,7 @@
         &pick(|c| c.gpus_wanted),
     );
     for k in counts.keys() {
-        if let Some(all) = records.get_mut(k).and_then(|b| b.allowances.as_mut()) {
+        if let Some(all) = records.get_mut(k).and_then(|b| b.quota_shares.as_mut()) {
             let (cpus, gpus) = (cpus[k], gpus[k]);
             if cpus > 0.0 || gpus > 0.0 || all.contains_key(team) {
                 all.insert(team.to_string(), (cpus, gpus));
@@ -707,7 +710,7 @@
     fn entries(&self) -> Vec<Entry> {
         let all = self.machines.iter();
         let all = all.map(|(id, m)| {
-            let (class, zone) = (m.class_name.to_string(), m.zone.to_string());
+            let (class, zone) = (m.type_name.to_string(), m.zone.to_string());
             (id.clone(), class, zone, m.spot)
         });
         all.collect()
@@ -720,10 +723,10 @@
             (c.cpus, c.gpus) = (used.cpus, used.gpus);
             (c.cpus_wanted, c.gpus_wanted) = (used.cpus, used.gpus);
         }
-        for live in self.waiting.iter().filter_map(|id| self.jobs.get(id)) {
-            let c = counts.entry(&live.record.team).or_default();
-            c.cpus_wanted += f64::from(live.queued()) * live.record.need.cpus;
-            c.gpus_wanted += f64::from(live.queued()) * live.record.need.gpus;
+        for job_state in self.waiting.iter().filter_map(|id| self.jobs.get(id)) {
+            let c = counts.entry(&job_state.record.team).or_default();
+            c.cpus_wanted += f64::from(job_state.queued()) * job_state.record.need.cpus;
+            c.gpus_wanted += f64::from(job_state.queued()) * job_state.record.need.gpus;
         }
         let counts = counts.into_iter();
         counts.map(|(team, c)| (team.to_string(), c)).collect()
--- a/src/controller/store/mirror.rs
+++ b/src/controller/store/mirror.rs
@@ -80,7 +80,7 @@
     /// The revision up to which everything is known.
     pub revision: u64,
     pub leader: Mirrored<LeaderRecord>,
-    pub number: Mirrored<FencingTokenRecord>,
+    pub token: Mirrored<FencingTokenRecord>,
     pub plan: Mirrored<ScalingPlanRecord>,
     pub limits: Mirrored<LimitsRecord>,
     pub cell: Mirrored<CellRecord>,
@@ -101,7 +101,7 @@
             (Key::Leader, Some(Record::Leader(r))) => control(self.leader.set(revision, Some(r))),
             (Key::Leader, None) => control(self.leader.set(revision, None)),
             (Key::FencingToken, Some(Record::FencingToken(r))) => {
-                control(self.number.set(revision, Some(r)))
+                control(self.token.set(revision, Some(r)))
             }
             (Key::Plan, Some(Record::Plan(r))) => control(self.plan.set(revision, Some(r))),
             (Key::Limits, Some(Record::Limits(r))) => control(self.limits.set(revision, Some(r))),
@@ -262,9 +262,9 @@
 
     /// The highest number that anything known here speaks of.
     pub fn highest(&self) -> FencingToken {
-        let said = self.number.record.as_ref().map(|r| r.highest);
+        let said = self.token.record.as_ref().map(|r| r.highest);
         let held = self.shards.values().filter_map(|b| b.record.as_ref());
-        held.map(|b| b.number).chain(said).max().unwrap_or_default()
+        held.map(|b| b.token).chain(said).max().unwrap_or_default()
     }
 }
 
--- a/src/controller/store/records.rs
+++ b/src/controller/store/records.rs
@@ -84,7 +84,7 @@
     #[serde(rename = "boot")]
     pub incarnation: u64,
     #[serde(rename = "number")]
-    pub number: FencingToken,
+    pub token: FencingToken,
     /// The grant that the record hangs on.
     #[serde(rename = "hold", default)]
     pub lease_id: u64,
@@ -115,14 +115,14 @@
     #[serde(rename = "boot")]
     pub incarnation: u64,
     #[serde(rename = "number")]
-    pub number: FencingToken,
+    pub token: FencingToken,
     /// The block's machines; `None` for all there are, while it is the only block.
     #[serde(default, with = "packed")]
     pub machines: Option<Vec<Entry>>,
     /// CPUs and GPUs that each team with a limit may use here; `None` for the whole
     /// limit, while this is the only block.
     #[serde(rename = "allowances", default)]
-    pub allowances: Option<BTreeMap<String, (f64, f64)>>,
+    pub quota_shares: Option<BTreeMap<String, (f64, f64)>>,
 }
 
 /// How a block's list of machines is written: by type, zone and kind, and of the names
@@ -208,10 +208,10 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ScalingPlanRecord {
     #[serde(rename = "number")]
-    pub number: FencingToken,
+    pub token: FencingToken,
     pub wanted: Vec<(String, bool, u32)>,
     #[serde(rename = "hires")]
-    pub rentals: Vec<ScaleOutRecord>,
+    pub scale_out_requests: Vec<ScaleOutRecord>,
     /// Blocks that take new jobs, each with its share.
     #[serde(default)]
     pub shares: Vec<(u32, u32)>,
@@ -220,7 +220,7 @@
     pub closed: Vec<ExhaustedPool>,
     /// Machines to return, if they are empty.
     #[serde(rename = "returns", default)]
-    pub returns: Vec<MachineId>,
+    pub scale_in: Vec<MachineId>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -298,9 +298,9 @@
     pub types: Option<Vec<String>>,
     pub zone: Option<String>,
     #[serde(rename = "one_zone")]
-    pub one_zone: bool,
+    pub zone_affinity: bool,
     #[serde(rename = "scatter")]
-    pub scatter: bool,
+    pub zone_spread: bool,
     pub spot: bool,
     pub estimate_s: f64,
     pub checkpoint_s: f64,
--- a/src/controller/store/requests.rs
+++ b/src/controller/store/requests.rs
@@ -7,7 +7,7 @@
 use crate::wire::{StoreRequest, StoreResponse};
 
 /// Share of what the other controllers may write that the holder leaves to them at least.
-const KEPT_FOR_OTHERS: f64 = 0.35;
+const OTHERS_SHARE_MIN: f64 = 0.35;
 /// How much more than they wrote of late the others may write before the holder knows.
 const USED_MARGIN: f64 = 1.5;
 
@@ -15,11 +15,11 @@
     /// Splits the limits that all controllers use together. A single block's holder
     /// places for all and gets more, the others share the rest; with several blocks
     /// the shares are even.
-    pub(crate) fn share_budgets(&mut self) {
+    pub(crate) fn update_rate_limits(&mut self) {
         let f = &self.settings.platform.facts;
         let (t, others) = (&self.settings.tuning, f.count.saturating_sub(1));
         let single = self.mirror.shards.len() <= 1;
-        let sole_owner = others > 0 && single && !self.parked.is_empty();
+        let sole_owner = others > 0 && single && !self.shards.is_empty();
         let part = match others {
             0 => 1.0,
             n if !single => 1.0 / f64::from(n + 1),
@@ -34,8 +34,8 @@
             // Placements, results and ends are written here alone, and the others seldom use all
             // of their share: with many short tasks that kept ends waiting for seconds.
             let theirs = all - wps;
-            let used = self.change_meter.others() * USED_MARGIN;
-            wps = all - used.clamp(theirs * KEPT_FOR_OTHERS, theirs);
+            let used = self.write_rate.others() * USED_MARGIN;
+            wps = all - used.clamp(theirs * OTHERS_SHARE_MIN, theirs);
         }
         // Those who don't lead ask the cloud for its catalogue and delete machines.
         let cloud = f.cloud.rps * t.budget_share;
@@ -46,7 +46,7 @@
         };
         self.requests.set(self.now, rps, rps);
         self.changes.set(self.now, wps, wps);
-        self.cloud_budget.set(self.now, cloud, cloud * 1.5);
+        self.cloud_rate_limit.set(self.now, cloud, cloud * 1.5);
     }
 
     pub(crate) fn write_cost(op: &StoreRequest) -> f64 {
@@ -86,7 +86,7 @@
     }
 
     pub(crate) fn ownership(&self) -> ShardOwnership {
-        self.owner.as_ref().map(|h| (h.shard, h.number))
+        self.owner.as_ref().map(|h| (h.shard, h.token))
     }
 
     pub(crate) fn call_id(&mut self) -> CallId {
@@ -109,15 +109,15 @@
             ownership,
         } = call;
         if matches!(reply, StoreResponse::Committed { .. }) {
-            self.change_meter.note_own(changes);
+            self.write_rate.note_own(changes);
         }
         match &reply {
             StoreResponse::Refused | StoreResponse::NoAnswer | StoreResponse::Malformed => {}
-            _ => self.heard_at = self.now,
+            _ => self.store_heard_at = self.now,
         }
         match &reply {
             StoreResponse::Missing { revision } | StoreResponse::Committed { revision } => {
-                self.fresh_waiting.push_back(RevisionRead {
+                self.revision_reads.push_back(RevisionRead {
                     call: id,
                     sent,
                     revision: *revision,
@@ -129,24 +129,24 @@
         match purpose {
             RequestPurpose::List => self.on_list(reply),
             RequestPurpose::Watch => self.on_watch_response(reply, sent),
-            RequestPurpose::ReadRevision => self.on_fresh(&reply),
+            RequestPurpose::ReadRevision => self.on_revision_read(&reply),
             RequestPurpose::GrantLease => self.on_lease_granted(reply, sent),
             RequestPurpose::Elect => self.on_elected(reply),
             RequestPurpose::RenewLease => self.on_lease_renewed(reply, sent),
             RequestPurpose::Submit(list) => self.on_submitted(list, reply, sent),
             RequestPurpose::Cancel(q) => self.on_cancelled(q, reply),
             RequestPurpose::ReadEnd(q) => self.on_end_read(q, reply),
-            RequestPurpose::ReadSubmissionDependency(naming, need) => {
-                self.on_named_read(*naming, need, reply)
+            RequestPurpose::ReadSubmissionDependency(awaiting_dependencies, need) => {
+                self.on_submission_dependency_read(*awaiting_dependencies, need, reply)
             }
-            RequestPurpose::ReadDependency(need) => self.on_need_read(need, reply),
-            RequestPurpose::WritePlan => self.on_planned(reply),
+            RequestPurpose::ReadDependency(need) => self.on_dependency_read(need, reply),
+            RequestPurpose::WritePlan => self.on_plan_written(reply),
             RequestPurpose::UpdateShards => self.on_leased(reply),
             RequestPurpose::RevokeLease => {}
             RequestPurpose::CellChange => self.on_cell_changed(reply),
             of_shard => self.on_shard_response(of_shard, ownership, reply),
         }
-        self.catch_up();
+        self.advance_linearization();
     }
 
     pub(crate) fn on_shard_response(
@@ -155,20 +155,24 @@
         ownership: ShardOwnership,
         reply: StoreResponse,
     ) {
-        let Some((shard, number)) = ownership else {
+        let Some((shard, token)) = ownership else {
             return;
         };
         self.in_shard(shard, |controller| {
-            if controller.ownership() != Some((shard, number)) {
+            if controller.ownership() != Some((shard, token)) {
                 return;
             }
             match purpose {
-                RequestPurpose::WritePlacements(items) => controller.on_flushed(items, reply),
+                RequestPurpose::WritePlacements(items) => {
+                    controller.on_placements_written(items, reply)
+                }
                 RequestPurpose::RereadPlacements(job, chunk) => {
-                    controller.on_reread(job, chunk, reply)
+                    controller.on_placements_reread(job, chunk, reply)
+                }
+                RequestPurpose::WriteEnd(job) => controller.on_job_end_written(job, reply),
+                RequestPurpose::DeletePlacements(list) => {
+                    controller.on_placements_deleted(list, reply)
                 }
-                RequestPurpose::WriteEnd(job) => controller.on_finished(job, reply),
-                RequestPurpose::DeletePlacements(list) => controller.on_cleaned(list, reply),
                 _ => {}
             }
         });
--- a/src/controller/store/staleness.rs
+++ b/src/controller/store/staleness.rs
@@ -9,25 +9,26 @@
 /// Shortest pause between two reads of the present revision, and the share of its requests
 /// that a controller reads it with for users who ask. With that and the follow's share, some
 /// are left for submissions and cancellations however often users ask.
-const FRESH_GAP_S: f64 = 0.06;
+const REVISION_READ_GAP_S: f64 = 0.06;
 const QUESTION_SHARE: f64 = 0.35;
 /// A controller reads the present revision at least this often.
-const FRESH_EVERY_S: f64 = 1.0;
+const REVISION_READ_INTERVAL_S: f64 = 1.0;
 
 impl Controller {
     /// Asks for the present revision when somebody waits for it, or when it was
     /// last read too long ago.
-    pub(crate) fn pump_fresh(&mut self) {
-        if self.fresh_sent.is_some() || !self.initial_list_done {
+    pub(crate) fn read_revision(&mut self) {
+        if self.revision_read_sent.is_some() || !self.initial_list_done {
             return;
         }
-        let since = self.now.since(self.fresh_last);
-        let news = |after: Option<CallId>| after.is_some_and(|after| after >= self.fresh_asked);
+        let since = self.now.since(self.revision_read_last);
+        let news =
+            |after: Option<CallId>| after.is_some_and(|after| after >= self.revision_read_call);
         let asked = news(self.api.newest_status_query());
-        let urgent = news(self.api.newest_urgent()) && since >= FRESH_GAP_S;
+        let urgent = news(self.api.newest_urgent()) && since >= REVISION_READ_GAP_S;
         let gap_s = 1.0 / (self.requests.rate() * QUESTION_SHARE).max(1.0);
-        let due = urgent || since >= FRESH_EVERY_S;
-        let wanted = asked && since >= gap_s.max(FRESH_GAP_S);
+        let due = urgent || since >= REVISION_READ_INTERVAL_S;
+        let wanted = asked && since >= gap_s.max(REVISION_READ_GAP_S);
         if !(due || wanted) {
             return;
         }
@@ -43,24 +44,24 @@
             RequestPurpose::ReadRevision,
             priority,
         ) {
-            self.fresh_sent = Some(self.now);
-            self.fresh_last = self.now;
-            self.fresh_asked = call;
+            self.revision_read_sent = Some(self.now);
+            self.revision_read_last = self.now;
+            self.revision_read_call = call;
         }
     }
 
-    pub(crate) fn on_fresh(&mut self, reply: &StoreResponse) {
-        self.fresh_sent = None;
+    pub(crate) fn on_revision_read(&mut self, reply: &StoreResponse) {
+        self.revision_read_sent = None;
         if !matches!(reply, StoreResponse::Missing { .. }) {
-            self.fresh_last = self.now.after(RETRY_S);
+            self.revision_read_last = self.now.after(RETRY_S);
         }
     }
 
-    pub(crate) fn catch_up(&mut self) {
+    pub(crate) fn advance_linearization(&mut self) {
         let revision = self.mirror.revision;
-        let (fresh, call) = (&mut self.fresh_at, &mut self.fresh_call);
-        let known = &mut self.known_at;
-        self.fresh_waiting.retain(|r| {
+        let (fresh, call) = (&mut self.linearized_at, &mut self.linearized_call);
+        let known = &mut self.changes_known_at;
+        self.revision_reads.retain(|r| {
             if r.revision <= revision {
                 *fresh = (*fresh).max(r.sent);
                 *known = (*known).max(r.sent);
@@ -73,7 +74,7 @@
 
     /// Seconds since this controller last knew all that stood at the state service.
     pub(crate) fn staleness_s(&self) -> f64 {
-        self.now.since(self.fresh_at)
+        self.now.since(self.linearized_at)
     }
 
     /// Whether it can't know what the state service holds now.
--- a/src/controller/store/watch.rs
+++ b/src/controller/store/watch.rs
@@ -29,13 +29,13 @@
                 // A cut can leave the follow's connection open and dead: a revision
                 // that is known to exist doesn't come through it.
                 let stuck = self
-                    .fresh_waiting
+                    .revision_reads
                     .front()
                     .is_some_and(|r| self.now.since(r.answered) > WATCH_STUCK_S);
                 if stuck {
                     self.pending_requests.remove(&call);
                     self.out.push(Output::Forget(call));
-                    self.fresh_waiting.clear();
+                    self.revision_reads.clear();
                     self.start_watch();
                 }
             }
@@ -83,7 +83,7 @@
         let events = self.mirror.replace(self.now, began, entries);
         self.initial_list_done = true;
         self.start_watch();
-        self.on_events(events);
+        self.apply_mirror_events(events);
     }
 
     pub(crate) fn start_watch(&mut self) {
@@ -103,7 +103,7 @@
     /// with five controllers that kept submissions waiting for a second.
     pub(crate) fn continue_watch(&mut self) {
         let takes_over = self.suspects_leader().is_some() || self.has_won();
-        if !self.parked.is_empty() || self.leadership.is_some() || takes_over {
+        if !self.shards.is_empty() || self.leadership.is_some() || takes_over {
             return self.start_watch();
         }
         let gap_s = 1.0 / (self.requests.rate() * WATCH_SHARE).max(1.0);
@@ -123,15 +123,15 @@
         match reply {
             StoreResponse::Changes { revision, news } => {
                 let now = self.now;
-                self.change_meter.note_seen(news.len());
-                self.known_at = self.known_at.max(sent);
+                self.write_rate.note_seen(news.len());
+                self.changes_known_at = self.changes_known_at.max(sent);
                 let events: Vec<Event> = news
                     .into_iter()
                     .filter_map(|change| self.mirror.apply(now, change))
                     .collect();
                 self.mirror.revision = self.mirror.revision.max(revision);
                 self.continue_watch();
-                self.on_events(events);
+                self.apply_mirror_events(events);
             }
             StoreResponse::Compacted => {
                 // What was missed can't be told apart from what never was.
@@ -147,27 +147,29 @@
         }
     }
 
-    pub(crate) fn on_events(&mut self, events: Vec<Event>) {
+    pub(crate) fn apply_mirror_events(&mut self, events: Vec<Event>) {
         let mut control = false;
         for event in events {
             match event {
                 Event::Job(id) => {
                     let shard = self.mirror.jobs.get(&id).map(|j| j.record.shard);
-                    self.in_shard(shard.unwrap_or(0), |controller| controller.owner_job(&id));
+                    self.in_shard(shard.unwrap_or(0), |controller| {
+                        controller.on_job_changed(&id)
+                    });
                 }
                 Event::JobGone(id) => {
-                    let mut owners = self.parked.values();
+                    let mut owners = self.shards.values();
                     let owner = owners.find(|h| h.jobs.contains_key(&id));
                     if let Some(shard) = owner.map(|h| h.shard) {
-                        self.in_shard(shard, |controller| controller.owner_job_gone(&id));
+                        self.in_shard(shard, |controller| controller.on_job_removed(&id));
                     }
                 }
                 Event::Control => control = true,
             }
         }
         if control {
-            self.on_control();
+            self.on_control_records_changed();
         }
-        self.answer_leaving();
+        self.answer_cancelled();
     }
 }
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -106,13 +106,13 @@
     /// Bits left for the placements made under one number.
     const COUNT_BITS: u32 = 28;
 
-    /// The `count`th placement under `number`.
-    pub fn new(number: FencingToken, count: u64) -> Self {
-        Self((number.0 << Self::COUNT_BITS) | (count & ((1 << Self::COUNT_BITS) - 1)))
+    /// The `count`th placement under `token`.
+    pub fn new(token: FencingToken, count: u64) -> Self {
+        Self((token.0 << Self::COUNT_BITS) | (count & ((1 << Self::COUNT_BITS) - 1)))
     }
 
     /// The number under which it was placed.
-    pub fn number(self) -> FencingToken {
+    pub fn token(self) -> FencingToken {
         FencingToken(self.0 >> Self::COUNT_BITS)
     }
 }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -198,7 +198,7 @@
             load.cloud_rate,
             self.refused,
             self.queued,
-            load.looked - b.looked,
+            load.machines_scanned - b.machines_scanned,
             load.placed - b.placed,
             self.to_peers.line(passed),
             self.to_cells.line(passed),
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -57,9 +57,9 @@
     /// How long ago it last knew all that stood at the state service, in milliseconds.
     pub staleness_ms: u64,
     /// Whether a worker has reported to it lately, wherever it was sent on to.
-    pub heard: bool,
+    pub hears_workers: bool,
     /// Whether it holds a block whose workers have stopped reporting to it.
-    pub deaf: bool,
+    pub workers_unreachable: bool,
     /// Whether it can hand reports on to the holder.
     pub can_forward: bool,
     /// The sender's clock, in milliseconds.
@@ -67,7 +67,7 @@
     /// The clock and the process of the latest message like this one from each sibling.
     pub echoes: Vec<(ControllerId, u64, u64)>,
     /// How long ago it last answered a worker in a holder's place, in milliseconds.
-    pub sheltered_ms: u64,
+    pub since_keepalive_ms: u64,
     /// Machines of its blocks that have tasks and don't report, within a bound: what is
     /// cancelled there can't be confirmed soon.
     pub overdue: Vec<MachineId>,
@@ -85,9 +85,9 @@
     class: String,
     zone: String,
     spot: bool,
-    session: u64,
-    seq: u64,
-    number: u64,
+    agent_epoch: u64,
+    sequence: u64,
+    token: u64,
     notice_s: Option<f64>,
     tasks: Vec<(String, Attempt, TaskStatus, Option<Cause>)>,
 }
@@ -110,9 +110,9 @@
             class: report.class.clone(),
             zone: report.zone.clone(),
             spot: report.spot,
-            session: report.session,
-            seq: report.seq,
-            number: report.number,
+            agent_epoch: report.agent_epoch,
+            sequence: report.sequence,
+            token: report.token,
             notice_s: report.notice_s.map(|n| n.0),
             tasks: tasks.collect(),
         }
@@ -132,9 +132,9 @@
             class: self.class,
             zone: self.zone,
             spot: self.spot,
-            session: self.session,
-            seq: self.seq,
-            number: self.number,
+            agent_epoch: self.agent_epoch,
+            sequence: self.sequence,
+            token: self.token,
             notice_s: self.notice_s.map(Num),
             tasks: tasks.collect(),
         }
@@ -157,7 +157,7 @@
 pub struct ShardCounts {
     pub from: ControllerId,
     pub shard: u32,
-    pub number: FencingToken,
+    pub token: FencingToken,
     /// The revision of the block's record under which this was counted.
     pub revision: u64,
     /// Each pool by type and kind.
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -27,7 +27,8 @@
     quarter: Option<String>,
     #[serde(rename = "samePlace")]
     same_place: bool,
-    scatter: bool,
+    #[serde(rename = "scatter")]
+    zone_spread: bool,
     borrowed: bool,
     #[serde(rename = "reckonS")]
     reckon_s: Num,
@@ -145,8 +146,8 @@
         image_gb: amount("sizeGb", b.size_gb)?,
         types,
         zone: b.quarter.map(|z| name("quarter", z)).transpose()?,
-        one_zone: b.same_place,
-        scatter: b.scatter,
+        zone_affinity: b.same_place,
+        zone_spread: b.zone_spread,
         spot: b.borrowed,
         estimate_s: amount("reckonS", b.reckon_s)?,
         checkpoint_s: amount("bookmarkS", b.bookmark_s)?,
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -17,11 +17,11 @@
     #[serde(rename = "borrowed")]
     pub spot: bool,
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub agent_epoch: u64,
     #[serde(rename = "tally")]
-    pub seq: u64,
+    pub sequence: u64,
     #[serde(rename = "baton", default)]
-    pub number: u64,
+    pub token: u64,
     #[serde(rename = "warningS", default)]
     pub notice_s: Option<Num>,
     #[serde(rename = "verses", default)]
@@ -96,22 +96,22 @@
 }
 
 /// The answer to a report.
-pub fn commands_body(number: FencingToken, commands: &[Command]) -> Vec<u8> {
+pub fn commands_body(token: FencingToken, commands: &[Command]) -> Vec<u8> {
     encode(&CommandsBody {
-        baton: number,
+        baton: token,
         cues: commands,
     })
 }
 
 #[derive(Serialize)]
-struct SteerBody<'a> {
+struct RedirectBody<'a> {
     #[serde(skip_serializing_if = "Option::is_none")]
     conductor: Option<&'a str>,
 }
 
 /// The answer that sends a worker to another controller.
-pub fn steer_body(to: Option<&ControllerId>) -> Vec<u8> {
-    encode(&SteerBody {
+pub fn redirect_body(to: Option<&ControllerId>) -> Vec<u8> {
+    encode(&RedirectBody {
         conductor: to.map(ControllerId::as_str),
     })
 }
--- a/standby/src/fence.rs
+++ b/standby/src/fence.rs
@@ -21,7 +21,7 @@
 pub struct Fence {
     /// The number of the leadership that has to wait.
     #[serde(rename = "number")]
-    pub number: u64,
+    pub token: u64,
     /// For how long from its election.
     pub ms: Millis,
 }
@@ -36,20 +36,20 @@
     /// The wait that the latest election left.
     pub fence: Option<Fence>,
     /// The number of the leadership that wrote the plan.
-    pub plan_number: u64,
+    pub plan_token: u64,
 }
 
 impl Predecessors {
     /// How long the leader that is elected now has to wait.
     pub fn wait_ms(&self) -> Millis {
-        let open = self.fence.filter(|fence| fence.number > self.plan_number);
+        let open = self.fence.filter(|fence| fence.token > self.plan_token);
         let earlier_ms = open.map_or(0, |fence| fence.ms);
         self.replaced_grant_ms.unwrap_or(0).max(earlier_ms)
     }
 
     /// The wait to be kept with the election's commit.
-    pub fn fence(&self, number: u64) -> Option<Fence> {
+    pub fn fence(&self, token: u64) -> Option<Fence> {
         let ms = self.wait_ms();
-        (ms > 0).then_some(Fence { number, ms })
+        (ms > 0).then_some(Fence { token, ms })
     }
 }
--- a/standby/src/hints.rs
+++ b/standby/src/hints.rs
@@ -27,7 +27,7 @@
     /// The sender.
     pub from: ControllerId,
     /// The number of its leadership.
-    pub number: u64,
+    pub token: u64,
     /// What it estimates.
     pub estimates: Estimates,
     /// The images that `machines` speaks of.
--- a/standby/src/message.rs
+++ b/standby/src/message.rs
@@ -24,7 +24,7 @@
     /// Tells this process from earlier ones of the same controller.
     pub incarnation: u64,
     /// The number of the leadership that the sender knows of; 0 if there is none.
-    pub number: u64,
+    pub token: u64,
     /// Whether the sender leads under that number.
     pub is_leader: bool,
     /// Whether the sender has lost the leader of that number.
--- a/standby/src/standby.rs
+++ b/standby/src/standby.rs
@@ -22,7 +22,7 @@
     /// Which of its processes.
     pub incarnation: u64,
     /// The leadership's number.
-    pub number: u64,
+    pub token: u64,
     /// The time within which the leader must have read its own record before it calls the cloud.
     /// Without it nobody may replace it before its grant's end.
     pub fenced_ms: Option<Millis>,
@@ -31,7 +31,7 @@
 /// A sibling has lost the leader of a number.
 #[derive(Clone, Copy, Debug)]
 struct Vote {
-    number: u64,
+    token: u64,
     at: Millis,
 }
 
@@ -102,8 +102,8 @@
         if term == self.term {
             return;
         }
-        let number = |term: &Option<Term>| term.as_ref().map(|t| t.number);
-        if term.is_some() && number(&term) != number(&self.term) {
+        let token = |term: &Option<Term>| term.as_ref().map(|t| t.token);
+        if term.is_some() && token(&term) != token(&self.term) {
             self.changes.push_back(now);
             self.detector = Detector::default();
             self.votes.clear();
@@ -122,14 +122,14 @@
         let Some(term) = &self.term else {
             return;
         };
-        if beat.is_leader && beat.from == term.leader && beat.number == term.number {
+        if beat.is_leader && beat.from == term.leader && beat.token == term.token {
             if beat.incarnation == term.incarnation {
                 self.detector.heard(now);
             }
         } else if beat.lost {
-            let number = beat.number;
+            let token = beat.token;
             self.votes
-                .insert(beat.from.clone(), Vote { number, at: now });
+                .insert(beat.from.clone(), Vote { token, at: now });
         } else {
             self.votes.remove(&beat.from);
         }
@@ -137,7 +137,7 @@
 
     /// Hints came. Only those of the present leader are taken.
     pub fn on_hints(&mut self, now: Millis, hints: Hints) {
-        let of_leader = |t: &Term| t.leader == hints.from && t.number == hints.number;
+        let of_leader = |t: &Term| t.leader == hints.from && t.token == hints.token;
         if self.term.as_ref().is_some_and(of_leader) {
             self.hints.take(now, hints);
         } else {
@@ -195,7 +195,7 @@
         let life_ms = VOTE_INTERVALS * self.config.heartbeat_ms;
         let counts = |(controller_id, vote): &(&ControllerId, &Vote)| {
             let fresh = now.saturating_sub(vote.at) <= life_ms;
-            **controller_id != term.leader && vote.number == term.number && fresh
+            **controller_id != term.leader && vote.token == term.token && fresh
         };
         1 + self.votes.iter().filter(counts).count()
     }
@@ -237,7 +237,7 @@
         Some(Heartbeat {
             from: self.me.clone(),
             incarnation: self.incarnation,
-            number: self.term.as_ref().map_or(0, |t| t.number),
+            token: self.term.as_ref().map_or(0, |t| t.token),
             is_leader,
             lost,
         })
--- a/standby/tests/world/mod.rs
+++ b/standby/tests/world/mod.rs
@@ -82,7 +82,7 @@
 /// What one leading process knows.
 #[derive(Clone, Debug)]
 struct Leadership {
-    number: u64,
+    token: u64,
     block: u64,
     cloud_from: u64,
     /// The attempt that this holder placed and committed, to be started.
@@ -122,7 +122,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Answer {
     machine: usize,
-    number: u64,
+    token: u64,
     start: Option<u64>,
     sent: u64,
 }
@@ -216,20 +216,17 @@
             c.is_leader = false;
             return;
         };
-        if c.leadership
-            .as_ref()
-            .is_none_or(|l| l.number != term.number)
-        {
+        if c.leadership.as_ref().is_none_or(|l| l.token != term.token) {
             let named = c.view.leader.1.as_ref().map(|l| l.lease);
             let of_record = |grant: &&(usize, u64)| Some(grant.0) == named;
             c.lease = c.grants.iter().find(of_record).copied();
-            let fence = c.view.highest.2.filter(|f| f.number == term.number);
+            let fence = c.view.highest.2.filter(|f| f.token == term.token);
             let wait_ms = match mistake {
                 Mistake::NoFence => 0,
                 _ => fence.map_or(0, |f| f.ms),
             };
             c.leadership = Some(Leadership {
-                number: term.number,
+                token: term.token,
                 block: c.view.block.1,
                 cloud_from: now + wait_ms,
                 own: None,
@@ -284,16 +281,16 @@
                 Mistake::FenceForgotten => None,
                 _ => c.view.highest.2,
             },
-            plan_number: c.view.plan,
+            plan_token: c.view.plan,
         };
-        let number = c.view.highest.1 + 1;
+        let token = c.view.highest.1 + 1;
         let term = Term {
             leader: name(n),
             incarnation: c.incarnation,
-            number,
+            token,
             fenced_ms: Some(GRANT_MS),
         };
-        let change = Change::Elect(Leader { term, lease }, predecessors.fence(number));
+        let change = Change::Elect(Leader { term, lease }, predecessors.fence(token));
         let conditions = c.view.clone();
         self.commits.push(Commit {
             conditions,
@@ -308,11 +305,11 @@
         let leadership = c.leadership.as_ref().filter(|l| self.now >= l.cloud_from)?;
         let renewed = c.lease.is_some_and(|(_, at)| self.now - at < GRANT_MS);
         let read = self.now - c.read_at < GRANT_MS || self.mistake == Mistake::CallsWithoutReading;
-        (renewed && read).then_some(leadership.number)
+        (renewed && read).then_some(leadership.token)
     }
 
     fn plan(&mut self, n: usize) {
-        let Some(number) = self.may_call(n) else {
+        let Some(token) = self.may_call(n) else {
             return;
         };
         let now = self.now;
@@ -329,7 +326,7 @@
         self.commits.push(Commit {
             conditions,
             run_too: false,
-            change: Change::Plan(number),
+            change: Change::Plan(token),
         });
     }
 
@@ -338,14 +335,14 @@
         if !self.acts(n) {
             return;
         }
-        let Some(number) = self.may_call(n) else {
+        let Some(token) = self.may_call(n) else {
             return;
         };
-        if number < self.latest_call {
+        if token < self.latest_call {
             let latest = self.latest_call;
-            self.fail(format!("{number} calls the cloud after {latest} did"));
+            self.fail(format!("{token} calls the cloud after {latest} did"));
         }
-        self.latest_call = self.latest_call.max(number);
+        self.latest_call = self.latest_call.max(token);
     }
 
     fn fail(&mut self, why: String) {
@@ -369,20 +366,20 @@
                 if !(leader && lives && block && known.highest.0 == records.highest.0) {
                     return;
                 }
-                let number = elected.term.number;
-                if number <= records.highest.1 {
-                    return self.fail(format!("number {number} is given again"));
+                let token = elected.term.token;
+                if token <= records.highest.1 {
+                    return self.fail(format!("number {token} is given again"));
                 }
                 records.leader = (next, Some(elected));
-                records.highest = (next, number + 1, fence);
-                records.block = (next, number + 1);
+                records.highest = (next, token + 1, fence);
+                records.block = (next, token + 1);
             }
             Change::Place(placed) if block && run => {
                 records.run = (next, Some(placed));
                 self.committed.push(placed);
             }
             Change::Gone if block && run => records.run = (next, None),
-            Change::Plan(number) if leader => records.plan = number,
+            Change::Plan(token) if leader => records.plan = token,
             _ => return,
         }
         self.records.revision = next;
@@ -439,7 +436,7 @@
         }
         self.answers.push(Answer {
             machine,
-            number: self.controllers[n]
+            token: self.controllers[n]
                 .leadership
                 .as_ref()
                 .map_or(0, |l| l.block),
@@ -455,10 +452,10 @@
         }
         let answer = self.answers.swap_remove(index % self.answers.len());
         let worker = &mut self.workers[answer.machine];
-        if answer.number < worker.newest || self.now > answer.sent + ANSWER_MS {
+        if answer.token < worker.newest || self.now > answer.sent + ANSWER_MS {
             return;
         }
-        (worker.newest, worker.renewed) = (answer.number, answer.sent);
+        (worker.newest, worker.renewed) = (answer.token, answer.sent);
         let Some(attempt) = answer.start else {
             return;
         };
@@ -474,13 +471,13 @@
 
     /// The leader tells what it knows; a lie says that the task has ended.
     pub fn hint(&mut self, n: usize, lie: bool) {
-        let number = match &self.controllers[n].leadership {
-            Some(leadership) if self.acts(n) => leadership.number,
+        let token = match &self.controllers[n].leadership {
+            Some(leadership) if self.acts(n) => leadership.token,
             _ => return,
         };
         let hints = Hints {
             from: name(n),
-            number: number - u64::from(lie),
+            token: token - u64::from(lie),
             ..Hints::default()
         };
         for to in (0..CONTROLLERS).filter(|to| *to != n) {
--- a/standins/src/checker.rs
+++ b/standins/src/checker.rs
@@ -374,10 +374,10 @@
         if place.spot && !record.spot {
             wrong.push("spot");
         }
-        if record.one_zone && in_zone as usize != others.len() {
+        if record.zone_affinity && in_zone as usize != others.len() {
             wrong.push("samePlace");
         }
-        if record.scatter && in_zone + 1 > record.count.div_ceil(2) {
+        if record.zone_spread && in_zone + 1 > record.count.div_ceil(2) {
             wrong.push("scatter");
         }
         if !wrong.is_empty() {
--- a/standins/src/duties.rs
+++ b/standins/src/duties.rs
@@ -21,26 +21,26 @@
 impl Duties {
     /// The leader's record is as follows; `None` while there is none.
     pub fn leader_is(&mut self, leader: Option<(u64, &str)>) {
-        if let Some((number, controller_id)) = leader {
-            let before = self.leader.as_ref().filter(|(n, _)| *n != number);
+        if let Some((token, controller_id)) = leader {
+            let before = self.leader.as_ref().filter(|(n, _)| *n != token);
             self.replaced += usize::from(before.is_some());
-            self.led.insert(controller_id.into(), number);
+            self.led.insert(controller_id.into(), token);
         }
-        self.leader = leader.map(|(number, controller_id)| (number, controller_id.into()));
+        self.leader = leader.map(|(token, controller_id)| (token, controller_id.into()));
     }
 
     /// A controller rents or deletes.
     pub fn cloud_changed(&mut self, now: u64, controller_id: &str) {
-        let Some(number) = self.led.get(controller_id).copied() else {
+        let Some(token) = self.led.get(controller_id).copied() else {
             let what = format!("{:.3} duty: {controller_id} never led", now as f64 / 1e3);
             return self.broken.push(what);
         };
         match &self.latest {
-            Some((latest, by)) if number < *latest => self.broken.push(format!(
-                "{:.3} duty: {controller_id} calls the cloud under {number}, after {by} did under {latest}",
+            Some((latest, by)) if token < *latest => self.broken.push(format!(
+                "{:.3} duty: {controller_id} calls the cloud under {token}, after {by} did under {latest}",
                 now as f64 / 1e3
             )),
-            _ => self.latest = Some((number, controller_id.into())),
+            _ => self.latest = Some((token, controller_id.into())),
         }
     }
 }
--- a/standins/src/orders.rs
+++ b/standins/src/orders.rs
@@ -30,8 +30,8 @@
     }
 
     /// A block's record was written under a number.
-    pub fn held(&mut self, number: u64) {
-        self.held.insert(number);
+    pub fn held(&mut self, token: u64) {
+        self.held.insert(token);
     }
 
     /// A chunk of a job's placements was written.
@@ -45,12 +45,12 @@
 
     /// A start has reached a worker that knows this number as the newest.
     pub fn started(&mut self, now: u64, machine: &str, newest: u64, task: &TaskId, it: Attempt) {
-        let number = it.number().0;
-        if !self.held.contains(&number) {
-            self.fault(now, format!("start: {task} under {number}, never held"));
+        let token = it.token().0;
+        if !self.held.contains(&token) {
+            self.fault(now, format!("start: {task} under {token}, never held"));
         }
-        if number != newest {
-            let what = format!("start: {task} under {number} on a worker that knows {newest}");
+        if token != newest {
+            let what = format!("start: {task} under {token} on a worker that knows {newest}");
             self.fault(now, what);
         }
         let committed = self.committed.get(&(task.clone(), it));
--- a/standins/src/worker.rs
+++ b/standins/src/worker.rs
@@ -83,11 +83,11 @@
     /// Whether it is a spot machine.
     pub spot: bool,
     /// The highest token that it has seen.
-    pub number: u64,
+    pub token: u64,
     /// Rises whenever its lease expires.
-    pub session: u64,
+    pub agent_epoch: u64,
     /// Rises with every report.
-    pub seq: u64,
+    pub sequence: u64,
     /// When the last answered report was sent.
     pub renewed: u64,
     /// Its tasks, exited ones included until they are cleared.
@@ -130,11 +130,11 @@
     #[serde(rename = "borrowed")]
     spot: bool,
     #[serde(rename = "shift")]
-    session: u64,
+    agent_epoch: u64,
     #[serde(rename = "tally")]
-    seq: u64,
+    sequence: u64,
     #[serde(rename = "baton")]
-    number: u64,
+    token: u64,
     #[serde(rename = "warningS")]
     notice_s: Option<f64>,
     #[serde(rename = "verses")]
@@ -156,7 +156,7 @@
 #[derive(Deserialize)]
 struct AnswerBody {
     #[serde(rename = "baton")]
-    number: Option<u64>,
+    token: Option<u64>,
     #[serde(rename = "cues", default)]
     commands: Vec<CommandBody>,
 }
@@ -174,7 +174,7 @@
 }
 
 #[derive(Deserialize)]
-struct SteerBody {
+struct RedirectBody {
     #[serde(rename = "conductor")]
     to: Option<String>,
 }
@@ -186,7 +186,7 @@
             class: class.into(),
             zone: zone.into(),
             spot,
-            session: 1,
+            agent_epoch: 1,
             renewed: now,
             controller,
             next_at: now,
@@ -207,7 +207,7 @@
         if now <= self.renewed + lease_ms {
             return Vec::new();
         }
-        self.session += 1;
+        self.agent_epoch += 1;
         self.renewed = now;
         self.flight = None;
         self.next_at = now + REPORT_GAP_MS;
@@ -287,7 +287,7 @@
         self.next_at = now + interval;
         self.last_sent = now;
         self.changed = false;
-        self.seq += 1;
+        self.sequence += 1;
     }
 
     /// The report as it goes onto the wire.
@@ -312,9 +312,9 @@
             class: &self.class,
             zone: &self.zone,
             spot: self.spot,
-            session: self.session,
-            seq: self.seq,
-            number: self.number,
+            agent_epoch: self.agent_epoch,
+            sequence: self.sequence,
+            token: self.token,
             notice_s: self
                 .taken_at
                 .map(|at| at.saturating_sub(now) as f64 / 1000.0),
@@ -347,7 +347,7 @@
         match status {
             200 => return self.obey(now, sent, body, specs),
             421 => {
-                let steer: Option<SteerBody> = wire::decode(body);
+                let steer: Option<RedirectBody> = wire::decode(body);
                 let to = steer.and_then(|s| s.to);
                 let to = to.and_then(|name| controller_ids.iter().position(|m| *m == name));
                 match to.filter(|controller| *controller != self.controller) {
@@ -375,12 +375,12 @@
             return Err("an answer can't be read".into());
         };
         let mut events = Vec::new();
-        let number = answer.number.unwrap_or(0);
-        if number < self.number || number == 0 {
+        let token = answer.token.unwrap_or(0);
+        if token < self.token || token == 0 {
             return Ok(events);
         }
-        if number > self.number {
-            self.number = number;
+        if token > self.token {
+            self.token = token;
             self.changed = true;
         }
         self.renewed = self.renewed.max(sent);
--- a/standins/tests/orders.rs
+++ b/standins/tests/orders.rs
@@ -11,16 +11,16 @@
     TaskId { job, index: 3 }
 }
 
-fn attempt(number: u64, count: u64) -> Attempt {
-    Attempt::new(FencingToken(number), count)
+fn attempt(token: u64, count: u64) -> Attempt {
+    Attempt::new(FencingToken(token), count)
 }
 
 /// A holder under 4, then one under 6, each with a placement of the task on the machine.
 fn history() -> Orders {
     let mut orders = Orders::default();
-    for number in [4, 6] {
-        orders.held(number);
-        let placed = (3, attempt(number, 1), MachineId::from(MACHINE), "a".into());
+    for token in [4, 6] {
+        orders.held(token);
+        let placed = (3, attempt(token, 1), MachineId::from(MACHINE), "a".into());
         let run = PlacementRecord {
             placed: vec![placed],
             ..PlacementRecord::default()
@@ -37,9 +37,9 @@
     orders.started(20, MACHINE, 6, &task(), attempt(6, 1));
     assert_eq!(orders.broken, Vec::<String>::new());
     assert_eq!(orders.repeats.len(), 1);
-    for (number, controller_id) in [(3, "n0"), (5, "n1"), (7, "n0")] {
-        orders.duties.leader_is(Some((number, controller_id)));
-        orders.duties.cloud_changed(number, controller_id);
+    for (token, controller_id) in [(3, "n0"), (5, "n1"), (7, "n0")] {
+        orders.duties.leader_is(Some((token, controller_id)));
+        orders.duties.cloud_changed(token, controller_id);
     }
     assert_eq!(orders.duties.broken, Vec::<String>::new());
 }
--- a/tests/malformed.rs
+++ b/tests/malformed.rs
@@ -347,12 +347,12 @@
         shards: vec![(0, salttrestle::ids::FencingToken(4), "node-2".into())],
         is_fresh: true,
         staleness_ms: 40,
-        heard: false,
-        deaf: false,
+        hears_workers: false,
+        workers_unreachable: false,
         can_forward: true,
         at_ms: 7,
         echoes: vec![("n1".into(), 3, 5)],
-        sheltered_ms: 9,
+        since_keepalive_ms: 9,
         overdue: vec!["i-7".into()],
     });
     let framed = peer::frame(&heartbeat).expect("a message of usual size");
@@ -394,7 +394,7 @@
     let heartbeat = StandbyMessage::Heartbeat(Heartbeat {
         from: "n1".into(),
         incarnation: 7,
-        number: 41,
+        token: 41,
         is_leader: true,
         lost: false,
     });
@@ -406,7 +406,7 @@
     assert!(peer::unframe(&mut malformed.clone()).is_err(), "no message");
     let good = Hints {
         from: "n1".into(),
-        number: 41,
+        token: 41,
         images: vec![ImageHint {
             name: "img-1".into(),
             gb: 6.5,
@@ -444,9 +444,9 @@
     let record = |machines| ShardRecord {
         owner: "n0".into(),
         incarnation: 1,
-        number: FencingToken(7),
+        token: FencingToken(7),
         machines,
-        allowances: None,
+        quota_shares: None,
     };
     let odd = ["i-1", "i-12", "", "a b", "ärger", "änder", "i-1 2"];
     let mut list: Vec<Entry> = odd.iter().map(|id| entry(id, "a")).collect();
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -167,16 +167,16 @@
         }
         text
     };
-    let looked = |end| {
+    let machines_scanned = |end| {
         let mut world = World::new(&words(&text(end)));
         world.run();
         let cores = world.nodes.iter().filter_map(|n| n.controller.as_ref());
         let loads: Vec<_> = cores.map(|c| c.load()).collect();
         let sum =
             |f: fn(&salttrestle::controller::events::Load) -> u64| loads.iter().map(f).sum::<u64>();
-        (sum(|l| l.looked), sum(|l| l.placed))
+        (sum(|l| l.machines_scanned), sum(|l| l.placed))
     };
-    let (before, after) = (looked(39), looked(75));
+    let (before, after) = (machines_scanned(39), machines_scanned(75));
     if after.1 < before.1 + 160 {
         return Err(format!("only {} tasks placed", after.1 - before.1).into());
     }
@@ -283,9 +283,7 @@
             let id = JobId::from(l[1].as_str());
             world.refused_within(&id, l[2].parse().expect("seconds"))
         }
-        "takeovers" if l.len() == 2 => {
-            world.numbers.len() > l[1].parse::<usize>().expect("a count")
-        }
+        "takeovers" if l.len() == 2 => world.tokens.len() > l[1].parse::<usize>().expect("a count"),
         "blocks" => {
             let keys = world.state.store.entries.keys();
             let shards = keys.filter(|k| k.contains("own/block/")).count();
@@ -308,8 +306,8 @@
         "rejected-at-most" => at_most(world.state.rejected)?,
         "limited-at-most" => at_most(world.state.limited)?,
         "starts-at-most" => at_most(world.checker.starts as usize)?,
-        "numbers-at-most" => at_most(world.numbers.len())?,
-        "no-takeover" => world.numbers.len() == 1,
+        "numbers-at-most" => at_most(world.tokens.len())?,
+        "no-takeover" => world.tokens.len() == 1,
         "machines-at-most" => at_most(world.workers.len())?,
         "rented-at-most" => at_most(world.cloud.rigs.len())?,
         // `expect confirmed 3 from=20 to=40`: it took place that often at least.
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -147,9 +147,9 @@
         class: "g8".into(),
         zone: "port-of-spain".into(),
         spot: false,
-        session: 1,
-        seq: 88,
-        number: 90,
+        agent_epoch: 1,
+        sequence: 88,
+        token: 90,
         notice_s: None,
         tasks: (0..tasks).map(task).collect(),
     }
--- a/tests/sheltered_tasks.rs
+++ b/tests/sheltered_tasks.rs
@@ -23,16 +23,16 @@
     let leader = LeaderRecord {
         controller_id: "n1".into(),
         incarnation: 7,
-        number: FencingToken(3),
+        token: FencingToken(3),
         lease_id: 1,
         fenced_ms: None,
     };
     let shard = ShardRecord {
         owner: "n1".into(),
         incarnation: 7,
-        number: FencingToken(4),
+        token: FencingToken(4),
         machines: None,
-        allowances: None,
+        quota_shares: None,
     };
     vec![
         (Key::Leader, 8, Some(Record::Leader(leader))),
@@ -95,9 +95,9 @@
         class: "g8".into(),
         zone: "a".into(),
         spot: false,
-        session: 1,
-        seq: 5,
-        number: 4,
+        agent_epoch: 1,
+        sequence: 5,
+        token: 4,
         notice_s: None,
         tasks: vec![HeartbeatTask {
             task: "wk-7/0".into(),
--- a/tests/sim/limits.rs
+++ b/tests/sim/limits.rs
@@ -85,7 +85,7 @@
         let entries = self.state.store.entries.values();
         let shards: Vec<_> = entries
             .filter_map(|entry| match &entry.value {
-                Record::Shard(shard) => shard.allowances.clone(),
+                Record::Shard(shard) => shard.quota_shares.clone(),
                 _ => None,
             })
             .collect();
--- a/tests/sim/nodes.rs
+++ b/tests/sim/nodes.rs
@@ -87,7 +87,7 @@
         let local = node.offset + (self.now as f64 * (1.0 + node.drift)) as u64;
         let out = controller.step(Time(local), input);
         let wake = controller.wake_at().0.saturating_sub(local).max(1);
-        let taken = controller.holds().is_some_and(|n| self.numbers.insert(n.0));
+        let taken = controller.holds().is_some_and(|n| self.tokens.insert(n.0));
         let incarnation = node.incarnation;
         let at = self.now + wake;
         if at < self.nodes[n].woken_for {
--- a/tests/sim/script.rs
+++ b/tests/sim/script.rs
@@ -144,8 +144,8 @@
             }
             "part" => {
                 for n in arg(args, "from").expect("from=").split(',') {
-                    self.seq += 1;
-                    let id = self.seq;
+                    self.sequence += 1;
+                    let id = self.sequence;
                     self.cuts.push(Cut {
                         id,
                         node: Some(self.node_arg(n)),
@@ -186,8 +186,8 @@
                 "peers" => Far::Peers,
                 other => panic!("unknown link {other}"),
             };
-            self.seq += 1;
-            let id = self.seq;
+            self.sequence += 1;
+            let id = self.sequence;
             let hold = flag(args, "hold");
             self.cuts.push(Cut {
                 id,
--- a/tests/sim/services.rs
+++ b/tests/sim/services.rs
@@ -69,7 +69,7 @@
     pub(super) fn note_leader(&mut self) {
         let entry = self.state.store.entries.get("s/own/leader");
         let leader = entry.and_then(|entry| match &entry.value {
-            Record::Leader(leader) => Some((leader.number.0, leader.controller_id.to_string())),
+            Record::Leader(leader) => Some((leader.token.0, leader.controller_id.to_string())),
             _ => None,
         });
         let leader = leader
--- a/tests/sim/state.rs
+++ b/tests/sim/state.rs
@@ -193,7 +193,7 @@
                 Write::Put {
                     record: Record::Shard(shard),
                     ..
-                } => self.orders.held(shard.number.0),
+                } => self.orders.held(shard.token.0),
                 Write::Put {
                     key: Key::Run(job, _),
                     record: Record::Run(run),
--- a/tests/sim/workers.rs
+++ b/tests/sim/workers.rs
@@ -77,7 +77,7 @@
         for event in events {
             match event {
                 TaskEvent::Accepted(task, attempt) => {
-                    let newest = self.workers[id].number;
+                    let newest = self.workers[id].token;
                     let orders = &mut self.state.orders;
                     orders.started(now, id, newest, &task, attempt);
                 }
--- a/tests/sim/world.rs
+++ b/tests/sim/world.rs
@@ -104,7 +104,7 @@
 pub struct World {
     pub now: u64,
     pub(super) queue: BTreeMap<(u64, u64), Ev>,
-    pub(super) seq: u64,
+    pub(super) sequence: u64,
     pub(super) rng: StdRng,
     pub nodes: Vec<Node>,
     pub controller_ids: Vec<String>,
@@ -147,7 +147,7 @@
     pub statuses: BTreeMap<(JobId, u16), u32>,
     pub answered: BTreeMap<JobId, u64>,
     /// The numbers under which blocks were held.
-    pub numbers: BTreeSet<u64>,
+    pub tokens: BTreeSet<u64>,
     pub(super) script: Vec<Vec<String>>,
     pub end: u64,
     /// Tasks killed because a lease ran out.
@@ -266,7 +266,7 @@
         let mut world = Self {
             now: 0,
             queue: BTreeMap::new(),
-            seq: 0,
+            sequence: 0,
             rng: StdRng::seed_from_u64(value("seed", 1.0) as u64),
             nodes: nodes.collect(),
             controller_ids,
@@ -303,7 +303,7 @@
             report_ms: ms(report),
             statuses: BTreeMap::new(),
             answered: BTreeMap::new(),
-            numbers: BTreeSet::new(),
+            tokens: BTreeSet::new(),
             script: Vec::new(),
             end: ms(value("end", 120.0)),
             killed: 0,
@@ -335,8 +335,8 @@
     }
 
     pub fn at(&mut self, at: u64, ev: Ev) {
-        self.seq += 1;
-        self.queue.insert((at.max(self.now), self.seq), ev);
+        self.sequence += 1;
+        self.queue.insert((at.max(self.now), self.sequence), ev);
     }
 
     pub fn after(&mut self, delay: u64, ev: Ev) {
--- a/tests/stored_forms.rs
+++ b/tests/stored_forms.rs
@@ -63,8 +63,8 @@
         image_gb: 6.2,
         types: Some(vec!["g8".into()]),
         zone: None,
-        one_zone: true,
-        scatter: false,
+        zone_affinity: true,
+        zone_spread: false,
         spot: true,
         estimate_s: 240.0,
         checkpoint_s: 30.0,
@@ -82,7 +82,7 @@
     let leader = LeaderRecord {
         controller_id: controller_id(),
         incarnation: 7,
-        number: FencingToken(41),
+        token: FencingToken(41),
         lease_id: 12,
         fenced_ms: None,
     };
@@ -92,31 +92,31 @@
         ..leader
     };
     check_record(&fenced, FENCED_LEADER);
-    let number = FencingTokenRecord {
+    let token = FencingTokenRecord {
         highest: FencingToken(42),
         fence: None,
     };
-    check_record(&number, NUMBER);
+    check_record(&token, NUMBER);
     let fenced = FencingTokenRecord {
         fence: Some(Fence {
-            number: 41,
+            token: 41,
             ms: 3000,
         }),
-        ..number
+        ..token
     };
     check_record(&fenced, FENCED_NUMBER);
     let shard = ShardRecord {
         owner: controller_id(),
         incarnation: 7,
-        number: FencingToken(41),
+        token: FencingToken(41),
         machines: Some(vec![(machine(), "g8".into(), "a".into(), true)]),
-        allowances: Some([("vision".into(), (8.0, 1.0))].into()),
+        quota_shares: Some([("vision".into(), (8.0, 1.0))].into()),
     };
     check_record(&shard, BLOCK);
     let plan = ScalingPlanRecord {
-        number: FencingToken(41),
+        token: FencingToken(41),
         wanted: vec![("g8".into(), false, 3)],
-        rentals: vec![ScaleOutRecord {
+        scale_out_requests: vec![ScaleOutRecord {
             name: "r-41-1".into(),
             class: "g8".into(),
             zone: "a".into(),
@@ -125,7 +125,7 @@
         }],
         shares: vec![(0, 1)],
         closed: vec![("g8".into(), "b".into(), true)],
-        returns: vec![machine()],
+        scale_in: vec![machine()],
     };
     check_record(&plan, PLAN);
 }
@@ -211,12 +211,12 @@
         shards: vec![(0, FencingToken(41), controller_id())],
         is_fresh: true,
         staleness_ms: 20,
-        heard: true,
-        deaf: false,
+        hears_workers: true,
+        workers_unreachable: false,
         can_forward: true,
         at_ms: 1000,
         echoes: vec![(ControllerId::from("trestlehand-1"), 8, 900)],
-        sheltered_ms: 5000,
+        since_keepalive_ms: 5000,
         overdue: vec![machine()],
     };
     check_message(&Message::PeerHeartbeat(heartbeat), HELLO);
@@ -226,9 +226,9 @@
         class: "g8".into(),
         zone: "a".into(),
         spot: true,
-        session: 1,
-        seq: 88,
-        number: 41,
+        agent_epoch: 1,
+        sequence: 88,
+        token: 41,
         notice_s: Some(Num(12.5)),
         tasks: vec![HeartbeatTask {
             task: "wk-000398/0".into(),
@@ -250,7 +250,7 @@
     let shard_counts = ShardCounts {
         from: controller_id(),
         shard: 0,
-        number: FencingToken(41),
+        token: FencingToken(41),
         revision: 412,
         pools: vec![("g8".into(), false, PoolCount::default())],
         zones: vec![("g8".into(), false, "a".into(), 3)],
@@ -264,14 +264,14 @@
     let heartbeat = StandbyMessage::Heartbeat(Heartbeat {
         from: controller_id().to_string(),
         incarnation: 7,
-        number: 41,
+        token: 41,
         is_leader: true,
         lost: false,
     });
     check_message(&standby(heartbeat), HEARTBEAT);
     let hints = StandbyMessage::Hints(Hints {
         from: controller_id().to_string(),
-        number: 41,
+        token: 41,
         estimates: Estimates {
             boots: vec![("g8".into(), 52.5)],
             bursts: vec![("g8".into(), true, 2.0)],
