--- a/benches/core.rs
+++ b/benches/controller.rs
@@ -1,7 +1,7 @@
 //! What single events cost a controller's core, at three sizes of a fleet: time by criterion, and
 //! allocations, which are printed first.
 //!
-//! `cargo bench` plays all of it in some minutes. The core is driven as the loop around it does,
+//! `cargo bench` plays all of it in some minutes. The controller is driven as the loop around it does,
 //! without sockets, so that the kernel's part is left out.
 
 use criterion::{Criterion, criterion_group, criterion_main};
@@ -118,7 +118,7 @@
     }
 }
 
-/// A holder's records: each machine runs one job's tasks.
+/// An owner's records: each machine runs one job's tasks.
 fn records(machines: usize) -> Vec<Change> {
     let leader = LeaderRecord {
         controller_id: HOLDER.into(),
@@ -174,7 +174,7 @@
     }
 }
 
-/// The same report as a worker sends it.
+/// The same heartbeat as a worker sends it.
 fn report_body(n: usize) -> Vec<u8> {
     let tasks = (0..TASKS_A_MACHINE).map(|index| {
         serde_json::json!({"verse": format!("{}/{index}", job(n)), "take": attempt(n, index).0,
@@ -203,7 +203,7 @@
     }]
 }
 
-/// A controller whose state service answers at once and has no news of its own.
+/// A controller whose store answers at once and has no news of its own.
 struct Driven {
     controller: Controller,
     now: u64,
@@ -258,7 +258,7 @@
         }
     }
 
-    /// The next machine in turn sends a report that tells nothing new.
+    /// The next machine in turn sends a heartbeat that tells nothing new.
     fn quiet_report(&mut self) {
         self.requests += 1;
         let n = self.requests as usize % self.machines;
--- a/cells/src/ledger.rs
+++ b/cells/src/ledger.rs
@@ -169,7 +169,7 @@
     }
 
     /// The first commit of a transfer, at the giver. `held` is what is in use of each team's share
-    /// or promised to the cell's blocks.
+    /// or promised to the cell's shards.
     pub fn give(
         &self,
         link: &LinkRecord,
--- a/cells/src/lib.rs
+++ b/cells/src/lib.rs
@@ -1,7 +1,7 @@
 //! Team limits that hold across cells.
 //!
-//! Each cell is a whole installation with a state service of its own. A team's limit is split into
-//! shares, one in each cell's state service, and a cell starts tasks within its share without
+//! Each cell is a whole installation with a store of its own. A team's limit is split into
+//! shares, one in each cell's store, and a cell starts tasks within its share without
 //! asking anybody. Shares move by transfers between two cells, of three commits: the giver lowers
 //! its share and records the transfer; the taker raises its share and records the transfer's
 //! number; the giver forgets it. What is lost sight of in between is in transit, and belongs to
--- a/cells/src/sharing.rs
+++ b/cells/src/sharing.rs
@@ -32,7 +32,7 @@
 pub struct TeamView {
     /// Its share.
     pub share: Amount,
-    /// What is in use of it or promised to the cell's blocks.
+    /// What is in use of it or promised to the cell's shards.
     pub held: Amount,
     /// What is in use.
     pub used: Amount,
@@ -55,7 +55,7 @@
         self.wanted.plus(self.wanted.part(2)).most(self.floor)
     }
 
-    /// What the blocks here are to leave, so that it can be given to cells that would like so much
+    /// What the shards here are to leave, so that it can be given to cells that would like so much
     /// more and lack so much.
     pub fn to_leave(&self, more: Amount, lacking: Amount) -> Amount {
         let spare = self.share.beyond(self.target()).least(more);
--- a/cells/tests/hard_cases.rs
+++ b/cells/tests/hard_cases.rs
@@ -38,7 +38,7 @@
     world.step(to, |w| w.act_on(to, 0, from));
 }
 
-/// A cell's only block may use the cell's whole share.
+/// A cell's only shard may use the cell's whole share.
 fn allow_all(world: &mut World, at: usize) {
     world.step(at, |w| w.allow(at, 0, BLUE, u64::MAX / 2000));
 }
@@ -310,7 +310,7 @@
         |world| {
             allow_all(world, HOME);
             world.step(HOME, |w| w.allow(HOME, 0, BLUE, 0));
-            // One has counted nothing in use and gives; the other lets the block use it all.
+            // One has counted nothing in use and gives; the other lets the shard use it all.
             world.refresh(HOME, 0);
             world.refresh(HOME, 1);
             world.allow(HOME, 1, BLUE, 8);
--- a/cells/tests/world/mod.rs
+++ b/cells/tests/world/mod.rs
@@ -24,7 +24,7 @@
     NoConditions,
     /// What is in use isn't held back.
     GivesWhatIsUsed,
-    /// A gift isn't conditional on the blocks' allowances.
+    /// A gift isn't conditional on the shards' quota shares.
     NoBlockCondition,
     /// A transfer is forgotten when it was sent.
     ForgetsEarly,
@@ -39,18 +39,18 @@
     pub value: T,
 }
 
-/// What stands at one cell's state service, and what its machines run.
+/// What stands at one cell's store, and what its machines run.
 #[derive(Clone, Debug, Default)]
 pub struct Store {
     pub revision: u64,
     pub cell: Slot<CellRecord>,
     pub links: BTreeMap<Cell, Slot<LinkRecord>>,
-    /// Allowances in the only block's record.
+    /// Quota shares in the only shard's record.
     pub block: Slot<BTreeMap<Team, Amount>>,
     pub used: BTreeMap<Team, Amount>,
     /// What the operators want as limits of the teams at home here.
     pub wanted: BTreeMap<Team, Amount>,
-    /// The state service answers nobody.
+    /// The store answers nobody.
     pub away: bool,
 }
 
@@ -67,7 +67,7 @@
     pub at: usize,
     pub cell: Option<(u64, CellRecord)>,
     pub link: Option<(Cell, u64, LinkRecord)>,
-    /// The block's record is unchanged, and its allowances become these, if there are any.
+    /// The shard's record is unchanged, and its quota shares become these, if there are any.
     pub block: Option<(u64, Option<BTreeMap<Team, Amount>>)>,
 }
 
@@ -129,7 +129,7 @@
         names[n % names.len()].clone()
     }
 
-    /// A leader reads all records, and what its block's holder counts under them.
+    /// A leader reads all records, and what its shard's owner counts under them.
     pub fn refresh(&mut self, at: usize, leader: usize) {
         if !self.stores[at].away {
             self.leaders[at][leader].view = self.stores[at].clone();
@@ -166,14 +166,14 @@
         self.commits.push(commit);
     }
 
-    /// Sets the block's allowances: each team's whole share, or less.
+    /// Sets the shard's quota shares: each team's whole share, or less.
     pub fn allow(&mut self, at: usize, leader: usize, team: usize, tasks: u64) {
         let view = self.leaders[at][leader].view.clone();
         let team = self.team(team);
         let mut allowances = view.block.value.clone();
         let allowed = tasks_of(tasks).least(view.cell.value.share(&team));
         allowances.insert(team, allowed);
-        // The cell's record is a condition: an allowance is never above the share.
+        // The cell's record is a condition: an quota share is never above the share.
         let cell = view.cell.value.clone();
         self.propose(at, &view, Some(cell), None, Some(Some(allowances)));
     }
@@ -332,7 +332,7 @@
         }
     }
 
-    /// A task starts if the block's allowance has room for it: a commit conditional on the block.
+    /// A task starts if the shard's quota share has room for it: a commit conditional on the shard.
     pub fn start(&mut self, at: usize, team: usize) {
         let team = self.team(team);
         let store = &mut self.stores[at];
@@ -444,7 +444,7 @@
         Ok(())
     }
 
-    /// Every link and state service works, nobody wants to start anything, all tasks end: then
+    /// Every link and store works, nobody wants to start anything, all tasks end: then
     /// nothing is in transit, and the limits are what the operators want.
     pub fn quiet(&mut self) {
         self.commits.clear();
--- a/standins/src/cloud.rs
+++ b/fakes/src/cloud.rs
@@ -34,7 +34,7 @@
     pub catalog: Vec<MachineType>,
     /// Every machine that was ever rented, by name.
     pub rigs: BTreeMap<String, Rig>,
-    /// What rental requests were answered, by their names.
+    /// What scale-out request requests were answered, by their names.
     pub answers: BTreeMap<String, Vec<MachineId>>,
     /// Free machines by type, zone and kind.
     pub capacity: BTreeMap<(String, String, bool), u32>,
--- a/standins/src/duties.rs
+++ b/fakes/src/duties.rs
@@ -1,5 +1,5 @@
 //! The duties that one controller has at a time, renting and deleting, seen from outside: by whose
-//! record stood at the state service, and who called the cloud.
+//! record stood at the store, and who called the cloud.
 
 use std::collections::BTreeMap;
 
--- a/standins/src/orders.rs
+++ b/fakes/src/orders.rs
@@ -1,4 +1,4 @@
-//! Orders, judged by what the state service, the workers and the cloud saw of them: no start that
+//! Orders, judged by what the store, the workers and the cloud saw of them: no start that
 //! wasn't committed for that machine before, none under a number that wasn't the worker's newest,
 //! no attempt that falls, and calls to the cloud by one leader after the other ([`Duties`]).
 
@@ -12,7 +12,7 @@
 pub struct Orders {
     /// Calls to the cloud.
     pub duties: Duties,
-    /// Numbers under which a block's record was written.
+    /// Numbers under which a shard's record was written.
     held: HashSet<u64>,
     /// Where each attempt was committed to run.
     committed: HashMap<(TaskId, Attempt), MachineId>,
@@ -29,7 +29,7 @@
         self.broken.push(format!("{:.3} {what}", now as f64 / 1e3));
     }
 
-    /// A block's record was written under a number.
+    /// A shard's record was written under a number.
     pub fn held(&mut self, token: u64) {
         self.held.insert(token);
     }
--- a/standins/src/store.rs
+++ b/fakes/src/store.rs
@@ -1,4 +1,4 @@
-//! The state service's store: keys with revisions, transactions on conditions, leases, and a
+//! The store's store: keys with revisions, transactions on conditions, leases, and a
 //! history that can be followed.
 
 use std::collections::BTreeMap;
@@ -192,7 +192,7 @@
         self.history.drain(..drop);
     }
 
-    /// Grants a lease.
+    /// Leases a lease.
     pub fn grant(&mut self, now_ms: u64, ttl_ms: u64) -> u64 {
         self.last_lease += 1;
         let lease = Lease {
--- a/standins/src/worker.rs
+++ b/fakes/src/worker.rs
@@ -1,16 +1,16 @@
-//! A worker: its reports, lease, session, token and tasks. It has no clock and no network: the
-//! caller hands in the time and carries reports and answers.
+//! A worker: its heartbeats, lease, agent epoch, token and tasks. It has no clock and no network: the
+//! caller hands in the time and carries heartbeats and answers.
 
 use salttrestle::ids::{Attempt, TaskId};
 use salttrestle::wire::{self, Cause, TaskStatus};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How long the answer to a report is waited for, in milliseconds.
+/// How long the answer to a heartbeat is waited for, in milliseconds.
 pub const ANSWER_MS: u64 = 4000;
 /// Pause before the next controller is tried, in milliseconds.
 const NEXT_CONTROLLER_MS: u64 = 1000;
-/// Shortest time between two reports, and before the first one of a new session, in milliseconds.
+/// Shortest time between two heartbeats, and before the first one of a new agent epoch, in milliseconds.
 const REPORT_GAP_MS: u64 = 500;
 /// A task of a service runs until it is stopped.
 const FOREVER_MS: u64 = u64::MAX / 2;
@@ -86,21 +86,21 @@
     pub token: u64,
     /// Rises whenever its lease expires.
     pub agent_epoch: u64,
-    /// Rises with every report.
+    /// Rises with every heartbeat.
     pub sequence: u64,
-    /// When the last answered report was sent.
+    /// When the last answered heartbeat was sent.
     pub renewed: u64,
     /// Its tasks, exited ones included until they are cleared.
     pub tasks: BTreeMap<TaskId, WorkerTask>,
-    /// The controller that it reports to.
+    /// The controller that it heartbeats to.
     pub controller: usize,
     /// The request in flight, and when it was sent.
     pub flight: Option<(u64, u64)>,
     /// When it reported last.
     pub last_sent: u64,
-    /// When it reports next, if nothing changes.
+    /// When it heartbeats next, if nothing changes.
     pub next_at: u64,
-    /// Whether something has changed since the last report.
+    /// Whether something has changed since the last heartbeat.
     pub changed: bool,
     /// The images that it has.
     pub images: Vec<String>,
@@ -269,7 +269,7 @@
         events.push(TaskEvent::Ended(task, cause));
     }
 
-    /// Gives up on a report without an answer, and says whether the next one is due.
+    /// Gives up on a heartbeat without an answer, and says whether the next one is due.
     pub fn report_due(&mut self, now: u64, controllers: usize) -> bool {
         if let Some((_, sent)) = self.flight {
             if now < sent + ANSWER_MS {
@@ -282,7 +282,7 @@
         rested && (self.changed || now >= self.next_at)
     }
 
-    /// Begins a report; the next one is due after `interval` if nothing changes.
+    /// Begins a heartbeat; the next one is due after `interval` if nothing changes.
     pub fn begin_report(&mut self, now: u64, interval: u64) {
         self.next_at = now + interval;
         self.last_sent = now;
@@ -290,7 +290,7 @@
         self.sequence += 1;
     }
 
-    /// The report as it goes onto the wire.
+    /// The heartbeat as it goes onto the wire.
     pub fn report_body(&self, machine: &str, endpoint: &str, now: u64) -> Vec<u8> {
         let tasks = self.tasks.iter().map(|(task, t)| {
             let (state, cause) = match t.state {
@@ -327,13 +327,13 @@
         self.next_at = now + NEXT_CONTROLLER_MS;
     }
 
-    /// The report in flight got no answer: the connection failed.
+    /// The heartbeat in flight got no answer: the connection failed.
     pub fn unanswered(&mut self, now: u64, controllers: usize) {
         self.flight = None;
         self.try_next(now, controllers);
     }
 
-    /// Takes the answer to the report that was sent at `sent`. `Err` says what no worker would
+    /// Takes the answer to the heartbeat that was sent at `sent`. `Err` says what no worker would
     /// understand.
     pub fn answered(
         &mut self,
--- a/standins/tests/orders.rs
+++ b/fakes/tests/orders.rs
@@ -2,7 +2,7 @@
 
 use salttrestle::controller::store::records::PlacementRecord;
 use salttrestle::ids::{Attempt, FencingToken, JobId, MachineId, TaskId};
-use salttrestle_standins::orders::Orders;
+use salttrestle_fakes::orders::Orders;
 
 const MACHINE: &str = "i-1";
 
@@ -15,7 +15,7 @@
     Attempt::new(FencingToken(token), count)
 }
 
-/// A holder under 4, then one under 6, each with a placement of the task on the machine.
+/// An owner under 4, then one under 6, each with a placement of the task on the machine.
 fn history() -> Orders {
     let mut orders = Orders::default();
     for token in [4, 6] {
--- a/scale/src/capacity.rs
+++ b/scale/src/capacity.rs
@@ -8,7 +8,7 @@
 use salttrestle::http;
 use salttrestle::ids::{Attempt, FencingToken, JobId, TaskId};
 use salttrestle::wire::commands_body;
-use salttrestle_standins::worker::{TaskState, Worker, WorkerTask};
+use salttrestle_fakes::worker::{TaskState, Worker, WorkerTask};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Metric {
-    /// Processor of the controller that holds the block, in cores.
+    /// Processor of the controller that holds the shard, in cores.
     HolderCores,
     /// Its resident memory at the peak, in MiB.
     HolderMemoryMb,
@@ -34,13 +34,13 @@
     RelayCores,
     /// Its resident memory at the peak, in MiB.
     RelayMemoryMb,
-    /// Requests a second at the state service.
+    /// Requests a second at the store.
     StateRequests,
     /// Puts and deletes a second there.
     StateChanges,
-    /// Bytes a second to the state service.
+    /// Bytes a second to the store.
     StateBytesIn,
-    /// Bytes a second from the state service.
+    /// Bytes a second from the store.
     StateBytesOut,
     /// Bytes a second from all workers.
     ReportBytes,
@@ -354,7 +354,7 @@
     }
 }
 
-/// Bytes of a worker's report and of the answer to it, as they go onto the wire.
+/// Bytes of a worker's heartbeat and of the answer to it, as they go onto the wire.
 fn worker_lines() -> String {
     let mut text = String::from("\n| a worker with | report | quiet answer | in and out |\n");
     text += "| --- | --- | --- | --- |\n";
@@ -369,7 +369,7 @@
     text
 }
 
-/// Workers report this often at the operators' size, in seconds.
+/// Workers heartbeat this often at the operators' size, in seconds.
 const REPORT_S: f64 = 3.0;
 /// Names as long as those that the cloud and users give.
 const MACHINE: &str = "i-004321";
--- a/scale/src/controllers.rs
+++ b/scale/src/controllers.rs
@@ -33,7 +33,7 @@
 /// The addresses of one cell.
 #[derive(Clone, Debug)]
 pub struct CellAddresses {
-    /// The state service.
+    /// The store.
     pub state: SocketAddrV4,
     /// The cloud: an address for each controller, by which it is told who calls.
     pub clouds: Vec<SocketAddrV4>,
--- a/scale/src/experiment.rs
+++ b/scale/src/experiment.rs
@@ -104,13 +104,13 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Workers report this often, in seconds.
+    /// Workers heartbeat this often, in seconds.
     pub report_s: f64,
     /// Workers' lease, in seconds.
     pub lease_s: f64,
     /// Bound on cancelled tasks, in seconds.
     pub cancel_s: f64,
-    /// Requests a second that a cell's state service takes.
+    /// Requests a second that a cell's store takes.
     pub state_rps: f64,
     /// Changes a second that it takes.
     pub state_write_rps: f64,
@@ -256,7 +256,7 @@
         #[serde(default)]
         over_s: f64,
     },
-    /// The state service answers nobody.
+    /// The store answers nobody.
     StateOutage {
         /// For how long, in seconds.
         for_s: f64,
--- a/scale/src/hollow/cell.rs
+++ b/scale/src/hollow/cell.rs
@@ -17,8 +17,8 @@
 use salttrestle::http::{self, Message};
 use salttrestle::ids::JobId;
 use salttrestle::wire::{CloudOp, CloudReply, MachineType};
-use salttrestle_standins::checker::Checker;
-use salttrestle_standins::cloud::Cloud;
+use salttrestle_fakes::checker::Checker;
+use salttrestle_fakes::cloud::Cloud;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 use std::sync::mpsc::{Receiver, Sender, TryRecvError};
@@ -52,7 +52,7 @@
     pub workers: usize,
     /// Its part of all workers.
     pub share: f64,
-    /// Between two reports of a worker, in milliseconds.
+    /// Between two heartbeats of a worker, in milliseconds.
     pub report_ms: u64,
     /// A worker's lease, in milliseconds.
     pub lease_ms: u64,
@@ -159,7 +159,7 @@
         /// Over which time.
         over_ms: u64,
     },
-    /// The state service answers nobody for a time in milliseconds.
+    /// The store answers nobody for a time in milliseconds.
     StateOutage(u64),
     /// So many times as many batch jobs come as at first.
     Load(f64),
@@ -176,7 +176,7 @@
 pub struct CellSample {
     /// Who leads.
     pub leader: Option<String>,
-    /// Who holds the first block.
+    /// Who holds the first shard.
     pub holder: Option<String>,
     /// Workers whose machines run, and those that have been answered.
     pub workers: usize,
@@ -188,13 +188,13 @@
     pub tasks: usize,
     /// Batch and urgent jobs that aren't over.
     pub open_batch: usize,
-    /// Keys at the state service.
+    /// Keys at the store.
     pub keys: usize,
     /// Requests of users that failed.
     pub user_failures: u64,
     /// Tasks killed since their worker's lease was over.
     pub killed: u64,
-    /// What the state service has done.
+    /// What the store has done.
     pub state: StateCounts,
     /// Traffic by kind of connection.
     pub traffic: Vec<(String, Traffic)>,
--- a/scale/src/hollow/connections.rs
+++ b/scale/src/hollow/connections.rs
@@ -20,11 +20,11 @@
 /// What a connection is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// A controller calls the state service.
+    /// A controller calls the store.
     State,
     /// A controller, by its index, calls the cloud.
     Cloud(usize),
-    /// A worker reports, by its index.
+    /// A worker heartbeats, by its index.
     Worker(usize),
     /// A user asks, at a controller by its index.
     User(usize),
--- a/scale/src/hollow/mod.rs
+++ b/scale/src/hollow/mod.rs
@@ -1,4 +1,4 @@
-//! One cell's outside world: workers, users, cloud and state service, in one thread.
+//! One cell's outside world: workers, users, cloud and store, in one thread.
 
 mod cell;
 mod cloud_service;
--- a/scale/src/hollow/state_service.rs
+++ b/scale/src/hollow/state_service.rs
@@ -1,12 +1,12 @@
-//! The state service over HTTP: the shared store behind the protocol's requests and limits.
+//! The store over HTTP: the shared store behind the protocol's requests and limits.
 
 use crate::experiment::Service;
 use ciborium::Value;
 use salttrestle::controller::store::records::LimitsByTeam;
 use salttrestle::http::Message;
 use salttrestle::wire;
-use salttrestle_standins::rate::RateLimit;
-use salttrestle_standins::store::{CommitOutcome, Store, Write};
+use salttrestle_fakes::rate::RateLimit;
+use salttrestle_fakes::store::{CommitOutcome, Store, Write};
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
@@ -14,10 +14,10 @@
 const KEPT: usize = 10_000;
 /// Most entries of one page.
 const PAGE_MAX: usize = 1_000;
-/// Longest wait of a follow, in milliseconds.
+/// Longest wait of a watch, in milliseconds.
 const FOLLOW_MAX_MS: u64 = 60_000;
 
-/// What the state service was asked, and what it carried out.
+/// What the store was asked, and what it carried out.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StateCounts {
     /// Requests of every kind.
@@ -58,7 +58,7 @@
     until_ms: u64,
 }
 
-/// The state service of one cell.
+/// The store of one cell.
 pub struct StateService {
     store: Store<Rc<Value>>,
     requests: RateLimit,
@@ -194,7 +194,7 @@
 }
 
 impl StateService {
-    /// An empty state service.
+    /// An empty store.
     pub fn new(service: &Service) -> Self {
         Self {
             store: Store::new(KEPT),
@@ -233,7 +233,7 @@
         self.outage = outage;
     }
 
-    /// Executes a request; `None` for a follow that has to wait.
+    /// Executes a request; `None` for a watch that has to wait.
     pub fn execute(&mut self, now: u64, connection: usize, request: &Message) -> Option<Answer> {
         self.counts.requests += 1;
         let (path, query) = match request.start[1].split_once('?') {
--- a/scale/src/hollow/workers.rs
+++ b/scale/src/hollow/workers.rs
@@ -7,8 +7,8 @@
 use rand::rngs::StdRng;
 use salttrestle::http::{self, Message};
 use salttrestle::wire::Cause;
-use salttrestle_standins::checker::Place;
-use salttrestle_standins::worker::{ANSWER_MS, TaskEvent, TaskState, Worker};
+use salttrestle_fakes::checker::Place;
+use salttrestle_fakes::worker::{ANSWER_MS, TaskEvent, TaskState, Worker};
 use std::collections::HashMap;
 use std::sync::Arc;
 
--- a/scale/src/limit_watch.rs
+++ b/scale/src/limit_watch.rs
@@ -8,10 +8,10 @@
 /// Room for rounding.
 const SLACK: f64 = 1e-6;
 
-/// The part of a block's record that is watched.
+/// The part of a shard's record that is watched.
 #[derive(Deserialize)]
 pub struct BlockView {
-    /// What each team may use in the block.
+    /// What each team may use in the shard.
     #[serde(default)]
     pub quota_shares: Option<LimitsByTeam>,
 }
@@ -26,7 +26,7 @@
 /// What all cells allow, and the changes that aren't in force yet.
 #[derive(Default)]
 pub struct LimitWatch {
-    /// What the blocks allow, by cell.
+    /// What the shards allow, by cell.
     quota_shares: BTreeMap<usize, LimitsByTeam>,
     /// The limits that the homes have made.
     made: LimitsByTeam,
@@ -54,7 +54,7 @@
         self.look(now);
     }
 
-    /// A cell's block allows something else.
+    /// A cell's shard allows something else.
     pub fn block_changed(&mut self, now: u64, cell: usize, view: BlockView) {
         self.quota_shares
             .insert(cell, view.quota_shares.unwrap_or_default());
--- a/scale/src/results.rs
+++ b/scale/src/results.rs
@@ -20,7 +20,7 @@
     Process(ProcessRow),
     /// One kind of connection of one cell.
     Link(LinkRow),
-    /// One cell's state service.
+    /// One cell's store.
     State(StateRow),
     /// Times that users or tasks waited.
     Latency(LatencyRow),
@@ -82,7 +82,7 @@
     pub cell: String,
     /// Its name.
     pub member: String,
-    /// Whether it led and held the block at the end of that time.
+    /// Whether it led and held the shard at the end of that time.
     pub holder: bool,
     /// Processor time in the program, in cores.
     pub user_cores: f64,
@@ -128,7 +128,7 @@
     }
 }
 
-/// What one cell's state service did a second.
+/// What one cell's store did a second.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StateRow {
     /// The cell.
--- a/scale/src/run.rs
+++ b/scale/src/run.rs
@@ -11,7 +11,7 @@
 use crate::takeovers::{EndKind, Schedule};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use salttrestle_standins::checker::{Checker, JobView};
+use salttrestle_fakes::checker::{Checker, JobView};
 use std::collections::BTreeMap;
 use std::io;
 use std::path::{Path, PathBuf};
--- a/scale/src/takeovers.rs
+++ b/scale/src/takeovers.rs
@@ -1,12 +1,12 @@
 //! Takeovers: the leader is ended again and again, and what each end costs is measured from what
-//! the state service, the workers and the users see.
+//! the store, the workers and the users see.
 
 use crate::results::{LatencyRow, Row};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use salttrestle::controller::store::records::{LeaderRecord, PlacementRecord, ShardRecord};
 use salttrestle::ids::{Attempt, JobId, TaskId};
-use salttrestle_standins::orders::Orders;
+use salttrestle_fakes::orders::Orders;
 use serde::{Deserialize, Serialize};
 
 /// How leaders end, and how often.
@@ -21,7 +21,7 @@
     pub kinds: Vec<EndKind>,
     /// How long a process that ended is away, in seconds.
     pub down_s: f64,
-    /// How long one stands still, in seconds: longer than a grant.
+    /// How long one stands still, in seconds: longer than a lease.
     pub pause_s: f64,
     /// Whether the standby is switched on.
     #[serde(default = "yes")]
@@ -51,7 +51,7 @@
     pub kind: EndKind,
     /// When, in milliseconds since the run began.
     pub at_ms: u64,
-    /// The number of the block that it held.
+    /// The number of the shard that it held.
     pub number: u64,
     /// Its successor's record was written.
     pub elected_ms: Option<u64>,
@@ -70,7 +70,7 @@
     pub rows: Vec<TakeoverRow>,
     /// Judges all orders.
     pub orders: Orders,
-    /// The number of the first block's holder.
+    /// The number of the first shard's owner.
     number: u64,
 }
 
@@ -109,7 +109,7 @@
         self.orders.duties.leader_is(leader);
     }
 
-    /// A block's record was written.
+    /// A shard's record was written.
     pub fn block_written(&mut self, now: u64, block: &ShardRecord) {
         self.number = block.token.0;
         self.orders.held(block.token.0);
--- a/scale/tests/capacity_page.rs
+++ b/scale/tests/capacity_page.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// Runs of a cell whose holder costs 0.01 cores and so much a worker.
+/// Runs of a cell whose owner costs 0.01 cores and so much a worker.
 fn rows(cost: impl Fn(f64) -> f64) -> Vec<Row> {
     let of = |workers: f64| {
         let run = RunRow {
--- a/scale/tests/small_run.rs
+++ b/scale/tests/small_run.rs
@@ -8,7 +8,7 @@
 use salttrestle_scale::results::Row;
 
 /// The other controllers' links to the one that was killed and came back stayed down for good, so
-/// that reports which passed through them never reached it as the next holder: batch jobs whose
+/// that heartbeats which passed through them never reached it as the next owner: batch jobs whose
 /// tasks had ended stayed open.
 #[test]
 fn a_fleet_outlives_its_leader() {
--- a/src/controller/api/cancellations.rs
+++ b/src/controller/api/cancellations.rs
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Tells users whose jobs have gone. A withdrawal is told only now, when every task
+    /// Tells users whose jobs have gone. A cancellation is told only now, when every task
     /// is proven gone: then nothing that fails later can let one run on past the bound.
     pub(crate) fn answer_cancelled(&mut self) {
         for q in std::mem::take(&mut self.api.leaving) {
@@ -82,7 +82,7 @@
     }
 
     /// Whether nobody is there to confirm that a job's tasks are gone, or one of them is
-    /// on a machine that doesn't report.
+    /// on a machine that doesn't heartbeat.
     fn departs_late(&self, id: &JobId, overdue: &BTreeSet<MachineId>) -> bool {
         let job = self.mirror.jobs.get(id);
         let shard = job.and_then(|j| self.mirror.shards.get(&j.record.shard));
--- a/src/controller/api/mod.rs
+++ b/src/controller/api/mod.rs
@@ -128,9 +128,9 @@
         }
     }
 
-    /// Unhealthy only while a sibling does better: if nobody sees the state service,
+    /// Unhealthy only while a peer does better: if nobody sees the store,
     /// taking all nodes away would only slow the return. Who neither sees it nor hears any
-    /// sibling is cut off, and users who reach it were refused for as long as that lasted.
+    /// peer is partitioned, and users who reach it were refused for as long as that lasted.
     fn on_up(&mut self, request_id: RequestId) {
         let alone = self.isolated_from_store() || self.peers_unreachable();
         let reply = if self.shutting_down() {
--- a/src/controller/api/status_queries.rs
+++ b/src/controller/api/status_queries.rs
@@ -14,7 +14,7 @@
 
 /// What is told of a job that isn't over may be this old. With that, and since the end of a
 /// job isn't told before every older answer has become too old to be given, no node gives an
-/// answer that another one's has overtaken, however slowly the state service answers.
+/// answer that another one's has overtaken, however slowly the store answers.
 pub(crate) const PRESENT_S: f64 = 0.1;
 const ENDING_DELAY_S: f64 = 1.2 * PRESENT_S;
 
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Whether what is known here is what stood at the state service just now.
+    /// Whether what is known here is what stood at the store just now.
     pub(crate) fn present(&self) -> bool {
         self.now.since(self.changes_known_at) <= PRESENT_S
     }
@@ -115,7 +115,7 @@
             return;
         };
         if self.mirror.is_cancelled_by_dependency(&q.id) {
-            // It has no task, and ends as soon as its holder has written so. Called queued for
+            // It has no task, and ends as soon as its owner has written so. Called queued for
             // much longer, it would be taken for one that was left behind.
             return self.api.leaving.push_back(q);
         }
--- a/src/controller/autoscaling/machines.rs
+++ b/src/controller/autoscaling/machines.rs
@@ -17,14 +17,14 @@
 const DELETE_MAX: usize = 100;
 /// A machine is surely listed after this many list lags.
 const LISTED_LAGS: f64 = 3.0;
-/// A boot of a type that isn't in the catalogue.
+/// A boot of a type that isn't in the catalog.
 const UNKNOWN_BOOT_S: f64 = 60.0;
 /// After how many times the time in which it is overdue a machine never comes up.
 const ABANDONED_AFTER: f64 = 2.0;
 
 impl Controller {
-    /// The leader lists machines to find those nobody expected; with several blocks,
-    /// the other holders list them, less often, to learn what became of their own.
+    /// The leader lists machines to find those nobody expected; with several shards,
+    /// the other owners list them, less often, to learn what became of their own.
     pub(crate) fn list_machines(&mut self) {
         if let Some(so_far) = self.list_pages.take() {
             return self.list_on(so_far);
@@ -104,7 +104,7 @@
     }
 
     /// A deletion needs no lease: it can only cost a machine, and proves its tasks gone. Only a
-    /// leader that replaced another before its grant's end waits until that one deletes nothing.
+    /// leader that replaced another before its lease's end waits until that one deletes nothing.
     pub(crate) fn delete_decommissioned(&mut self) {
         let now = self.now;
         if self.is_stale() || self.fenced() {
@@ -199,7 +199,7 @@
         if known.is_some_and(|m| m.class == usize::MAX || wakes(m)) {
             self.machines.edit(&id, |m| {
                 if wakes(m) {
-                    // From now on it counts as silent unless it reports.
+                    // From now on it counts as silent unless it heartbeats.
                     (m.ready_since, m.last_heartbeat) = (Some(now), now);
                 }
                 m.set_machine_type(catalog, &l.class, &l.zone, l.spot);
--- a/src/controller/autoscaling/mod.rs
+++ b/src/controller/autoscaling/mod.rs
@@ -3,7 +3,7 @@
 //! provisioned, booting machines included.
 //!
 //! [`demand`] counts, `tick` decides, `plan` writes the decision down, `scale_out_requests` carries
-//! rentals out, and `machines` follows what becomes of the machines, to their deletion.
+//! scale-out requests out, and `machines` follows what becomes of the machines, to their deletion.
 
 pub(crate) mod demand;
 pub(crate) mod machines;
@@ -18,7 +18,7 @@
 use crate::wire::{CloudOp, CloudReply, Listed};
 use std::collections::BTreeMap;
 
-/// A machine type's index in the catalogue, and whether it is spot.
+/// A machine type's index in the catalog, and whether it is spot.
 pub(crate) type Pool = (usize, bool);
 
 /// Machines of a pool by zone.
@@ -39,7 +39,7 @@
     }
 }
 
-/// Pause before a rental without an answer is repeated.
+/// Pause before a scale-out request without an answer is repeated.
 const REPEAT_S: f64 = 2.0;
 /// Counts are told to the leader this often, as a share of its tick.
 const COUNTS_SHARE: f64 = 0.2;
--- a/src/controller/autoscaling/plan.rs
+++ b/src/controller/autoscaling/plan.rs
@@ -1,4 +1,4 @@
-//! The leader's plan: what it wants, and the rentals under way, written before they are sent.
+//! The leader's plan: what it wants, and the scale-out requests under way, written before they are sent.
 
 use crate::controller::autoscaling::Pool;
 use crate::controller::autoscaling::scale_out::{ScaleOutRequest, ScaleOutStep};
@@ -34,7 +34,7 @@
 }
 
 impl Controller {
-    /// A new leader first repeats the rentals that the plan speaks of, under their
+    /// A new leader first repeats the scale-out requests that the plan speaks of, under their
     /// names, and lists: it rents only once it knows what is there.
     pub(crate) fn rebuild_scaling_state(&mut self) {
         let now = self.now;
@@ -52,7 +52,7 @@
         leadership.scale.reconcile_at = now;
     }
 
-    /// Writes wanted counts and rentals. A rental is sent only once it stands here.
+    /// Writes wanted counts and scale-out requests. A scale-out request is sent only once it stands here.
     pub(crate) fn write_plan(&mut self) {
         let lag = self.settings.platform.facts.cloud.list_lag_s;
         let now = self.now;
@@ -89,7 +89,7 @@
         let left = most.saturating_sub(json_bytes(&plan));
         (plan.scale_out_requests, plan.scale_in) = s.fit(left);
         if json_bytes(&plan) > value_bytes {
-            // An earlier leader's rentals, from a time of larger values, wait for their answers.
+            // An earlier leader's scale-out requests, from a time of larger values, wait for their answers.
             // Once enough are answered, the rest fits.
             return;
         }
@@ -118,7 +118,7 @@
         let s = &mut leadership.scale;
         s.plan_write_pending = false;
         if let StoreResponse::Committed { .. } = reply {
-            // Rentals planned while the commit was under way made the plan dirty
+            // Scale-out requests planned while the commit was under way made the plan dirty
             // again, and wait for the next one.
             if !s.plan_changed {
                 for request in &mut s.scale_out_requests {
--- a/src/controller/autoscaling/reconcile.rs
+++ b/src/controller/autoscaling/reconcile.rs
@@ -1,4 +1,4 @@
-//! The tick: from the blocks' counts to rentals and returns.
+//! The tick: from the shards' counts to scale-out requests and returns.
 
 use crate::controller::Controller;
 use crate::controller::autoscaling::scale_out::ScaleOutStep;
@@ -8,7 +8,7 @@
 use log::{debug, info, warn};
 use std::collections::BTreeMap;
 
-/// What the blocks' holders count, put together.
+/// What the shards' owners count, put together.
 #[derive(Default)]
 struct FleetCounts {
     counts: BTreeMap<Pool, BTreeMap<u32, PoolCount>>,
@@ -52,7 +52,7 @@
         leadership.needs.clear();
         let ceiling = self.settings.ceiling();
         for (pool, shards) in fleet.counts {
-            // A machine serves its own block only, so each block's gap is its own.
+            // A machine serves its own shard only, so each shard's gap is its own.
             let (mut wanted, mut gap, mut provisioned) = (0, 0, 0);
             for (shard, count) in &shards {
                 let w = count.wanted(ceiling);
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Adds up what the blocks' holders count.
+    /// Adds up what the shards' owners count.
     fn count_fleet(&self) -> FleetCounts {
         let mut fleet = FleetCounts::default();
         let class = |name: &str| self.catalog.iter().position(|c| c.name == name);
--- a/src/controller/autoscaling/scale_out.rs
+++ b/src/controller/autoscaling/scale_out.rs
@@ -1,4 +1,4 @@
-//! Rentals: planned, written, sent, and repeated under their names until they are answered.
+//! Scale-out requests: planned, written, sent, and repeated under their names until they are answered.
 
 use crate::controller::Controller;
 use crate::controller::autoscaling::plan::ScalingState;
@@ -14,7 +14,7 @@
 /// Pauses after a refusal, in boot times of nothing: plain seconds.
 const REFUSED_S: f64 = 10.0;
 const REFUSED_MAX_S: f64 = 80.0;
-/// Most machines that one rental may ask for.
+/// Most machines that one scale-out request may ask for.
 const SCALE_OUT_MAX: u32 = 50;
 
 /// A request to rent.
@@ -113,7 +113,7 @@
         }
     }
 
-    /// New machines join the only block at once, or a block's list.
+    /// New machines join the only shard at once, or a shard's list.
     fn add_machines(&mut self, record: &ScaleOutRecord, rigs: Vec<MachineId>) {
         let now = self.now;
         let whole = self.shards.values_mut().find(|h| h.whole);
@@ -135,7 +135,7 @@
 }
 
 impl ScalingState {
-    /// Plans rentals, each machine to the open zone with fewest such machines.
+    /// Plans scale-out requests, each machine to the open zone with fewest such machines.
     pub(crate) fn plan_scale_out(
         &mut self,
         catalog: &[MachineType],
--- a/src/controller/dependencies/resolution.rs
+++ b/src/controller/dependencies/resolution.rs
@@ -67,7 +67,7 @@
         Some(*ending)
     }
 
-    /// Tells the holders of jobs what changed for these through others.
+    /// Tells the owners of jobs what changed for these through others.
     pub(crate) fn on_affected(&mut self) {
         for id in self.mirror.take_affected() {
             let shard = self.mirror.jobs.get(&id).map(|j| j.record.shard);
--- a/src/controller/events.rs
+++ b/src/controller/events.rs
@@ -20,7 +20,7 @@
     Cancel(JobId),
     /// The balancer asks whether this controller takes requests.
     Up,
-    /// A worker reports.
+    /// A worker heartbeats.
     Heartbeat(WorkerHeartbeat),
 }
 
@@ -31,15 +31,15 @@
     Request(RequestId, Request),
     /// Whoever asked has gone.
     Disconnect(RequestId),
-    /// The state service answered a call.
+    /// The store answered a call.
     Store(CallId, StoreResponse),
     /// The cloud answered a call.
     Cloud(CallId, CloudReply),
-    /// A sibling tells something.
+    /// A peer tells something.
     Peer(Message),
     /// Another cell's leader tells how things stand there.
     Cell(LinkMessage),
-    /// What became of this controller's own connection to a sibling.
+    /// What became of this controller's own connection to a peer.
     Link(ControllerId, Link),
     /// The share of the time since the last such word for which this process didn't wait.
     ProcessorUtilization(f64),
@@ -80,7 +80,7 @@
     }
 }
 
-/// A connection to a sibling.
+/// A connection to a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Link {
     /// It was made.
@@ -96,15 +96,15 @@
 pub enum Output {
     /// Answer a request.
     Answer(RequestId, Reply),
-    /// Call the state service.
+    /// Call the store.
     Store(CallId, StoreRequest),
     /// Nobody waits for this call any more; its connection is closed.
     Forget(CallId),
     /// Call the cloud.
     Cloud(CallId, CloudOp),
-    /// To one sibling, or to all.
+    /// To one peer, or to all.
     Peer(Option<ControllerId>, Message),
-    /// A sibling runs: a connection to it is begun without the pause after one that failed.
+    /// A peer runs: a connection to it is begun without the pause after one that failed.
     Reconnect(ControllerId),
     /// To the leader of another cell.
     Cell(Cell, LinkMessage),
@@ -114,11 +114,11 @@
 /// written.
 #[derive(Clone, Debug, Default)]
 pub struct Load {
-    /// Requests to the state service.
+    /// Requests to the store.
     pub requests: f64,
     /// Its share of them, a second.
     pub requests_rate: f64,
-    /// Changes at the state service.
+    /// Changes at the store.
     pub changes: f64,
     /// Its share of them, a second.
     pub changes_rate: f64,
@@ -134,7 +134,7 @@
     pub placed: u64,
 }
 
-/// What waits in the blocks that this controller holds.
+/// What waits in the shards that this controller holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Queue {
     /// Jobs that wait until others are done.
--- a/src/controller/forwarding.rs
+++ b/src/controller/forwarding.rs
@@ -1,17 +1,17 @@
-//! How reports come to the holder of their machine's block, and what keeps workers
+//! How heartbeats come to the owner of their machine's shard, and what keeps workers
 //! alive when they can't.
 //!
-//! A worker reports to a controller of its own zone, which hands the report on to the
-//! holder and the answer back. When the zone is cut off, or the holder ends, the worker
+//! A worker heartbeats to a controller of its own zone, which hands the heartbeat on to the
+//! owner and the answer back. When the zone is partitioned, or the owner ends, the worker
 //! needn't look for another controller while its lease runs: its own one answers in
-//! the holder's place ("shelters" it) under the number it knows, without starts.
+//! the owner's place ("shelters" it) under the number it knows, without starts.
 //!
-//! Why that is safe. An answer under the holder's number gives a worker nothing but
-//! time, and halts what is cancelled. Time breaks two things only. A lease proves a
+//! Why that is safe. An answer under the owner's number gives a worker nothing but
+//! time, and stops what is cancelled. Time breaks two things only. A lease proves a
 //! task gone only once the zone's other controllers have said that they sheltered
 //! nobody while it ran out (`no_keepalive_by_peers`). And a cancellation is told to its user
 //! only once every task is proven gone (`front`), so no bound runs against a worker
-//! that nobody with sight of the state service reaches.
+//! that nobody with sight of the store reaches.
 
 use crate::controller::events::{Output, Reply};
 use crate::controller::shards::leases::stable_hash;
@@ -22,32 +22,32 @@
 use crate::wire::{Command, TaskStatus, WorkerHeartbeat, commands_body, redirect_body};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// A report whose machine's holder is down.
+/// A heartbeat whose machine's owner is down.
 #[derive(Debug)]
 struct OwnerlessHeartbeat {
     request_id: RequestId,
     report: WorkerHeartbeat,
     since: Time,
-    /// The holder that it was handed to in vain.
+    /// The owner that it was handed to in vain.
     tried: Option<ControllerId>,
 }
 
-/// How long such a report waits at most, in seconds. Workers wait for 4 s. How many do at
+/// How long such a heartbeat waits at most, in seconds. Workers wait for 4 s. How many do at
 /// once is bounded by the connections on which they came.
 const OWNERLESS_MAX_S: f64 = 3.8;
-/// A report handed on is answered here when no answer came this long after the time
-/// for which the holder may hold it.
+/// A heartbeat handed on is answered here when no answer came this long after the time
+/// for which the owner may hold it.
 const RELAY_GRACE_S: f64 = 0.9;
-/// Reports with more tasks don't fit into a message to a sibling; their workers go to
-/// the holder themselves.
+/// Heartbeats with more tasks don't fit into a message to a peer; their workers go to
+/// the owner themselves.
 const RELAY_TASKS: usize = 200;
-/// A holder that refuses connections for this much longer than a takeover takes isn't
+/// An owner that refuses connections for this much longer than a takeover takes isn't
 /// down: only the controllers can't reach it, and workers are sent there.
 pub(crate) const TAKEOVER_S: f64 = 1.5;
 /// Pause between two workers sent home to a controller that hears no worker yet.
 const TRIAL_PAUSE_S: f64 = 2.0;
 
-/// A report handed to its holder.
+/// A heartbeat handed to its owner.
 #[derive(Debug)]
 struct ForwardedOut {
     to: ControllerId,
@@ -56,7 +56,7 @@
 }
 
 impl ForwardedOut {
-    /// The report, now that its holder didn't answer it.
+    /// The heartbeat, now that its owner didn't answer it.
     fn ownerless(self, request_id: RequestId) -> OwnerlessHeartbeat {
         OwnerlessHeartbeat {
             request_id,
@@ -67,7 +67,7 @@
     }
 }
 
-/// A report that a sibling handed on: which of its processes, and which request there.
+/// A heartbeat that a peer handed on: which of its processes, and which request there.
 #[derive(Debug)]
 struct ForwardedIn {
     from: ControllerId,
@@ -80,14 +80,14 @@
     out: BTreeMap<RequestId, ForwardedOut>,
     guests: HashMap<RequestId, ForwardedIn>,
     guest_count: u64,
-    /// Reports to be handed on together, and when.
+    /// Heartbeats to be handed on together, and when.
     batched: Vec<(ControllerId, Box<ForwardedHeartbeat>)>,
     batched_until: Option<Time>,
-    /// Reports that wait until there is somebody to send their workers to.
+    /// Heartbeats that wait until there is somebody to send their workers to.
     ownerless: VecDeque<OwnerlessHeartbeat>,
-    /// Siblings to whom no connection can be made, and since when they refuse it.
+    /// Peers to whom no connection can be made, and since when they refuse it.
     pub(crate) down: BTreeMap<ControllerId, Option<Time>>,
-    /// When this process last answered in a holder's place; at first its start.
+    /// When this process last answered in an owner's place; at first its start.
     pub(crate) last_keepalive: Option<Time>,
     probes: BTreeMap<ControllerId, Time>,
     /// Workers sent to a safer controller of this zone, and when.
@@ -106,16 +106,16 @@
     controller_ids.get(at as usize).copied()
 }
 
-/// Requests of guests are numbered apart from those that come on connections.
+/// Requests of forwarded requests are numbered apart from those that come on connections.
 const GUESTS: u64 = 1 << 62;
 
 impl Forwarding {
-    /// When the reports gathered so far are to be handed on.
+    /// When the heartbeats gathered so far are to be handed on.
     pub(crate) fn batched_until(&self) -> Option<Time> {
         self.batched_until
     }
 
-    /// The sibling that handed on a report.
+    /// The peer that handed on a heartbeat.
     pub(crate) fn forwarder(&self, request_id: RequestId) -> Option<ControllerId> {
         self.guests.get(&request_id).map(|g| g.from.clone())
     }
@@ -137,7 +137,7 @@
         self.forward(request_id, report);
     }
 
-    /// The block held here to which a machine belongs.
+    /// The shard held here to which a machine belongs.
     fn shard_here(&self, id: &MachineId) -> Option<u32> {
         let mut held = self.shards.iter();
         let mine = held.find(|(_, h)| h.machines.contains_key(id));
@@ -145,7 +145,7 @@
         mine.or_else(whole).map(|(shard, _)| *shard)
     }
 
-    /// The controller of a worker's own zone to which it had better report. One that
+    /// The controller of a worker's own zone to which it had better heartbeat. One that
     /// hears nobody yet gets workers one by one: if they can't reach it, the others
     /// mustn't lose half a lease by trying.
     fn preferred_controller(
@@ -172,7 +172,7 @@
         Some(home)
     }
 
-    /// Whether a worker wasn't answered yet by the present holder of its block: its lease counts
+    /// Whether a worker wasn't answered yet by the present owner of its shard: its lease counts
     /// from an answer of an earlier one, and may be about to end. It is answered first and sent
     /// elsewhere later.
     fn unanswered(&self, id: &MachineId, report: &WorkerHeartbeat) -> bool {
@@ -201,7 +201,7 @@
         Some(home)
     }
 
-    /// Controllers of a zone, besides this one, that can hand reports on.
+    /// Controllers of a zone, besides this one, that can hand heartbeats on.
     fn forwarders_in<'a>(&'a self, zone: &'a str) -> Vec<&'a ControllerId> {
         let relaying = |s: &&Peer| {
             let heartbeat = self.peers.get(&s.controller_id).map(|(h, _)| h);
@@ -225,7 +225,7 @@
         !next.and_then(|m| self.peers.get(m)).is_some_and(silent)
     }
 
-    /// Hands a report on to its holder, or does what can be done without it.
+    /// Hands a heartbeat on to its owner, or does what can be done without it.
     fn forward(&mut self, request_id: RequestId, report: WorkerHeartbeat) {
         let id = MachineId::from(report.machine.as_str());
         let owner = self.owner_of(&id);
@@ -262,7 +262,7 @@
         }
     }
 
-    /// Hands on the reports that were gathered, once their time has come.
+    /// Hands on the heartbeats that were gathered, once their time has come.
     pub(crate) fn send_batched_forwards(&mut self) {
         if self.forwarding.batched_until.is_none_or(|at| self.now < at) {
             return;
@@ -274,7 +274,7 @@
         }
     }
 
-    /// Answers a report in its holder's place, or keeps it for a while.
+    /// Answers a heartbeat in its owner's place, or keeps it for a while.
     fn without_owner(&mut self, ownerless: OwnerlessHeartbeat) {
         if let Some(reply) = self.keepalive_for_owner(&ownerless.report) {
             self.forwarding.last_keepalive = Some(self.now);
@@ -286,19 +286,19 @@
         let starting = !self.initial_list_done;
         let sockets = self.settings.platform.facts.resources.max_sockets;
         let full = self.forwarding.ownerless.len() >= sockets;
-        // A holder that takes over says so here only if somebody is heard here: a worker whose
-        // report waited at a controller that was cut off from the others lost its lease.
+        // An owner that takes over says so here only if somebody is heard here: a worker whose
+        // heartbeat waited at a controller that was partitioned from the others lost its lease.
         let alone = self.peers_unreachable() && self.age_s() > RECENT_S;
         if known || waited || full || alone || (self.is_stale() && !starting) {
             return self.redirect(ownerless.request_id, &id);
         }
-        // While the holder is down, a worker that is sent there, or on to the next
+        // While the owner is down, a worker that is sent there, or on to the next
         // node, loses a second each time.
         self.forwarding.ownerless.push_back(ownerless);
     }
 
-    /// The holder that a kept report's worker can be sent to. One that didn't answer when the
-    /// report was handed to it seems to run until its next message is missed: workers that
+    /// The owner that a kept heartbeat's worker can be sent to. One that didn't answer when the
+    /// heartbeat was handed to it seems to run until its next message is missed: workers that
     /// were sent there waited for 5 s, and then for another 5 s where it had sent them before.
     fn owner_for(&self, ownerless: &OwnerlessHeartbeat) -> Option<ControllerId> {
         let owner = self.owner_of(&MachineId::from(ownerless.report.machine.as_str()))?;
@@ -307,7 +307,7 @@
     }
 
     /// The answer that keeps a worker of this controller's own zone alive while its
-    /// holder can't be reached: no starts, but halts for what is cancelled or over.
+    /// owner can't be reached: no starts, but stops for what is cancelled or over.
     fn keepalive_for_owner(&self, report: &WorkerHeartbeat) -> Option<Reply> {
         let id = MachineId::from(report.machine.as_str());
         if report.zone != self.settings.platform.site {
@@ -320,13 +320,13 @@
         if record.is_some_and(|b| self.refuses_connections(&b.owner)) {
             return None;
         }
-        // A process that began in a zone that is cut off knows no number, or an old one.
+        // A process that began in a zone that is partitioned knows no number, or an old one.
         // The worker's own tells it nothing that it doesn't know, and gives it time.
         let known = record.map(|b| b.token).filter(|n| n.0 >= report.token);
         let own = Some(FencingToken(report.token)).filter(|n| is_stale && n.0 > 0);
         let token = known.or(own)?;
         // A job that isn't known here may be newer than what is: only one whose end is known is
-        // over. Tasks that the holder had started just before it ended were halted here, since the
+        // over. Tasks that the owner had started just before it ended were stopped here, since the
         // follow hadn't brought their jobs yet, and started again by its successor.
         let over = |task: &TaskId| match self.mirror.jobs.get(&task.job) {
             Some(job) => job.cancelled.is_some(),
@@ -345,14 +345,14 @@
         Some(Reply::ok(200, commands_body(token, &halts)))
     }
 
-    /// Sends a worker to its block's holder, if it is known.
+    /// Sends a worker to its shard's owner, if it is known.
     pub(crate) fn redirect(&mut self, request_id: RequestId, machine: &MachineId) {
         let owner = self.owner_of(machine);
         let owner = owner.filter(|h| self.surely_runs(h));
         self.answer(request_id, Reply::ok(421, redirect_body(owner.as_ref())));
     }
 
-    /// Whether a holder runs for sure: it was heard just now or, where it hasn't been for
+    /// Whether an owner runs for sure: it was heard just now or, where it hasn't been for
     /// longer than a takeover takes, its record stands all the same. Workers sent to one that
     /// is dead lose half of their lease.
     fn surely_runs(&self, owner: &ControllerId) -> bool {
@@ -391,7 +391,7 @@
         }
     }
 
-    /// A sibling hands on a report of one of its workers.
+    /// A peer hands on a heartbeat of one of its workers.
     pub(crate) fn on_forwarded_heartbeat(&mut self, relayed: ForwardedHeartbeat) {
         if !self.is_peer(&relayed.from) {
             return;
@@ -414,7 +414,7 @@
         }
     }
 
-    /// The holder's answer to a report that was handed on to it.
+    /// The owner's answer to a heartbeat that was handed on to it.
     pub(crate) fn on_forwarded_response(&mut self, answer: ForwardedResponse) {
         let request_id = RequestId(answer.request_id);
         if answer.incarnation != self.incarnation {
@@ -424,7 +424,7 @@
             return;
         };
         if answer.status == 421 {
-            // It doesn't hold the block any more; who does is soon known here.
+            // It doesn't hold the shard any more; who does is soon known here.
             return self.without_owner(relayed.ownerless(request_id));
         }
         let reply = Reply {
--- a/src/controller/leadership/election.rs
+++ b/src/controller/leadership/election.rs
@@ -1,10 +1,10 @@
-//! Who leads. The leader's key hangs on a grant of a few seconds; whoever commits it
-//! next leads from then on, and takes over the blocks of those who are gone under
+//! Who leads. The leader's key hangs on a lease of a few seconds; whoever commits it
+//! next leads from then on, and takes over the shards of those who are gone under
 //! higher numbers in the same commit.
 //!
-//! A leader that a majority has lost is replaced before its grant's end (package `standby`). The
+//! A leader that a majority has lost is replaced before its lease's end (package `standby`). The
 //! commit is conditional on its record, as any other; only calls to the cloud, which carry no
-//! condition, rest on the grant, and wait for as long as the old leader's may go out
+//! condition, rest on the lease, and wait for as long as the old leader's may go out
 //! (`may_use_cloud`).
 
 use crate::controller::events::Reply;
@@ -21,7 +21,7 @@
 use salttrestle_standby::fence::Predecessors;
 use std::collections::VecDeque;
 
-/// A grant got for standing.
+/// A lease got for standing.
 #[derive(Clone, Copy, Debug)]
 struct CandidateLease {
     lease_id: u64,
@@ -31,14 +31,14 @@
 
 #[derive(Debug, Default)]
 pub(crate) struct Election {
-    /// The grant that the leader's key hangs on, while this controller leads.
+    /// The lease that the leader's key hangs on, while this controller leads.
     lease_id: Option<u64>,
-    /// Grants got for standing, the latest last.
+    /// Leases got for standing, the latest last.
     leases: VecDeque<CandidateLease>,
-    /// The revision at which this controller won. Until the follow shows it, standing
+    /// The revision at which this controller won. Until the watch shows it, standing
     /// again would only lose to itself.
     won_revision: u64,
-    /// When the latest request that renewed the grant was sent.
+    /// When the latest request that renewed the lease was sent.
     renewed: Time,
     busy: bool,
     renew_at: Time,
@@ -50,13 +50,13 @@
 
 /// Pause by rank before standing, so that one is usually enough.
 const CANDIDATE_GAP_S: f64 = 0.1;
-/// Share of a grant's life after which it is renewed.
+/// Share of a lease's life after which it is renewed.
 const RENEW_SHARE: f64 = 0.3;
-/// A grant that was got beforehand is used to stand within this share of its life.
+/// A lease that was got beforehand is used to stand within this share of its life.
 const PREPARED_SHARE: f64 = 0.3;
-/// Grants remembered: attempts that may still turn out to have won.
+/// Leases remembered: attempts that may still turn out to have won.
 const LEASES_MAX: usize = 8;
-/// Rest after giving up leadership, in lives of a grant.
+/// Rest after giving up leadership, in lives of a lease.
 const REST_LEASES: f64 = 4.0;
 /// For late timers, on top of the time for which a predecessor may call the cloud, in seconds.
 const FENCE_MARGIN_S: f64 = 0.2;
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Whether the leader's grant surely lives, and it has read its own record as lately: whoever
+    /// Whether the leader's lease surely lives, and it has read its own record as lately: whoever
     /// replaced that record counts on both.
     pub(crate) fn lease_valid(&self) -> bool {
         let ttl = self.settings.tuning.leader_lease_s;
@@ -179,7 +179,7 @@
         heard.filter(|m| *m < me && Some(*m) != lost).count()
     }
 
-    /// Gets a grant as soon as the leader is suspected, so that only the commit is left when a
+    /// Gets a lease as soon as the leader is suspected, so that only the commit is left when a
     /// majority has lost it. One that isn't used runs out.
     fn prepare_candidacy(&mut self) {
         let suspects = self.suspects_leader().is_some() && !self.is_stale();
@@ -210,7 +210,7 @@
         let StoreResponse::LeaseGranted(lease_id) = reply else {
             return;
         };
-        // Somebody else won while the grant was asked for. The commit would be on condition
+        // Somebody else won while the lease was asked for. The commit would be on condition
         // of that record, and take the leadership away again, with a second takeover.
         if !self.may_be_elected() && self.suspects_leader().is_none() {
             let _ = self.send_store_request(
@@ -245,7 +245,7 @@
     }
 
     fn commit_leadership(&mut self, lease_id: u64) {
-        // The leadership's own number comes first: rentals are named after it.
+        // The leadership's own number comes first: scale-out requests are named after it.
         let token = FencingToken(self.mirror.highest().0 + 1);
         let mut highest = token;
         let mut preconditions = vec![
@@ -291,7 +291,7 @@
         }
     }
 
-    /// Whatever the answer is, only the follow makes a leader: by then everything
+    /// Whatever the answer is, only the watch makes a leader: by then everything
     /// that the one before committed is known here as well.
     pub(crate) fn on_elected(&mut self, reply: StoreResponse) {
         self.election.busy = false;
@@ -302,12 +302,12 @@
         }
     }
 
-    /// Whether this controller has won, and only the follow doesn't show it yet.
+    /// Whether this controller has won, and only the watch doesn't show it yet.
     pub(crate) fn has_won(&self) -> bool {
         self.mirror.revision < self.election.won_revision
     }
 
-    /// Takes the grant that the leader's record names. A later attempt's grant stood in its
+    /// Takes the lease that the leader's record names. A later attempt's lease stood in its
     /// place: the one that counted ran out unrenewed, and with it the leadership, after 3 s.
     fn adopt_lease(&mut self) {
         let record = self.mirror.leader.record.as_ref();
@@ -319,7 +319,7 @@
         self.election.renewed = found.map_or(Time(0), |lease| lease.asked);
     }
 
-    /// The leader's, a block's, the number's or the plan's record changed.
+    /// The leader's, a shard's, the number's or the plan's record changed.
     pub(crate) fn on_control_records_changed(&mut self) {
         self.read_limits();
         self.tell_standby_of_leader();
@@ -347,7 +347,7 @@
                 continue;
             };
             // A number once given up is never used again: what was answered under it
-            // is forgotten, and copies of reports from then may still come.
+            // is forgotten, and copies of heartbeats from then may still come.
             let released_tokens = self
                 .released_tokens
                 .get(&shard)
@@ -360,7 +360,7 @@
         self.apply_scale_in();
     }
 
-    /// Brings what is held here in line with a block's record.
+    /// Brings what is held here in line with a shard's record.
     fn sync_shard(&mut self, shard: u32, revision: u64, record: &ShardRecord, mine: bool) {
         let held = self.shards.get(&shard).map(|h| (h.token, h.shard_revision));
         match held {
@@ -392,12 +392,12 @@
             }
         });
         if fresh {
-            // Reports wait elsewhere for the holder: their controllers learn of it at once.
+            // Heartbeats wait elsewhere for the owner: their controllers learn of it at once.
             self.send_heartbeat();
         }
     }
 
-    /// Stops acting as the holder of the block in hand. Always safe: another process
+    /// Stops acting as the owner of the shard in hand. Always safe: another process
     /// takes over by a commit.
     pub(crate) fn release_shard(&mut self, why: &str) {
         let Some(owner) = self.owner.take() else {
@@ -406,7 +406,7 @@
         warn!("no longer holds block {}: {why}", owner.shard);
         self.released_tokens.insert(owner.shard, owner.token);
         self.update_rate_limits();
-        // Its workers stay where they are until there is a new holder. An answer under
+        // Its workers stay where they are until there is a new owner. An answer under
         // the number given up is worth nothing to those that have shown a higher one.
         for request_id in owner.long_polling_requests() {
             let body = commands_body(owner.token, &[]);
@@ -439,7 +439,7 @@
         let lease_id = self.election.lease_id;
         self.release_shard(why);
         self.give_up(why);
-        // Its key goes with the grant, so that nobody waits for its end.
+        // Its key goes with the lease, so that nobody waits for its end.
         if let Some(lease_id) = lease_id {
             self.revoke_when_quiet(lease_id);
         }
--- a/src/controller/leadership/shutdown.rs
+++ b/src/controller/leadership/shutdown.rs
@@ -1,5 +1,5 @@
 //! A controller that is told to end hands over first: it takes no new work and, if it leads, gives
-//! its grant up once its last call to the cloud is over, so that nobody waits for the grant's end.
+//! its lease up once its last call to the cloud is over, so that nobody waits for the lease's end.
 
 use crate::controller::autoscaling::CloudPurpose;
 use crate::controller::rate_limits::token_bucket::Priority;
@@ -10,10 +10,10 @@
 
 /// Calls to the cloud are given up as in doubt after so long.
 const CLOUD_REQUESTS_S: f64 = 1.0;
-/// After its leadership is over a controller hands on reports for so long, until its workers'
+/// After its leadership is over a controller hands on heartbeats for so long, until its workers'
 /// answers are out and the others know the next leader.
 const LAST_HEARTBEATS_S: f64 = 0.5;
-/// It ends at the latest after so many lives of a grant: by then a successor needs no word of it.
+/// It ends at the latest after so many lives of a lease: by then a successor needs no word of it.
 const LONGEST_LEASES: f64 = 1.5;
 
 /// What is left to be done before the end.
@@ -24,7 +24,7 @@
     idle_since: Option<Time>,
 }
 
-/// A grant that is to be given up once no call to the cloud rests on it.
+/// A lease that is to be given up once no call to the cloud rests on it.
 #[derive(Debug)]
 pub(crate) struct LeaseRevocation {
     lease_id: u64,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// A grant is to be given up. The successor may call the cloud as soon as it is over, so it
+    /// A lease is to be given up. The successor may call the cloud as soon as it is over, so it
     /// stands until the last call of this controller was answered or is given up as in doubt.
     pub(crate) fn revoke_when_quiet(&mut self, lease_id: u64) {
         self.lease_revocation = Some(LeaseRevocation {
--- a/src/controller/leadership/standby.rs
+++ b/src/controller/leadership/standby.rs
@@ -76,7 +76,7 @@
         self.settings.standby()
     }
 
-    /// Tells the siblings that this controller runs and, if it leads, what it knows.
+    /// Tells the peers that this controller runs and, if it leads, what it knows.
     pub(crate) fn standby_housekeeping(&mut self) {
         let before = self.suspects_leader();
         if let Some(heartbeat) = self.standby.tick(self.now.0) {
@@ -102,8 +102,8 @@
         self.standby.suspicion(self.now.0)
     }
 
-    /// Whether the leader's record may be replaced before its grant's end. With several blocks
-    /// each holder calls the cloud for its own machines without leading: there the grant is
+    /// Whether the leader's record may be replaced before its lease's end. With several shards
+    /// each owner calls the cloud for its own machines without leading: there the lease is
     /// waited for.
     pub(crate) fn may_replace_leader(&self) -> bool {
         self.mirror.shards.len() <= 1 && self.standby.may_replace(self.now.0).is_ok()
@@ -173,7 +173,7 @@
         self.out.push(Output::Peer(None, message));
     }
 
-    /// A new holder begins with what the one before it estimated.
+    /// A new owner begins with what the one before it estimated.
     pub(crate) fn apply_hinted_estimates(&mut self) {
         let Some((age_ms, estimates)) = self.standby.hints().estimates(self.now.0) else {
             return;
@@ -224,7 +224,7 @@
         }
     }
 
-    /// Which images a machine has isn't in its reports: what the leader before this holder told
+    /// Which images a machine has isn't in its heartbeats: what the leader before this owner told
     /// of it is where starts are tried first.
     pub(crate) fn apply_hinted_images(
         &mut self,
--- a/src/controller/machines/commands.rs
+++ b/src/controller/machines/commands.rs
@@ -8,13 +8,16 @@
 use crate::ids::{MachineId, RequestId, TaskId};
 use crate::wire::{Cause, Command, HeartbeatTask, TaskStatus, commands_body};
 
-/// Repeated saving halts turn into plain ones after the grace and this long.
+/// Repeated saving stops turn into plain ones after the grace and this long.
 const GRACE_S: f64 = 1.0;
 
 impl Controller {
-    /// Answers a waiting report now, if there is one and a command for it.
+    /// Answers a waiting heartbeat now, if there is one and a command for it.
     pub(crate) fn answer_long_poll(&mut self, id: &MachineId) {
-        let held = self.owner.as_ref().and_then(|h| h.machines.get(id)?.long_poll);
+        let held = self
+            .owner
+            .as_ref()
+            .and_then(|h| h.machines.get(id)?.long_poll);
         let Some((request_id, until)) = held else {
             return;
         };
@@ -28,7 +31,7 @@
         self.send_commands(id, request_id, &commands);
     }
 
-    /// Answers the reports whose time to wait is over.
+    /// Answers the heartbeats whose time to wait is over.
     pub(crate) fn answer_due_long_polls(&mut self) {
         loop {
             let now = self.now;
@@ -72,7 +75,7 @@
     /// sent: a lost answer is made good by the next one.
     pub(crate) fn commands(&mut self, id: &MachineId, listed: &[ListedTask<'_>]) -> Vec<Command> {
         let now = self.now;
-        // A start needs sight of the state service: a withdrawal may stand there.
+        // A start needs sight of the store: a cancellation may stand there.
         let is_stale = self.is_stale();
         let Some(h) = &mut self.owner else {
             return Vec::new();
--- a/src/controller/machines/failures.rs
+++ b/src/controller/machines/failures.rs
@@ -1,15 +1,15 @@
-//! Which machines are faulty, and which jobs fail wherever they run.
+//! Which machines are quarantined, and which jobs fail wherever they run.
 //!
 //! A task that fails speaks against its machine or against its job, and one failure doesn't
 //! tell which. What does is where the job fails and where it doesn't: a job that failed on
 //! several machines is flawed, and its failures no longer count against them; a machine is
-//! faulty once jobs that failed there have succeeded elsewhere. Counting failures alone gave
-//! up healthy machines that a swarm of flawed jobs had been tried on.
+//! quarantined once jobs that failed there have succeeded elsewhere. Counting failures alone gave
+//! up healthy machines that a swarm of crash-looping jobs had been tried on.
 
 use crate::ids::{JobId, MachineId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Jobs that failed on a machine and succeeded elsewhere, of which two prove it faulty.
+/// Jobs that failed on a machine and succeeded elsewhere, of which two prove it quarantined.
 const FAULTY_PROVEN: usize = 2;
 /// Jobs that failed on a machine, of which one succeeded elsewhere, that prove it as well.
 const FAULTY_SUSPECTED: usize = 3;
@@ -95,7 +95,7 @@
     }
 }
 
-/// What the failures in a block say of its jobs and machines.
+/// What the failures in a shard say of its jobs and machines.
 #[derive(Debug, Default)]
 pub struct FailureLog {
     jobs: BTreeMap<JobId, JobFailures>,
@@ -117,7 +117,7 @@
         tries
     }
 
-    /// Notes that a task completed, or runs well; returns machines that this proves faulty.
+    /// Notes that a task completed, or runs well; returns machines that this proves quarantined.
     pub fn task_succeeded(&mut self, job: &JobId, machine: &MachineId) -> Vec<MachineId> {
         self.machines.remove(machine);
         let Some(failures) = self.jobs.get_mut(job) else {
@@ -136,7 +136,7 @@
         faulty
     }
 
-    /// Takes over what an earlier holder wrote of a job's failures.
+    /// Takes over what an earlier owner wrote of a job's failures.
     pub fn restore(&mut self, now: Time, job: &JobId, tries: u32, machines: &[MachineId]) {
         if machines.is_empty() {
             return;
@@ -153,7 +153,7 @@
         }
     }
 
-    /// What the next holder has to know of a job: its failed tries in a row, and where they
+    /// What the next owner has to know of a job: its failed tries in a row, and where they
     /// were.
     pub fn of_job(&self, job: &JobId) -> (u32, Vec<MachineId>) {
         let Some(failures) = self.jobs.get(job) else {
--- a/src/controller/machines/heartbeats.rs
+++ b/src/controller/machines/heartbeats.rs
@@ -1,4 +1,4 @@
-//! What reports tell of machines and tasks.
+//! What heartbeats tell of machines and tasks.
 
 use crate::controller::events::Reply;
 use crate::controller::machines::inventory::Machine;
@@ -12,12 +12,12 @@
 
 /// A start is sent this often before its placement is given up.
 const SENDS_MAX: u32 = 4;
-/// Boots aren't shorter than this share of what the catalogue says, unless the machine was
+/// Boots aren't shorter than this share of what the catalog says, unless the machine was
 /// up before it was heard of.
 const LEAST_BOOT: f64 = 0.3;
 /// Pause before a machine that refused a task for want of room gets another.
 const FULL_S: f64 = 3.0;
-/// A task that has run for so long is taken to be well: flawed jobs and faulty machines fail
+/// A task that has run for so long is taken to be well: crash-looping jobs and quarantined machines fail
 /// their tasks as they start.
 const RUNS_WELL_S: f64 = 10.0;
 /// Pause before a start is tried again that its machine refused for not knowing the job, and
@@ -89,7 +89,7 @@
         self.send_commands(id, request_id, &commands);
     }
 
-    /// A machine nobody here knows reports: an earlier leader's, or one whose rental
+    /// A machine nobody here knows heartbeats: an earlier leader's, or one whose scale-out request
     /// was carried out late. It is used, or returned when it isn't wanted.
     fn adopt_unknown_machine(&mut self, id: &MachineId, report: &WorkerHeartbeat) {
         let now = self.now;
@@ -98,7 +98,7 @@
         };
         let (class, zone, spot) = (&report.class, &report.zone, report.spot);
         if h.machines.contains_key(id) {
-            // It may be known by name only, or from before the catalogue was.
+            // It may be known by name only, or from before the catalog was.
             if h.machines.get(id).is_some_and(|m| m.class == usize::MAX) {
                 let set_machine_type =
                     |m: &mut Machine| m.set_machine_type(&self.catalog, class, zone, spot);
@@ -110,7 +110,7 @@
         h.machines.insert(id.clone(), machine);
     }
 
-    /// Whether the answer may wait for a command. Only a quiet report waits, and
+    /// Whether the answer may wait for a command. Only a quiet heartbeat waits, and
     /// less long than until the next one is due.
     fn start_long_poll(&mut self, id: &MachineId, request_id: RequestId) -> bool {
         let Some(h) = &mut self.owner else {
@@ -127,7 +127,7 @@
             return false;
         }
         let until = match m.is_full() {
-            // No start comes for it, and its lease counts from its last answered report.
+            // No start comes for it, and its lease counts from its last answered heartbeat.
             true => self.now.next_multiple(BATCH_MS),
             false => answer_at(self.now, poll_s),
         };
@@ -137,7 +137,7 @@
         true
     }
 
-    /// Takes in what a report lists, and what it doesn't.
+    /// Takes in what a heartbeat lists, and what it doesn't.
     fn update_tasks(&mut self, id: &MachineId, listed: &[ListedTask<'_>], proof: bool) {
         for entry in listed {
             self.update_task(id, &entry.task, entry.report);
@@ -147,7 +147,7 @@
         }
     }
 
-    /// What a report that proves absence doesn't list isn't on its machine.
+    /// What a heartbeat that proves absence doesn't list isn't on its machine.
     fn remove_unlisted_tasks(&mut self, id: &MachineId, listed: &[ListedTask<'_>]) {
         let now = self.now;
         let Some(h) = &mut self.owner else {
@@ -228,7 +228,7 @@
         });
     }
 
-    /// An attempt ended. That it did is true however old the report is.
+    /// An attempt ended. That it did is true however old the heartbeat is.
     fn on_task_ended(&mut self, id: &MachineId, task: &TaskId, cause: Option<Cause>) {
         let now = self.now;
         let Some(h) = &mut self.owner else {
@@ -273,7 +273,7 @@
     }
 }
 
-/// A task that a report lists.
+/// A task that a heartbeat lists.
 pub(crate) struct ListedTask<'a> {
     pub(crate) task: TaskId,
     pub(crate) report: &'a HeartbeatTask,
@@ -285,7 +285,7 @@
     }
 }
 
-/// The tasks of a report whose names can be read.
+/// The tasks of a heartbeat whose names can be read.
 fn listed_tasks(report: &WorkerHeartbeat) -> Vec<ListedTask<'_>> {
     let tasks = report.tasks.iter();
     let listed = tasks.filter_map(|report| {
@@ -295,7 +295,7 @@
     listed.collect()
 }
 
-/// When the answer to a report goes out that may wait for so long: together with others, if
+/// When the answer to a heartbeat goes out that may wait for so long: together with others, if
 /// there is a moment for it meanwhile.
 fn answer_at(now: Time, hold_s: f64) -> Time {
     let most = now.after(hold_s);
@@ -303,20 +303,20 @@
     if together > now { together } else { most }
 }
 
-/// What came of a report's head.
+/// What came of a heartbeat's head.
 struct Taken {
     /// It is newer than any before it.
     fresh: bool,
-    /// It is the first that this holder has of the machine.
+    /// It is the first that this owner has of the machine.
     first: bool,
     /// It is the machine's first.
     born: bool,
-    /// The older report that waited for its answer.
+    /// The older heartbeat that waited for its answer.
     held: Option<(RequestId, Time)>,
 }
 
 impl Machine {
-    /// Takes in all of a report but its tasks. An answer follows in any case.
+    /// Takes in all of a heartbeat but its tasks. An answer follows in any case.
     fn record_heartbeat(&mut self, now: Time, report: &WorkerHeartbeat, proof: bool) -> Taken {
         let fresh = (report.agent_epoch, report.sequence) > (self.agent_epoch, self.sequence);
         let born = fresh && self.ready_since.is_none();
--- a/src/controller/machines/inventory.rs
+++ b/src/controller/machines/inventory.rs
@@ -1,4 +1,4 @@
-//! A block's machines, and the indexes that keep work in step with what changes.
+//! A shard's machines, and the indexes that keep work in step with what changes.
 //!
 //! Placing a task once went over all machines and, for each, over the jobs of its tasks.
 //! At a thousand machines that used up a controller's processor. Now machines stand on
@@ -20,10 +20,10 @@
     pub image_cached: bool,
 }
 
-/// A machine of the block.
+/// A machine of the shard.
 #[derive(Debug)]
 pub struct Machine {
-    /// Its type's place in the catalogue; `usize::MAX` while that isn't known.
+    /// Its type's place in the catalog; `usize::MAX` while that isn't known.
     pub class: usize,
     pub type_name: Rc<str>,
     /// What its type has.
@@ -32,18 +32,18 @@
     pub spot: bool,
     /// When it was rented or first heard of.
     pub since: Time,
-    /// When its first report came; `None` while it boots.
+    /// When its first heartbeat came; `None` while it boots.
     pub ready_since: Option<Time>,
     pub agent_epoch: u64,
     pub sequence: u64,
-    /// A report showed that it has this block's number.
+    /// A heartbeat showed that it has this shard's number.
     pub token_acknowledged: bool,
     pub last_heartbeat: Time,
-    /// When this holder first had a report of it.
+    /// When this owner first had a heartbeat of it.
     pub first_heartbeat: Option<Time>,
-    /// The sibling that handed on its latest report; `None` if it came here.
+    /// The peer that handed on its latest heartbeat; `None` if it came here.
     pub forwarded_by: Option<ControllerId>,
-    /// When this process last answered one of its reports with 200.
+    /// When this process last answered one of its heartbeats with 200.
     pub last_acknowledged: Time,
     pub notice: Option<Time>,
     pub tasks: BTreeMap<TaskId, Binding>,
@@ -105,7 +105,7 @@
         machine
     }
 
-    /// Looks its type up in the catalogue.
+    /// Looks its type up in the catalog.
     pub(crate) fn resolve_machine_type(&mut self, catalog: &[MachineType]) {
         let class = catalog.iter().position(|c| *c.name == *self.type_name);
         self.class = class.unwrap_or(usize::MAX);
--- a/src/controller/machines/liveness.rs
+++ b/src/controller/machines/liveness.rs
@@ -1,4 +1,4 @@
-//! Machines that are silent, cut off, or hear nothing, and leases that are over.
+//! Machines that are silent, partitioned, or hear nothing, and leases that are over.
 
 use crate::controller::machines::inventory::Machine;
 use crate::controller::shard::job::Phase;
@@ -9,15 +9,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// After `cancel_s` times this, a machine that may still run a withdrawn task is
+/// After `cancel_s` times this, a machine that may still run a cancelled task is
 /// deleted: its user waits, and repeats the request for a minute.
 const CANCEL_SHARE: f64 = 0.6;
-/// The same in a zone that is cut off; cuts mostly end sooner.
+/// The same in a zone that is partitioned; cuts mostly end sooner.
 const CUT_CANCEL_SHARE: f64 = 2.0;
-/// Without any report for this many report intervals, a holder whose machines all
-/// reported before takes itself to be cut off from them.
+/// Without any heartbeat for this many heartbeat intervals, an owner whose machines all
+/// reported before takes itself to be partitioned from them.
 const DEAF_REPORTS: f64 = 5.0;
-/// Silent machines are a few up to this share; more are taken to be cut off, and are
+/// Silent machines are a few up to this share; more are taken to be partitioned, and are
 /// given up after so many leases.
 const FEW_SILENT_SHARE: f64 = 0.15;
 const MASS_SILENT: f64 = 4.0;
@@ -26,23 +26,23 @@
 const NEARLY_SILENT: f64 = 0.95;
 /// Machines that may be sheltered are given up after so many.
 const SHELTERED_SILENT: f64 = 9.0;
-/// A zone is taken to be cut off when this share of its machines, and at least so
-/// many, have missed so many reports.
+/// A zone is taken to be partitioned when this share of its machines, and at least so
+/// many, have missed so many heartbeats.
 const CUT_SHARE: f64 = 0.25;
 const CUT_LEAST: usize = 3;
 const CUT_REPORTS: f64 = 3.0;
-/// A machine that never showed this block's number, with tasks on it, is deleted after
+/// A machine that never showed this shard's number, with tasks on it, is deleted after
 /// this many leases of silence: only that proves them gone.
 const UNPROVABLE: f64 = 1.2;
-/// A machine that reports and doesn't take up this block's number is deleted after so many
+/// A machine that heartbeats and doesn't take up this shard's number is deleted after so many
 /// leases if tasks may be on it.
 const UNHEARING: f64 = 2.0;
-/// Seconds a machine of an older leadership has to report before it counts as silent.
+/// Seconds a machine of an older leadership has to heartbeat before it counts as silent.
 const FIRST_REPORT_S: f64 = 12.0;
 
 impl Controller {
-    /// A holder that hears none of its machines, while they report to a sibling, or no
-    /// sibling either, is cut off from them and lets another controller try. When siblings
+    /// An owner that hears none of its machines, while they heartbeat to a peer, or no
+    /// peer either, is partitioned from them and lets another controller try. When peers
     /// hear none of them it is they who are gone, and giving up would only put off their
     /// replacement.
     pub(crate) fn check_workers_reachable(&mut self) {
@@ -76,7 +76,7 @@
         let mut lost = Vec::new();
         for (id, m) in h.machines.iter() {
             let over = m.last_acknowledged.after(lease);
-            // The read was sent after the lease's end, and the block is still ours.
+            // The read was sent after the lease's end, and the shard is still ours.
             let known = m.token_acknowledged && m.long_poll.is_none() && !m.tasks.is_empty();
             if known
                 && fresh > over
@@ -104,8 +104,8 @@
         }
     }
 
-    /// Deletes machines that may still run a withdrawn task, where nothing else proves it
-    /// gone: its user is told only then. Machines of a zone that is cut off get longer,
+    /// Deletes machines that may still run a cancelled task, where nothing else proves it
+    /// gone: its user is told only then. Machines of a zone that is partitioned get longer,
     /// for all that runs beside it would be lost as well.
     pub(crate) fn check_cancels(&mut self) {
         let w = &self.settings.platform.facts.workers;
@@ -124,7 +124,7 @@
                 let cut =
                     h.partitioned_zones.contains(&p.zone) || now.since(h.partitioned_at) < lease_s;
                 let share = if cut { CUT_CANCEL_SHARE } else { CANCEL_SHARE };
-                // A new holder sees only after a while which zones are cut off. Counting
+                // A new owner sees only after a while which zones are partitioned. Counting
                 // from the cancellation, it deleted the machines of one at once.
                 if now.since(at.max(h.since)) > cancel_s * share {
                     late.insert(p.machine.clone());
@@ -201,8 +201,8 @@
         }
     }
 
-    /// Machines whose reports come while nothing told them arrives never show this block's
-    /// number, so that no report of theirs proves what became of the tasks an earlier holder
+    /// Machines whose heartbeats come while nothing told them arrives never show this shard's
+    /// number, so that no heartbeat of theirs proves what became of the tasks an earlier owner
     /// placed there. Their leases have run out meanwhile; deleting them frees the tasks.
     pub(crate) fn check_unacknowledged(&mut self) {
         let lease_s = self.settings.platform.facts.workers.lease_s;
@@ -246,7 +246,7 @@
         h.unreachable_at.keys().cloned().collect()
     }
 
-    /// Zones of which so many machines have missed their reports that they must be cut
+    /// Zones of which so many machines have missed their heartbeats that they must be cut
     /// off. Their own controllers keep them alive.
     fn find_partitioned_zones(&self) -> BTreeSet<Rc<str>> {
         let quiet_s = self.settings.platform.facts.workers.report_s * CUT_REPORTS;
--- a/src/controller/machines/mod.rs
+++ b/src/controller/machines/mod.rs
@@ -1,15 +1,15 @@
-//! Reports and their answers, and the proofs that a task is gone.
+//! Heartbeats and their answers, and the proofs that a task is gone.
 //!
 //! A task may be placed again, and its quota and place are free, only when
-//! 1. a report that shows this block's number, newer than any before it, lists the
+//! 1. a heartbeat that shows this shard's number, newer than any before it, lists the
 //!    attempt as ended or doesn't list it; or
 //! 2. the worker had shown this number, its lease must be over by now, counted from
 //!    the last 200 this process sent it, the other controllers of its zone have said
-//!    since that they kept nobody alive for a lease, and the block was then still
-//!    unchanged at the state service; or
+//!    since that they kept nobody alive for a lease, and the shard was then still
+//!    unchanged at the store; or
 //! 3. the cloud said that its machine is deleted.
 //!
-//! `reports` takes reports in, `commands` derives the answers, and `liveness` finds machines that
+//! `reports` takes heartbeats in, `commands` derives the answers, and `liveness` finds machines that
 //! are silent, hear nothing, or must go.
 
 pub(crate) mod commands;
@@ -23,9 +23,9 @@
 use crate::ids::{MachineId, TaskId, Time};
 use log::{info, warn};
 
-/// A faulty machine's tasks get this long to stop before it is deleted.
+/// A quarantined machine's tasks get this long to stop before it is deleted.
 const DRAIN_S: f64 = 15.0;
-/// Names of deleted machines are kept for late copies of their reports.
+/// Names of deleted machines are kept for late copies of their heartbeats.
 const GONE_S: f64 = 900.0;
 
 impl Controller {
@@ -68,7 +68,7 @@
 }
 
 impl ShardOwner {
-    /// A task completed or runs well. A machine on which its job failed before is faulty
+    /// A task completed or runs well. A machine on which its job failed before is quarantined
     /// then, if others say so too.
     pub(crate) fn task_succeeded(&mut self, now: Time, id: &MachineId, task: &TaskId) {
         for faulty in self.failures.task_succeeded(&task.job, id) {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -47,7 +47,7 @@
 use salttrestle_standby::Standby;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// What a call to the state service is for.
+/// What a call to the store is for.
 #[derive(Debug)]
 pub(crate) enum RequestPurpose {
     List,
@@ -78,8 +78,8 @@
     sent: Time,
     /// Changes that it makes, if it is carried out.
     changes: f64,
-    /// The block in hand when it was sent: its answer means nothing to another
-    /// holding of that block.
+    /// The shard in hand when it was sent: its answer means nothing to another
+    /// holding of that shard.
     ownership: ShardOwnership,
 }
 
@@ -91,12 +91,12 @@
     answered: Time,
 }
 
-/// One holding of one block.
+/// One holding of one shard.
 pub(crate) type ShardOwnership = Option<(u32, FencingToken)>;
 
 /// How often work that nothing else triggers is looked at.
 const HOUSEKEEPING_MS: u64 = 100;
-/// Reports that are handed on and answers that needn't go out at once wait for a whole multiple
+/// Heartbeats that are handed on and answers that needn't go out at once wait for a whole multiple
 /// of this, so that one turn and one packet carry several of them.
 const BATCH_MS: u64 = HOUSEKEEPING_MS / 2;
 /// A controller without a fresh read for this long starts nothing and takes nothing.
@@ -110,7 +110,7 @@
 /// Pause before a refused or failed list or follow is tried again.
 const RETRY_S: f64 = 0.3;
 
-/// Whether the state service's content is known here.
+/// Whether the store's content is known here.
 enum WatchState {
     Idle {
         retry_at: Time,
@@ -145,7 +145,7 @@
     watch: WatchState,
     initial_list_done: bool,
     /// When the latest read was sent whose revision is known here: whatever stood
-    /// at the state service then is known.
+    /// at the store then is known.
     linearized_at: Time,
     /// When the latest read or follow was sent whose changes are known here.
     changes_known_at: Time,
@@ -155,7 +155,7 @@
     revision_read_last: Time,
     /// The latest read that was sent to learn the present revision.
     revision_read_call: CallId,
-    /// Reads that were answered, while the follow hasn't come as far yet.
+    /// Reads that were answered, while the watch hasn't come as far yet.
     revision_reads: VecDeque<RevisionRead>,
     dependency_reads: DependencyReads,
     team_limits: TeamLimits,
@@ -163,11 +163,11 @@
     store_heard_at: Time,
     api: Api,
     election: Election,
-    /// The block in hand; see `in_shard`. Boxed, since it changes places several times a step.
+    /// The shard in hand; see `in_shard`. Boxed, since it changes places several times a step.
     pub(crate) owner: Option<Box<ShardOwner>>,
-    /// The blocks that this controller holds, but for the one in hand.
+    /// The shards that this controller holds, but for the one in hand.
     shards: BTreeMap<u32, Box<ShardOwner>>,
-    /// The number under which each block was last held and given up.
+    /// The number under which each shard was last held and given up.
     released_tokens: BTreeMap<u32, FencingToken>,
     pub(crate) leadership: Option<Leadership>,
     standby: Standby,
@@ -176,7 +176,7 @@
     /// Whether the log says that the leader is suspected.
     leader_suspected: bool,
     hint_sender: HintSender,
-    /// A grant that is to be given up.
+    /// A lease that is to be given up.
     lease_revocation: Option<LeaseRevocation>,
     shutdown: Option<Shutdown>,
     pub(crate) catalog: Vec<MachineType>,
@@ -194,7 +194,7 @@
     /// When a worker last reported here.
     last_worker_heartbeat: Time,
     housekeeping_at: Time,
-    /// Whether the state service has refused a value for its size: the limits that were
+    /// Whether the store has refused a value for its size: the limits that were
     /// announced are in force.
     values_shrunk: bool,
     /// Machines looked at to place tasks, in all, and tasks placed.
@@ -313,7 +313,7 @@
         due.map_or(self.housekeeping_at, |t| t.min(self.housekeeping_at))
     }
 
-    /// The highest number under which this controller holds a block.
+    /// The highest number under which this controller holds a shard.
     pub fn holds(&self) -> Option<FencingToken> {
         self.shards.values().map(|h| h.token).max()
     }
@@ -334,7 +334,7 @@
         }
     }
 
-    /// What waits here, if this controller holds a block.
+    /// What waits here, if this controller holds a shard.
     pub fn queue(&self) -> Option<Queue> {
         if self.shards.is_empty() {
             return None;
@@ -360,7 +360,7 @@
         self.leadership.is_some()
     }
 
-    /// Does something with one block in hand, if this controller holds it.
+    /// Does something with one shard in hand, if this controller holds it.
     pub(crate) fn in_shard(&mut self, shard: u32, act: impl FnOnce(&mut Self)) {
         let before = self.owner.take();
         let outer = before.as_ref().map(|h| h.shard);
--- a/src/controller/peers/heartbeats.rs
+++ b/src/controller/peers/heartbeats.rs
@@ -5,14 +5,14 @@
 use crate::ids::{ControllerId, MachineId, Time};
 use crate::peer::{Message, PeerHeartbeat};
 
-/// Siblings say hello every second; one that has missed two is taken to be down.
+/// Peers say heartbeat every second; one that has missed two is taken to be down.
 const HEARTBEAT_LOST_S: f64 = 2.2;
 /// Most overdue machines named in one message. With more of them silent, cancellations
 /// merely wait for their full time.
 const OVERDUE_MAX: usize = 256;
 
 impl Controller {
-    /// Tells all siblings how this controller stands.
+    /// Tells all peers how this controller stands.
     pub(crate) fn send_heartbeat(&mut self) {
         let heartbeat = Message::PeerHeartbeat(self.heartbeat());
         self.out.push(Output::Peer(None, heartbeat));
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Answers a sibling that has just begun at once. It hands no report on to a holder that it
-    /// hasn't heard: after an outage of all controllers that kept reports waiting for up to a
+    /// Answers a peer that has just begun at once. It hands no heartbeat on to an owner that it
+    /// hasn't heard: after an outage of all controllers that kept heartbeats waiting for up to a
     /// second each time one came back, and their workers' leases ran out.
     fn greet(&mut self, peer: &ControllerId) {
         let heartbeat = Message::PeerHeartbeat(self.heartbeat());
@@ -57,7 +57,7 @@
         self.out.push(Output::Peer(Some(peer.clone()), heartbeat));
     }
 
-    /// Machines of this controller's blocks that can't be counted on to confirm anything.
+    /// Machines of this controller's shards that can't be counted on to confirm anything.
     pub(crate) fn overdue(&self) -> Vec<MachineId> {
         let patience = self.settings.overdue_s();
         let held = self.shards.values();
@@ -72,7 +72,7 @@
             .collect()
     }
 
-    /// Which message of each sibling came last, for `no_keepalive_by_peers` there.
+    /// Which message of each peer came last, for `no_keepalive_by_peers` there.
     pub(crate) fn echoes(&self) -> Vec<(ControllerId, u64, u64)> {
         let all = self.peers.values();
         all.map(|(h, _)| (h.from.clone(), h.incarnation, h.at_ms))
@@ -88,7 +88,7 @@
         if !self.is_peer(&heartbeat.from) {
             return;
         }
-        // Cut off from the state service, a holder learns here that it has been
+        // Partitioned from the store, an owner learns here that it has been
         // replaced, and stops answering for its workers.
         for (shard, token, _) in &heartbeat.shards {
             let replaced = self.shards.get(shard).is_some_and(|h| *token > h.token);
@@ -105,15 +105,15 @@
         }
     }
 
-    /// Who holds the block that a machine belongs to, as far as can be told: by the
-    /// state service or, when this controller is blind, by what siblings said lately.
+    /// Who holds the shard that a machine belongs to, as far as can be told: by the
+    /// store or, when this controller is stale, by what peers said lately.
     pub(crate) fn owner_of(&self, machine: &MachineId) -> Option<ControllerId> {
         let records = self.mirror.shards.iter();
         let mut records = records.filter_map(|(k, b)| Some((*k, b.record.as_ref()?)));
         let found = records.find(|(_, b)| b.has(machine));
         let me = &self.settings.platform.controller_id;
         let Some((shard, record)) = found else {
-            // In no block yet: the leader will see to it.
+            // In no shard yet: the leader will see to it.
             let leader = self
                 .mirror
                 .leader
@@ -132,7 +132,7 @@
         Some(newest.unwrap_or(record.owner.clone())).filter(|owner| owner != me)
     }
 
-    /// Whether a sibling has seen the state service for clearly longer than this
+    /// Whether a peer has seen the store for clearly longer than this
     /// controller: the trouble is then here, and not an outage that all share.
     pub(crate) fn isolated_from_store(&self) -> bool {
         let behind = |(h, at): &&(PeerHeartbeat, Time)| {
@@ -142,9 +142,9 @@
         self.peers.values().any(|s| behind(&s))
     }
 
-    /// Whether workers can be sent to a sibling: it runs and hasn't lost its workers. A
-    /// holder that they can't reach says hello all the same, and a worker sent back to
-    /// it loses 5 s of its lease. A new holder has none to lose yet.
+    /// Whether workers can be sent to a peer: it runs and hasn't lost its workers. A
+    /// owner that they can't reach says heartbeat all the same, and a worker sent back to
+    /// it loses 5 s of its lease. A new owner has none to lose yet.
     pub(crate) fn reachable(&self, controller_id: &ControllerId) -> bool {
         let workers_unreachable = self
             .peers
@@ -153,19 +153,19 @@
         !workers_unreachable && self.heartbeat_fresh(controller_id)
     }
 
-    /// Whether a sibling was heard of so lately that it surely runs.
+    /// Whether a peer was heard of so lately that it surely runs.
     pub(crate) fn heartbeat_fresh(&self, controller_id: &ControllerId) -> bool {
         let heard = self.peers.get(controller_id).map(|(_, at)| *at);
         heard.is_some_and(|at| self.now.since(at) < HEARTBEAT_LOST_S)
     }
 
-    /// Whether workers report to a sibling that could lead.
+    /// Whether workers heartbeat to a peer that could lead.
     pub(crate) fn peer_hears_workers(&self) -> bool {
         self.recent_heartbeats()
             .any(|h| h.is_fresh && h.hears_workers)
     }
 
-    /// Whether there are siblings and none is heard.
+    /// Whether there are peers and none is heard.
     pub(crate) fn peers_unreachable(&self) -> bool {
         !self.settings.platform.peers.is_empty() && self.recent_heartbeats().next().is_none()
     }
--- a/src/controller/peers/links.rs
+++ b/src/controller/peers/links.rs
@@ -1,5 +1,5 @@
-//! Links to siblings: which of them can be reached, which hear workers, and who has kept workers
-//! alive in a holder's place.
+//! Links to peers: which of them can be reached, which hear workers, and who has kept workers
+//! alive in an owner's place.
 
 use crate::controller::Controller;
 use crate::controller::events::Link;
@@ -8,7 +8,7 @@
 use crate::settings::Peer;
 
 impl Controller {
-    /// Whether a connection to a sibling could be made, or was refused.
+    /// Whether a connection to a peer could be made, or was refused.
     pub(crate) fn on_link(&mut self, controller_id: ControllerId, link: Link) {
         if link != Link::Up {
             self.standby
@@ -28,12 +28,12 @@
         }
     }
 
-    /// Whether messages reach a sibling, as far as is known.
+    /// Whether messages reach a peer, as far as is known.
     pub(crate) fn linked(&self, controller_id: &ControllerId) -> bool {
         self.heartbeat_fresh(controller_id) && !self.forwarding.down.contains_key(controller_id)
     }
 
-    /// Whether a holder runs, since its record stands, while it refuses connections
+    /// Whether an owner runs, since its record stands, while it refuses connections
     /// from here: a filter between the controllers, which its workers may pass.
     pub(crate) fn refuses_connections(&self, owner: &ControllerId) -> bool {
         let patience = self.settings.tuning.leader_lease_s + TAKEOVER_S;
@@ -41,7 +41,7 @@
         !self.is_stale() && refused.is_some_and(|since| self.now.since(since) > patience)
     }
 
-    /// Whether this controller can hand reports on: to itself, or to who leads.
+    /// Whether this controller can hand heartbeats on: to itself, or to who leads.
     pub(crate) fn can_forward(&self) -> bool {
         let leader = self
             .mirror
@@ -53,7 +53,7 @@
         here || leader.is_some_and(|l| self.linked(&l))
     }
 
-    /// How long ago this process last answered in a holder's place or, if it never
+    /// How long ago this process last answered in an owner's place or, if it never
     /// did, began: an earlier process may have.
     pub(crate) fn since_keepalive_ms(&self) -> u64 {
         let last = self.forwarding.last_keepalive.unwrap_or(self.now);
@@ -91,7 +91,7 @@
         })
     }
 
-    /// Whether a sibling is heard of, and hears workers.
+    /// Whether a peer is heard of, and hears workers.
     pub(crate) fn hears_workers(&self, controller_id: &ControllerId) -> bool {
         let heartbeat = self.peers.get(controller_id).map(|(h, _)| h);
         self.linked(controller_id) && heartbeat.is_some_and(|h| h.hears_workers)
--- a/src/controller/processor.rs
+++ b/src/controller/processor.rs
@@ -1,6 +1,6 @@
-//! How busy this process is, and how many machines that lets one holder serve.
+//! How busy this process is, and how many machines that lets one owner serve.
 //!
-//! Which part of its time a process doesn't wait is measured by the loop around the core, so that it
+//! Which part of its time a process doesn't wait is measured by the loop around the controller, so that it
 //! holds whatever the processor, its share of one and what runs beside it. Here it is smoothed: what
 //! a takeover or a burst of submissions costs passes by itself, and a fleet that has been cut stays
 //! cut.
@@ -48,7 +48,7 @@
         self.latest.filter(fresh).map(|(_, share)| share)
     }
 
-    /// How many machines would take all of a holder's processor, when it holds so many; `None`
+    /// How many machines would take all of an owner's processor, when it holds so many; `None`
     /// where that isn't measured, or it holds too few to tell.
     pub fn machines_per_owner(&self, now: Time, held: usize) -> Option<f64> {
         let share = self.share(now)?;
--- a/src/controller/quota/cells.rs
+++ b/src/controller/quota/cells.rs
@@ -1,10 +1,10 @@
 //! What the leader does for the limits that its cell shares with others.
 //!
-//! The cell's record and one for each other cell stand at this cell's own state service. The leader
+//! The cell's record and one for each other cell stand at this cell's own store. The leader
 //! makes one change of them at a time, as `salttrestle_cells::ledger` allows it, on the condition
-//! that the leader's record, the cell's, the link's and, where room is given away, every block's
+//! that the leader's record, the cell's, the link's and, where room is given away, every shard's
 //! are unchanged. What other cells tell is only ever a reason to try; a rule rests on none of it.
-//! Blocks are allowed what the cell's record says, in commits that are conditional on it.
+//! Shards are allowed what the cell's record says, in commits that are conditional on it.
 
 use crate::controller::events::Output;
 use crate::controller::quota::team_limits::LimitsWanted;
@@ -30,10 +30,10 @@
 const SAY_CHANGED_S: f64 = 0.1;
 /// Between two accounts in the log, in seconds.
 const TELL_S: f64 = 30.0;
-/// A cell that hasn't been heard for so long is named as cut off, in seconds.
+/// A cell that hasn't been heard for so long is named as partitioned, in seconds.
 const CUT_OFF_S: f64 = 5.0;
 /// What a cell needs or calls back is believed for so long, in seconds: no room is given for a need
-/// of long ago, and no block is held back for a recall that may be over.
+/// of long ago, and no shard is held back for a recall that may be over.
 const BELIEVED_S: f64 = 10.0;
 
 /// What this controller knows of the other cells.
@@ -60,7 +60,7 @@
 struct CellChange {
     cell: Option<CellRecord>,
     link: Option<(Cell, LinkRecord)>,
-    /// The blocks' records have to be unchanged.
+    /// The shards' records have to be unchanged.
     on_shards: bool,
     why: String,
 }
@@ -76,7 +76,7 @@
     }
 }
 
-/// A block with what its holder counted under its present record.
+/// A shard with what its owner counted under its present record.
 struct CountedShard<'a> {
     quota_shares: &'a LimitsByTeam,
     teams: &'a [(String, TeamCount)],
@@ -117,13 +117,13 @@
         if let Some(change) = self.next_cell_change(&file) {
             self.commit_cell_change(change);
         }
-        // A share that has just come is for the blocks to use, and one that another cell needs is
+        // A share that has just come is for the shards to use, and one that another cell needs is
         // for them to leave.
         self.lease_housekeeping();
     }
 
-    /// Counts the blocks held here anew if their records have changed since. Counted only every
-    /// half second, they were out of date whenever allowances had just changed, and while demand
+    /// Counts the shards held here anew if their records have changed since. Counted only every
+    /// half second, they were out of date whenever quota shares had just changed, and while demand
     /// moved that was always: no room was given, and starts waited for 10 s.
     fn count_again(&mut self) {
         let current = |shard: &u32, owner: &ShardOwner| {
@@ -274,7 +274,7 @@
             .is_ok();
     }
 
-    /// Whatever came of it, the follow shows it, and the next look goes on from there.
+    /// Whatever came of it, the watch shows it, and the next look goes on from there.
     pub(crate) fn on_cell_changed(&mut self, reply: StoreResponse) {
         self.cells.busy = false;
         if let StoreResponse::Committed { revision } = reply {
@@ -314,8 +314,8 @@
         recall.part_of(share).most(recall.amount.least(unneeded))
     }
 
-    /// Each team as it stands in this cell, if every block's holder has counted under its present
-    /// record. What a block may use counts as held, and what it still uses beyond that.
+    /// Each team as it stands in this cell, if every shard's owner has counted under its present
+    /// record. What a shard may use counts as held, and what it still uses beyond that.
     fn team_views(
         &self,
         record: &CellRecord,
@@ -345,7 +345,7 @@
         Some(views)
     }
 
-    /// Each block's allowances with its holder's counts under them.
+    /// Each shard's quota shares with its owner's counts under them.
     fn current_counts(&self) -> Option<Vec<CountedShard<'_>>> {
         let believed = self.believed();
         let shards = self.mirror.shards.iter();
@@ -361,7 +361,7 @@
         counts.collect()
     }
 
-    /// What the blocks of this cell together are to allow: its share of each team, less what is
+    /// What the shards of this cell together are to allow: its share of each team, less what is
     /// called back, and of what is left no more than the cell would like to have, so that the
     /// rest can be given away.
     pub(crate) fn cell_limits(&self, file: &CellsFile) -> LimitsWanted {
@@ -381,7 +381,7 @@
         LimitsWanted::Set(limits.collect())
     }
 
-    /// What is promised to the blocks: what they would like, or all that nobody else needs.
+    /// What is promised to the shards: what they would like, or all that nobody else needs.
     fn allowed_of(&self, team: &str, view: &TeamView) -> Amount {
         let needs = self.believed_messages().flat_map(|m| &m.needs);
         let needed = needs.filter(|need| need.team == team);
@@ -391,7 +391,7 @@
         view.share.beyond(view.to_leave(more, lacking))
     }
 
-    /// What the blocks allow now.
+    /// What the shards allow now.
     fn allowed_now(&self, team: &str) -> Amount {
         let records = self
             .mirror
--- a/src/controller/quota/team_limits.rs
+++ b/src/controller/quota/team_limits.rs
@@ -1,13 +1,13 @@
 //! Team limits that change at run time.
 //!
-//! Operators write the limits of some teams to a record at the state service, and these stand in
-//! place of the settings' from then on. In force is what the blocks' records allow, on whose
+//! Operators write the limits of some teams to a record at the store, and these stand in
+//! place of the settings' from then on. In force is what the shards' records allow, on whose
 //! revisions every start is conditional: the leader takes a change into them, and starts by
 //! earlier limits fail from that commit on. What is lowered below what runs is never called free:
-//! the allowance falls at once, and use falls as tasks are proven gone.
+//! the quota share falls at once, and use falls as tasks are proven gone.
 //!
 //! A record that can't be read, or that names what there isn't, changes nothing: the last good one
-//! stays in force, also under a leader that never saw it, since the blocks' records keep it.
+//! stays in force, also under a leader that never saw it, since the shards' records keep it.
 
 use crate::controller::Controller;
 use crate::controller::store::records::{LimitsByTeam, LimitsRecord};
@@ -25,7 +25,7 @@
     refused: bool,
 }
 
-/// What the blocks together are to allow.
+/// What the shards together are to allow.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum LimitsWanted {
     /// The limits of the settings.
@@ -75,7 +75,7 @@
             .collect()
     }
 
-    /// What the blocks together are to allow.
+    /// What the shards together are to allow.
     pub(crate) fn limits_wanted(&self) -> LimitsWanted {
         if let Some(file) = &self.settings.cells {
             return self.cell_limits(file);
--- a/src/controller/rate_limits/token_bucket.rs
+++ b/src/controller/rate_limits/token_bucket.rs
@@ -1,11 +1,11 @@
-//! Token buckets for calls to the state service and the cloud.
+//! Token buckets for calls to the store and the cloud.
 
 use crate::ids::Time;
 
 /// How much of a bucket a call must leave for those before it in rank.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Priority {
-    /// Leases, halts, cancellations: may take the last token.
+    /// Leases, stops, cancellations: may take the last token.
     First,
     /// Placements and submissions.
     Usual,
--- a/src/controller/rate_limits/write_rate.rs
+++ b/src/controller/rate_limits/write_rate.rs
@@ -1,7 +1,7 @@
-//! How many changes a second the other controllers make at the state service.
+//! How many changes a second the other controllers make at the store.
 //!
-//! Every change comes back through the follow. What a controller didn't write itself, others did,
-//! so the holder of the only block can use what they leave of the common limit.
+//! Every change comes back through the watch. What a controller didn't write itself, others did,
+//! so the owner of the only shard can use what they leave of the common limit.
 
 use crate::ids::Time;
 
@@ -14,7 +14,7 @@
 /// Counts changes by whom they were made.
 #[derive(Debug, Default)]
 pub(crate) struct WriteRateMeter {
-    /// Changes seen through the follow in this window, and those of them made here.
+    /// Changes seen through the watch in this window, and those of them made here.
     seen: f64,
     own: f64,
     since: Time,
@@ -22,7 +22,7 @@
 }
 
 impl WriteRateMeter {
-    /// Takes note of changes that the follow brought.
+    /// Takes note of changes that the watch brought.
     pub fn note_seen(&mut self, changes: usize) {
         self.seen += changes as f64;
     }
--- a/src/controller/scheduling/constraints.rs
+++ b/src/controller/scheduling/constraints.rs
@@ -20,7 +20,7 @@
 }
 
 impl ShardOwner {
-    /// How many CPUs and GPUs a team may use in this block.
+    /// How many CPUs and GPUs a team may use in this shard.
     pub(crate) fn quota_share(&self, team: &Team) -> (f64, f64) {
         let given = self
             .quota_shares
--- a/src/controller/scheduling/mod.rs
+++ b/src/controller/scheduling/mod.rs
@@ -1,4 +1,4 @@
-//! Where tasks go: as soon as they come, wherever the block has room for them.
+//! Where tasks go: as soon as they come, wherever the shard has room for them.
 //!
 //! `scoring` says what a machine costs a task, `quota` whether its team and its job allow it there,
 //! `preemption` whom it displaces, and `consolidation` empties machines that are little used.
@@ -29,7 +29,7 @@
 const PLACE_GAP_MS: u64 = 15;
 /// Queued tasks are looked at least this often.
 const PLACE_EVERY_S: f64 = 0.5;
-/// A machine that hasn't reported for this many report intervals gets no tasks.
+/// A machine that hasn't reported for this many heartbeat intervals gets no tasks.
 const FRESH_REPORTS: f64 = 3.5;
 /// How long room made by stopping others is waited for before more is made.
 const PREEMPT_S: f64 = 6.0;
@@ -128,7 +128,7 @@
                 return false;
             };
             let job_state = &h.jobs[id];
-            // All tasks of a flawed job at once took room on every machine at each try.
+            // All tasks of a crash-looping job at once took room on every machine at each try.
             if h.failures.on_probation(id) && job_state.trying() {
                 return false;
             }
--- a/src/controller/scheduling/scoring.rs
+++ b/src/controller/scheduling/scoring.rs
@@ -145,7 +145,7 @@
 fn cost(context: &PlacementContext, job_state: &JobState, class: &MachineType, m: &Machine) -> f64 {
     let record = &job_state.record;
     let free_share = 1.0 - m.used.share_of(class.resources);
-    // A start goes with the answer to a report: at once, where one waits for it.
+    // A start goes with the answer to a heartbeat: at once, where one waits for it.
     let report_s = context.settings.platform.facts.workers.report_s;
     let answer_s = match m.long_poll {
         Some(_) => 0.0,
--- a/src/controller/shard/admission.rs
+++ b/src/controller/shard/admission.rs
@@ -1,4 +1,4 @@
-//! Jobs come into a block, are cancelled there, and leave it.
+//! Jobs come into a shard, are cancelled there, and leave it.
 
 use crate::controller::Controller;
 use crate::controller::dependencies::graph::DependencyState;
@@ -12,7 +12,7 @@
 use std::collections::BTreeSet;
 
 impl Controller {
-    /// A new holder's start: all that earlier ones committed is known, and nothing
+    /// A new owner's start: all that earlier ones committed is known, and nothing
     /// of it is believed to have ended without proof.
     pub(crate) fn rebuild_from_mirror(&mut self) {
         let Some(shard) = self.owner.as_ref().map(|h| h.shard) else {
@@ -32,7 +32,7 @@
             .filter(|(id, _)| !jobs.contains_key(id));
         let leftover_placements: Vec<_> = leftover_placements.cloned().collect();
         if let Some(h) = &mut self.owner {
-            // Chunks without a job belong to no block; the first one's holder clears
+            // Chunks without a job belong to no shard; the first one's owner clears
             // them away.
             h.leftover_placements = if shard == 0 {
                 leftover_placements
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Takes in a job, with what earlier holders wrote of it.
+    /// Takes in a job, with what earlier owners wrote of it.
     fn admit(&mut self, id: &JobId) {
         let now = self.now;
         let (Some(job), Some(h)) = (self.mirror.jobs.get(id), &mut self.owner) else {
@@ -87,7 +87,7 @@
             h.add_unconfirmed_placement(now, id, placed);
         }
         if cancelled {
-            // It was cancelled under an earlier holder, whose halts may never have
+            // It was cancelled under an earlier owner, whose stops may never have
             // gone out: this one has to send its own.
             return self.stop_cancelled(id);
         }
@@ -166,7 +166,7 @@
         h.write_queue.retain(|(_, job, _)| job != id);
     }
 
-    /// Stops every task of a withdrawn job: nothing they do is of use any more.
+    /// Stops every task of a cancelled job: nothing they do is of use any more.
     fn stop_cancelled(&mut self, id: &JobId) {
         let now = self.now;
         let Some(h) = &mut self.owner else {
@@ -201,7 +201,7 @@
 }
 
 impl ShardOwner {
-    /// Enters a placement of an earlier holder: it counts until it is proven gone.
+    /// Enters a placement of an earlier owner: it counts until it is proven gone.
     fn add_unconfirmed_placement(
         &mut self,
         now: Time,
@@ -209,7 +209,7 @@
         (index, attempt, machine, zone): Placed,
     ) {
         if !self.machines.contains_key(&machine) && !self.gone.contains_key(&machine) {
-            // Known by name only until it reports. If it never does, it is
+            // Known by name only until it heartbeats. If it never does, it is
             // deleted, which proves its tasks gone.
             let mut known = Machine::new(&[], "", &zone, false, now);
             known.ready_since = Some(now);
@@ -223,7 +223,7 @@
             since: now,
             stop_requested: None,
             sends: 0,
-            // An earlier holder has seen it start: that it runs is no news of its machine.
+            // An earlier owner has seen it start: that it runs is no news of its machine.
             runs_well: true,
         };
         self.add_placement(job, index, placement);
--- a/src/controller/shard/burst_estimate.rs
+++ b/src/controller/shard/burst_estimate.rs
@@ -19,7 +19,7 @@
 }
 
 /// Share of the latest boot in what a type's boots usually take, and how many times longer
-/// than the catalogue says that may become: some machines never come up, and are paid for
+/// than the catalog says that may become: some machines never come up, and are paid for
 /// until they are deleted.
 const BOOT_NEWS: f64 = 0.2;
 const SLOW_BOOT: f64 = 2.0;
@@ -29,7 +29,7 @@
 const LIFE: f64 = 5.0;
 
 impl BurstEstimate {
-    /// What the holder before this one estimated, at that moment.
+    /// What the owner before this one estimated, at that moment.
     pub(crate) fn observed(at: Time, squares: f64) -> Self {
         Self { squares, at }
     }
@@ -43,7 +43,7 @@
         self.at = now;
     }
 
-    /// What a new holder takes to have come before it: those that run came, and went,
+    /// What a new owner takes to have come before it: those that run came, and went,
     /// at the rate at which they run their lives.
     fn of_running(now: Time, squares: f64) -> Self {
         Self {
@@ -105,7 +105,7 @@
         self.bursts = squares.into_iter().map(guess).collect();
     }
 
-    /// How long a machine of a type usually takes to boot: no less than the catalogue says,
+    /// How long a machine of a type usually takes to boot: no less than the catalog says,
     /// and longer when they have taken longer lately.
     pub(crate) fn usual_boot_s(&self, class: usize, ready_s: f64) -> f64 {
         let recent_heartbeats = self.boots.get(&class).copied().unwrap_or(ready_s);
--- a/src/controller/shard/completion.rs
+++ b/src/controller/shard/completion.rs
@@ -129,7 +129,7 @@
             return;
         };
         job_state.finishing = false;
-        // The follow brings the end; a conflict means that a withdrawal came first,
+        // The watch brings the end; a conflict means that a cancellation came first,
         // and anything else is tried again.
         if let StoreResponse::Committed { .. } = reply {
             job_state.finishing = true;
--- a/src/controller/shard/job.rs
+++ b/src/controller/shard/job.rs
@@ -1,4 +1,4 @@
-//! What a block's holder knows of one job: its tasks, its placements, and what is written.
+//! What a shard's owner knows of one job: its tasks, its placements, and what is written.
 
 use crate::controller::shard::commits::WriteUrgency;
 use crate::controller::store::chunks::ChunkLayout;
@@ -15,12 +15,12 @@
     Committing,
     /// Committed; its start goes with the next answer to its machine.
     Ready,
-    /// Sent, and not seen in a report yet.
+    /// Sent, and not seen in a heartbeat yet.
     Sent,
     Fetching,
     Running,
     Flushing,
-    /// Placed by an earlier holder; this one has no proof of what became of it.
+    /// Placed by an earlier owner; this one has no proof of what became of it.
     Doubt,
 }
 
@@ -39,7 +39,7 @@
     pub runs_well: bool,
 }
 
-/// A job of the block.
+/// A job of the shard.
 #[derive(Debug)]
 pub struct JobState {
     pub record: Rc<JobRecord>,
--- a/src/controller/shard/mod.rs
+++ b/src/controller/shard/mod.rs
@@ -1,6 +1,6 @@
-//! The holder of a block: its jobs, machines and placements, and how they are written.
+//! The owner of a shard: its jobs, machines and placements, and how they are written.
 //!
-//! A placement is committed, on the condition that the block and the job are unchanged, before
+//! A placement is committed, on the condition that the shard and the job are unchanged, before
 //! its start is sent to anyone (`commits`). [`job_state`] has what is known of a job, `intake`
 //! takes jobs in and lets them go, `image_demand` and `burst_estimate` remember what came.
 
@@ -35,15 +35,15 @@
     amount * 0.5f64.powf(passed_s / half_s)
 }
 
-/// One holding of a block: all that its holder knows and decides.
+/// One holding of a shard: all that its owner knows and decides.
 pub struct ShardOwner {
     pub shard: u32,
     pub token: FencingToken,
     pub shard_revision: u64,
     pub since: Time,
-    /// Whether it is the only block, with every machine there is in it.
+    /// Whether it is the only shard, with every machine there is in it.
     pub whole: bool,
-    /// Zones of which so many machines are silent that they must be cut off.
+    /// Zones of which so many machines are silent that they must be partitioned.
     pub(crate) partitioned_zones: BTreeSet<Rc<str>>,
     /// When there last was one.
     pub(crate) zones_partitioned_at: Option<Time>,
@@ -73,7 +73,7 @@
     /// Chunks to write, by urgency.
     pub(crate) write_queue: WriteQueue,
     pub(crate) writes_in_flight: usize,
-    /// Jobs whose last record is to be written: all done, or withdrawn and gone.
+    /// Jobs whose last record is to be written: all done, or cancelled and gone.
     pub(crate) ready_to_end_jobs: BTreeSet<JobId>,
     pub(crate) leftover_placements: Vec<(JobId, u32)>,
     pub(crate) deleting_placements: bool,
@@ -81,7 +81,7 @@
     pub(crate) long_poll_deadlines: BTreeSet<(Time, MachineId)>,
     pub(crate) gone: BTreeMap<MachineId, Time>,
     pub(crate) heard: Time,
-    /// So many machines are silent that they must be cut off rather than down.
+    /// So many machines are silent that they must be partitioned rather than down.
     pub(crate) cut: bool,
     /// When that was last so. Machines get time from then to come back.
     pub(crate) partitioned_at: Time,
@@ -134,7 +134,7 @@
         held.map(|(request_id, _)| request_id).collect()
     }
 
-    /// Takes over what the block's record says besides who holds it.
+    /// Takes over what the shard's record says besides who holds it.
     pub(crate) fn sync(
         &mut self,
         now: Time,
@@ -146,7 +146,7 @@
         self.whole = record.machines.is_none();
         self.quota_shares = record.quota_shares.clone();
         if self.shares_limits {
-            // Until the block's record says what it may use, it may use nothing.
+            // Until the shard's record says what it may use, it may use nothing.
             self.quota_shares.get_or_insert_default();
         }
         self.scheduling_wanted = true;
--- a/src/controller/shards/leases.rs
+++ b/src/controller/shards/leases.rs
@@ -1,8 +1,8 @@
-//! How the leader leases blocks: to whom, with which machines and allowances.
+//! How the leader leases shards: to whom, with which machines and quota shares.
 //!
-//! While the fleet is small there is one block with everything in it, held by the
+//! While the fleet is small there is one shard with everything in it, held by the
 //! leader itself. Cutting a fleet cuts packing, limits and caches as well, so there
-//! are more blocks only once each has enough machines.
+//! are more shards only once each has enough machines.
 
 use crate::controller::autoscaling::plan::ScalingState;
 use crate::controller::events::Output;
@@ -19,10 +19,10 @@
 use log::{info, warn};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Share of a block's lease without a count from its holder after which it goes to
+/// Share of a shard's lease without a count from its owner after which it goes to
 /// another controller.
 const SILENT_SHARE: f64 = 0.25;
-/// Share of the value limit that a block's record may fill.
+/// Share of the value limit that a shard's record may fill.
 const RECORD_SHARE: f64 = 0.85;
 /// JSON bytes of records in one commit, below the limit of 64 KiB.
 const COMMIT_BYTES: usize = 40 * 1024;
@@ -33,7 +33,7 @@
 /// Counts older than this are no longer believed, in ticks.
 const STALE_TICKS: f64 = 3.0;
 
-/// A fleet is cut once its holder has been too busy for so many lives of a block's lease.
+/// A fleet is cut once its owner has been too busy for so many lives of a shard's lease.
 const CUT_LEASES: f64 = 2.0;
 
 /// A process that has run for so many seconds without a measurement won't get one.
@@ -43,19 +43,19 @@
 #[derive(Debug, Default)]
 pub(crate) struct Leadership {
     pub(crate) scale: ScalingState,
-    /// The latest counts of each block, and when they came.
+    /// The latest counts of each shard, and when they came.
     pub(crate) shard_counts: BTreeMap<u32, (ShardCounts, Time)>,
-    /// Machines that each block lacks, by type and kind.
+    /// Machines that each shard lacks, by type and kind.
     pub(crate) needs: BTreeMap<(String, bool, u32), u32>,
-    /// Machines that belong to no block yet.
+    /// Machines that belong to no shard yet.
     unassigned: BTreeMap<MachineId, Entry>,
-    /// Machines that holders deleted, and when that was heard: lists show them still.
+    /// Machines that owners deleted, and when that was heard: lists show them still.
     gone: BTreeMap<MachineId, Time>,
-    /// Since when more blocks are needed than there are.
+    /// Since when more shards are needed than there are.
     short_of_shards_since: Option<Time>,
     /// A change of leases is being committed.
     busy: bool,
-    /// There are machines that no block's record has room for.
+    /// There are machines that no shard's record has room for.
     crowded: bool,
     since: Time,
     /// This leadership's own number: no other one has it.
@@ -65,8 +65,8 @@
 }
 
 impl Controller {
-    /// The blocks that a new leader takes for itself: the only one, and those whose
-    /// holders aren't heard of.
+    /// The shards that a new leader takes for itself: the only one, and those whose
+    /// owners aren't heard of.
     pub(crate) fn shards_to_take(&self) -> Vec<u32> {
         let records = self.mirror.shards.iter();
         let records: Vec<(u32, &ShardRecord)> = records
@@ -81,7 +81,7 @@
         lost.map(|(k, _)| *k).collect()
     }
 
-    /// Whether a process, this one or a sibling's, was heard of lately.
+    /// Whether a process, this one or a peer's, was heard of lately.
     fn process_lives(&self, controller_id: &ControllerId, incarnation: u64) -> bool {
         if *controller_id == self.settings.platform.controller_id {
             return incarnation == self.incarnation;
@@ -90,7 +90,7 @@
             .any(|h| h.from == *controller_id && h.incarnation == incarnation)
     }
 
-    /// A block's record with this process as its holder, and the revision it replaces.
+    /// A shard's record with this process as its owner, and the revision it replaces.
     pub(crate) fn lease_to_self(&self, shard: u32, token: FencingToken) -> (u64, ShardRecord) {
         let slot = self.mirror.shards.get(&shard).cloned().unwrap_or_default();
         let version = slot.version();
@@ -118,8 +118,8 @@
         self.rebuild_scaling_state();
     }
 
-    /// The block that takes a new job: by the job's name, in proportion to the shares
-    /// in the plan, so that every node comes to the same block.
+    /// The shard that takes a new job: by the job's name, in proportion to the shares
+    /// in the plan, so that every node comes to the same shard.
     pub(crate) fn shard_for(&self, id: &JobId) -> u32 {
         let shares = self
             .mirror
@@ -144,7 +144,7 @@
 
     // ---- counts
 
-    /// Tells the leader what the block in hand counts.
+    /// Tells the leader what the shard in hand counts.
     fn send_shard_counts(&mut self) {
         let Some(shard_counts) = self.shard_counts() else {
             return;
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Counts that are believed: of the present holder, and not too old.
+    /// Counts that are believed: of the present owner, and not too old.
     pub(crate) fn believed(&self) -> Vec<&ShardCounts> {
         let stale = self.settings.tuning.tick_s * STALE_TICKS;
         let Some(leadership) = &self.leadership else {
@@ -236,7 +236,7 @@
 
     // ---- leases
 
-    /// A worker reports that belongs to no block here. The leader sees to it that
+    /// A worker heartbeats that belongs to no shard here. The leader sees to it that
     /// it comes to belong to one.
     pub(crate) fn note_unassigned(&mut self, id: &MachineId, report: &WorkerHeartbeat) {
         let entry = (
@@ -295,7 +295,7 @@
     ) {
         let mut preconditions = vec![(Key::Leader, self.mirror.leader.version())];
         if self.settings.cells.is_some() {
-            // What the blocks may use was taken from this record.
+            // What the shards may use was taken from this record.
             preconditions.push((Key::Cell, self.mirror.cell.version()));
         }
         let (mut writes, mut bytes) = (Vec::new(), 0);
@@ -332,14 +332,14 @@
         }
     }
 
-    /// Whatever came of it, the follow shows it, and the next look goes on from there.
+    /// Whatever came of it, the watch shows it, and the next look goes on from there.
     pub(crate) fn on_leased(&mut self, _reply: StoreResponse) {
         if let Some(leadership) = &mut self.leadership {
             leadership.busy = false;
         }
     }
 
-    /// Blocks whose holder restarted or counts no more go to another controller,
+    /// Shards whose owner restarted or counts no more go to another controller,
     /// under a higher number.
     fn replace_owners(&self, records: &mut BTreeMap<u32, ShardRecord>, highest: &mut FencingToken) {
         let Some(leadership) = &self.leadership else {
@@ -378,13 +378,13 @@
         }
     }
 
-    /// Whether a block's holder is heard of, but as another process.
+    /// Whether a shard's owner is heard of, but as another process.
     fn rebooted(&self, record: &ShardRecord) -> bool {
         let mut heard = self.recent_heartbeats().filter(|h| h.from == record.owner);
         heard.any(|h| h.incarnation != record.incarnation)
     }
 
-    /// The controller that sees the state service and holds the fewest blocks.
+    /// The controller that sees the store and holds the fewest shards.
     fn least_loaded(&self, load: &BTreeMap<ControllerId, usize>) -> (ControllerId, u64) {
         let me = (
             self.settings.platform.controller_id.clone(),
@@ -397,7 +397,7 @@
         least.unwrap_or(me)
     }
 
-    /// Into how many blocks a fleet is cut. Where it is measured how busy the holder is, that
+    /// Into how many shards a fleet is cut. Where it is measured how busy the owner is, that
     /// decides, and only once it has said so for long: a cut costs more than a full processor for
     /// some seconds, and isn't undone.
     fn shards_needed(&mut self, machines: u32, shards: usize) -> usize {
@@ -431,7 +431,7 @@
         needed
     }
 
-    /// One more block, once each of them has enough machines.
+    /// One more shard, once each of them has enough machines.
     fn split(&mut self, records: &mut BTreeMap<u32, ShardRecord>, highest: &mut FencingToken) {
         let machines: u32 = self
             .believed()
@@ -446,7 +446,7 @@
             return;
         }
         if let Some(first) = records.get_mut(&0).filter(|b| b.machines.is_none()) {
-            // The only block gets a list before there is a second one.
+            // The only shard gets a list before there is a second one.
             let Some(h) = self.shards.get(&0).filter(|h| h.token == first.token) else {
                 return;
             };
@@ -459,7 +459,7 @@
             };
             listed.quota_shares.get_or_insert_with(whole);
             if json_bytes(&listed) > self.record_most() {
-                // It goes on as one block, which needs no list.
+                // It goes on as one shard, which needs no list.
                 return;
             }
             *first = listed;
@@ -483,7 +483,7 @@
         records.insert(shard, record);
     }
 
-    /// Lets the only block use what the limits allow, once that has changed.
+    /// Lets the only shard use what the limits allow, once that has changed.
     fn limit_only_shard(&self, records: &mut BTreeMap<u32, ShardRecord>) {
         let wanted = match self.limits_wanted() {
             LimitsWanted::OfSettings => None,
@@ -508,14 +508,14 @@
         *record = limited;
     }
 
-    /// Most bytes of a block's record.
+    /// Most bytes of a shard's record.
     fn record_most(&self) -> usize {
         let bytes = self.settings.state_limits().value_bytes;
         (bytes as f64 * RECORD_SHARE) as usize
     }
 
-    /// New machines go to the block that lacks them most; deleted ones leave the lists. A machine
-    /// never changes its block: only the holder knows what is on it.
+    /// New machines go to the shard that lacks them most; deleted ones leave the lists. A machine
+    /// never changes its shard: only the owner knows what is on it.
     fn assign_machines(&mut self, records: &mut BTreeMap<u32, ShardRecord>) {
         let most = self.record_most();
         let Some(leadership) = &mut self.leadership else {
@@ -558,7 +558,7 @@
         }
     }
 
-    /// Moves what teams may use to where they want it. What one block loses another
+    /// Moves what teams may use to where they want it. What one shard loses another
     /// gets only once the first one's use, counted under its new record, is below.
     fn share_limits(&self, records: &mut BTreeMap<u32, ShardRecord>) {
         if records.len() < 2 {
@@ -603,7 +603,7 @@
     }
 }
 
-/// Shares one team's limit among the blocks. `turn` is the block whose turn it is.
+/// Shares one team's limit among the shards. `turn` is the shard whose turn it is.
 fn share_limit(
     records: &mut BTreeMap<u32, ShardRecord>,
     team: &str,
@@ -647,8 +647,8 @@
 /// Room for rounding when amounts are added and taken away many times.
 const SLACK: f64 = 1e-6;
 
-/// What each block may use from now on. Nothing changes while every block has what it
-/// wants and the limit wasn't lowered. Otherwise the block whose turn it is gets all it wants, so that even a task
+/// What each shard may use from now on. Nothing changes while every shard has what it
+/// wants and the limit wasn't lowered. Otherwise the shard whose turn it is gets all it wants, so that even a task
 /// as large as the limit starts one day, and the others share the rest evenly. Room is
 /// given only once nobody uses it.
 fn shares(limit: f64, turn: u32, old: &PerShard, used: &PerShard, wanted: &PerShard) -> PerShard {
@@ -688,7 +688,7 @@
             *have = target;
         }
     }
-    // Below a lowered limit, what one block still uses beyond its part is no room for another.
+    // Below a lowered limit, what one shard still uses beyond its part is no room for another.
     let mut over = new.iter().map(|(k, a)| a.max(used[k])).sum::<f64>() - limit;
     for (k, have) in &mut new {
         let cut = over.min(*have - used[k]).max(0.0);
@@ -706,7 +706,7 @@
 }
 
 impl ShardOwner {
-    /// The block's machines as its record lists them.
+    /// The shard's machines as its record lists them.
     fn entries(&self) -> Vec<Entry> {
         let all = self.machines.iter();
         let all = all.map(|(id, m)| {
--- a/src/controller/store/chunks.rs
+++ b/src/controller/store/chunks.rs
@@ -1,7 +1,7 @@
 //! Which record of a job each of its tasks is in.
 //!
 //! A job's tasks are recorded in chunks, whose size is fixed when the job is accepted. When the
-//! state service lowers its limit on values, a chunk may stay readable and yet be too large to be
+//! store lowers its limit on values, a chunk may stay readable and yet be too large to be
 //! written again. It is then written in parts: the records of parts stand before the chunk's own
 //! for the tasks that they cover, so each part can be written by itself, and the chunk is left as
 //! it is until the job ends.
--- a/src/controller/store/mirror.rs
+++ b/src/controller/store/mirror.rs
@@ -1,4 +1,4 @@
-//! What this controller knows of the state service's content, by following it.
+//! What this controller knows of the store's content, by following it.
 
 use crate::controller::dependencies::graph::Dependencies;
 use crate::controller::store::chunks::{ChunkLayout, EffectivePlacements, effective_placements};
@@ -13,14 +13,14 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::rc::Rc;
 
-/// Most final stances kept in memory; older ones are read again when asked for.
+/// Most final statuses kept in memory; older ones are read again when asked for.
 const ENDINGS_MAX: usize = 20_000;
 
 #[derive(Clone, Debug)]
 pub struct MirroredJob {
     pub record: Rc<JobRecord>,
     pub revision: u64,
-    /// When this process learnt that the job is withdrawn.
+    /// When this process learnt that the job is cancelled.
     pub cancelled: Option<Time>,
     /// The highest rank of the job and of the open ones that need it.
     pub priority_class: PriorityClass,
@@ -48,7 +48,7 @@
         if revision <= self.revision {
             return false;
         }
-        // A deleted key compares as revision 0 at the state service, but its
+        // A deleted key compares as revision 0 at the store, but its
         // deletion must still outrank older changes that come late.
         self.revision = revision;
         self.record = record;
@@ -65,13 +65,13 @@
     }
 }
 
-/// What a change means to the rest of the core.
+/// What a change means to the rest of the controller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A job is new, or its stance changed.
+    /// A job is new, or its status changed.
     Job(JobId),
     JobGone(JobId),
-    /// Leader, number, block or plan changed.
+    /// Leader, number, shard or plan changed.
     Control,
 }
 
--- a/src/controller/store/mod.rs
+++ b/src/controller/store/mod.rs
@@ -1,4 +1,4 @@
-//! What this controller knows of the state service, and its requests to it.
+//! What this controller knows of the store, and its requests to it.
 
 pub mod chunks;
 pub mod mirror;
--- a/src/controller/store/records.rs
+++ b/src/controller/store/records.rs
@@ -1,4 +1,4 @@
-//! What the controllers keep at the state service. All keys share one prefix, so
+//! What the controllers keep at the store. All keys share one prefix, so
 //! that one follow sees every change.
 
 use crate::controller::store::chunks::ranges;
@@ -12,7 +12,7 @@
 
 /// The prefix of every key.
 pub const PREFIX: &str = "s/";
-/// Listing starts behind this key: final stances are read by name when asked for,
+/// Listing starts behind this key: final statuses are read by name when asked for,
 /// since they are kept for good and grow without bound.
 pub const LIST_AFTER: &str = "s/end/~";
 
@@ -85,7 +85,7 @@
     pub incarnation: u64,
     #[serde(rename = "number")]
     pub token: FencingToken,
-    /// The grant that the record hangs on.
+    /// The lease that the record hangs on.
     #[serde(rename = "hold", default)]
     pub lease_id: u64,
     /// The leader calls the cloud only within so many milliseconds of a read of this record, so
@@ -103,10 +103,10 @@
     pub fence: Option<Fence>,
 }
 
-/// A machine as a block's record names it: type, zone, and whether it is spot.
+/// A machine as a shard's record names it: type, zone, and whether it is spot.
 pub type Entry = (MachineId, String, String, bool);
 
-/// A block: who holds it and under which number. Starts are committed on the
+/// A shard: who holds it and under which number. Starts are committed on the
 /// condition that this record is unchanged.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShardRecord {
@@ -116,16 +116,16 @@
     pub incarnation: u64,
     #[serde(rename = "number")]
     pub token: FencingToken,
-    /// The block's machines; `None` for all there are, while it is the only block.
+    /// The shard's machines; `None` for all there are, while it is the only shard.
     #[serde(default, with = "packed")]
     pub machines: Option<Vec<Entry>>,
     /// CPUs and GPUs that each team with a limit may use here; `None` for the whole
-    /// limit, while this is the only block.
+    /// limit, while this is the only shard.
     #[serde(rename = "allowances", default)]
     pub quota_shares: Option<BTreeMap<String, (f64, f64)>>,
 }
 
-/// How a block's list of machines is written: by type, zone and kind, and of the names
+/// How a shard's list of machines is written: by type, zone and kind, and of the names
 /// only what they don't share. Written one by one, a list outgrew its value at 71 machines.
 mod packed {
     use super::{Entry, MachineId};
@@ -182,7 +182,7 @@
 }
 
 impl ShardRecord {
-    /// Whether a machine belongs to this block.
+    /// Whether a machine belongs to this shard.
     pub fn has(&self, machine: &MachineId) -> bool {
         let list = self.machines.as_ref();
         list.is_none_or(|list| list.iter().any(|e| e.0 == *machine))
@@ -212,7 +212,7 @@
     pub wanted: Vec<(String, bool, u32)>,
     #[serde(rename = "hires")]
     pub scale_out_requests: Vec<ScaleOutRecord>,
-    /// Blocks that take new jobs, each with its share.
+    /// Shards that take new jobs, each with its share.
     #[serde(default)]
     pub shares: Vec<(u32, u32)>,
     /// What isn't to be had for now; tasks count on other pools meanwhile.
@@ -334,7 +334,7 @@
     pub done: Vec<(u32, u32)>,
     pub placed: Vec<Placed>,
     /// Failed tries of the job since a task of it last succeeded, when this was written. The
-    /// next holder blames neither the machines nor the job anew.
+    /// next owner blames neither the machines nor the job anew.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub failed_tries: u32,
     /// Machines on which the job's tasks failed, within a bound.
--- a/src/controller/store/requests.rs
+++ b/src/controller/store/requests.rs
@@ -1,4 +1,4 @@
-//! Calls to the state service: their budgets, and whose answer is whose.
+//! Calls to the store: their budgets, and whose answer is whose.
 
 use crate::controller::events::Output;
 use crate::controller::rate_limits::token_bucket::Priority;
@@ -6,14 +6,14 @@
 use crate::ids::CallId;
 use crate::wire::{StoreRequest, StoreResponse};
 
-/// Share of what the other controllers may write that the holder leaves to them at least.
+/// Share of what the other controllers may write that the owner leaves to them at least.
 const OTHERS_SHARE_MIN: f64 = 0.35;
-/// How much more than they wrote of late the others may write before the holder knows.
+/// How much more than they wrote of late the others may write before the owner knows.
 const USED_MARGIN: f64 = 1.5;
 
 impl Controller {
-    /// Splits the limits that all controllers use together. A single block's holder
-    /// places for all and gets more, the others share the rest; with several blocks
+    /// Splits the limits that all controllers use together. A single shard's owner
+    /// places for all and gets more, the others share the rest; with several shards
     /// the shares are even.
     pub(crate) fn update_rate_limits(&mut self) {
         let f = &self.settings.platform.facts;
@@ -37,7 +37,7 @@
             let used = self.write_rate.others() * USED_MARGIN;
             wps = all - used.clamp(theirs * OTHERS_SHARE_MIN, theirs);
         }
-        // Those who don't lead ask the cloud for its catalogue and delete machines.
+        // Those who don't lead ask the cloud for its catalog and delete machines.
         let cloud = f.cloud.rps * t.budget_share;
         let cloud = match (others, single, self.leadership.is_some()) {
             (0, _, _) | (_, true, _) => cloud,
--- a/src/controller/store/staleness.rs
+++ b/src/controller/store/staleness.rs
@@ -1,5 +1,5 @@
-//! How fresh the knowledge of the state service is: reads of the present revision, and whether
-//! a controller is blind.
+//! How fresh the knowledge of the store is: reads of the present revision, and whether
+//! a controller is stale.
 
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::{Controller, RETRY_S, RequestPurpose, STALENESS_BOUND_S};
@@ -7,7 +7,7 @@
 use crate::wire::{StoreRequest, StoreResponse};
 
 /// Shortest pause between two reads of the present revision, and the share of its requests
-/// that a controller reads it with for users who ask. With that and the follow's share, some
+/// that a controller reads it with for users who ask. With that and the watch's share, some
 /// are left for submissions and cancellations however often users ask.
 const REVISION_READ_GAP_S: f64 = 0.06;
 const QUESTION_SHARE: f64 = 0.35;
@@ -72,12 +72,12 @@
         self.answer_status_queries();
     }
 
-    /// Seconds since this controller last knew all that stood at the state service.
+    /// Seconds since this controller last knew all that stood at the store.
     pub(crate) fn staleness_s(&self) -> f64 {
         self.now.since(self.linearized_at)
     }
 
-    /// Whether it can't know what the state service holds now.
+    /// Whether it can't know what the store holds now.
     pub(crate) fn is_stale(&self) -> bool {
         !self.initial_list_done || self.staleness_s() > STALENESS_BOUND_S
     }
--- a/src/controller/store/watch.rs
+++ b/src/controller/store/watch.rs
@@ -1,4 +1,4 @@
-//! Following the state service: one listing, then every change.
+//! Following the store: one listing, then every change.
 
 use crate::controller::events::Output;
 use crate::controller::rate_limits::token_bucket::Priority;
@@ -8,7 +8,7 @@
 use crate::ids::Time;
 use crate::wire::{StoreRequest, StoreResponse};
 
-/// A follow that hasn't brought a revision known to exist for this long hangs.
+/// A watch that hasn't brought a revision known to exist for this long hangs.
 const WATCH_STUCK_S: f64 = 1.5;
 /// Share of its requests that a controller which places nothing follows with.
 const WATCH_SHARE: f64 = 0.4;
@@ -26,7 +26,7 @@
             WatchState::Paused { retry_at } if self.now >= retry_at => self.start_watch(),
             WatchState::Paused { .. } if self.suspects_leader().is_some() => self.start_watch(),
             WatchState::Following { call } => {
-                // A cut can leave the follow's connection open and dead: a revision
+                // A cut can leave the watch's connection open and dead: a revision
                 // that is known to exist doesn't come through it.
                 let stuck = self
                     .revision_reads
@@ -71,7 +71,7 @@
         let WatchState::Listing { first, entries } = &mut self.watch else {
             return;
         };
-        // Later pages may show later changes; the follow starts at the first
+        // Later pages may show later changes; the watch starts at the first
         // page's revision and brings what the pages missed.
         let began = *first.get_or_insert(revision);
         entries.extend(page);
@@ -99,7 +99,7 @@
     }
 
     /// Goes on following: at once where tasks are placed. The others let changes gather,
-    /// so that opening the follow again for each of them doesn't use up their requests:
+    /// so that opening the watch again for each of them doesn't use up their requests:
     /// with five controllers that kept submissions waiting for a second.
     pub(crate) fn continue_watch(&mut self) {
         let takes_over = self.suspects_leader().is_some() || self.has_won();
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -121,7 +121,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// A call to the state service or the cloud.
+/// A call to the store or the cloud.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -98,9 +98,9 @@
 pub struct Metrics {
     /// Time that one input took, in microseconds.
     steps: Histogram<u32>,
-    /// Time that the state service took to answer a commit, in microseconds.
+    /// Time that the store took to answer a commit, in microseconds.
     commits: Histogram<u32>,
-    /// Answers by which the state service or the cloud refused a call.
+    /// Answers by which the store or the cloud refused a call.
     refused: u32,
     queued: usize,
     busy: Busy,
@@ -158,7 +158,7 @@
         self.refused += 1;
     }
 
-    /// A message was sent to a sibling.
+    /// A message was sent to a peer.
     pub fn sent_to_peer(&mut self, bytes: usize) {
         self.to_peers.add(bytes);
     }
--- a/src/net/calls.rs
+++ b/src/net/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the state service and the cloud, over a few connections each.
+//! Calls to the store and the cloud, over a few connections each.
 
 use crate::controller::events::Input;
 use crate::http::{Decoder, Message, Side};
@@ -178,7 +178,7 @@
         self.start_queued(service);
     }
 
-    /// Hands the core the answer to a call, or word that there is none.
+    /// Hands the controller the answer to a call, or word that there is none.
     pub(super) fn finish_call(&mut self, id: CallId, message: Option<&Message>) {
         let Some(out) = self.calls.remove(&id) else {
             return;
--- a/src/net/connections.rs
+++ b/src/net/connections.rs
@@ -13,7 +13,7 @@
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, SocketAddrV4, TcpStream};
 
-/// Sockets kept for the state service, the cloud, siblings and listeners.
+/// Sockets kept for the store, the cloud, peers and listeners.
 const OUTGOING_SOCKETS: usize = 40;
 /// Share of the other sockets that workers may use: users and health checks get through
 /// however many machines there are. Users' connections give way to workers' below that.
@@ -23,7 +23,7 @@
 const CELL_OUT_MAX: usize = 2 * salttrestle_cells::message::MESSAGE_MAX;
 /// Quiet connections are closed after this time, or sooner when sockets are short.
 const IDLE_S: f64 = 90.0;
-/// Answers from the state service have no size limit; a follow that brings more than
+/// Answers from the store have no size limit; a watch that brings more than
 /// this at once is given up, and the connection with it.
 pub(super) const ANSWER_MAX: usize = 8 << 20;
 /// A whole request has to come within this time.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! The `polling` loop: sockets, timers, reconnects. It turns bytes into the core's
+//! The `polling` loop: sockets, timers, reconnects. It turns bytes into the controller's
 //! inputs and carries out its outputs.
 
 mod calls;
@@ -57,7 +57,7 @@
     queued: HashMap<Service, VecDeque<CallId>>,
     peers: HashMap<ControllerId, usize>,
     peer_retry: HashMap<ControllerId, Time>,
-    /// Connections to siblings with messages of this turn.
+    /// Connections to peers with messages of this turn.
     unflushed: BTreeSet<usize>,
     /// Connections to controllers of other cells, and when the next may be begun.
     cell_links: HashMap<SocketAddrV4, usize>,
@@ -123,7 +123,7 @@
 }
 
 /// A system's usual limit on open files may be far below the sockets that the platform
-/// grants: raises it as far as it goes.
+/// leases: raises it as far as it goes.
 fn allow_files(sockets: usize) {
     let wanted = (sockets + OTHER_FILES) as u64;
     match rlimit::increase_nofile_limit(wanted) {
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Feeds the core what has come, and lets it see the time.
+    /// Feeds the controller what has come, and lets it see the time.
     fn work(&mut self) {
         let now = self.now();
         if now >= self.sweep_at {
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Feeds the core all that came, also what comes of that.
+    /// Feeds the controller all that came, also what comes of that.
     fn take_inputs(&mut self) {
         loop {
             while let Some(input) = self.inputs.pop_front() {
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -12,7 +12,7 @@
 const CONNECT_PEER_S: f64 = 1.0;
 
 impl Net {
-    /// Notes whether a connection to a sibling was made or refused.
+    /// Notes whether a connection to a peer was made or refused.
     pub(super) fn check_link(&mut self, key: usize) {
         let Some(conn) = self.conns.get_mut(&key) else {
             return;
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Queues a message to one sibling, or to all. It is written at the end of the turn, so that
-    /// all that goes to a sibling then is one write.
+    /// Queues a message to one peer, or to all. It is written at the end of the turn, so that
+    /// all that goes to a peer then is one write.
     pub(super) fn say(&mut self, to: Option<&ControllerId>, bytes: &[u8]) {
         for index in 0..self.settings.platform.peers.len() {
             let peer = &self.settings.platform.peers[index];
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The connection to a sibling; begins one if there is none and none was tried just now.
+    /// The connection to a peer; begins one if there is none and none was tried just now.
     fn peer_link(&mut self, controller_id: &ControllerId, endpoint: SocketAddrV4) -> Option<usize> {
         if let Some(key) = self.peers.get(controller_id) {
             return Some(*key);
@@ -102,12 +102,12 @@
         Some(key)
     }
 
-    /// Writes what was queued for siblings in this turn.
+    /// Writes what was queued for peers in this turn.
     pub(super) fn flush_peers(&mut self) {
         for key in std::mem::take(&mut self.unflushed) {
             if self.flush(key) {
                 // A connection that was made at once takes all of the first message, and never
-                // becomes writable again: its sibling stayed down for good after a restart.
+                // becomes writable again: its peer stayed down for good after a restart.
                 self.check_link(key);
             } else {
                 self.close(key);
--- a/src/net/waiting.rs
+++ b/src/net/waiting.rs
@@ -1,8 +1,8 @@
 //! Waiting for sockets and for the next timer.
 //!
 //! Sockets are watched by `polling`. Its own wait sets a timer, arms that timer and a notifier, and
-//! reads the notifier: five system calls, where all else that a report takes here are two or three.
-//! A controller on a small machine spends more on them than on what it does for the report. On
+//! reads the notifier: five system calls, where all else that a heartbeat takes here are two or three.
+//! A controller on a small machine spends more on them than on what it does for the heartbeat. On
 //! Linux this module therefore waits on the poller's own descriptor, by one call. What it relies
 //! on, that an event's data is the key given to `polling`, is checked by `tests/waiting.rs`.
 
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -28,7 +28,7 @@
     Standby(Box<StandbyMessage>),
 }
 
-/// Why a sibling's connection is closed.
+/// Why a peer's connection is closed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum FrameError {
     /// Longer than any message.
@@ -50,30 +50,30 @@
     pub incarnation: u64,
     /// Who leads, as far as it knows.
     pub leader: Option<ControllerId>,
-    /// Who holds each block, and under which number.
+    /// Who holds each shard, and under which number.
     pub shards: Vec<(u32, FencingToken, ControllerId)>,
-    /// Whether the state service has answered it lately.
+    /// Whether the store has answered it lately.
     pub is_fresh: bool,
-    /// How long ago it last knew all that stood at the state service, in milliseconds.
+    /// How long ago it last knew all that stood at the store, in milliseconds.
     pub staleness_ms: u64,
     /// Whether a worker has reported to it lately, wherever it was sent on to.
     pub hears_workers: bool,
-    /// Whether it holds a block whose workers have stopped reporting to it.
+    /// Whether it holds a shard whose workers have stopped reporting to it.
     pub workers_unreachable: bool,
-    /// Whether it can hand reports on to the holder.
+    /// Whether it can hand heartbeats on to the owner.
     pub can_forward: bool,
     /// The sender's clock, in milliseconds.
     pub at_ms: u64,
-    /// The clock and the process of the latest message like this one from each sibling.
+    /// The clock and the process of the latest message like this one from each peer.
     pub echoes: Vec<(ControllerId, u64, u64)>,
-    /// How long ago it last answered a worker in a holder's place, in milliseconds.
+    /// How long ago it last answered a worker in an owner's place, in milliseconds.
     pub since_keepalive_ms: u64,
-    /// Machines of its blocks that have tasks and don't report, within a bound: what is
+    /// Machines of its shards that have tasks and don't heartbeat, within a bound: what is
     /// cancelled there can't be confirmed soon.
     pub overdue: Vec<MachineId>,
 }
 
-/// A worker's report, handed on to its block's holder.
+/// A worker's heartbeat, handed on to its shard's owner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ForwardedHeartbeat {
     pub from: ControllerId,
@@ -141,7 +141,7 @@
     }
 }
 
-/// The answer to a report that was handed on.
+/// The answer to a heartbeat that was handed on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ForwardedResponse {
     /// The process that asked, and its request.
@@ -152,13 +152,13 @@
     pub retry_after: Option<u32>,
 }
 
-/// What a block's holder counts for the leader.
+/// What a shard's owner counts for the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShardCounts {
     pub from: ControllerId,
     pub shard: u32,
     pub token: FencingToken,
-    /// The revision of the block's record under which this was counted.
+    /// The revision of the shard's record under which this was counted.
     pub revision: u64,
     /// Each pool by type and kind.
     pub pools: Vec<(String, bool, PoolCount)>,
@@ -200,7 +200,7 @@
     pub gpus_wanted: f64,
 }
 
-/// Frames a message; `Err` with its size if no sibling would take it.
+/// Frames a message; `Err` with its size if no peer would take it.
 pub fn frame(message: &Message) -> Result<Vec<u8>, usize> {
     let (version, body) = match message {
         Message::Standby(message) => (STANDBY_VERSION, message.encode()),
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -21,7 +21,7 @@
     /// The other controllers.
     #[serde(rename = "siblings", default)]
     pub peers: Vec<Peer>,
-    /// State service and cloud.
+    /// Store and cloud.
     pub services: Services,
     /// What is the same for all controllers.
     pub facts: Facts,
@@ -45,7 +45,7 @@
 pub struct Services {
     /// The cloud's interface.
     pub cloud: SocketAddrV4,
-    /// The state service.
+    /// The store.
     pub state: SocketAddrV4,
 }
 
@@ -64,7 +64,7 @@
     pub objectives: Vec<Objective>,
     /// Times of the workers.
     pub workers: Workers,
-    /// Limits of the state service.
+    /// Limits of the store.
     pub state: StateLimits,
     /// Limits of the cloud's interface.
     pub cloud: CloudLimits,
@@ -107,10 +107,10 @@
 /// Times of the workers, in seconds.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Workers {
-    /// Between two reports.
+    /// Between two heartbeats.
     #[serde(rename = "report_s")]
     pub report_s: f64,
-    /// After the last answered report a worker kills its tasks.
+    /// After the last answered heartbeat a worker kills its tasks.
     pub lease_s: f64,
     /// In which a cancelled job's tasks have to be gone.
     pub cancel_s: f64,
--- a/src/settings/state_limits.rs
+++ b/src/settings/state_limits.rs
@@ -1,9 +1,9 @@
-//! Limits of the state service, now and later.
+//! Limits of the store, now and later.
 
 use crate::settings::{SettingsError, bad};
 use serde::Deserialize;
 
-/// Limits of the state service, as they are now and as they are announced to become.
+/// Limits of the store, as they are now and as they are announced to become.
 #[derive(Clone, Debug, Deserialize)]
 pub struct StateLimits {
     /// Requests a second.
@@ -19,7 +19,7 @@
     pub next: Option<NextStateLimits>,
 }
 
-/// Limits that the state service will have later. Those that are left out stay as they are.
+/// Limits that the store will have later. Those that are left out stay as they are.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 pub struct NextStateLimits {
     /// Requests a second.
@@ -99,7 +99,7 @@
     pub txn_ops: usize,
 }
 
-/// An election writes the leader's and the number's records and leases a block, and a job's end
+/// An election writes the leader's and the number's records and leases a shard, and a job's end
 /// is written with the deletion of its record and of chunks.
 const TXN_OPS_LEAST: usize = 4;
 
--- a/src/settings/tuning.rs
+++ b/src/settings/tuning.rs
@@ -10,19 +10,19 @@
 /// Operators' settings; `deploy/salttrestle.properties` documents each key in full.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tuning {
-    /// `leader.grant-s`: life of the leader's grant, in seconds.
+    /// `leader.grant-s`: life of the leader's lease, in seconds.
     pub leader_lease_s: f64,
-    /// `shard.lease-s`: life of a block's lease, in seconds.
+    /// `shard.lease-s`: life of a shard's lease, in seconds.
     pub shard_lease_s: f64,
-    /// `shard.min-machines`: fewest machines of a block.
+    /// `shard.min-machines`: fewest machines of a shard.
     pub shard_min: f64,
-    /// `shard.cpu`: share of the processor that a block's holder may use.
+    /// `shard.cpu`: share of the processor that a shard's owner may use.
     pub shard_cpu: f64,
     /// `standby.heartbeat-s`: between two heartbeats of the leader; 0 for no standby.
     pub heartbeat_s: f64,
     /// `standby.missed`: heartbeats missed before the leader is suspected.
     pub missed: f64,
-    /// `standby.takeovers-per-minute`: most changes of leadership before the grant's end.
+    /// `standby.takeovers-per-minute`: most changes of leadership before the lease's end.
     pub takeovers_per_minute: f64,
     /// `standby.hints-s`: between two hints of the leader; 0 for none.
     pub hints_s: f64,
@@ -40,9 +40,9 @@
     pub headroom: f64,
     /// `budget.share`: part of the limits that the controllers use together.
     pub budget_share: f64,
-    /// `budget.owner`: part of that for a block's holder.
+    /// `budget.owner`: part of that for a shard's owner.
     pub budget_owner: f64,
-    /// `report.lease_id`: how long a report's answer may wait, in report intervals.
+    /// `report.lease_id`: how long a heartbeat's answer may wait, in heartbeat intervals.
     pub report_hold: f64,
     /// `health.silent`: when a silent machine is deleted, in leases.
     pub silent: f64,
--- a/src/wire/state.rs
+++ b/src/wire/state.rs
@@ -1,4 +1,4 @@
-//! Calls to the state service and its answers.
+//! Calls to the store and its answers.
 
 use crate::controller::store::records::{Key, LimitsByTeam, LimitsRecord, PREFIX, Record};
 use crate::wire::{Call, Num, decode, encode, get};
@@ -44,7 +44,7 @@
         ttl_ms: u64,
     },
     RenewLease(u64),
-    /// Ends a grant now, and with it the keys that hang on it.
+    /// Ends a lease now, and with it the keys that hang on it.
     RevokeLease(u64),
     Watch {
         after: u64,
@@ -83,7 +83,7 @@
     },
     /// 410: too old to follow from.
     Compacted,
-    /// A grant that is over.
+    /// A lease that is over.
     LeaseNotFound,
     /// 400: not executed, and never will be as it is: beyond a limit of size.
     Rejected,
@@ -95,7 +95,7 @@
     Malformed,
 }
 
-/// How long the state service lets a follow wait, and a page's size.
+/// How long the store lets a watch wait, and a page's size.
 pub const WATCH_MS: u64 = 10_000;
 const PAGE: usize = 500;
 
@@ -133,7 +133,7 @@
     ttl_ms: u64,
 }
 
-/// A record as the state service keeps it.
+/// A record as the store keeps it.
 pub fn record_value(record: &Record) -> Value {
     let value = match record {
         Record::Leader(r) => Value::serialized(r),
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -83,7 +83,7 @@
     id: String,
 }
 
-/// Reads and checks a submission. Chunk size and block are for the core to set.
+/// Reads and checks a submission. Chunk size and shard are for the controller to set.
 pub fn submission(body: &[u8]) -> Result<(JobId, JobRecord), BadBody> {
     checked(body).map_err(|bad| {
         let named = ciborium::from_reader::<Named, _>(body).ok();
@@ -161,7 +161,7 @@
     Ok((id, record))
 }
 
-/// A job's stance as users are told it.
+/// A job's status as users are told it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobStatus {
@@ -181,7 +181,7 @@
     running: u32,
 }
 
-/// The answer to a submission, a question or a withdrawal.
+/// The answer to a submission, a question or a cancellation.
 pub fn job_status_body(id: &JobId, status: JobStatus, done: u32, running: u32) -> Vec<u8> {
     encode(&JobStatusBody {
         id: id.as_str(),
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -1,10 +1,10 @@
-//! Workers' reports, and the commands in the answers.
+//! Workers' heartbeats, and the commands in the answers.
 
 use crate::ids::{Attempt, ControllerId, FencingToken};
 use crate::wire::{Num, encode};
 use serde::{Deserialize, Serialize};
 
-/// One worker's report.
+/// One worker's heartbeat.
 #[derive(Clone, Debug, Deserialize)]
 pub struct WorkerHeartbeat {
     #[serde(rename = "rig")]
@@ -95,7 +95,7 @@
     cues: &'a [Command],
 }
 
-/// The answer to a report.
+/// The answer to a heartbeat.
 pub fn commands_body(token: FencingToken, commands: &[Command]) -> Vec<u8> {
     encode(&CommandsBody {
         baton: token,
--- a/standby/src/config.rs
+++ b/standby/src/config.rs
@@ -10,23 +10,23 @@
     pub heartbeat_ms: Millis,
     /// So many heartbeats missed in a row speak against the leader.
     pub missed: u32,
-    /// Most changes of leadership in a minute before the next one waits for the grant's end.
+    /// Most changes of leadership in a minute before the next one waits for the lease's end.
     pub takeovers_per_minute: u32,
     /// Between two hints of the leader; 0 for none.
     pub hints_ms: Millis,
-    /// Life of the leader's grant.
+    /// Life of the leader's lease.
     pub lease_ms: Millis,
 }
 
 /// Settings that contradict each other.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ConfigError {
-    /// The grant is over before the heartbeats tell anything.
+    /// The lease is over before the heartbeats tell anything.
     #[error("{silence_ms} ms without a heartbeat are no less than the grant's {lease_ms} ms")]
     SilenceOutlastsGrant {
         /// Silence after which a leader is suspected.
         silence_ms: Millis,
-        /// Life of the grant.
+        /// Life of the lease.
         lease_ms: Millis,
     },
     /// Hints go with heartbeats.
@@ -35,7 +35,7 @@
 }
 
 impl Config {
-    /// Whether leaders are replaced before their grant's end at all.
+    /// Whether leaders are replaced before their lease's end at all.
     pub fn enabled(&self) -> bool {
         self.heartbeat_ms > 0
     }
--- a/standby/src/fence.rs
+++ b/standby/src/fence.rs
@@ -2,15 +2,15 @@
 //!
 //! A commit of an outdated leader fails by its conditions, whenever it is carried out. A call to the
 //! cloud has none. So a leader rents and returns machines only while a read of its own record, and a
-//! renewal of its grant, were both sent no longer ago than the life of that grant. Whoever replaces
-//! its record before the grant's end, by a commit carried out at T, knows that every read which
+//! renewal of its lease, were both sent no longer ago than the life of that lease. Whoever replaces
+//! its record before the lease's end, by a commit carried out at T, knows that every read which
 //! still showed the old record was sent before T, and that the old leader's last call is sent before
 //! T plus that life. It waits for as long from the moment at which it sees its own commit, which is
 //! later than T; the clocks' drift is added by the caller.
 //!
-//! A successor may be gone before that time is over. Its own grant, if it was asked for before the
+//! A successor may be gone before that time is over. Its own lease, if it was asked for before the
 //! commit, can end sooner than the time that it had to wait, and the next one then finds no record.
-//! So the wait stands beside the highest number, which outlives grants, until a leader has written
+//! So the wait stands beside the highest number, which outlives leases, until a leader has written
 //! a plan: that is written only when its wait is over.
 
 use crate::Millis;
@@ -30,7 +30,7 @@
 /// is conditional on the records of the leader and of the highest number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Predecessors {
-    /// The life of the grant of the leader whose record is replaced, if one stands that isn't of
+    /// The life of the lease of the leader whose record is replaced, if one stands that isn't of
     /// an earlier process of the same controller.
     pub replaced_grant_ms: Option<Millis>,
     /// The wait that the latest election left.
--- a/standby/src/lib.rs
+++ b/standby/src/lib.rs
@@ -1,12 +1,12 @@
 //! Warm standby: how the controllers that don't lead notice that the leader is gone, and what the
 //! next one of them knows as it begins.
 //!
-//! The leader's record at the state service hangs on a grant of a few seconds, and without this
-//! package nobody takes over before that grant is over. Here the others agree sooner:
+//! The leader's record at the store hangs on a lease of a few seconds, and without this
+//! package nobody takes over before that lease is over. Here the others agree sooner:
 //! [`detector`] says whether one controller has lost the leader, [`standby`] counts how many have,
 //! and a majority may replace the leader's record at once, by a commit on the condition that it is
 //! unchanged. [`fence`] says for how long such a successor leaves the cloud alone: calls to the
-//! cloud carry no condition, so that they rest on the grant of whoever led before. [`hints`] has
+//! cloud carry no condition, so that they rest on the lease of whoever led before. [`hints`] has
 //! what the leader tells the others of what no record holds, and [`message`] both kinds of messages.
 //!
 //! No rule rests on who is suspected or on what a hint says: suspicion only decides when a commit
--- a/standby/src/standby.rs
+++ b/standby/src/standby.rs
@@ -24,11 +24,11 @@
     /// The leadership's number.
     pub token: u64,
     /// The time within which the leader must have read its own record before it calls the cloud.
-    /// Without it nobody may replace it before its grant's end.
+    /// Without it nobody may replace it before its lease's end.
     pub fenced_ms: Option<Millis>,
 }
 
-/// A sibling has lost the leader of a number.
+/// A peer has lost the leader of a number.
 #[derive(Clone, Copy, Debug)]
 struct Vote {
     token: u64,
@@ -145,7 +145,7 @@
         }
     }
 
-    /// The connection to a sibling is lost, or refused.
+    /// The connection to a peer is lost, or refused.
     pub fn on_disconnected(&mut self, now: Millis, controller_id: &str) {
         if self
             .term
@@ -170,7 +170,7 @@
         self.detector.suspicion(&self.config, now)
     }
 
-    /// Whether the leader's record may be replaced before its grant's end.
+    /// Whether the leader's record may be replaced before its lease's end.
     pub fn may_replace(&self, now: Millis) -> Result<(), Hold> {
         let Some(term) = self.term.as_ref().filter(|_| self.suspicion(now).is_some()) else {
             return Err(Hold::NotSuspected);
--- a/standby/tests/takeovers.rs
+++ b/standby/tests/takeovers.rs
@@ -150,7 +150,7 @@
     }
 }
 
-/// An old leader that stands still, a successor whose grant ends soon after its commit, and the next
+/// An old leader that stands still, a successor whose lease ends soon after its commit, and the next
 /// one, which finds no record: it has to wait for the first one all the same.
 fn successor_of_a_successor(mistake: Mistake) -> Option<String> {
     let mut world = World::new(mistake);
--- a/standby/tests/world/mod.rs
+++ b/standby/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! Controllers, a state service, one task, two workers and a cloud, as far as a takeover concerns
+//! Controllers, a store, one task, two workers and a cloud, as far as a takeover concerns
 //! them. Anything may be late, lost, copied or overtaken; controllers stand still, end and return.
 
 use salttrestle_standby::fence::{Fence, Predecessors};
@@ -32,9 +32,9 @@
     NoFence,
     /// A successor's successor knows nothing of the wait.
     FenceForgotten,
-    /// The cloud is called on a renewed grant, whatever the leader's record says by now.
+    /// The cloud is called on a renewed lease, whatever the leader's record says by now.
     CallsWithoutReading,
-    /// A new holder places what it doesn't know to be placed, before its follow has caught up.
+    /// A new owner places what it doesn't know to be placed, before its follow has caught up.
     OrdersBeforeCaughtUp,
     /// A hint that a task has ended is taken for a proof.
     StreamBelieved,
@@ -46,7 +46,7 @@
     lease: usize,
 }
 
-/// What stands at the state service, with the revision of each record's last change.
+/// What stands at the store, with the revision of each record's last change.
 #[derive(Clone, Debug, Default)]
 pub struct Records {
     pub revision: u64,
@@ -85,7 +85,7 @@
     token: u64,
     block: u64,
     cloud_from: u64,
-    /// The attempt that this holder placed and committed, to be started.
+    /// The attempt that this owner placed and committed, to be started.
     own: Option<Placed>,
     planned_at: u64,
 }
@@ -98,9 +98,9 @@
     view: Records,
     /// When the latest read was sent that it knows.
     read_at: u64,
-    /// Grants that were asked for, and when.
+    /// Leases that were asked for, and when.
     grants: Vec<(usize, u64)>,
-    /// The grant that its record names, and when its renewal was last sent.
+    /// The lease that its record names, and when its renewal was last sent.
     lease: Option<(usize, u64)>,
     leadership: Option<Leadership>,
     pub is_leader: bool,
@@ -185,7 +185,7 @@
         self.controllers[n].up && !self.controllers[n].paused
     }
 
-    /// Time passes: grants and leases of workers end.
+    /// Time passes: leases and leases of workers end.
     pub fn wait(&mut self, ms: u64) {
         self.now += ms;
         let leader = self.records.leader.1.as_ref();
@@ -200,7 +200,7 @@
         }
     }
 
-    /// A controller reads all records; a holder learns what came of its commits.
+    /// A controller reads all records; an owner learns what came of its commits.
     pub fn read(&mut self, n: usize) {
         if !self.acts(n) {
             return;
@@ -299,7 +299,7 @@
         });
     }
 
-    /// Whether a leader takes its grant to be alive and its record to stand.
+    /// Whether a leader takes its lease to be alive and its record to stand.
     fn may_call(&self, n: usize) -> Option<u64> {
         let c = &self.controllers[n];
         let leadership = c.leadership.as_ref().filter(|l| self.now >= l.cloud_from)?;
@@ -385,7 +385,7 @@
         self.records.revision = next;
     }
 
-    /// A holder places the task if it knows of no placement.
+    /// An owner places the task if it knows of no placement.
     pub fn place(&mut self, n: usize, machine: usize) {
         if !self.acts(n) {
             return;
@@ -409,7 +409,7 @@
         });
     }
 
-    /// A worker reports to a controller, which answers if it holds the block.
+    /// A worker heartbeats to a controller, which answers if it holds the shard.
     pub fn report(&mut self, machine: usize, n: usize) {
         if !self.acts(n) {
             return;
@@ -424,7 +424,7 @@
         let own = leadership.own.filter(|p| p.machine == machine);
         let sighted = self.now - c.read_at < GRANT_MS;
         let start = own.filter(|p| shown && sighted && runs != Some(p.attempt));
-        // Placed by an earlier holder, and not there under the present number: proven gone.
+        // Placed by an earlier owner, and not there under the present number: proven gone.
         let foreign = placed.filter(|p| p.attempt >> 8 != leadership.block);
         if shown && foreign.is_some_and(|p| runs != Some(p.attempt)) {
             let conditions = c.view.clone();
--- a/tests/malformed.rs
+++ b/tests/malformed.rs
@@ -372,7 +372,7 @@
     assert_eq!(peer::unframe(&mut other_version), Ok(None));
     assert!(other_version.is_empty(), "another version is passed over");
     standby_messages();
-    // A message that no sibling would take is refused here, not cut off.
+    // A message that no peer would take is refused here, not partitioned.
     let large = peer::Message::ForwardedResponse(peer::ForwardedResponse {
         incarnation: 1,
         request_id: 2,
@@ -434,7 +434,7 @@
     }
 }
 
-/// What is written of a block's machines is read again, whatever they are called, and
+/// What is written of a shard's machines is read again, whatever they are called, and
 /// 1,200 of them fit into a value.
 #[test]
 fn a_list_of_machines_is_packed() {
--- a/tests/processor.rs
+++ b/tests/processor.rs
@@ -1,4 +1,4 @@
-//! How busy a process is, and what follows for the number of blocks.
+//! How busy a process is, and what follows for the number of shards.
 
 use salttrestle::controller::processor::ProcessorUtilization;
 use salttrestle::ids::Time;
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -7,7 +7,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use salttrestle::ids::{JobId, TaskId};
-use salttrestle_standins::checker::{Checker, Place, Said};
+use salttrestle_fakes::checker::{Checker, Place, Said};
 use sim::world::World;
 use std::path::Path;
 
@@ -102,7 +102,7 @@
 ];
 
 /// A day on which two or three troubles meet, with pipelines, cancellations, users who look closely
-/// and odd requests among them; every other one has an outage of the state service besides.
+/// and odd requests among them; every other one has an outage of the store besides.
 fn drawn(seed: u64) -> String {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut text = format!(
@@ -153,7 +153,7 @@
     )
 }
 
-/// How many machines a holder looks at to place a burst on a fleet of which all but a
+/// How many machines an owner looks at to place a burst on a fleet of which all but a
 /// few machines are full.
 fn looked_at(machines: u32) -> Result<u64, Failed> {
     let text = |end| {
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -113,7 +113,7 @@
         (1, 3)
     );
     assert_eq!(usual.ceiling(), 800, "two controllers' sockets");
-    // All workers of a controller that has 4,000 sockets report as a new holder appears.
+    // All workers of a controller that has 4,000 sockets heartbeat as a new owner appears.
     let large = settings("1.0", "4000");
     let report = peer::ForwardedHeartbeat::new(
         &"n".into(),
@@ -133,7 +133,7 @@
     assert!(Platform::parse(&PLATFORM.replace("\"cpu\":0.1", "\"cpu\":0"), "f").is_err());
 }
 
-/// A report of a machine with so many tasks.
+/// A heartbeat of a machine with so many tasks.
 fn report_of(tasks: usize) -> wire::WorkerHeartbeat {
     let task = |index: usize| wire::HeartbeatTask {
         task: format!("wk-000398/{index}"),
--- a/tests/sheltered_tasks.rs
+++ b/tests/sheltered_tasks.rs
@@ -1,4 +1,4 @@
-//! What a controller answers a worker of its zone while the holder can't be reached.
+//! What a controller answers a worker of its zone while the owner can't be reached.
 
 use salttrestle::controller::Controller;
 use salttrestle::controller::events::{Input, Output, Request};
@@ -59,7 +59,7 @@
     }
 }
 
-/// A controller of zone a that knows the holder's record, and these news.
+/// A controller of zone a that knows the owner's record, and these news.
 fn controller(now: &mut u64, news: &[Change]) -> Controller {
     let settings = Settings {
         platform: Platform::parse(PLATFORM, "test").expect("good"),
@@ -115,8 +115,8 @@
     String::from_utf8_lossy(&answered.expect("an answer")).into_owned()
 }
 
-/// A job that the follow hasn't brought yet was taken for one that is over: its tasks, the last that
-/// the holder had started, were halted, and started again by its successor.
+/// A job that the watch hasn't brought yet was taken for one that is over: its tasks, the last that
+/// the owner had started, were stopped, and started again by its successor.
 #[test]
 fn tasks_of_an_unknown_job_go_on() {
     let body = answer(&[]);
--- a/tests/sim/limits.rs
+++ b/tests/sim/limits.rs
@@ -2,7 +2,7 @@
 
 use super::world::{Args, Ev, World, ms, num};
 use salttrestle::controller::store::records::{Key, LimitsByTeam, LimitsRecord, Record};
-use salttrestle_standins::store::{CommitOutcome, Write};
+use salttrestle_fakes::store::{CommitOutcome, Write};
 
 /// A lowered limit has stopped new starts within this time.
 const IN_FORCE_S: f64 = 5.0;
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Notes which changes the blocks' records show by now.
+    /// Notes which changes the shards' records show by now.
     pub fn check_limits(&mut self) {
         let entries = self.state.store.entries.values();
         let shards: Vec<_> = entries
--- a/tests/sim/mod.rs
+++ b/tests/sim/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for state service, cloud, workers and users, in simulated time, around
+//! Stand-ins for store, cloud, workers and users, in simulated time, around
 //! real cores; a checker looks at every rule after every step.
 
 mod digest;
--- a/tests/sim/script.rs
+++ b/tests/sim/script.rs
@@ -7,7 +7,7 @@
 use salttrestle::controller::events::Input;
 use salttrestle::ids::JobId;
 use salttrestle::wire;
-use salttrestle_standins::worker::TaskSpec;
+use salttrestle_fakes::worker::TaskSpec;
 
 impl World {
     pub fn leader(&self) -> Option<usize> {
--- a/tests/sim/services.rs
+++ b/tests/sim/services.rs
@@ -1,4 +1,4 @@
-//! How the state service and the cloud are asked, and what becomes of their answers.
+//! How the store and the cloud are asked, and what becomes of their answers.
 
 use super::state::Waiter;
 use super::world::{Ev, Far, World};
@@ -64,7 +64,7 @@
         self.wake_followers();
     }
 
-    /// Notes whose record says that it leads. With several blocks each holder deletes machines of
+    /// Notes whose record says that it leads. With several shards each owner deletes machines of
     /// its own.
     pub(super) fn note_leader(&mut self) {
         let entry = self.state.store.entries.get("s/own/leader");
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Whether the state service answers 429: more was asked of it this second than it takes.
+    /// Whether the store answers 429: more was asked of it this second than it takes.
     pub(super) fn throttled(&mut self) -> bool {
         let (most, until) = self.throttle;
         let second = self.now / 1000;
--- a/tests/sim/state.rs
+++ b/tests/sim/state.rs
@@ -1,15 +1,15 @@
-//! The state service, as PROTOCOL describes it.
+//! The store, as PROTOCOL describes it.
 
 use salttrestle::controller::store::chunks::ChunkLayout;
 use salttrestle::controller::store::records::{Key, PREFIX, Record};
 use salttrestle::ids::CallId;
 use salttrestle::settings::NextStateLimits;
 use salttrestle::wire::{Change, StoreRequest, StoreResponse, Write, record_value};
-use salttrestle_standins::orders::Orders;
-use salttrestle_standins::rate::RateLimit;
-use salttrestle_standins::store::{self, CommitOutcome, Store};
+use salttrestle_fakes::orders::Orders;
+use salttrestle_fakes::rate::RateLimit;
+use salttrestle_fakes::store::{self, CommitOutcome, Store};
 
-/// A follow that waits for news.
+/// A watch that waits for news.
 pub struct Waiter {
     pub node: usize,
     pub incarnation: u64,
@@ -35,7 +35,7 @@
     pub orders: Orders,
 }
 
-/// Changes that the state service keeps for followers.
+/// Changes that the store keeps for followers.
 const KEPT: usize = 10_000;
 /// Entries in one page of a listing.
 const PAGE: usize = 50;
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Ends grants whose time is over.
+    /// Ends leases whose time is over.
     pub fn expire(&mut self, now: u64) {
         if !self.outage {
             self.store.expire(now);
@@ -85,7 +85,7 @@
         (!news.is_empty()).then_some(StoreResponse::Changes { revision, news })
     }
 
-    /// Executes a request; `None` for a follow that has to wait.
+    /// Executes a request; `None` for a watch that has to wait.
     pub fn execute(&mut self, now: u64, op: &StoreRequest) -> Option<StoreResponse> {
         if self.outage {
             return match op {
--- a/tests/sim/troubles.rs
+++ b/tests/sim/troubles.rs
@@ -8,7 +8,7 @@
 use salttrestle::controller::store::records::{JobRecord, Key, Record, Resources};
 use salttrestle::ids::JobId;
 use salttrestle::wire::{StoreRequest, StoreResponse, WorkerHeartbeat};
-use salttrestle_standins::checker::Said;
+use salttrestle_fakes::checker::Said;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A share of what it strikes, and until when.
@@ -20,11 +20,11 @@
     pub late_writes: Trouble,
     /// Transactions are carried out, and their answers lost.
     pub lost_answers: Trouble,
-    /// The state service answers late.
+    /// The store answers late.
     pub slow_state: Trouble,
-    /// Reports come again, up to well over a lease later.
+    /// Heartbeats come again, up to well over a lease later.
     pub late_reports: Trouble,
-    /// Reports are kept, and given to every controller when the next leader begins.
+    /// Heartbeats are kept, and given to every controller when the next leader begins.
     pub kept_reports: Trouble,
     /// Jobs are called off at the moment at which their last task ends.
     pub cancel_at_end: Trouble,
@@ -47,7 +47,7 @@
     pub looks: usize,
     pub odd: usize,
     pub cancelled_at_end: usize,
-    /// Most jobs that a holder counted at once as waiting for others.
+    /// Most jobs that an owner counted at once as waiting for others.
     pub waiting_for_others: usize,
     /// Tasks that failed.
     pub failures: usize,
@@ -98,9 +98,9 @@
         self.wake_followers();
     }
 
-    // ---- reports
+    // ---- heartbeats
 
-    /// Copies of a report, as far as troubles make any.
+    /// Copies of a heartbeat, as far as troubles make any.
     pub fn copy_report(&mut self, report: &WorkerHeartbeat) {
         if self.strikes(|t| t.late_reports) {
             let delay = 2000 + self.random(self.lease_ms * 3 / 2);
@@ -118,7 +118,7 @@
         self.send_later(n, delay, Input::Request(copy, Request::Heartbeat(report)));
     }
 
-    /// Somebody holds a block under a new number: kept reports come everywhere at once.
+    /// Somebody holds a shard under a new number: kept heartbeats come everywhere at once.
     pub fn note_takeover(&mut self) {
         let now = self.now;
         self.met.takeovers.push(now);
@@ -380,7 +380,7 @@
         let (from, to) = (ms(num(args, "from", 0.0)), ms(num(args, "to", 1e6)));
         let within = |at: &u64| (from..=to).contains(at);
         let jobs = self.checker.jobs.values();
-        let named = |j: &&salttrestle_standins::checker::JobView| {
+        let named = |j: &&salttrestle_fakes::checker::JobView| {
             arg(args, "class").is_none_or(|class| j.record.class == class)
         };
         let jobs = jobs.filter(named);
--- a/tests/sim/users.rs
+++ b/tests/sim/users.rs
@@ -5,8 +5,8 @@
 use salttrestle::controller::events::{Input, Reply, Request};
 use salttrestle::ids::JobId;
 use salttrestle::wire;
-use salttrestle_standins::checker::Said;
-use salttrestle_standins::user::{POLL_MS, POLL_WAIT_MS, WAIT_MS, read_answer, retry_ms};
+use salttrestle_fakes::checker::Said;
+use salttrestle_fakes::user::{POLL_MS, POLL_WAIT_MS, WAIT_MS, read_answer, retry_ms};
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/tests/sim/workers.rs
+++ b/tests/sim/workers.rs
@@ -1,12 +1,12 @@
-//! Workers in simulated time: what their reports and answers meet on the way, and what the
+//! Workers in simulated time: what their heartbeats and answers meet on the way, and what the
 //! checker sees of their tasks.
 
 use super::world::{Ev, Origin, Spec, World};
 use salttrestle::controller::events::{Input, Reply, Request};
 use salttrestle::ids::{JobId, TaskId};
 use salttrestle::wire::{self, Cause};
-use salttrestle_standins::checker::Place;
-use salttrestle_standins::worker::{ANSWER_MS, TaskEvent, TaskSpec, TaskSpecs, Worker};
+use salttrestle_fakes::checker::Place;
+use salttrestle_fakes::worker::{ANSWER_MS, TaskEvent, TaskSpec, TaskSpecs, Worker};
 use std::collections::HashMap;
 
 pub const TICK_MS: u64 = 100;
@@ -106,7 +106,7 @@
         }
     }
 
-    // ---- reports
+    // ---- heartbeats
 
     fn report(&mut self, id: &str) {
         let now = self.now;
@@ -147,7 +147,7 @@
         }
     }
 
-    /// An answer to a report reached its worker.
+    /// An answer to a heartbeat reached its worker.
     pub fn worker_answer(&mut self, id: &str, request_id: u64, reply: Option<Reply>) {
         let now = self.now;
         let controllers = self.nodes.len();
--- a/tests/sim/world.rs
+++ b/tests/sim/world.rs
@@ -14,9 +14,9 @@
 use salttrestle::ids::{CallId, JobId, RequestId};
 use salttrestle::settings::NextStateLimits;
 use salttrestle::wire::{CloudOp, MachineType, StoreRequest};
-use salttrestle_standins::checker::Checker;
-use salttrestle_standins::cloud::Cloud;
-use salttrestle_standins::worker::{TaskSpec, Worker};
+use salttrestle_fakes::checker::Checker;
+use salttrestle_fakes::cloud::Cloud;
+use salttrestle_fakes::worker::{TaskSpec, Worker};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// What the world knows of a job beside what was submitted.
@@ -59,7 +59,7 @@
     LateCommit(StoreRequest),
     Odd,
     Heal(u64),
-    /// Leases at the state service end up to a tenth of a second late.
+    /// Leases at the store end up to a tenth of a second late.
     Expire,
     Check,
 }
@@ -89,7 +89,7 @@
     pub offset: u64,
     pub(super) drift: f64,
     pub(super) requests: Vec<u64>,
-    /// The state service refuses it until then.
+    /// The store refuses it until then.
     pub refused_until: u64,
     /// It stands still until then, while its clock runs on.
     pub(super) frozen_until: u64,
@@ -117,7 +117,7 @@
     /// Nodes stand in them in turn.
     pub(super) zones: Vec<String>,
     pub(super) platform: serde_json::Value,
-    /// Limits that the state service will have.
+    /// Limits that the store will have.
     pub(super) next: Option<NextStateLimits>,
     pub(super) tuning: String,
     pub state: StateService,
@@ -129,7 +129,7 @@
     pub(super) next_req: u64,
     pub(super) cuts: Vec<Cut>,
     pub(super) held: Vec<(u64, Ev)>,
-    /// Late copies of reports: delay, and until when they are made.
+    /// Late copies of heartbeats: delay, and until when they are made.
     pub copies: Option<(u64, u64)>,
     pub lose_commits: u32,
     /// The troubles under way, and which meetings took place.
@@ -138,7 +138,7 @@
     pub met: Met,
     /// When the last trouble of the script is over.
     pub calm_at: u64,
-    /// Requests a second that the state service takes, until when, and what it took of
+    /// Requests a second that the store takes, until when, and what it took of
     /// the present second.
     pub(super) throttle: (u32, u64),
     pub(super) taken: (u64, u32),
@@ -146,7 +146,7 @@
     pub report_ms: u64,
     pub statuses: BTreeMap<(JobId, u16), u32>,
     pub answered: BTreeMap<JobId, u64>,
-    /// The numbers under which blocks were held.
+    /// The numbers under which shards were held.
     pub tokens: BTreeSet<u64>,
     pub(super) script: Vec<Vec<String>>,
     pub end: u64,
--- a/tests/wire_words.rs
+++ b/tests/wire_words.rs
@@ -1,4 +1,4 @@
-//! The words of the state service's and the cloud's interfaces, as their pages write them. The
+//! The words of the store's and the cloud's interfaces, as their pages write them. The
 //! stand-ins take typed calls, so only these tests see whether a rename here changed a body.
 
 use ciborium::{Value, cbor};
