--- a/standins/src/orders.rs
+++ b/fakes/src/orders.rs
@@ -1,9 +1,9 @@
-//! Orders, judged by what the state service, the workers and the cloud saw of them: no start that
+//! Orders, judged by what the store, the workers and the cloud saw of them: no start that
 //! wasn't committed for that machine before, none under a number that wasn't the worker's newest,
 //! no attempt that falls, and calls to the cloud by one leader after the other ([`Duties`]).
 
 use crate::duties::Duties;
-use salttrestle::core::records::RunRec;
+use salttrestle::controller::store::records::PlacementRecord;
 use salttrestle::ids::{Attempt, JobId, MachineId, TaskId};
 use std::collections::{HashMap, HashSet};
 
@@ -12,7 +12,7 @@
 pub struct Orders {
     /// Calls to the cloud.
     pub duties: Duties,
-    /// Numbers under which a block's record was written.
+    /// Numbers under which a shard's record was written.
     held: HashSet<u64>,
     /// Where each attempt was committed to run.
     committed: HashMap<(TaskId, Attempt), MachineId>,
@@ -29,13 +29,13 @@
         self.broken.push(format!("{:.3} {what}", now as f64 / 1e3));
     }
 
-    /// A block's record was written under a number.
-    pub fn held(&mut self, number: u64) {
-        self.held.insert(number);
+    /// A shard's record was written under a number.
+    pub fn held(&mut self, token: u64) {
+        self.held.insert(token);
     }
 
     /// A chunk of a job's placements was written.
-    pub fn committed(&mut self, job: &JobId, run: &RunRec) {
+    pub fn committed(&mut self, job: &JobId, run: &PlacementRecord) {
         for (index, attempt, machine, ..) in &run.placed {
             let (job, index) = (job.clone(), *index);
             self.committed
@@ -45,12 +45,12 @@
 
     /// A start has reached a worker that knows this number as the newest.
     pub fn started(&mut self, now: u64, machine: &str, newest: u64, task: &TaskId, it: Attempt) {
-        let number = it.number().0;
-        if !self.held.contains(&number) {
-            self.fault(now, format!("start: {task} under {number}, never held"));
+        let token = it.token().0;
+        if !self.held.contains(&token) {
+            self.fault(now, format!("start: {task} under {token}, never held"));
         }
-        if number != newest {
-            let what = format!("start: {task} under {number} on a worker that knows {newest}");
+        if token != newest {
+            let what = format!("start: {task} under {token} on a worker that knows {newest}");
             self.fault(now, what);
         }
         let committed = self.committed.get(&(task.clone(), it));
--- a/standins/src/worker.rs
+++ b/fakes/src/worker.rs
@@ -1,16 +1,16 @@
-//! A worker: its reports, lease, session, token and tasks. It has no clock and no network: the
-//! caller hands in the time and carries reports and answers.
+//! A worker: its heartbeats, lease, agent epoch, token and tasks. It has no clock and no network: the
+//! caller hands in the time and carries heartbeats and answers.
 
 use salttrestle::ids::{Attempt, TaskId};
-use salttrestle::wire::{self, Cause, TaskStance};
+use salttrestle::wire::{self, Cause, TaskStatus};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How long the answer to a report is waited for, in milliseconds.
+/// How long the answer to a heartbeat is waited for, in milliseconds.
 pub const ANSWER_MS: u64 = 4000;
 /// Pause before the next controller is tried, in milliseconds.
 const NEXT_CONTROLLER_MS: u64 = 1000;
-/// Shortest time between two reports, and before the first one of a new session, in milliseconds.
+/// Shortest time between two heartbeats, and before the first one of a new agent epoch, in milliseconds.
 const REPORT_GAP_MS: u64 = 500;
 /// A task of a service runs until it is stopped.
 const FOREVER_MS: u64 = u64::MAX / 2;
@@ -83,24 +83,24 @@
     /// Whether it is a spot machine.
     pub spot: bool,
     /// The highest token that it has seen.
-    pub number: u64,
+    pub token: u64,
     /// Rises whenever its lease expires.
-    pub session: u64,
-    /// Rises with every report.
-    pub seq: u64,
-    /// When the last answered report was sent.
+    pub agent_epoch: u64,
+    /// Rises with every heartbeat.
+    pub sequence: u64,
+    /// When the last answered heartbeat was sent.
     pub renewed: u64,
     /// Its tasks, exited ones included until they are cleared.
     pub tasks: BTreeMap<TaskId, WorkerTask>,
-    /// The controller that it reports to.
+    /// The controller that it heartbeats to.
     pub controller: usize,
     /// The request in flight, and when it was sent.
     pub flight: Option<(u64, u64)>,
     /// When it reported last.
     pub last_sent: u64,
-    /// When it reports next, if nothing changes.
+    /// When it heartbeats next, if nothing changes.
     pub next_at: u64,
-    /// Whether something has changed since the last report.
+    /// Whether something has changed since the last heartbeat.
     pub changed: bool,
     /// The images that it has.
     pub images: Vec<String>,
@@ -130,25 +130,25 @@
     #[serde(rename = "borrowed")]
     spot: bool,
     #[serde(rename = "shift")]
-    session: u64,
+    agent_epoch: u64,
     #[serde(rename = "tally")]
-    seq: u64,
+    sequence: u64,
     #[serde(rename = "baton")]
-    number: u64,
+    token: u64,
     #[serde(rename = "warningS")]
     notice_s: Option<f64>,
     #[serde(rename = "verses")]
-    tasks: Vec<ReportTask>,
+    tasks: Vec<HeartbeatTask>,
 }
 
 #[derive(Serialize)]
-struct ReportTask {
+struct HeartbeatTask {
     #[serde(rename = "verse")]
     task: String,
     #[serde(rename = "take")]
     attempt: Attempt,
     #[serde(rename = "stance")]
-    state: TaskStance,
+    state: TaskStatus,
     #[serde(skip_serializing_if = "Option::is_none")]
     cause: Option<Cause>,
 }
@@ -156,7 +156,7 @@
 #[derive(Deserialize)]
 struct AnswerBody {
     #[serde(rename = "baton")]
-    number: Option<u64>,
+    token: Option<u64>,
     #[serde(rename = "cues", default)]
     commands: Vec<CommandBody>,
 }
@@ -174,7 +174,7 @@
 }
 
 #[derive(Deserialize)]
-struct SteerBody {
+struct RedirectBody {
     #[serde(rename = "conductor")]
     to: Option<String>,
 }
@@ -186,7 +186,7 @@
             class: class.into(),
             zone: zone.into(),
             spot,
-            session: 1,
+            agent_epoch: 1,
             renewed: now,
             controller,
             next_at: now,
@@ -207,7 +207,7 @@
         if now <= self.renewed + lease_ms {
             return Vec::new();
         }
-        self.session += 1;
+        self.agent_epoch += 1;
         self.renewed = now;
         self.flight = None;
         self.next_at = now + REPORT_GAP_MS;
@@ -269,7 +269,7 @@
         events.push(TaskEvent::Ended(task, cause));
     }
 
-    /// Gives up on a report without an answer, and says whether the next one is due.
+    /// Gives up on a heartbeat without an answer, and says whether the next one is due.
     pub fn report_due(&mut self, now: u64, controllers: usize) -> bool {
         if let Some((_, sent)) = self.flight {
             if now < sent + ANSWER_MS {
@@ -282,24 +282,24 @@
         rested && (self.changed || now >= self.next_at)
     }
 
-    /// Begins a report; the next one is due after `interval` if nothing changes.
+    /// Begins a heartbeat; the next one is due after `interval` if nothing changes.
     pub fn begin_report(&mut self, now: u64, interval: u64) {
         self.next_at = now + interval;
         self.last_sent = now;
         self.changed = false;
-        self.seq += 1;
+        self.sequence += 1;
     }
 
-    /// The report as it goes onto the wire.
+    /// The heartbeat as it goes onto the wire.
     pub fn report_body(&self, machine: &str, endpoint: &str, now: u64) -> Vec<u8> {
         let tasks = self.tasks.iter().map(|(task, t)| {
             let (state, cause) = match t.state {
-                TaskState::Fetching => (TaskStance::Fetching, None),
-                TaskState::Running => (TaskStance::Running, None),
-                TaskState::Saving => (TaskStance::Flushing, None),
-                TaskState::Ended(cause) => (TaskStance::Ended, Some(cause)),
+                TaskState::Fetching => (TaskStatus::Fetching, None),
+                TaskState::Running => (TaskStatus::Running, None),
+                TaskState::Saving => (TaskStatus::Flushing, None),
+                TaskState::Ended(cause) => (TaskStatus::Ended, Some(cause)),
             };
-            ReportTask {
+            HeartbeatTask {
                 task: task.to_string(),
                 attempt: t.attempt,
                 state,
@@ -312,9 +312,9 @@
             class: &self.class,
             zone: &self.zone,
             spot: self.spot,
-            session: self.session,
-            seq: self.seq,
-            number: self.number,
+            agent_epoch: self.agent_epoch,
+            sequence: self.sequence,
+            token: self.token,
             notice_s: self
                 .taken_at
                 .map(|at| at.saturating_sub(now) as f64 / 1000.0),
@@ -327,39 +327,39 @@
         self.next_at = now + NEXT_CONTROLLER_MS;
     }
 
-    /// The report in flight got no answer: the connection failed.
+    /// The heartbeat in flight got no answer: the connection failed.
     pub fn unanswered(&mut self, now: u64, controllers: usize) {
         self.flight = None;
         self.try_next(now, controllers);
     }
 
-    /// Takes the answer to the report that was sent at `sent`. `Err` says what no worker would
+    /// Takes the answer to the heartbeat that was sent at `sent`. `Err` says what no worker would
     /// understand.
     pub fn answered(
         &mut self,
         now: u64,
         sent: u64,
         (status, body): (u16, &[u8]),
-        members: &[String],
+        controller_ids: &[String],
         specs: &impl TaskSpecs,
     ) -> Result<Vec<TaskEvent>, String> {
         self.flight = None;
         match status {
             200 => return self.obey(now, sent, body, specs),
             421 => {
-                let steer: Option<SteerBody> = wire::decode(body);
+                let steer: Option<RedirectBody> = wire::decode(body);
                 let to = steer.and_then(|s| s.to);
-                let to = to.and_then(|name| members.iter().position(|m| *m == name));
+                let to = to.and_then(|name| controller_ids.iter().position(|m| *m == name));
                 match to.filter(|controller| *controller != self.controller) {
                     Some(controller) => {
                         self.controller = controller;
                         self.next_at = now;
                         self.changed = true;
                     }
-                    None => self.try_next(now, members.len()),
+                    None => self.try_next(now, controller_ids.len()),
                 }
             }
-            _ => self.try_next(now, members.len()),
+            _ => self.try_next(now, controller_ids.len()),
         }
         Ok(Vec::new())
     }
@@ -375,12 +375,12 @@
             return Err("an answer can't be read".into());
         };
         let mut events = Vec::new();
-        let number = answer.number.unwrap_or(0);
-        if number < self.number || number == 0 {
+        let token = answer.token.unwrap_or(0);
+        if token < self.token || token == 0 {
             return Ok(events);
         }
-        if number > self.number {
-            self.number = number;
+        if token > self.token {
+            self.token = token;
             self.changed = true;
         }
         self.renewed = self.renewed.max(sent);
--- a/scale/src/hollow/users.rs
+++ b/scale/src/hollow/users.rs
@@ -8,9 +8,9 @@
 use salttrestle::http::{self, Message};
 use salttrestle::ids::{JobId, TaskId};
 use salttrestle::wire;
-use salttrestle_standins::checker::Said;
-use salttrestle_standins::user::{POLL_MS, POLL_WAIT_MS, WAIT_MS, read_answer, retry_ms};
-use salttrestle_standins::worker::{TaskSpec, TaskSpecs};
+use salttrestle_fakes::checker::Said;
+use salttrestle_fakes::user::{POLL_MS, POLL_WAIT_MS, WAIT_MS, read_answer, retry_ms};
+use salttrestle_fakes::worker::{TaskSpec, TaskSpecs};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -73,7 +73,8 @@
     quarter: Option<String>,
     #[serde(rename = "samePlace")]
     same_zone: bool,
-    scatter: bool,
+    #[serde(rename = "scatter")]
+    zone_spread: bool,
     #[serde(rename = "borrowed")]
     spot: bool,
     #[serde(rename = "reckonS")]
@@ -272,7 +273,7 @@
             builds: None,
             quarter: None,
             same_zone: false,
-            scatter: false,
+            zone_spread: false,
             spot: false,
             estimate_s: if service { 0.0 } else { load.run_s },
             checkpoint_s: 0.0,
@@ -445,7 +446,7 @@
             return self.later(now + retry_ms(asked), job, intent);
         };
         self.shared.checker().said(now, &job, said);
-        let over = matches!(said, Said::Done | Said::Withdrawn | Said::Refused);
+        let over = matches!(said, Said::Done | Said::Cancelled | Said::Refused);
         let batch = self.jobs.jobs.get(&job).is_some_and(|j| !j.spec.service);
         match intent {
             _ if over => {
--- a/scale/src/hollow/workers.rs
+++ b/scale/src/hollow/workers.rs
@@ -7,8 +7,8 @@
 use rand::rngs::StdRng;
 use salttrestle::http::{self, Message};
 use salttrestle::wire::Cause;
-use salttrestle_standins::checker::Place;
-use salttrestle_standins::worker::{ANSWER_MS, TaskEvent, TaskState, Worker};
+use salttrestle_fakes::checker::Place;
+use salttrestle_fakes::worker::{ANSWER_MS, TaskEvent, TaskState, Worker};
 use std::collections::HashMap;
 use std::sync::Arc;
 
@@ -26,7 +26,7 @@
 }
 
 /// The hollow workers of one cell.
-pub struct Fleet {
+pub struct Inventory {
     plan: Arc<CellPlan>,
     shared: Arc<Shared>,
     workers: Vec<HollowWorker>,
@@ -37,7 +37,7 @@
     pub killed: u64,
 }
 
-impl Fleet {
+impl Inventory {
     /// A cell without workers.
     pub fn new(plan: Arc<CellPlan>, shared: Arc<Shared>) -> Self {
         Self {
@@ -71,7 +71,7 @@
 
     /// Workers that have been answered under a token.
     pub fn joined(&self) -> usize {
-        let joined = |w: &&HollowWorker| !w.stopped && w.worker.number > 0;
+        let joined = |w: &&HollowWorker| !w.stopped && w.worker.token > 0;
         self.workers.iter().filter(joined).count()
     }
 
@@ -200,10 +200,10 @@
         let before = found.worker.controller;
         let answer = (message.status().unwrap_or(0), message.body.as_slice());
         let members = &self.plan.members;
-        let number = found.worker.number;
+        let number = found.worker.token;
         let events = found.worker.answered(now, sent, answer, members, jobs)?;
-        if self.plan.sole && found.worker.number > number {
-            self.shared.takeovers().shown(now, found.worker.number);
+        if self.plan.sole && found.worker.token > number {
+            self.shared.takeovers().shown(now, found.worker.token);
         }
         if found.worker.controller != before
             && let Some(key) = found.connection.take()
@@ -238,8 +238,8 @@
             match event {
                 TaskEvent::Accepted(task, attempt) if self.plan.sole => {
                     let job = checker.jobs.get(&task.job);
-                    let urgent = job.is_some_and(|j| j.rec.class == URGENT);
-                    let worker = (found.id.as_str(), found.worker.number);
+                    let urgent = job.is_some_and(|j| j.record.class == URGENT);
+                    let worker = (found.id.as_str(), found.worker.token);
                     let mut watch = self.shared.takeovers();
                     watch.started(now, worker, (&task, attempt), urgent);
                 }
--- a/scale/src/limit_watch.rs
+++ b/scale/src/limit_watch.rs
@@ -1,6 +1,6 @@
 //! When a change of a team's limit is in force, seen at the state services of all cells.
 
-use salttrestle::core::records::LimitsByTeam;
+use salttrestle::controller::store::records::LimitsByTeam;
 use salttrestle_cells::ledger::CellRecord;
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -8,12 +8,12 @@
 /// Room for rounding.
 const SLACK: f64 = 1e-6;
 
-/// The part of a block's record that is watched.
+/// The part of a shard's record that is watched.
 #[derive(Deserialize)]
 pub struct BlockView {
-    /// What each team may use in the block.
+    /// What each team may use in the shard.
     #[serde(default)]
-    pub allowances: Option<LimitsByTeam>,
+    pub quota_shares: Option<LimitsByTeam>,
 }
 
 struct Change {
@@ -26,8 +26,8 @@
 /// What all cells allow, and the changes that aren't in force yet.
 #[derive(Default)]
 pub struct LimitWatch {
-    /// What the blocks allow, by cell.
-    allowances: BTreeMap<usize, LimitsByTeam>,
+    /// What the shards allow, by cell.
+    quota_shares: BTreeMap<usize, LimitsByTeam>,
     /// The limits that the homes have made.
     made: LimitsByTeam,
     open: Vec<Change>,
@@ -54,10 +54,10 @@
         self.look(now);
     }
 
-    /// A cell's block allows something else.
+    /// A cell's shard allows something else.
     pub fn block_changed(&mut self, now: u64, cell: usize, view: BlockView) {
-        self.allowances
-            .insert(cell, view.allowances.unwrap_or_default());
+        self.quota_shares
+            .insert(cell, view.quota_shares.unwrap_or_default());
         self.look(now);
     }
 
@@ -76,12 +76,12 @@
     }
 
     fn look(&mut self, now: u64) {
-        let (allowances, made) = (&self.allowances, &self.made);
+        let (quota_shares, made) = (&self.quota_shares, &self.made);
         let in_force = |change: &Change| {
             if change.raised {
                 return made.get(&change.team) == Some(&change.limit);
             }
-            let here = allowances.values().filter_map(|a| a.get(&change.team));
+            let here = quota_shares.values().filter_map(|a| a.get(&change.team));
             let sum = here.fold((0.0, 0.0), |sum, a| (sum.0 + a.0, sum.1 + a.1));
             sum.0 <= change.limit.0 + SLACK && sum.1 <= change.limit.1 + SLACK
         };
--- a/src/core/autoscaler/machines.rs
+++ b/src/controller/autoscaling/machines.rs
@@ -1,9 +1,15 @@
 //! What becomes of machines: those the cloud lists, those that never come up, and those that
 //! are returned or deleted.
 
-use super::{CloudPurpose, REPEAT_S};
-use crate::core::fleet::Machine;
-use crate::core::*;
+use crate::controller::Controller;
+use crate::controller::autoscaling::{CloudPurpose, REPEAT_S};
+use crate::controller::events::Reply;
+use crate::controller::machines::inventory::Machine;
+use crate::controller::rate_limits::token_bucket::Priority;
+use crate::controller::shard::ShardOwner;
+use crate::controller::shard::job::Phase;
+use crate::ids::{MachineId, RequestId, TaskId, Time};
+use crate::wire::{CloudOp, CloudReply, Listed, MachineStatus, MachineType};
 use log::info;
 use std::collections::BTreeSet;
 
@@ -11,21 +17,25 @@
 const DELETE_MAX: usize = 100;
 /// A machine is surely listed after this many list lags.
 const LISTED_LAGS: f64 = 3.0;
-/// A boot of a type that isn't in the catalogue.
+/// A boot of a type that isn't in the catalog.
 const UNKNOWN_BOOT_S: f64 = 60.0;
 /// After how many times the time in which it is overdue a machine never comes up.
 const ABANDONED_AFTER: f64 = 2.0;
 
-impl Core {
-    /// The leader lists machines to find those nobody expected; with several blocks,
-    /// the other holders list them, less often, to learn what became of their own.
-    pub(super) fn list_machines(&mut self) {
-        if let Some(so_far) = self.list_rest.take() {
+impl Controller {
+    /// The leader lists machines to find those nobody expected; with several shards,
+    /// the other owners list them, less often, to learn what became of their own.
+    pub(crate) fn list_machines(&mut self) {
+        if let Some(so_far) = self.list_pages.take() {
             return self.list_on(so_far);
         }
         let lag = self.settings.platform.facts.cloud.list_lag_s.max(2.0);
-        let pause = if self.lead.is_some() { lag } else { 2.0 * lag };
-        if self.listing || self.now < self.list_at || self.blind() {
+        let pause = if self.leadership.is_some() {
+            lag
+        } else {
+            2.0 * lag
+        };
+        if self.listing || self.now < self.list_at || self.is_stale() {
             return;
         }
         let op = CloudOp::List { after: None };
@@ -35,7 +45,7 @@
         }
     }
 
-    pub(super) fn on_machine_list(&mut self, mut so_far: Vec<Listed>, reply: CloudReply) {
+    pub(crate) fn on_machine_list(&mut self, mut so_far: Vec<Listed>, reply: CloudReply) {
         self.listing = false;
         let CloudReply::Page { machines, more } = reply else {
             return;
@@ -48,17 +58,17 @@
         let lag = self.settings.platform.facts.cloud.list_lag_s;
         let (now, settled_s) = (self.now, LISTED_LAGS * lag + REPEAT_S);
         let listed: BTreeSet<&str> = so_far.iter().map(|l| l.id.as_str()).collect();
-        for h in self.parked.values_mut() {
+        for h in self.shards.values_mut() {
             for l in &so_far {
-                h.see_listed(now, &self.catalog, l);
+                h.observe_listed(now, &self.catalog, l);
             }
-            h.miss_listed(now, settled_s, &listed);
+            h.decommission_unlisted(now, settled_s, &listed);
         }
-        if let Some(lead) = &mut self.lead {
-            lead.scale.listed = true;
+        if let Some(leadership) = &mut self.leadership {
+            leadership.scale.listed = true;
             for l in so_far {
                 let id = MachineId::from(l.id.as_str());
-                self.add_stray((id, l.class, l.zone, l.spot));
+                self.add_unassigned((id, l.class, l.zone, l.spot));
             }
         }
     }
@@ -69,8 +79,8 @@
         let after = so_far.last().map(|l| MachineId::from(l.id.as_str()));
         let op = CloudOp::List { after };
         self.listing = true;
-        if !self.cloud_budget.has(self.now, 1.0, Priority::Usual) {
-            self.list_rest = Some(so_far);
+        if !self.cloud_rate_limit.has(self.now, 1.0, Priority::Usual) {
+            self.list_pages = Some(so_far);
             return;
         }
         self.cloud_call(op, CloudPurpose::List(so_far), Priority::Usual);
@@ -79,9 +89,9 @@
     /// Machines that never come up are paid for until they are deleted. That is long after
     /// they were replaced: on a night on which all boots took several times as long, each was
     /// deleted shortly before it was up, and rented anew.
-    pub(crate) fn delete_abandoned(&mut self) {
+    pub(crate) fn decommission_abandoned(&mut self) {
         let (now, boot) = (self.now, self.settings.tuning.boot);
-        let Some(h) = &mut self.holder else {
+        let Some(h) = &mut self.owner else {
             return;
         };
         let most = ABANDONED_AFTER * boot;
@@ -89,23 +99,25 @@
         let never = h.machines.booting().filter(|(_, m)| never(m));
         let never: Vec<MachineId> = never.map(|(id, _)| id.clone()).collect();
         for id in never {
-            h.doom(now, &id, "it never came up");
+            h.decommission(now, &id, "it never came up");
         }
     }
 
     /// A deletion needs no lease: it can only cost a machine, and proves its tasks gone. Only a
-    /// leader that replaced another before its grant's end waits until that one deletes nothing.
-    pub(crate) fn delete_doomed(&mut self) {
+    /// leader that replaced another before its lease's end waits until that one deletes nothing.
+    pub(crate) fn delete_decommissioned(&mut self) {
         let now = self.now;
-        if self.blind() || self.fenced() {
+        if self.is_stale() || self.fenced() {
             return;
         }
-        let Some(h) = &mut self.holder else {
+        let Some(h) = &mut self.owner else {
             return;
         };
         let mut ids = Vec::new();
         for (id, m) in h.machines.leaving() {
-            let due = m.doomed.is_some_and(|at| now >= at || m.tasks.is_empty());
+            let due = m
+                .decommission_at
+                .is_some_and(|at| now >= at || m.tasks.is_empty());
             if due && !m.deleting && ids.len() < DELETE_MAX && !h.committing_on(m) {
                 ids.push(id.clone());
             }
@@ -115,7 +127,7 @@
         }
         let op = CloudOp::Delete(ids.clone());
         if self.cloud_call(op, CloudPurpose::Delete(ids.clone()), Priority::First)
-            && let Some(h) = &mut self.holder
+            && let Some(h) = &mut self.owner
         {
             for id in &ids {
                 h.machines.edit(id, |m| m.deleting = true);
@@ -124,9 +136,9 @@
     }
 
     /// Once the deletion is answered, the machine and all on it are gone.
-    pub(super) fn on_deleted(&mut self, ids: Vec<MachineId>, reply: CloudReply) {
+    pub(crate) fn on_deleted(&mut self, ids: Vec<MachineId>, reply: CloudReply) {
         let now = self.now;
-        let Some(h) = &mut self.holder else {
+        let Some(h) = &mut self.owner else {
             return;
         };
         let mut held = Vec::new();
@@ -138,41 +150,41 @@
             info!("machine {id} deleted");
             held.extend(h.remove_machine(now, &id));
         }
-        for req in held {
-            self.answer(req, Reply::later(503, 5, "this machine is deleted"));
+        for request_id in held {
+            self.answer(request_id, Reply::later(503, 5, "this machine is deleted"));
         }
     }
 
     /// Returns the machines that the leader's plan names, if they are still empty.
-    pub(crate) fn obey_plan(&mut self) {
-        let revision = self.cache.plan.revision;
+    pub(crate) fn apply_scale_in(&mut self) {
+        let revision = self.mirror.plan.revision;
         if revision == self.plan_seen {
             return;
         }
         self.plan_seen = revision;
         let now = self.now;
-        let returns = self.cache.plan.rec.iter().flat_map(|p| &p.returns);
-        for id in returns {
-            for h in self.parked.values_mut() {
-                let idle = |m: &Machine| m.up.is_some() && m.tasks.is_empty();
+        let scale_in = self.mirror.plan.record.iter().flat_map(|p| &p.scale_in);
+        for id in scale_in {
+            for h in self.shards.values_mut() {
+                let idle = |m: &Machine| m.ready_since.is_some() && m.tasks.is_empty();
                 if h.machines.get(id).is_some_and(idle) {
-                    h.doom(now, id, "it is empty and no longer wanted");
+                    h.decommission(now, id, "it is empty and no longer wanted");
                 }
             }
         }
     }
 }
 
-impl Holder {
+impl ShardOwner {
     fn committing_on(&self, m: &Machine) -> bool {
         m.tasks.keys().any(|t| {
             let p = self.jobs.get(&t.job).and_then(|l| l.placed.get(&t.index));
-            p.is_some_and(|p| p.phase == holder::Phase::Committing)
+            p.is_some_and(|p| p.phase == Phase::Committing)
         })
     }
 
     /// Takes note of a listed machine.
-    fn see_listed(&mut self, now: Time, catalog: &[ClassInfo], l: &Listed) {
+    fn observe_listed(&mut self, now: Time, catalog: &[MachineType], l: &Listed) {
         let id = MachineId::from(l.id.as_str());
         if self.gone.contains_key(&id) {
             return;
@@ -183,64 +195,64 @@
             self.machines.insert(id.clone(), m);
         }
         let known = self.machines.get(&id);
-        let wakes = |m: &Machine| l.stance == MachineStance::Running && m.up.is_none();
+        let wakes = |m: &Machine| l.status == MachineStatus::Running && m.ready_since.is_none();
         if known.is_some_and(|m| m.class == usize::MAX || wakes(m)) {
             self.machines.edit(&id, |m| {
                 if wakes(m) {
-                    // From now on it counts as silent unless it reports.
-                    (m.up, m.seen) = (Some(now), now);
+                    // From now on it counts as silent unless it heartbeats.
+                    (m.ready_since, m.last_heartbeat) = (Some(now), now);
                 }
-                m.learn(catalog, &l.class, &l.zone, l.spot);
+                m.set_machine_type(catalog, &l.class, &l.zone, l.spot);
             });
         }
-        if l.stance == MachineStance::Failed {
-            self.doom(now, &id, "the cloud lists it as failed");
+        if l.status == MachineStatus::Failed {
+            self.decommission(now, &id, "the cloud lists it as failed");
         }
     }
 
     /// Machines that should be listed by now and never were, nor ever reported, are
     /// gone or never came to be. Absence proves nothing, so they are deleted.
-    fn miss_listed(&mut self, now: Time, settled_s: f64, listed: &BTreeSet<&str>) {
+    fn decommission_unlisted(&mut self, now: Time, settled_s: f64, listed: &BTreeSet<&str>) {
         let since = self.since;
         let unseen = |m: &Machine| now.since(m.since.max(since)) > settled_s;
         let missing = self.machines.booting();
         let missing = missing.filter(|(id, m)| unseen(m) && !listed.contains(id.as_str()));
         let missing: Vec<MachineId> = missing.map(|(id, _)| id.clone()).collect();
         for id in missing {
-            self.doom(now, &id, "the cloud doesn't list it");
+            self.decommission(now, &id, "the cloud doesn't list it");
         }
     }
 
     /// Whether a machine has been booting for longer than so many times what its type's boots
     /// have taken lately.
-    pub(super) fn boots_longer_than(
+    pub(crate) fn boots_longer_than(
         &self,
         times: f64,
-        catalog: &[ClassInfo],
+        catalog: &[MachineType],
         m: &Machine,
         now: Time,
     ) -> bool {
         let ready_s = catalog.get(m.class).map_or(UNKNOWN_BOOT_S, |c| c.ready_s);
         let most_s = times * self.usual_boot_s(m.class, ready_s);
-        m.up.is_none() && now.since(m.since) > most_s
+        m.ready_since.is_none() && now.since(m.since) > most_s
     }
 
     /// Forgets a deleted machine; its tasks are proven gone. Returns the request
     /// that waited for its commands.
-    fn remove_machine(&mut self, now: Time, id: &MachineId) -> Option<ReqId> {
+    fn remove_machine(&mut self, now: Time, id: &MachineId) -> Option<RequestId> {
         let m = self.machines.get(id)?;
-        let held = m.held;
+        let held = m.long_poll;
         let tasks: Vec<TaskId> = m.tasks.keys().cloned().collect();
         for task in tasks {
-            self.take(now, &task);
+            self.remove_placement(now, &task);
         }
         if let Some((_, until)) = held {
-            self.releases.remove(&(until, id.clone()));
+            self.long_poll_deadlines.remove(&(until, id.clone()));
         }
         self.machines.remove(id);
         self.failures.forget_machine(id);
         self.gone.insert(id.clone(), now);
-        self.place_wanted = true;
-        held.map(|(req, _)| req)
+        self.scheduling_wanted = true;
+        held.map(|(request_id, _)| request_id)
     }
 }
--- a/src/core/autoscaler/mod.rs
+++ b/src/controller/autoscaling/mod.rs
@@ -2,20 +2,23 @@
 //! tick compares the larger of two counts, what waits and what runs, with what is
 //! provisioned, booting machines included.
 //!
-//! [`demand`] counts, `tick` decides, `plan` writes the decision down, `rentals` carries
-//! rentals out, and `machines` follows what becomes of the machines, to their deletion.
+//! [`demand`] counts, `tick` decides, `plan` writes the decision down, `scale_out_requests` carries
+//! scale-out requests out, and `machines` follows what becomes of the machines, to their deletion.
 
-mod demand;
-mod machines;
-mod plan;
-mod rentals;
-mod tick;
+pub(crate) mod demand;
+pub(crate) mod machines;
+pub(crate) mod plan;
+pub(crate) mod reconcile;
+pub(crate) mod scale_out;
 
-use super::*;
-pub(crate) use demand::{per_machine, pool_for};
-pub(crate) use plan::Scale;
+use crate::controller::Controller;
+use crate::controller::events::Output;
+use crate::controller::rate_limits::token_bucket::Priority;
+use crate::ids::{CallId, MachineId};
+use crate::wire::{CloudOp, CloudReply, Listed};
+use std::collections::BTreeMap;
 
-/// A machine type's index in the catalogue, and whether it is spot.
+/// A machine type's index in the catalog, and whether it is spot.
 pub(crate) type Pool = (usize, bool);
 
 /// Machines of a pool by zone.
@@ -36,12 +39,12 @@
     }
 }
 
-/// Pause before a rental without an answer is repeated.
+/// Pause before a scale-out request without an answer is repeated.
 const REPEAT_S: f64 = 2.0;
 /// Counts are told to the leader this often, as a share of its tick.
 const COUNTS_SHARE: f64 = 0.2;
 
-impl Core {
+impl Controller {
     pub(crate) fn catalog_housekeeping(&mut self) {
         if self.catalog.is_empty() && self.now >= self.catalog_retry {
             self.catalog_retry = self.now.after(REPEAT_S);
@@ -49,7 +52,7 @@
         }
     }
 
-    pub(crate) fn lead_housekeeping(&mut self) {
+    pub(crate) fn leadership_housekeeping(&mut self) {
         if self.now >= self.counts_at {
             self.counts_at = self.now.after(self.settings.tuning.tick_s * COUNTS_SHARE);
             self.send_counts();
@@ -58,43 +61,43 @@
         if self.catalog.is_empty() {
             return;
         }
-        let several = self.parked.values().any(|h| !h.whole);
-        if self.grant_alive() || several {
+        let several = self.shards.values().any(|h| !h.whole);
+        if self.lease_valid() || several {
             self.list_machines();
         }
         if !self.may_use_cloud() {
             return;
         }
-        self.send_rentals();
-        self.tick();
+        self.send_scale_out_requests();
+        self.reconcile();
         self.write_plan();
     }
 
     fn cloud_call(&mut self, op: CloudOp, purpose: CloudPurpose, priority: Priority) -> bool {
-        if !self.cloud_budget.has(self.now, 1.0, priority) {
+        if !self.cloud_rate_limit.has(self.now, 1.0, priority) {
             return false;
         }
-        self.cloud_budget.take(1.0);
+        self.cloud_rate_limit.take(1.0);
         let id = self.call_id();
-        let tenure = self.tenure();
-        self.cloud_calls.insert(id, (purpose, tenure));
+        let ownership = self.ownership();
+        self.cloud_calls.insert(id, (purpose, ownership));
         self.out.push(Output::Cloud(id, op));
         true
     }
 
     pub(crate) fn on_cloud(&mut self, id: CallId, reply: CloudReply) {
-        let Some((purpose, tenure)) = self.cloud_calls.remove(&id) else {
+        let Some((purpose, ownership)) = self.cloud_calls.remove(&id) else {
             return;
         };
         if reply == CloudReply::Trouble {
-            self.cloud_budget.drain();
+            self.cloud_rate_limit.drain();
         }
         match purpose {
             CloudPurpose::Catalog => self.on_catalog(reply),
-            CloudPurpose::Rent(name) => self.on_rented(&name, reply),
+            CloudPurpose::Rent(name) => self.on_scaled_out(&name, reply),
             CloudPurpose::Delete(ids) => {
-                if let Some((block, _)) = tenure {
-                    self.in_block(block, |core| core.on_deleted(ids, reply));
+                if let Some((shard, _)) = ownership {
+                    self.in_shard(shard, |controller| controller.on_deleted(ids, reply));
                 }
             }
             CloudPurpose::List(so_far) => self.on_machine_list(so_far, reply),
@@ -107,9 +110,9 @@
         };
         self.catalog = classes;
         let catalog = &self.catalog;
-        for h in self.parked.values_mut() {
-            h.machines.edit_all(|m| m.find_class(catalog));
-            h.place_wanted = true;
+        for h in self.shards.values_mut() {
+            h.machines.edit_all(|m| m.resolve_machine_type(catalog));
+            h.scheduling_wanted = true;
         }
     }
 }
--- a/src/core/interface.rs
+++ b/src/controller/events.rs
@@ -1,9 +1,11 @@
 //! What goes into the state machine and what comes out of it.
 
-use crate::core::records::JobRec;
-use crate::ids::{CallId, JobId, Member, ReqId};
+use crate::controller::store::records::JobRecord;
+use crate::ids::{CallId, ControllerId, JobId, RequestId};
 use crate::peer::Message;
-use crate::wire::{BadBody, CloudOp, CloudReply, Report, StateOp, StateReply, error_body};
+use crate::wire::{
+    BadBody, CloudOp, CloudReply, StoreRequest, StoreResponse, WorkerHeartbeat, error_body,
+};
 use salttrestle_cells::Cell;
 use salttrestle_cells::message::LinkMessage;
 
@@ -11,38 +13,38 @@
 #[derive(Debug)]
 pub enum Request {
     /// A user submits a job.
-    Submit(Result<(JobId, JobRec), BadBody>),
+    Submit(Result<(JobId, JobRecord), BadBody>),
     /// A user asks how a job stands.
     Poll(JobId),
     /// A user cancels a job.
     Cancel(JobId),
     /// The balancer asks whether this controller takes requests.
     Up,
-    /// A worker reports.
-    Report(Report),
+    /// A worker heartbeats.
+    Heartbeat(WorkerHeartbeat),
 }
 
 /// What the state machine is told.
 #[derive(Debug)]
 pub enum Input {
     /// A request came.
-    Request(ReqId, Request),
+    Request(RequestId, Request),
     /// Whoever asked has gone.
-    Disconnect(ReqId),
-    /// The state service answered a call.
-    State(CallId, StateReply),
+    Disconnect(RequestId),
+    /// The store answered a call.
+    Store(CallId, StoreResponse),
     /// The cloud answered a call.
     Cloud(CallId, CloudReply),
-    /// A sibling tells something.
+    /// A peer tells something.
     Peer(Message),
     /// Another cell's leader tells how things stand there.
     Cell(LinkMessage),
-    /// What became of this controller's own connection to a sibling.
-    Link(Member, Link),
+    /// What became of this controller's own connection to a peer.
+    Link(ControllerId, Link),
     /// The share of the time since the last such word for which this process didn't wait.
-    Busy(f64),
+    ProcessorUtilization(f64),
     /// The process is told to end, and hands over first.
-    Drain,
+    Shutdown,
     /// Time has passed.
     Tick,
 }
@@ -78,7 +80,7 @@
     }
 }
 
-/// A connection to a sibling.
+/// A connection to a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Link {
     /// It was made.
@@ -93,17 +95,17 @@
 #[derive(Debug)]
 pub enum Output {
     /// Answer a request.
-    Answer(ReqId, Reply),
-    /// Call the state service.
-    State(CallId, StateOp),
+    Answer(RequestId, Reply),
+    /// Call the store.
+    Store(CallId, StoreRequest),
     /// Nobody waits for this call any more; its connection is closed.
     Forget(CallId),
     /// Call the cloud.
     Cloud(CallId, CloudOp),
-    /// To one sibling, or to all.
-    Peer(Option<Member>, Message),
-    /// A sibling runs: a connection to it is begun without the pause after one that failed.
-    Reconnect(Member),
+    /// To one peer, or to all.
+    Peer(Option<ControllerId>, Message),
+    /// A peer runs: a connection to it is begun without the pause after one that failed.
+    Reconnect(ControllerId),
     /// To the leader of another cell.
     Cell(Cell, LinkMessage),
 }
@@ -112,11 +114,11 @@
 /// written.
 #[derive(Clone, Debug, Default)]
 pub struct Load {
-    /// Requests to the state service.
+    /// Requests to the store.
     pub requests: f64,
     /// Its share of them, a second.
     pub requests_rate: f64,
-    /// Changes at the state service.
+    /// Changes at the store.
     pub changes: f64,
     /// Its share of them, a second.
     pub changes_rate: f64,
@@ -127,12 +129,12 @@
     /// Writes that wait.
     pub queued: usize,
     /// Machines looked at to place tasks.
-    pub looked: u64,
+    pub machines_scanned: u64,
     /// Tasks placed.
     pub placed: u64,
 }
 
-/// What waits in the blocks that this controller holds.
+/// What waits in the shards that this controller holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Queue {
     /// Jobs that wait until others are done.
--- /dev/null
+++ b/src/controller/forwarding.rs
@@ -0,0 +1,459 @@
+//! How heartbeats come to the owner of their machine's shard, and what keeps workers
+//! alive when they can't.
+//!
+//! A worker heartbeats to a controller of its own zone, which hands the heartbeat on to the
+//! owner and the answer back. When the zone is partitioned, or the owner ends, the worker
+//! needn't look for another controller while its lease runs: its own one answers in
+//! the owner's place ("shelters" it) under the number it knows, without starts.
+//!
+//! Why that is safe. An answer under the owner's number gives a worker nothing but
+//! time, and stops what is cancelled. Time breaks two things only. A lease proves a
+//! task gone only once the zone's other controllers have said that they sheltered
+//! nobody while it ran out (`no_keepalive_by_peers`). And a cancellation is told to its user
+//! only once every task is proven gone (`front`), so no bound runs against a worker
+//! that nobody with sight of the store reaches.
+
+use crate::controller::events::{Output, Reply};
+use crate::controller::shards::leases::stable_hash;
+use crate::controller::{BATCH_MS, Controller, RECENT_S};
+use crate::ids::{ControllerId, FencingToken, MachineId, RequestId, TaskId, Time};
+use crate::peer::{ForwardedHeartbeat, ForwardedResponse, Message, PeerHeartbeat};
+use crate::settings::Peer;
+use crate::wire::{Command, TaskStatus, WorkerHeartbeat, commands_body, redirect_body};
+use std::collections::{BTreeMap, HashMap, VecDeque};
+
+/// A heartbeat whose machine's owner is down.
+#[derive(Debug)]
+struct OwnerlessHeartbeat {
+    request_id: RequestId,
+    report: WorkerHeartbeat,
+    since: Time,
+    /// The owner that it was handed to in vain.
+    tried: Option<ControllerId>,
+}
+
+/// How long such a heartbeat waits at most, in seconds. Workers wait for 4 s. How many do at
+/// once is bounded by the connections on which they came.
+const OWNERLESS_MAX_S: f64 = 3.8;
+/// A heartbeat handed on is answered here when no answer came this long after the time
+/// for which the owner may hold it.
+const RELAY_GRACE_S: f64 = 0.9;
+/// Heartbeats with more tasks don't fit into a message to a peer; their workers go to
+/// the owner themselves.
+const RELAY_TASKS: usize = 200;
+/// An owner that refuses connections for this much longer than a takeover takes isn't
+/// down: only the controllers can't reach it, and workers are sent there.
+pub(crate) const TAKEOVER_S: f64 = 1.5;
+/// Pause between two workers sent home to a controller that hears no worker yet.
+const TRIAL_PAUSE_S: f64 = 2.0;
+
+/// A heartbeat handed to its owner.
+#[derive(Debug)]
+struct ForwardedOut {
+    to: ControllerId,
+    report: WorkerHeartbeat,
+    since: Time,
+}
+
+impl ForwardedOut {
+    /// The heartbeat, now that its owner didn't answer it.
+    fn ownerless(self, request_id: RequestId) -> OwnerlessHeartbeat {
+        OwnerlessHeartbeat {
+            request_id,
+            report: self.report,
+            since: self.since,
+            tried: Some(self.to),
+        }
+    }
+}
+
+/// A heartbeat that a peer handed on: which of its processes, and which request there.
+#[derive(Debug)]
+struct ForwardedIn {
+    from: ControllerId,
+    incarnation: u64,
+    request_id: RequestId,
+}
+
+#[derive(Debug, Default)]
+pub(crate) struct Forwarding {
+    out: BTreeMap<RequestId, ForwardedOut>,
+    guests: HashMap<RequestId, ForwardedIn>,
+    guest_count: u64,
+    /// Heartbeats to be handed on together, and when.
+    batched: Vec<(ControllerId, Box<ForwardedHeartbeat>)>,
+    batched_until: Option<Time>,
+    /// Heartbeats that wait until there is somebody to send their workers to.
+    ownerless: VecDeque<OwnerlessHeartbeat>,
+    /// Peers to whom no connection can be made, and since when they refuse it.
+    pub(crate) down: BTreeMap<ControllerId, Option<Time>>,
+    /// When this process last answered in an owner's place; at first its start.
+    pub(crate) last_keepalive: Option<Time>,
+    probes: BTreeMap<ControllerId, Time>,
+    /// Workers sent to a safer controller of this zone, and when.
+    redirected: BTreeMap<MachineId, Time>,
+}
+
+/// A worker that came back after it was sent to a safer controller is kept for so many leases.
+const KEPT_LEASES: f64 = 6.0;
+
+/// One of several controllers for a machine, the same each time.
+fn pick_by_name<'a>(
+    id: &MachineId,
+    controller_ids: &[&'a ControllerId],
+) -> Option<&'a ControllerId> {
+    let at = stable_hash(id.as_str()) % controller_ids.len().max(1) as u64;
+    controller_ids.get(at as usize).copied()
+}
+
+/// Requests of forwarded requests are numbered apart from those that come on connections.
+const GUESTS: u64 = 1 << 62;
+
+impl Forwarding {
+    /// When the heartbeats gathered so far are to be handed on.
+    pub(crate) fn batched_until(&self) -> Option<Time> {
+        self.batched_until
+    }
+
+    /// The peer that handed on a heartbeat.
+    pub(crate) fn forwarder(&self, request_id: RequestId) -> Option<ControllerId> {
+        self.guests.get(&request_id).map(|g| g.from.clone())
+    }
+}
+
+impl Controller {
+    pub(crate) fn on_worker_heartbeat(&mut self, request_id: RequestId, report: WorkerHeartbeat) {
+        self.last_worker_heartbeat = self.now;
+        let id = MachineId::from(report.machine.as_str());
+        if let Some(home) = self.preferred_controller(&id, &report) {
+            return self.answer(request_id, Reply::ok(421, redirect_body(Some(&home))));
+        }
+        if let Some(shard) = self.shard_here(&id) {
+            return self.in_shard(shard, |controller| {
+                controller.on_owned_heartbeat(request_id, &id, report)
+            });
+        }
+        self.note_unassigned(&id, &report);
+        self.forward(request_id, report);
+    }
+
+    /// The shard held here to which a machine belongs.
+    fn shard_here(&self, id: &MachineId) -> Option<u32> {
+        let mut held = self.shards.iter();
+        let mine = held.find(|(_, h)| h.machines.contains_key(id));
+        let whole = || self.shards.iter().find(|(_, h)| h.whole);
+        mine.or_else(whole).map(|(shard, _)| *shard)
+    }
+
+    /// The controller of a worker's own zone to which it had better heartbeat. One that
+    /// hears nobody yet gets workers one by one: if they can't reach it, the others
+    /// mustn't lose half a lease by trying.
+    fn preferred_controller(
+        &mut self,
+        id: &MachineId,
+        report: &WorkerHeartbeat,
+    ) -> Option<ControllerId> {
+        if report.tasks.len() > RELAY_TASKS || self.unanswered(id, report) {
+            return None;
+        }
+        if report.zone == self.settings.platform.site {
+            return self.safer_controller(id);
+        }
+        let local = self.forwarders_in(&report.zone);
+        let safe: Vec<&ControllerId> = local.iter().filter(|m| self.has_next(m)).copied().collect();
+        let local = if safe.is_empty() { local } else { safe };
+        let home = pick_by_name(id, &local)?.clone();
+        let heard = self.peers.get(&home).is_some_and(|(h, _)| h.hears_workers);
+        let trial = self.forwarding.probes.get(&home);
+        if !heard && trial.is_some_and(|at| self.now.since(*at) < TRIAL_PAUSE_S) {
+            return None;
+        }
+        self.forwarding.probes.insert(home.clone(), self.now);
+        Some(home)
+    }
+
+    /// Whether a worker wasn't answered yet by the present owner of its shard: its lease counts
+    /// from an answer of an earlier one, and may be about to end. It is answered first and sent
+    /// elsewhere later.
+    fn unanswered(&self, id: &MachineId, report: &WorkerHeartbeat) -> bool {
+        let mut records = self
+            .mirror
+            .shards
+            .values()
+            .filter_map(|b| b.record.as_ref());
+        let token = records.find(|b| b.has(id)).map(|b| b.token.0);
+        token.is_some_and(|token| report.token < token)
+    }
+
+    /// Another controller of this zone for a worker that would find nobody if this one fell
+    /// silent: the next one that it would try has been silent for long, and the two tries take
+    /// as long as its lease. Two controllers of three silent at once cost 95 machines their
+    /// tasks. Each worker is sent away once, should the controllers disagree on who is silent.
+    fn safer_controller(&mut self, id: &MachineId) -> Option<ControllerId> {
+        let platform = &self.settings.platform;
+        if self.has_next(&platform.controller_id) || self.forwarding.redirected.contains_key(id) {
+            return None;
+        }
+        let local = self.forwarders_in(&platform.site);
+        let safe: Vec<&ControllerId> = local.into_iter().filter(|m| self.has_next(m)).collect();
+        let home = pick_by_name(id, &safe)?.clone();
+        self.forwarding.redirected.insert(id.clone(), self.now);
+        Some(home)
+    }
+
+    /// Controllers of a zone, besides this one, that can hand heartbeats on.
+    fn forwarders_in<'a>(&'a self, zone: &'a str) -> Vec<&'a ControllerId> {
+        let relaying = |s: &&Peer| {
+            let heartbeat = self.peers.get(&s.controller_id).map(|(h, _)| h);
+            self.linked(&s.controller_id) && heartbeat.is_some_and(|h| h.can_forward)
+        };
+        let local = self.peers_in(zone).filter(relaying);
+        local.map(|s| &s.controller_id).collect()
+    }
+
+    /// Whether the controller that workers try after this one, in the order of the names, has
+    /// been heard lately.
+    fn has_next(&self, controller_id: &ControllerId) -> bool {
+        let platform = &self.settings.platform;
+        let order = |m: &ControllerId| (m.as_str().len(), m.0.clone());
+        let peers = platform.peers.iter().map(|s| &s.controller_id);
+        let all = peers.chain([&platform.controller_id]);
+        // The first one behind it or, behind the last, the first of all.
+        let next = all.min_by_key(|m| (order(m) <= order(controller_id), order(m)));
+        let lease_s = platform.facts.workers.lease_s;
+        let silent = |(_, at): &(PeerHeartbeat, Time)| self.now.since(*at) > lease_s;
+        !next.and_then(|m| self.peers.get(m)).is_some_and(silent)
+    }
+
+    /// Hands a heartbeat on to its owner, or does what can be done without it.
+    fn forward(&mut self, request_id: RequestId, report: WorkerHeartbeat) {
+        let id = MachineId::from(report.machine.as_str());
+        let owner = self.owner_of(&id);
+        let reached = owner.filter(|h| self.reachable(h));
+        match reached {
+            Some(to) if self.linked(&to) && report.tasks.len() <= RELAY_TASKS => {
+                let relayed = ForwardedHeartbeat::new(
+                    &self.settings.platform.controller_id,
+                    self.incarnation,
+                    request_id,
+                    &report,
+                );
+                let batched = (to.clone(), Box::new(relayed));
+                self.forwarding.batched.push(batched);
+                let until = self.now.next_multiple(BATCH_MS);
+                self.forwarding.batched_until.get_or_insert(until);
+                let since = self.now;
+                self.forwarding
+                    .out
+                    .insert(request_id, ForwardedOut { to, report, since });
+            }
+            Some(to) if report.tasks.len() > RELAY_TASKS => {
+                self.answer(request_id, Reply::ok(421, redirect_body(Some(&to))));
+            }
+            _ => {
+                let since = self.now;
+                self.without_owner(OwnerlessHeartbeat {
+                    request_id,
+                    report,
+                    since,
+                    tried: None,
+                });
+            }
+        }
+    }
+
+    /// Hands on the heartbeats that were gathered, once their time has come.
+    pub(crate) fn send_batched_forwards(&mut self) {
+        if self.forwarding.batched_until.is_none_or(|at| self.now < at) {
+            return;
+        }
+        self.forwarding.batched_until = None;
+        for (to, report) in std::mem::take(&mut self.forwarding.batched) {
+            let message = Message::ForwardedHeartbeat(report);
+            self.out.push(Output::Peer(Some(to), message));
+        }
+    }
+
+    /// Answers a heartbeat in its owner's place, or keeps it for a while.
+    fn without_owner(&mut self, ownerless: OwnerlessHeartbeat) {
+        if let Some(reply) = self.keepalive_for_owner(&ownerless.report) {
+            self.forwarding.last_keepalive = Some(self.now);
+            return self.answer(ownerless.request_id, reply);
+        }
+        let id = MachineId::from(ownerless.report.machine.as_str());
+        let known = self.owner_for(&ownerless).is_some();
+        let waited = self.now.since(ownerless.since) >= OWNERLESS_MAX_S;
+        let starting = !self.initial_list_done;
+        let sockets = self.settings.platform.facts.resources.max_sockets;
+        let full = self.forwarding.ownerless.len() >= sockets;
+        // An owner that takes over says so here only if somebody is heard here: a worker whose
+        // heartbeat waited at a controller that was partitioned from the others lost its lease.
+        let alone = self.peers_unreachable() && self.age_s() > RECENT_S;
+        if known || waited || full || alone || (self.is_stale() && !starting) {
+            return self.redirect(ownerless.request_id, &id);
+        }
+        // While the owner is down, a worker that is sent there, or on to the next
+        // node, loses a second each time.
+        self.forwarding.ownerless.push_back(ownerless);
+    }
+
+    /// The owner that a kept heartbeat's worker can be sent to. One that didn't answer when the
+    /// heartbeat was handed to it seems to run until its next message is missed: workers that
+    /// were sent there waited for 5 s, and then for another 5 s where it had sent them before.
+    fn owner_for(&self, ownerless: &OwnerlessHeartbeat) -> Option<ControllerId> {
+        let owner = self.owner_of(&MachineId::from(ownerless.report.machine.as_str()))?;
+        let runs = self.reachable(&owner) && ownerless.tried.as_ref() != Some(&owner);
+        (runs || self.refuses_connections(&owner)).then_some(owner)
+    }
+
+    /// The answer that keeps a worker of this controller's own zone alive while its
+    /// owner can't be reached: no starts, but stops for what is cancelled or over.
+    fn keepalive_for_owner(&self, report: &WorkerHeartbeat) -> Option<Reply> {
+        let id = MachineId::from(report.machine.as_str());
+        if report.zone != self.settings.platform.site {
+            return None;
+        }
+        let is_stale = self.is_stale();
+        let records = self.mirror.shards.values();
+        let mut records = records.filter_map(|b| b.record.as_ref());
+        let record = records.find(|b| b.has(&id));
+        if record.is_some_and(|b| self.refuses_connections(&b.owner)) {
+            return None;
+        }
+        // A process that began in a zone that is partitioned knows no number, or an old one.
+        // The worker's own tells it nothing that it doesn't know, and gives it time.
+        let known = record.map(|b| b.token).filter(|n| n.0 >= report.token);
+        let own = Some(FencingToken(report.token)).filter(|n| is_stale && n.0 > 0);
+        let token = known.or(own)?;
+        // A job that isn't known here may be newer than what is: only one whose end is known is
+        // over. Tasks that the owner had started just before it ended were stopped here, since the
+        // follow hadn't brought their jobs yet, and started again by its successor.
+        let over = |task: &TaskId| match self.mirror.jobs.get(&task.job) {
+            Some(job) => job.cancelled.is_some(),
+            None => self.mirror.ending(&task.job).is_some(),
+        };
+        let halts = report.tasks.iter().filter_map(|t| {
+            let task = TaskId::parse(&t.task)?;
+            let runs = t.status != TaskStatus::Ended;
+            (runs && over(&task)).then(|| Command::Halt {
+                task: t.task.clone(),
+                attempt: t.attempt,
+                grace_s: 0.0,
+            })
+        });
+        let halts: Vec<Command> = halts.collect();
+        Some(Reply::ok(200, commands_body(token, &halts)))
+    }
+
+    /// Sends a worker to its shard's owner, if it is known.
+    pub(crate) fn redirect(&mut self, request_id: RequestId, machine: &MachineId) {
+        let owner = self.owner_of(machine);
+        let owner = owner.filter(|h| self.surely_runs(h));
+        self.answer(request_id, Reply::ok(421, redirect_body(owner.as_ref())));
+    }
+
+    /// Whether an owner runs for sure: it was heard just now or, where it hasn't been for
+    /// longer than a takeover takes, its record stands all the same. Workers sent to one that
+    /// is dead lose half of their lease.
+    fn surely_runs(&self, owner: &ControllerId) -> bool {
+        let takeover_s = self.settings.tuning.leader_lease_s + TAKEOVER_S;
+        let heard = self.peers.get(owner).map(|(_, at)| *at);
+        let peers_unreachable = heard.is_none_or(|at| self.now.since(at) > takeover_s);
+        self.heartbeat_fresh(owner) || peers_unreachable && !self.is_stale()
+    }
+
+    pub(crate) fn forwarding_housekeeping(&mut self) {
+        let kept_s = KEPT_LEASES * self.settings.platform.facts.workers.lease_s;
+        let now = self.now;
+        let redirected = &mut self.forwarding.redirected;
+        redirected.retain(|_, at| now.since(*at) < kept_s);
+        for ownerless in std::mem::take(&mut self.forwarding.ownerless) {
+            let id = MachineId::from(ownerless.report.machine.as_str());
+            let held = self.shard_here(&id).is_some();
+            let owner = self.owner_for(&ownerless);
+            if held || owner.is_some_and(|h| self.reachable(&h)) {
+                self.on_worker_heartbeat(ownerless.request_id, ownerless.report);
+            } else {
+                self.without_owner(ownerless);
+            }
+        }
+        let patience = self.settings.hold_s(false) + RELAY_GRACE_S;
+        let late = self.forwarding.out.iter().filter(|(_, r)| {
+            self.now.since(r.since) > patience
+                || !self.heartbeat_fresh(&r.to)
+                || !self.linked(&r.to)
+        });
+        let late: Vec<RequestId> = late.map(|(request_id, _)| *request_id).collect();
+        for request_id in late {
+            if let Some(r) = self.forwarding.out.remove(&request_id) {
+                self.without_owner(r.ownerless(request_id));
+            }
+        }
+    }
+
+    /// A peer hands on a heartbeat of one of its workers.
+    pub(crate) fn on_forwarded_heartbeat(&mut self, relayed: ForwardedHeartbeat) {
+        if !self.is_peer(&relayed.from) {
+            return;
+        }
+        self.forwarding.guest_count += 1;
+        let request_id = RequestId(GUESTS + self.forwarding.guest_count);
+        let guest = ForwardedIn {
+            from: relayed.from.clone(),
+            incarnation: relayed.incarnation,
+            request_id: RequestId(relayed.request_id),
+        };
+        self.forwarding.guests.insert(request_id, guest);
+        let report = relayed.report();
+        let id = MachineId::from(report.machine.as_str());
+        match self.shard_here(&id) {
+            Some(shard) => self.in_shard(shard, |controller| {
+                controller.on_owned_heartbeat(request_id, &id, report)
+            }),
+            None => self.answer(request_id, Reply::ok(421, redirect_body(None))),
+        }
+    }
+
+    /// The owner's answer to a heartbeat that was handed on to it.
+    pub(crate) fn on_forwarded_response(&mut self, answer: ForwardedResponse) {
+        let request_id = RequestId(answer.request_id);
+        if answer.incarnation != self.incarnation {
+            return;
+        }
+        let Some(relayed) = self.forwarding.out.remove(&request_id) else {
+            return;
+        };
+        if answer.status == 421 {
+            // It doesn't hold the shard any more; who does is soon known here.
+            return self.without_owner(relayed.ownerless(request_id));
+        }
+        let reply = Reply {
+            status: answer.status,
+            body: answer.body,
+            retry_after: answer.retry_after,
+        };
+        self.answer(request_id, reply);
+    }
+
+    pub(crate) fn answer(&mut self, request_id: RequestId, reply: Reply) {
+        let Some(guest) = self.forwarding.guests.remove(&request_id) else {
+            return self.out.push(Output::Answer(request_id, reply));
+        };
+        let answer = ForwardedResponse {
+            incarnation: guest.incarnation,
+            request_id: guest.request_id.0,
+            status: reply.status,
+            body: reply.body,
+            retry_after: reply.retry_after,
+        };
+        let message = Message::ForwardedResponse(answer);
+        self.out.push(Output::Peer(Some(guest.from), message));
+    }
+
+    pub(crate) fn forget_report(&mut self, request_id: RequestId) {
+        self.forwarding
+            .ownerless
+            .retain(|l| l.request_id != request_id);
+        self.forwarding.out.remove(&request_id);
+    }
+}
--- a/src/core/standby.rs
+++ b/src/controller/leadership/standby.rs
@@ -1,13 +1,15 @@
 //! The standby in this controller: what its state machine is told, and what follows from it. The
 //! state machine itself is package `standby`.
 
-use super::holder::Holder;
-use super::{Core, Output};
-use crate::core::autoscaler::Pool;
+use crate::controller::Controller;
+use crate::controller::autoscaling::Pool;
+use crate::controller::events::Output;
+use crate::controller::shard::ShardOwner;
+use crate::controller::shard::burst_estimate::BurstEstimate;
 use crate::ids::{Image, MachineId, Time};
 use crate::peer::Message;
 use crate::settings::Settings;
-use crate::wire::ClassInfo;
+use crate::wire::MachineType;
 use log::info;
 use salttrestle_standby::detector::Suspicion;
 use salttrestle_standby::hints::{Estimates, HintStore, Hints, Rotation};
@@ -58,19 +60,24 @@
 }
 
 /// The standby of a process that begins.
-pub(super) fn new_standby(settings: &Settings, boot: u64) -> Standby {
+pub(crate) fn new_standby(settings: &Settings, incarnation: u64) -> Standby {
     let platform = &settings.platform;
-    let peers = platform.siblings.iter().map(|s| s.member.to_string());
-    Standby::new(settings.standby(), platform.member.as_str(), boot, peers)
+    let peers = platform.peers.iter().map(|s| s.controller_id.to_string());
+    Standby::new(
+        settings.standby(),
+        platform.controller_id.as_str(),
+        incarnation,
+        peers,
+    )
 }
 
-impl Core {
+impl Controller {
     fn standby_config(&self) -> Config {
         self.settings.standby()
     }
 
-    /// Tells the siblings that this controller runs and, if it leads, what it knows.
-    pub(super) fn standby_housekeeping(&mut self) {
+    /// Tells the peers that this controller runs and, if it leads, what it knows.
+    pub(crate) fn standby_housekeeping(&mut self) {
         let before = self.suspects_leader();
         if let Some(heartbeat) = self.standby.tick(self.now.0) {
             let message = StandbyMessage::Heartbeat(heartbeat);
@@ -82,7 +89,7 @@
             match before {
                 Some(why) => match self.standby.may_replace(self.now.0) {
                     Ok(()) => info!("the leader is suspected: {why:?}"),
-                    Err(hold) => info!("the leader is suspected: {why:?}; as yet {hold:?}"),
+                    Err(lease_id) => info!("the leader is suspected: {why:?}; as yet {lease_id:?}"),
                 },
                 None => info!("the leader isn't suspected any more"),
             }
@@ -91,29 +98,29 @@
     }
 
     /// Whether this controller has lost the leader, and why.
-    pub(super) fn suspects_leader(&self) -> Option<Suspicion> {
+    pub(crate) fn suspects_leader(&self) -> Option<Suspicion> {
         self.standby.suspicion(self.now.0)
     }
 
-    /// Whether the leader's record may be replaced before its grant's end. With several blocks
-    /// each holder calls the cloud for its own machines without leading: there the grant is
+    /// Whether the leader's record may be replaced before its lease's end. With several shards
+    /// each owner calls the cloud for its own machines without leading: there the lease is
     /// waited for.
-    pub(super) fn may_replace_leader(&self) -> bool {
-        self.cache.blocks.len() <= 1 && self.standby.may_replace(self.now.0).is_ok()
+    pub(crate) fn may_replace_leader(&self) -> bool {
+        self.mirror.shards.len() <= 1 && self.standby.may_replace(self.now.0).is_ok()
     }
 
     /// The leader's record may have changed.
-    pub(super) fn tell_standby_of_leader(&mut self) {
-        let term = self.cache.leader.rec.as_ref().map(|leader| Term {
-            leader: leader.member.to_string(),
-            boot: leader.boot,
-            number: leader.number.0,
+    pub(crate) fn tell_standby_of_leader(&mut self) {
+        let term = self.mirror.leader.record.as_ref().map(|leader| Term {
+            leader: leader.controller_id.to_string(),
+            incarnation: leader.incarnation,
+            token: leader.token.0,
             fenced_ms: leader.fenced_ms,
         });
         self.standby.set_term(self.now.0, term);
     }
 
-    pub(super) fn on_standby_message(&mut self, message: StandbyMessage) {
+    pub(crate) fn on_standby_message(&mut self, message: StandbyMessage) {
         let now = self.now.0;
         match message {
             StandbyMessage::Heartbeat(heartbeat) => self.standby.on_heartbeat(now, &heartbeat),
@@ -140,25 +147,25 @@
         if pause_ms == 0 || self.now < self.hint_sender.due {
             return;
         }
-        let (Some(lead), Some(holder)) = (&self.lead, self.parked.get(&0)) else {
+        let (Some(leadership), Some(owner)) = (&self.leadership, self.shards.get(&0)) else {
             return;
         };
-        if !holder.whole {
+        if !owner.whole {
             return;
         }
         self.hint_sender.due = Time(self.now.0 + pause_ms);
         let rotation = &mut self.hint_sender.rotation;
         let after = rotation.after().map(MachineId::from);
-        let machines = holder.machines.iter_after(after.as_ref());
+        let machines = owner.machines.iter_after(after.as_ref());
         let machines = machines.map(|(id, machine)| {
             let images = machine.images.iter().map(|(i, gb)| (i.as_str(), *gb));
             (id.as_str(), images.collect())
         });
         let (images, machines) = rotation.next(machines);
         let hints = Hints {
-            from: self.settings.platform.member.to_string(),
-            number: lead.number.0,
-            estimates: holder.estimates_for_standbys(self.now, &self.catalog),
+            from: self.settings.platform.controller_id.to_string(),
+            token: leadership.token.0,
+            estimates: owner.estimates_for_peers(self.now, &self.catalog),
             images,
             machines,
         };
@@ -166,27 +173,27 @@
         self.out.push(Output::Peer(None, message));
     }
 
-    /// A new holder begins with what the one before it estimated.
-    pub(super) fn take_hinted_estimates(&mut self) {
+    /// A new owner begins with what the one before it estimated.
+    pub(crate) fn apply_hinted_estimates(&mut self) {
         let Some((age_ms, estimates)) = self.standby.hints().estimates(self.now.0) else {
             return;
         };
-        let Some(holder) = self.holder.as_mut().filter(|h| h.whole) else {
+        let Some(owner) = self.owner.as_mut().filter(|h| h.whole) else {
             return;
         };
         info!("takes over estimates that are {age_ms} ms old");
-        holder.take_hinted_estimates(self.now, age_ms, estimates, &self.catalog);
+        owner.apply_hinted_estimates(self.now, age_ms, estimates, &self.catalog);
     }
 }
 
-impl Holder {
-    fn estimates_for_standbys(&self, now: Time, catalog: &[ClassInfo]) -> Estimates {
+impl ShardOwner {
+    fn estimates_for_peers(&self, now: Time, catalog: &[MachineType]) -> Estimates {
         let named = |class: usize| catalog.get(class).map(|c| c.name.clone());
         let boots = self.boots.iter();
         let boots = boots.filter_map(|(class, boot_s)| Some((named(*class)?, *boot_s)));
         let bursts = self.bursts.iter().filter_map(|((class, spot), burst)| {
             let boot_s = catalog.get(*class)?.ready_s;
-            Some((named(*class)?, *spot, burst.faded(now, boot_s)))
+            Some((named(*class)?, *spot, burst.decayed(now, boot_s)))
         });
         Estimates {
             boots: boots.collect(),
@@ -194,12 +201,12 @@
         }
     }
 
-    fn take_hinted_estimates(
+    fn apply_hinted_estimates(
         &mut self,
         now: Time,
         age_ms: u64,
         estimates: &Estimates,
-        catalog: &[ClassInfo],
+        catalog: &[MachineType],
     ) {
         let class_of = |name: &str| catalog.iter().position(|c| c.name == name);
         for (name, boot_s) in &estimates.boots {
@@ -212,18 +219,18 @@
             if let Some(class) = class_of(name) {
                 let pool: Pool = (class, *spot);
                 self.bursts
-                    .insert(pool, super::holder::BurstEstimate::told(told_at, *squares));
+                    .insert(pool, BurstEstimate::observed(told_at, *squares));
             }
         }
     }
 
-    /// Which images a machine has isn't in its reports: what the leader before this holder told
+    /// Which images a machine has isn't in its heartbeats: what the leader before this owner told
     /// of it is where starts are tried first.
-    pub(super) fn take_hinted_images(
+    pub(crate) fn apply_hinted_images(
         &mut self,
         id: &MachineId,
         hints: &HintStore,
-        catalog: &[ClassInfo],
+        catalog: &[MachineType],
     ) {
         let images = hints.images_of(id.as_str());
         if images.is_empty() {
--- /dev/null
+++ b/src/controller/machines/commands.rs
@@ -0,0 +1,160 @@
+//! Commands: what a machine is to do now, and the answers that carry them.
+
+use crate::controller::Controller;
+use crate::controller::events::Reply;
+use crate::controller::machines::heartbeats::ListedTask;
+use crate::controller::shard::ShardOwner;
+use crate::controller::shard::job::Phase;
+use crate::ids::{MachineId, RequestId, TaskId};
+use crate::wire::{Cause, Command, HeartbeatTask, TaskStatus, commands_body};
+
+/// Repeated saving stops turn into plain ones after the grace and this long.
+const GRACE_S: f64 = 1.0;
+
+impl Controller {
+    /// Answers a waiting heartbeat now, if there is one and a command for it.
+    pub(crate) fn answer_long_poll(&mut self, id: &MachineId) {
+        let held = self
+            .owner
+            .as_ref()
+            .and_then(|h| h.machines.get(id)?.long_poll);
+        let Some((request_id, until)) = held else {
+            return;
+        };
+        let commands = self.commands(id, &[]);
+        if commands.is_empty() {
+            return;
+        }
+        if let Some(h) = &mut self.owner {
+            h.long_poll_deadlines.remove(&(until, id.clone()));
+        }
+        self.send_commands(id, request_id, &commands);
+    }
+
+    /// Answers the heartbeats whose time to wait is over.
+    pub(crate) fn answer_due_long_polls(&mut self) {
+        loop {
+            let now = self.now;
+            let Some(h) = &mut self.owner else {
+                return;
+            };
+            match h.long_poll_deadlines.first() {
+                Some((until, _)) if *until <= now => {}
+                _ => return,
+            }
+            let Some((_, id)) = h.long_poll_deadlines.pop_first() else {
+                return;
+            };
+            let Some((request_id, _)) = h.machines.get(&id).and_then(|m| m.long_poll) else {
+                continue;
+            };
+            let commands = self.commands(&id, &[]);
+            self.send_commands(&id, request_id, &commands);
+        }
+    }
+
+    pub(crate) fn send_commands(
+        &mut self,
+        id: &MachineId,
+        request_id: RequestId,
+        commands: &[Command],
+    ) {
+        let now = self.now;
+        let Some(h) = &mut self.owner else {
+            return;
+        };
+        h.machines.touch(id, |m| {
+            m.last_acknowledged = now;
+            m.long_poll = None;
+        });
+        let body = commands_body(h.token, commands);
+        self.answer(request_id, Reply::ok(200, body));
+    }
+
+    /// What a machine is to do now. Derived from what is known, not from what was
+    /// sent: a lost answer is made good by the next one.
+    pub(crate) fn commands(&mut self, id: &MachineId, listed: &[ListedTask<'_>]) -> Vec<Command> {
+        let now = self.now;
+        // A start needs sight of the store: a cancellation may stand there.
+        let is_stale = self.is_stale();
+        let Some(h) = &mut self.owner else {
+            return Vec::new();
+        };
+        let unassigned = listed.iter();
+        let unassigned = unassigned.filter_map(|l| unplaced_command(h, id, &l.task, l.report));
+        let mut out: Vec<Command> = unassigned.collect();
+        let ShardOwner { machines, jobs, .. } = &mut **h;
+        let Some(m) = machines.get(id) else {
+            return out;
+        };
+        let starts = !is_stale && m.decommission_at.is_none();
+        for task in m.tasks.keys() {
+            let Some(job_state) = jobs.get_mut(&task.job) else {
+                continue;
+            };
+            let save_s = job_state.record.save_s;
+            let grace = job_state.cancelled.is_none() && job_state.record.checkpoint_s > 0.0;
+            let Some(p) = job_state.placed.get_mut(&task.index) else {
+                continue;
+            };
+            match (p.stop_requested, p.phase) {
+                (None, Phase::Ready) if starts => {
+                    (p.phase, p.since) = (Phase::Sent, now);
+                    p.sends += 1;
+                    out.push(Command::Start {
+                        task: task.to_string(),
+                        attempt: p.attempt,
+                    });
+                }
+                (Some(_), Phase::Committing | Phase::Ready) | (None, _) => {}
+                (Some(at), phase) => {
+                    let waited = now.since(at);
+                    let saves = grace && waited < save_s + GRACE_S;
+                    if phase == Phase::Flushing && saves {
+                        continue;
+                    }
+                    out.push(Command::Halt {
+                        task: task.to_string(),
+                        attempt: p.attempt,
+                        grace_s: if saves { save_s + GRACE_S } else { 0.0 },
+                    });
+                }
+            }
+        }
+        out
+    }
+}
+
+/// What to do about a listed attempt that isn't a present placement.
+fn unplaced_command(
+    h: &ShardOwner,
+    id: &MachineId,
+    task: &TaskId,
+    t: &HeartbeatTask,
+) -> Option<Command> {
+    let job_state = h.jobs.get(&task.job);
+    let placed = job_state.and_then(|l| l.placed.get(&task.index));
+    if placed.is_some_and(|p| p.machine == *id && p.attempt == t.attempt) {
+        return None;
+    }
+    let (name, attempt) = (task.to_string(), t.attempt);
+    if t.status != TaskStatus::Ended {
+        return Some(Command::Halt {
+            task: name,
+            attempt,
+            grace_s: 0.0,
+        });
+    }
+    // A result is cleared only once it is written: after a clear, nothing else
+    // tells that the task is done.
+    let unwritten = job_state.is_some_and(|l| {
+        let chunk = l.layout.chunk_of(task.index);
+        t.cause == Some(Cause::Done)
+            && l.cancelled.is_none()
+            && l.chunks.get(&chunk).is_some_and(|c| c.unwritten)
+    });
+    (!unwritten).then_some(Command::Clear {
+        task: name,
+        attempt,
+    })
+}
--- /dev/null
+++ b/src/controller/machines/heartbeats.rs
@@ -0,0 +1,373 @@
+//! What heartbeats tell of machines and tasks.
+
+use crate::controller::events::Reply;
+use crate::controller::machines::inventory::Machine;
+use crate::controller::shard::ShardOwner;
+use crate::controller::shard::job::Phase;
+use crate::controller::store::records::JobKind;
+use crate::controller::{BATCH_MS, Controller};
+use crate::ids::{Attempt, MachineId, RequestId, TaskId, Time};
+use crate::wire::{Cause, HeartbeatTask, MachineType, TaskStatus, WorkerHeartbeat, commands_body};
+use log::{debug, info, warn};
+
+/// A start is sent this often before its placement is given up.
+const SENDS_MAX: u32 = 4;
+/// Boots aren't shorter than this share of what the catalog says, unless the machine was
+/// up before it was heard of.
+const LEAST_BOOT: f64 = 0.3;
+/// Pause before a machine that refused a task for want of room gets another.
+const FULL_S: f64 = 3.0;
+/// A task that has run for so long is taken to be well: crash-looping jobs and quarantined machines fail
+/// their tasks as they start.
+const RUNS_WELL_S: f64 = 10.0;
+/// Pause before a start is tried again that its machine refused for not knowing the job, and
+/// after how many of them it grows no longer.
+const UNKNOWN_PAUSE_S: f64 = 2.0;
+const UNKNOWN_PAUSES: u32 = 8;
+
+impl Controller {
+    pub(crate) fn on_owned_heartbeat(
+        &mut self,
+        request_id: RequestId,
+        id: &MachineId,
+        report: WorkerHeartbeat,
+    ) {
+        let now = self.now;
+        let Some(h) = &mut self.owner else {
+            return;
+        };
+        h.heard = now;
+        // Somebody newer gives commands. Its answers count, ours would be dropped.
+        if report.token > h.token.0 {
+            return self.redirect(request_id, id);
+        }
+        if h.gone.contains_key(id) {
+            return self.answer(request_id, Reply::later(503, 5, "this machine is deleted"));
+        }
+        self.adopt_unknown_machine(id, &report);
+        let Some(h) = &mut self.owner else {
+            return;
+        };
+        let token = h.token;
+        let proof = report.token == token.0;
+        let forwarded_by = self.forwarding.forwarder(request_id);
+        let taken = h.machines.edit(id, |m| {
+            m.forwarded_by = forwarded_by;
+            m.record_heartbeat(now, &report, proof)
+        });
+        let Some(taken) = taken else {
+            return;
+        };
+        if !taken.fresh {
+            // A copy, or overtaken by a newer one: it is answered, since its worker
+            // may still wait, but nothing in it is news.
+            return self.answer(request_id, Reply::ok(200, commands_body(token, &[])));
+        }
+        if taken.first {
+            debug!(
+                "first report of machine {id}: session {}, number {}, {} tasks",
+                report.agent_epoch,
+                report.token,
+                report.tasks.len()
+            );
+            h.apply_hinted_images(id, self.standby.hints(), &self.catalog);
+        }
+        if taken.born {
+            h.scheduling_wanted = true;
+            h.record_boot(&self.catalog, id, now);
+        }
+        if let Some((old, until)) = taken.held {
+            h.long_poll_deadlines.remove(&(until, id.clone()));
+            self.answer(old, Reply::ok(200, commands_body(token, &[])));
+        }
+        let listed = listed_tasks(&report);
+        self.update_tasks(id, &listed, proof);
+        let commands = self.commands(id, &listed);
+        if commands.is_empty() && self.start_long_poll(id, request_id) {
+            return;
+        }
+        self.send_commands(id, request_id, &commands);
+    }
+
+    /// A machine nobody here knows heartbeats: an earlier leader's, or one whose scale-out request
+    /// was carried out late. It is used, or returned when it isn't wanted.
+    fn adopt_unknown_machine(&mut self, id: &MachineId, report: &WorkerHeartbeat) {
+        let now = self.now;
+        let Some(h) = &mut self.owner else {
+            return;
+        };
+        let (class, zone, spot) = (&report.class, &report.zone, report.spot);
+        if h.machines.contains_key(id) {
+            // It may be known by name only, or from before the catalog was.
+            if h.machines.get(id).is_some_and(|m| m.class == usize::MAX) {
+                let set_machine_type =
+                    |m: &mut Machine| m.set_machine_type(&self.catalog, class, zone, spot);
+                h.machines.edit(id, set_machine_type);
+            }
+            return;
+        }
+        let machine = Machine::new(&self.catalog, class, zone, spot, now);
+        h.machines.insert(id.clone(), machine);
+    }
+
+    /// Whether the answer may wait for a command. Only a quiet heartbeat waits, and
+    /// less long than until the next one is due.
+    fn start_long_poll(&mut self, id: &MachineId, request_id: RequestId) -> bool {
+        let Some(h) = &mut self.owner else {
+            return false;
+        };
+        let Some(m) = h.machines.get(id) else {
+            return false;
+        };
+        // What ends meanwhile is heard of only when the worker is answered.
+        let ends = m.tasks.values().any(|s| s.record.kind == JobKind::Batch);
+        let poll_s = self.settings.hold_s(ends);
+        // A worker without our number yet gets it at once.
+        if poll_s <= 0.0 || !m.token_acknowledged {
+            return false;
+        }
+        let until = match m.is_full() {
+            // No start comes for it, and its lease counts from its last answered heartbeat.
+            true => self.now.next_multiple(BATCH_MS),
+            false => answer_at(self.now, poll_s),
+        };
+        h.machines
+            .touch(id, |m| m.long_poll = Some((request_id, until)));
+        h.long_poll_deadlines.insert((until, id.clone()));
+        true
+    }
+
+    /// Takes in what a heartbeat lists, and what it doesn't.
+    fn update_tasks(&mut self, id: &MachineId, listed: &[ListedTask<'_>], proof: bool) {
+        for entry in listed {
+            self.update_task(id, &entry.task, entry.report);
+        }
+        if proof {
+            self.remove_unlisted_tasks(id, listed);
+        }
+    }
+
+    /// What a heartbeat that proves absence doesn't list isn't on its machine.
+    fn remove_unlisted_tasks(&mut self, id: &MachineId, listed: &[ListedTask<'_>]) {
+        let now = self.now;
+        let Some(h) = &mut self.owner else {
+            return;
+        };
+        let ShardOwner { machines, jobs, .. } = &mut **h;
+        let Some(m) = machines.get(id) else {
+            return;
+        };
+        let mut gone = Vec::new();
+        for task in m.tasks.keys() {
+            let job_state = jobs.get_mut(&task.job);
+            let Some(p) = job_state.and_then(|l| l.placed.get_mut(&task.index)) else {
+                continue;
+            };
+            if listed.iter().any(|l| l.is(task, p.attempt)) {
+                continue;
+            }
+            match p.phase {
+                Phase::Committing | Phase::Ready => {}
+                // The answer that carried the start was lost: its worker reported
+                // again, so it has dropped that answer for good. The same attempt
+                // was never there, so it can be sent once more.
+                Phase::Sent if p.stop_requested.is_none() && p.sends < SENDS_MAX => {
+                    p.phase = Phase::Ready
+                }
+                _ => gone.push(task.clone()),
+            }
+        }
+        for task in gone {
+            debug!("task {task} is gone from {id}");
+            h.remove_placement(now, &task);
+        }
+    }
+
+    fn update_task(&mut self, id: &MachineId, task: &TaskId, t: &HeartbeatTask) {
+        let now = self.now;
+        let Some(h) = &mut self.owner else {
+            return;
+        };
+        let Some(job_state) = h.jobs.get_mut(&task.job) else {
+            return;
+        };
+        let Some(p) = job_state.placed.get_mut(&task.index) else {
+            return;
+        };
+        if p.machine != *id || p.attempt != t.attempt {
+            return;
+        }
+        let phase = match t.status {
+            TaskStatus::Fetching => Phase::Fetching,
+            TaskStatus::Running => Phase::Running,
+            TaskStatus::Flushing => Phase::Flushing,
+            TaskStatus::Ended => return self.on_task_ended(id, task, t.cause),
+        };
+        if p.phase == phase {
+            let runs_well = phase == Phase::Running && now.since(p.since) > RUNS_WELL_S;
+            if runs_well && !p.runs_well {
+                p.runs_well = true;
+                h.task_succeeded(now, id, task);
+            }
+            return;
+        }
+        (p.phase, p.since) = (phase, now);
+        if phase == Phase::Fetching {
+            return;
+        }
+        let record = job_state.record.clone();
+        let catalog = &self.catalog;
+        h.machines.edit(id, |m| {
+            if let Some(bind) = m.tasks.get_mut(task) {
+                bind.image_cached = true;
+            }
+            if phase == Phase::Running {
+                let cache_gb = catalog.get(m.class).map_or(f64::MAX, |c| c.cache_gb);
+                m.use_image(&record.image, record.image_gb, cache_gb);
+            }
+        });
+    }
+
+    /// An attempt ended. That it did is true however old the heartbeat is.
+    fn on_task_ended(&mut self, id: &MachineId, task: &TaskId, cause: Option<Cause>) {
+        let now = self.now;
+        let Some(h) = &mut self.owner else {
+            return;
+        };
+        match cause {
+            Some(Cause::Done) => {
+                h.task_succeeded(now, id, task);
+                return h.record_done(now, task);
+            }
+            Some(Cause::Error) => self.task_failed(id, task),
+            Some(Cause::Full) => {
+                warn!("machine {id} has no room for {task}");
+                h.machines.edit(id, |m| m.full_until = now.after(FULL_S));
+            }
+            Some(Cause::Unknown) => {
+                // Its description isn't there yet, or never will be.
+                if let Some(job_state) = h.jobs.get_mut(&task.job) {
+                    job_state.unknown_starts += 1;
+                    let pauses = job_state.unknown_starts.min(UNKNOWN_PAUSES);
+                    job_state.not_before = now.after(UNKNOWN_PAUSE_S * f64::from(pauses));
+                }
+            }
+            _ => {}
+        }
+        if let Some(h) = &mut self.owner {
+            h.remove_placement(now, task);
+        }
+    }
+
+    fn task_failed(&mut self, id: &MachineId, task: &TaskId) {
+        let now = self.now;
+        let Some(h) = &mut self.owner else {
+            return;
+        };
+        let Some(job_state) = h.jobs.get_mut(&task.job) else {
+            return;
+        };
+        let tries = h.failures.task_failed(now, &task.job, id);
+        job_state.not_before = now.after(h.failures.pause_s(&task.job));
+        warn!("task {task} failed on {id}, failed try {tries} in a row");
+    }
+}
+
+/// A task that a heartbeat lists.
+pub(crate) struct ListedTask<'a> {
+    pub(crate) task: TaskId,
+    pub(crate) report: &'a HeartbeatTask,
+}
+
+impl ListedTask<'_> {
+    fn is(&self, task: &TaskId, attempt: Attempt) -> bool {
+        self.report.attempt == attempt && self.task == *task
+    }
+}
+
+/// The tasks of a heartbeat whose names can be read.
+fn listed_tasks(report: &WorkerHeartbeat) -> Vec<ListedTask<'_>> {
+    let tasks = report.tasks.iter();
+    let listed = tasks.filter_map(|report| {
+        let task = TaskId::parse(&report.task)?;
+        Some(ListedTask { task, report })
+    });
+    listed.collect()
+}
+
+/// When the answer to a heartbeat goes out that may wait for so long: together with others, if
+/// there is a moment for it meanwhile.
+fn answer_at(now: Time, hold_s: f64) -> Time {
+    let most = now.after(hold_s);
+    let together = most.round_down(BATCH_MS);
+    if together > now { together } else { most }
+}
+
+/// What came of a heartbeat's head.
+struct Taken {
+    /// It is newer than any before it.
+    fresh: bool,
+    /// It is the first that this owner has of the machine.
+    first: bool,
+    /// It is the machine's first.
+    born: bool,
+    /// The older heartbeat that waited for its answer.
+    held: Option<(RequestId, Time)>,
+}
+
+impl Machine {
+    /// Takes in all of a heartbeat but its tasks. An answer follows in any case.
+    fn record_heartbeat(&mut self, now: Time, report: &WorkerHeartbeat, proof: bool) -> Taken {
+        let fresh = (report.agent_epoch, report.sequence) > (self.agent_epoch, self.sequence);
+        let born = fresh && self.ready_since.is_none();
+        if !fresh {
+            self.last_acknowledged = now;
+            return Taken {
+                fresh,
+                first: false,
+                born,
+                held: None,
+            };
+        }
+        (self.agent_epoch, self.sequence, self.last_heartbeat) =
+            (report.agent_epoch, report.sequence, now);
+        let first = self.first_heartbeat.is_none();
+        self.first_heartbeat.get_or_insert(now);
+        self.token_acknowledged |= proof;
+        if born {
+            self.ready_since = Some(now);
+            self.empty.get_or_insert(now);
+            let boot = now.since(self.since);
+            info!(
+                "machine {} ({}, {}) is up after {boot:.0} s",
+                report.machine, self.type_name, self.zone
+            );
+        }
+        self.notice = report.notice_s.map(|s| now.after(s.0));
+        let held = self.long_poll.take();
+        if held.is_some() {
+            self.last_acknowledged = now;
+        }
+        Taken {
+            fresh,
+            first,
+            born,
+            held,
+        }
+    }
+}
+
+impl ShardOwner {
+    /// A machine came up. One that was merely heard of late tells nothing of its boot.
+    fn record_boot(&mut self, catalog: &[MachineType], id: &MachineId, now: Time) {
+        let Some(m) = self.machines.get(id) else {
+            return;
+        };
+        let (class, took_s) = (m.class, now.since(m.since));
+        if let Some(ready_s) = catalog.get(class).map(|c| c.ready_s)
+            && took_s > ready_s * LEAST_BOOT
+        {
+            self.observe_boot_time(class, ready_s, took_s);
+        }
+    }
+}
--- a/src/core/fleet.rs
+++ b/src/controller/machines/inventory.rs
@@ -1,4 +1,4 @@
-//! A block's machines, and the indexes that keep work in step with what changes.
+//! A shard's machines, and the indexes that keep work in step with what changes.
 //!
 //! Placing a task once went over all machines and, for each, over the jobs of its tasks.
 //! At a thousand machines that used up a controller's processor. Now machines stand on
@@ -6,121 +6,123 @@
 //! knows what its tasks mean for a placement. Every change goes through `edit`, which
 //! files the machine anew: there is no second place that could forget to.
 
-use super::*;
-use std::collections::BTreeSet;
+use crate::controller::store::records::{JobRecord, PriorityClass, Resources};
+use crate::ids::{ControllerId, Image, MachineId, RequestId, TaskId, Time};
+use crate::wire::MachineType;
+use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
 /// A task on a machine, as far as other placements there depend on it.
 #[derive(Clone, Debug)]
-pub struct Seat {
-    pub rec: Rc<JobRec>,
+pub struct Binding {
+    pub record: Rc<JobRecord>,
     /// Its image is there.
-    pub settled: bool,
+    pub image_cached: bool,
 }
 
-/// A machine of the block.
+/// A machine of the shard.
 #[derive(Debug)]
 pub struct Machine {
-    /// Its type's place in the catalogue; `usize::MAX` while that isn't known.
+    /// Its type's place in the catalog; `usize::MAX` while that isn't known.
     pub class: usize,
-    pub class_name: Rc<str>,
+    pub type_name: Rc<str>,
     /// What its type has.
-    pub room: Room,
+    pub resources: Resources,
     pub zone: Rc<str>,
     pub spot: bool,
     /// When it was rented or first heard of.
     pub since: Time,
-    /// When its first report came; `None` while it boots.
-    pub up: Option<Time>,
-    pub session: u64,
-    pub seq: u64,
-    /// A report showed that it has this block's number.
-    pub shown: bool,
-    pub seen: Time,
-    /// When this holder first had a report of it.
-    pub heard: Option<Time>,
-    /// The sibling that handed on its latest report; `None` if it came here.
-    pub via: Option<Member>,
-    /// When this process last answered one of its reports with 200.
-    pub answered: Time,
+    /// When its first heartbeat came; `None` while it boots.
+    pub ready_since: Option<Time>,
+    pub agent_epoch: u64,
+    pub sequence: u64,
+    /// A heartbeat showed that it has this shard's number.
+    pub token_acknowledged: bool,
+    pub last_heartbeat: Time,
+    /// When this owner first had a heartbeat of it.
+    pub first_heartbeat: Option<Time>,
+    /// The peer that handed on its latest heartbeat; `None` if it came here.
+    pub forwarded_by: Option<ControllerId>,
+    /// When this process last answered one of its heartbeats with 200.
+    pub last_acknowledged: Time,
     pub notice: Option<Time>,
-    pub tasks: BTreeMap<TaskId, Seat>,
-    pub used: Room,
+    pub tasks: BTreeMap<TaskId, Binding>,
+    pub used: Resources,
     /// To be deleted, at this moment even if tasks are left on it. Nothing is placed
     /// on it any more.
-    pub doomed: Option<Time>,
+    pub decommission_at: Option<Time>,
     pub deleting: bool,
     /// The request that waits for a command, and until when.
-    pub held: Option<(ReqId, Time)>,
+    pub long_poll: Option<(RequestId, Time)>,
     /// Images it should have, latest use last.
     pub images: Vec<(Image, f64)>,
     /// Since when it has had no task.
     pub empty: Option<Time>,
     /// Its work would fit elsewhere: it gets nothing new while there is another place.
-    pub closing: bool,
+    pub cordoned: bool,
     /// A start was refused for want of room.
     pub full_until: Time,
     /// Where the indexes have it.
-    filed: Option<Filed>,
+    indexed: Option<IndexEntry>,
 }
 
 impl Machine {
     pub(crate) fn new(
-        catalog: &[ClassInfo],
-        class_name: &str,
+        catalog: &[MachineType],
+        type_name: &str,
         zone: &str,
         spot: bool,
         now: Time,
     ) -> Self {
         let mut machine = Self {
             class: usize::MAX,
-            class_name: class_name.into(),
-            room: Room::default(),
+            type_name: type_name.into(),
+            resources: Resources::default(),
             zone: zone.into(),
             spot,
             since: now,
-            up: None,
-            session: 0,
-            seq: 0,
-            shown: false,
-            seen: now,
-            heard: None,
-            via: None,
-            answered: now,
+            ready_since: None,
+            agent_epoch: 0,
+            sequence: 0,
+            token_acknowledged: false,
+            last_heartbeat: now,
+            first_heartbeat: None,
+            forwarded_by: None,
+            last_acknowledged: now,
             notice: None,
             tasks: BTreeMap::new(),
-            used: Room::default(),
-            doomed: None,
+            used: Resources::default(),
+            decommission_at: None,
             deleting: false,
-            held: None,
+            long_poll: None,
             images: Vec::new(),
             empty: Some(now),
-            closing: false,
+            cordoned: false,
             full_until: Time(0),
-            filed: None,
+            indexed: None,
         };
-        machine.find_class(catalog);
+        machine.resolve_machine_type(catalog);
         machine
     }
 
-    /// Looks its type up in the catalogue.
-    pub(crate) fn find_class(&mut self, catalog: &[ClassInfo]) {
-        let class = catalog.iter().position(|c| *c.name == *self.class_name);
+    /// Looks its type up in the catalog.
+    pub(crate) fn resolve_machine_type(&mut self, catalog: &[MachineType]) {
+        let class = catalog.iter().position(|c| *c.name == *self.type_name);
         self.class = class.unwrap_or(usize::MAX);
-        self.room = class.map_or(Room::default(), |c| catalog[c].room);
+        self.resources = class.map_or(Resources::default(), |c| catalog[c].resources);
     }
 
     /// What a machine that was known by name only is.
-    pub(crate) fn learn(
+    pub(crate) fn set_machine_type(
         &mut self,
-        catalog: &[ClassInfo],
-        class_name: &str,
+        catalog: &[MachineType],
+        type_name: &str,
         zone: &str,
         spot: bool,
     ) {
         if self.class == usize::MAX {
-            (self.class_name, self.zone, self.spot) = (class_name.into(), zone.into(), spot);
-            self.find_class(catalog);
+            (self.type_name, self.zone, self.spot) = (type_name.into(), zone.into(), spot);
+            self.resolve_machine_type(catalog);
         }
     }
 
@@ -138,8 +140,8 @@
         }
     }
 
-    pub(crate) fn free(&self) -> Room {
-        let mut free = self.room;
+    pub(crate) fn free(&self) -> Resources {
+        let mut free = self.resources;
         free.add(self.used, -1.0);
         free
     }
@@ -149,71 +151,71 @@
         let free = self.free();
         let least = |all: f64| all / STEPS - EDGE;
         let short = |free: f64, all: f64| all > 0.0 && free < least(all);
-        short(free.cpus, self.room.cpus) || short(free.gpus, self.room.gpus)
+        short(free.cpus, self.resources.cpus) || short(free.gpus, self.resources.gpus)
     }
 
     /// Enters a task: its room counts from now on.
-    pub(crate) fn seat(&mut self, task: TaskId, rec: &Rc<JobRec>) {
-        self.used.add(rec.need, 1.0);
+    pub(crate) fn bind(&mut self, task: TaskId, record: &Rc<JobRecord>) {
+        self.used.add(record.need, 1.0);
         self.empty = None;
-        let rec = rec.clone();
+        let record = record.clone();
         self.tasks.insert(
             task,
-            Seat {
-                rec,
-                settled: false,
+            Binding {
+                record,
+                image_cached: false,
             },
         );
     }
 
     /// Replaces the description of a task's job.
-    pub(crate) fn reseat(&mut self, task: &TaskId, rec: &Rc<JobRec>) {
-        if let Some(seat) = self.tasks.get_mut(task) {
-            seat.rec = rec.clone();
+    pub(crate) fn rebind(&mut self, task: &TaskId, record: &Rc<JobRecord>) {
+        if let Some(bind) = self.tasks.get_mut(task) {
+            bind.record = record.clone();
         }
     }
 
-    pub(crate) fn unseat(&mut self, now: Time, task: &TaskId) {
-        if let Some(seat) = self.tasks.remove(task) {
-            self.used.add(seat.rec.need, -1.0);
+    pub(crate) fn unbind(&mut self, now: Time, task: &TaskId) {
+        if let Some(bind) = self.tasks.remove(task) {
+            self.used.add(bind.record.need, -1.0);
         }
         if self.tasks.is_empty() {
-            self.used = Room::default();
+            self.used = Resources::default();
             self.empty = Some(now);
         }
     }
 
     /// Whether it can be given tasks, but for what passes by itself.
-    fn open(&self) -> bool {
-        let staying = self.doomed.is_none() && self.notice.is_none();
-        self.up.is_some() && staying && self.session > 0 && self.class != usize::MAX
+    fn is_schedulable(&self) -> bool {
+        let staying = self.decommission_at.is_none() && self.notice.is_none();
+        self.ready_since.is_some() && staying && self.agent_epoch > 0 && self.class != usize::MAX
     }
 
-    fn filing(&self) -> Filed {
-        Filed {
-            open: self.open().then(|| self.shelf()),
-            leaving: self.doomed.is_some() || self.notice.is_some(),
-            booting: self.up.is_none() && self.doomed.is_none(),
+    fn index_entry(&self) -> IndexEntry {
+        IndexEntry {
+            schedulable: self.is_schedulable().then(|| self.capacity_bucket()),
+            leaving: self.decommission_at.is_some() || self.notice.is_some(),
+            booting: self.ready_since.is_none() && self.decommission_at.is_none(),
         }
     }
 
-    fn shelf(&self) -> (Shelf, u64, Option<Rank>) {
+    fn capacity_bucket(&self) -> (CapacityBucket, u64, Option<PriorityClass>) {
         let free = self.free();
         let step = |free: f64, all: f64| {
             let share = if all > 0.0 { free / all } else { 1.0 };
             (share * STEPS + EDGE).clamp(0.0, STEPS) as u8
         };
-        let shelf = Shelf {
+        let capacity_bucket = CapacityBucket {
             class: self.class,
             spot: self.spot,
             zone: self.zone.clone(),
-            cpus: step(free.cpus, self.room.cpus),
-            gpus: step(free.gpus, self.room.gpus),
-            mem: step(free.mem, self.room.mem),
+            cpus: step(free.cpus, self.resources.cpus),
+            gpus: step(free.gpus, self.resources.gpus),
+            mem: step(free.mem, self.resources.mem),
         };
-        let share = (1.0 - self.used.share_of(self.room)).clamp(0.0, 1.0);
-        let lowest = self.tasks.values().map(|s| s.rec.rank).min();
-        (shelf, (share * PARTS) as u64, lowest)
+        let share = (1.0 - self.used.share_of(self.resources)).clamp(0.0, 1.0);
+        let lowest = self.tasks.values().map(|s| s.record.priority_class).min();
+        (capacity_bucket, (share * PARTS) as u64, lowest)
     }
 }
 
@@ -226,7 +228,7 @@
 
 /// Machines of one type, zone and kind with about the same free room.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Shelf {
+struct CapacityBucket {
     class: usize,
     spot: bool,
     zone: Rc<str>,
@@ -235,15 +237,15 @@
     mem: u8,
 }
 
-impl Shelf {
+impl CapacityBucket {
     /// Whether a machine here may have room for a task: what it has is below the next
     /// step, so a task that takes a whole step more needn't look here.
-    fn may_hold(&self, room: Room, need: Room) -> bool {
+    fn may_hold(&self, resources: Resources, need: Resources) -> bool {
         let most = |steps: u8, all: f64| (f64::from(steps) + 1.0 - EDGE) / STEPS * all;
-        let free = Room {
-            cpus: most(self.cpus, room.cpus),
-            gpus: most(self.gpus, room.gpus),
-            mem: most(self.mem, room.mem),
+        let free = Resources {
+            cpus: most(self.cpus, resources.cpus),
+            gpus: most(self.gpus, resources.gpus),
+            mem: most(self.mem, resources.mem),
         };
         free.holds(need)
     }
@@ -251,18 +253,18 @@
 
 /// What the indexes say of a machine.
 #[derive(Clone, Debug, PartialEq)]
-struct Filed {
+struct IndexEntry {
     /// Its shelf, the free part of it, and the lowest rank of its tasks.
-    open: Option<(Shelf, u64, Option<Rank>)>,
+    schedulable: Option<(CapacityBucket, u64, Option<PriorityClass>)>,
     leaving: bool,
     booting: bool,
 }
 
 #[derive(Debug, Default)]
 struct Index {
-    shelves: BTreeMap<Shelf, BTreeSet<MachineId>>,
+    buckets: BTreeMap<CapacityBucket, BTreeSet<MachineId>>,
     /// Open machines with tasks, by the lowest rank among these.
-    ranked: BTreeMap<(usize, bool, Rank), BTreeSet<MachineId>>,
+    ranked: BTreeMap<(usize, bool, PriorityClass), BTreeSet<MachineId>>,
     /// Free parts of open machines, by type and kind.
     free: BTreeMap<(usize, bool), u64>,
     leaving: BTreeSet<MachineId>,
@@ -270,24 +272,27 @@
 }
 
 impl Index {
-    fn file(&mut self, id: &MachineId, m: &mut Machine) {
-        let new = m.filing();
-        if m.filed.as_ref() == Some(&new) {
+    fn update_entry(&mut self, id: &MachineId, m: &mut Machine) {
+        let new = m.index_entry();
+        if m.indexed.as_ref() == Some(&new) {
             return;
         }
-        self.unfile(id, m);
-        self.enter(id, &new);
-        m.filed = Some(new);
-    }
-
-    fn enter(&mut self, id: &MachineId, new: &Filed) {
-        if let Some((shelf, free, lowest)) = &new.open {
-            *self.free.entry((shelf.class, shelf.spot)).or_default() += free;
-            if let Some(rank) = lowest {
-                let key = (shelf.class, shelf.spot, *rank);
+        self.remove_entry(id, m);
+        self.add_entry(id, &new);
+        m.indexed = Some(new);
+    }
+
+    fn add_entry(&mut self, id: &MachineId, new: &IndexEntry) {
+        if let Some((capacity_bucket, free, lowest)) = &new.schedulable {
+            *self
+                .free
+                .entry((capacity_bucket.class, capacity_bucket.spot))
+                .or_default() += free;
+            if let Some(priority_class) = lowest {
+                let key = (capacity_bucket.class, capacity_bucket.spot, *priority_class);
                 self.ranked.entry(key).or_default().insert(id.clone());
             }
-            let machines = self.shelves.entry(shelf.clone()).or_default();
+            let machines = self.buckets.entry(capacity_bucket.clone()).or_default();
             machines.insert(id.clone());
         }
         if new.leaving {
@@ -298,16 +303,23 @@
         }
     }
 
-    fn unfile(&mut self, id: &MachineId, m: &mut Machine) {
-        let Some(old) = m.filed.take() else {
+    fn remove_entry(&mut self, id: &MachineId, m: &mut Machine) {
+        let Some(old) = m.indexed.take() else {
             return;
         };
-        if let Some((shelf, free, lowest)) = &old.open {
-            *self.free.entry((shelf.class, shelf.spot)).or_default() -= free;
-            if let Some(rank) = lowest {
-                drop_from(&mut self.ranked, &(shelf.class, shelf.spot, *rank), id);
+        if let Some((capacity_bucket, free, lowest)) = &old.schedulable {
+            *self
+                .free
+                .entry((capacity_bucket.class, capacity_bucket.spot))
+                .or_default() -= free;
+            if let Some(priority_class) = lowest {
+                drop_from(
+                    &mut self.ranked,
+                    &(capacity_bucket.class, capacity_bucket.spot, *priority_class),
+                    id,
+                );
             }
-            drop_from(&mut self.shelves, shelf, id);
+            drop_from(&mut self.buckets, capacity_bucket, id);
         }
         self.leaving.remove(id);
         self.booting.remove(id);
@@ -324,12 +336,12 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Fleet {
+pub struct Inventory {
     all: BTreeMap<MachineId, Machine>,
     index: Index,
 }
 
-impl Fleet {
+impl Inventory {
     pub fn get(&self, id: &MachineId) -> Option<&Machine> {
         self.all.get(id)
     }
@@ -362,13 +374,13 @@
 
     pub(crate) fn insert(&mut self, id: MachineId, mut machine: Machine) {
         self.remove(&id);
-        self.index.file(&id, &mut machine);
+        self.index.update_entry(&id, &mut machine);
         self.all.insert(id, machine);
     }
 
     pub(crate) fn remove(&mut self, id: &MachineId) -> Option<Machine> {
         let mut machine = self.all.remove(id)?;
-        self.index.unfile(id, &mut machine);
+        self.index.remove_entry(id, &mut machine);
         Some(machine)
     }
 
@@ -388,14 +400,14 @@
     ) -> Option<R> {
         let machine = self.all.get_mut(id)?;
         let result = change(machine);
-        self.index.file(id, machine);
+        self.index.update_entry(id, machine);
         Some(result)
     }
 
     pub(crate) fn edit_all(&mut self, mut change: impl FnMut(&mut Machine)) {
         for (id, machine) in &mut self.all {
             change(machine);
-            self.index.file(id, machine);
+            self.index.update_entry(id, machine);
         }
     }
 
@@ -403,18 +415,25 @@
     /// `fits` lets pass.
     pub(crate) fn roomy(
         &self,
-        need: Room,
+        need: Resources,
         fits: impl Fn(usize, bool, &Rc<str>) -> bool,
     ) -> impl Iterator<Item = (&MachineId, &Machine)> {
-        let wide = move |shelf: &Shelf, ids: &BTreeSet<MachineId>| {
+        let wide = move |capacity_bucket: &CapacityBucket, ids: &BTreeSet<MachineId>| {
             // All machines of a shelf are of one type.
-            let room = ids.first().and_then(|id| self.all.get(id)).map(|m| m.room);
-            room.is_some_and(|room| shelf.may_hold(room, need))
-                && fits(shelf.class, shelf.spot, &shelf.zone)
+            let resources = ids
+                .first()
+                .and_then(|id| self.all.get(id))
+                .map(|m| m.resources);
+            resources.is_some_and(|resources| capacity_bucket.may_hold(resources, need))
+                && fits(
+                    capacity_bucket.class,
+                    capacity_bucket.spot,
+                    &capacity_bucket.zone,
+                )
         };
-        let shelves = self.index.shelves.iter();
-        let shelves = shelves.filter(move |(shelf, ids)| wide(shelf, ids));
-        let ids = shelves.flat_map(|(_, ids)| ids);
+        let buckets = self.index.buckets.iter();
+        let buckets = buckets.filter(move |(capacity_bucket, ids)| wide(capacity_bucket, ids));
+        let ids = buckets.flat_map(|(_, ids)| ids);
         ids.filter_map(|id| Some((id, self.all.get(id)?)))
     }
 
@@ -422,10 +441,11 @@
     /// pass.
     pub(crate) fn ranked(
         &self,
-        fits: impl Fn(usize, bool, Rank) -> bool,
+        fits: impl Fn(usize, bool, PriorityClass) -> bool,
     ) -> impl Iterator<Item = (&MachineId, &Machine)> {
         let sets = self.index.ranked.iter();
-        let sets = sets.filter(move |((class, spot, rank), _)| fits(*class, *spot, *rank));
+        let sets = sets
+            .filter(move |((class, spot, priority_class), _)| fits(*class, *spot, *priority_class));
         let ids = sets.flat_map(|(_, ids)| ids);
         ids.filter_map(|id| Some((id, self.all.get(id)?)))
     }
@@ -452,16 +472,16 @@
     pub fn audit(&self) -> Result<(), String> {
         let mut again = Index::default();
         for (id, m) in &self.all {
-            let filed = m.filing();
-            if m.filed.as_ref() != Some(&filed) {
-                return Err(format!("machine {id} isn't filed as it is: {filed:?}"));
+            let indexed = m.index_entry();
+            if m.indexed.as_ref() != Some(&indexed) {
+                return Err(format!("machine {id} isn't filed as it is: {indexed:?}"));
             }
-            again.enter(id, &filed);
+            again.add_entry(id, &indexed);
         }
         again.free.retain(|_, n| *n > 0);
         let mut free = self.index.free.clone();
         free.retain(|_, n| *n > 0);
-        let same = again.shelves == self.index.shelves
+        let same = again.buckets == self.index.buckets
             && again.ranked == self.index.ranked
             && again.free == free
             && again.leaving == self.index.leaving
--- a/src/core/cells.rs
+++ b/src/controller/quota/cells.rs
@@ -1,20 +1,28 @@
 //! What the leader does for the limits that its cell shares with others.
 //!
-//! The cell's record and one for each other cell stand at this cell's own state service. The leader
+//! The cell's record and one for each other cell stand at this cell's own store. The leader
 //! makes one change of them at a time, as `salttrestle_cells::ledger` allows it, on the condition
-//! that the leader's record, the cell's, the link's and, where room is given away, every block's
+//! that the leader's record, the cell's, the link's and, where room is given away, every shard's
 //! are unchanged. What other cells tell is only ever a reason to try; a rule rests on none of it.
-//! Blocks are allowed what the cell's record says, in commits that are conditional on it.
+//! Shards are allowed what the cell's record says, in commits that are conditional on it.
 
-use super::team_limits::LimitsWanted;
-use super::*;
+use crate::controller::events::Output;
+use crate::controller::quota::team_limits::LimitsWanted;
+use crate::controller::rate_limits::token_bucket::Priority;
+use crate::controller::shard::ShardOwner;
+use crate::controller::store::mirror::Mirrored;
+use crate::controller::store::records::{Key, LimitsByTeam, Record};
+use crate::controller::{Controller, RequestPurpose};
+use crate::ids::Time;
 use crate::peer::TeamCount;
 use crate::settings::CellsFile;
+use crate::wire::{StoreRequest, StoreResponse, Write};
 use log::{debug, info, warn};
 use salttrestle_cells::ledger::{CellRecord, LinkRecord, Refusal};
 use salttrestle_cells::message::{LinkMessage, Recall};
 use salttrestle_cells::sharing::{TeamView, called_back, gifts, needs};
 use salttrestle_cells::{Amount, Cell};
+use std::collections::BTreeMap;
 
 /// Between two messages to another cell while nothing changes, in seconds.
 const SAY_S: f64 = 0.5;
@@ -22,10 +30,10 @@
 const SAY_CHANGED_S: f64 = 0.1;
 /// Between two accounts in the log, in seconds.
 const TELL_S: f64 = 30.0;
-/// A cell that hasn't been heard for so long is named as cut off, in seconds.
+/// A cell that hasn't been heard for so long is named as partitioned, in seconds.
 const CUT_OFF_S: f64 = 5.0;
 /// What a cell needs or calls back is believed for so long, in seconds: no room is given for a need
-/// of long ago, and no block is held back for a recall that may be over.
+/// of long ago, and no shard is held back for a recall that may be over.
 const BELIEVED_S: f64 = 10.0;
 
 /// What this controller knows of the other cells.
@@ -52,31 +60,31 @@
 struct CellChange {
     cell: Option<CellRecord>,
     link: Option<(Cell, LinkRecord)>,
-    /// The blocks' records have to be unchanged.
-    on_blocks: bool,
+    /// The shards' records have to be unchanged.
+    on_shards: bool,
     why: String,
 }
 
 impl CellChange {
-    fn of_cell(cell: CellRecord, on_blocks: bool, why: String) -> Self {
+    fn of_cell(cell: CellRecord, on_shards: bool, why: String) -> Self {
         Self {
             cell: Some(cell),
             link: None,
-            on_blocks,
+            on_shards,
             why,
         }
     }
 }
 
-/// A block with what its holder counted under its present record.
-struct CountedBlock<'a> {
-    allowances: &'a LimitsByTeam,
+/// A shard with what its owner counted under its present record.
+struct CountedShard<'a> {
+    quota_shares: &'a LimitsByTeam,
     teams: &'a [(String, TeamCount)],
 }
 
-impl Core {
+impl Controller {
     /// Another cell's leader tells how things stand there.
-    pub(super) fn on_cell_message(&mut self, message: LinkMessage) {
+    pub(crate) fn on_cell_message(&mut self, message: LinkMessage) {
         let Some(file) = &self.settings.cells else {
             return;
         };
@@ -93,39 +101,39 @@
         self.cells.heard.insert(message.from, entry);
     }
 
-    pub(super) fn cells_housekeeping(&mut self) {
+    pub(crate) fn cells_housekeeping(&mut self) {
         let Some(file) = self.settings.cells.clone() else {
             return;
         };
-        if self.lead.is_none() || !self.grant_alive() || self.blind() {
+        if self.leadership.is_none() || !self.lease_valid() || self.is_stale() {
             return;
         }
         self.count_again();
         self.say_to_cells(&file);
         self.tell_of_cells(&file);
-        if self.cells.busy || self.cache.revision < self.cells.after {
+        if self.cells.busy || self.mirror.revision < self.cells.after {
             return;
         }
         if let Some(change) = self.next_cell_change(&file) {
             self.commit_cell_change(change);
         }
-        // A share that has just come is for the blocks to use, and one that another cell needs is
+        // A share that has just come is for the shards to use, and one that another cell needs is
         // for them to leave.
         self.lease_housekeeping();
     }
 
-    /// Counts the blocks held here anew if their records have changed since. Counted only every
-    /// half second, they were out of date whenever allowances had just changed, and while demand
+    /// Counts the shards held here anew if their records have changed since. Counted only every
+    /// half second, they were out of date whenever quota shares had just changed, and while demand
     /// moved that was always: no room was given, and starts waited for 10 s.
     fn count_again(&mut self) {
-        let current = |block: &u32, holder: &Holder| {
+        let current = |shard: &u32, owner: &ShardOwner| {
             let counts = self
-                .lead
+                .leadership
                 .as_ref()
-                .and_then(|lead| lead.block_counts.get(block));
-            counts.is_some_and(|(c, _)| c.revision == holder.block_revision)
+                .and_then(|leadership| leadership.shard_counts.get(shard));
+            counts.is_some_and(|(c, _)| c.revision == owner.shard_revision)
         };
-        if !self.parked.iter().all(|(block, h)| current(block, h)) {
+        if !self.shards.iter().all(|(shard, h)| current(shard, h)) {
             self.send_counts();
         }
     }
@@ -133,7 +141,7 @@
     // ---- changes
 
     fn next_cell_change(&mut self, file: &CellsFile) -> Option<CellChange> {
-        let Some(record) = self.cache.cell.rec.clone() else {
+        let Some(record) = self.mirror.cell.record.clone() else {
             let record = CellRecord::found(&file.here, file.generation, &file.teams);
             return Some(CellChange::of_cell(
                 record,
@@ -167,7 +175,7 @@
                 return Some(CellChange {
                     cell: None,
                     link: Some((from.clone(), forgotten)),
-                    on_blocks: false,
+                    on_shards: false,
                     why: format!("{from} has taken transfer {}", message.taken),
                 });
             }
@@ -178,7 +186,7 @@
                 return Some(CellChange {
                     cell: Some(cell),
                     link: Some((from.clone(), link)),
-                    on_blocks: false,
+                    on_shards: false,
                     why: format!("takes transfer {} of {from}", transfer.number),
                 });
             }
@@ -232,7 +240,7 @@
                     cell: Some(cell),
                     why: format!("gives room of {teams} teams to {to}"),
                     link: Some((to, link)),
-                    on_blocks: true,
+                    on_shards: true,
                 });
             }
         }
@@ -240,33 +248,36 @@
     }
 
     fn commit_cell_change(&mut self, change: CellChange) {
-        let mut when = vec![(Key::Leader, self.cache.leader.version())];
+        let mut preconditions = vec![(Key::Leader, self.mirror.leader.version())];
         let mut writes = Vec::new();
-        when.push((Key::Cell, self.cache.cell.version()));
+        preconditions.push((Key::Cell, self.mirror.cell.version()));
         if let Some(cell) = change.cell {
             writes.push(Write::put(Key::Cell, Record::Cell(Box::new(cell))));
         }
         if let Some((other, link)) = change.link {
             let key = Key::CellLink(other.clone());
-            let slot = self.cache.cell_links.get(&other);
-            when.push((key.clone(), slot.map_or(0, jobs::Slot::version)));
+            let slot = self.mirror.cell_links.get(&other);
+            preconditions.push((key.clone(), slot.map_or(0, Mirrored::version)));
             writes.push(Write::put(key, Record::CellLink(link)));
         }
-        if change.on_blocks {
-            let blocks = self.cache.blocks.iter();
-            when.extend(blocks.map(|(block, slot)| (Key::Block(*block), slot.version())));
+        if change.on_shards {
+            let shards = self.mirror.shards.iter();
+            preconditions.extend(shards.map(|(shard, slot)| (Key::Shard(*shard), slot.version())));
         }
         debug!("cells: {}", change.why);
-        let op = StateOp::Commit { when, writes };
+        let op = StoreRequest::Transaction {
+            preconditions,
+            writes,
+        };
         self.cells.busy = self
-            .state_call(op, Purpose::CellChange, Priority::First)
+            .send_store_request(op, RequestPurpose::CellChange, Priority::First)
             .is_ok();
     }
 
-    /// Whatever came of it, the follow shows it, and the next look goes on from there.
-    pub(super) fn on_cell_changed(&mut self, reply: StateReply) {
+    /// Whatever came of it, the watch shows it, and the next look goes on from there.
+    pub(crate) fn on_cell_changed(&mut self, reply: StoreResponse) {
         self.cells.busy = false;
-        if let StateReply::Committed { revision } = reply {
+        if let StoreResponse::Committed { revision } = reply {
             self.cells.after = revision;
         }
     }
@@ -274,8 +285,9 @@
     // ---- what is known
 
     fn cell_link(&self, other: &Cell) -> LinkRecord {
-        let slot = self.cache.cell_links.get(other);
-        slot.and_then(|slot| slot.rec.clone()).unwrap_or_default()
+        let slot = self.mirror.cell_links.get(other);
+        slot.and_then(|slot| slot.record.clone())
+            .unwrap_or_default()
     }
 
     fn believed_messages(&self) -> impl Iterator<Item = &LinkMessage> {
@@ -302,8 +314,8 @@
         recall.part_of(share).most(recall.amount.least(unneeded))
     }
 
-    /// Each team as it stands in this cell, if every block's holder has counted under its present
-    /// record. What a block may use counts as held, and what it still uses beyond that.
+    /// Each team as it stands in this cell, if every shard's owner has counted under its present
+    /// record. What a shard may use counts as held, and what it still uses beyond that.
     fn team_views(
         &self,
         record: &CellRecord,
@@ -317,10 +329,10 @@
                 floor: file.floors.get(team).copied().unwrap_or_default(),
                 ..TeamView::default()
             };
-            for block in &counts {
-                let found = block.teams.iter().find(|(name, _)| name == team);
+            for shard in &counts {
+                let found = shard.teams.iter().find(|(name, _)| name == team);
                 let count = found.map(|(_, count)| *count).unwrap_or_default();
-                let allowed = block.allowances.get(team).copied().unwrap_or_default();
+                let allowed = shard.quota_shares.get(team).copied().unwrap_or_default();
                 let allowed = Amount::rounded_up(allowed.0, allowed.1);
                 let used = Amount::rounded_up(count.cpus, count.gpus);
                 let wanted = Amount::rounded_up(count.cpus_wanted, count.gpus_wanted);
@@ -333,27 +345,27 @@
         Some(views)
     }
 
-    /// Each block's allowances with its holder's counts under them.
-    fn current_counts(&self) -> Option<Vec<CountedBlock<'_>>> {
+    /// Each shard's quota shares with its owner's counts under them.
+    fn current_counts(&self) -> Option<Vec<CountedShard<'_>>> {
         let believed = self.believed();
-        let blocks = self.cache.blocks.iter();
-        let counts = blocks.map(|(block, slot)| {
-            let allowances = slot.rec.as_ref()?.allowances.as_ref()?;
+        let shards = self.mirror.shards.iter();
+        let counts = shards.map(|(shard, slot)| {
+            let quota_shares = slot.record.as_ref()?.quota_shares.as_ref()?;
             let mut current = believed.iter();
-            let found = current.find(|c| c.block == *block && c.revision == slot.revision)?;
-            Some(CountedBlock {
-                allowances,
+            let found = current.find(|c| c.shard == *shard && c.revision == slot.revision)?;
+            Some(CountedShard {
+                quota_shares,
                 teams: &found.teams,
             })
         });
         counts.collect()
     }
 
-    /// What the blocks of this cell together are to allow: its share of each team, less what is
+    /// What the shards of this cell together are to allow: its share of each team, less what is
     /// called back, and of what is left no more than the cell would like to have, so that the
     /// rest can be given away.
-    pub(super) fn cell_limits(&self, file: &CellsFile) -> LimitsWanted {
-        let Some(record) = &self.cache.cell.rec else {
+    pub(crate) fn cell_limits(&self, file: &CellsFile) -> LimitsWanted {
+        let Some(record) = &self.mirror.cell.record else {
             return LimitsWanted::Set(LimitsByTeam::new());
         };
         let views = self.team_views(record, file);
@@ -369,7 +381,7 @@
         LimitsWanted::Set(limits.collect())
     }
 
-    /// What is promised to the blocks: what they would like, or all that nobody else needs.
+    /// What is promised to the shards: what they would like, or all that nobody else needs.
     fn allowed_of(&self, team: &str, view: &TeamView) -> Amount {
         let needs = self.believed_messages().flat_map(|m| &m.needs);
         let needed = needs.filter(|need| need.team == team);
@@ -379,15 +391,15 @@
         view.share.beyond(view.to_leave(more, lacking))
     }
 
-    /// What the blocks allow now.
+    /// What the shards allow now.
     fn allowed_now(&self, team: &str) -> Amount {
         let records = self
-            .cache
-            .blocks
+            .mirror
+            .shards
             .values()
-            .filter_map(|slot| slot.rec.as_ref());
-        let allowances = records.filter_map(|rec| rec.allowances.as_ref()?.get(team));
-        allowances.fold(Amount::ZERO, |sum, (c, g)| {
+            .filter_map(|slot| slot.record.as_ref());
+        let quota_shares = records.filter_map(|record| record.quota_shares.as_ref()?.get(team));
+        quota_shares.fold(Amount::ZERO, |sum, (c, g)| {
             sum.plus(Amount::rounded_down(*c, *g))
         })
     }
@@ -396,9 +408,9 @@
 
     fn say_to_cells(&mut self, file: &CellsFile) {
         let Some(record) = self
-            .cache
+            .mirror
             .cell
-            .rec
+            .record
             .as_ref()
             .filter(|_| self.now >= self.cells.say_at)
         else {
@@ -450,7 +462,7 @@
             return;
         }
         self.cells.tell_at = self.now.after(TELL_S);
-        let Some(record) = &self.cache.cell.rec else {
+        let Some(record) = &self.mirror.cell.record else {
             return;
         };
         for cell in file.others() {
@@ -465,7 +477,7 @@
                 None => warn!("cell {cell}: cut off, {pending} teams in transit"),
             }
         }
-        let revision = self.cache.cell.revision;
+        let revision = self.mirror.cell.revision;
         let dropped = self.cells.dropped;
         info!(
             "cell {}: shares of revision {revision}, {dropped} messages dropped",
--- a/src/core/team_limits.rs
+++ b/src/controller/quota/team_limits.rs
@@ -1,16 +1,16 @@
 //! Team limits that change at run time.
 //!
-//! Operators write the limits of some teams to a record at the state service, and these stand in
-//! place of the settings' from then on. In force is what the blocks' records allow, on whose
+//! Operators write the limits of some teams to a record at the store, and these stand in
+//! place of the settings' from then on. In force is what the shards' records allow, on whose
 //! revisions every start is conditional: the leader takes a change into them, and starts by
 //! earlier limits fail from that commit on. What is lowered below what runs is never called free:
-//! the allowance falls at once, and use falls as tasks are proven gone.
+//! the quota share falls at once, and use falls as tasks are proven gone.
 //!
 //! A record that can't be read, or that names what there isn't, changes nothing: the last good one
-//! stays in force, also under a leader that never saw it, since the blocks' records keep it.
+//! stays in force, also under a leader that never saw it, since the shards' records keep it.
 
-use super::Core;
-use super::records::{LimitsByTeam, LimitsRec};
+use crate::controller::Controller;
+use crate::controller::store::records::{LimitsByTeam, LimitsRecord};
 use crate::settings::Team;
 use log::{info, warn};
 
@@ -25,7 +25,7 @@
     refused: bool,
 }
 
-/// What the blocks together are to allow.
+/// What the shards together are to allow.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum LimitsWanted {
     /// The limits of the settings.
@@ -36,19 +36,19 @@
     AsTheyAre,
 }
 
-impl Core {
+impl Controller {
     /// The operators' record may have changed.
-    pub(super) fn read_limits(&mut self) {
-        let slot = &self.cache.limits;
+    pub(crate) fn read_limits(&mut self) {
+        let slot = &self.mirror.limits;
         if slot.revision == self.team_limits.seen {
             return;
         }
         self.team_limits.seen = slot.revision;
         let revision = slot.revision;
-        let checked = match &slot.rec {
+        let checked = match &slot.record {
             None => Ok(None),
-            Some(LimitsRec::Unreadable(why)) => Err(why.clone()),
-            Some(LimitsRec::Teams(teams)) => {
+            Some(LimitsRecord::Unreadable(why)) => Err(why.clone()),
+            Some(LimitsRecord::Teams(teams)) => {
                 check_limits(teams, &self.settings.platform.facts.teams).map(|()| Some(teams))
             }
         };
@@ -67,7 +67,7 @@
     }
 
     /// The limits of the settings, of every team that has one.
-    pub(super) fn limits_of_settings(&self) -> LimitsByTeam {
+    pub(crate) fn limits_of_settings(&self) -> LimitsByTeam {
         let teams = self.settings.platform.facts.teams.iter();
         let limited = teams.filter(|t| t.cpus_max > 0.0 || t.gpus_max > 0.0);
         limited
@@ -75,8 +75,8 @@
             .collect()
     }
 
-    /// What the blocks together are to allow.
-    pub(super) fn limits_wanted(&self) -> LimitsWanted {
+    /// What the shards together are to allow.
+    pub(crate) fn limits_wanted(&self) -> LimitsWanted {
         if let Some(file) = &self.settings.cells {
             return self.cell_limits(file);
         }
@@ -92,13 +92,13 @@
     }
 
     /// The limit by which a job of a team is accepted or refused.
-    pub(super) fn team_limit(&self, team: &Team) -> (f64, f64) {
+    pub(crate) fn team_limit(&self, team: &Team) -> (f64, f64) {
         let set = self.limit_set(&team.name);
         set.unwrap_or((team.cpus_max, team.gpus_max))
     }
 
     /// The limit that operators have set for a team at run time.
-    pub(super) fn limit_set(&self, team: &str) -> Option<(f64, f64)> {
+    pub(crate) fn limit_set(&self, team: &str) -> Option<(f64, f64)> {
         self.team_limits.good.as_ref()?.get(team).copied()
     }
 }
--- a/src/core/budget.rs
+++ b/src/controller/rate_limits/token_bucket.rs
@@ -1,11 +1,11 @@
-//! Token buckets for calls to the state service and the cloud.
+//! Token buckets for calls to the store and the cloud.
 
 use crate::ids::Time;
 
 /// How much of a bucket a call must leave for those before it in rank.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Priority {
-    /// Leases, halts, cancellations: may take the last token.
+    /// Leases, stops, cancellations: may take the last token.
     First,
     /// Placements and submissions.
     Usual,
@@ -26,7 +26,7 @@
 
 /// A bucket that fills at a steady rate and holds `burst` at most.
 #[derive(Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     rate: f64,
     burst: f64,
     tokens: f64,
@@ -35,7 +35,7 @@
     spent: f64,
 }
 
-impl Bucket {
+impl TokenBucket {
     pub fn new(rate: f64, burst: f64) -> Self {
         Self {
             rate,
--- a/src/core/placement/consolidation.rs
+++ b/src/controller/scheduling/consolidation.rs
@@ -1,6 +1,17 @@
 //! Moves the replicas of little used machines to fuller ones, so that the former go back.
 
-use super::*;
+use crate::controller::Controller;
+use crate::controller::machines::inventory::Machine;
+use crate::controller::scheduling::constraints::{suits, zone_allowed};
+use crate::controller::scheduling::usable;
+use crate::controller::shard::ShardOwner;
+use crate::controller::shard::job::Phase;
+use crate::controller::store::records::{JobKind, PriorityClass, Resources};
+use crate::ids::{JobId, MachineId, TaskId, Time};
+use crate::settings::Settings;
+use crate::wire::MachineType;
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
 
 /// A machine used no more than this may be emptied, if its replicas have run for a
 /// while: starts that are stopped soon after don't count for anyone.
@@ -11,22 +22,26 @@
 
 /// Moves the replicas of a little used machine to fuller ones that have their images,
 /// so that it empties and goes back: what a fleet that shrinks would otherwise never do.
-impl Core {
+impl Controller {
     pub(crate) fn consolidate(&mut self) {
         let now = self.now;
-        if self.blind() {
+        if self.is_stale() {
             return;
         }
         let headroom = self.settings.tuning.headroom;
-        let Some(h) = &mut self.holder else {
+        let Some(h) = &mut self.owner else {
             return;
         };
-        if now < h.pack_at {
+        if now < h.consolidate_at {
             return;
         }
-        h.pack_at = now.after(self.settings.tuning.tick_s);
+        h.consolidate_at = now.after(self.settings.tuning.tick_s);
         // While somebody waits for room, none is given up.
-        let pressed = |id: &JobId| h.jobs.get(id).is_some_and(|l| l.rec.rank > Rank::Normal);
+        let pressed = |id: &JobId| {
+            h.jobs
+                .get(id)
+                .is_some_and(|l| l.record.priority_class > PriorityClass::Normal)
+        };
         let open = !h.cut && !h.waiting.iter().any(pressed);
         let spare = if open {
             spare_machines(h, &self.catalog, headroom, now)
@@ -35,13 +50,13 @@
         };
         // One that has been emptied stays closed: opened again, it drew the replicas of the next
         // one to be emptied, which then drew them back, without end.
-        let emptied = |m: &Machine| open && m.closing && m.tasks.is_empty();
+        let emptied = |m: &Machine| open && m.cordoned && m.tasks.is_empty();
         let changed =
-            |(id, m): &(&MachineId, &Machine)| m.closing != (spare.contains(*id) || emptied(m));
+            |(id, m): &(&MachineId, &Machine)| m.cordoned != (spare.contains(*id) || emptied(m));
         let changed = h.machines.iter().filter(changed);
         let changed: Vec<MachineId> = changed.map(|(id, _)| id.clone()).collect();
         for id in changed {
-            h.machines.edit(&id, |m| m.closing = !m.closing);
+            h.machines.edit(&id, |m| m.cordoned = !m.cordoned);
         }
         // One a tick never caught up with a fleet of hundreds that shrinks.
         let most = (h.machines.len() as f64 * MOVE_SHARE).ceil() as usize;
@@ -52,7 +67,10 @@
                 break;
             };
             // What shall never be down is moved one machine at a time.
-            let critical = m.tasks.values().any(|s| s.rec.rank == Rank::Critical);
+            let critical = m
+                .tasks
+                .values()
+                .any(|s| s.record.priority_class == PriorityClass::Critical);
             if critical && standing > 0 {
                 continue;
             }
@@ -71,7 +89,7 @@
                 tasks.len()
             );
             for task in tasks {
-                self.halt(&task);
+                self.stop(&task);
             }
         }
     }
@@ -81,16 +99,16 @@
 /// free on the others, with the room for urgent starts kept. They get nothing new
 /// while there is another place for it; their batch tasks end by themselves.
 fn spare_machines(
-    h: &Holder,
-    catalog: &[ClassInfo],
+    h: &ShardOwner,
+    catalog: &[MachineType],
     headroom: f64,
     now: Time,
 ) -> BTreeSet<MachineId> {
     let mut pools: BTreeMap<(usize, bool), Vec<(f64, &MachineId)>> = BTreeMap::new();
     for (id, m) in h.machines.iter() {
-        let here = m.up.is_some() && m.doomed.is_none() && m.notice.is_none();
+        let here = m.ready_since.is_some() && m.decommission_at.is_none() && m.notice.is_none();
         if let Some(class) = catalog.get(m.class).filter(|_| here && !m.tasks.is_empty()) {
-            let share = m.used.share_of(class.room);
+            let share = m.used.share_of(class.resources);
             pools
                 .entry((m.class, m.spot))
                 .or_default()
@@ -115,13 +133,13 @@
 }
 
 /// Room that moves of this tick take on other machines.
-type Taken = BTreeMap<MachineId, Room>;
+type Taken = BTreeMap<MachineId, Resources>;
 
 /// Whether all of a machine's tasks would fit elsewhere, beside what other moves take
 /// there; what is taken with them.
 fn fits_elsewhere(
-    h: &Holder,
-    catalog: &[ClassInfo],
+    h: &ShardOwner,
+    catalog: &[MachineType],
     settings: &Settings,
     now: Time,
     from: &MachineId,
@@ -130,34 +148,38 @@
 ) -> Option<Taken> {
     let mut taken = taken.clone();
     for task in tasks {
-        let live = h.jobs.get(&task.job)?;
-        let p = live.placed.get(&task.index)?;
+        let job_state = h.jobs.get(&task.job)?;
+        let p = job_state.placed.get(&task.index)?;
         let steady = p.phase == Phase::Running && now.since(p.since) > STEADY_S;
-        if live.rec.form != Form::Service || p.halted.is_some() || !steady {
+        if job_state.record.kind != JobKind::Service || p.stop_requested.is_some() || !steady {
             return None;
         }
         let mut best: Option<(f64, &MachineId)> = None;
-        let fits = |class: usize, spot: bool, _: &Rc<str>| suits(&live.rec, catalog, class, spot);
-        for (id, m) in h.machines.roomy(live.rec.need, fits) {
+        let fits =
+            |class: usize, spot: bool, _: &Rc<str>| suits(&job_state.record, catalog, class, spot);
+        for (id, m) in h.machines.roomy(job_state.record.need, fits) {
             let mut free = m.free();
             free.add(taken.get(id).copied().unwrap_or_default(), -1.0);
             // In its own zone it takes its own place.
-            let zoned = m.zone == p.zone || zone_allowed(live, &m.zone);
+            let zoned = m.zone == p.zone || zone_allowed(job_state, &m.zone);
             let good = id != from
                 && !m.tasks.is_empty()
-                && !m.closing
-                && free.holds(live.rec.need)
-                && m.has_image(&live.rec.image)
+                && !m.cordoned
+                && free.holds(job_state.record.need)
+                && m.has_image(&job_state.record.image)
                 && usable(m, settings, now)
-                && h.failures.rested(id, now)
+                && h.failures.may_run_tasks(id, now)
                 && zoned;
-            let left = free.share_of(m.room);
+            let left = free.share_of(m.resources);
             if good && best.is_none_or(|(least, _)| left < least) {
                 best = Some((left, id));
             }
         }
         let (_, id) = best?;
-        taken.entry(id.clone()).or_default().add(live.rec.need, 1.0);
+        taken
+            .entry(id.clone())
+            .or_default()
+            .add(job_state.record.need, 1.0);
     }
     Some(taken)
 }
--- a/src/core/holder/job_state.rs
+++ b/src/controller/shard/job.rs
@@ -1,7 +1,12 @@
-//! What a block's holder knows of one job: its tasks, its placements, and what is written.
+//! What a shard's owner knows of one job: its tasks, its placements, and what is written.
 
-use super::*;
-use crate::core::chunks::ChunkLayout;
+use crate::controller::shard::commits::WriteUrgency;
+use crate::controller::store::chunks::ChunkLayout;
+use crate::controller::store::mirror::MirroredJob;
+use crate::controller::store::records::{JobRecord, PriorityClass};
+use crate::ids::{Attempt, MachineId, Time};
+use std::collections::BTreeMap;
+use std::rc::Rc;
 
 /// How far a placement has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -10,12 +15,12 @@
     Committing,
     /// Committed; its start goes with the next answer to its machine.
     Ready,
-    /// Sent, and not seen in a report yet.
+    /// Sent, and not seen in a heartbeat yet.
     Sent,
     Fetching,
     Running,
     Flushing,
-    /// Placed by an earlier holder; this one has no proof of what became of it.
+    /// Placed by an earlier owner; this one has no proof of what became of it.
     Doubt,
 }
 
@@ -28,25 +33,25 @@
     /// Since when it is in this phase.
     pub since: Time,
     /// When it was first told to stop, if it was.
-    pub halted: Option<Time>,
+    pub stop_requested: Option<Time>,
     pub sends: u32,
     /// It has run for so long that neither its job nor its machine can be at fault.
     pub runs_well: bool,
 }
 
-/// A job of the block.
+/// A job of the shard.
 #[derive(Debug)]
 pub struct JobState {
-    pub rec: Rc<JobRec>,
-    /// The rank that it was submitted with; `rec` may have a higher one, of a job that needs it.
-    pub own_rank: Rank,
+    pub record: Rc<JobRecord>,
+    /// The rank that it was submitted with; `record` may have a higher one, of a job that needs it.
+    pub own_priority_class: PriorityClass,
     /// In which records its tasks are.
     pub layout: ChunkLayout,
     pub revision: u64,
     /// Order of arrival: the revision of its acceptance.
     pub arrival: u64,
     pub since: Time,
-    pub withdrawn: Option<Time>,
+    pub cancelled: Option<Time>,
     /// Whether all jobs that it needs are known to be done. Until then nothing of it starts.
     pub released: bool,
     pub done: Vec<bool>,
@@ -60,7 +65,7 @@
     /// Starts that machines refused for not knowing the job.
     pub unknown_starts: u32,
     /// Room is being made by stopping others until then.
-    pub preempting: Time,
+    pub preempting_until: Time,
 }
 
 /// What is written of a chunk.
@@ -73,17 +78,17 @@
 }
 
 impl JobState {
-    pub(super) fn new(job: &jobs::CachedJob, layout: ChunkLayout, now: Time) -> Self {
+    pub(crate) fn new(job: &MirroredJob, layout: ChunkLayout, now: Time) -> Self {
         Self {
-            rec: job.rec.clone(),
-            own_rank: job.rec.rank,
+            record: job.record.clone(),
+            own_priority_class: job.record.priority_class,
             layout,
             revision: job.revision,
             arrival: job.revision,
             since: now,
-            withdrawn: job.withdrawn,
+            cancelled: job.cancelled,
             released: false,
-            done: vec![false; job.rec.count as usize],
+            done: vec![false; job.record.count as usize],
             done_count: 0,
             placed: BTreeMap::new(),
             queue_from: 0,
@@ -91,22 +96,25 @@
             finishing: false,
             not_before: now,
             unknown_starts: 0,
-            preempting: now,
+            preempting_until: now,
         }
     }
 
     /// Gives the job another rank than its own: the highest of those that need it. Whatever goes
     /// by rank goes by this one.
-    pub(super) fn set_rank(&mut self, rank: Rank) {
-        if rank != self.rec.rank {
-            let rec = JobRec::clone(&self.rec);
-            self.rec = Rc::new(JobRec { rank, ..rec });
+    pub(crate) fn set_priority_class(&mut self, priority_class: PriorityClass) {
+        if priority_class != self.record.priority_class {
+            let record = JobRecord::clone(&self.record);
+            self.record = Rc::new(JobRecord {
+                priority_class,
+                ..record
+            });
         }
     }
 
     /// Whether its rank is that of a job that needs it.
-    pub(crate) fn rank_inherited(&self) -> bool {
-        self.rec.rank > self.own_rank
+    pub(crate) fn inherits_priority_class(&self) -> bool {
+        self.record.priority_class > self.own_priority_class
     }
 
     pub(crate) fn is_queued(&self, index: u32) -> bool {
@@ -114,9 +122,9 @@
     }
 
     /// Takes over which tasks are finished.
-    pub(super) fn restore_done(&mut self, ranges: &[(u32, u32)]) {
+    pub(crate) fn restore_done(&mut self, ranges: &[(u32, u32)]) {
         for (from, to) in ranges {
-            for index in *from..(*to).min(self.rec.count) {
+            for index in *from..(*to).min(self.record.count) {
                 if !std::mem::replace(&mut self.done[index as usize], true) {
                     self.done_count += 1;
                 }
@@ -125,10 +133,10 @@
     }
 
     /// How soon the present state of a chunk or part is to be written.
-    pub(super) fn write_urgency(&self, chunk: u32) -> WriteUrgency {
+    pub(crate) fn write_urgency(&self, chunk: u32) -> WriteUrgency {
         let mut placed = self.placed.range(self.layout.tasks_of(chunk));
         if placed.any(|(_, p)| p.phase == Phase::Committing) {
-            WriteUrgency::placements(self.rec.rank)
+            WriteUrgency::placements(self.record.priority_class)
         } else {
             WriteUrgency::Results
         }
@@ -141,17 +149,17 @@
 
     /// How many tasks wait for a machine: none while the job waits for others.
     pub(crate) fn queued(&self) -> u32 {
-        if self.withdrawn.is_some() || !self.released {
+        if self.cancelled.is_some() || !self.released {
             return 0;
         }
-        (self.rec.count - self.done_count).saturating_sub(self.placed.len() as u32)
+        (self.record.count - self.done_count).saturating_sub(self.placed.len() as u32)
     }
 
     /// The first queued task from `queue_from` on; moves that index along.
     pub(crate) fn next_queued(&mut self) -> Option<u32> {
-        while self.queue_from < self.rec.count && !self.is_queued(self.queue_from) {
+        while self.queue_from < self.record.count && !self.is_queued(self.queue_from) {
             self.queue_from += 1;
         }
-        (self.queue_from < self.rec.count).then_some(self.queue_from)
+        (self.queue_from < self.record.count).then_some(self.queue_from)
     }
 }
--- a/src/net/cells.rs
+++ b/src/net/cells.rs
@@ -1,10 +1,10 @@
 //! Messages between cells: each controller listens for other cells, and a leader tells each
 //! controller of another cell, since it doesn't know which of them leads there.
 
-use super::Net;
-use super::connections::{Conn, Role, open};
-use crate::core::Input;
+use crate::controller::events::Input;
 use crate::ids::Time;
+use crate::net::Net;
+use crate::net::connections::{Conn, Role, open};
 use log::{debug, warn};
 use salttrestle_cells::Cell;
 use salttrestle_cells::message::{self, LinkMessage};
@@ -46,8 +46,8 @@
             Ok(bytes) => bytes,
             Err(why) => return warn!("a message to cell {to} isn't sent: {why}"),
         };
-        let members = file.cells.get(to).into_iter().flat_map(|m| m.values());
-        let addresses: Vec<SocketAddrV4> = members.copied().collect();
+        let controller_ids = file.cells.get(to).into_iter().flat_map(|m| m.values());
+        let addresses: Vec<SocketAddrV4> = controller_ids.copied().collect();
         for address in addresses {
             let Some(key) = self.cell_link(address) else {
                 continue;
--- a/src/net/connections.rs
+++ b/src/net/connections.rs
@@ -1,12 +1,11 @@
 //! Connections: how they are accepted, read, written, shed and closed.
 
-use super::Net;
-use super::calls::Service;
-use super::waiting::Ready;
-use crate::core::Input;
-use crate::core::Link;
+use crate::controller::events::{Input, Link};
 use crate::http::{Decoder, Side};
-use crate::ids::{CallId, Member, ReqId, Time};
+use crate::ids::{CallId, ControllerId, RequestId, Time};
+use crate::net::Net;
+use crate::net::calls::Service;
+use crate::net::waiting::Ready;
 use crate::wire;
 use log::{debug, warn};
 use socket2::{Domain, Socket, Type};
@@ -14,7 +13,7 @@
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, SocketAddrV4, TcpStream};
 
-/// Sockets kept for the state service, the cloud, siblings and listeners.
+/// Sockets kept for the store, the cloud, peers and listeners.
 const OUTGOING_SOCKETS: usize = 40;
 /// Share of the other sockets that workers may use: users and health checks get through
 /// however many machines there are. Users' connections give way to workers' below that.
@@ -24,7 +23,7 @@
 const CELL_OUT_MAX: usize = 2 * salttrestle_cells::message::MESSAGE_MAX;
 /// Quiet connections are closed after this time, or sooner when sockets are short.
 const IDLE_S: f64 = 90.0;
-/// Answers from the state service have no size limit; a follow that brings more than
+/// Answers from the store have no size limit; a watch that brings more than
 /// this at once is given up, and the connection with it.
 pub(super) const ANSWER_MAX: usize = 8 << 20;
 /// A whole request has to come within this time.
@@ -35,7 +34,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Inbound {
     UsersAndWorkers,
-    Siblings,
+    Peers,
     Cells,
 }
 
@@ -43,7 +42,7 @@
     Server {
         decoder: Decoder,
         /// The request being answered; no other is read meanwhile.
-        pending: Option<ReqId>,
+        pending: Option<RequestId>,
         close: bool,
         worker: bool,
     },
@@ -56,7 +55,7 @@
         buf: Vec<u8>,
     },
     PeerOut {
-        to: Member,
+        to: ControllerId,
         /// Whether the connection stands.
         made: bool,
     },
@@ -87,7 +86,7 @@
         loop {
             let listener = match from {
                 Inbound::UsersAndWorkers => Some(&self.listener),
-                Inbound::Siblings => Some(&self.peer_listener),
+                Inbound::Peers => Some(&self.peer_listener),
                 Inbound::Cells => self.cell_listener.as_ref(),
             };
             let Some(listener) = listener else {
@@ -111,7 +110,7 @@
             return;
         }
         let role = match from {
-            Inbound::Siblings => Role::PeerIn { buf: Vec::new() },
+            Inbound::Peers => Role::PeerIn { buf: Vec::new() },
             Inbound::Cells => Role::CellIn { buf: Vec::new() },
             Inbound::UsersAndWorkers => Role::Server {
                 decoder: Decoder::new(Side::Request, wire::BODY_MAX),
@@ -192,9 +191,9 @@
             } => {
                 self.inbound -= 1;
                 self.workers -= usize::from(*worker);
-                if let Some(req) = pending.take() {
-                    self.requests.remove(&req);
-                    self.inputs.push_back(Input::Disconnect(req));
+                if let Some(request_id) = pending.take() {
+                    self.requests.remove(&request_id);
+                    self.inputs.push_back(Input::Disconnect(request_id));
                 }
             }
             Role::PeerIn { .. } | Role::CellIn { .. } => self.inbound -= 1,
@@ -263,7 +262,7 @@
                 }
                 Role::PeerIn { buf: all } => {
                     all.extend_from_slice(&buf[..n]);
-                    self.hellos(key)
+                    self.heartbeats(key)
                 }
                 Role::CellIn { buf: all } => {
                     all.extend_from_slice(&buf[..n]);
@@ -292,7 +291,7 @@
             return false;
         };
         let most = match conn.role {
-            Role::PeerOut { .. } => self.settings.sibling_out_bytes(),
+            Role::PeerOut { .. } => self.settings.peer_out_bytes(),
             Role::CellOut { .. } => CELL_OUT_MAX,
             _ => OUT_MAX,
         };
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -1,8 +1,8 @@
 //! What the platform hands over, as JSON.
 
-use super::state_limits::StateLimits;
-use super::{SettingsError, bad};
-use crate::ids::Member;
+use crate::ids::ControllerId;
+use crate::settings::state_limits::StateLimits;
+use crate::settings::{SettingsError, bad};
 use serde::Deserialize;
 use std::net::SocketAddrV4;
 
@@ -10,7 +10,8 @@
 #[derive(Clone, Debug, Deserialize)]
 pub struct Platform {
     /// This controller's name.
-    pub member: Member,
+    #[serde(rename = "member")]
+    pub controller_id: ControllerId,
     /// Its zone.
     pub site: String,
     /// For users, workers and health checks.
@@ -18,9 +19,9 @@
     /// For the other controllers.
     pub peer_listen: SocketAddrV4,
     /// The other controllers.
-    #[serde(default)]
-    pub siblings: Vec<Sibling>,
-    /// State service and cloud.
+    #[serde(rename = "siblings", default)]
+    pub peers: Vec<Peer>,
+    /// Store and cloud.
     pub services: Services,
     /// What is the same for all controllers.
     pub facts: Facts,
@@ -28,9 +29,10 @@
 
 /// Another controller of the service.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Sibling {
+pub struct Peer {
     /// Its name.
-    pub member: Member,
+    #[serde(rename = "member")]
+    pub controller_id: ControllerId,
     /// Its zone.
     #[serde(default)]
     pub site: String,
@@ -43,7 +45,7 @@
 pub struct Services {
     /// The cloud's interface.
     pub cloud: SocketAddrV4,
-    /// The state service.
+    /// The store.
     pub state: SocketAddrV4,
 }
 
@@ -62,12 +64,12 @@
     pub objectives: Vec<Objective>,
     /// Times of the workers.
     pub workers: Workers,
-    /// Limits of the state service.
+    /// Limits of the store.
     pub state: StateLimits,
     /// Limits of the cloud's interface.
     pub cloud: CloudLimits,
     /// What each controller's machine gives it.
-    pub resources: Resources,
+    pub resources: ControllerResources,
 }
 
 /// A team, with what it is guaranteed and its limits; 0 for none.
@@ -105,9 +107,10 @@
 /// Times of the workers, in seconds.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Workers {
-    /// Between two reports.
+    /// Between two heartbeats.
+    #[serde(rename = "report_s")]
     pub report_s: f64,
-    /// After the last answered report a worker kills its tasks.
+    /// After the last answered heartbeat a worker kills its tasks.
     pub lease_s: f64,
     /// In which a cancelled job's tasks have to be gone.
     pub cancel_s: f64,
@@ -124,7 +127,7 @@
 
 /// What a controller's machine gives it.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Resources {
+pub struct ControllerResources {
     /// Share of a processor's core that each controller has.
     #[serde(default = "whole_core")]
     pub cpu: f64,
@@ -180,17 +183,21 @@
                 "must be longer than facts.workers.lease_s",
             ));
         }
-        self.check_members(file)?;
+        self.check_controller_ids(file)?;
         self.check_teams(file)
     }
 
-    fn check_members(&self, file: &str) -> Result<(), SettingsError> {
-        let mut seen = vec![&self.member];
-        for s in &self.siblings {
-            if seen.contains(&&s.member) {
-                return Err(bad(file, "siblings", format!("{} stands twice", s.member)));
+    fn check_controller_ids(&self, file: &str) -> Result<(), SettingsError> {
+        let mut seen = vec![&self.controller_id];
+        for s in &self.peers {
+            if seen.contains(&&s.controller_id) {
+                return Err(bad(
+                    file,
+                    "siblings",
+                    format!("{} stands twice", s.controller_id),
+                ));
             }
-            seen.push(&s.member);
+            seen.push(&s.controller_id);
         }
         if self.listen == self.peer_listen {
             return Err(bad(file, "peer_listen", "must differ from listen"));
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -1,6 +1,9 @@
 //! Submissions, and what users are answered.
 
-use super::*;
+use crate::controller::store::records::{JobKind, JobRecord, PriorityClass, Resources};
+use crate::ids::{Image, JobId};
+use crate::wire::{AMOUNT_MAX, NAME_MAX, Num, TASKS_MAX, TYPES_MAX, encode};
+use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
 #[derive(Deserialize)]
@@ -8,8 +11,10 @@
     id: String,
     troupe: String,
     crew: String,
-    form: FormWord,
-    rank: RankWord,
+    #[serde(rename = "form")]
+    kind: JobKindWord,
+    #[serde(rename = "rank")]
+    priority_class: PriorityClassWord,
     verses: u32,
     cores: Num,
     accelerators: Num,
@@ -22,7 +27,8 @@
     quarter: Option<String>,
     #[serde(rename = "samePlace")]
     same_place: bool,
-    scatter: bool,
+    #[serde(rename = "scatter")]
+    zone_spread: bool,
     borrowed: bool,
     #[serde(rename = "reckonS")]
     reckon_s: Num,
@@ -37,14 +43,14 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum FormWord {
+enum JobKindWord {
     Batch,
     Service,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum RankWord {
+enum PriorityClassWord {
     Critical,
     Urgent,
     Normal,
@@ -77,8 +83,8 @@
     id: String,
 }
 
-/// Reads and checks a submission. Chunk size and block are for the core to set.
-pub fn submission(body: &[u8]) -> Result<(JobId, JobRec), BadBody> {
+/// Reads and checks a submission. Chunk size and shard are for the controller to set.
+pub fn submission(body: &[u8]) -> Result<(JobId, JobRecord), BadBody> {
     checked(body).map_err(|bad| {
         let named = ciborium::from_reader::<Named, _>(body).ok();
         let id = named.and_then(|n| JobId::parse(&n.id));
@@ -86,7 +92,7 @@
     })
 }
 
-fn checked(body: &[u8]) -> Result<(JobId, JobRec), BadBody> {
+fn checked(body: &[u8]) -> Result<(JobId, JobRecord), BadBody> {
     let mut rest = body;
     let b: SubmitBody = ciborium::from_reader(&mut rest).map_err(|e| format!("malformed: {e}"))?;
     if !rest.is_empty() {
@@ -117,21 +123,21 @@
     for need in b.awaits.unwrap_or_default() {
         needs.insert(JobId::parse(&need).ok_or("awaits")?);
     }
-    let rec = JobRec {
+    let record = JobRecord {
         class: name("troupe", b.troupe)?,
         team: name("crew", b.crew)?,
-        form: match b.form {
-            FormWord::Batch => Form::Batch,
-            FormWord::Service => Form::Service,
+        kind: match b.kind {
+            JobKindWord::Batch => JobKind::Batch,
+            JobKindWord::Service => JobKind::Service,
         },
-        rank: match b.rank {
-            RankWord::Critical => Rank::Critical,
-            RankWord::Urgent => Rank::Urgent,
-            RankWord::Normal => Rank::Normal,
-            RankWord::Idle => Rank::Idle,
+        priority_class: match b.priority_class {
+            PriorityClassWord::Critical => PriorityClass::Critical,
+            PriorityClassWord::Urgent => PriorityClass::Urgent,
+            PriorityClassWord::Normal => PriorityClass::Normal,
+            PriorityClassWord::Idle => PriorityClass::Idle,
         },
         count: b.verses,
-        need: Room {
+        need: Resources {
             cpus: amount("cores", b.cores)?,
             gpus: amount("accelerators", b.accelerators)?,
             mem: amount("memGb", b.mem_gb)?,
@@ -140,44 +146,46 @@
         image_gb: amount("sizeGb", b.size_gb)?,
         types,
         zone: b.quarter.map(|z| name("quarter", z)).transpose()?,
-        one_zone: b.same_place,
-        scatter: b.scatter,
+        zone_affinity: b.same_place,
+        zone_spread: b.zone_spread,
         spot: b.borrowed,
         estimate_s: amount("reckonS", b.reckon_s)?,
         checkpoint_s: amount("bookmarkS", b.bookmark_s)?,
         save_s: amount("stashS", b.stash_s)?,
         deadline_s: b.curtain_s.map(|n| amount("curtainS", n)).transpose()?,
         chunk: 1,
-        block: 0,
-        withdrawn: false,
+        shard: 0,
+        cancelled: false,
         needs: needs.into_iter().collect(),
     };
-    Ok((id, rec))
+    Ok((id, record))
 }
 
-/// A job's stance as users are told it.
+/// A job's status as users are told it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Stance {
+pub enum JobStatus {
     Queued,
     Running,
     Done,
-    Withdrawn,
+    #[serde(rename = "withdrawn")]
+    Cancelled,
 }
 
 #[derive(Serialize)]
-struct StanceBody<'a> {
+struct JobStatusBody<'a> {
     id: &'a str,
-    stance: Stance,
+    #[serde(rename = "stance")]
+    status: JobStatus,
     done: u32,
     running: u32,
 }
 
-/// The answer to a submission, a question or a withdrawal.
-pub fn stance_body(id: &JobId, stance: Stance, done: u32, running: u32) -> Vec<u8> {
-    encode(&StanceBody {
+/// The answer to a submission, a question or a cancellation.
+pub fn job_status_body(id: &JobId, status: JobStatus, done: u32, running: u32) -> Vec<u8> {
+    encode(&JobStatusBody {
         id: id.as_str(),
-        stance,
+        status,
         done,
         running,
     })
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -1,10 +1,12 @@
-//! Workers' reports, and the commands in the answers.
+//! Workers' heartbeats, and the commands in the answers.
 
-use super::*;
+use crate::ids::{Attempt, ControllerId, FencingToken};
+use crate::wire::{Num, encode};
+use serde::{Deserialize, Serialize};
 
-/// One worker's report.
+/// One worker's heartbeat.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Report {
+pub struct WorkerHeartbeat {
     #[serde(rename = "rig")]
     pub machine: String,
     pub endpoint: String,
@@ -15,32 +17,32 @@
     #[serde(rename = "borrowed")]
     pub spot: bool,
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub agent_epoch: u64,
     #[serde(rename = "tally")]
-    pub seq: u64,
+    pub sequence: u64,
     #[serde(rename = "baton", default)]
-    pub number: u64,
+    pub token: u64,
     #[serde(rename = "warningS", default)]
     pub notice_s: Option<Num>,
     #[serde(rename = "verses", default)]
-    pub tasks: Vec<ReportTask>,
+    pub tasks: Vec<HeartbeatTask>,
 }
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct ReportTask {
+pub struct HeartbeatTask {
     #[serde(rename = "verse")]
     pub task: String,
     #[serde(rename = "take")]
     pub attempt: Attempt,
     #[serde(rename = "stance")]
-    pub stance: TaskStance,
+    pub status: TaskStatus,
     #[serde(default)]
     pub cause: Option<Cause>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum TaskStance {
+pub enum TaskStatus {
     Fetching,
     Running,
     Flushing,
@@ -89,27 +91,27 @@
 
 #[derive(Serialize)]
 struct CommandsBody<'a> {
-    baton: Number,
+    baton: FencingToken,
     cues: &'a [Command],
 }
 
-/// The answer to a report.
-pub fn commands_body(number: Number, commands: &[Command]) -> Vec<u8> {
+/// The answer to a heartbeat.
+pub fn commands_body(token: FencingToken, commands: &[Command]) -> Vec<u8> {
     encode(&CommandsBody {
-        baton: number,
+        baton: token,
         cues: commands,
     })
 }
 
 #[derive(Serialize)]
-struct SteerBody<'a> {
+struct RedirectBody<'a> {
     #[serde(skip_serializing_if = "Option::is_none")]
     conductor: Option<&'a str>,
 }
 
 /// The answer that sends a worker to another controller.
-pub fn steer_body(to: Option<&Member>) -> Vec<u8> {
-    encode(&SteerBody {
-        conductor: to.map(Member::as_str),
+pub fn redirect_body(to: Option<&ControllerId>) -> Vec<u8> {
+    encode(&RedirectBody {
+        conductor: to.map(ControllerId::as_str),
     })
 }
--- a/standby/tests/world/mod.rs
+++ b/standby/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! Controllers, a state service, one task, two workers and a cloud, as far as a takeover concerns
+//! Controllers, a store, one task, two workers and a cloud, as far as a takeover concerns
 //! them. Anything may be late, lost, copied or overtaken; controllers stand still, end and return.
 
 use salttrestle_standby::fence::{Fence, Predecessors};
@@ -20,7 +20,7 @@
         missed: 4,
         takeovers_per_minute: 10,
         hints_ms: 1_000,
-        grant_ms: GRANT_MS,
+        lease_ms: GRANT_MS,
     }
 }
 
@@ -32,9 +32,9 @@
     NoFence,
     /// A successor's successor knows nothing of the wait.
     FenceForgotten,
-    /// The cloud is called on a renewed grant, whatever the leader's record says by now.
+    /// The cloud is called on a renewed lease, whatever the leader's record says by now.
     CallsWithoutReading,
-    /// A new holder places what it doesn't know to be placed, before its follow has caught up.
+    /// A new owner places what it doesn't know to be placed, before its follow has caught up.
     OrdersBeforeCaughtUp,
     /// A hint that a task has ended is taken for a proof.
     StreamBelieved,
@@ -46,7 +46,7 @@
     lease: usize,
 }
 
-/// What stands at the state service, with the revision of each record's last change.
+/// What stands at the store, with the revision of each record's last change.
 #[derive(Clone, Debug, Default)]
 pub struct Records {
     pub revision: u64,
@@ -81,29 +81,29 @@
 
 /// What one leading process knows.
 #[derive(Clone, Debug)]
-struct Lead {
-    number: u64,
+struct Leadership {
+    token: u64,
     block: u64,
     cloud_from: u64,
-    /// The attempt that this holder placed and committed, to be started.
+    /// The attempt that this owner placed and committed, to be started.
     own: Option<Placed>,
     planned_at: u64,
 }
 
 pub struct Controller {
-    boot: u64,
+    incarnation: u64,
     up: bool,
     paused: bool,
     standby: Standby,
     view: Records,
     /// When the latest read was sent that it knows.
     read_at: u64,
-    /// Grants that were asked for, and when.
+    /// Leases that were asked for, and when.
     grants: Vec<(usize, u64)>,
-    /// The grant that its record names, and when its renewal was last sent.
+    /// The lease that its record names, and when its renewal was last sent.
     lease: Option<(usize, u64)>,
-    lead: Option<Lead>,
-    pub leads: bool,
+    leadership: Option<Leadership>,
+    pub is_leader: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -122,7 +122,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Answer {
     machine: usize,
-    number: u64,
+    token: u64,
     start: Option<u64>,
     sent: u64,
 }
@@ -146,15 +146,15 @@
     format!("c-{n}")
 }
 
-fn standby(n: usize, boot: u64) -> Standby {
+fn standby(n: usize, incarnation: u64) -> Standby {
     let peers = (0..CONTROLLERS).filter(|p| *p != n).map(name);
-    Standby::new(config(), &name(n), boot, peers)
+    Standby::new(config(), &name(n), incarnation, peers)
 }
 
 impl World {
     pub fn new(mistake: Mistake) -> Self {
         let controllers = (0..CONTROLLERS).map(|n| Controller {
-            boot: 1,
+            incarnation: 1,
             up: true,
             paused: false,
             standby: standby(n, 1),
@@ -162,8 +162,8 @@
             read_at: 0,
             grants: Vec::new(),
             lease: None,
-            lead: None,
-            leads: false,
+            leadership: None,
+            is_leader: false,
         });
         Self {
             now: 100_000,
@@ -185,7 +185,7 @@
         self.controllers[n].up && !self.controllers[n].paused
     }
 
-    /// Time passes: grants and leases of workers end.
+    /// Time passes: leases and leases of workers end.
     pub fn wait(&mut self, ms: u64) {
         self.now += ms;
         let leader = self.records.leader.1.as_ref();
@@ -200,7 +200,7 @@
         }
     }
 
-    /// A controller reads all records; a holder learns what came of its commits.
+    /// A controller reads all records; an owner learns what came of its commits.
     pub fn read(&mut self, n: usize) {
         if !self.acts(n) {
             return;
@@ -210,34 +210,34 @@
         (c.view, c.read_at) = (self.records.clone(), now);
         let term = c.view.leader.1.as_ref().map(|l| l.term.clone());
         c.standby.set_term(now, term.clone());
-        let mine = term.filter(|t| t.leader == name(n) && t.boot == c.boot);
+        let mine = term.filter(|t| t.leader == name(n) && t.incarnation == c.incarnation);
         let Some(term) = mine else {
-            c.lead = None;
-            c.leads = false;
+            c.leadership = None;
+            c.is_leader = false;
             return;
         };
-        if c.lead.as_ref().is_none_or(|l| l.number != term.number) {
+        if c.leadership.as_ref().is_none_or(|l| l.token != term.token) {
             let named = c.view.leader.1.as_ref().map(|l| l.lease);
             let of_record = |grant: &&(usize, u64)| Some(grant.0) == named;
             c.lease = c.grants.iter().find(of_record).copied();
-            let fence = c.view.highest.2.filter(|f| f.number == term.number);
+            let fence = c.view.highest.2.filter(|f| f.token == term.token);
             let wait_ms = match mistake {
                 Mistake::NoFence => 0,
                 _ => fence.map_or(0, |f| f.ms),
             };
-            c.lead = Some(Lead {
-                number: term.number,
+            c.leadership = Some(Leadership {
+                token: term.token,
                 block: c.view.block.1,
                 cloud_from: now + wait_ms,
                 own: None,
                 planned_at: now,
             });
-            c.leads = true;
+            c.is_leader = true;
         }
-        if let (Some(lead), Some(placed)) = (&mut c.lead, c.view.run.1)
-            && placed.attempt >> 8 == lead.block
+        if let (Some(leadership), Some(placed)) = (&mut c.leadership, c.view.run.1)
+            && placed.attempt >> 8 == leadership.block
         {
-            lead.own = Some(placed);
+            leadership.own = Some(placed);
         }
     }
 
@@ -254,7 +254,7 @@
             }
         }
         let c = &mut self.controllers[n];
-        if c.lead.is_some() {
+        if c.leadership.is_some() {
             if let Some((lease, renewed)) = &mut c.lease
                 && self.leases[*lease] >= now
             {
@@ -281,16 +281,16 @@
                 Mistake::FenceForgotten => None,
                 _ => c.view.highest.2,
             },
-            plan_number: c.view.plan,
+            plan_token: c.view.plan,
         };
-        let number = c.view.highest.1 + 1;
+        let token = c.view.highest.1 + 1;
         let term = Term {
             leader: name(n),
-            boot: c.boot,
-            number,
+            incarnation: c.incarnation,
+            token,
             fenced_ms: Some(GRANT_MS),
         };
-        let change = Change::Elect(Leader { term, lease }, predecessors.fence(number));
+        let change = Change::Elect(Leader { term, lease }, predecessors.fence(token));
         let conditions = c.view.clone();
         self.commits.push(Commit {
             conditions,
@@ -299,30 +299,34 @@
         });
     }
 
-    /// Whether a leader takes its grant to be alive and its record to stand.
+    /// Whether a leader takes its lease to be alive and its record to stand.
     fn may_call(&self, n: usize) -> Option<u64> {
         let c = &self.controllers[n];
-        let lead = c.lead.as_ref().filter(|l| self.now >= l.cloud_from)?;
+        let leadership = c.leadership.as_ref().filter(|l| self.now >= l.cloud_from)?;
         let renewed = c.lease.is_some_and(|(_, at)| self.now - at < GRANT_MS);
         let read = self.now - c.read_at < GRANT_MS || self.mistake == Mistake::CallsWithoutReading;
-        (renewed && read).then_some(lead.number)
+        (renewed && read).then_some(leadership.token)
     }
 
     fn plan(&mut self, n: usize) {
-        let Some(number) = self.may_call(n) else {
+        let Some(token) = self.may_call(n) else {
             return;
         };
         let now = self.now;
         let c = &mut self.controllers[n];
-        let Some(lead) = c.lead.as_mut().filter(|l| now >= l.planned_at + PLAN_MS) else {
+        let Some(leadership) = c
+            .leadership
+            .as_mut()
+            .filter(|l| now >= l.planned_at + PLAN_MS)
+        else {
             return;
         };
-        lead.planned_at = now;
+        leadership.planned_at = now;
         let conditions = c.view.clone();
         self.commits.push(Commit {
             conditions,
             run_too: false,
-            change: Change::Plan(number),
+            change: Change::Plan(token),
         });
     }
 
@@ -331,14 +335,14 @@
         if !self.acts(n) {
             return;
         }
-        let Some(number) = self.may_call(n) else {
+        let Some(token) = self.may_call(n) else {
             return;
         };
-        if number < self.latest_call {
+        if token < self.latest_call {
             let latest = self.latest_call;
-            self.fail(format!("{number} calls the cloud after {latest} did"));
+            self.fail(format!("{token} calls the cloud after {latest} did"));
         }
-        self.latest_call = self.latest_call.max(number);
+        self.latest_call = self.latest_call.max(token);
     }
 
     fn fail(&mut self, why: String) {
@@ -362,40 +366,40 @@
                 if !(leader && lives && block && known.highest.0 == records.highest.0) {
                     return;
                 }
-                let number = elected.term.number;
-                if number <= records.highest.1 {
-                    return self.fail(format!("number {number} is given again"));
+                let token = elected.term.token;
+                if token <= records.highest.1 {
+                    return self.fail(format!("number {token} is given again"));
                 }
                 records.leader = (next, Some(elected));
-                records.highest = (next, number + 1, fence);
-                records.block = (next, number + 1);
+                records.highest = (next, token + 1, fence);
+                records.block = (next, token + 1);
             }
             Change::Place(placed) if block && run => {
                 records.run = (next, Some(placed));
                 self.committed.push(placed);
             }
             Change::Gone if block && run => records.run = (next, None),
-            Change::Plan(number) if leader => records.plan = number,
+            Change::Plan(token) if leader => records.plan = token,
             _ => return,
         }
         self.records.revision = next;
     }
 
-    /// A holder places the task if it knows of no placement.
+    /// An owner places the task if it knows of no placement.
     pub fn place(&mut self, n: usize, machine: usize) {
         if !self.acts(n) {
             return;
         }
         let early = self.mistake == Mistake::OrdersBeforeCaughtUp;
         let c = &self.controllers[n];
-        let Some(lead) = &c.lead else {
+        let Some(leadership) = &c.leadership else {
             return;
         };
-        let known = if early { lead.own } else { c.view.run.1 };
+        let known = if early { leadership.own } else { c.view.run.1 };
         if known.is_some() {
             return;
         }
-        let attempt = (lead.block << 8) + self.commits.len() as u64 + self.now % 100;
+        let attempt = (leadership.block << 8) + self.commits.len() as u64 + self.now % 100;
         let change = Change::Place(Placed { machine, attempt });
         let conditions = c.view.clone();
         self.commits.push(Commit {
@@ -405,23 +409,23 @@
         });
     }
 
-    /// A worker reports to a controller, which answers if it holds the block.
+    /// A worker heartbeats to a controller, which answers if it holds the shard.
     pub fn report(&mut self, machine: usize, n: usize) {
         if !self.acts(n) {
             return;
         }
         let (newest, runs) = (self.workers[machine].newest, self.workers[machine].runs);
         let c = &self.controllers[n];
-        let Some(lead) = c.lead.as_ref().filter(|l| l.block >= newest) else {
+        let Some(leadership) = c.leadership.as_ref().filter(|l| l.block >= newest) else {
             return;
         };
-        let shown = lead.block == newest;
+        let shown = leadership.block == newest;
         let placed = c.view.run.1.filter(|p| p.machine == machine);
-        let own = lead.own.filter(|p| p.machine == machine);
+        let own = leadership.own.filter(|p| p.machine == machine);
         let sighted = self.now - c.read_at < GRANT_MS;
         let start = own.filter(|p| shown && sighted && runs != Some(p.attempt));
-        // Placed by an earlier holder, and not there under the present number: proven gone.
-        let foreign = placed.filter(|p| p.attempt >> 8 != lead.block);
+        // Placed by an earlier owner, and not there under the present number: proven gone.
+        let foreign = placed.filter(|p| p.attempt >> 8 != leadership.block);
         if shown && foreign.is_some_and(|p| runs != Some(p.attempt)) {
             let conditions = c.view.clone();
             self.commits.push(Commit {
@@ -432,7 +436,10 @@
         }
         self.answers.push(Answer {
             machine,
-            number: self.controllers[n].lead.as_ref().map_or(0, |l| l.block),
+            token: self.controllers[n]
+                .leadership
+                .as_ref()
+                .map_or(0, |l| l.block),
             start: start.map(|p| p.attempt),
             sent: self.now,
         });
@@ -445,10 +452,10 @@
         }
         let answer = self.answers.swap_remove(index % self.answers.len());
         let worker = &mut self.workers[answer.machine];
-        if answer.number < worker.newest || self.now > answer.sent + ANSWER_MS {
+        if answer.token < worker.newest || self.now > answer.sent + ANSWER_MS {
             return;
         }
-        (worker.newest, worker.renewed) = (answer.number, answer.sent);
+        (worker.newest, worker.renewed) = (answer.token, answer.sent);
         let Some(attempt) = answer.start else {
             return;
         };
@@ -464,13 +471,13 @@
 
     /// The leader tells what it knows; a lie says that the task has ended.
     pub fn hint(&mut self, n: usize, lie: bool) {
-        let number = match &self.controllers[n].lead {
-            Some(lead) if self.acts(n) => lead.number,
+        let token = match &self.controllers[n].leadership {
+            Some(leadership) if self.acts(n) => leadership.token,
             _ => return,
         };
         let hints = Hints {
             from: name(n),
-            number: number - u64::from(lie),
+            token: token - u64::from(lie),
             ..Hints::default()
         };
         for to in (0..CONTROLLERS).filter(|to| *to != n) {
@@ -515,8 +522,8 @@
     }
 
     /// Delivers a message that isn't for anybody else; false if there is none.
-    pub fn deliver_between(&mut self, members: &[usize]) -> bool {
-        self.letters.retain(|(to, _)| members.contains(to));
+    pub fn deliver_between(&mut self, controller_ids: &[usize]) -> bool {
+        self.letters.retain(|(to, _)| controller_ids.contains(to));
         let any = !self.letters.is_empty();
         self.deliver(0, false);
         any
@@ -529,7 +536,7 @@
 
     /// Who takes itself for the leader.
     pub fn leader(&self) -> Option<usize> {
-        self.controllers.iter().position(|c| c.leads)
+        self.controllers.iter().position(|c| c.is_leader)
     }
 
     /// Who leads by the record.
@@ -556,11 +563,11 @@
     /// A process ends; another one of the same controller begins.
     pub fn restart(&mut self, n: usize, up: bool) {
         let c = &mut self.controllers[n];
-        c.boot += 1;
+        c.incarnation += 1;
         (c.up, c.paused) = (up, false);
-        c.standby = standby(n, c.boot);
+        c.standby = standby(n, c.incarnation);
         (c.view, c.read_at) = (Records::default(), 0);
-        (c.lease, c.lead, c.leads) = (None, None, false);
+        (c.lease, c.leadership, c.is_leader) = (None, None, false);
         c.grants.clear();
     }
 
@@ -588,7 +595,7 @@
                 self.call_cloud(n);
             }
         }
-        let leading = self.controllers.iter().filter(|c| c.leads).count();
+        let leading = self.controllers.iter().filter(|c| c.is_leader).count();
         if leading != 1 {
             self.fail(format!("{leading} controllers lead after quiet"));
         }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -7,7 +7,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use salttrestle::ids::{JobId, TaskId};
-use salttrestle_standins::checker::{Checker, Place, Said};
+use salttrestle_fakes::checker::{Checker, Place, Said};
 use sim::world::World;
 use std::path::Path;
 
@@ -28,9 +28,9 @@
             .expect("a name")
             .to_string_lossy()
             .to_string();
-        trials.push(Trial::test(name, move || {
+        trials.push(Trial::test(name.clone(), move || {
             let text = std::fs::read_to_string(&file).expect("a scenario");
-            play(&text)
+            play(&name, &text)
         }));
     }
     for (rule, test) in CHECKER_TESTS {
@@ -50,7 +50,7 @@
         }
         for (kind, day) in days {
             trials.push(Trial::test(format!("{kind} of seed {seed}"), move || {
-                play_once(&words(&day)).map_err(|f| {
+                play_once(&format!("{kind}/{seed}"), &words(&day)).map_err(|f| {
                     let why = f.message().unwrap_or("").to_string();
                     format!("seed {seed}: {why}\n{day}").into()
                 })
@@ -102,7 +102,7 @@
 ];
 
 /// A day on which two or three troubles meet, with pipelines, cancellations, users who look closely
-/// and odd requests among them; every other one has an outage of the state service besides.
+/// and odd requests among them; every other one has an outage of the store besides.
 fn drawn(seed: u64) -> String {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut text = format!(
@@ -153,7 +153,7 @@
     )
 }
 
-/// How many machines a holder looks at to place a burst on a fleet of which all but a
+/// How many machines an owner looks at to place a burst on a fleet of which all but a
 /// few machines are full.
 fn looked_at(machines: u32) -> Result<u64, Failed> {
     let text = |end| {
@@ -167,15 +167,16 @@
         }
         text
     };
-    let looked = |end| {
+    let machines_scanned = |end| {
         let mut world = World::new(&words(&text(end)));
         world.run();
-        let cores = world.nodes.iter().filter_map(|n| n.core.as_ref());
+        let cores = world.nodes.iter().filter_map(|n| n.controller.as_ref());
         let loads: Vec<_> = cores.map(|c| c.load()).collect();
-        let sum = |f: fn(&salttrestle::core::Load) -> u64| loads.iter().map(f).sum::<u64>();
-        (sum(|l| l.looked), sum(|l| l.placed))
+        let sum =
+            |f: fn(&salttrestle::controller::events::Load) -> u64| loads.iter().map(f).sum::<u64>();
+        (sum(|l| l.machines_scanned), sum(|l| l.placed))
     };
-    let (before, after) = (looked(39), looked(75));
+    let (before, after) = (machines_scanned(39), machines_scanned(75));
     if after.1 < before.1 + 160 {
         return Err(format!("only {} tasks placed", after.1 - before.1).into());
     }
@@ -200,23 +201,25 @@
 }
 
 /// Plays a scenario, with each of the seeds that it names.
-fn play(text: &str) -> Result<(), Failed> {
+fn play(name: &str, text: &str) -> Result<(), Failed> {
     let lines = words(text);
     let seeds = lines.iter().find(|l| l[0] == "seeds").map(|l| &l[1..]);
     let Some(seeds) = seeds else {
-        return play_once(&lines);
+        return play_once(name, &lines);
     };
     for seed in seeds {
         let seeded = [vec![String::from("seed"), seed.clone()]];
         let lines: Vec<_> = seeded.into_iter().chain(lines.iter().cloned()).collect();
-        play_once(&lines).map_err(|f| format!("seed {seed}: {}", f.message().unwrap_or("")))?;
+        play_once(&format!("{name}/{seed}"), &lines)
+            .map_err(|f| format!("seed {seed}: {}", f.message().unwrap_or("")))?;
     }
     Ok(())
 }
 
-fn play_once(lines: &[Vec<String>]) -> Result<(), Failed> {
+fn play_once(name: &str, lines: &[Vec<String>]) -> Result<(), Failed> {
     let mut world = World::new(lines);
     world.run();
+    world.digest.record(name);
     let mut faults = std::mem::take(&mut world.checker.broken);
     for l in lines.iter().filter(|l| l[0] == "expect") {
         if let Err(why) = expect(&world, &l[1..]) {
@@ -269,7 +272,7 @@
             let on = world.checker.on.keys().filter(|t| t.job == id).count() as u32;
             let moved = l.get(2).and_then(|word| word.strip_prefix("but="));
             let moved = moved.map_or(0, |n| n.parse().expect("a count"));
-            on <= j.rec.count && on + moved >= j.rec.count
+            on <= j.record.count && on + moved >= j.record.count
         }
         "status" | "no-status" => {
             let id = JobId::from(l[1].as_str());
@@ -280,13 +283,11 @@
             let id = JobId::from(l[1].as_str());
             world.refused_within(&id, l[2].parse().expect("seconds"))
         }
-        "takeovers" if l.len() == 2 => {
-            world.numbers.len() > l[1].parse::<usize>().expect("a count")
-        }
+        "takeovers" if l.len() == 2 => world.tokens.len() > l[1].parse::<usize>().expect("a count"),
         "blocks" => {
             let keys = world.state.store.entries.keys();
-            let blocks = keys.filter(|k| k.contains("own/block/")).count();
-            blocks == l[1].parse::<usize>().expect("a count")
+            let shards = keys.filter(|k| k.contains("own/block/")).count();
+            shards == l[1].parse::<usize>().expect("a count")
         }
         "killed-at-most" => at_most(world.killed)?,
         "deleted-tasks-at-most" => at_most(world.deleted_tasks)?,
@@ -305,8 +306,8 @@
         "rejected-at-most" => at_most(world.state.rejected)?,
         "limited-at-most" => at_most(world.state.limited)?,
         "starts-at-most" => at_most(world.checker.starts as usize)?,
-        "numbers-at-most" => at_most(world.numbers.len())?,
-        "no-takeover" => world.numbers.len() == 1,
+        "numbers-at-most" => at_most(world.tokens.len())?,
+        "no-takeover" => world.tokens.len() == 1,
         "machines-at-most" => at_most(world.workers.len())?,
         "rented-at-most" => at_most(world.cloud.rigs.len())?,
         // `expect confirmed 3 from=20 to=40`: it took place that often at least.
@@ -367,7 +368,12 @@
     }),
     ("quota: t uses 0 CPUs, 2 GPUs", |c| {
         for task in &mut [task(0), task(1)] {
-            c.jobs.get_mut(&task.job).expect("submitted").rec.need.cpus = 0.0;
+            c.jobs
+                .get_mut(&task.job)
+                .expect("submitted")
+                .record
+                .need
+                .cpus = 0.0;
             c.starts(1, task, place("m1", "a"));
         }
         assert!(c.broken.is_empty(), "two are allowed");
@@ -383,7 +389,7 @@
     ("ran_cancelled", |c| {
         c.starts(1, &task(0), place("m1", "a"));
         c.cancel_asked(1, &JobId::from("j-1"));
-        c.said(2, &JobId::from("j-1"), Said::Withdrawn);
+        c.said(2, &JobId::from("j-1"), Said::Cancelled);
         c.check_cancelled(36_000);
     }),
     ("forgotten", |c| {
@@ -404,21 +410,21 @@
         c.said(2, &JobId::from("j-1"), Said::Running);
     }),
     ("too_early", |c| {
-        let mut rec = c.jobs[&JobId::from("j-1")].rec.clone();
-        rec.needs = vec![JobId::from("j-1")];
-        c.submitted(1, &JobId::from("j-2"), rec);
+        let mut record = c.jobs[&JobId::from("j-1")].record.clone();
+        record.needs = vec![JobId::from("j-1")];
+        c.submitted(1, &JobId::from("j-2"), record);
         (0..3).for_each(|n| c.finishes(1, &task(n)));
         let job = JobId::from("j-2");
         c.starts(2, &TaskId { job, index: 0 }, place("m1", "a"));
     }),
     ("orphaned", |c| {
         let (needed, job) = (JobId::from("j-1"), JobId::from("j-2"));
-        let mut rec = c.jobs[&needed].rec.clone();
-        rec.needs = vec![needed.clone()];
-        c.submitted(1, &job, rec);
+        let mut record = c.jobs[&needed].record.clone();
+        record.needs = vec![needed.clone()];
+        c.submitted(1, &job, record);
         c.said(1, &job, Said::Queued);
         c.cancel_asked(1, &needed);
-        c.said(2, &needed, Said::Withdrawn);
+        c.said(2, &needed, Said::Cancelled);
         c.said(35_000, &job, Said::Queued);
         assert!(c.broken.is_empty(), "there is a moment left");
         c.said(36_000, &job, Said::Queued);
@@ -426,7 +432,7 @@
     ("nothing_ran", |c| c.check_end(1)),
     ("started_cancelled", |c| {
         c.cancel_asked(1, &JobId::from("j-1"));
-        c.said(2, &JobId::from("j-1"), Said::Withdrawn);
+        c.said(2, &JobId::from("j-1"), Said::Cancelled);
         c.starts(3, &task(0), place("m1", "a"));
     }),
     ("odd_accepted", |c| {
--- a/tests/sim/script.rs
+++ b/tests/sim/script.rs
@@ -3,14 +3,15 @@
 use super::users::Intent;
 use super::world::{Args, Cut, Ev, Far, Node, Spec, World, arg, flag, ms, num};
 use ciborium::cbor;
-use salttrestle::core::{Core, Input};
+use salttrestle::controller::Controller;
+use salttrestle::controller::events::Input;
 use salttrestle::ids::JobId;
 use salttrestle::wire;
-use salttrestle_standins::worker::TaskSpec;
+use salttrestle_fakes::worker::TaskSpec;
 
 impl World {
     pub fn leader(&self) -> Option<usize> {
-        let holds = |n: &&Node| n.core.as_ref().and_then(Core::holds);
+        let holds = |n: &&Node| n.controller.as_ref().and_then(Controller::holds);
         let best = self
             .nodes
             .iter()
@@ -71,7 +72,7 @@
             "drain" => {
                 let n = self.node_arg(&args[0]);
                 self.nodes[n].drain_down = Some(ms(num(args, "down", 3.0)));
-                self.feed(n, Input::Drain);
+                self.feed(n, Input::Shutdown);
             }
             // It ends, and comes back with settings that announce the limits to come.
             "upgrade" => {
@@ -143,8 +144,8 @@
             }
             "part" => {
                 for n in arg(args, "from").expect("from=").split(',') {
-                    self.seq += 1;
-                    let id = self.seq;
+                    self.sequence += 1;
+                    let id = self.sequence;
                     self.cuts.push(Cut {
                         id,
                         node: Some(self.node_arg(n)),
@@ -185,8 +186,8 @@
                 "peers" => Far::Peers,
                 other => panic!("unknown link {other}"),
             };
-            self.seq += 1;
-            let id = self.seq;
+            self.sequence += 1;
+            let id = self.sequence;
             let hold = flag(args, "hold");
             self.cuts.push(Cut {
                 id,
