--- a/tests/sim/world.rs
+++ b/tests/sim/world.rs
@@ -1,20 +1,22 @@
 //! The world: a queue of events in simulated time, links that can be cut, nodes that
 //! are killed, and the script that a scenario file holds.
 
+use super::digest::OutputDigest;
 use super::limits::LimitChanges;
 use super::state::StateService;
 use super::troubles::{Met, Troubles, trouble_ms};
 use super::users::Intent;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use salttrestle::core::records::Room;
-use salttrestle::core::{Core, Input, Reply};
-use salttrestle::ids::{CallId, JobId, ReqId};
+use salttrestle::controller::Controller;
+use salttrestle::controller::events::{Input, Reply};
+use salttrestle::controller::store::records::Resources;
+use salttrestle::ids::{CallId, JobId, RequestId};
 use salttrestle::settings::NextStateLimits;
-use salttrestle::wire::{ClassInfo, CloudOp, StateOp};
-use salttrestle_standins::checker::Checker;
-use salttrestle_standins::cloud::Cloud;
-use salttrestle_standins::worker::{TaskSpec, Worker};
+use salttrestle::wire::{CloudOp, MachineType, StoreRequest};
+use salttrestle_fakes::checker::Checker;
+use salttrestle_fakes::cloud::Cloud;
+use salttrestle_fakes::worker::{TaskSpec, Worker};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// What the world knows of a job beside what was submitted.
@@ -40,7 +42,7 @@
     Node(usize, u64, Input),
     Wake(usize, u64),
     Restart(usize),
-    State(usize, u64, CallId, StateOp),
+    State(usize, u64, CallId, StoreRequest),
     Cloud(usize, u64, CallId, CloudOp),
     FollowEnd(usize, u64, CallId),
     Boot(String),
@@ -54,10 +56,10 @@
     /// One user asks at one node.
     Asks(JobId, Intent, usize),
     /// A transaction that got no answer is carried out after all.
-    LateCommit(StateOp),
+    LateCommit(StoreRequest),
     Odd,
     Heal(u64),
-    /// Leases at the state service end up to a tenth of a second late.
+    /// Leases at the store end up to a tenth of a second late.
     Expire,
     Check,
 }
@@ -81,13 +83,13 @@
 }
 
 pub struct Node {
-    pub core: Option<Core>,
-    pub boot: u64,
+    pub controller: Option<Controller>,
+    pub incarnation: u64,
     /// Its clock against the world's, in milliseconds, and its drift.
     pub offset: u64,
     pub(super) drift: f64,
     pub(super) requests: Vec<u64>,
-    /// The state service refuses it until then.
+    /// The store refuses it until then.
     pub refused_until: u64,
     /// It stands still until then, while its clock runs on.
     pub(super) frozen_until: u64,
@@ -102,10 +104,10 @@
 pub struct World {
     pub now: u64,
     pub(super) queue: BTreeMap<(u64, u64), Ev>,
-    pub(super) seq: u64,
+    pub(super) sequence: u64,
     pub(super) rng: StdRng,
     pub nodes: Vec<Node>,
-    pub members: Vec<String>,
+    pub controller_ids: Vec<String>,
     /// Nodes refuse each other's connections until then.
     pub(super) peers_refuse_until: u64,
     /// For which share of its time the leader is busy, and until when that is told.
@@ -115,7 +117,7 @@
     /// Nodes stand in them in turn.
     pub(super) zones: Vec<String>,
     pub(super) platform: serde_json::Value,
-    /// Limits that the state service will have.
+    /// Limits that the store will have.
     pub(super) next: Option<NextStateLimits>,
     pub(super) tuning: String,
     pub state: StateService,
@@ -127,7 +129,7 @@
     pub(super) next_req: u64,
     pub(super) cuts: Vec<Cut>,
     pub(super) held: Vec<(u64, Ev)>,
-    /// Late copies of reports: delay, and until when they are made.
+    /// Late copies of heartbeats: delay, and until when they are made.
     pub copies: Option<(u64, u64)>,
     pub lose_commits: u32,
     /// The troubles under way, and which meetings took place.
@@ -136,7 +138,7 @@
     pub met: Met,
     /// When the last trouble of the script is over.
     pub calm_at: u64,
-    /// Requests a second that the state service takes, until when, and what it took of
+    /// Requests a second that the store takes, until when, and what it took of
     /// the present second.
     pub(super) throttle: (u32, u64),
     pub(super) taken: (u64, u32),
@@ -144,14 +146,16 @@
     pub report_ms: u64,
     pub statuses: BTreeMap<(JobId, u16), u32>,
     pub answered: BTreeMap<JobId, u64>,
-    /// The numbers under which blocks were held.
-    pub numbers: BTreeSet<u64>,
+    /// The numbers under which shards were held.
+    pub tokens: BTreeSet<u64>,
     pub(super) script: Vec<Vec<String>>,
     pub end: u64,
     /// Tasks killed because a lease ran out.
     pub killed: usize,
     /// Tasks that were on machines when these were deleted.
     pub deleted_tasks: usize,
+    /// Over all that the controllers send.
+    pub digest: OutputDigest,
 }
 
 pub type Args<'a> = &'a [String];
@@ -214,7 +218,7 @@
             "cloud": {"rps": value("cloud", 4.0), "list_lag_s": lag},
             "resources": {"cpu": 0.1, "mem_mb": 56.0, "max_sockets": 500}
         });
-        let members: Vec<String> = (0..count).map(|n| format!("node-{n}")).collect();
+        let controller_ids: Vec<String> = (0..count).map(|n| format!("node-{n}")).collect();
         let platform = serde_json::json!({
             "site": zones[0], "services": {"cloud": "10.2.0.2:1", "state": "10.2.0.1:1"}, "facts": facts
         });
@@ -223,9 +227,9 @@
         for l in many("set") {
             tuning += &format!("{} = {}\n", l[0], l[1]);
         }
-        let catalog = many("type").map(|t| ClassInfo {
+        let catalog = many("type").map(|t| MachineType {
             name: t[0].clone(),
-            room: Room {
+            resources: Resources {
                 cpus: num(t, "cpus", 64.0),
                 gpus: num(t, "gpus", 8.0),
                 mem: num(t, "mem", 256.0),
@@ -248,8 +252,8 @@
         }
         let drift = value("drift", 0.0);
         let nodes = (0..count).map(|n| Node {
-            core: None,
-            boot: 0,
+            controller: None,
+            incarnation: 0,
             offset: 10_000_000 + 1000 * n as u64,
             drift: if n % 2 == 0 { drift } else { -drift },
             requests: Vec::new(),
@@ -262,10 +266,10 @@
         let mut world = Self {
             now: 0,
             queue: BTreeMap::new(),
-            seq: 0,
+            sequence: 0,
             rng: StdRng::seed_from_u64(value("seed", 1.0) as u64),
             nodes: nodes.collect(),
-            members,
+            controller_ids,
             peers_refuse_until: 0,
             busy: (0.0, 0),
             refused_links: BTreeSet::new(),
@@ -299,11 +303,12 @@
             report_ms: ms(report),
             statuses: BTreeMap::new(),
             answered: BTreeMap::new(),
-            numbers: BTreeSet::new(),
+            tokens: BTreeSet::new(),
             script: Vec::new(),
             end: ms(value("end", 120.0)),
             killed: 0,
             deleted_tasks: 0,
+            digest: OutputDigest::default(),
         };
         for l in many("machines") {
             for _ in 0..l[2].parse::<u32>().expect("a number") {
@@ -330,8 +335,8 @@
     }
 
     pub fn at(&mut self, at: u64, ev: Ev) {
-        self.seq += 1;
-        self.queue.insert((at.max(self.now), self.seq), ev);
+        self.sequence += 1;
+        self.queue.insert((at.max(self.now), self.sequence), ev);
     }
 
     pub fn after(&mut self, delay: u64, ev: Ev) {
@@ -346,10 +351,10 @@
         }
     }
 
-    pub fn request(&mut self, origin: Origin) -> ReqId {
+    pub fn request(&mut self, origin: Origin) -> RequestId {
         self.next_req += 1;
         self.origins.insert(self.next_req, (origin, usize::MAX));
-        ReqId(self.next_req)
+        RequestId(self.next_req)
     }
 
     /// Plays to the end.
@@ -386,29 +391,29 @@
             return self.at(until, ev);
         }
         match ev {
-            Ev::Node(n, boot, input) => {
-                if self.nodes[n].boot == boot {
+            Ev::Node(n, incarnation, input) => {
+                if self.nodes[n].incarnation == incarnation {
                     self.feed(n, input);
                 }
             }
-            Ev::Wake(n, boot) => {
+            Ev::Wake(n, incarnation) => {
                 // An earlier wake-up has taken the place of one that isn't due any more. Without
                 // this each of them began a row of its own, which never ended.
-                if self.nodes[n].boot == boot && self.nodes[n].woken_for <= self.now {
+                if self.nodes[n].incarnation == incarnation && self.nodes[n].woken_for <= self.now {
                     self.nodes[n].woken_for = u64::MAX;
                     self.feed(n, Input::Tick);
                 }
             }
             Ev::Restart(n) => self.restart(n),
-            Ev::State(n, boot, call, op) => self.state_executes(n, boot, call, op),
-            Ev::Cloud(n, boot, call, op) => self.cloud_executes(n, boot, call, op),
-            Ev::FollowEnd(n, boot, call) => self.follow_end(n, boot, call),
+            Ev::State(n, incarnation, call, op) => self.state_executes(n, incarnation, call, op),
+            Ev::Cloud(n, incarnation, call, op) => self.cloud_executes(n, incarnation, call, op),
+            Ev::FollowEnd(n, incarnation, call) => self.follow_end(n, incarnation, call),
             Ev::Boot(id) => self.boot_worker(&id),
             Ev::WorkerTick(id) => self.worker_tick(&id),
-            Ev::ToWorker(id, req, reply) => self.worker_answer(&id, req, reply),
+            Ev::ToWorker(id, request_id, reply) => self.worker_answer(&id, request_id, reply),
             Ev::User(id, intent) => self.user(&id, intent),
-            Ev::UserTimeout(req) => {
-                if let Some((Origin::User(id, intent), _)) = self.origins.remove(&req) {
+            Ev::UserTimeout(request_id) => {
+                if let Some((Origin::User(id, intent), _)) = self.origins.remove(&request_id) {
                     self.user_answer(id, intent, None);
                 }
             }
@@ -422,10 +427,13 @@
             Ev::Odd => self.odd_request(),
             Ev::Heal(id) => self.heal(id),
             Ev::Check => {
-                let cores = self.nodes.iter().filter_map(|n| n.core.as_ref());
+                let cores = self.nodes.iter().filter_map(|n| n.controller.as_ref());
                 let wrong = cores.filter_map(|c| c.audit().err());
                 self.checker.broken.extend(wrong);
-                let queues = self.nodes.iter().filter_map(|n| n.core.as_ref()?.queue());
+                let queues = self
+                    .nodes
+                    .iter()
+                    .filter_map(|n| n.controller.as_ref()?.queue());
                 let held = queues.map(|q| q.waiting_for_others).max().unwrap_or(0);
                 self.met.waiting_for_others = self.met.waiting_for_others.max(held);
                 let now = self.now;
