--- a/src/controller/api/cancellations.rs
+++ b/src/controller/api/cancellations.rs
@@ -1,15 +1,36 @@
 //! Cancellations: the mark in a job's record, and the answer once no task of it is left.
 
+use crate::controller::Controller;
 use crate::controller::api::StatusQuery;
+use crate::controller::context::Context;
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::store::records::{Key, Record};
-use crate::controller::{Controller, RequestPurpose};
+use crate::controller::store::requests::RequestPurpose;
 use crate::ids::{JobId, MachineId, RequestId};
 use crate::wire::{StoreRequest, StoreResponse, Write};
 use log::info;
 use std::collections::BTreeSet;
 
 impl Controller {
+    /// Cancellations whose confirmation isn't in sight: their users are told to come back
+    /// at once rather than after a wait for something that can't happen.
+    pub(crate) fn blocked_cancellations(&self) -> Vec<RequestId> {
+        let mut leaving = self.context.api.leaving.iter().peekable();
+        if leaving.peek().is_none() {
+            return Vec::new();
+        }
+        let told = self
+            .context
+            .recent_heartbeats()
+            .flat_map(|h| h.overdue.iter().cloned());
+        let overdue: BTreeSet<MachineId> = told.chain(self.overdue()).collect();
+        let stuck = leaving
+            .filter(|q| self.context.is_stale() || self.context.departs_late(&q.id, &overdue));
+        stuck.map(|q| q.request_id).collect()
+    }
+}
+
+impl Context {
     pub(crate) fn write_cancellations(&mut self) {
         while let Some(q) = self.api.cancellations.pop_front() {
             let Some(job) = self.mirror.jobs.get(&q.id) else {
@@ -66,21 +87,6 @@
         }
     }
 
-    /// Cancellations whose confirmation isn't in sight: their users are told to come back
-    /// at once rather than after a wait for something that can't happen.
-    pub(crate) fn blocked_cancellations(&self) -> Vec<RequestId> {
-        let mut leaving = self.api.leaving.iter().peekable();
-        if leaving.peek().is_none() {
-            return Vec::new();
-        }
-        let told = self
-            .recent_heartbeats()
-            .flat_map(|h| h.overdue.iter().cloned());
-        let overdue: BTreeSet<MachineId> = told.chain(self.overdue()).collect();
-        let stuck = leaving.filter(|q| self.is_stale() || self.departs_late(&q.id, &overdue));
-        stuck.map(|q| q.request_id).collect()
-    }
-
     /// Whether nobody is there to confirm that a job's tasks are gone, or one of them is
     /// on a machine that doesn't heartbeat.
     fn departs_late(&self, id: &JobId, overdue: &BTreeSet<MachineId>) -> bool {
--- a/src/controller/api/mod.rs
+++ b/src/controller/api/mod.rs
@@ -8,6 +8,7 @@
 mod submissions;
 
 use crate::controller::Controller;
+use crate::controller::context::Context;
 use crate::controller::events::{Reply, Request};
 use crate::controller::store::records::{Ending, JobRecord};
 use crate::ids::{CallId, JobId, RequestId, Time};
@@ -109,58 +110,31 @@
 impl Controller {
     pub(crate) fn on_request(&mut self, request_id: RequestId, ask: Request) {
         match ask {
-            Request::Up => self.on_up(request_id),
+            Request::Up => self.context.on_up(request_id),
             Request::Heartbeat(report) => self.on_worker_heartbeat(request_id, report),
-            Request::Submit(_) if self.shutting_down() => {
-                self.answer(request_id, Reply::later(503, 1, ABOUT_TO_END));
+            Request::Submit(_) if self.context.shutting_down() => {
+                self.context
+                    .answer(request_id, Reply::later(503, 1, ABOUT_TO_END));
             }
-            Request::Submit(Ok((id, record))) => self.on_submit(request_id, id, record),
-            Request::Submit(Err(bad)) => self.on_malformed(request_id, bad),
-            Request::Poll(id) => self.on_status_query(request_id, id, Intent::Poll),
-            Request::Cancel(id) => self.on_status_query(request_id, id, Intent::Cancel),
+            Request::Submit(Ok((id, record))) => self.context.on_submit(request_id, id, record),
+            Request::Submit(Err(bad)) => self.context.on_malformed(request_id, bad),
+            Request::Poll(id) => self.context.on_status_query(request_id, id, Intent::Poll),
+            Request::Cancel(id) => self.context.on_status_query(request_id, id, Intent::Cancel),
         }
     }
 
     pub(crate) fn on_disconnect(&mut self, request_id: RequestId) {
-        self.forget_report(request_id);
+        self.context.forget_report(request_id);
         for h in self.shards.values_mut() {
             h.forget_request(request_id);
         }
     }
 
-    /// Unhealthy only while a peer does better: if nobody sees the store,
-    /// taking all nodes away would only slow the return. Who neither sees it nor hears any
-    /// peer is partitioned, and users who reach it were refused for as long as that lasted.
-    fn on_up(&mut self, request_id: RequestId) {
-        let alone = self.isolated_from_store() || self.peers_unreachable();
-        let reply = if self.shutting_down() {
-            Reply::later(503, 1, ABOUT_TO_END)
-        } else if self.is_stale() && (!self.initial_list_done || alone) {
-            Reply::later(503, 1, "the state service doesn't answer")
-        } else {
-            Reply::ok(200, Vec::new())
-        };
-        self.answer(request_id, reply);
-    }
-
-    /// Most requests of a kind that wait at once.
-    fn waiting_max(&self) -> usize {
-        let sockets = self.settings.platform.facts.resources.max_sockets;
-        (sockets as f64 * WAITING_SHARE) as usize
-    }
-
-    pub(crate) fn pump_api(&mut self) {
-        self.check_named_dependencies();
-        self.write_cancellations();
-        self.read_unknown_ends();
-        self.write_submissions();
-    }
-
     /// Gives up what can't be answered in time. The answer goes out at once.
     pub(crate) fn api_housekeeping(&mut self) {
-        let (now, mut late) = (self.now, self.blocked_cancellations());
-        let leave_s = self.settings.leave_s();
-        let f = &mut self.api;
+        let (now, mut late) = (self.context.now, self.blocked_cancellations());
+        let leave_s = self.context.settings.leave_s();
+        let f = &mut self.context.api;
         f.leaving.retain(|q| !late.contains(&q.request_id));
         for (queue, most_s) in [
             (&mut f.status_queries, QUESTION_S),
@@ -190,10 +164,40 @@
         f.submissions.retain(&mut in_time);
         f.awaiting_dependencies.retain(|n| in_time(&n.submission));
         for request_id in late {
-            self.answer(
+            self.context.answer(
                 request_id,
                 Reply::later(503, 2, "the state service is slow"),
             );
         }
     }
 }
+
+impl Context {
+    /// Unhealthy only while a peer does better: if nobody sees the store,
+    /// taking all nodes away would only slow the return. Who neither sees it nor hears any
+    /// peer is partitioned, and users who reach it were refused for as long as that lasted.
+    fn on_up(&mut self, request_id: RequestId) {
+        let alone = self.isolated_from_store() || self.peers_unreachable();
+        let reply = if self.shutting_down() {
+            Reply::later(503, 1, ABOUT_TO_END)
+        } else if self.is_stale() && (!self.initial_list_done || alone) {
+            Reply::later(503, 1, "the state service doesn't answer")
+        } else {
+            Reply::ok(200, Vec::new())
+        };
+        self.answer(request_id, reply);
+    }
+
+    /// Most requests of a kind that wait at once.
+    fn waiting_max(&self) -> usize {
+        let sockets = self.settings.platform.facts.resources.max_sockets;
+        (sockets as f64 * WAITING_SHARE) as usize
+    }
+
+    pub(crate) fn pump_api(&mut self) {
+        self.check_named_dependencies();
+        self.write_cancellations();
+        self.read_unknown_ends();
+        self.write_submissions();
+    }
+}
--- a/src/controller/api/status_queries.rs
+++ b/src/controller/api/status_queries.rs
@@ -4,10 +4,11 @@
 //! controller may know better, so it needs a read no older than the question.
 
 use crate::controller::api::{Intent, StatusQuery};
+use crate::controller::context::Context;
 use crate::controller::events::Reply;
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::store::records::{Ending, Key};
-use crate::controller::{Controller, RequestPurpose};
+use crate::controller::store::requests::RequestPurpose;
 use crate::ids::{JobId, RequestId, Time};
 use crate::wire::{JobStatus, StoreRequest, StoreResponse, error_body, job_status_body};
 use std::collections::VecDeque;
@@ -18,7 +19,7 @@
 pub(crate) const PRESENT_S: f64 = 0.1;
 const ENDING_DELAY_S: f64 = 1.2 * PRESENT_S;
 
-impl Controller {
+impl Context {
     pub(crate) fn on_status_query(&mut self, request_id: RequestId, id: JobId, intent: Intent) {
         if let Some(ending) = self.mirror.ending(&id) {
             return self.answer_ending(request_id, &id, ending);
--- a/src/controller/api/submissions.rs
+++ b/src/controller/api/submissions.rs
@@ -2,12 +2,13 @@
 
 use crate::controller::api::status_queries::PRESENT_S;
 use crate::controller::api::{DependentSubmission, Intent, Submission};
+use crate::controller::context::Context;
 use crate::controller::dependencies::graph::DependencyState;
 use crate::controller::events::Reply;
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::store::chunks::chunk_size;
 use crate::controller::store::records::{JobKind, JobRecord, Key, Record, json_bytes};
-use crate::controller::{Controller, RequestPurpose};
+use crate::controller::store::requests::RequestPurpose;
 use crate::ids::{JobId, RequestId, Time};
 use crate::wire::{
     BadBody, JobStatus, StoreRequest, StoreResponse, Write, error_body, job_status_body,
@@ -20,7 +21,7 @@
 /// Submissions that wait are at most what the change budget clears in this time.
 const SUBMIT_BACKLOG_S: f64 = 1.5;
 
-impl Controller {
+impl Context {
     /// A known job's user is told its state whatever the repeated body is like; being
     /// refused, it would take the job for one that was never accepted.
     pub(crate) fn on_malformed(&mut self, request_id: RequestId, bad: BadBody) {
--- a/src/controller/autoscaling/machines.rs
+++ b/src/controller/autoscaling/machines.rs
@@ -3,6 +3,7 @@
 
 use crate::controller::Controller;
 use crate::controller::autoscaling::{CloudPurpose, REPEAT_S};
+use crate::controller::context::Context;
 use crate::controller::events::Reply;
 use crate::controller::machines::inventory::Machine;
 use crate::controller::rate_limits::token_bucket::Priority;
@@ -23,6 +24,61 @@
 const ABANDONED_AFTER: f64 = 2.0;
 
 impl Controller {
+    pub(crate) fn on_machine_list(&mut self, mut so_far: Vec<Listed>, reply: CloudReply) {
+        self.context.listing = false;
+        let CloudReply::Page { machines, more } = reply else {
+            return;
+        };
+        so_far.extend(machines);
+        let last = so_far.last();
+        if more && last.is_some() {
+            return self.context.list_on(so_far);
+        }
+        let lag = self.context.settings.platform.facts.cloud.list_lag_s;
+        let (now, settled_s) = (self.context.now, LISTED_LAGS * lag + REPEAT_S);
+        let listed: BTreeSet<&str> = so_far.iter().map(|l| l.id.as_str()).collect();
+        for h in self.shards.values_mut() {
+            for l in &so_far {
+                h.observe_listed(now, &self.context.catalog, l);
+            }
+            h.decommission_unlisted(now, settled_s, &listed);
+        }
+        if let Some(leadership) = &mut self.context.leadership {
+            leadership.scale.listed = true;
+            for l in so_far {
+                let id = MachineId::from(l.id.as_str());
+                self.context.add_unassigned((id, l.class, l.zone, l.spot));
+            }
+        }
+    }
+
+    /// Returns the machines that the leader's plan names, if they are still empty.
+    pub(crate) fn apply_scale_in(&mut self) {
+        let revision = self.context.mirror.plan.revision;
+        if revision == self.context.plan_seen {
+            return;
+        }
+        self.context.plan_seen = revision;
+        let now = self.context.now;
+        let scale_in = self
+            .context
+            .mirror
+            .plan
+            .record
+            .iter()
+            .flat_map(|p| &p.scale_in);
+        for id in scale_in {
+            for h in self.shards.values_mut() {
+                let idle = |m: &Machine| m.ready_since.is_some() && m.tasks.is_empty();
+                if h.machines.get(id).is_some_and(idle) {
+                    h.decommission(now, id, "it is empty and no longer wanted");
+                }
+            }
+        }
+    }
+}
+
+impl Context {
     /// The leader lists machines to find those nobody expected; with several shards,
     /// the other owners list them, less often, to learn what became of their own.
     pub(crate) fn list_machines(&mut self) {
@@ -45,34 +101,6 @@
         }
     }
 
-    pub(crate) fn on_machine_list(&mut self, mut so_far: Vec<Listed>, reply: CloudReply) {
-        self.listing = false;
-        let CloudReply::Page { machines, more } = reply else {
-            return;
-        };
-        so_far.extend(machines);
-        let last = so_far.last();
-        if more && last.is_some() {
-            return self.list_on(so_far);
-        }
-        let lag = self.settings.platform.facts.cloud.list_lag_s;
-        let (now, settled_s) = (self.now, LISTED_LAGS * lag + REPEAT_S);
-        let listed: BTreeSet<&str> = so_far.iter().map(|l| l.id.as_str()).collect();
-        for h in self.shards.values_mut() {
-            for l in &so_far {
-                h.observe_listed(now, &self.catalog, l);
-            }
-            h.decommission_unlisted(now, settled_s, &listed);
-        }
-        if let Some(leadership) = &mut self.leadership {
-            leadership.scale.listed = true;
-            for l in so_far {
-                let id = MachineId::from(l.id.as_str());
-                self.add_unassigned((id, l.class, l.zone, l.spot));
-            }
-        }
-    }
-
     /// Asks for the next page, now or as soon as the budget allows. Begun anew instead, a list of
     /// more pages than the budget holds calls never came to its end, and nothing was rented.
     fn list_on(&mut self, so_far: Vec<Listed>) {
@@ -85,40 +113,36 @@
         }
         self.cloud_call(op, CloudPurpose::List(so_far), Priority::Usual);
     }
+}
 
+impl ShardOwner {
     /// Machines that never come up are paid for until they are deleted. That is long after
     /// they were replaced: on a night on which all boots took several times as long, each was
     /// deleted shortly before it was up, and rented anew.
-    pub(crate) fn decommission_abandoned(&mut self) {
-        let (now, boot) = (self.now, self.settings.tuning.boot);
-        let Some(h) = &mut self.owner else {
-            return;
-        };
+    pub(crate) fn decommission_abandoned(&mut self, context: &Context) {
+        let (now, boot) = (context.now, context.settings.tuning.boot);
         let most = ABANDONED_AFTER * boot;
-        let never = |m: &Machine| h.boots_longer_than(most, &self.catalog, m, now);
-        let never = h.machines.booting().filter(|(_, m)| never(m));
+        let never = |m: &Machine| self.boots_longer_than(most, &context.catalog, m, now);
+        let never = self.machines.booting().filter(|(_, m)| never(m));
         let never: Vec<MachineId> = never.map(|(id, _)| id.clone()).collect();
         for id in never {
-            h.decommission(now, &id, "it never came up");
+            self.decommission(now, &id, "it never came up");
         }
     }
 
     /// A deletion needs no lease: it can only cost a machine, and proves its tasks gone. Only a
     /// leader that replaced another before its lease's end waits until that one deletes nothing.
-    pub(crate) fn delete_decommissioned(&mut self) {
-        let now = self.now;
-        if self.is_stale() || self.fenced() {
+    pub(crate) fn delete_decommissioned(&mut self, context: &mut Context) {
+        let now = context.now;
+        if context.is_stale() || context.fenced() {
             return;
         }
-        let Some(h) = &mut self.owner else {
-            return;
-        };
         let mut ids = Vec::new();
-        for (id, m) in h.machines.leaving() {
+        for (id, m) in self.machines.leaving() {
             let due = m
                 .decommission_at
                 .is_some_and(|at| now >= at || m.tasks.is_empty());
-            if due && !m.deleting && ids.len() < DELETE_MAX && !h.committing_on(m) {
+            if due && !m.deleting && ids.len() < DELETE_MAX && !self.committing_on(m) {
                 ids.push(id.clone());
             }
         }
@@ -126,51 +150,36 @@
             return;
         }
         let op = CloudOp::Delete(ids.clone());
-        if self.cloud_call(op, CloudPurpose::Delete(ids.clone()), Priority::First)
-            && let Some(h) = &mut self.owner
-        {
+        let purpose = CloudPurpose::Delete {
+            shard: self.shard,
+            machines: ids.clone(),
+        };
+        if context.cloud_call(op, purpose, Priority::First) {
             for id in &ids {
-                h.machines.edit(id, |m| m.deleting = true);
+                self.machines.edit(id, |m| m.deleting = true);
             }
         }
     }
 
     /// Once the deletion is answered, the machine and all on it are gone.
-    pub(crate) fn on_deleted(&mut self, ids: Vec<MachineId>, reply: CloudReply) {
-        let now = self.now;
-        let Some(h) = &mut self.owner else {
-            return;
-        };
+    pub(crate) fn on_deleted(
+        &mut self,
+        context: &mut Context,
+        ids: Vec<MachineId>,
+        reply: CloudReply,
+    ) {
+        let now = context.now;
         let mut held = Vec::new();
         for id in ids {
             if reply != CloudReply::Deleted {
-                h.machines.edit(&id, |m| m.deleting = false);
+                self.machines.edit(&id, |m| m.deleting = false);
                 continue;
             }
             info!("machine {id} deleted");
-            held.extend(h.remove_machine(now, &id));
+            held.extend(self.remove_machine(now, &id));
         }
         for request_id in held {
-            self.answer(request_id, Reply::later(503, 5, "this machine is deleted"));
-        }
-    }
-
-    /// Returns the machines that the leader's plan names, if they are still empty.
-    pub(crate) fn apply_scale_in(&mut self) {
-        let revision = self.mirror.plan.revision;
-        if revision == self.plan_seen {
-            return;
-        }
-        self.plan_seen = revision;
-        let now = self.now;
-        let scale_in = self.mirror.plan.record.iter().flat_map(|p| &p.scale_in);
-        for id in scale_in {
-            for h in self.shards.values_mut() {
-                let idle = |m: &Machine| m.ready_since.is_some() && m.tasks.is_empty();
-                if h.machines.get(id).is_some_and(idle) {
-                    h.decommission(now, id, "it is empty and no longer wanted");
-                }
-            }
+            context.answer(request_id, Reply::later(503, 5, "this machine is deleted"));
         }
     }
 }
--- a/src/controller/autoscaling/mod.rs
+++ b/src/controller/autoscaling/mod.rs
@@ -12,6 +12,7 @@
 pub(crate) mod scale_out;
 
 use crate::controller::Controller;
+use crate::controller::context::Context;
 use crate::controller::events::Output;
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::ids::{CallId, MachineId};
@@ -28,14 +29,17 @@
 pub(crate) enum CloudPurpose {
     Catalog,
     Rent(String),
-    Delete(Vec<MachineId>),
+    Delete {
+        shard: u32,
+        machines: Vec<MachineId>,
+    },
     List(Vec<Listed>),
 }
 
 impl CloudPurpose {
     /// Whether the call rents or deletes machines.
     pub(crate) fn changes(&self) -> bool {
-        matches!(self, Self::Rent(_) | Self::Delete(_))
+        matches!(self, Self::Rent(_) | Self::Delete { .. })
     }
 }
 
@@ -45,59 +49,43 @@
 const COUNTS_SHARE: f64 = 0.2;
 
 impl Controller {
-    pub(crate) fn catalog_housekeeping(&mut self) {
-        if self.catalog.is_empty() && self.now >= self.catalog_retry {
-            self.catalog_retry = self.now.after(REPEAT_S);
-            self.cloud_call(CloudOp::Catalog, CloudPurpose::Catalog, Priority::First);
-        }
-    }
-
     pub(crate) fn leadership_housekeeping(&mut self) {
-        if self.now >= self.counts_at {
-            self.counts_at = self.now.after(self.settings.tuning.tick_s * COUNTS_SHARE);
+        if self.context.now >= self.context.counts_at {
+            self.context.counts_at = self
+                .context
+                .now
+                .after(self.context.settings.tuning.tick_s * COUNTS_SHARE);
             self.send_counts();
             self.lease_housekeeping();
         }
-        if self.catalog.is_empty() {
+        if self.context.catalog.is_empty() {
             return;
         }
         let several = self.shards.values().any(|h| !h.whole);
-        if self.lease_valid() || several {
-            self.list_machines();
+        if self.context.lease_valid() || several {
+            self.context.list_machines();
         }
-        if !self.may_use_cloud() {
+        if !self.context.may_use_cloud() {
             return;
         }
-        self.send_scale_out_requests();
+        self.context.send_scale_out_requests();
         self.reconcile();
-        self.write_plan();
-    }
-
-    fn cloud_call(&mut self, op: CloudOp, purpose: CloudPurpose, priority: Priority) -> bool {
-        if !self.cloud_rate_limit.has(self.now, 1.0, priority) {
-            return false;
-        }
-        self.cloud_rate_limit.take(1.0);
-        let id = self.call_id();
-        let ownership = self.ownership();
-        self.cloud_calls.insert(id, (purpose, ownership));
-        self.out.push(Output::Cloud(id, op));
-        true
+        self.context.write_plan();
     }
 
     pub(crate) fn on_cloud(&mut self, id: CallId, reply: CloudReply) {
-        let Some((purpose, ownership)) = self.cloud_calls.remove(&id) else {
+        let Some(purpose) = self.context.cloud_calls.remove(&id) else {
             return;
         };
         if reply == CloudReply::Trouble {
-            self.cloud_rate_limit.drain();
+            self.context.cloud_rate_limit.drain();
         }
         match purpose {
             CloudPurpose::Catalog => self.on_catalog(reply),
             CloudPurpose::Rent(name) => self.on_scaled_out(&name, reply),
-            CloudPurpose::Delete(ids) => {
-                if let Some((shard, _)) = ownership {
-                    self.in_shard(shard, |controller| controller.on_deleted(ids, reply));
+            CloudPurpose::Delete { shard, machines } => {
+                if let Some(shard) = self.shards.get_mut(&shard) {
+                    shard.on_deleted(&mut self.context, machines, reply);
                 }
             }
             CloudPurpose::List(so_far) => self.on_machine_list(so_far, reply),
@@ -108,11 +96,31 @@
         let CloudReply::Catalog(classes) = reply else {
             return;
         };
-        self.catalog = classes;
-        let catalog = &self.catalog;
+        self.context.catalog = classes;
+        let catalog = &self.context.catalog;
         for h in self.shards.values_mut() {
             h.machines.edit_all(|m| m.resolve_machine_type(catalog));
             h.scheduling_wanted = true;
         }
     }
 }
+
+impl Context {
+    pub(crate) fn catalog_housekeeping(&mut self) {
+        if self.catalog.is_empty() && self.now >= self.catalog_retry {
+            self.catalog_retry = self.now.after(REPEAT_S);
+            self.cloud_call(CloudOp::Catalog, CloudPurpose::Catalog, Priority::First);
+        }
+    }
+
+    fn cloud_call(&mut self, op: CloudOp, purpose: CloudPurpose, priority: Priority) -> bool {
+        if !self.cloud_rate_limit.has(self.now, 1.0, priority) {
+            return false;
+        }
+        self.cloud_rate_limit.take(1.0);
+        let id = self.call_id();
+        self.cloud_calls.insert(id, purpose);
+        self.out.push(Output::Cloud(id, op));
+        true
+    }
+}
--- a/src/controller/autoscaling/plan.rs
+++ b/src/controller/autoscaling/plan.rs
@@ -2,11 +2,12 @@
 
 use crate::controller::autoscaling::Pool;
 use crate::controller::autoscaling::scale_out::{ScaleOutRequest, ScaleOutStep};
+use crate::controller::context::Context;
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::store::records::{
     ExhaustedPool, Key, Record, ScaleOutRecord, ScalingPlanRecord, json_bytes,
 };
-use crate::controller::{Controller, RequestPurpose};
+use crate::controller::store::requests::RequestPurpose;
 use crate::ids::{MachineId, Time};
 use crate::wire::{StoreRequest, StoreResponse, Write};
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -33,7 +34,7 @@
     pub(crate) plan_changed: bool,
 }
 
-impl Controller {
+impl Context {
     /// A new leader first repeats the scale-out requests that the plan speaks of, under their
     /// names, and lists: it rents only once it knows what is there.
     pub(crate) fn rebuild_scaling_state(&mut self) {
--- a/src/controller/autoscaling/reconcile.rs
+++ b/src/controller/autoscaling/reconcile.rs
@@ -3,6 +3,7 @@
 use crate::controller::Controller;
 use crate::controller::autoscaling::scale_out::ScaleOutStep;
 use crate::controller::autoscaling::{Pool, Zones};
+use crate::controller::context::Context;
 use crate::ids::MachineId;
 use crate::peer::PoolCount;
 use log::{debug, info, warn};
@@ -21,8 +22,8 @@
 
 impl Controller {
     pub(crate) fn reconcile(&mut self) {
-        let now = self.now;
-        let Some(leadership) = &mut self.leadership else {
+        let now = self.context.now;
+        let Some(leadership) = &mut self.context.leadership else {
             return;
         };
         let s = &mut leadership.scale;
@@ -30,7 +31,7 @@
             .scale_out_requests
             .iter()
             .any(|request| request.step != ScaleOutStep::Answered);
-        let shards = self.mirror.shards.len();
+        let shards = self.context.mirror.shards.len();
         if s.ready.is_none() && s.listed && !unanswered && leadership.shard_counts.len() >= shards {
             s.ready = Some(now);
             s.reconcile_at = now;
@@ -43,14 +44,14 @@
         else {
             return;
         };
-        leadership.scale.reconcile_at = now.after(self.settings.tuning.tick_s);
+        leadership.scale.reconcile_at = now.after(self.context.settings.tuning.tick_s);
         self.send_counts();
-        let fleet = self.count_fleet();
-        let Some(leadership) = &mut self.leadership else {
+        let fleet = self.context.count_fleet();
+        let Some(leadership) = &mut self.context.leadership else {
             return;
         };
         leadership.needs.clear();
-        let ceiling = self.settings.ceiling();
+        let ceiling = self.context.settings.ceiling();
         for (pool, shards) in fleet.counts {
             // A machine serves its own shard only, so each shard's gap is its own.
             let (mut wanted, mut gap, mut provisioned) = (0, 0, 0);
@@ -60,10 +61,11 @@
                 let need = w.saturating_sub(count.provisioned);
                 (wanted, gap, provisioned) =
                     (wanted + w, gap + need, provisioned + count.provisioned);
-                let name = self.catalog[pool.0].name.clone();
+                let name = self.context.catalog[pool.0].name.clone();
                 leadership.needs.insert((name, pool.1, *shard), need);
             }
-            let window_s = self.settings.tuning.window * self.catalog[pool.0].ready_s;
+            let window_s =
+                self.context.settings.tuning.window * self.context.catalog[pool.0].ready_s;
             leadership.scale.record_wanted(pool, now, wanted, window_s);
             let resources = ceiling.saturating_sub(provisioned);
             if wanted >= ceiling {
@@ -75,10 +77,10 @@
             let pins: BTreeMap<&String, u32> = pins.map(|((_, z), n)| (z, *n)).collect();
             let gap = gap.max(pins.values().sum());
             let gap = gap.min(resources).saturating_sub(asked);
-            let gap = gap.min(self.settings.rise(gap));
+            let gap = gap.min(self.context.settings.rise(gap));
             if gap > 0 {
                 leadership.scale.plan_scale_out(
-                    &self.catalog,
+                    &self.context.catalog,
                     pool,
                     gap,
                     (&fleet.zones, &pins),
@@ -101,7 +103,9 @@
             leadership.scale.plan_changed |= leadership.scale.scale_in.len() > before;
         }
     }
+}
 
+impl Context {
     /// Adds up what the shards' owners count.
     fn count_fleet(&self) -> FleetCounts {
         let mut fleet = FleetCounts::default();
--- a/src/controller/autoscaling/scale_out.rs
+++ b/src/controller/autoscaling/scale_out.rs
@@ -3,6 +3,7 @@
 use crate::controller::Controller;
 use crate::controller::autoscaling::plan::ScalingState;
 use crate::controller::autoscaling::{CloudPurpose, Pool, REPEAT_S, Zones};
+use crate::controller::context::Context;
 use crate::controller::machines::inventory::Machine;
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::store::records::{ExhaustedPool, ScaleOutRecord};
@@ -37,33 +38,9 @@
 }
 
 impl Controller {
-    pub(crate) fn send_scale_out_requests(&mut self) {
-        let now = self.now;
-        let Some(leadership) = self.leadership.as_ref().filter(|_| self.may_use_cloud()) else {
-            return;
-        };
-        let due: Vec<ScaleOutRecord> = leadership
-            .scale
-            .scale_out_requests
-            .iter()
-            .filter(|request| request.step == ScaleOutStep::Written && now >= request.at)
-            .map(|request| request.record.clone())
-            .collect();
-        for record in due {
-            let name = record.name.clone();
-            let purpose = CloudPurpose::Rent(name.clone());
-            if !self.cloud_call(CloudOp::Rent(record), purpose, Priority::Usual) {
-                return;
-            }
-            if let Some(leadership) = &mut self.leadership {
-                leadership.scale.step(&name, ScaleOutStep::Sent, now);
-            }
-        }
-    }
-
     pub(crate) fn on_scaled_out(&mut self, name: &str, reply: CloudReply) {
-        let now = self.now;
-        let Some(leadership) = &mut self.leadership else {
+        let now = self.context.now;
+        let Some(leadership) = &mut self.context.leadership else {
             return;
         };
         let Some(record) = leadership
@@ -75,7 +52,11 @@
             return;
         };
         let record = record.record.clone();
-        let class = self.catalog.iter().position(|c| c.name == record.class);
+        let class = self
+            .context
+            .catalog
+            .iter()
+            .position(|c| c.name == record.class);
         let Some(class) = class else {
             return;
         };
@@ -115,25 +96,61 @@
 
     /// New machines join the only shard at once, or a shard's list.
     fn add_machines(&mut self, record: &ScaleOutRecord, rigs: Vec<MachineId>) {
-        let now = self.now;
+        let now = self.context.now;
         let whole = self.shards.values_mut().find(|h| h.whole);
         if let Some(h) = whole {
             for id in rigs {
                 if !h.machines.contains_key(&id) && !h.gone.contains_key(&id) {
-                    let m =
-                        Machine::new(&self.catalog, &record.class, &record.zone, record.spot, now);
+                    let m = Machine::new(
+                        &self.context.catalog,
+                        &record.class,
+                        &record.zone,
+                        record.spot,
+                        now,
+                    );
                     h.machines.insert(id, m);
                 }
             }
             return;
         }
         for id in rigs {
-            self.add_unassigned((id, record.class.clone(), record.zone.clone(), record.spot));
+            self.context.add_unassigned((
+                id,
+                record.class.clone(),
+                record.zone.clone(),
+                record.spot,
+            ));
         }
         self.lease_housekeeping();
     }
 }
 
+impl Context {
+    pub(crate) fn send_scale_out_requests(&mut self) {
+        let now = self.now;
+        let Some(leadership) = self.leadership.as_ref().filter(|_| self.may_use_cloud()) else {
+            return;
+        };
+        let due: Vec<ScaleOutRecord> = leadership
+            .scale
+            .scale_out_requests
+            .iter()
+            .filter(|request| request.step == ScaleOutStep::Written && now >= request.at)
+            .map(|request| request.record.clone())
+            .collect();
+        for record in due {
+            let name = record.name.clone();
+            let purpose = CloudPurpose::Rent(name.clone());
+            if !self.cloud_call(CloudOp::Rent(record), purpose, Priority::Usual) {
+                return;
+            }
+            if let Some(leadership) = &mut self.leadership {
+                leadership.scale.step(&name, ScaleOutStep::Sent, now);
+            }
+        }
+    }
+}
+
 impl ScalingState {
     /// Plans scale-out requests, each machine to the open zone with fewest such machines.
     pub(crate) fn plan_scale_out(
--- a/src/controller/dependencies/resolution.rs
+++ b/src/controller/dependencies/resolution.rs
@@ -1,9 +1,11 @@
 //! What changes in jobs that others need comes to those: ends are read where they aren't known,
 //! waiting jobs are released or cancelled, and ranks rise and fall.
 
+use crate::controller::Controller;
+use crate::controller::context::Context;
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::store::records::{Ending, Key, Record};
-use crate::controller::{Controller, RequestPurpose};
+use crate::controller::store::requests::RequestPurpose;
 use crate::ids::{JobId, Time};
 use crate::wire::{StoreRequest, StoreResponse};
 use std::collections::BTreeSet;
@@ -24,6 +26,19 @@
 }
 
 impl Controller {
+    /// Tells the owners of jobs what changed for these through others.
+    pub(crate) fn on_affected(&mut self) {
+        for id in self.context.mirror.take_affected() {
+            let job = self.context.mirror.jobs.get(&id);
+            let owned = job.and_then(|job| self.shards.get_mut(&job.record.shard));
+            if let Some(shard) = owned {
+                shard.on_dependencies_changed(&mut self.context, &id);
+            }
+        }
+    }
+}
+
+impl Context {
     /// Reads the ends of needed jobs of which nothing is known here.
     pub(crate) fn read_dependencies(&mut self) {
         if !self.initial_list_done || self.now < self.dependency_reads.not_before {
@@ -66,14 +81,4 @@
         self.mirror.remember(self.now, id.clone(), *ending);
         Some(*ending)
     }
-
-    /// Tells the owners of jobs what changed for these through others.
-    pub(crate) fn on_affected(&mut self) {
-        for id in self.mirror.take_affected() {
-            let shard = self.mirror.jobs.get(&id).map(|j| j.record.shard);
-            if let Some(shard) = shard {
-                self.in_shard(shard, |controller| controller.on_dependencies_changed(&id));
-            }
-        }
-    }
 }
--- a/src/controller/forwarding.rs
+++ b/src/controller/forwarding.rs
@@ -13,9 +13,13 @@
 //! only once every task is proven gone (`front`), so no bound runs against a worker
 //! that nobody with sight of the store reaches.
 
+use crate::controller::Controller;
+use crate::controller::ShardOwner;
+use crate::controller::context::BATCH_MS;
+use crate::controller::context::Context;
+use crate::controller::context::RECENT_S;
 use crate::controller::events::{Output, Reply};
 use crate::controller::shards::leases::stable_hash;
-use crate::controller::{BATCH_MS, Controller, RECENT_S};
 use crate::ids::{ControllerId, FencingToken, MachineId, RequestId, TaskId, Time};
 use crate::peer::{ForwardedHeartbeat, ForwardedResponse, Message, PeerHeartbeat};
 use crate::settings::Peer;
@@ -121,30 +125,89 @@
     }
 }
 
+/// The owned shard to which a machine belongs.
+fn owner_of_machine<'a>(
+    shards: &'a mut BTreeMap<u32, ShardOwner>,
+    id: &MachineId,
+) -> Option<&'a mut ShardOwner> {
+    let listed = shards
+        .iter()
+        .find(|(_, shard)| shard.machines.contains_key(id));
+    let whole = || shards.iter().find(|(_, shard)| shard.whole);
+    let found = listed.or_else(whole).map(|(shard, _)| *shard);
+    shards.get_mut(&found?)
+}
+
 impl Controller {
     pub(crate) fn on_worker_heartbeat(&mut self, request_id: RequestId, report: WorkerHeartbeat) {
-        self.last_worker_heartbeat = self.now;
+        self.context.last_worker_heartbeat = self.context.now;
         let id = MachineId::from(report.machine.as_str());
-        if let Some(home) = self.preferred_controller(&id, &report) {
-            return self.answer(request_id, Reply::ok(421, redirect_body(Some(&home))));
+        if let Some(home) = self.context.preferred_controller(&id, &report) {
+            return self
+                .context
+                .answer(request_id, Reply::ok(421, redirect_body(Some(&home))));
         }
-        if let Some(shard) = self.shard_here(&id) {
-            return self.in_shard(shard, |controller| {
-                controller.on_owned_heartbeat(request_id, &id, report)
-            });
+        if let Some(shard) = owner_of_machine(&mut self.shards, &id) {
+            return shard.on_heartbeat(&mut self.context, request_id, &id, report);
         }
-        self.note_unassigned(&id, &report);
-        self.forward(request_id, report);
+        self.context.note_unassigned(&id, &report);
+        self.context.forward(request_id, report);
     }
 
-    /// The shard held here to which a machine belongs.
-    fn shard_here(&self, id: &MachineId) -> Option<u32> {
-        let mut held = self.shards.iter();
-        let mine = held.find(|(_, h)| h.machines.contains_key(id));
-        let whole = || self.shards.iter().find(|(_, h)| h.whole);
-        mine.or_else(whole).map(|(shard, _)| *shard)
+    pub(crate) fn forwarding_housekeeping(&mut self) {
+        let kept_s = KEPT_LEASES * self.context.settings.platform.facts.workers.lease_s;
+        let now = self.context.now;
+        let redirected = &mut self.context.forwarding.redirected;
+        redirected.retain(|_, at| now.since(*at) < kept_s);
+        for ownerless in std::mem::take(&mut self.context.forwarding.ownerless) {
+            let id = MachineId::from(ownerless.report.machine.as_str());
+            let held = owner_of_machine(&mut self.shards, &id).is_some();
+            let owner = self.context.owner_for(&ownerless);
+            if held || owner.is_some_and(|h| self.context.reachable(&h)) {
+                self.on_worker_heartbeat(ownerless.request_id, ownerless.report);
+            } else {
+                self.context.without_owner(ownerless);
+            }
+        }
+        let patience = self.context.settings.hold_s(false) + RELAY_GRACE_S;
+        let late = self.context.forwarding.out.iter().filter(|(_, r)| {
+            self.context.now.since(r.since) > patience
+                || !self.context.heartbeat_fresh(&r.to)
+                || !self.context.linked(&r.to)
+        });
+        let late: Vec<RequestId> = late.map(|(request_id, _)| *request_id).collect();
+        for request_id in late {
+            if let Some(r) = self.context.forwarding.out.remove(&request_id) {
+                self.context.without_owner(r.ownerless(request_id));
+            }
+        }
+    }
+
+    /// A peer hands on a heartbeat of one of its workers.
+    pub(crate) fn on_forwarded_heartbeat(&mut self, relayed: ForwardedHeartbeat) {
+        if !self.context.is_peer(&relayed.from) {
+            return;
+        }
+        self.context.forwarding.guest_count += 1;
+        let request_id = RequestId(GUESTS + self.context.forwarding.guest_count);
+        let guest = ForwardedIn {
+            from: relayed.from.clone(),
+            incarnation: relayed.incarnation,
+            request_id: RequestId(relayed.request_id),
+        };
+        self.context.forwarding.guests.insert(request_id, guest);
+        let report = relayed.report();
+        let id = MachineId::from(report.machine.as_str());
+        match owner_of_machine(&mut self.shards, &id) {
+            Some(shard) => shard.on_heartbeat(&mut self.context, request_id, &id, report),
+            None => self
+                .context
+                .answer(request_id, Reply::ok(421, redirect_body(None))),
+        }
     }
+}
 
+impl Context {
     /// The controller of a worker's own zone to which it had better heartbeat. One that
     /// hears nobody yet gets workers one by one: if they can't reach it, the others
     /// mustn't lose half a lease by trying.
@@ -362,58 +425,6 @@
         self.heartbeat_fresh(owner) || peers_unreachable && !self.is_stale()
     }
 
-    pub(crate) fn forwarding_housekeeping(&mut self) {
-        let kept_s = KEPT_LEASES * self.settings.platform.facts.workers.lease_s;
-        let now = self.now;
-        let redirected = &mut self.forwarding.redirected;
-        redirected.retain(|_, at| now.since(*at) < kept_s);
-        for ownerless in std::mem::take(&mut self.forwarding.ownerless) {
-            let id = MachineId::from(ownerless.report.machine.as_str());
-            let held = self.shard_here(&id).is_some();
-            let owner = self.owner_for(&ownerless);
-            if held || owner.is_some_and(|h| self.reachable(&h)) {
-                self.on_worker_heartbeat(ownerless.request_id, ownerless.report);
-            } else {
-                self.without_owner(ownerless);
-            }
-        }
-        let patience = self.settings.hold_s(false) + RELAY_GRACE_S;
-        let late = self.forwarding.out.iter().filter(|(_, r)| {
-            self.now.since(r.since) > patience
-                || !self.heartbeat_fresh(&r.to)
-                || !self.linked(&r.to)
-        });
-        let late: Vec<RequestId> = late.map(|(request_id, _)| *request_id).collect();
-        for request_id in late {
-            if let Some(r) = self.forwarding.out.remove(&request_id) {
-                self.without_owner(r.ownerless(request_id));
-            }
-        }
-    }
-
-    /// A peer hands on a heartbeat of one of its workers.
-    pub(crate) fn on_forwarded_heartbeat(&mut self, relayed: ForwardedHeartbeat) {
-        if !self.is_peer(&relayed.from) {
-            return;
-        }
-        self.forwarding.guest_count += 1;
-        let request_id = RequestId(GUESTS + self.forwarding.guest_count);
-        let guest = ForwardedIn {
-            from: relayed.from.clone(),
-            incarnation: relayed.incarnation,
-            request_id: RequestId(relayed.request_id),
-        };
-        self.forwarding.guests.insert(request_id, guest);
-        let report = relayed.report();
-        let id = MachineId::from(report.machine.as_str());
-        match self.shard_here(&id) {
-            Some(shard) => self.in_shard(shard, |controller| {
-                controller.on_owned_heartbeat(request_id, &id, report)
-            }),
-            None => self.answer(request_id, Reply::ok(421, redirect_body(None))),
-        }
-    }
-
     /// The owner's answer to a heartbeat that was handed on to it.
     pub(crate) fn on_forwarded_response(&mut self, answer: ForwardedResponse) {
         let request_id = RequestId(answer.request_id);
--- a/src/controller/leadership/election.rs
+++ b/src/controller/leadership/election.rs
@@ -7,6 +7,10 @@
 //! condition, rest on the lease, and wait for as long as the old leader's may go out
 //! (`may_use_cloud`).
 
+use crate::controller::Controller;
+use crate::controller::context::CLOCK_DRIFT;
+use crate::controller::context::Context;
+use crate::controller::context::STALENESS_BOUND_S;
 use crate::controller::events::Reply;
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::shard::ShardOwner;
@@ -14,7 +18,7 @@
 use crate::controller::store::records::{
     FencingTokenRecord, Key, LeaderRecord, Record, ShardRecord,
 };
-use crate::controller::{CLOCK_DRIFT, Controller, RequestPurpose, STALENESS_BOUND_S};
+use crate::controller::store::requests::RequestPurpose;
 use crate::ids::{FencingToken, Time};
 use crate::wire::{StoreRequest, StoreResponse, Write, commands_body};
 use log::{info, warn};
@@ -62,6 +66,143 @@
 const FENCE_MARGIN_S: f64 = 0.2;
 
 impl Controller {
+    pub(crate) fn on_lease_renewed(&mut self, reply: StoreResponse, sent: Time) {
+        self.context.election.busy = false;
+        match reply {
+            StoreResponse::LeaseRenewed => self.context.election.renewed = sent,
+            StoreResponse::LeaseNotFound => self.step_down("its grant is over"),
+            _ => {}
+        }
+    }
+
+    /// The leader's, a shard's, the number's or the plan's record changed.
+    pub(crate) fn on_control_records_changed(&mut self) {
+        self.context.read_limits();
+        self.context.tell_standby_of_leader();
+        let me = &self.context.settings.platform.controller_id;
+        let may_run_tasks = self.context.now >= self.context.election.not_before;
+        let leader = self.context.mirror.leader.record.as_ref();
+        let is_leader = leader
+            .is_some_and(|l| l.controller_id == *me && l.incarnation == self.context.incarnation);
+        if is_leader && self.context.leadership.is_none() && may_run_tasks {
+            info!("leads from now on");
+            self.context.election.renew_at = self.context.now;
+            self.context.adopt_lease();
+            self.become_leader();
+        } else if !is_leader && self.context.leadership.is_some() {
+            self.step_down("its key is gone");
+        }
+        let shards: Vec<(u32, Mirrored<ShardRecord>)> = self
+            .context
+            .mirror
+            .shards
+            .iter()
+            .map(|(k, slot)| (*k, slot.clone()))
+            .collect();
+        for (shard, slot) in shards {
+            let Some(record) = slot.record else {
+                continue;
+            };
+            // A number once given up is never used again: what was answered under it
+            // is forgotten, and copies of heartbeats from then may still come.
+            let released_tokens = self
+                .context
+                .released_tokens
+                .get(&shard)
+                .is_some_and(|n| record.token <= *n);
+            let me = &self.context.settings.platform.controller_id;
+            let mine = record.owner == *me
+                && record.incarnation == self.context.incarnation
+                && !released_tokens;
+            self.sync_shard(shard, slot.revision, &record, mine && may_run_tasks);
+        }
+        self.apply_scale_in();
+    }
+
+    /// Brings what is held here in line with a shard's record.
+    fn sync_shard(&mut self, shard: u32, revision: u64, record: &ShardRecord, mine: bool) {
+        let held = self.shards.get(&shard).map(|h| (h.token, h.shard_revision));
+        match held {
+            Some((token, _)) if !mine || token != record.token => {
+                self.release_shard(shard, "it has another holder");
+            }
+            Some((_, known)) if known == revision => return,
+            _ => {}
+        }
+        if !mine {
+            return;
+        }
+        let fresh = !self.shards.contains_key(&shard);
+        if fresh {
+            info!("holds block {shard} under number {}", record.token.0);
+            let shares_limits = self.context.settings.cells.is_some();
+            let owner = ShardOwner::new(shard, record.token, self.context.now, shares_limits);
+            self.shards.insert(shard, owner);
+        }
+        self.update_rate_limits();
+        if let Some(owner) = self.shards.get_mut(&shard) {
+            let context = &mut self.context;
+            if fresh {
+                owner.rebuild_from_mirror(context);
+            }
+            owner.sync(context.now, revision, record, &context.catalog);
+        }
+        if fresh {
+            // Heartbeats wait elsewhere for the owner: their controllers learn of it at once.
+            self.send_heartbeat();
+        }
+    }
+
+    /// Stops acting as the owner of a shard. Always safe: another process takes over by a commit.
+    pub(crate) fn release_shard(&mut self, shard: u32, why: &str) {
+        let Some(owner) = self.shards.remove(&shard) else {
+            return;
+        };
+        warn!("no longer holds block {}: {why}", owner.shard);
+        self.context
+            .released_tokens
+            .insert(owner.shard, owner.token);
+        self.update_rate_limits();
+        // Its workers stay where they are until there is a new owner. An answer under
+        // the number given up is worth nothing to those that have shown a higher one.
+        for request_id in owner.long_polling_requests() {
+            let body = commands_body(owner.token, &[]);
+            self.context.answer(request_id, Reply::ok(200, body));
+        }
+    }
+
+    fn step_down(&mut self, why: &str) {
+        if self.context.leadership.take().is_some() {
+            warn!("no longer leads: {why}");
+        }
+        self.context.election.lease_id = None;
+        self.context.election.busy = false;
+        self.update_rate_limits();
+    }
+
+    /// Gives up everything this controller holds.
+    pub(crate) fn give_up(&mut self, why: &str) {
+        self.step_down(why);
+        let shards: Vec<u32> = self.shards.keys().copied().collect();
+        for shard in shards {
+            self.release_shard(shard, why);
+        }
+    }
+
+    /// Gives up everything and rests, when this controller can't do the work.
+    pub(crate) fn resign(&mut self, why: &str) {
+        let ttl = self.context.settings.tuning.leader_lease_s;
+        self.context.election.not_before = self.context.now.after(ttl * REST_LEASES);
+        let lease_id = self.context.election.lease_id;
+        self.give_up(why);
+        // Its key goes with the lease, so that nobody waits for its end.
+        if let Some(lease_id) = lease_id {
+            self.context.revoke_when_quiet(lease_id);
+        }
+    }
+}
+
+impl Context {
     pub(crate) fn election_housekeeping(&mut self) {
         if self.leadership.is_some() {
             self.renew_lease();
@@ -127,15 +268,6 @@
         }
     }
 
-    pub(crate) fn on_lease_renewed(&mut self, reply: StoreResponse, sent: Time) {
-        self.election.busy = false;
-        match reply {
-            StoreResponse::LeaseRenewed => self.election.renewed = sent,
-            StoreResponse::LeaseNotFound => self.step_down("its grant is over"),
-            _ => {}
-        }
-    }
-
     /// Whether somebody leads, as far as is known.
     fn has_leader(&self) -> bool {
         let me = &self.settings.platform.controller_id;
@@ -318,130 +450,4 @@
         self.election.lease_id = found.map(|lease| lease.lease_id);
         self.election.renewed = found.map_or(Time(0), |lease| lease.asked);
     }
-
-    /// The leader's, a shard's, the number's or the plan's record changed.
-    pub(crate) fn on_control_records_changed(&mut self) {
-        self.read_limits();
-        self.tell_standby_of_leader();
-        let me = &self.settings.platform.controller_id;
-        let may_run_tasks = self.now >= self.election.not_before;
-        let leader = self.mirror.leader.record.as_ref();
-        let is_leader =
-            leader.is_some_and(|l| l.controller_id == *me && l.incarnation == self.incarnation);
-        if is_leader && self.leadership.is_none() && may_run_tasks {
-            info!("leads from now on");
-            self.election.renew_at = self.now;
-            self.adopt_lease();
-            self.become_leader();
-        } else if !is_leader && self.leadership.is_some() {
-            self.step_down("its key is gone");
-        }
-        let shards: Vec<(u32, Mirrored<ShardRecord>)> = self
-            .mirror
-            .shards
-            .iter()
-            .map(|(k, slot)| (*k, slot.clone()))
-            .collect();
-        for (shard, slot) in shards {
-            let Some(record) = slot.record else {
-                continue;
-            };
-            // A number once given up is never used again: what was answered under it
-            // is forgotten, and copies of heartbeats from then may still come.
-            let released_tokens = self
-                .released_tokens
-                .get(&shard)
-                .is_some_and(|n| record.token <= *n);
-            let me = &self.settings.platform.controller_id;
-            let mine =
-                record.owner == *me && record.incarnation == self.incarnation && !released_tokens;
-            self.sync_shard(shard, slot.revision, &record, mine && may_run_tasks);
-        }
-        self.apply_scale_in();
-    }
-
-    /// Brings what is held here in line with a shard's record.
-    fn sync_shard(&mut self, shard: u32, revision: u64, record: &ShardRecord, mine: bool) {
-        let held = self.shards.get(&shard).map(|h| (h.token, h.shard_revision));
-        match held {
-            Some((token, _)) if !mine || token != record.token => {
-                self.in_shard(shard, |controller| {
-                    controller.release_shard("it has another holder")
-                });
-            }
-            Some((_, known)) if known == revision => return,
-            _ => {}
-        }
-        if !mine {
-            return;
-        }
-        let fresh = !self.shards.contains_key(&shard);
-        if fresh {
-            info!("holds block {shard} under number {}", record.token.0);
-            let shares_limits = self.settings.cells.is_some();
-            let owner = ShardOwner::new(shard, record.token, self.now, shares_limits);
-            self.shards.insert(shard, Box::new(owner));
-        }
-        self.update_rate_limits();
-        self.in_shard(shard, |controller| {
-            if fresh {
-                controller.rebuild_from_mirror();
-            }
-            if let Some(h) = &mut controller.owner {
-                h.sync(controller.now, revision, record, &controller.catalog);
-            }
-        });
-        if fresh {
-            // Heartbeats wait elsewhere for the owner: their controllers learn of it at once.
-            self.send_heartbeat();
-        }
-    }
-
-    /// Stops acting as the owner of the shard in hand. Always safe: another process
-    /// takes over by a commit.
-    pub(crate) fn release_shard(&mut self, why: &str) {
-        let Some(owner) = self.owner.take() else {
-            return;
-        };
-        warn!("no longer holds block {}: {why}", owner.shard);
-        self.released_tokens.insert(owner.shard, owner.token);
-        self.update_rate_limits();
-        // Its workers stay where they are until there is a new owner. An answer under
-        // the number given up is worth nothing to those that have shown a higher one.
-        for request_id in owner.long_polling_requests() {
-            let body = commands_body(owner.token, &[]);
-            self.answer(request_id, Reply::ok(200, body));
-        }
-    }
-
-    fn step_down(&mut self, why: &str) {
-        if self.leadership.take().is_some() {
-            warn!("no longer leads: {why}");
-        }
-        self.election.lease_id = None;
-        self.election.busy = false;
-        self.update_rate_limits();
-    }
-
-    /// Gives up everything this controller holds.
-    pub(crate) fn give_up(&mut self, why: &str) {
-        self.step_down(why);
-        let shards: Vec<u32> = self.shards.keys().copied().collect();
-        for shard in shards {
-            self.in_shard(shard, |controller| controller.release_shard(why));
-        }
-    }
-
-    /// Gives up everything and rests, when this controller can't do the work.
-    pub(crate) fn resign(&mut self, why: &str) {
-        let ttl = self.settings.tuning.leader_lease_s;
-        self.election.not_before = self.now.after(ttl * REST_LEASES);
-        let lease_id = self.election.lease_id;
-        self.release_shard(why);
-        self.give_up(why);
-        // Its key goes with the lease, so that nobody waits for its end.
-        if let Some(lease_id) = lease_id {
-            self.revoke_when_quiet(lease_id);
-        }
-    }
 }
--- a/src/controller/leadership/shutdown.rs
+++ b/src/controller/leadership/shutdown.rs
@@ -1,9 +1,12 @@
 //! A controller that is told to end hands over first: it takes no new work and, if it leads, gives
 //! its lease up once its last call to the cloud is over, so that nobody waits for the lease's end.
 
+use crate::controller::Controller;
 use crate::controller::autoscaling::CloudPurpose;
+use crate::controller::context::Context;
 use crate::controller::rate_limits::token_bucket::Priority;
-use crate::controller::{Controller, PendingRequest, RequestPurpose};
+use crate::controller::store::requests::PendingRequest;
+use crate::controller::store::requests::RequestPurpose;
 use crate::ids::Time;
 use crate::wire::StoreRequest;
 use log::info;
@@ -34,17 +37,19 @@
 impl Controller {
     /// Begins to hand over; nothing is taken back.
     pub(crate) fn on_shutdown(&mut self) {
-        if self.shutdown.is_some() {
+        if self.context.shutdown.is_some() {
             return;
         }
         info!("hands over, and ends then");
-        self.shutdown = Some(Shutdown {
-            since: self.now,
+        self.context.shutdown = Some(Shutdown {
+            since: self.context.now,
             idle_since: None,
         });
         self.resign("it is told to end");
     }
+}
 
+impl Context {
     /// Whether this controller is about to end.
     pub(crate) fn shutting_down(&self) -> bool {
         self.shutdown.is_some()
@@ -90,8 +95,7 @@
         let Some(lease_revocation) = &self.lease_revocation else {
             return;
         };
-        let changes = |(purpose, _): &(CloudPurpose, _)| purpose.changes();
-        let under_way = self.cloud_calls.values().any(changes);
+        let under_way = self.cloud_calls.values().any(CloudPurpose::changes);
         if under_way && self.now.since(lease_revocation.since) < CLOUD_REQUESTS_S {
             return;
         }
--- a/src/controller/leadership/standby.rs
+++ b/src/controller/leadership/standby.rs
@@ -3,6 +3,7 @@
 
 use crate::controller::Controller;
 use crate::controller::autoscaling::Pool;
+use crate::controller::context::Context;
 use crate::controller::events::Output;
 use crate::controller::shard::ShardOwner;
 use crate::controller::shard::burst_estimate::BurstEstimate;
@@ -72,22 +73,18 @@
 }
 
 impl Controller {
-    fn standby_config(&self) -> Config {
-        self.settings.standby()
-    }
-
     /// Tells the peers that this controller runs and, if it leads, what it knows.
     pub(crate) fn standby_housekeeping(&mut self) {
-        let before = self.suspects_leader();
-        if let Some(heartbeat) = self.standby.tick(self.now.0) {
+        let before = self.context.suspects_leader();
+        if let Some(heartbeat) = self.context.standby.tick(self.context.now.0) {
             let message = StandbyMessage::Heartbeat(heartbeat);
             let message = Message::Standby(Box::new(message));
-            self.out.push(Output::Peer(None, message));
+            self.context.out.push(Output::Peer(None, message));
         }
-        if before.is_some() != self.leader_suspected {
-            self.leader_suspected = before.is_some();
+        if before.is_some() != self.context.leader_suspected {
+            self.context.leader_suspected = before.is_some();
             match before {
-                Some(why) => match self.standby.may_replace(self.now.0) {
+                Some(why) => match self.context.standby.may_replace(self.context.now.0) {
                     Ok(()) => info!("the leader is suspected: {why:?}"),
                     Err(lease_id) => info!("the leader is suspected: {why:?}; as yet {lease_id:?}"),
                 },
@@ -97,6 +94,44 @@
         self.send_hints();
     }
 
+    fn send_hints(&mut self) {
+        let pause_ms = self.context.standby_config().hints_ms;
+        if pause_ms == 0 || self.context.now < self.context.hint_sender.due {
+            return;
+        }
+        let (Some(leadership), Some(owner)) = (&self.context.leadership, self.shards.get(&0))
+        else {
+            return;
+        };
+        if !owner.whole {
+            return;
+        }
+        self.context.hint_sender.due = Time(self.context.now.0 + pause_ms);
+        let rotation = &mut self.context.hint_sender.rotation;
+        let after = rotation.after().map(MachineId::from);
+        let machines = owner.machines.iter_after(after.as_ref());
+        let machines = machines.map(|(id, machine)| {
+            let images = machine.images.iter().map(|(i, gb)| (i.as_str(), *gb));
+            (id.as_str(), images.collect())
+        });
+        let (images, machines) = rotation.next(machines);
+        let hints = Hints {
+            from: self.context.settings.platform.controller_id.to_string(),
+            token: leadership.token.0,
+            estimates: owner.estimates_for_peers(self.context.now, &self.context.catalog),
+            images,
+            machines,
+        };
+        let message = Message::Standby(Box::new(StandbyMessage::Hints(hints)));
+        self.context.out.push(Output::Peer(None, message));
+    }
+}
+
+impl Context {
+    fn standby_config(&self) -> Config {
+        self.settings.standby()
+    }
+
     /// Whether this controller has lost the leader, and why.
     pub(crate) fn suspects_leader(&self) -> Option<Suspicion> {
         self.standby.suspicion(self.now.0)
@@ -139,54 +174,21 @@
             changes_lately: self.standby.changes_lately(now),
         })
     }
+}
 
-    // ---- hints
-
-    fn send_hints(&mut self) {
-        let pause_ms = self.standby_config().hints_ms;
-        if pause_ms == 0 || self.now < self.hint_sender.due {
-            return;
-        }
-        let (Some(leadership), Some(owner)) = (&self.leadership, self.shards.get(&0)) else {
-            return;
-        };
-        if !owner.whole {
-            return;
-        }
-        self.hint_sender.due = Time(self.now.0 + pause_ms);
-        let rotation = &mut self.hint_sender.rotation;
-        let after = rotation.after().map(MachineId::from);
-        let machines = owner.machines.iter_after(after.as_ref());
-        let machines = machines.map(|(id, machine)| {
-            let images = machine.images.iter().map(|(i, gb)| (i.as_str(), *gb));
-            (id.as_str(), images.collect())
-        });
-        let (images, machines) = rotation.next(machines);
-        let hints = Hints {
-            from: self.settings.platform.controller_id.to_string(),
-            token: leadership.token.0,
-            estimates: owner.estimates_for_peers(self.now, &self.catalog),
-            images,
-            machines,
-        };
-        let message = Message::Standby(Box::new(StandbyMessage::Hints(hints)));
-        self.out.push(Output::Peer(None, message));
-    }
-
+impl ShardOwner {
     /// A new owner begins with what the one before it estimated.
-    pub(crate) fn apply_hinted_estimates(&mut self) {
-        let Some((age_ms, estimates)) = self.standby.hints().estimates(self.now.0) else {
+    pub(crate) fn adopt_hinted_estimates(&mut self, context: &Context) {
+        let Some((age_ms, estimates)) = context.standby.hints().estimates(context.now.0) else {
             return;
         };
-        let Some(owner) = self.owner.as_mut().filter(|h| h.whole) else {
+        if !self.whole {
             return;
-        };
+        }
         info!("takes over estimates that are {age_ms} ms old");
-        owner.apply_hinted_estimates(self.now, age_ms, estimates, &self.catalog);
+        self.apply_hinted_estimates(context.now, age_ms, estimates, &context.catalog);
     }
-}
 
-impl ShardOwner {
     fn estimates_for_peers(&self, now: Time, catalog: &[MachineType]) -> Estimates {
         let named = |class: usize| catalog.get(class).map(|c| c.name.clone());
         let boots = self.boots.iter();
--- a/src/controller/machines/commands.rs
+++ b/src/controller/machines/commands.rs
@@ -1,6 +1,6 @@
 //! Commands: what a machine is to do now, and the answers that carry them.
 
-use crate::controller::Controller;
+use crate::controller::context::Context;
 use crate::controller::events::Reply;
 use crate::controller::machines::heartbeats::ListedTask;
 use crate::controller::shard::ShardOwner;
@@ -11,79 +11,71 @@
 /// Repeated saving stops turn into plain ones after the grace and this long.
 const GRACE_S: f64 = 1.0;
 
-impl Controller {
+impl ShardOwner {
     /// Answers a waiting heartbeat now, if there is one and a command for it.
-    pub(crate) fn answer_long_poll(&mut self, id: &MachineId) {
-        let held = self
-            .owner
-            .as_ref()
-            .and_then(|h| h.machines.get(id)?.long_poll);
+    pub(crate) fn answer_long_poll(&mut self, context: &mut Context, id: &MachineId) {
+        let held = self.machines.get(id).and_then(|m| m.long_poll);
         let Some((request_id, until)) = held else {
             return;
         };
-        let commands = self.commands(id, &[]);
+        let commands = self.commands(context, id, &[]);
         if commands.is_empty() {
             return;
         }
-        if let Some(h) = &mut self.owner {
-            h.long_poll_deadlines.remove(&(until, id.clone()));
-        }
-        self.send_commands(id, request_id, &commands);
+        self.long_poll_deadlines.remove(&(until, id.clone()));
+        self.send_commands(context, id, request_id, &commands);
     }
 
     /// Answers the heartbeats whose time to wait is over.
-    pub(crate) fn answer_due_long_polls(&mut self) {
+    pub(crate) fn answer_due_long_polls(&mut self, context: &mut Context) {
         loop {
-            let now = self.now;
-            let Some(h) = &mut self.owner else {
-                return;
-            };
-            match h.long_poll_deadlines.first() {
+            let now = context.now;
+            match self.long_poll_deadlines.first() {
                 Some((until, _)) if *until <= now => {}
                 _ => return,
             }
-            let Some((_, id)) = h.long_poll_deadlines.pop_first() else {
+            let Some((_, id)) = self.long_poll_deadlines.pop_first() else {
                 return;
             };
-            let Some((request_id, _)) = h.machines.get(&id).and_then(|m| m.long_poll) else {
+            let Some((request_id, _)) = self.machines.get(&id).and_then(|m| m.long_poll) else {
                 continue;
             };
-            let commands = self.commands(&id, &[]);
-            self.send_commands(&id, request_id, &commands);
+            let commands = self.commands(context, &id, &[]);
+            self.send_commands(context, &id, request_id, &commands);
         }
     }
 
     pub(crate) fn send_commands(
         &mut self,
+        context: &mut Context,
         id: &MachineId,
         request_id: RequestId,
         commands: &[Command],
     ) {
-        let now = self.now;
-        let Some(h) = &mut self.owner else {
-            return;
-        };
-        h.machines.touch(id, |m| {
+        let now = context.now;
+        self.machines.touch(id, |m| {
             m.last_acknowledged = now;
             m.long_poll = None;
         });
-        let body = commands_body(h.token, commands);
-        self.answer(request_id, Reply::ok(200, body));
+        let body = commands_body(self.token, commands);
+        context.answer(request_id, Reply::ok(200, body));
     }
 
     /// What a machine is to do now. Derived from what is known, not from what was
     /// sent: a lost answer is made good by the next one.
-    pub(crate) fn commands(&mut self, id: &MachineId, listed: &[ListedTask<'_>]) -> Vec<Command> {
-        let now = self.now;
+    pub(crate) fn commands(
+        &mut self,
+        context: &Context,
+        id: &MachineId,
+        listed: &[ListedTask<'_>],
+    ) -> Vec<Command> {
+        let now = context.now;
         // A start needs sight of the store: a cancellation may stand there.
-        let is_stale = self.is_stale();
-        let Some(h) = &mut self.owner else {
-            return Vec::new();
-        };
+        let is_stale = context.is_stale();
         let unassigned = listed.iter();
-        let unassigned = unassigned.filter_map(|l| unplaced_command(h, id, &l.task, l.report));
+        let unassigned = unassigned.filter_map(|l| unplaced_command(self, id, &l.task, l.report));
         let mut out: Vec<Command> = unassigned.collect();
-        let ShardOwner { machines, jobs, .. } = &mut **h;
+        let ShardOwner { machines, jobs, .. } = self;
         let Some(m) = machines.get(id) else {
             return out;
         };
--- a/src/controller/machines/heartbeats.rs
+++ b/src/controller/machines/heartbeats.rs
@@ -1,11 +1,12 @@
 //! What heartbeats tell of machines and tasks.
 
+use crate::controller::context::BATCH_MS;
+use crate::controller::context::Context;
 use crate::controller::events::Reply;
 use crate::controller::machines::inventory::Machine;
 use crate::controller::shard::ShardOwner;
 use crate::controller::shard::job::Phase;
 use crate::controller::store::records::JobKind;
-use crate::controller::{BATCH_MS, Controller};
 use crate::ids::{Attempt, MachineId, RequestId, TaskId, Time};
 use crate::wire::{Cause, HeartbeatTask, MachineType, TaskStatus, WorkerHeartbeat, commands_body};
 use log::{debug, info, warn};
@@ -25,33 +26,28 @@
 const UNKNOWN_PAUSE_S: f64 = 2.0;
 const UNKNOWN_PAUSES: u32 = 8;
 
-impl Controller {
-    pub(crate) fn on_owned_heartbeat(
+impl ShardOwner {
+    pub(crate) fn on_heartbeat(
         &mut self,
+        context: &mut Context,
         request_id: RequestId,
         id: &MachineId,
         report: WorkerHeartbeat,
     ) {
-        let now = self.now;
-        let Some(h) = &mut self.owner else {
-            return;
-        };
-        h.heard = now;
+        let now = context.now;
+        self.heard = now;
         // Somebody newer gives commands. Its answers count, ours would be dropped.
-        if report.token > h.token.0 {
-            return self.redirect(request_id, id);
+        if report.token > self.token.0 {
+            return context.redirect(request_id, id);
         }
-        if h.gone.contains_key(id) {
-            return self.answer(request_id, Reply::later(503, 5, "this machine is deleted"));
+        if self.gone.contains_key(id) {
+            return context.answer(request_id, Reply::later(503, 5, "this machine is deleted"));
         }
-        self.adopt_unknown_machine(id, &report);
-        let Some(h) = &mut self.owner else {
-            return;
-        };
-        let token = h.token;
+        self.adopt_unknown_machine(context, id, &report);
+        let token = self.token;
         let proof = report.token == token.0;
-        let forwarded_by = self.forwarding.forwarder(request_id);
-        let taken = h.machines.edit(id, |m| {
+        let forwarded_by = context.forwarding.forwarder(request_id);
+        let taken = self.machines.edit(id, |m| {
             m.forwarded_by = forwarded_by;
             m.record_heartbeat(now, &report, proof)
         });
@@ -61,7 +57,7 @@
         if !taken.fresh {
             // A copy, or overtaken by a newer one: it is answered, since its worker
             // may still wait, but nothing in it is news.
-            return self.answer(request_id, Reply::ok(200, commands_body(token, &[])));
+            return context.answer(request_id, Reply::ok(200, commands_body(token, &[])));
         }
         if taken.first {
             debug!(
@@ -70,90 +66,102 @@
                 report.token,
                 report.tasks.len()
             );
-            h.apply_hinted_images(id, self.standby.hints(), &self.catalog);
+            self.apply_hinted_images(id, context.standby.hints(), &context.catalog);
         }
         if taken.born {
-            h.scheduling_wanted = true;
-            h.record_boot(&self.catalog, id, now);
+            self.scheduling_wanted = true;
+            self.record_boot(&context.catalog, id, now);
         }
         if let Some((old, until)) = taken.held {
-            h.long_poll_deadlines.remove(&(until, id.clone()));
-            self.answer(old, Reply::ok(200, commands_body(token, &[])));
+            self.long_poll_deadlines.remove(&(until, id.clone()));
+            context.answer(old, Reply::ok(200, commands_body(token, &[])));
         }
         let listed = listed_tasks(&report);
-        self.update_tasks(id, &listed, proof);
-        let commands = self.commands(id, &listed);
-        if commands.is_empty() && self.start_long_poll(id, request_id) {
+        self.update_tasks(context, id, &listed, proof);
+        let commands = self.commands(context, id, &listed);
+        if commands.is_empty() && self.start_long_poll(context, id, request_id) {
             return;
         }
-        self.send_commands(id, request_id, &commands);
+        self.send_commands(context, id, request_id, &commands);
     }
 
     /// A machine nobody here knows heartbeats: an earlier leader's, or one whose scale-out request
     /// was carried out late. It is used, or returned when it isn't wanted.
-    fn adopt_unknown_machine(&mut self, id: &MachineId, report: &WorkerHeartbeat) {
-        let now = self.now;
-        let Some(h) = &mut self.owner else {
-            return;
-        };
+    fn adopt_unknown_machine(
+        &mut self,
+        context: &Context,
+        id: &MachineId,
+        report: &WorkerHeartbeat,
+    ) {
+        let now = context.now;
         let (class, zone, spot) = (&report.class, &report.zone, report.spot);
-        if h.machines.contains_key(id) {
+        if self.machines.contains_key(id) {
             // It may be known by name only, or from before the catalog was.
-            if h.machines.get(id).is_some_and(|m| m.class == usize::MAX) {
+            if self.machines.get(id).is_some_and(|m| m.class == usize::MAX) {
                 let set_machine_type =
-                    |m: &mut Machine| m.set_machine_type(&self.catalog, class, zone, spot);
-                h.machines.edit(id, set_machine_type);
+                    |m: &mut Machine| m.set_machine_type(&context.catalog, class, zone, spot);
+                self.machines.edit(id, set_machine_type);
             }
             return;
         }
-        let machine = Machine::new(&self.catalog, class, zone, spot, now);
-        h.machines.insert(id.clone(), machine);
+        let machine = Machine::new(&context.catalog, class, zone, spot, now);
+        self.machines.insert(id.clone(), machine);
     }
 
     /// Whether the answer may wait for a command. Only a quiet heartbeat waits, and
     /// less long than until the next one is due.
-    fn start_long_poll(&mut self, id: &MachineId, request_id: RequestId) -> bool {
-        let Some(h) = &mut self.owner else {
-            return false;
-        };
-        let Some(m) = h.machines.get(id) else {
+    fn start_long_poll(
+        &mut self,
+        context: &Context,
+        id: &MachineId,
+        request_id: RequestId,
+    ) -> bool {
+        let Some(m) = self.machines.get(id) else {
             return false;
         };
         // What ends meanwhile is heard of only when the worker is answered.
         let ends = m.tasks.values().any(|s| s.record.kind == JobKind::Batch);
-        let poll_s = self.settings.hold_s(ends);
+        let poll_s = context.settings.hold_s(ends);
         // A worker without our number yet gets it at once.
         if poll_s <= 0.0 || !m.token_acknowledged {
             return false;
         }
         let until = match m.is_full() {
             // No start comes for it, and its lease counts from its last answered heartbeat.
-            true => self.now.next_multiple(BATCH_MS),
-            false => answer_at(self.now, poll_s),
+            true => context.now.next_multiple(BATCH_MS),
+            false => answer_at(context.now, poll_s),
         };
-        h.machines
+        self.machines
             .touch(id, |m| m.long_poll = Some((request_id, until)));
-        h.long_poll_deadlines.insert((until, id.clone()));
+        self.long_poll_deadlines.insert((until, id.clone()));
         true
     }
 
     /// Takes in what a heartbeat lists, and what it doesn't.
-    fn update_tasks(&mut self, id: &MachineId, listed: &[ListedTask<'_>], proof: bool) {
+    fn update_tasks(
+        &mut self,
+        context: &Context,
+        id: &MachineId,
+        listed: &[ListedTask<'_>],
+        proof: bool,
+    ) {
         for entry in listed {
-            self.update_task(id, &entry.task, entry.report);
+            self.update_task(context, id, &entry.task, entry.report);
         }
         if proof {
-            self.remove_unlisted_tasks(id, listed);
+            self.remove_unlisted_tasks(context, id, listed);
         }
     }
 
     /// What a heartbeat that proves absence doesn't list isn't on its machine.
-    fn remove_unlisted_tasks(&mut self, id: &MachineId, listed: &[ListedTask<'_>]) {
-        let now = self.now;
-        let Some(h) = &mut self.owner else {
-            return;
-        };
-        let ShardOwner { machines, jobs, .. } = &mut **h;
+    fn remove_unlisted_tasks(
+        &mut self,
+        context: &Context,
+        id: &MachineId,
+        listed: &[ListedTask<'_>],
+    ) {
+        let now = context.now;
+        let ShardOwner { machines, jobs, .. } = self;
         let Some(m) = machines.get(id) else {
             return;
         };
@@ -179,16 +187,13 @@
         }
         for task in gone {
             debug!("task {task} is gone from {id}");
-            h.remove_placement(now, &task);
+            self.remove_placement(now, &task);
         }
     }
 
-    fn update_task(&mut self, id: &MachineId, task: &TaskId, t: &HeartbeatTask) {
-        let now = self.now;
-        let Some(h) = &mut self.owner else {
-            return;
-        };
-        let Some(job_state) = h.jobs.get_mut(&task.job) else {
+    fn update_task(&mut self, context: &Context, id: &MachineId, task: &TaskId, t: &HeartbeatTask) {
+        let now = context.now;
+        let Some(job_state) = self.jobs.get_mut(&task.job) else {
             return;
         };
         let Some(p) = job_state.placed.get_mut(&task.index) else {
@@ -201,13 +206,13 @@
             TaskStatus::Fetching => Phase::Fetching,
             TaskStatus::Running => Phase::Running,
             TaskStatus::Flushing => Phase::Flushing,
-            TaskStatus::Ended => return self.on_task_ended(id, task, t.cause),
+            TaskStatus::Ended => return self.on_task_ended(context, id, task, t.cause),
         };
         if p.phase == phase {
             let runs_well = phase == Phase::Running && now.since(p.since) > RUNS_WELL_S;
             if runs_well && !p.runs_well {
                 p.runs_well = true;
-                h.task_succeeded(now, id, task);
+                self.task_succeeded(now, id, task);
             }
             return;
         }
@@ -216,8 +221,8 @@
             return;
         }
         let record = job_state.record.clone();
-        let catalog = &self.catalog;
-        h.machines.edit(id, |m| {
+        let catalog = &context.catalog;
+        self.machines.edit(id, |m| {
             if let Some(bind) = m.tasks.get_mut(task) {
                 bind.image_cached = true;
             }
@@ -229,24 +234,27 @@
     }
 
     /// An attempt ended. That it did is true however old the heartbeat is.
-    fn on_task_ended(&mut self, id: &MachineId, task: &TaskId, cause: Option<Cause>) {
-        let now = self.now;
-        let Some(h) = &mut self.owner else {
-            return;
-        };
+    fn on_task_ended(
+        &mut self,
+        context: &Context,
+        id: &MachineId,
+        task: &TaskId,
+        cause: Option<Cause>,
+    ) {
+        let now = context.now;
         match cause {
             Some(Cause::Done) => {
-                h.task_succeeded(now, id, task);
-                return h.record_done(now, task);
+                self.task_succeeded(now, id, task);
+                return self.record_done(now, task);
             }
-            Some(Cause::Error) => self.task_failed(id, task),
+            Some(Cause::Error) => self.task_failed(context, id, task),
             Some(Cause::Full) => {
                 warn!("machine {id} has no room for {task}");
-                h.machines.edit(id, |m| m.full_until = now.after(FULL_S));
+                self.machines.edit(id, |m| m.full_until = now.after(FULL_S));
             }
             Some(Cause::Unknown) => {
                 // Its description isn't there yet, or never will be.
-                if let Some(job_state) = h.jobs.get_mut(&task.job) {
+                if let Some(job_state) = self.jobs.get_mut(&task.job) {
                     job_state.unknown_starts += 1;
                     let pauses = job_state.unknown_starts.min(UNKNOWN_PAUSES);
                     job_state.not_before = now.after(UNKNOWN_PAUSE_S * f64::from(pauses));
@@ -254,21 +262,16 @@
             }
             _ => {}
         }
-        if let Some(h) = &mut self.owner {
-            h.remove_placement(now, task);
-        }
+        self.remove_placement(now, task);
     }
 
-    fn task_failed(&mut self, id: &MachineId, task: &TaskId) {
-        let now = self.now;
-        let Some(h) = &mut self.owner else {
-            return;
-        };
-        let Some(job_state) = h.jobs.get_mut(&task.job) else {
+    fn task_failed(&mut self, context: &Context, id: &MachineId, task: &TaskId) {
+        let now = context.now;
+        let Some(job_state) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let tries = h.failures.task_failed(now, &task.job, id);
-        job_state.not_before = now.after(h.failures.pause_s(&task.job));
+        let tries = self.failures.task_failed(now, &task.job, id);
+        job_state.not_before = now.after(self.failures.pause_s(&task.job));
         warn!("task {task} failed on {id}, failed try {tries} in a row");
     }
 }
--- a/src/controller/machines/liveness.rs
+++ b/src/controller/machines/liveness.rs
@@ -1,9 +1,13 @@
 //! Machines that are silent, partitioned, or hear nothing, and leases that are over.
 
+use crate::controller::ShardOwner;
+use crate::controller::context::CLOCK_DRIFT;
+use crate::controller::context::Context;
+use crate::controller::context::MARGIN_S;
+use crate::controller::context::RECENT_S;
 use crate::controller::machines::inventory::Machine;
 use crate::controller::shard::job::Phase;
 use crate::controller::store::records::JobKind;
-use crate::controller::{CLOCK_DRIFT, Controller, MARGIN_S, RECENT_S};
 use crate::ids::ControllerId;
 use log::warn;
 use std::collections::{BTreeMap, BTreeSet};
@@ -40,65 +44,54 @@
 /// Seconds a machine of an older leadership has to heartbeat before it counts as silent.
 const FIRST_REPORT_S: f64 = 12.0;
 
-impl Controller {
+impl ShardOwner {
     /// An owner that hears none of its machines, while they heartbeat to a peer, or no
     /// peer either, is partitioned from them and lets another controller try. When peers
     /// hear none of them it is they who are gone, and giving up would only put off their
     /// replacement.
-    pub(crate) fn check_workers_reachable(&mut self) {
-        let w = &self.settings.platform.facts.workers;
+    pub(crate) fn workers_lost(&self, context: &Context) -> bool {
+        let w = &context.settings.platform.facts.workers;
         let patience = w.report_s * DEAF_REPORTS;
-        let Some(h) = &self.owner else {
-            return;
-        };
-        let up = h
+        let up = self
             .machines
             .values()
             .filter(|m| m.ready_since.is_some())
             .count();
-        let settled = self.now.since(h.since) > FIRST_REPORT_S;
-        let workers_unreachable = up >= 2 && settled && self.now.since(h.heard) > patience;
-        if workers_unreachable
-            && !self.is_stale()
-            && (self.peer_hears_workers() || self.peers_unreachable())
-        {
-            self.resign("no worker reaches it");
-        }
+        let settled = context.now.since(self.since) > FIRST_REPORT_S;
+        let workers_unreachable = up >= 2 && settled && context.now.since(self.heard) > patience;
+        workers_unreachable
+            && !context.is_stale()
+            && (context.peer_hears_workers() || context.peers_unreachable())
     }
 
     /// Proof 2: leases that must be over.
-    pub(crate) fn check_leases(&mut self) {
-        let lease = self.settings.platform.facts.workers.lease_s * (1.0 + CLOCK_DRIFT) + MARGIN_S;
-        let (now, fresh) = (self.now, self.linearized_at);
-        let Some(h) = &self.owner else {
-            return;
-        };
+    pub(crate) fn check_leases(&mut self, context: &Context) {
+        let lease =
+            context.settings.platform.facts.workers.lease_s * (1.0 + CLOCK_DRIFT) + MARGIN_S;
+        let (now, fresh) = (context.now, context.linearized_at);
         let mut lost = Vec::new();
-        for (id, m) in h.machines.iter() {
+        for (id, m) in self.machines.iter() {
             let over = m.last_acknowledged.after(lease);
             // The read was sent after the lease's end, and the shard is still ours.
             let known = m.token_acknowledged && m.long_poll.is_none() && !m.tasks.is_empty();
             if known
                 && fresh > over
                 && now > over
-                && self.no_keepalive_by_peers(&m.zone, over, lease)
+                && context.no_keepalive_by_peers(&m.zone, over, lease)
             {
                 lost.push((id.clone(), m.tasks.keys().cloned().collect::<Vec<_>>()));
             }
         }
-        let Some(h) = &mut self.owner else {
-            return;
-        };
         for (id, tasks) in lost {
             warn!(
                 "the lease of machine {id} is over, with {} tasks",
                 tasks.len()
             );
             for task in tasks {
-                let job_state = h.jobs.get(&task.job);
+                let job_state = self.jobs.get(&task.job);
                 let phase = job_state.and_then(|l| Some(l.placed.get(&task.index)?.phase));
                 if phase != Some(Phase::Committing) {
-                    h.remove_placement(now, &task);
+                    self.remove_placement(now, &task);
                 }
             }
         }
@@ -107,32 +100,29 @@
     /// Deletes machines that may still run a cancelled task, where nothing else proves it
     /// gone: its user is told only then. Machines of a zone that is partitioned get longer,
     /// for all that runs beside it would be lost as well.
-    pub(crate) fn check_cancels(&mut self) {
-        let w = &self.settings.platform.facts.workers;
+    pub(crate) fn check_cancels(&mut self, context: &Context) {
+        let w = &context.settings.platform.facts.workers;
         let (cancel_s, lease_s) = (w.cancel_s, w.lease_s);
-        let now = self.now;
-        let Some(h) = &mut self.owner else {
-            return;
-        };
+        let now = context.now;
         let mut late = BTreeSet::new();
-        for job_state in h.jobs.values() {
+        for job_state in self.jobs.values() {
             let Some(at) = job_state.cancelled else {
                 continue;
             };
             for p in job_state.placed.values() {
                 // When a cut ends, the last ones to come back get time as well.
-                let cut =
-                    h.partitioned_zones.contains(&p.zone) || now.since(h.partitioned_at) < lease_s;
+                let cut = self.partitioned_zones.contains(&p.zone)
+                    || now.since(self.partitioned_at) < lease_s;
                 let share = if cut { CUT_CANCEL_SHARE } else { CANCEL_SHARE };
                 // A new owner sees only after a while which zones are partitioned. Counting
                 // from the cancellation, it deleted the machines of one at once.
-                if now.since(at.max(h.since)) > cancel_s * share {
+                if now.since(at.max(self.since)) > cancel_s * share {
                     late.insert(p.machine.clone());
                 }
             }
         }
         for id in late {
-            h.decommission(now, &id, "a cancelled task may still be on it");
+            self.decommission(now, &id, "a cancelled task may still be on it");
         }
     }
 
@@ -140,26 +130,29 @@
     /// their images, so they get time; only where nothing else proves what became of
     /// their tasks is a deletion needed sooner. Many at once are a cut for sure, unless
     /// they stay away for long.
-    pub(crate) fn check_silent(&mut self) {
-        let w = &self.settings.platform.facts.workers;
-        let (lease_s, silent_s) = (w.lease_s, self.settings.silent_s(false));
-        let (silent_mute_s, unreachable_controllers) =
-            (self.settings.silent_s(true), self.unreachable_controllers());
-        let (now, is_stale) = (self.now, self.is_stale());
-        let partitioned_zones = self.find_partitioned_zones();
+    pub(crate) fn check_silent(&mut self, context: &Context) {
+        let w = &context.settings.platform.facts.workers;
+        let (lease_s, silent_s) = (w.lease_s, context.settings.silent_s(false));
+        let (silent_mute_s, unreachable_controllers) = (
+            context.settings.silent_s(true),
+            self.unreachable_controllers(context),
+        );
+        let (now, is_stale) = (context.now, context.is_stale());
+        let partitioned_zones = self.find_partitioned_zones(context);
         let sheltered: BTreeSet<Rc<str>> = partitioned_zones
             .iter()
-            .filter(|z| self.zone_has_peer(z))
+            .filter(|z| context.zone_has_peer(z))
             .cloned()
             .collect();
-        let Some(h) = &mut self.owner else {
-            return;
-        };
         let mut up = 0;
         let mut silent = Vec::new();
-        for (id, m) in h.machines.iter().filter(|(_, m)| m.ready_since.is_some()) {
+        for (id, m) in self
+            .machines
+            .iter()
+            .filter(|(_, m)| m.ready_since.is_some())
+        {
             up += 1;
-            let quiet = now.since(m.last_heartbeat.max(h.since));
+            let quiet = now.since(m.last_heartbeat.max(self.since));
             if m.long_poll.is_none() && quiet > silent_s * NEARLY_SILENT {
                 let provable = m.token_acknowledged || m.tasks.is_empty();
                 let patience = match (provable, unreachable_controllers.contains(&m.forwarded_by)) {
@@ -171,22 +164,22 @@
             }
         }
         if !partitioned_zones.is_empty() {
-            h.zones_partitioned_at = Some(now);
+            self.zones_partitioned_at = Some(now);
         }
-        h.partitioned_zones = partitioned_zones;
-        let back = h
+        self.partitioned_zones = partitioned_zones;
+        let back = self
             .zones_partitioned_at
             .is_some_and(|at| now.since(at) < lease_s);
-        let calm = h.partitioned_at;
-        h.cut = silent.len() as f64 > (FEW_SILENT_SHARE * f64::from(up)).max(2.0);
-        if h.cut || !h.partitioned_zones.is_empty() {
-            h.partitioned_at = now;
+        let calm = self.partitioned_at;
+        self.cut = silent.len() as f64 > (FEW_SILENT_SHARE * f64::from(up)).max(2.0);
+        if self.cut || !self.partitioned_zones.is_empty() {
+            self.partitioned_at = now;
         }
         if is_stale {
             return;
         }
         for (id, quiet, patience, sheltered) in silent {
-            let least = match (h.cut, sheltered) {
+            let least = match (self.cut, sheltered) {
                 (_, true) => SHELTERED_SILENT * lease_s,
                 (true, false) => MASS_SILENT * lease_s,
                 (false, false) => 0.0,
@@ -194,9 +187,9 @@
             // When a cut ends, those who come back last aren't taken for dead. None is
             // waited for for ever: those that went meanwhile look as if it went on.
             let given_up = quiet > SHELTERED_SILENT * lease_s;
-            let late = (h.cut && !back) || given_up || now.since(calm) > patience;
+            let late = (self.cut && !back) || given_up || now.since(calm) > patience;
             if quiet > patience.max(least) && late {
-                h.decommission(now, &id, "it is silent");
+                self.decommission(now, &id, "it is silent");
             }
         }
     }
@@ -204,63 +197,57 @@
     /// Machines whose heartbeats come while nothing told them arrives never show this shard's
     /// number, so that no heartbeat of theirs proves what became of the tasks an earlier owner
     /// placed there. Their leases have run out meanwhile; deleting them frees the tasks.
-    pub(crate) fn check_unacknowledged(&mut self) {
-        let lease_s = self.settings.platform.facts.workers.lease_s;
-        let (now, is_stale) = (self.now, self.is_stale());
-        let Some(h) = self.owner.as_mut().filter(|h| !is_stale && !h.cut) else {
+    pub(crate) fn check_unacknowledged(&mut self, context: &Context) {
+        let lease_s = context.settings.platform.facts.workers.lease_s;
+        let (now, is_stale) = (context.now, context.is_stale());
+        if is_stale || self.cut {
             return;
-        };
+        }
         let mut unacknowledged = Vec::new();
-        for (id, m) in h.machines.iter().filter(|(_, m)| !m.token_acknowledged) {
+        for (id, m) in self.machines.iter().filter(|(_, m)| !m.token_acknowledged) {
             let long = m
                 .first_heartbeat
                 .is_some_and(|at| now.since(at) > UNHEARING * lease_s);
-            if long && !m.tasks.is_empty() && !h.partitioned_zones.contains(&m.zone) {
+            if long && !m.tasks.is_empty() && !self.partitioned_zones.contains(&m.zone) {
                 unacknowledged.push(id.clone());
             }
         }
         for id in unacknowledged {
-            h.decommission(now, &id, "it hears nothing");
+            self.decommission(now, &id, "it hears nothing");
         }
     }
 
     /// Controllers, `None` for this one, that lately heard no worker or weren't heard
     /// themselves. Workers that reported there look for another one, and may be sent back
     /// once, which takes two tries of 5 s: they looked as if their machines were gone.
-    fn unreachable_controllers(&mut self) -> BTreeSet<Option<ControllerId>> {
-        let now = self.now;
-        let lease_s = self.settings.platform.facts.workers.lease_s;
+    fn unreachable_controllers(&mut self, context: &Context) -> BTreeSet<Option<ControllerId>> {
+        let now = context.now;
+        let lease_s = context.settings.platform.facts.workers.lease_s;
         let mut unreachable_controllers = Vec::new();
-        if now.since(self.last_worker_heartbeat) > RECENT_S {
+        if now.since(context.last_worker_heartbeat) > RECENT_S {
             unreachable_controllers.push(None);
         }
-        let peers = self.settings.platform.peers.iter();
-        let workers_unreachable = peers.filter(|s| !self.hears_workers(&s.controller_id));
+        let peers = context.settings.platform.peers.iter();
+        let workers_unreachable = peers.filter(|s| !context.hears_workers(&s.controller_id));
         unreachable_controllers.extend(workers_unreachable.map(|s| Some(s.controller_id.clone())));
-        let Some(h) = &mut self.owner else {
-            return BTreeSet::new();
-        };
-        h.unreachable_at
+        self.unreachable_at
             .extend(unreachable_controllers.into_iter().map(|m| (m, now)));
-        h.unreachable_at.retain(|_, at| now.since(*at) < lease_s);
-        h.unreachable_at.keys().cloned().collect()
+        self.unreachable_at.retain(|_, at| now.since(*at) < lease_s);
+        self.unreachable_at.keys().cloned().collect()
     }
 
     /// Zones of which so many machines have missed their heartbeats that they must be cut
     /// off. Their own controllers keep them alive.
-    fn find_partitioned_zones(&self) -> BTreeSet<Rc<str>> {
-        let quiet_s = self.settings.platform.facts.workers.report_s * CUT_REPORTS;
-        let Some(h) = &self.owner else {
-            return BTreeSet::new();
-        };
+    fn find_partitioned_zones(&self, context: &Context) -> BTreeSet<Rc<str>> {
+        let quiet_s = context.settings.platform.facts.workers.report_s * CUT_REPORTS;
         let mut zones: BTreeMap<&Rc<str>, (usize, usize)> = BTreeMap::new();
         let staying = |m: &&Machine| {
             m.ready_since.is_some() && m.notice.is_none() && m.decommission_at.is_none()
         };
-        for m in h.machines.values().filter(staying) {
+        for m in self.machines.values().filter(staying) {
             let count = zones.entry(&m.zone).or_default();
             count.0 += 1;
-            let quiet = self.now.since(m.last_heartbeat.max(h.since)) > quiet_s;
+            let quiet = context.now.since(m.last_heartbeat.max(self.since)) > quiet_s;
             count.1 += usize::from(quiet && m.long_poll.is_none());
         }
         let cut = |(all, quiet): (usize, usize)| {
@@ -271,25 +258,22 @@
         let cut_off = zones.into_iter().filter(|(_, count)| cut(*count));
         let cut_off = cut_off.map(|(zone, _)| zone.clone());
         cut_off
-            .filter(|zone| !self.zone_hears_workers(zone))
+            .filter(|zone| !context.zone_hears_workers(zone))
             .collect()
     }
 
     /// Tasks on machines that are about to go are stopped: at once where they can
     /// save, and on machines to be replaced.
-    pub(crate) fn drain(&mut self) {
-        let now = self.now;
-        let Some(h) = &self.owner else {
-            return;
-        };
+    pub(crate) fn drain(&mut self, context: &mut Context) {
+        let now = context.now;
         let mut stop = Vec::new();
-        for (_, m) in h.machines.leaving() {
+        for (_, m) in self.machines.leaving() {
             let sick = m.decommission_at.is_some();
             if !sick && m.notice.is_none_or(|at| at <= now) {
                 continue;
             }
             for (task, bind) in &m.tasks {
-                let job_state = h.jobs.get(&task.job);
+                let job_state = self.jobs.get(&task.job);
                 let Some(p) = job_state.and_then(|l| l.placed.get(&task.index)) else {
                     continue;
                 };
@@ -300,7 +284,7 @@
             }
         }
         for task in stop {
-            self.stop(&task);
+            self.stop(context, &task);
         }
     }
 }
--- a/src/controller/machines/mod.rs
+++ b/src/controller/machines/mod.rs
@@ -18,7 +18,7 @@
 pub mod inventory;
 pub(crate) mod liveness;
 
-use crate::controller::Controller;
+use crate::controller::context::Context;
 use crate::controller::shard::ShardOwner;
 use crate::ids::{MachineId, TaskId, Time};
 use log::{info, warn};
@@ -28,41 +28,33 @@
 /// Names of deleted machines are kept for late copies of their heartbeats.
 const GONE_S: f64 = 900.0;
 
-impl Controller {
-    pub(crate) fn owner_housekeeping(&mut self) {
-        if self.owner.is_none() {
-            return;
-        }
-        self.check_workers_reachable();
-        self.check_leases();
-        self.check_cancels();
-        self.check_silent();
-        self.check_unacknowledged();
-        self.drain();
-        self.consolidate();
-        self.decommission_abandoned();
-        self.delete_decommissioned();
-        let now = self.now;
-        if let Some(h) = &mut self.owner {
-            h.gone.retain(|_, at| now.since(*at) < GONE_S);
-        }
+impl ShardOwner {
+    /// Does what no event triggers: checks machines, empties and deletes some.
+    pub(crate) fn housekeeping(&mut self, context: &mut Context) {
+        self.check_leases(context);
+        self.check_cancels(context);
+        self.check_silent(context);
+        self.check_unacknowledged(context);
+        self.drain(context);
+        self.consolidate(context);
+        self.decommission_abandoned(context);
+        self.delete_decommissioned(context);
+        let now = context.now;
+        self.gone.retain(|_, at| now.since(*at) < GONE_S);
     }
 
     /// Tells a task to stop, as soon as its machine can hear it.
-    pub(crate) fn stop(&mut self, task: &TaskId) {
-        let now = self.now;
-        let Some(h) = &mut self.owner else {
-            return;
-        };
-        let Some(p) = h.placement_mut(task) else {
+    pub(crate) fn stop(&mut self, context: &mut Context, task: &TaskId) {
+        let now = context.now;
+        let Some(p) = self.placement_mut(task) else {
             return;
         };
         p.stop_requested.get_or_insert(now);
         let machine = p.machine.clone();
-        if h.was_never_sent(task) {
-            h.remove_placement(now, task);
+        if self.was_never_sent(task) {
+            self.remove_placement(now, task);
         } else {
-            self.answer_long_poll(&machine);
+            self.answer_long_poll(context, &machine);
         }
     }
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -6,6 +6,7 @@
 
 pub(crate) mod api;
 pub(crate) mod autoscaling;
+pub(crate) mod context;
 pub mod dependencies;
 pub mod events;
 pub(crate) mod forwarding;
@@ -20,250 +21,36 @@
 pub(crate) mod shards;
 pub mod store;
 
-use crate::controller::api::{Api, DependentSubmission, StatusQuery, Submission};
-use crate::controller::autoscaling::CloudPurpose;
-use crate::controller::dependencies::resolution::DependencyReads;
+use crate::controller::api::{DependentSubmission, StatusQuery, Submission};
+use crate::controller::context::Context;
 use crate::controller::events::Input;
 use crate::controller::events::Load;
 use crate::controller::events::Output;
 use crate::controller::events::Queue;
-use crate::controller::forwarding::Forwarding;
-use crate::controller::leadership::election::Election;
-use crate::controller::leadership::shutdown::{LeaseRevocation, Shutdown};
-use crate::controller::leadership::standby::{HintSender, new_standby};
-use crate::controller::processor::ProcessorUtilization;
-use crate::controller::quota::cells::CellSharing;
-use crate::controller::quota::team_limits::TeamLimits;
-use crate::controller::rate_limits::token_bucket::TokenBucket;
-use crate::controller::rate_limits::write_rate::WriteRateMeter;
+use crate::controller::leadership::standby::StandbyStatus;
 use crate::controller::shard::ShardOwner;
 use crate::controller::shard::commits::PlacementWrite;
-use crate::controller::shards::leases::Leadership;
-use crate::controller::store::mirror::StoreMirror;
-use crate::ids::{CallId, ControllerId, FencingToken, JobId, Time};
-use crate::peer::{Message, PeerHeartbeat};
+use crate::ids::{FencingToken, Time};
+use crate::peer::Message;
 use crate::settings::Settings;
-use crate::wire::{Change, Listed, MachineType};
-use salttrestle_standby::Standby;
-use std::collections::{BTreeMap, HashMap, VecDeque};
-
-/// What a call to the store is for.
-#[derive(Debug)]
-pub(crate) enum RequestPurpose {
-    List,
-    Watch,
-    ReadRevision,
-    GrantLease,
-    Elect,
-    RenewLease,
-    Submit(Vec<Submission>),
-    Cancel(StatusQuery),
-    ReadEnd(StatusQuery),
-    /// The end of a job that a submission names.
-    ReadSubmissionDependency(Box<DependentSubmission>, JobId),
-    /// The end of a job that one in the cache needs.
-    ReadDependency(JobId),
-    WritePlacements(Vec<PlacementWrite>),
-    RereadPlacements(JobId, u32),
-    WriteEnd(JobId),
-    DeletePlacements(Vec<(JobId, u32)>),
-    WritePlan,
-    UpdateShards,
-    RevokeLease,
-    CellChange,
-}
-
-pub(crate) struct PendingRequest {
-    purpose: RequestPurpose,
-    sent: Time,
-    /// Changes that it makes, if it is carried out.
-    changes: f64,
-    /// The shard in hand when it was sent: its answer means nothing to another
-    /// holding of that shard.
-    ownership: ShardOwnership,
-}
-
-/// A read whose answer named a revision.
-struct RevisionRead {
-    call: CallId,
-    sent: Time,
-    revision: u64,
-    answered: Time,
-}
-
-/// One holding of one shard.
-pub(crate) type ShardOwnership = Option<(u32, FencingToken)>;
+use std::collections::BTreeMap;
 
 /// How often work that nothing else triggers is looked at.
-const HOUSEKEEPING_MS: u64 = 100;
-/// Heartbeats that are handed on and answers that needn't go out at once wait for a whole multiple
-/// of this, so that one turn and one packet carry several of them.
-const BATCH_MS: u64 = HOUSEKEEPING_MS / 2;
-/// A controller without a fresh read for this long starts nothing and takes nothing.
-const STALENESS_BOUND_S: f64 = 2.5;
-/// A controller has heard workers lately if one reported within this time.
-const RECENT_S: f64 = 3.0;
-/// Margin for the time a message takes and for late timers.
-const MARGIN_S: f64 = 2.0;
-/// Steady clocks drift apart by at most this share.
-const CLOCK_DRIFT: f64 = 0.001;
-/// Pause before a refused or failed list or follow is tried again.
-const RETRY_S: f64 = 0.3;
-
-/// Whether the store's content is known here.
-enum WatchState {
-    Idle {
-        retry_at: Time,
-    },
-    Listing {
-        first: Option<u64>,
-        entries: Vec<Change>,
-    },
-    Following {
-        call: CallId,
-    },
-    Paused {
-        retry_at: Time,
-    },
-}
+pub(crate) const HOUSEKEEPING_MS: u64 = 100;
 
+/// A controller: takes events, returns what to send, and holds the state of all duties.
 pub struct Controller {
-    pub(crate) settings: Settings,
-    pub(crate) incarnation: u64,
-    pub(crate) now: Time,
-    /// When this process took its first input.
-    began: Option<Time>,
-    out: Vec<Output>,
-    next_call: u64,
-    pending_requests: HashMap<CallId, PendingRequest>,
-    cloud_calls: HashMap<CallId, (CloudPurpose, ShardOwnership)>,
-    requests: TokenBucket,
-    changes: TokenBucket,
-    write_rate: WriteRateMeter,
-    cloud_rate_limit: TokenBucket,
-    pub(crate) mirror: StoreMirror,
-    watch: WatchState,
-    initial_list_done: bool,
-    /// When the latest read was sent whose revision is known here: whatever stood
-    /// at the store then is known.
-    linearized_at: Time,
-    /// When the latest read or follow was sent whose changes are known here.
-    changes_known_at: Time,
-    /// The latest such read itself.
-    linearized_call: CallId,
-    revision_read_sent: Option<Time>,
-    revision_read_last: Time,
-    /// The latest read that was sent to learn the present revision.
-    revision_read_call: CallId,
-    /// Reads that were answered, while the watch hasn't come as far yet.
-    revision_reads: VecDeque<RevisionRead>,
-    dependency_reads: DependencyReads,
-    team_limits: TeamLimits,
-    cells: CellSharing,
-    store_heard_at: Time,
-    api: Api,
-    election: Election,
-    /// The shard in hand; see `in_shard`. Boxed, since it changes places several times a step.
-    pub(crate) owner: Option<Box<ShardOwner>>,
-    /// The shards that this controller holds, but for the one in hand.
-    shards: BTreeMap<u32, Box<ShardOwner>>,
-    /// The number under which each shard was last held and given up.
-    released_tokens: BTreeMap<u32, FencingToken>,
-    pub(crate) leadership: Option<Leadership>,
-    standby: Standby,
-    /// How busy this process is.
-    processor: ProcessorUtilization,
-    /// Whether the log says that the leader is suspected.
-    leader_suspected: bool,
-    hint_sender: HintSender,
-    /// A lease that is to be given up.
-    lease_revocation: Option<LeaseRevocation>,
-    shutdown: Option<Shutdown>,
-    pub(crate) catalog: Vec<MachineType>,
-    catalog_retry: Time,
-    peers: BTreeMap<ControllerId, (PeerHeartbeat, Time)>,
-    heartbeat_at: Time,
-    forwarding: Forwarding,
-    counts_at: Time,
-    listing: bool,
-    /// The pages of a list of machines of which the next one waits for the budget.
-    list_pages: Option<Vec<Listed>>,
-    list_at: Time,
-    /// The revision of the plan that was carried out here.
-    plan_seen: u64,
-    /// When a worker last reported here.
-    last_worker_heartbeat: Time,
-    housekeeping_at: Time,
-    /// Whether the store has refused a value for its size: the limits that were
-    /// announced are in force.
-    values_shrunk: bool,
-    /// Machines looked at to place tasks, in all, and tasks placed.
-    pub(crate) machines_scanned: u64,
-    pub(crate) placed: u64,
+    pub(crate) context: Context,
+    /// The shards that this controller owns.
+    pub(crate) shards: BTreeMap<u32, ShardOwner>,
 }
 
 impl Controller {
     /// `incarnation` tells this process from earlier ones of the same controller.
     pub fn new(settings: Settings, incarnation: u64) -> Self {
-        let f = &settings.platform.facts;
-        let share = settings.tuning.budget_share;
-        let cloud = f.cloud.rps * share;
-        let cloud_rate_limit = TokenBucket::new(cloud, cloud * 1.5);
-        let standby = new_standby(&settings, incarnation);
         let mut controller = Self {
-            requests: TokenBucket::new(1.0, 1.0),
-            changes: TokenBucket::new(1.0, 1.0),
-            write_rate: WriteRateMeter::default(),
-            cloud_rate_limit,
-            settings,
-            incarnation,
-            now: Time(0),
-            began: None,
-            out: Vec::new(),
-            next_call: 0,
-            pending_requests: HashMap::new(),
-            cloud_calls: HashMap::new(),
-            mirror: StoreMirror::default(),
-            watch: WatchState::Idle { retry_at: Time(0) },
-            initial_list_done: false,
-            linearized_at: Time(0),
-            changes_known_at: Time(0),
-            linearized_call: CallId(0),
-            revision_read_sent: None,
-            revision_read_last: Time(0),
-            revision_read_call: CallId(0),
-            revision_reads: VecDeque::new(),
-            dependency_reads: DependencyReads::default(),
-            team_limits: TeamLimits::default(),
-            cells: CellSharing::default(),
-            store_heard_at: Time(0),
-            api: Api::default(),
-            election: Election::default(),
-            owner: None,
+            context: Context::new(settings, incarnation),
             shards: BTreeMap::new(),
-            released_tokens: BTreeMap::new(),
-            leadership: None,
-            standby,
-            processor: ProcessorUtilization::default(),
-            leader_suspected: false,
-            hint_sender: HintSender::default(),
-            lease_revocation: None,
-            shutdown: None,
-            catalog: Vec::new(),
-            catalog_retry: Time(0),
-            peers: BTreeMap::new(),
-            heartbeat_at: Time(0),
-            forwarding: Forwarding::default(),
-            counts_at: Time(0),
-            listing: false,
-            list_pages: None,
-            list_at: Time(0),
-            plan_seen: 0,
-            last_worker_heartbeat: Time(0),
-            housekeeping_at: Time(0),
-            values_shrunk: false,
-            machines_scanned: 0,
-            placed: 0,
         };
         controller.update_rate_limits();
         controller
@@ -271,35 +58,43 @@
 
     /// Takes one input; `now` never goes back.
     pub fn step(&mut self, now: Time, input: Input) -> Vec<Output> {
-        self.now = self.now.max(now);
-        self.note_start();
+        self.context.now = self.context.now.max(now);
+        self.context.note_start();
         match input {
             Input::Request(request_id, ask) => self.on_request(request_id, ask),
             Input::Disconnect(request_id) => self.on_disconnect(request_id),
             Input::Store(call, reply) => self.on_store_response(call, reply),
             Input::Cloud(call, reply) => self.on_cloud(call, reply),
             Input::Peer(Message::PeerHeartbeat(heartbeat)) => self.on_peer_heartbeat(heartbeat),
-            Input::Peer(Message::ShardCounts(shard_counts)) => self.on_shard_counts(*shard_counts),
+            Input::Peer(Message::ShardCounts(shard_counts)) => {
+                self.context.on_shard_counts(*shard_counts)
+            }
             Input::Peer(Message::ForwardedHeartbeat(relayed)) => {
                 self.on_forwarded_heartbeat(*relayed)
             }
-            Input::Peer(Message::ForwardedResponse(answer)) => self.on_forwarded_response(answer),
-            Input::Peer(Message::Standby(message)) => self.on_standby_message(*message),
-            Input::Cell(message) => self.on_cell_message(message),
-            Input::Link(controller_id, link) => self.on_link(controller_id, link),
-            Input::ProcessorUtilization(share) => self.processor.note(self.now, share),
+            Input::Peer(Message::ForwardedResponse(answer)) => {
+                self.context.on_forwarded_response(answer)
+            }
+            Input::Peer(Message::Standby(message)) => self.context.on_standby_message(*message),
+            Input::Cell(message) => self.context.on_cell_message(message),
+            Input::Link(controller_id, link) => self.context.on_link(controller_id, link),
+            Input::ProcessorUtilization(share) => {
+                self.context.processor.note(self.context.now, share)
+            }
             Input::Shutdown => self.on_shutdown(),
             Input::Tick => {}
         }
-        if self.now >= self.housekeeping_at {
-            self.housekeeping_at = self.now.next_multiple(HOUSEKEEPING_MS);
+        if self.context.now >= self.context.housekeeping_at {
+            self.context.housekeeping_at = self.context.now.next_multiple(HOUSEKEEPING_MS);
             self.housekeeping();
         }
-        self.each_shard(Self::answer_due_long_polls);
-        self.send_batched_forwards();
-        self.send_due_endings();
+        for shard in self.shards.values_mut() {
+            shard.answer_due_long_polls(&mut self.context);
+        }
+        self.context.send_batched_forwards();
+        self.context.send_due_endings();
         self.pump();
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.context.out)
     }
 
     /// When `step` wants to be called again at the latest.
@@ -308,9 +103,11 @@
             .shards
             .values()
             .filter_map(|h| h.first_long_poll_deadline());
-        let due = held.chain(self.api.first_delayed_ending());
-        let due = due.chain(self.forwarding.batched_until()).min();
-        due.map_or(self.housekeeping_at, |t| t.min(self.housekeeping_at))
+        let due = held.chain(self.context.api.first_delayed_ending());
+        let due = due.chain(self.context.forwarding.batched_until()).min();
+        due.map_or(self.context.housekeeping_at, |t| {
+            t.min(self.context.housekeeping_at)
+        })
     }
 
     /// The highest number under which this controller holds a shard.
@@ -322,15 +119,15 @@
         let owners = self.shards.values();
         let written = owners.map(|h| h.write_queue.len() + h.ready_to_end_jobs.len());
         Load {
-            requests: self.requests.spent(),
-            requests_rate: self.requests.rate(),
-            changes: self.changes.spent(),
-            changes_rate: self.changes.rate(),
-            cloud: self.cloud_rate_limit.spent(),
-            cloud_rate: self.cloud_rate_limit.rate(),
-            queued: self.api.backlog() + written.sum::<usize>(),
-            machines_scanned: self.machines_scanned,
-            placed: self.placed,
+            requests: self.context.requests.spent(),
+            requests_rate: self.context.requests.rate(),
+            changes: self.context.changes.spent(),
+            changes_rate: self.context.changes.rate(),
+            cloud: self.context.cloud_rate_limit.spent(),
+            cloud_rate: self.context.cloud_rate_limit.rate(),
+            queued: self.context.api.backlog() + written.sum::<usize>(),
+            machines_scanned: self.context.machines_scanned,
+            placed: self.context.placed,
         }
     }
 
@@ -355,61 +152,67 @@
         self.shards.values().try_for_each(|h| h.audit())
     }
 
-    /// Whether this controller leads.
-    pub fn is_leader(&self) -> bool {
-        self.leadership.is_some()
-    }
-
-    /// Does something with one shard in hand, if this controller holds it.
-    pub(crate) fn in_shard(&mut self, shard: u32, act: impl FnOnce(&mut Self)) {
-        let before = self.owner.take();
-        let outer = before.as_ref().map(|h| h.shard);
-        if let Some(h) = before {
-            self.shards.insert(h.shard, h);
-        }
-        self.owner = self.shards.remove(&shard);
-        if self.owner.is_some() {
-            act(self);
-        }
-        if let Some(h) = self.owner.take() {
-            self.shards.insert(h.shard, h);
-        }
-        self.owner = outer.and_then(|b| self.shards.remove(&b));
-    }
-
-    pub(crate) fn each_shard(&mut self, act: fn(&mut Self)) {
-        let shards: Vec<u32> = self.shards.keys().copied().collect();
-        for shard in shards {
-            self.in_shard(shard, act);
-        }
-    }
-
     fn housekeeping(&mut self) {
-        self.watch_housekeeping();
+        self.context.watch_housekeeping();
         self.api_housekeeping();
         self.standby_housekeeping();
-        self.election_housekeeping();
-        self.shutdown_housekeeping();
+        self.context.election_housekeeping();
+        self.context.shutdown_housekeeping();
         self.forwarding_housekeeping();
-        self.each_shard(Self::owner_housekeeping);
-        self.catalog_housekeeping();
+        self.shards_housekeeping();
+        self.context.catalog_housekeeping();
         self.cells_housekeeping();
         self.leadership_housekeeping();
-        if self.write_rate.advance(self.now) {
+        if self.context.write_rate.advance(self.context.now) {
             self.update_rate_limits();
         }
-        if self.now >= self.heartbeat_at {
-            self.heartbeat_at = self.now.after(1.0);
+        if self.context.now >= self.context.heartbeat_at {
+            self.context.heartbeat_at = self.context.now.after(1.0);
             self.send_heartbeat();
         }
     }
 
+    fn shards_housekeeping(&mut self) {
+        let owned: Vec<u32> = self.shards.keys().copied().collect();
+        for id in owned {
+            // Giving up one of them gives up all.
+            let Some(shard) = self.shards.get_mut(&id) else {
+                return;
+            };
+            if shard.workers_lost(&self.context) {
+                self.release_shard(id, "no worker reaches it");
+                self.resign("no worker reaches it");
+                return;
+            }
+            shard.housekeeping(&mut self.context);
+        }
+    }
+
     fn pump(&mut self) {
         self.on_affected();
-        self.each_shard(Self::schedule);
-        self.each_shard(Self::write_placements);
-        self.read_dependencies();
-        self.pump_api();
-        self.read_revision();
+        for shard in self.shards.values_mut() {
+            shard.schedule(&mut self.context);
+        }
+        for shard in self.shards.values_mut() {
+            shard.write_placements(&mut self.context);
+        }
+        self.context.read_dependencies();
+        self.context.pump_api();
+        self.context.read_revision();
+    }
+
+    /// Whether this controller leads.
+    pub fn is_leader(&self) -> bool {
+        self.context.is_leader()
+    }
+
+    /// Whether a controller that shuts down has nothing left to hand over.
+    pub fn shutdown_complete(&self) -> bool {
+        self.context.shutdown_complete()
+    }
+
+    /// How the standby stands, if it is switched on.
+    pub fn standby_status(&self) -> Option<StandbyStatus> {
+        self.context.standby_status()
     }
 }
--- a/src/controller/peers/heartbeats.rs
+++ b/src/controller/peers/heartbeats.rs
@@ -1,7 +1,10 @@
 //! Heartbeats between controllers, and what they tell of who runs and who holds what.
 
+use crate::controller::Controller;
+use crate::controller::context::Context;
+use crate::controller::context::RECENT_S;
+use crate::controller::context::STALENESS_BOUND_S;
 use crate::controller::events::Output;
-use crate::controller::{Controller, RECENT_S, STALENESS_BOUND_S};
 use crate::ids::{ControllerId, MachineId, Time};
 use crate::peer::{Message, PeerHeartbeat};
 
@@ -15,35 +18,36 @@
     /// Tells all peers how this controller stands.
     pub(crate) fn send_heartbeat(&mut self) {
         let heartbeat = Message::PeerHeartbeat(self.heartbeat());
-        self.out.push(Output::Peer(None, heartbeat));
+        self.context.out.push(Output::Peer(None, heartbeat));
     }
 
     fn heartbeat(&self) -> PeerHeartbeat {
-        let shards = self.mirror.shards.iter().filter_map(|(k, b)| {
+        let shards = self.context.mirror.shards.iter().filter_map(|(k, b)| {
             let record = b.record.as_ref()?;
             Some((*k, record.token, record.owner.clone()))
         });
         PeerHeartbeat {
-            from: self.settings.platform.controller_id.clone(),
-            incarnation: self.incarnation,
+            from: self.context.settings.platform.controller_id.clone(),
+            incarnation: self.context.incarnation,
             leader: self
+                .context
                 .mirror
                 .leader
                 .record
                 .as_ref()
                 .map(|l| l.controller_id.clone()),
             shards: shards.collect(),
-            is_fresh: !self.is_stale(),
-            staleness_ms: (self.staleness_s() * 1000.0) as u64,
-            hears_workers: self.now.since(self.last_worker_heartbeat) < RECENT_S,
+            is_fresh: !self.context.is_stale(),
+            staleness_ms: (self.context.staleness_s() * 1000.0) as u64,
+            hears_workers: self.context.now.since(self.context.last_worker_heartbeat) < RECENT_S,
             workers_unreachable: self
                 .shards
                 .values()
-                .any(|h| h.workers_unreachable(self.now)),
-            can_forward: self.can_forward(),
-            at_ms: self.now.0,
-            echoes: self.echoes(),
-            since_keepalive_ms: self.since_keepalive_ms(),
+                .any(|h| h.workers_unreachable(self.context.now)),
+            can_forward: self.context.can_forward(),
+            at_ms: self.context.now.0,
+            echoes: self.context.echoes(),
+            since_keepalive_ms: self.context.since_keepalive_ms(),
             overdue: self.overdue(),
         }
     }
@@ -53,39 +57,29 @@
     /// second each time one came back, and their workers' leases ran out.
     fn greet(&mut self, peer: &ControllerId) {
         let heartbeat = Message::PeerHeartbeat(self.heartbeat());
-        self.out.push(Output::Reconnect(peer.clone()));
-        self.out.push(Output::Peer(Some(peer.clone()), heartbeat));
+        self.context.out.push(Output::Reconnect(peer.clone()));
+        self.context
+            .out
+            .push(Output::Peer(Some(peer.clone()), heartbeat));
     }
 
     /// Machines of this controller's shards that can't be counted on to confirm anything.
     pub(crate) fn overdue(&self) -> Vec<MachineId> {
-        let patience = self.settings.overdue_s();
+        let patience = self.context.settings.overdue_s();
         let held = self.shards.values();
         let late = held.flat_map(|h| h.machines.iter().map(move |(id, m)| (h.since, id, m)));
         let late = late.filter(|(since, _, m)| {
             !m.tasks.is_empty()
                 && m.long_poll.is_none()
-                && self.now.since(m.last_heartbeat.max(*since)) > patience
+                && self.context.now.since(m.last_heartbeat.max(*since)) > patience
         });
         late.map(|(_, id, _)| id.clone())
             .take(OVERDUE_MAX)
             .collect()
     }
 
-    /// Which message of each peer came last, for `no_keepalive_by_peers` there.
-    pub(crate) fn echoes(&self) -> Vec<(ControllerId, u64, u64)> {
-        let all = self.peers.values();
-        all.map(|(h, _)| (h.from.clone(), h.incarnation, h.at_ms))
-            .collect()
-    }
-
-    pub(crate) fn is_peer(&self, controller_id: &ControllerId) -> bool {
-        let mut peers = self.settings.platform.peers.iter();
-        peers.any(|s| s.controller_id == *controller_id)
-    }
-
     pub(crate) fn on_peer_heartbeat(&mut self, heartbeat: PeerHeartbeat) {
-        if !self.is_peer(&heartbeat.from) {
+        if !self.context.is_peer(&heartbeat.from) {
             return;
         }
         // Partitioned from the store, an owner learns here that it has been
@@ -93,17 +87,33 @@
         for (shard, token, _) in &heartbeat.shards {
             let replaced = self.shards.get(shard).is_some_and(|h| *token > h.token);
             if replaced {
-                self.in_shard(*shard, |controller| {
-                    controller.release_shard("a sibling knows a higher number");
-                });
+                self.release_shard(*shard, "a sibling knows a higher number");
             }
         }
-        let (from, incarnation, at) = (heartbeat.from.clone(), heartbeat.incarnation, self.now);
-        let before = self.peers.insert(from.clone(), (heartbeat, at));
+        let (from, incarnation, at) = (
+            heartbeat.from.clone(),
+            heartbeat.incarnation,
+            self.context.now,
+        );
+        let before = self.context.peers.insert(from.clone(), (heartbeat, at));
         if before.is_none_or(|(h, _)| h.incarnation != incarnation) {
             self.greet(&from);
         }
     }
+}
+
+impl Context {
+    /// Which message of each peer came last, for `no_keepalive_by_peers` there.
+    pub(crate) fn echoes(&self) -> Vec<(ControllerId, u64, u64)> {
+        let all = self.peers.values();
+        all.map(|(h, _)| (h.from.clone(), h.incarnation, h.at_ms))
+            .collect()
+    }
+
+    pub(crate) fn is_peer(&self, controller_id: &ControllerId) -> bool {
+        let mut peers = self.settings.platform.peers.iter();
+        peers.any(|s| s.controller_id == *controller_id)
+    }
 
     /// Who holds the shard that a machine belongs to, as far as can be told: by the
     /// store or, when this controller is stale, by what peers said lately.
--- a/src/controller/peers/links.rs
+++ b/src/controller/peers/links.rs
@@ -1,13 +1,13 @@
 //! Links to peers: which of them can be reached, which hear workers, and who has kept workers
 //! alive in an owner's place.
 
-use crate::controller::Controller;
+use crate::controller::context::Context;
 use crate::controller::events::Link;
 use crate::controller::forwarding::TAKEOVER_S;
 use crate::ids::{ControllerId, Time};
 use crate::settings::Peer;
 
-impl Controller {
+impl Context {
     /// Whether a connection to a peer could be made, or was refused.
     pub(crate) fn on_link(&mut self, controller_id: ControllerId, link: Link) {
         if link != Link::Up {
--- a/src/controller/quota/cells.rs
+++ b/src/controller/quota/cells.rs
@@ -6,13 +6,15 @@
 //! are unchanged. What other cells tell is only ever a reason to try; a rule rests on none of it.
 //! Shards are allowed what the cell's record says, in commits that are conditional on it.
 
+use crate::controller::Controller;
+use crate::controller::context::Context;
 use crate::controller::events::Output;
 use crate::controller::quota::team_limits::LimitsWanted;
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::shard::ShardOwner;
 use crate::controller::store::mirror::Mirrored;
 use crate::controller::store::records::{Key, LimitsByTeam, Record};
-use crate::controller::{Controller, RequestPurpose};
+use crate::controller::store::requests::RequestPurpose;
 use crate::ids::Time;
 use crate::peer::TeamCount;
 use crate::settings::CellsFile;
@@ -83,39 +85,24 @@
 }
 
 impl Controller {
-    /// Another cell's leader tells how things stand there.
-    pub(crate) fn on_cell_message(&mut self, message: LinkMessage) {
-        let Some(file) = &self.settings.cells else {
-            return;
-        };
-        let known = message.to == file.here && file.others().any(|cell| *cell == message.from);
-        if !known {
-            self.cells.dropped += 1;
-            debug!(
-                "a message of cell {} to {} is dropped",
-                message.from, message.to
-            );
-            return;
-        }
-        let entry = (message.clone(), self.now);
-        self.cells.heard.insert(message.from, entry);
-    }
-
     pub(crate) fn cells_housekeeping(&mut self) {
-        let Some(file) = self.settings.cells.clone() else {
+        let Some(file) = self.context.settings.cells.clone() else {
             return;
         };
-        if self.leadership.is_none() || !self.lease_valid() || self.is_stale() {
+        if self.context.leadership.is_none()
+            || !self.context.lease_valid()
+            || self.context.is_stale()
+        {
             return;
         }
         self.count_again();
-        self.say_to_cells(&file);
-        self.tell_of_cells(&file);
-        if self.cells.busy || self.mirror.revision < self.cells.after {
+        self.context.say_to_cells(&file);
+        self.context.tell_of_cells(&file);
+        if self.context.cells.busy || self.context.mirror.revision < self.context.cells.after {
             return;
         }
-        if let Some(change) = self.next_cell_change(&file) {
-            self.commit_cell_change(change);
+        if let Some(change) = self.context.next_cell_change(&file) {
+            self.context.commit_cell_change(change);
         }
         // A share that has just come is for the shards to use, and one that another cell needs is
         // for them to leave.
@@ -128,6 +115,7 @@
     fn count_again(&mut self) {
         let current = |shard: &u32, owner: &ShardOwner| {
             let counts = self
+                .context
                 .leadership
                 .as_ref()
                 .and_then(|leadership| leadership.shard_counts.get(shard));
@@ -137,8 +125,26 @@
             self.send_counts();
         }
     }
+}
 
-    // ---- changes
+impl Context {
+    /// Another cell's leader tells how things stand there.
+    pub(crate) fn on_cell_message(&mut self, message: LinkMessage) {
+        let Some(file) = &self.settings.cells else {
+            return;
+        };
+        let known = message.to == file.here && file.others().any(|cell| *cell == message.from);
+        if !known {
+            self.cells.dropped += 1;
+            debug!(
+                "a message of cell {} to {} is dropped",
+                message.from, message.to
+            );
+            return;
+        }
+        let entry = (message.clone(), self.now);
+        self.cells.heard.insert(message.from, entry);
+    }
 
     fn next_cell_change(&mut self, file: &CellsFile) -> Option<CellChange> {
         let Some(record) = self.mirror.cell.record.clone() else {
@@ -282,8 +288,6 @@
         }
     }
 
-    // ---- what is known
-
     fn cell_link(&self, other: &Cell) -> LinkRecord {
         let slot = self.mirror.cell_links.get(other);
         slot.and_then(|slot| slot.record.clone())
@@ -404,8 +408,6 @@
         })
     }
 
-    // ---- messages
-
     fn say_to_cells(&mut self, file: &CellsFile) {
         let Some(record) = self
             .mirror
--- a/src/controller/quota/team_limits.rs
+++ b/src/controller/quota/team_limits.rs
@@ -9,7 +9,7 @@
 //! A record that can't be read, or that names what there isn't, changes nothing: the last good one
 //! stays in force, also under a leader that never saw it, since the shards' records keep it.
 
-use crate::controller::Controller;
+use crate::controller::context::Context;
 use crate::controller::store::records::{LimitsByTeam, LimitsRecord};
 use crate::settings::Team;
 use log::{info, warn};
@@ -36,7 +36,7 @@
     AsTheyAre,
 }
 
-impl Controller {
+impl Context {
     /// The operators' record may have changed.
     pub(crate) fn read_limits(&mut self) {
         let slot = &self.mirror.limits;
--- a/src/controller/scheduling/consolidation.rs
+++ b/src/controller/scheduling/consolidation.rs
@@ -1,6 +1,6 @@
 //! Moves the replicas of little used machines to fuller ones, so that the former go back.
 
-use crate::controller::Controller;
+use crate::controller::context::Context;
 use crate::controller::machines::inventory::Machine;
 use crate::controller::scheduling::constraints::{suits, zone_allowed};
 use crate::controller::scheduling::usable;
@@ -22,29 +22,26 @@
 
 /// Moves the replicas of a little used machine to fuller ones that have their images,
 /// so that it empties and goes back: what a fleet that shrinks would otherwise never do.
-impl Controller {
-    pub(crate) fn consolidate(&mut self) {
-        let now = self.now;
-        if self.is_stale() {
+impl ShardOwner {
+    pub(crate) fn consolidate(&mut self, context: &mut Context) {
+        let now = context.now;
+        if context.is_stale() {
             return;
         }
-        let headroom = self.settings.tuning.headroom;
-        let Some(h) = &mut self.owner else {
-            return;
-        };
-        if now < h.consolidate_at {
+        let headroom = context.settings.tuning.headroom;
+        if now < self.consolidate_at {
             return;
         }
-        h.consolidate_at = now.after(self.settings.tuning.tick_s);
+        self.consolidate_at = now.after(context.settings.tuning.tick_s);
         // While somebody waits for room, none is given up.
         let pressed = |id: &JobId| {
-            h.jobs
+            self.jobs
                 .get(id)
                 .is_some_and(|l| l.record.priority_class > PriorityClass::Normal)
         };
-        let open = !h.cut && !h.waiting.iter().any(pressed);
+        let open = !self.cut && !self.waiting.iter().any(pressed);
         let spare = if open {
-            spare_machines(h, &self.catalog, headroom, now)
+            spare_machines(self, &context.catalog, headroom, now)
         } else {
             BTreeSet::new()
         };
@@ -53,17 +50,17 @@
         let emptied = |m: &Machine| open && m.cordoned && m.tasks.is_empty();
         let changed =
             |(id, m): &(&MachineId, &Machine)| m.cordoned != (spare.contains(*id) || emptied(m));
-        let changed = h.machines.iter().filter(changed);
+        let changed = self.machines.iter().filter(changed);
         let changed: Vec<MachineId> = changed.map(|(id, _)| id.clone()).collect();
         for id in changed {
-            h.machines.edit(&id, |m| m.cordoned = !m.cordoned);
+            self.machines.edit(&id, |m| m.cordoned = !m.cordoned);
         }
         // One a tick never caught up with a fleet of hundreds that shrinks.
-        let most = (h.machines.len() as f64 * MOVE_SHARE).ceil() as usize;
+        let most = (self.machines.len() as f64 * MOVE_SHARE).ceil() as usize;
         let (mut taken, mut moves) = (BTreeMap::new(), Vec::new());
         let mut standing = 0;
         for id in &spare {
-            let Some(m) = h.machines.get(id).filter(|_| moves.len() < most) else {
+            let Some(m) = self.machines.get(id).filter(|_| moves.len() < most) else {
                 break;
             };
             // What shall never be down is moved one machine at a time.
@@ -75,8 +72,15 @@
                 continue;
             }
             let tasks: Vec<TaskId> = m.tasks.keys().cloned().collect();
-            let now_taken =
-                fits_elsewhere(h, &self.catalog, &self.settings, now, id, &tasks, &taken);
+            let now_taken = fits_elsewhere(
+                self,
+                &context.catalog,
+                &context.settings,
+                now,
+                id,
+                &tasks,
+                &taken,
+            );
             if let Some(now_taken) = now_taken.filter(|_| !tasks.is_empty()) {
                 taken = now_taken;
                 standing += usize::from(critical);
@@ -89,7 +93,7 @@
                 tasks.len()
             );
             for task in tasks {
-                self.stop(&task);
+                self.stop(context, &task);
             }
         }
     }
--- a/src/controller/scheduling/mod.rs
+++ b/src/controller/scheduling/mod.rs
@@ -8,7 +8,7 @@
 pub(crate) mod preemption;
 pub(crate) mod scoring;
 
-use crate::controller::Controller;
+use crate::controller::context::Context;
 use crate::controller::machines::inventory::Machine;
 use crate::controller::scheduling::constraints::within_limit;
 use crate::controller::scheduling::constraints::{teams_over_guarantee, within_guarantee};
@@ -39,31 +39,28 @@
 /// Order in which queued jobs are served; lower comes first.
 type QueueOrder = (std::cmp::Reverse<PriorityClass>, bool, u32, u64, JobId);
 
-impl Controller {
+impl ShardOwner {
     /// Places queued tasks. Those that find no room are counted by the autoscaler.
-    pub(crate) fn schedule(&mut self) {
-        let (now, is_stale) = (self.now, self.is_stale());
-        let Some(h) = &mut self.owner else {
-            return;
-        };
+    pub(crate) fn schedule(&mut self, context: &mut Context) {
+        let (now, is_stale) = (context.now, context.is_stale());
         // Pauses of failing jobs, of machines and of batch work end without any event.
-        let due = now.since(h.schedule_at) > PLACE_EVERY_S && !h.waiting.is_empty();
-        if !(h.scheduling_wanted || due)
+        let due = now.since(self.schedule_at) > PLACE_EVERY_S && !self.waiting.is_empty();
+        if !(self.scheduling_wanted || due)
             || is_stale
-            || self.catalog.is_empty()
-            || now < h.schedule_at
+            || context.catalog.is_empty()
+            || now < self.schedule_at
         {
             return;
         }
-        h.schedule_at = Time(now.0 + PLACE_GAP_MS);
-        h.scheduling_wanted = false;
+        self.schedule_at = Time(now.0 + PLACE_GAP_MS);
+        self.scheduling_wanted = false;
         let mut queue_order: Vec<QueueOrder> = Vec::new();
-        h.waiting
-            .retain(|id| h.jobs.get(id).is_some_and(|l| l.queued() > 0));
-        for id in &h.waiting {
-            let job_state = &h.jobs[id];
+        self.waiting
+            .retain(|id| self.jobs.get(id).is_some_and(|l| l.queued() > 0));
+        for id in &self.waiting {
+            let job_state = &self.jobs[id];
             if now >= job_state.not_before && !job_state.finishing {
-                let over = !within_guarantee(h, &self.settings, job_state);
+                let over = !within_guarantee(self, &context.settings, job_state);
                 // Jobs with few tasks running go first: neither a swarm nor a large
                 // array keeps the others waiting.
                 let running = job_state.placed.len() as u32 / 8;
@@ -76,84 +73,89 @@
         }
         queue_order.sort();
         let mut cycle = SchedulingCycle {
-            images: ready_images(h, &self.catalog, &self.settings, now),
-            full: full_pools(h, &self.catalog, self.settings.tuning.headroom, now),
+            images: ready_images(self, &context.catalog, &context.settings, now),
+            full: full_pools(
+                self,
+                &context.catalog,
+                context.settings.tuning.headroom,
+                now,
+            ),
             left: CYCLE_TASKS_MAX,
             failed: Vec::new(),
             without_victims: Vec::new(),
         };
         let mut unplaced = Vec::new();
         for (_, _, _, _, id) in queue_order {
-            if self.schedule_job(&id, &mut cycle) {
+            if self.schedule_job(context, &id, &mut cycle) {
                 unplaced.push(id);
             }
         }
-        if cycle.left == 0
-            && let Some(h) = &mut self.owner
-        {
-            h.scheduling_wanted = true;
+        if cycle.left == 0 {
+            self.scheduling_wanted = true;
         }
         for id in unplaced {
-            self.preempt_for(&id, &mut cycle);
+            self.preempt_for(context, &id, &mut cycle);
         }
     }
 
     /// Places a job's queued tasks; true if one found no machine.
-    fn schedule_job(&mut self, id: &JobId, cycle: &mut SchedulingCycle) -> bool {
-        let now = self.now;
-        let Some(h) = &mut self.owner else {
-            return false;
-        };
-        let Some(record) = h.jobs.get(id).map(|l| l.record.clone()) else {
+    fn schedule_job(
+        &mut self,
+        context: &mut Context,
+        id: &JobId,
+        cycle: &mut SchedulingCycle,
+    ) -> bool {
+        let now = context.now;
+        let Some(record) = self.jobs.get(id).map(|l| l.record.clone()) else {
             return false;
         };
         if cycle.failed.iter().any(|f| same_demand(f, &record)) {
             return true;
         }
-        let context = PlacementContext {
-            settings: &self.settings,
-            catalog: &self.catalog,
-            expected: expected_s(&self.settings, &record.class),
+        let placement = PlacementContext {
+            settings: &context.settings,
+            catalog: &context.catalog,
+            expected: expected_s(&context.settings, &record.class),
             now,
         };
         let mut candidates = None;
         while cycle.left > 0 {
-            if !within_limit(h, &self.settings, &record) {
+            if !within_limit(self, &context.settings, &record) {
                 return false;
             }
-            let Some(job_state) = h.jobs.get_mut(id) else {
+            let Some(job_state) = self.jobs.get_mut(id) else {
                 return false;
             };
             let Some(index) = job_state.next_queued() else {
                 return false;
             };
-            let job_state = &h.jobs[id];
+            let job_state = &self.jobs[id];
             // All tasks of a crash-looping job at once took room on every machine at each try.
-            if h.failures.on_probation(id) && job_state.trying() {
+            if self.failures.on_probation(id) && job_state.trying() {
                 return false;
             }
             let candidates = candidates.get_or_insert_with(|| {
-                let (candidates, machines_scanned) = context.candidates(h, id, cycle);
-                self.machines_scanned += machines_scanned;
+                let (candidates, machines_scanned) = placement.candidates(self, id, cycle);
+                context.machines_scanned += machines_scanned;
                 candidates
             });
-            let Some(machine) = best_candidate(h, job_state, candidates) else {
+            let Some(machine) = best_candidate(self, job_state, candidates) else {
                 if !record.zone_affinity && !record.zone_spread {
                     cycle.failed.push(record);
                 }
                 return true;
             };
             cycle.left -= 1;
-            self.placed += 1;
-            let attempt = h.next_attempt();
-            let Some(m) = h.machines.get(&machine) else {
+            context.placed += 1;
+            let attempt = self.next_attempt();
+            let Some(m) = self.machines.get(&machine) else {
                 return true;
             };
             debug!(
                 "task {id}/{index} goes to {machine}, its image takes {:.1} s",
-                fetch_s(&record, &self.catalog[m.class], m)
+                fetch_s(&record, &context.catalog[m.class], m)
             );
-            let placement = Placement {
+            let bound = Placement {
                 machine: machine.clone(),
                 zone: m.zone.clone(),
                 attempt,
@@ -163,33 +165,34 @@
                 sends: 0,
                 runs_well: false,
             };
-            h.add_placement(id, index, placement);
-            h.write_placement(id, index);
+            self.add_placement(id, index, bound);
+            self.write_placement(id, index);
             // Only this machine costs something else now.
-            let job_state = &h.jobs[id];
-            let cost = h
+            let job_state = &self.jobs[id];
+            let cost = self
                 .machines
                 .get(&machine)
-                .and_then(|m| context.cost_of(h, (id, job_state), (&machine, m), cycle));
+                .and_then(|m| placement.cost_of(self, (id, job_state), (&machine, m), cycle));
             candidates.extend(cost.map(|cost| Candidate { cost, machine }));
         }
         false
     }
 
     /// Stops tasks of lower rank where that makes room for a job that found none.
-    fn preempt_for(&mut self, id: &JobId, cycle: &mut SchedulingCycle) {
-        let now = self.now;
-        let Some(h) = &mut self.owner else {
-            return;
-        };
-        let Some(job_state) = h.jobs.get(id) else {
+    fn preempt_for(&mut self, context: &mut Context, id: &JobId, cycle: &mut SchedulingCycle) {
+        let now = context.now;
+        let Some(job_state) = self.jobs.get(id) else {
             return;
         };
         // Work of the same rank is stopped only where renting didn't help: it may lose
         // all it has done.
-        let boot_s = self.catalog.iter().map(|c| c.ready_s).fold(0.0, f64::max);
+        let boot_s = context
+            .catalog
+            .iter()
+            .map(|c| c.ready_s)
+            .fold(0.0, f64::max);
         let waited = now.since(job_state.since) > boot_s;
-        let sure = waited && within_guarantee(h, &self.settings, job_state);
+        let sure = waited && within_guarantee(self, &context.settings, job_state);
         if (job_state.record.priority_class <= PriorityClass::Normal && !sure)
             || now < job_state.preempting_until
         {
@@ -203,14 +206,14 @@
         }
         // Teams beyond their guarantee make room for one that lacks its own.
         let over = if sure {
-            teams_over_guarantee(h, &self.settings, &job_state.record.team)
+            teams_over_guarantee(self, &context.settings, &job_state.record.team)
         } else {
             Vec::new()
         };
         let most = job_state.queued().min(8) as usize;
         let (victims, machines_scanned) =
-            cheapest_victims(h, &self.catalog, job_state, now, most, &over);
-        self.machines_scanned += machines_scanned;
+            cheapest_victims(self, &context.catalog, job_state, now, most, &over);
+        context.machines_scanned += machines_scanned;
         let counts_for_all = !sure && !job_state.inherits_priority_class();
         if victims.is_empty()
             && counts_for_all
@@ -220,17 +223,17 @@
             cycle.without_victims.push(job_state.record.clone());
         }
         // Room of tasks that were never sent is free at once.
-        let pause = if victims.iter().all(|task| h.was_never_sent(task)) {
+        let pause = if victims.iter().all(|task| self.was_never_sent(task)) {
             PLACE_EVERY_S
         } else {
             PREEMPT_S
         };
-        if let Some(job_state) = h.jobs.get_mut(id) {
+        if let Some(job_state) = self.jobs.get_mut(id) {
             job_state.preempting_until = now.after(pause);
         }
         for task in victims {
             log::info!("task {task} makes room for {id}");
-            self.stop(&task);
+            self.stop(context, &task);
         }
     }
 }
--- a/src/controller/shard/admission.rs
+++ b/src/controller/shard/admission.rs
@@ -1,6 +1,6 @@
 //! Jobs come into a shard, are cancelled there, and leave it.
 
-use crate::controller::Controller;
+use crate::controller::context::Context;
 use crate::controller::dependencies::graph::DependencyState;
 use crate::controller::machines::inventory::Machine;
 use crate::controller::shard::ShardOwner;
@@ -11,65 +11,59 @@
 use log::info;
 use std::collections::BTreeSet;
 
-impl Controller {
+impl ShardOwner {
     /// A new owner's start: all that earlier ones committed is known, and nothing
     /// of it is believed to have ended without proof.
-    pub(crate) fn rebuild_from_mirror(&mut self) {
-        let Some(shard) = self.owner.as_ref().map(|h| h.shard) else {
-            return;
-        };
+    pub(crate) fn rebuild_from_mirror(&mut self, context: &mut Context) {
+        let shard = self.shard;
         let of_shard = |j: &MirroredJob| j.record.shard == shard;
-        let jobs = self.mirror.jobs.iter().filter(|(_, j)| of_shard(j));
+        let jobs = context.mirror.jobs.iter().filter(|(_, j)| of_shard(j));
         let ids: Vec<JobId> = jobs.map(|(id, _)| id.clone()).collect();
         for id in ids {
-            self.on_job_changed(&id);
+            self.on_job_changed(context, &id);
         }
-        let jobs = &self.mirror.jobs;
-        let leftover_placements = self
+        let jobs = &context.mirror.jobs;
+        let leftover_placements = context
             .mirror
             .runs
             .keys()
             .filter(|(id, _)| !jobs.contains_key(id));
         let leftover_placements: Vec<_> = leftover_placements.cloned().collect();
-        if let Some(h) = &mut self.owner {
-            // Chunks without a job belong to no shard; the first one's owner clears
-            // them away.
-            h.leftover_placements = if shard == 0 {
-                leftover_placements
-            } else {
-                Vec::new()
-            };
-            h.estimate_demand(self.now, &self.catalog, self.mirror.closed());
-            info!("took over {} jobs of block {shard}", h.jobs.len());
-        }
-        self.apply_hinted_estimates();
+        // Chunks without a job belong to no shard; the first one's owner clears
+        // them away.
+        self.leftover_placements = if shard == 0 {
+            leftover_placements
+        } else {
+            Vec::new()
+        };
+        self.estimate_demand(context.now, &context.catalog, context.mirror.closed());
+        info!("took over {} jobs of block {shard}", self.jobs.len());
+
+        self.adopt_hinted_estimates(context);
     }
 
     /// A job was accepted, or its record changed.
-    pub(crate) fn on_job_changed(&mut self, id: &JobId) {
-        let Some(job) = self.mirror.jobs.get(id) else {
-            return;
-        };
-        let Some(h) = self.owner.as_mut().filter(|h| h.shard == job.record.shard) else {
+    pub(crate) fn on_job_changed(&mut self, context: &mut Context, id: &JobId) {
+        let Some(job) = context.mirror.jobs.get(id) else {
             return;
         };
-        let Some(job_state) = h.jobs.get_mut(id) else {
-            return self.admit(id);
+        let Some(job_state) = self.jobs.get_mut(id) else {
+            return self.admit(context, id);
         };
         job_state.revision = job.revision;
         if job.cancelled.is_some() && job_state.cancelled.is_none() {
             job_state.cancelled = job.cancelled;
-            self.stop_cancelled(id);
+            self.stop_cancelled(context, id);
         }
     }
 
     /// Takes in a job, with what earlier owners wrote of it.
-    fn admit(&mut self, id: &JobId) {
-        let now = self.now;
-        let (Some(job), Some(h)) = (self.mirror.jobs.get(id), &mut self.owner) else {
+    fn admit(&mut self, context: &mut Context, id: &JobId) {
+        let now = context.now;
+        let Some(job) = context.mirror.jobs.get(id) else {
             return;
         };
-        let (runs, layout) = self.mirror.effective_placements(id, &job.record);
+        let (runs, layout) = context.mirror.effective_placements(id, &job.record);
         let mut job_state = JobState::new(job, layout, now);
         job_state.set_priority_class(job.priority_class);
         let mut unconfirmed = Vec::new();
@@ -77,44 +71,41 @@
             job_state.chunks.entry(chunk).or_default().revision = revision;
             job_state.restore_done(&run.done);
             unconfirmed.extend(run.placed.iter().cloned());
-            h.failures
+            self.failures
                 .restore(now, id, run.failed_tries, &run.failed_on);
         }
         let cancelled = job_state.cancelled.is_some();
         let all_done = job_state.done_count == job_state.record.count;
-        h.jobs.insert(id.clone(), job_state);
+        self.jobs.insert(id.clone(), job_state);
         for placed in unconfirmed {
-            h.add_unconfirmed_placement(now, id, placed);
+            self.add_unconfirmed_placement(now, id, placed);
         }
         if cancelled {
             // It was cancelled under an earlier owner, whose stops may never have
             // gone out: this one has to send its own.
-            return self.stop_cancelled(id);
+            return self.stop_cancelled(context, id);
         }
         if all_done {
-            h.ready_to_end_jobs.insert(id.clone());
+            self.ready_to_end_jobs.insert(id.clone());
         }
-        self.on_dependencies_changed(id);
+        self.on_dependencies_changed(context, id);
     }
 
     /// Something changed for a job through one that it needs or that needs it: it may start, it is
     /// cancelled, or its rank is another.
-    pub(crate) fn on_dependencies_changed(&mut self, id: &JobId) {
-        let now = self.now;
-        let Some(job) = self.mirror.jobs.get(id) else {
-            return;
-        };
-        let Some(h) = self.owner.as_mut().filter(|h| h.shard == job.record.shard) else {
+    pub(crate) fn on_dependencies_changed(&mut self, context: &mut Context, id: &JobId) {
+        let now = context.now;
+        let Some(job) = context.mirror.jobs.get(id) else {
             return;
         };
-        h.set_priority_class(id, job.priority_class);
-        let Some(job_state) = h.jobs.get_mut(id) else {
+        self.set_priority_class(id, job.priority_class);
+        let Some(job_state) = self.jobs.get_mut(id) else {
             return;
         };
         if job_state.released || job_state.cancelled.is_some() {
             return;
         }
-        match self.mirror.needs(&job.record) {
+        match context.mirror.needs(&job.record) {
             DependencyState::Open | DependencyState::Unknown => {}
             DependencyState::Met => {
                 job_state.released = true;
@@ -122,34 +113,31 @@
                 if !job.record.needs.is_empty() {
                     info!("job {id} may start: all that it needs is done");
                 }
-                h.record_demand(now, &self.catalog, self.mirror.closed(), &job.record);
-                h.record_image_use(now, &job.record);
-                if h.jobs[id].queued() > 0 {
-                    h.waiting.insert(id.clone());
-                    h.scheduling_wanted = true;
+                self.record_demand(now, &context.catalog, context.mirror.closed(), &job.record);
+                self.record_image_use(now, &job.record);
+                if self.jobs[id].queued() > 0 {
+                    self.waiting.insert(id.clone());
+                    self.scheduling_wanted = true;
                 }
             }
             DependencyState::Cancelled => {
                 info!("job {id} is cancelled with one that it needs");
                 job_state.cancelled = Some(now);
-                self.stop_cancelled(id);
+                self.stop_cancelled(context, id);
             }
         }
     }
 
     /// A job's record is gone: it ended, and its end is committed.
-    pub(crate) fn on_job_removed(&mut self, id: &JobId) {
-        let leftover: Vec<_> = self
+    pub(crate) fn on_job_removed(&mut self, context: &Context, id: &JobId) {
+        let leftover: Vec<_> = context
             .mirror
             .chunks(id)
             .map(|(c, _)| (id.clone(), c))
             .collect();
-        let now = self.now;
-        let Some(h) = &mut self.owner else {
-            return;
-        };
-        h.leftover_placements.extend(leftover);
-        let Some(job_state) = h.jobs.get(id) else {
+        let now = context.now;
+        self.leftover_placements.extend(leftover);
+        let Some(job_state) = self.jobs.get(id) else {
             return;
         };
         let all = job_state.cancelled.is_none();
@@ -157,23 +145,20 @@
         let tasks: Vec<u32> = job_state.placed.keys().copied().collect();
         for index in tasks {
             let job = id.clone();
-            h.remove_placement(now, &TaskId { job, index });
+            self.remove_placement(now, &TaskId { job, index });
         }
-        h.jobs.remove(id);
-        h.failures.forget_job(id);
-        h.waiting.remove(id);
-        h.ready_to_end_jobs.remove(id);
-        h.write_queue.retain(|(_, job, _)| job != id);
+        self.jobs.remove(id);
+        self.failures.forget_job(id);
+        self.waiting.remove(id);
+        self.ready_to_end_jobs.remove(id);
+        self.write_queue.retain(|(_, job, _)| job != id);
     }
 
     /// Stops every task of a cancelled job: nothing they do is of use any more.
-    fn stop_cancelled(&mut self, id: &JobId) {
-        let now = self.now;
-        let Some(h) = &mut self.owner else {
-            return;
-        };
-        h.waiting.remove(id);
-        let Some(job_state) = h.jobs.get_mut(id) else {
+    fn stop_cancelled(&mut self, context: &mut Context, id: &JobId) {
+        let now = context.now;
+        self.waiting.remove(id);
+        let Some(job_state) = self.jobs.get_mut(id) else {
             return;
         };
         let mut was_never_sent = Vec::new();
@@ -188,14 +173,14 @@
             }
         }
         if job_state.placed.is_empty() {
-            h.ready_to_end_jobs.insert(id.clone());
+            self.ready_to_end_jobs.insert(id.clone());
         }
         for index in was_never_sent {
             let job = id.clone();
-            h.remove_placement(now, &TaskId { job, index });
+            self.remove_placement(now, &TaskId { job, index });
         }
         for machine in machines {
-            self.answer_long_poll(&machine);
+            self.answer_long_poll(context, &machine);
         }
     }
 }
--- a/src/controller/shard/commits.rs
+++ b/src/controller/shard/commits.rs
@@ -1,11 +1,13 @@
 //! How placements, results and ends are committed.
 
+use crate::controller::context::Context;
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::shard::ShardOwner;
 use crate::controller::shard::job::{JobState, Phase, Placement};
 use crate::controller::store::chunks::{ChunkLayout, chunk_size, ranges};
 use crate::controller::store::records::{Key, PlacementRecord, PriorityClass, Record, json_bytes};
-use crate::controller::{Controller, RequestPurpose};
+use crate::controller::store::requests::RequestPurpose;
+use crate::controller::store::requests::ShardRequest;
 use crate::ids::{Attempt, JobId, MachineId, TaskId, Time};
 use crate::wire::{StoreRequest, StoreResponse, Write};
 use log::{debug, info, warn};
@@ -72,46 +74,60 @@
 /// JSON bytes of chunks in one transaction, below the limit of 64 KiB.
 const TRANSACTION_BYTES: usize = 40 * 1024;
 
-impl Controller {
+impl Context {
+    fn transaction_limits(&self) -> TransactionLimits {
+        let strict = self.settings.state_limits();
+        let value_bytes = if self.values_shrunk {
+            strict.value_bytes
+        } else {
+            self.settings.platform.facts.state.value_bytes_now()
+        };
+        TransactionLimits {
+            ops: strict.txn_ops,
+            value_bytes,
+            strict_bytes: strict.value_bytes,
+        }
+    }
+}
+
+impl ShardOwner {
     /// Commits chunks, several to a transaction, the most urgent first.
-    pub(crate) fn write_placements(&mut self) {
-        self.write_job_ends();
+    pub(crate) fn write_placements(&mut self, context: &mut Context) {
+        self.write_job_ends(context);
         loop {
-            let now = self.now;
-            let mut limits = self.transaction_limits();
-            let Some(h) = &mut self.owner else {
-                return;
-            };
-            let Some((urgency, ..)) = h.write_queue.first() else {
+            let now = context.now;
+            let mut limits = context.transaction_limits();
+            let Some((urgency, ..)) = self.write_queue.first() else {
                 return;
             };
             let priority = urgency.priority();
             // A larger transaction would leave a debt that urgent ones have to wait out.
-            let largest = self.changes.largest_call(priority) as usize;
+            let largest = context.changes.largest_call(priority) as usize;
             limits.ops = limits.ops.min(largest);
             let most = match priority {
                 Priority::Last => WRITES_IN_FLIGHT_MAX,
                 _ => WRITES_IN_FLIGHT_MAX + URGENT_WRITES_IN_FLIGHT_MAX,
             };
-            if h.writes_in_flight >= most
-                || !self.requests.has(now, 1.0, priority)
-                || !self.changes.has(now, 1.0, priority)
+            if self.writes_in_flight >= most
+                || !context.requests.has(now, 1.0, priority)
+                || !context.changes.has(now, 1.0, priority)
             {
                 return;
             }
-            let Some((op, items)) = next_transaction(h, &limits, priority) else {
+            let Some((op, items)) = next_transaction(self, &limits, priority) else {
                 return;
             };
-            match self.send_store_request(op, RequestPurpose::WritePlacements(items), priority) {
+            let request = ShardRequest::WritePlacements(items);
+            let purpose = RequestPurpose::Shard(self.ownership(), request);
+            match context.send_store_request(op, purpose, priority) {
                 Ok(_) => {
-                    if let Some(h) = &mut self.owner {
-                        h.writes_in_flight += 1;
-                    }
+                    self.writes_in_flight += 1;
                 }
-                Err(RequestPurpose::WritePlacements(items)) => {
-                    if let Some(h) = &mut self.owner {
-                        items.iter().for_each(|i| h.requeue_write(&i.job, i.chunk));
-                    }
+                Err(RequestPurpose::Shard(_, ShardRequest::WritePlacements(items))) => {
+                    items
+                        .iter()
+                        .for_each(|i| self.requeue_write(&i.job, i.chunk));
+
                     return;
                 }
                 Err(_) => return,
@@ -121,25 +137,23 @@
 
     pub(crate) fn on_placements_written(
         &mut self,
+        context: &mut Context,
         items: Vec<PlacementWrite>,
         reply: StoreResponse,
     ) {
         if reply == StoreResponse::Rejected {
             warn!("the state service takes no values of this size any more");
-            self.values_shrunk = true;
+            context.values_shrunk = true;
         }
-        let Some(h) = &mut self.owner else {
-            return;
-        };
-        h.writes_in_flight = h.writes_in_flight.saturating_sub(1);
+        self.writes_in_flight = self.writes_in_flight.saturating_sub(1);
         if !matches!(reply, StoreResponse::Committed { .. }) {
             debug!("{} chunks not written: {reply:?}", items.len());
         }
         let mut ready = BTreeSet::new();
         let mut reread_placements = Vec::new();
         for item in &items {
-            let now = self.now;
-            let Some(job_state) = h.jobs.get_mut(&item.job) else {
+            let now = context.now;
+            let Some(job_state) = self.jobs.get_mut(&item.job) else {
                 continue;
             };
             let chunk = job_state.chunks.entry(item.chunk).or_default();
@@ -148,7 +162,10 @@
                 StoreResponse::Committed { revision } => {
                     chunk.revision = *revision;
                     // What came in meanwhile is still to be written.
-                    let queued = |u| h.write_queue.contains(&(u, item.job.clone(), item.chunk));
+                    let queued = |u| {
+                        self.write_queue
+                            .contains(&(u, item.job.clone(), item.chunk))
+                    };
                     chunk.unwritten = WriteUrgency::ALL.into_iter().any(queued);
                     for machine in mark_committed(now, job_state, &item.placed) {
                         ready.insert(machine);
@@ -161,34 +178,35 @@
                         chunk.busy = true;
                         reread_placements.push((item.job.clone(), item.chunk));
                     } else if job {
-                        h.remove_uncommitted(now, item);
+                        self.remove_uncommitted(now, item);
                     } else {
-                        h.requeue_write(&item.job, item.chunk);
+                        self.requeue_write(&item.job, item.chunk);
                     }
                 }
                 // Not executed, or perhaps: the same conditions make it happen once.
-                _ => h.requeue_write(&item.job, item.chunk),
+                _ => self.requeue_write(&item.job, item.chunk),
             }
         }
         let jobs: BTreeSet<JobId> = items.into_iter().map(|i| i.job).collect();
         for job in &jobs {
-            h.remove_unsent(self.now, job);
+            self.remove_unsent(context.now, job);
         }
         for (job, chunk) in reread_placements {
-            self.reread_placements(job, chunk);
+            self.reread_placements(context, job, chunk);
         }
         for machine in ready {
-            self.answer_long_poll(&machine);
+            self.answer_long_poll(context, &machine);
         }
     }
 
     /// Reads a chunk whose revision isn't the expected one: an earlier commit whose
     /// answer was lost stands after all.
-    fn reread_placements(&mut self, job: JobId, chunk: u32) {
+    fn reread_placements(&mut self, context: &mut Context, job: JobId, chunk: u32) {
         let op = StoreRequest::Get(Key::Run(job.clone(), chunk));
-        let purpose = RequestPurpose::RereadPlacements(job, chunk);
-        if let Err(RequestPurpose::RereadPlacements(job, chunk)) =
-            self.send_store_request(op, purpose, Priority::First)
+        let request = ShardRequest::RereadPlacements(job, chunk);
+        let purpose = RequestPurpose::Shard(self.ownership(), request);
+        if let Err(RequestPurpose::Shard(_, ShardRequest::RereadPlacements(job, chunk))) =
+            context.send_store_request(op, purpose, Priority::First)
         {
             self.retry_write(&job, chunk);
         }
@@ -196,12 +214,16 @@
 
     fn retry_write(&mut self, job: &JobId, chunk: u32) {
         // The chunk is written again, fails again, and is read then.
-        if let Some(h) = &mut self.owner {
-            h.requeue_write(job, chunk);
-        }
+        self.requeue_write(job, chunk);
     }
 
-    pub(crate) fn on_placements_reread(&mut self, job: JobId, chunk: u32, reply: StoreResponse) {
+    pub(crate) fn on_placements_reread(
+        &mut self,
+        context: &mut Context,
+        job: JobId,
+        chunk: u32,
+        reply: StoreResponse,
+    ) {
         let (revision, run) = match reply {
             StoreResponse::Found {
                 record: Record::Run(run),
@@ -210,21 +232,20 @@
             StoreResponse::Missing { .. } => (0, PlacementRecord::default()),
             _ => return self.retry_write(&job, chunk),
         };
-        let now = self.now;
+        let now = context.now;
         let mut ready = Vec::new();
-        if let Some(h) = &mut self.owner {
-            if let Some(job_state) = h.jobs.get_mut(&job) {
-                let entry = job_state.chunks.entry(chunk).or_default();
-                entry.revision = revision;
-                entry.busy = false;
-                let placed: Vec<_> = run.placed.iter().map(|p| (p.0, p.1)).collect();
-                ready = mark_committed(now, job_state, &placed);
-            }
-            h.remove_unsent(now, &job);
-            h.requeue_write(&job, chunk);
+        if let Some(job_state) = self.jobs.get_mut(&job) {
+            let entry = job_state.chunks.entry(chunk).or_default();
+            entry.revision = revision;
+            entry.busy = false;
+            let placed: Vec<_> = run.placed.iter().map(|p| (p.0, p.1)).collect();
+            ready = mark_committed(now, job_state, &placed);
         }
+        self.remove_unsent(now, &job);
+        self.requeue_write(&job, chunk);
+
         for machine in ready {
-            self.answer_long_poll(&machine);
+            self.answer_long_poll(context, &machine);
         }
     }
 }
@@ -364,22 +385,6 @@
     strict_bytes: usize,
 }
 
-impl Controller {
-    fn transaction_limits(&self) -> TransactionLimits {
-        let strict = self.settings.state_limits();
-        let value_bytes = if self.values_shrunk {
-            strict.value_bytes
-        } else {
-            self.settings.platform.facts.state.value_bytes_now()
-        };
-        TransactionLimits {
-            ops: strict.txn_ops,
-            value_bytes,
-            strict_bytes: strict.value_bytes,
-        }
-    }
-}
-
 /// Builds the next transaction of chunks of one priority: urgent ones don't wait until there
 /// is budget for batch work as well.
 fn next_transaction(
--- a/src/controller/shard/mod.rs
+++ b/src/controller/shard/mod.rs
@@ -11,8 +11,8 @@
 pub(crate) mod image_demand;
 pub mod job;
 
-use crate::controller::RECENT_S;
 use crate::controller::autoscaling::Pool;
+use crate::controller::context::RECENT_S;
 use crate::controller::machines::failures::FailureLog;
 use crate::controller::machines::inventory::{Inventory, Machine};
 use crate::controller::shard::burst_estimate::BurstEstimate;
@@ -30,6 +30,13 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
+/// One ownership of one shard: a response to what was asked under it means nothing to another one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct ShardOwnership {
+    pub(crate) shard: u32,
+    pub(crate) token: FencingToken,
+}
+
 /// What is left of an amount of which half is forgotten in `half_s`.
 fn decayed(amount: f64, passed_s: f64, half_s: f64) -> f64 {
     amount * 0.5f64.powf(passed_s / half_s)
@@ -125,6 +132,14 @@
         }
     }
 
+    /// Which ownership of which shard this is.
+    pub(crate) fn ownership(&self) -> ShardOwnership {
+        ShardOwnership {
+            shard: self.shard,
+            token: self.token,
+        }
+    }
+
     pub fn first_long_poll_deadline(&self) -> Option<Time> {
         self.long_poll_deadlines.first().map(|(t, _)| *t)
     }
--- a/src/controller/shards/leases.rs
+++ b/src/controller/shards/leases.rs
@@ -4,7 +4,9 @@
 //! leader itself. Cutting a fleet cuts packing, limits and caches as well, so there
 //! are more shards only once each has enough machines.
 
+use crate::controller::Controller;
 use crate::controller::autoscaling::plan::ScalingState;
+use crate::controller::context::Context;
 use crate::controller::events::Output;
 use crate::controller::quota::team_limits::LimitsWanted;
 use crate::controller::rate_limits::token_bucket::Priority;
@@ -12,7 +14,7 @@
 use crate::controller::store::records::{
     Entry, FencingTokenRecord, Key, LimitsByTeam, Record, ShardRecord, json_bytes,
 };
-use crate::controller::{Controller, RequestPurpose};
+use crate::controller::store::requests::RequestPurpose;
 use crate::ids::{ControllerId, FencingToken, JobId, MachineId, Time};
 use crate::peer::{Message, ShardCounts, TeamCount};
 use crate::wire::{StoreRequest, StoreResponse, WorkerHeartbeat, Write};
@@ -65,6 +67,184 @@
 }
 
 impl Controller {
+    pub(crate) fn become_leader(&mut self) {
+        let record = self.context.mirror.leader.record.as_ref();
+        let token = record.map_or(FencingToken(0), |l| l.token);
+        self.context.leadership = Some(Leadership {
+            since: self.context.now,
+            token,
+            cloud_from: self.context.cloud_from(token),
+            ..Leadership::default()
+        });
+        self.update_rate_limits();
+        self.context.rebuild_scaling_state();
+    }
+
+    pub(crate) fn send_counts(&mut self) {
+        for shard in self.shards.values() {
+            shard.send_counts(&mut self.context);
+        }
+    }
+
+    /// Commits what has to change about the leases, all at once.
+    pub(crate) fn lease_housekeeping(&mut self) {
+        let Some(leadership) = &self.context.leadership else {
+            return;
+        };
+        if leadership.busy || !self.context.lease_valid() || self.context.is_stale() {
+            return;
+        }
+        let before: BTreeMap<u32, (u64, ShardRecord)> = self
+            .context
+            .mirror
+            .shards
+            .iter()
+            .filter_map(|(k, b)| Some((*k, (b.revision, b.record.clone()?))))
+            .collect();
+        let mut after: BTreeMap<u32, ShardRecord> =
+            before.iter().map(|(k, (_, b))| (*k, b.clone())).collect();
+        let mut highest = self.context.mirror.highest();
+        self.replace_owners(&mut after, &mut highest);
+        self.split(&mut after, &mut highest);
+        self.context.assign_machines(&mut after);
+        self.context.share_limits(&mut after);
+        self.context.commit_leases(&before, after, highest);
+    }
+
+    /// Shards whose owner restarted or counts no more go to another controller,
+    /// under a higher number.
+    fn replace_owners(&self, records: &mut BTreeMap<u32, ShardRecord>, highest: &mut FencingToken) {
+        let Some(leadership) = &self.context.leadership else {
+            return;
+        };
+        let patience = self.context.settings.tuning.shard_lease_s * SILENT_SHARE;
+        let mut load: BTreeMap<ControllerId, usize> = BTreeMap::new();
+        for b in records.values() {
+            *load.entry(b.owner.clone()).or_default() += 1;
+        }
+        for (shard, record) in records.iter_mut() {
+            let told = leadership.shard_counts.get(shard);
+            let told = told
+                .filter(|(t, _)| t.token == record.token)
+                .map(|(_, at)| *at);
+            let quiet = self.context.now.since(told.unwrap_or(leadership.since)) > patience;
+            let released_tokens = self
+                .context
+                .released_tokens
+                .get(shard)
+                .is_some_and(|n| record.token <= *n);
+            let mine = record.owner == self.context.settings.platform.controller_id;
+            let restarted = mine
+                && (record.incarnation != self.context.incarnation || released_tokens)
+                || self.context.rebooted(record);
+            if !quiet && !restarted {
+                continue;
+            }
+            let (controller_id, incarnation) = self.context.least_loaded(&load);
+            info!(
+                "block {shard} goes from {} to {controller_id}",
+                record.owner
+            );
+            *load.entry(controller_id.clone()).or_default() += 1;
+            highest.0 += 1;
+            (record.owner, record.incarnation, record.token) =
+                (controller_id, incarnation, *highest);
+        }
+    }
+
+    /// Into how many shards a fleet is cut. Where it is measured how busy the owner is, that
+    /// decides, and only once it has said so for long: a cut costs more than a full processor for
+    /// some seconds, and isn't undone.
+    fn shards_needed(&mut self, machines: u32, shards: usize) -> usize {
+        let now = self.context.now;
+        if !self.context.processor.measured() {
+            // A process that has just begun will be.
+            let never = self.context.age_s() > UNMEASURED_S;
+            return if never {
+                self.context.settings.shards_for(machines)
+            } else {
+                shards
+            };
+        }
+        let held = self.shards.values().map(|h| h.machines.len()).sum();
+        let by_use = self.context.processor.machines_per_owner(now, held);
+        let needed = by_use.map_or(1, |most| self.context.settings.shards_at(machines, most));
+        let Some(leadership) = &mut self.context.leadership else {
+            return shards;
+        };
+        if needed <= shards {
+            leadership.short_of_shards_since = None;
+            return shards;
+        }
+        let since = *leadership.short_of_shards_since.get_or_insert(now);
+        let patience = self.context.settings.tuning.shard_lease_s * CUT_LEASES;
+        if now.since(since) < patience {
+            return shards;
+        }
+        leadership.short_of_shards_since = None;
+        info!("one holder is too busy for {machines} machines: {needed} blocks are needed");
+        needed
+    }
+
+    /// One more shard, once each of them has enough machines.
+    fn split(&mut self, records: &mut BTreeMap<u32, ShardRecord>, highest: &mut FencingToken) {
+        let machines: u32 = self
+            .context
+            .believed()
+            .iter()
+            .flat_map(|t| &t.zones)
+            .map(|(_, _, _, n)| n)
+            .sum();
+        let controllers = 1 + self
+            .context
+            .recent_heartbeats()
+            .filter(|h| h.is_fresh)
+            .count();
+        let by_size = self.shards_needed(machines, records.len());
+        let crowded = self.context.leadership.as_ref().is_some_and(|l| l.crowded);
+        if records.is_empty() || (records.len() >= by_size.min(controllers) && !crowded) {
+            return;
+        }
+        if let Some(first) = records.get_mut(&0).filter(|b| b.machines.is_none()) {
+            // The only shard gets a list before there is a second one.
+            let Some(h) = self.shards.get(&0).filter(|h| h.token == first.token) else {
+                return;
+            };
+            let mut listed = first.clone();
+            listed.machines = Some(h.entries());
+            // As they are, if they were set at run time: what is in force changes elsewhere.
+            let whole = || match self.context.settings.cells {
+                None => self.context.limits_of_settings(),
+                Some(_) => LimitsByTeam::new(),
+            };
+            listed.quota_shares.get_or_insert_with(whole);
+            if json_bytes(&listed) > self.context.record_most() {
+                // It goes on as one shard, which needs no list.
+                return;
+            }
+            *first = listed;
+        }
+        let load: BTreeMap<ControllerId, usize> =
+            records.values().fold(BTreeMap::new(), |mut l, b| {
+                *l.entry(b.owner.clone()).or_default() += 1;
+                l
+            });
+        let (owner, incarnation) = self.context.least_loaded(&load);
+        let shard = records.keys().max().map_or(0, |k| k + 1);
+        info!("block {shard} is made for {owner}");
+        highest.0 += 1;
+        let record = ShardRecord {
+            owner,
+            incarnation,
+            token: *highest,
+            machines: Some(Vec::new()),
+            quota_shares: Some(BTreeMap::new()),
+        };
+        records.insert(shard, record);
+    }
+}
+
+impl Context {
     /// The shards that a new leader takes for itself: the only one, and those whose
     /// owners aren't heard of.
     pub(crate) fn shards_to_take(&self) -> Vec<u32> {
@@ -105,19 +285,6 @@
         (version, record)
     }
 
-    pub(crate) fn become_leader(&mut self) {
-        let record = self.mirror.leader.record.as_ref();
-        let token = record.map_or(FencingToken(0), |l| l.token);
-        self.leadership = Some(Leadership {
-            since: self.now,
-            token,
-            cloud_from: self.cloud_from(token),
-            ..Leadership::default()
-        });
-        self.update_rate_limits();
-        self.rebuild_scaling_state();
-    }
-
     /// The shard that takes a new job: by the job's name, in proportion to the shares
     /// in the plan, so that every node comes to the same shard.
     pub(crate) fn shard_for(&self, id: &JobId) -> u32 {
@@ -142,67 +309,6 @@
         0
     }
 
-    // ---- counts
-
-    /// Tells the leader what the shard in hand counts.
-    fn send_shard_counts(&mut self) {
-        let Some(shard_counts) = self.shard_counts() else {
-            return;
-        };
-        if self.leadership.is_some() {
-            return self.on_shard_counts(shard_counts);
-        }
-        let leader = self
-            .mirror
-            .leader
-            .record
-            .as_ref()
-            .map(|l| l.controller_id.clone());
-        if leader.is_some() {
-            let message = Message::ShardCounts(Box::new(shard_counts));
-            self.out.push(Output::Peer(leader, message));
-        }
-    }
-
-    fn shard_counts(&self) -> Option<ShardCounts> {
-        let h = self.owner.as_ref()?;
-        let catalog = &self.catalog;
-        let closed = self.mirror.closed();
-        let named = |class: usize| catalog.get(class).map(|c| c.name.clone());
-        let pools = h
-            .counts(catalog, &self.settings, closed, self.now)
-            .into_iter();
-        let pools = pools.filter_map(|((class, spot), c)| Some((named(class)?, spot, c)));
-        let mut zones: BTreeMap<(String, bool, String), u32> = BTreeMap::new();
-        let mut empty = Vec::new();
-        for (id, m) in h.machines.iter() {
-            let key = (m.type_name.to_string(), m.spot, m.zone.to_string());
-            *zones.entry(key).or_default() += 1;
-            if m.ready_since.is_some() && m.tasks.is_empty() && m.decommission_at.is_none() {
-                let name = m.type_name.to_string();
-                empty.push((m.images.len(), (name, m.spot, id.clone())));
-            }
-        }
-        let pins = h.pins(catalog, closed).into_iter();
-        let pins = pins.filter_map(|((pool, zone), n)| Some((named(pool.0)?, pool.1, zone, n)));
-        // Those with the fewest images are missed least.
-        empty.sort();
-        let empty = empty.into_iter().map(|(_, e)| e).take(NAMES_MAX);
-        let zones = zones.into_iter().map(|((c, s, z), n)| (c, s, z, n));
-        Some(ShardCounts {
-            from: self.settings.platform.controller_id.clone(),
-            shard: h.shard,
-            token: h.token,
-            revision: h.shard_revision,
-            pools: pools.collect(),
-            zones: zones.collect(),
-            pins: pins.collect(),
-            empty: empty.collect(),
-            gone: h.gone.keys().rev().take(NAMES_MAX).cloned().collect(),
-            teams: h.team_counts(),
-        })
-    }
-
     pub(crate) fn on_shard_counts(&mut self, shard_counts: ShardCounts) {
         let now = self.now;
         if let Some(leadership) = &mut self.leadership {
@@ -234,8 +340,6 @@
         good.map(|(t, _)| t).collect()
     }
 
-    // ---- leases
-
     /// A worker heartbeats that belongs to no shard here. The leader sees to it that
     /// it comes to belong to one.
     pub(crate) fn note_unassigned(&mut self, id: &MachineId, report: &WorkerHeartbeat) {
@@ -259,34 +363,6 @@
         }
     }
 
-    pub(crate) fn send_counts(&mut self) {
-        self.each_shard(Self::send_shard_counts);
-    }
-
-    /// Commits what has to change about the leases, all at once.
-    pub(crate) fn lease_housekeeping(&mut self) {
-        let Some(leadership) = &self.leadership else {
-            return;
-        };
-        if leadership.busy || !self.lease_valid() || self.is_stale() {
-            return;
-        }
-        let before: BTreeMap<u32, (u64, ShardRecord)> = self
-            .mirror
-            .shards
-            .iter()
-            .filter_map(|(k, b)| Some((*k, (b.revision, b.record.clone()?))))
-            .collect();
-        let mut after: BTreeMap<u32, ShardRecord> =
-            before.iter().map(|(k, (_, b))| (*k, b.clone())).collect();
-        let mut highest = self.mirror.highest();
-        self.replace_owners(&mut after, &mut highest);
-        self.split(&mut after, &mut highest);
-        self.assign_machines(&mut after);
-        self.share_limits(&mut after);
-        self.commit_leases(&before, after, highest);
-    }
-
     fn commit_leases(
         &mut self,
         before: &BTreeMap<u32, (u64, ShardRecord)>,
@@ -339,45 +415,6 @@
         }
     }
 
-    /// Shards whose owner restarted or counts no more go to another controller,
-    /// under a higher number.
-    fn replace_owners(&self, records: &mut BTreeMap<u32, ShardRecord>, highest: &mut FencingToken) {
-        let Some(leadership) = &self.leadership else {
-            return;
-        };
-        let patience = self.settings.tuning.shard_lease_s * SILENT_SHARE;
-        let mut load: BTreeMap<ControllerId, usize> = BTreeMap::new();
-        for b in records.values() {
-            *load.entry(b.owner.clone()).or_default() += 1;
-        }
-        for (shard, record) in records.iter_mut() {
-            let told = leadership.shard_counts.get(shard);
-            let told = told
-                .filter(|(t, _)| t.token == record.token)
-                .map(|(_, at)| *at);
-            let quiet = self.now.since(told.unwrap_or(leadership.since)) > patience;
-            let released_tokens = self
-                .released_tokens
-                .get(shard)
-                .is_some_and(|n| record.token <= *n);
-            let mine = record.owner == self.settings.platform.controller_id;
-            let restarted = mine && (record.incarnation != self.incarnation || released_tokens)
-                || self.rebooted(record);
-            if !quiet && !restarted {
-                continue;
-            }
-            let (controller_id, incarnation) = self.least_loaded(&load);
-            info!(
-                "block {shard} goes from {} to {controller_id}",
-                record.owner
-            );
-            *load.entry(controller_id.clone()).or_default() += 1;
-            highest.0 += 1;
-            (record.owner, record.incarnation, record.token) =
-                (controller_id, incarnation, *highest);
-        }
-    }
-
     /// Whether a shard's owner is heard of, but as another process.
     fn rebooted(&self, record: &ShardRecord) -> bool {
         let mut heard = self.recent_heartbeats().filter(|h| h.from == record.owner);
@@ -397,92 +434,6 @@
         least.unwrap_or(me)
     }
 
-    /// Into how many shards a fleet is cut. Where it is measured how busy the owner is, that
-    /// decides, and only once it has said so for long: a cut costs more than a full processor for
-    /// some seconds, and isn't undone.
-    fn shards_needed(&mut self, machines: u32, shards: usize) -> usize {
-        let now = self.now;
-        if !self.processor.measured() {
-            // A process that has just begun will be.
-            let never = self.age_s() > UNMEASURED_S;
-            return if never {
-                self.settings.shards_for(machines)
-            } else {
-                shards
-            };
-        }
-        let held = self.shards.values().map(|h| h.machines.len()).sum();
-        let by_use = self.processor.machines_per_owner(now, held);
-        let needed = by_use.map_or(1, |most| self.settings.shards_at(machines, most));
-        let Some(leadership) = &mut self.leadership else {
-            return shards;
-        };
-        if needed <= shards {
-            leadership.short_of_shards_since = None;
-            return shards;
-        }
-        let since = *leadership.short_of_shards_since.get_or_insert(now);
-        let patience = self.settings.tuning.shard_lease_s * CUT_LEASES;
-        if now.since(since) < patience {
-            return shards;
-        }
-        leadership.short_of_shards_since = None;
-        info!("one holder is too busy for {machines} machines: {needed} blocks are needed");
-        needed
-    }
-
-    /// One more shard, once each of them has enough machines.
-    fn split(&mut self, records: &mut BTreeMap<u32, ShardRecord>, highest: &mut FencingToken) {
-        let machines: u32 = self
-            .believed()
-            .iter()
-            .flat_map(|t| &t.zones)
-            .map(|(_, _, _, n)| n)
-            .sum();
-        let controllers = 1 + self.recent_heartbeats().filter(|h| h.is_fresh).count();
-        let by_size = self.shards_needed(machines, records.len());
-        let crowded = self.leadership.as_ref().is_some_and(|l| l.crowded);
-        if records.is_empty() || (records.len() >= by_size.min(controllers) && !crowded) {
-            return;
-        }
-        if let Some(first) = records.get_mut(&0).filter(|b| b.machines.is_none()) {
-            // The only shard gets a list before there is a second one.
-            let Some(h) = self.shards.get(&0).filter(|h| h.token == first.token) else {
-                return;
-            };
-            let mut listed = first.clone();
-            listed.machines = Some(h.entries());
-            // As they are, if they were set at run time: what is in force changes elsewhere.
-            let whole = || match self.settings.cells {
-                None => self.limits_of_settings(),
-                Some(_) => LimitsByTeam::new(),
-            };
-            listed.quota_shares.get_or_insert_with(whole);
-            if json_bytes(&listed) > self.record_most() {
-                // It goes on as one shard, which needs no list.
-                return;
-            }
-            *first = listed;
-        }
-        let load: BTreeMap<ControllerId, usize> =
-            records.values().fold(BTreeMap::new(), |mut l, b| {
-                *l.entry(b.owner.clone()).or_default() += 1;
-                l
-            });
-        let (owner, incarnation) = self.least_loaded(&load);
-        let shard = records.keys().max().map_or(0, |k| k + 1);
-        info!("block {shard} is made for {owner}");
-        highest.0 += 1;
-        let record = ShardRecord {
-            owner,
-            incarnation,
-            token: *highest,
-            machines: Some(Vec::new()),
-            quota_shares: Some(BTreeMap::new()),
-        };
-        records.insert(shard, record);
-    }
-
     /// Lets the only shard use what the limits allow, once that has changed.
     fn limit_only_shard(&self, records: &mut BTreeMap<u32, ShardRecord>) {
         let wanted = match self.limits_wanted() {
@@ -603,6 +554,64 @@
     }
 }
 
+impl ShardOwner {
+    /// Tells the leader what the shard in hand counts.
+    fn send_counts(&self, context: &mut Context) {
+        let shard_counts = self.shard_counts(context);
+        if context.leadership.is_some() {
+            return context.on_shard_counts(shard_counts);
+        }
+        let leader = context
+            .mirror
+            .leader
+            .record
+            .as_ref()
+            .map(|l| l.controller_id.clone());
+        if leader.is_some() {
+            let message = Message::ShardCounts(Box::new(shard_counts));
+            context.out.push(Output::Peer(leader, message));
+        }
+    }
+
+    fn shard_counts(&self, context: &Context) -> ShardCounts {
+        let catalog = &context.catalog;
+        let closed = context.mirror.closed();
+        let named = |class: usize| catalog.get(class).map(|c| c.name.clone());
+        let pools = self
+            .counts(catalog, &context.settings, closed, context.now)
+            .into_iter();
+        let pools = pools.filter_map(|((class, spot), c)| Some((named(class)?, spot, c)));
+        let mut zones: BTreeMap<(String, bool, String), u32> = BTreeMap::new();
+        let mut empty = Vec::new();
+        for (id, m) in self.machines.iter() {
+            let key = (m.type_name.to_string(), m.spot, m.zone.to_string());
+            *zones.entry(key).or_default() += 1;
+            if m.ready_since.is_some() && m.tasks.is_empty() && m.decommission_at.is_none() {
+                let name = m.type_name.to_string();
+                empty.push((m.images.len(), (name, m.spot, id.clone())));
+            }
+        }
+        let pins = self.pins(catalog, closed).into_iter();
+        let pins = pins.filter_map(|((pool, zone), n)| Some((named(pool.0)?, pool.1, zone, n)));
+        // Those with the fewest images are missed least.
+        empty.sort();
+        let empty = empty.into_iter().map(|(_, e)| e).take(NAMES_MAX);
+        let zones = zones.into_iter().map(|((c, s, z), n)| (c, s, z, n));
+        ShardCounts {
+            from: context.settings.platform.controller_id.clone(),
+            shard: self.shard,
+            token: self.token,
+            revision: self.shard_revision,
+            pools: pools.collect(),
+            zones: zones.collect(),
+            pins: pins.collect(),
+            empty: empty.collect(),
+            gone: self.gone.keys().rev().take(NAMES_MAX).cloned().collect(),
+            teams: self.team_counts(),
+        }
+    }
+}
+
 /// Shares one team's limit among the shards. `turn` is the shard whose turn it is.
 fn share_limit(
     records: &mut BTreeMap<u32, ShardRecord>,
--- a/src/controller/store/staleness.rs
+++ b/src/controller/store/staleness.rs
@@ -1,11 +1,23 @@
 //! How fresh the knowledge of the store is: reads of the present revision, and whether
 //! a controller is stale.
 
+use crate::controller::context::Context;
+use crate::controller::context::RETRY_S;
+use crate::controller::context::STALENESS_BOUND_S;
 use crate::controller::rate_limits::token_bucket::Priority;
-use crate::controller::{Controller, RETRY_S, RequestPurpose, STALENESS_BOUND_S};
+use crate::controller::store::requests::RequestPurpose;
 use crate::ids::CallId;
+use crate::ids::Time;
 use crate::wire::{StoreRequest, StoreResponse};
 
+/// A read whose answer named a revision.
+pub(crate) struct RevisionRead {
+    pub(crate) call: CallId,
+    pub(crate) sent: Time,
+    pub(crate) revision: u64,
+    pub(crate) answered: Time,
+}
+
 /// Shortest pause between two reads of the present revision, and the share of its requests
 /// that a controller reads it with for users who ask. With that and the watch's share, some
 /// are left for submissions and cancellations however often users ask.
@@ -14,7 +26,7 @@
 /// A controller reads the present revision at least this often.
 const REVISION_READ_INTERVAL_S: f64 = 1.0;
 
-impl Controller {
+impl Context {
     /// Asks for the present revision when somebody waits for it, or when it was
     /// last read too long ago.
     pub(crate) fn read_revision(&mut self) {
