--- a/src/controller/store/watch.rs
+++ b/src/controller/store/watch.rs
@@ -128,7 +128,7 @@
                 Event::JobGone(id) => {
                     let mut owned = self.shards.values_mut();
                     if let Some(shard) = owned.find(|shard| shard.jobs.contains_key(&id)) {
-                        shard.on_job_removed(&mut self.context, &id);
+                        shard.on_job_removed(&self.context, &id);
                     }
                 }
                 Event::Control => control = true,
