--- a/src/controller/api/cancellations.rs
+++ b/src/controller/api/cancellations.rs
@@ -5,7 +5,7 @@
 use crate::controller::context::Context;
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::store::records::{Key, Record};
-use crate::controller::store::requests::RequestPurpose;
+use crate::controller::store_requests::RequestPurpose;
 use crate::ids::{JobId, MachineId, RequestId};
 use crate::wire::{StoreRequest, StoreResponse, Write};
 use log::info;
@@ -33,7 +33,7 @@
 impl Context {
     pub(crate) fn write_cancellations(&mut self) {
         while let Some(q) = self.api.cancellations.pop_front() {
-            let Some(job) = self.mirror.jobs.get(&q.id) else {
+            let Some(job) = self.store.mirror.jobs.get(&q.id) else {
                 self.api.unknown.push_back(q);
                 continue;
             };
@@ -79,9 +79,9 @@
     /// is proven gone: then nothing that fails later can let one run on past the bound.
     pub(crate) fn answer_cancelled(&mut self) {
         for q in std::mem::take(&mut self.api.leaving) {
-            match self.mirror.ending(&q.id) {
+            match self.store.mirror.ending(&q.id) {
                 Some(ending) => self.answer_ending(q.request_id, &q.id, ending),
-                None if self.mirror.jobs.contains_key(&q.id) => self.api.leaving.push_back(q),
+                None if self.store.mirror.jobs.contains_key(&q.id) => self.api.leaving.push_back(q),
                 None => self.api.unknown.push_back(q),
             }
         }
@@ -90,13 +90,13 @@
     /// Whether nobody is there to confirm that a job's tasks are gone, or one of them is
     /// on a machine that doesn't heartbeat.
     fn departs_late(&self, id: &JobId, overdue: &BTreeSet<MachineId>) -> bool {
-        let job = self.mirror.jobs.get(id);
-        let shard = job.and_then(|j| self.mirror.shards.get(&j.record.shard));
+        let job = self.store.mirror.jobs.get(id);
+        let shard = job.and_then(|j| self.store.mirror.shards.get(&j.record.shard));
         let Some(owner) = shard.and_then(|b| b.record.as_ref()).map(|b| &b.owner) else {
             return false;
         };
         let here = *owner == self.settings.platform.controller_id;
-        let runs = job.map(|j| self.mirror.effective_placements(id, &j.record).0);
+        let runs = job.map(|j| self.store.mirror.effective_placements(id, &j.record).0);
         let mut placed = runs.iter().flatten().flat_map(|(_, _, run)| &run.placed);
         !(here || self.heartbeat_fresh(owner))
             || placed.any(|(_, _, machine, _)| overdue.contains(machine))
--- a/src/controller/api/mod.rs
+++ b/src/controller/api/mod.rs
@@ -10,6 +10,7 @@
 use crate::controller::Controller;
 use crate::controller::context::Context;
 use crate::controller::events::{Reply, Request};
+use crate::controller::store::RevisionDemand;
 use crate::controller::store::records::{Ending, JobRecord};
 use crate::ids::{CallId, JobId, RequestId, Time};
 use std::collections::VecDeque;
@@ -96,14 +97,12 @@
         self.delayed_endings.iter().map(|(at, ..)| *at).min()
     }
 
-    /// The last call sent before the newest request that isn't a mere question, if any came.
-    pub(crate) fn newest_urgent(&self) -> Option<CallId> {
-        self.urgent
-    }
-
-    /// The last call sent before the newest question was asked.
-    pub(crate) fn newest_status_query(&self) -> Option<CallId> {
-        self.status_queries.back().map(|q| q.after)
+    /// The requests that wait for a read of the store's revision sent after them.
+    pub(crate) fn revision_demand(&self) -> RevisionDemand {
+        RevisionDemand {
+            status_query: self.status_queries.back().map(|query| query.after),
+            urgent: self.urgent,
+        }
     }
 }
 
@@ -180,7 +179,7 @@
         let alone = self.isolated_from_store() || self.peers_unreachable();
         let reply = if self.shutting_down() {
             Reply::later(503, 1, ABOUT_TO_END)
-        } else if self.is_stale() && (!self.initial_list_done || alone) {
+        } else if self.is_stale() && (!self.store.initial_list_done() || alone) {
             Reply::later(503, 1, "the state service doesn't answer")
         } else {
             Reply::ok(200, Vec::new())
--- a/src/controller/api/status_queries.rs
+++ b/src/controller/api/status_queries.rs
@@ -8,7 +8,7 @@
 use crate::controller::events::Reply;
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::store::records::{Ending, Key};
-use crate::controller::store::requests::RequestPurpose;
+use crate::controller::store_requests::RequestPurpose;
 use crate::ids::{JobId, RequestId, Time};
 use crate::wire::{JobStatus, StoreRequest, StoreResponse, error_body, job_status_body};
 use std::collections::VecDeque;
@@ -21,7 +21,7 @@
 
 impl Context {
     pub(crate) fn on_status_query(&mut self, request_id: RequestId, id: JobId, intent: Intent) {
-        if let Some(ending) = self.mirror.ending(&id) {
+        if let Some(ending) = self.store.mirror.ending(&id) {
             return self.answer_ending(request_id, &id, ending);
         }
         if self.is_stale() || self.api.status_queries.len() >= self.waiting_max() {
@@ -85,7 +85,7 @@
     /// Answers what the latest fresh read allows. Questions stand in order of time.
     pub(crate) fn answer_status_queries(&mut self) {
         while let Some(q) = self.api.status_queries.front() {
-            if q.after >= self.linearized_call {
+            if q.after >= self.store.linearized_call() {
                 break;
             }
             if let Some(q) = self.api.status_queries.pop_front() {
@@ -96,11 +96,11 @@
 
     /// Whether what is known here is what stood at the store just now.
     pub(crate) fn present(&self) -> bool {
-        self.now.since(self.changes_known_at) <= PRESENT_S
+        self.now.since(self.store.changes_known_at()) <= PRESENT_S
     }
 
     fn answer_status_query(&mut self, q: StatusQuery) {
-        if let Some(ending) = self.mirror.ending(&q.id) {
+        if let Some(ending) = self.store.mirror.ending(&q.id) {
             return self.answer_ending(q.request_id, &q.id, ending);
         }
         if !self.present() {
@@ -111,11 +111,11 @@
                 .push_back(StatusQuery { after, ..q });
             return;
         }
-        let Some(job) = self.mirror.jobs.get(&q.id) else {
+        let Some(job) = self.store.mirror.jobs.get(&q.id) else {
             self.api.unknown.push_back(q);
             return;
         };
-        if self.mirror.is_cancelled_by_dependency(&q.id) {
+        if self.store.mirror.is_cancelled_by_dependency(&q.id) {
             // It has no task, and ends as soon as its owner has written so. Called queued for
             // much longer, it would be taken for one that was left behind.
             return self.api.leaving.push_back(q);
@@ -127,7 +127,7 @@
             }
             return;
         }
-        if self.mirror.may_be_cancelled(&q.id) {
+        if self.store.mirror.may_be_cancelled(&q.id) {
             // Somebody may have been told so of a job that it needs.
             let after = self.last_call();
             return self
@@ -135,7 +135,7 @@
                 .status_queries
                 .push_back(StatusQuery { after, ..q });
         }
-        let (done, running) = self.mirror.counts(&q.id);
+        let (done, running) = self.store.mirror.counts(&q.id);
         let status = if running > 0 {
             JobStatus::Running
         } else {
@@ -163,7 +163,7 @@
         }
         match (reply, &q.intent) {
             // It came while the read was under way.
-            (StoreResponse::Missing { .. }, _) if self.mirror.jobs.contains_key(&q.id) => {
+            (StoreResponse::Missing { .. }, _) if self.store.mirror.jobs.contains_key(&q.id) => {
                 let after = self.last_call();
                 self.api
                     .status_queries
--- a/src/controller/api/submissions.rs
+++ b/src/controller/api/submissions.rs
@@ -8,7 +8,7 @@
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::store::chunks::chunk_size;
 use crate::controller::store::records::{JobKind, JobRecord, Key, Record, json_bytes};
-use crate::controller::store::requests::RequestPurpose;
+use crate::controller::store_requests::RequestPurpose;
 use crate::ids::{JobId, RequestId, Time};
 use crate::wire::{
     BadBody, JobStatus, StoreRequest, StoreResponse, Write, error_body, job_status_body,
@@ -33,7 +33,7 @@
     }
 
     pub(crate) fn on_submit(&mut self, request_id: RequestId, id: JobId, mut record: JobRecord) {
-        if self.mirror.accepted(&id) {
+        if self.store.mirror.accepted(&id) {
             return self.on_status_query(request_id, id, Intent::Again);
         }
         if self.is_stale() {
@@ -113,7 +113,7 @@
     /// Takes a submission whose needed jobs are all known to be accepted, and looks the others up.
     fn check_needs(&mut self, submission: Submission) {
         let needs = &submission.record.needs;
-        let mut job_state = needs.iter().filter_map(|n| self.mirror.jobs.get(n));
+        let mut job_state = needs.iter().filter_map(|n| self.store.mirror.jobs.get(n));
         let why = if needs.contains(&submission.id) {
             Some("a job can't need itself")
         } else if job_state.any(|j| j.record.kind == JobKind::Service) {
@@ -125,7 +125,7 @@
             let refuse = Intent::Refuse(422, why.into());
             return self.on_status_query(submission.request_id, submission.id, refuse);
         }
-        if needs.iter().all(|need| self.mirror.accepted(need)) {
+        if needs.iter().all(|need| self.store.mirror.accepted(need)) {
             return self.api.submissions.push_back(submission);
         }
         let after = self.last_call();
@@ -139,7 +139,7 @@
     /// Goes on with submissions whose needed jobs are known by now, or of which an end has to be
     /// read.
     pub(crate) fn check_named_dependencies(&mut self) {
-        let fresh = self.linearized_call;
+        let fresh = self.store.linearized_call();
         for awaiting_dependencies in std::mem::take(&mut self.api.awaiting_dependencies) {
             if awaiting_dependencies.after >= fresh {
                 self.api
@@ -150,7 +150,7 @@
             let needs = &awaiting_dependencies.submission.record.needs;
             let Some(need) = needs
                 .iter()
-                .find(|need| !self.mirror.accepted(need))
+                .find(|need| !self.store.mirror.accepted(need))
                 .cloned()
             else {
                 self.check_needs(awaiting_dependencies.submission);
@@ -184,7 +184,7 @@
                 .api
                 .awaiting_dependencies
                 .push_back(awaiting_dependencies),
-            StoreResponse::Missing { .. } if self.mirror.accepted(&need) => {
+            StoreResponse::Missing { .. } if self.store.mirror.accepted(&need) => {
                 self.api
                     .awaiting_dependencies
                     .push_back(awaiting_dependencies);
@@ -246,7 +246,7 @@
                 }
                 // It is accepted, and cancelled with a job that it needs.
                 StoreResponse::Committed { .. }
-                    if self.mirror.needs(&s.record) == DependencyState::Cancelled =>
+                    if self.store.mirror.needs(&s.record) == DependencyState::Cancelled =>
                 {
                     info!("job {} accepted, and cancelled with one it needs", s.id);
                     self.on_status_query(s.request_id, s.id, Intent::Again);
--- a/src/controller/autoscaling/machines.rs
+++ b/src/controller/autoscaling/machines.rs
@@ -54,7 +54,7 @@
 
     /// Returns the machines that the leader's plan names, if they are still empty.
     pub(crate) fn apply_scale_in(&mut self) {
-        let revision = self.context.mirror.plan.revision;
+        let revision = self.context.store.mirror.plan.revision;
         if revision == self.context.plan_seen {
             return;
         }
@@ -62,6 +62,7 @@
         let now = self.context.now;
         let scale_in = self
             .context
+            .store
             .mirror
             .plan
             .record
--- a/src/controller/autoscaling/mod.rs
+++ b/src/controller/autoscaling/mod.rs
@@ -13,7 +13,6 @@
 
 use crate::controller::Controller;
 use crate::controller::context::Context;
-use crate::controller::events::Output;
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::ids::{CallId, MachineId};
 use crate::wire::{CloudOp, CloudReply, Listed};
@@ -118,9 +117,8 @@
             return false;
         }
         self.cloud_rate_limit.take(1.0);
-        let id = self.call_id();
-        self.cloud_calls.insert(id, purpose);
-        self.out.push(Output::Cloud(id, op));
+        let call = self.outbox.call_cloud(op);
+        self.cloud_calls.insert(call, purpose);
         true
     }
 }
--- a/src/controller/autoscaling/plan.rs
+++ b/src/controller/autoscaling/plan.rs
@@ -7,7 +7,7 @@
 use crate::controller::store::records::{
     ExhaustedPool, Key, Record, ScaleOutRecord, ScalingPlanRecord, json_bytes,
 };
-use crate::controller::store::requests::RequestPurpose;
+use crate::controller::store_requests::RequestPurpose;
 use crate::ids::{MachineId, Time};
 use crate::wire::{StoreRequest, StoreResponse, Write};
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -39,7 +39,7 @@
     /// names, and lists: it rents only once it knows what is there.
     pub(crate) fn rebuild_scaling_state(&mut self) {
         let now = self.now;
-        let plan = self.mirror.plan.record.clone().unwrap_or_default();
+        let plan = self.store.mirror.plan.record.clone().unwrap_or_default();
         let Some(leadership) = &mut self.leadership else {
             return;
         };
@@ -58,7 +58,7 @@
         let lag = self.settings.platform.facts.cloud.list_lag_s;
         let now = self.now;
         let shares = self.job_shares();
-        let preconditions = vec![(Key::Leader, self.mirror.leader.version())];
+        let preconditions = vec![(Key::Leader, self.store.mirror.leader.version())];
         let Some(leadership) = &mut self.leadership else {
             return;
         };
--- a/src/controller/autoscaling/reconcile.rs
+++ b/src/controller/autoscaling/reconcile.rs
@@ -31,7 +31,7 @@
             .scale_out_requests
             .iter()
             .any(|request| request.step != ScaleOutStep::Answered);
-        let shards = self.context.mirror.shards.len();
+        let shards = self.context.store.mirror.shards.len();
         if s.ready.is_none() && s.listed && !unanswered && leadership.shard_counts.len() >= shards {
             s.ready = Some(now);
             s.reconcile_at = now;
--- a/src/controller/context.rs
+++ b/src/controller/context.rs
@@ -6,40 +6,33 @@
 use crate::controller::api::Api;
 use crate::controller::autoscaling::CloudPurpose;
 use crate::controller::dependencies::resolution::DependencyReads;
-use crate::controller::events::Output;
 use crate::controller::forwarding::Forwarding;
 use crate::controller::leadership::election::Election;
 use crate::controller::leadership::shutdown::{LeaseRevocation, Shutdown};
 use crate::controller::leadership::standby::{HintSender, new_standby};
+use crate::controller::outbox::Outbox;
 use crate::controller::processor::ProcessorUtilization;
 use crate::controller::quota::cells::CellSharing;
 use crate::controller::quota::team_limits::TeamLimits;
 use crate::controller::rate_limits::token_bucket::TokenBucket;
-use crate::controller::rate_limits::write_rate::WriteRateMeter;
 use crate::controller::shards::leases::Leadership;
-use crate::controller::store::mirror::StoreMirror;
-use crate::controller::store::requests::PendingRequest;
-use crate::controller::store::staleness::RevisionRead;
-use crate::controller::store::watch::WatchState;
+use crate::controller::store::StoreClient;
+use crate::controller::store_requests::RequestPurpose;
 use crate::ids::{CallId, ControllerId, FencingToken, Time};
 use crate::peer::PeerHeartbeat;
 use crate::settings::Settings;
 use crate::wire::{Listed, MachineType};
 use salttrestle_standby::Standby;
-use std::collections::{BTreeMap, HashMap, VecDeque};
+use std::collections::{BTreeMap, HashMap};
 /// Heartbeats that are handed on and answers that needn't go out at once wait for a whole multiple
 /// of this, so that one turn and one packet carry several of them.
 pub(crate) const BATCH_MS: u64 = HOUSEKEEPING_MS / 2;
-/// A controller without a fresh read for this long starts nothing and takes nothing.
-pub(crate) const STALENESS_BOUND_S: f64 = 2.5;
 /// A controller has heard workers lately if one reported within this time.
 pub(crate) const RECENT_S: f64 = 3.0;
 /// Margin for the time a message takes and for late timers.
 pub(crate) const MARGIN_S: f64 = 2.0;
 /// Steady clocks drift apart by at most this share.
 pub(crate) const CLOCK_DRIFT: f64 = 0.001;
-/// Pause before a refused or failed list or follow is tried again.
-pub(crate) const RETRY_S: f64 = 0.3;
 
 /// The state of a controller outside the shards that it owns.
 pub(crate) struct Context {
@@ -48,34 +41,14 @@
     pub(crate) now: Time,
     /// When this process took its first input.
     pub(crate) began: Option<Time>,
-    pub(crate) out: Vec<Output>,
-    pub(crate) next_call: u64,
-    pub(crate) pending_requests: HashMap<CallId, PendingRequest>,
+    /// What the present step sends.
+    pub(crate) outbox: Outbox,
+    pub(crate) store: StoreClient<RequestPurpose>,
     pub(crate) cloud_calls: HashMap<CallId, CloudPurpose>,
-    pub(crate) requests: TokenBucket,
-    pub(crate) changes: TokenBucket,
-    pub(crate) write_rate: WriteRateMeter,
     pub(crate) cloud_rate_limit: TokenBucket,
-    pub(crate) mirror: StoreMirror,
-    pub(crate) watch: WatchState,
-    pub(crate) initial_list_done: bool,
-    /// When the latest read was sent whose revision is known here: whatever stood
-    /// at the store then is known.
-    pub(crate) linearized_at: Time,
-    /// When the latest read or follow was sent whose changes are known here.
-    pub(crate) changes_known_at: Time,
-    /// The latest such read itself.
-    pub(crate) linearized_call: CallId,
-    pub(crate) revision_read_sent: Option<Time>,
-    pub(crate) revision_read_last: Time,
-    /// The latest read that was sent to learn the present revision.
-    pub(crate) revision_read_call: CallId,
-    /// Reads that were answered, while the watch hasn't come as far yet.
-    pub(crate) revision_reads: VecDeque<RevisionRead>,
     pub(crate) dependency_reads: DependencyReads,
     pub(crate) team_limits: TeamLimits,
     pub(crate) cells: CellSharing,
-    pub(crate) store_heard_at: Time,
     pub(crate) api: Api,
     pub(crate) election: Election,
     /// The number under which each shard was last held and given up.
@@ -105,9 +78,6 @@
     /// When a worker last reported here.
     pub(crate) last_worker_heartbeat: Time,
     pub(crate) housekeeping_at: Time,
-    /// Whether the store has refused a value for its size: the limits that were
-    /// announced are in force.
-    pub(crate) values_shrunk: bool,
     /// Machines looked at to place tasks, in all, and tasks placed.
     pub(crate) machines_scanned: u64,
     pub(crate) placed: u64,
@@ -122,32 +92,17 @@
         let cloud_rate_limit = TokenBucket::new(cloud, cloud * 1.5);
         let standby = new_standby(&settings, incarnation);
         Self {
-            requests: TokenBucket::new(1.0, 1.0),
-            changes: TokenBucket::new(1.0, 1.0),
-            write_rate: WriteRateMeter::default(),
             cloud_rate_limit,
             settings,
             incarnation,
             now: Time(0),
             began: None,
-            out: Vec::new(),
-            next_call: 0,
-            pending_requests: HashMap::new(),
+            outbox: Outbox::default(),
+            store: StoreClient::default(),
             cloud_calls: HashMap::new(),
-            mirror: StoreMirror::default(),
-            watch: WatchState::Idle { retry_at: Time(0) },
-            initial_list_done: false,
-            linearized_at: Time(0),
-            changes_known_at: Time(0),
-            linearized_call: CallId(0),
-            revision_read_sent: None,
-            revision_read_last: Time(0),
-            revision_read_call: CallId(0),
-            revision_reads: VecDeque::new(),
             dependency_reads: DependencyReads::default(),
             team_limits: TeamLimits::default(),
             cells: CellSharing::default(),
-            store_heard_at: Time(0),
             api: Api::default(),
             election: Election::default(),
             released_tokens: BTreeMap::new(),
@@ -170,7 +125,6 @@
             plan_seen: 0,
             last_worker_heartbeat: Time(0),
             housekeeping_at: Time(0),
-            values_shrunk: false,
             machines_scanned: 0,
             placed: 0,
         }
--- a/src/controller/dependencies/resolution.rs
+++ b/src/controller/dependencies/resolution.rs
@@ -5,7 +5,7 @@
 use crate::controller::context::Context;
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::store::records::{Ending, Key, Record};
-use crate::controller::store::requests::RequestPurpose;
+use crate::controller::store_requests::RequestPurpose;
 use crate::ids::{JobId, Time};
 use crate::wire::{StoreRequest, StoreResponse};
 use std::collections::BTreeSet;
@@ -28,8 +28,8 @@
 impl Controller {
     /// Tells the owners of jobs what changed for these through others.
     pub(crate) fn on_affected(&mut self) {
-        for id in self.context.mirror.take_affected() {
-            let job = self.context.mirror.jobs.get(&id);
+        for id in self.context.store.mirror.take_affected() {
+            let job = self.context.store.mirror.jobs.get(&id);
             let owned = job.and_then(|job| self.shards.get_mut(&job.record.shard));
             if let Some(shard) = owned {
                 shard.on_dependencies_changed(&mut self.context, &id);
@@ -41,10 +41,10 @@
 impl Context {
     /// Reads the ends of needed jobs of which nothing is known here.
     pub(crate) fn read_dependencies(&mut self) {
-        if !self.initial_list_done || self.now < self.dependency_reads.not_before {
+        if !self.store.initial_list_done() || self.now < self.dependency_reads.not_before {
             return;
         }
-        let unread = self.mirror.unread_dependencies().iter();
+        let unread = self.store.mirror.unread_dependencies().iter();
         let reading = &self.dependency_reads.reading;
         let resources = READS_MOST.saturating_sub(reading.len());
         let next = unread.filter(|id| !reading.contains(*id)).take(resources);
@@ -78,7 +78,7 @@
         else {
             return None;
         };
-        self.mirror.remember(self.now, id.clone(), *ending);
+        self.store.mirror.remember(self.now, id.clone(), *ending);
         Some(*ending)
     }
 }
--- a/src/controller/forwarding.rs
+++ b/src/controller/forwarding.rs
@@ -240,6 +240,7 @@
     /// elsewhere later.
     fn unanswered(&self, id: &MachineId, report: &WorkerHeartbeat) -> bool {
         let mut records = self
+            .store
             .mirror
             .shards
             .values()
@@ -333,7 +334,7 @@
         self.forwarding.batched_until = None;
         for (to, report) in std::mem::take(&mut self.forwarding.batched) {
             let message = Message::ForwardedHeartbeat(report);
-            self.out.push(Output::Peer(Some(to), message));
+            self.outbox.send_to_peer(Some(to), message);
         }
     }
 
@@ -346,7 +347,7 @@
         let id = MachineId::from(ownerless.report.machine.as_str());
         let known = self.owner_for(&ownerless).is_some();
         let waited = self.now.since(ownerless.since) >= OWNERLESS_MAX_S;
-        let starting = !self.initial_list_done;
+        let starting = !self.store.initial_list_done();
         let sockets = self.settings.platform.facts.resources.max_sockets;
         let full = self.forwarding.ownerless.len() >= sockets;
         // An owner that takes over says so here only if somebody is heard here: a worker whose
@@ -377,7 +378,7 @@
             return None;
         }
         let is_stale = self.is_stale();
-        let records = self.mirror.shards.values();
+        let records = self.store.mirror.shards.values();
         let mut records = records.filter_map(|b| b.record.as_ref());
         let record = records.find(|b| b.has(&id));
         if record.is_some_and(|b| self.refuses_connections(&b.owner)) {
@@ -391,9 +392,9 @@
         // A job that isn't known here may be newer than what is: only one whose end is known is
         // over. Tasks that the owner had started just before it ended were stopped here, since the
         // follow hadn't brought their jobs yet, and started again by its successor.
-        let over = |task: &TaskId| match self.mirror.jobs.get(&task.job) {
+        let over = |task: &TaskId| match self.store.mirror.jobs.get(&task.job) {
             Some(job) => job.cancelled.is_some(),
-            None => self.mirror.ending(&task.job).is_some(),
+            None => self.store.mirror.ending(&task.job).is_some(),
         };
         let halts = report.tasks.iter().filter_map(|t| {
             let task = TaskId::parse(&t.task)?;
@@ -448,7 +449,7 @@
 
     pub(crate) fn answer(&mut self, request_id: RequestId, reply: Reply) {
         let Some(guest) = self.forwarding.guests.remove(&request_id) else {
-            return self.out.push(Output::Answer(request_id, reply));
+            return self.outbox.push(Output::Answer(request_id, reply));
         };
         let answer = ForwardedResponse {
             incarnation: guest.incarnation,
@@ -458,7 +459,7 @@
             retry_after: reply.retry_after,
         };
         let message = Message::ForwardedResponse(answer);
-        self.out.push(Output::Peer(Some(guest.from), message));
+        self.outbox.send_to_peer(Some(guest.from), message);
     }
 
     pub(crate) fn forget_report(&mut self, request_id: RequestId) {
--- a/src/controller/leadership/election.rs
+++ b/src/controller/leadership/election.rs
@@ -10,7 +10,6 @@
 use crate::controller::Controller;
 use crate::controller::context::CLOCK_DRIFT;
 use crate::controller::context::Context;
-use crate::controller::context::STALENESS_BOUND_S;
 use crate::controller::events::Reply;
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::shard::ShardOwner;
@@ -18,7 +17,8 @@
 use crate::controller::store::records::{
     FencingTokenRecord, Key, LeaderRecord, Record, ShardRecord,
 };
-use crate::controller::store::requests::RequestPurpose;
+use crate::controller::store::staleness::STALENESS_BOUND_S;
+use crate::controller::store_requests::RequestPurpose;
 use crate::ids::{FencingToken, Time};
 use crate::wire::{StoreRequest, StoreResponse, Write, commands_body};
 use log::{info, warn};
@@ -81,7 +81,7 @@
         self.context.tell_standby_of_leader();
         let me = &self.context.settings.platform.controller_id;
         let may_run_tasks = self.context.now >= self.context.election.not_before;
-        let leader = self.context.mirror.leader.record.as_ref();
+        let leader = self.context.store.mirror.leader.record.as_ref();
         let is_leader = leader
             .is_some_and(|l| l.controller_id == *me && l.incarnation == self.context.incarnation);
         if is_leader && self.context.leadership.is_none() && may_run_tasks {
@@ -94,6 +94,7 @@
         }
         let shards: Vec<(u32, Mirrored<ShardRecord>)> = self
             .context
+            .store
             .mirror
             .shards
             .iter()
@@ -238,7 +239,7 @@
 
     /// From when a leader that has just been elected may call the cloud.
     pub(crate) fn cloud_from(&self, token: FencingToken) -> Time {
-        let record = self.mirror.token.record.as_ref();
+        let record = self.store.mirror.token.record.as_ref();
         let fence = record.and_then(|n| n.fence).filter(|f| f.token == token.0);
         match fence {
             None => self.now,
@@ -274,7 +275,12 @@
         // Our own name under another boot is an earlier process of ours: gone.
         let is_leader =
             |l: &LeaderRecord| l.controller_id != *me || l.incarnation == self.incarnation;
-        self.mirror.leader.record.as_ref().is_some_and(is_leader)
+        self.store
+            .mirror
+            .leader
+            .record
+            .as_ref()
+            .is_some_and(is_leader)
     }
 
     /// Whether the leader's record may be written: there is none, or its leader is lost.
@@ -287,7 +293,8 @@
             self.election.vacant_since = None;
             return self.prepare_candidacy();
         }
-        if self.now < self.election.not_before || self.mirror.revision < self.election.won_revision
+        if self.now < self.election.not_before
+            || self.store.mirror.revision < self.election.won_revision
         {
             return;
         }
@@ -306,7 +313,13 @@
     /// those that weren't.
     fn candidates_before(&self) -> usize {
         let me = &self.settings.platform.controller_id;
-        let lost = self.mirror.leader.record.as_ref().map(|l| &l.controller_id);
+        let lost = self
+            .store
+            .mirror
+            .leader
+            .record
+            .as_ref()
+            .map(|l| &l.controller_id);
         let heard = self.recent_heartbeats().map(|h| &h.from);
         heard.filter(|m| *m < me && Some(*m) != lost).count()
     }
@@ -367,22 +380,34 @@
     /// What the records say of earlier leaders. The commit is conditional on the records of the
     /// leader and of the highest number; an older plan only makes the wait longer.
     fn predecessors(&self) -> Predecessors {
-        let leader = self.mirror.leader.record.as_ref();
+        let leader = self.store.mirror.leader.record.as_ref();
         let replaced = leader.filter(|_| self.has_leader());
         Predecessors {
             replaced_grant_ms: replaced.and_then(|l| l.fenced_ms),
-            fence: self.mirror.token.record.as_ref().and_then(|n| n.fence),
-            plan_token: self.mirror.plan.record.as_ref().map_or(0, |p| p.token.0),
+            fence: self
+                .store
+                .mirror
+                .token
+                .record
+                .as_ref()
+                .and_then(|n| n.fence),
+            plan_token: self
+                .store
+                .mirror
+                .plan
+                .record
+                .as_ref()
+                .map_or(0, |p| p.token.0),
         }
     }
 
     fn commit_leadership(&mut self, lease_id: u64) {
         // The leadership's own number comes first: scale-out requests are named after it.
-        let token = FencingToken(self.mirror.highest().0 + 1);
+        let token = FencingToken(self.store.mirror.highest().0 + 1);
         let mut highest = token;
         let mut preconditions = vec![
-            (Key::Leader, self.mirror.leader.version()),
-            (Key::FencingToken, self.mirror.token.version()),
+            (Key::Leader, self.store.mirror.leader.version()),
+            (Key::FencingToken, self.store.mirror.token.version()),
         ];
         let mut writes = Vec::new();
         // Two changes are kept for the leader's and the number's records.
@@ -430,19 +455,19 @@
         self.election.vacant_since = None;
         if let StoreResponse::Committed { revision } = reply {
             self.election.won_revision = revision;
-            self.watch_at_once();
+            self.store.end_pause(self.now, &mut self.outbox);
         }
     }
 
     /// Whether this controller has won, and only the watch doesn't show it yet.
     pub(crate) fn has_won(&self) -> bool {
-        self.mirror.revision < self.election.won_revision
+        self.store.mirror.revision < self.election.won_revision
     }
 
     /// Takes the lease that the leader's record names. A later attempt's lease stood in its
     /// place: the one that counted ran out unrenewed, and with it the leadership, after 3 s.
     fn adopt_lease(&mut self) {
-        let record = self.mirror.leader.record.as_ref();
+        let record = self.store.mirror.leader.record.as_ref();
         let named = record.map_or(0, |l| l.lease_id);
         let mut leases = self.election.leases.drain(..);
         let found = leases.find(|lease| lease.lease_id == named);
--- a/src/controller/leadership/shutdown.rs
+++ b/src/controller/leadership/shutdown.rs
@@ -5,8 +5,7 @@
 use crate::controller::autoscaling::CloudPurpose;
 use crate::controller::context::Context;
 use crate::controller::rate_limits::token_bucket::Priority;
-use crate::controller::store::requests::PendingRequest;
-use crate::controller::store::requests::RequestPurpose;
+use crate::controller::store_requests::RequestPurpose;
 use crate::ids::Time;
 use crate::wire::StoreRequest;
 use log::info;
@@ -67,10 +66,9 @@
 
     pub(crate) fn shutdown_housekeeping(&mut self) {
         self.release_lease();
-        let releasing =
-            self.lease_revocation.is_some() || self.pending_requests.values().any(is_release);
+        let releasing = self.lease_revocation.is_some() || self.store.is_pending(is_revocation);
         let me = &self.settings.platform.controller_id;
-        let leader = self.mirror.leader.record.as_ref();
+        let leader = self.store.mirror.leader.record.as_ref();
         let led_by_another = leader.is_some_and(|l| l.controller_id != *me);
         let alone = self.settings.platform.peers.is_empty();
         let (now, idle) = (self.now, !releasing && (led_by_another || alone));
@@ -106,7 +104,7 @@
         }
     }
 }
-
-fn is_release(call: &PendingRequest) -> bool {
-    matches!(call.purpose, RequestPurpose::RevokeLease)
+/// Whether a request gives the leader's lease up.
+fn is_revocation(purpose: &RequestPurpose) -> bool {
+    matches!(purpose, RequestPurpose::RevokeLease)
 }
--- a/src/controller/leadership/standby.rs
+++ b/src/controller/leadership/standby.rs
@@ -4,7 +4,6 @@
 use crate::controller::Controller;
 use crate::controller::autoscaling::Pool;
 use crate::controller::context::Context;
-use crate::controller::events::Output;
 use crate::controller::shard::ShardOwner;
 use crate::controller::shard::burst_estimate::BurstEstimate;
 use crate::ids::{Image, MachineId, Time};
@@ -79,7 +78,7 @@
         if let Some(heartbeat) = self.context.standby.tick(self.context.now.0) {
             let message = StandbyMessage::Heartbeat(heartbeat);
             let message = Message::Standby(Box::new(message));
-            self.context.out.push(Output::Peer(None, message));
+            self.context.outbox.send_to_peer(None, message);
         }
         if before.is_some() != self.context.leader_suspected {
             self.context.leader_suspected = before.is_some();
@@ -123,7 +122,7 @@
             machines,
         };
         let message = Message::Standby(Box::new(StandbyMessage::Hints(hints)));
-        self.context.out.push(Output::Peer(None, message));
+        self.context.outbox.send_to_peer(None, message);
     }
 }
 
@@ -141,12 +140,12 @@
     /// each owner calls the cloud for its own machines without leading: there the lease is
     /// waited for.
     pub(crate) fn may_replace_leader(&self) -> bool {
-        self.mirror.shards.len() <= 1 && self.standby.may_replace(self.now.0).is_ok()
+        self.store.mirror.shards.len() <= 1 && self.standby.may_replace(self.now.0).is_ok()
     }
 
     /// The leader's record may have changed.
     pub(crate) fn tell_standby_of_leader(&mut self) {
-        let term = self.mirror.leader.record.as_ref().map(|leader| Term {
+        let term = self.store.mirror.leader.record.as_ref().map(|leader| Term {
             leader: leader.controller_id.to_string(),
             incarnation: leader.incarnation,
             token: leader.token.0,
--- a/src/controller/machines/liveness.rs
+++ b/src/controller/machines/liveness.rs
@@ -68,7 +68,7 @@
     pub(crate) fn check_leases(&mut self, context: &Context) {
         let lease =
             context.settings.platform.facts.workers.lease_s * (1.0 + CLOCK_DRIFT) + MARGIN_S;
-        let (now, fresh) = (context.now, context.linearized_at);
+        let (now, fresh) = (context.now, context.store.linearized_at());
         let mut lost = Vec::new();
         for (id, m) in self.machines.iter() {
             let over = m.last_acknowledged.after(lease);
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -12,6 +12,7 @@
 pub(crate) mod forwarding;
 pub(crate) mod leadership;
 pub mod machines;
+pub(crate) mod outbox;
 pub(crate) mod peers;
 pub mod processor;
 pub(crate) mod quota;
@@ -20,16 +21,18 @@
 pub mod shard;
 pub(crate) mod shards;
 pub mod store;
+mod store_requests;
 
-use crate::controller::api::{DependentSubmission, StatusQuery, Submission};
 use crate::controller::context::Context;
 use crate::controller::events::Input;
 use crate::controller::events::Load;
 use crate::controller::events::Output;
 use crate::controller::events::Queue;
 use crate::controller::leadership::standby::StandbyStatus;
+use crate::controller::rate_limits::CLOUD_BURST_S;
+use crate::controller::rate_limits::RateShares;
+use crate::controller::rate_limits::Role;
 use crate::controller::shard::ShardOwner;
-use crate::controller::shard::commits::PlacementWrite;
 use crate::ids::{FencingToken, Time};
 use crate::peer::Message;
 use crate::settings::Settings;
@@ -94,7 +97,7 @@
         self.context.send_batched_forwards();
         self.context.send_due_endings();
         self.pump();
-        std::mem::take(&mut self.context.out)
+        self.context.outbox.take()
     }
 
     /// When `step` wants to be called again at the latest.
@@ -119,10 +122,10 @@
         let owners = self.shards.values();
         let written = owners.map(|h| h.write_queue.len() + h.ready_to_end_jobs.len());
         Load {
-            requests: self.context.requests.spent(),
-            requests_rate: self.context.requests.rate(),
-            changes: self.context.changes.spent(),
-            changes_rate: self.context.changes.rate(),
+            requests: self.context.store.request_limit.spent(),
+            requests_rate: self.context.store.request_limit.rate(),
+            changes: self.context.store.change_limit.spent(),
+            changes_rate: self.context.store.change_limit.rate(),
             cloud: self.context.cloud_rate_limit.spent(),
             cloud_rate: self.context.cloud_rate_limit.rate(),
             queued: self.context.api.backlog() + written.sum::<usize>(),
@@ -153,7 +156,7 @@
     }
 
     fn housekeeping(&mut self) {
-        self.context.watch_housekeeping();
+        self.watch_store();
         self.api_housekeeping();
         self.standby_housekeeping();
         self.context.election_housekeeping();
@@ -163,7 +166,7 @@
         self.context.catalog_housekeeping();
         self.cells_housekeeping();
         self.leadership_housekeeping();
-        if self.context.write_rate.advance(self.context.now) {
+        if self.context.store.write_rate.advance(self.context.now) {
             self.update_rate_limits();
         }
         if self.context.now >= self.context.heartbeat_at {
@@ -172,6 +175,38 @@
         }
     }
 
+    fn watch_store(&mut self) {
+        let eager = self.context.suspects_leader().is_some();
+        let context = &mut self.context;
+        let (now, outbox) = (context.now, &mut context.outbox);
+        context.store.keep_watching(now, outbox, eager);
+    }
+
+    fn read_revision(&mut self) {
+        let context = &mut self.context;
+        let demand = context.api.revision_demand();
+        let (now, outbox) = (context.now, &mut context.outbox);
+        context.store.read_revision(now, outbox, demand);
+    }
+
+    /// Takes the shares of the rate limits that follow from what this controller does.
+    pub(crate) fn update_rate_limits(&mut self) {
+        let context = &mut self.context;
+        let role = Role {
+            shards: context.store.mirror.shards.len(),
+            owns_shard: !self.shards.is_empty(),
+            is_leader: context.is_leader(),
+            others_write_rate: context.store.write_rate.others(),
+        };
+        let shares = RateShares::of(&context.settings, role);
+        let (now, store) = (context.now, &mut context.store);
+        let (requests, changes, cloud) = (shares.requests, shares.changes, shares.cloud);
+        store.request_limit.set(now, requests, requests);
+        store.change_limit.set(now, changes, changes);
+        let cloud_burst = cloud * CLOUD_BURST_S;
+        context.cloud_rate_limit.set(now, cloud, cloud_burst);
+    }
+
     fn shards_housekeeping(&mut self) {
         let owned: Vec<u32> = self.shards.keys().copied().collect();
         for id in owned {
@@ -198,7 +233,7 @@
         }
         self.context.read_dependencies();
         self.context.pump_api();
-        self.context.read_revision();
+        self.read_revision();
     }
 
     /// Whether this controller leads.
--- /dev/null
+++ b/src/controller/outbox.rs
@@ -0,0 +1,56 @@
+//! What the present step sends: outputs in the order in which they were made, and the numbers of
+//! calls to the store and the cloud.
+
+use crate::controller::events::Output;
+use crate::ids::{CallId, ControllerId};
+use crate::peer::Message;
+use crate::wire::{CloudOp, StoreRequest};
+
+/// The outputs of one step, and the number of the latest call.
+#[derive(Debug, Default)]
+pub(crate) struct Outbox {
+    outputs: Vec<Output>,
+    last_call: u64,
+}
+
+impl Outbox {
+    /// Adds an output.
+    pub(crate) fn push(&mut self, output: Output) {
+        self.outputs.push(output);
+    }
+
+    /// Adds a message to one peer, or to all.
+    pub(crate) fn send_to_peer(&mut self, to: Option<ControllerId>, message: Message) {
+        self.push(Output::Peer(to, message));
+    }
+
+    /// Adds a request to the store; returns the call that its response will name.
+    pub(crate) fn call_store(&mut self, request: StoreRequest) -> CallId {
+        let call = self.next_call();
+        self.push(Output::Store(call, request));
+        call
+    }
+
+    /// Adds a request to the cloud; returns the call that its response will name.
+    pub(crate) fn call_cloud(&mut self, request: CloudOp) -> CallId {
+        let call = self.next_call();
+        self.push(Output::Cloud(call, request));
+        call
+    }
+
+    /// The latest call. Calls are numbered in the order in which they are made, so that whatever
+    /// comes now is older than every later one.
+    pub(crate) fn last_call(&self) -> CallId {
+        CallId(self.last_call)
+    }
+
+    /// Ends the step.
+    pub(crate) fn take(&mut self) -> Vec<Output> {
+        std::mem::take(&mut self.outputs)
+    }
+
+    fn next_call(&mut self) -> CallId {
+        self.last_call += 1;
+        CallId(self.last_call)
+    }
+}
--- a/src/controller/peers/heartbeats.rs
+++ b/src/controller/peers/heartbeats.rs
@@ -3,8 +3,8 @@
 use crate::controller::Controller;
 use crate::controller::context::Context;
 use crate::controller::context::RECENT_S;
-use crate::controller::context::STALENESS_BOUND_S;
 use crate::controller::events::Output;
+use crate::controller::store::staleness::STALENESS_BOUND_S;
 use crate::ids::{ControllerId, MachineId, Time};
 use crate::peer::{Message, PeerHeartbeat};
 
@@ -18,19 +18,26 @@
     /// Tells all peers how this controller stands.
     pub(crate) fn send_heartbeat(&mut self) {
         let heartbeat = Message::PeerHeartbeat(self.heartbeat());
-        self.context.out.push(Output::Peer(None, heartbeat));
+        self.context.outbox.send_to_peer(None, heartbeat);
     }
 
     fn heartbeat(&self) -> PeerHeartbeat {
-        let shards = self.context.mirror.shards.iter().filter_map(|(k, b)| {
-            let record = b.record.as_ref()?;
-            Some((*k, record.token, record.owner.clone()))
-        });
+        let shards = self
+            .context
+            .store
+            .mirror
+            .shards
+            .iter()
+            .filter_map(|(k, b)| {
+                let record = b.record.as_ref()?;
+                Some((*k, record.token, record.owner.clone()))
+            });
         PeerHeartbeat {
             from: self.context.settings.platform.controller_id.clone(),
             incarnation: self.context.incarnation,
             leader: self
                 .context
+                .store
                 .mirror
                 .leader
                 .record
@@ -57,9 +64,9 @@
     /// second each time one came back, and their workers' leases ran out.
     fn greet(&mut self, peer: &ControllerId) {
         let heartbeat = Message::PeerHeartbeat(self.heartbeat());
-        self.context.out.push(Output::Reconnect(peer.clone()));
+        self.context.outbox.push(Output::Reconnect(peer.clone()));
         self.context
-            .out
+            .outbox
             .push(Output::Peer(Some(peer.clone()), heartbeat));
     }
 
@@ -118,13 +125,14 @@
     /// Who holds the shard that a machine belongs to, as far as can be told: by the
     /// store or, when this controller is stale, by what peers said lately.
     pub(crate) fn owner_of(&self, machine: &MachineId) -> Option<ControllerId> {
-        let records = self.mirror.shards.iter();
+        let records = self.store.mirror.shards.iter();
         let mut records = records.filter_map(|(k, b)| Some((*k, b.record.as_ref()?)));
         let found = records.find(|(_, b)| b.has(machine));
         let me = &self.settings.platform.controller_id;
         let Some((shard, record)) = found else {
             // In no shard yet: the leader will see to it.
             let leader = self
+                .store
                 .mirror
                 .leader
                 .record
--- a/src/controller/peers/links.rs
+++ b/src/controller/peers/links.rs
@@ -44,6 +44,7 @@
     /// Whether this controller can hand heartbeats on: to itself, or to who leads.
     pub(crate) fn can_forward(&self) -> bool {
         let leader = self
+            .store
             .mirror
             .leader
             .record
--- a/src/controller/quota/cells.rs
+++ b/src/controller/quota/cells.rs
@@ -14,7 +14,7 @@
 use crate::controller::shard::ShardOwner;
 use crate::controller::store::mirror::Mirrored;
 use crate::controller::store::records::{Key, LimitsByTeam, Record};
-use crate::controller::store::requests::RequestPurpose;
+use crate::controller::store_requests::RequestPurpose;
 use crate::ids::Time;
 use crate::peer::TeamCount;
 use crate::settings::CellsFile;
@@ -98,7 +98,8 @@
         self.count_again();
         self.context.say_to_cells(&file);
         self.context.tell_of_cells(&file);
-        if self.context.cells.busy || self.context.mirror.revision < self.context.cells.after {
+        if self.context.cells.busy || self.context.store.mirror.revision < self.context.cells.after
+        {
             return;
         }
         if let Some(change) = self.context.next_cell_change(&file) {
@@ -147,7 +148,7 @@
     }
 
     fn next_cell_change(&mut self, file: &CellsFile) -> Option<CellChange> {
-        let Some(record) = self.mirror.cell.record.clone() else {
+        let Some(record) = self.store.mirror.cell.record.clone() else {
             let record = CellRecord::found(&file.here, file.generation, &file.teams);
             return Some(CellChange::of_cell(
                 record,
@@ -254,20 +255,20 @@
     }
 
     fn commit_cell_change(&mut self, change: CellChange) {
-        let mut preconditions = vec![(Key::Leader, self.mirror.leader.version())];
+        let mut preconditions = vec![(Key::Leader, self.store.mirror.leader.version())];
         let mut writes = Vec::new();
-        preconditions.push((Key::Cell, self.mirror.cell.version()));
+        preconditions.push((Key::Cell, self.store.mirror.cell.version()));
         if let Some(cell) = change.cell {
             writes.push(Write::put(Key::Cell, Record::Cell(Box::new(cell))));
         }
         if let Some((other, link)) = change.link {
             let key = Key::CellLink(other.clone());
-            let slot = self.mirror.cell_links.get(&other);
+            let slot = self.store.mirror.cell_links.get(&other);
             preconditions.push((key.clone(), slot.map_or(0, Mirrored::version)));
             writes.push(Write::put(key, Record::CellLink(link)));
         }
         if change.on_shards {
-            let shards = self.mirror.shards.iter();
+            let shards = self.store.mirror.shards.iter();
             preconditions.extend(shards.map(|(shard, slot)| (Key::Shard(*shard), slot.version())));
         }
         debug!("cells: {}", change.why);
@@ -289,7 +290,7 @@
     }
 
     fn cell_link(&self, other: &Cell) -> LinkRecord {
-        let slot = self.mirror.cell_links.get(other);
+        let slot = self.store.mirror.cell_links.get(other);
         slot.and_then(|slot| slot.record.clone())
             .unwrap_or_default()
     }
@@ -352,7 +353,7 @@
     /// Each shard's quota shares with its owner's counts under them.
     fn current_counts(&self) -> Option<Vec<CountedShard<'_>>> {
         let believed = self.believed();
-        let shards = self.mirror.shards.iter();
+        let shards = self.store.mirror.shards.iter();
         let counts = shards.map(|(shard, slot)| {
             let quota_shares = slot.record.as_ref()?.quota_shares.as_ref()?;
             let mut current = believed.iter();
@@ -369,7 +370,7 @@
     /// called back, and of what is left no more than the cell would like to have, so that the
     /// rest can be given away.
     pub(crate) fn cell_limits(&self, file: &CellsFile) -> LimitsWanted {
-        let Some(record) = &self.mirror.cell.record else {
+        let Some(record) = &self.store.mirror.cell.record else {
             return LimitsWanted::Set(LimitsByTeam::new());
         };
         let views = self.team_views(record, file);
@@ -398,6 +399,7 @@
     /// What the shards allow now.
     fn allowed_now(&self, team: &str) -> Amount {
         let records = self
+            .store
             .mirror
             .shards
             .values()
@@ -410,6 +412,7 @@
 
     fn say_to_cells(&mut self, file: &CellsFile) {
         let Some(record) = self
+            .store
             .mirror
             .cell
             .record
@@ -429,7 +432,7 @@
         let pause = if changed { SAY_CHANGED_S } else { SAY_S };
         self.cells.say_at = self.now.after(pause);
         for (to, message) in messages {
-            self.out.push(Output::Cell(to.clone(), message.clone()));
+            self.outbox.push(Output::Cell(to.clone(), message.clone()));
             self.cells.said.insert(to, message);
         }
     }
@@ -464,7 +467,7 @@
             return;
         }
         self.cells.tell_at = self.now.after(TELL_S);
-        let Some(record) = &self.mirror.cell.record else {
+        let Some(record) = &self.store.mirror.cell.record else {
             return;
         };
         for cell in file.others() {
@@ -479,7 +482,7 @@
                 None => warn!("cell {cell}: cut off, {pending} teams in transit"),
             }
         }
-        let revision = self.mirror.cell.revision;
+        let revision = self.store.mirror.cell.revision;
         let dropped = self.cells.dropped;
         info!(
             "cell {}: shares of revision {revision}, {dropped} messages dropped",
--- a/src/controller/quota/team_limits.rs
+++ b/src/controller/quota/team_limits.rs
@@ -39,7 +39,7 @@
 impl Context {
     /// The operators' record may have changed.
     pub(crate) fn read_limits(&mut self) {
-        let slot = &self.mirror.limits;
+        let slot = &self.store.mirror.limits;
         if slot.revision == self.team_limits.seen {
             return;
         }
--- a/src/controller/shard/admission.rs
+++ b/src/controller/shard/admission.rs
@@ -17,13 +17,19 @@
     pub(crate) fn rebuild_from_mirror(&mut self, context: &mut Context) {
         let shard = self.shard;
         let of_shard = |j: &MirroredJob| j.record.shard == shard;
-        let jobs = context.mirror.jobs.iter().filter(|(_, j)| of_shard(j));
+        let jobs = context
+            .store
+            .mirror
+            .jobs
+            .iter()
+            .filter(|(_, j)| of_shard(j));
         let ids: Vec<JobId> = jobs.map(|(id, _)| id.clone()).collect();
         for id in ids {
             self.on_job_changed(context, &id);
         }
-        let jobs = &context.mirror.jobs;
+        let jobs = &context.store.mirror.jobs;
         let leftover_placements = context
+            .store
             .mirror
             .runs
             .keys()
@@ -36,7 +42,7 @@
         } else {
             Vec::new()
         };
-        self.estimate_demand(context.now, &context.catalog, context.mirror.closed());
+        self.estimate_demand(context.now, &context.catalog, context.store.mirror.closed());
         info!("took over {} jobs of block {shard}", self.jobs.len());
 
         self.adopt_hinted_estimates(context);
@@ -44,7 +50,7 @@
 
     /// A job was accepted, or its record changed.
     pub(crate) fn on_job_changed(&mut self, context: &mut Context, id: &JobId) {
-        let Some(job) = context.mirror.jobs.get(id) else {
+        let Some(job) = context.store.mirror.jobs.get(id) else {
             return;
         };
         let Some(job_state) = self.jobs.get_mut(id) else {
@@ -60,10 +66,10 @@
     /// Takes in a job, with what earlier owners wrote of it.
     fn admit(&mut self, context: &mut Context, id: &JobId) {
         let now = context.now;
-        let Some(job) = context.mirror.jobs.get(id) else {
+        let Some(job) = context.store.mirror.jobs.get(id) else {
             return;
         };
-        let (runs, layout) = context.mirror.effective_placements(id, &job.record);
+        let (runs, layout) = context.store.mirror.effective_placements(id, &job.record);
         let mut job_state = JobState::new(job, layout, now);
         job_state.set_priority_class(job.priority_class);
         let mut unconfirmed = Vec::new();
@@ -95,7 +101,7 @@
     /// cancelled, or its rank is another.
     pub(crate) fn on_dependencies_changed(&mut self, context: &mut Context, id: &JobId) {
         let now = context.now;
-        let Some(job) = context.mirror.jobs.get(id) else {
+        let Some(job) = context.store.mirror.jobs.get(id) else {
             return;
         };
         self.set_priority_class(id, job.priority_class);
@@ -105,7 +111,7 @@
         if job_state.released || job_state.cancelled.is_some() {
             return;
         }
-        match context.mirror.needs(&job.record) {
+        match context.store.mirror.needs(&job.record) {
             DependencyState::Open | DependencyState::Unknown => {}
             DependencyState::Met => {
                 job_state.released = true;
@@ -113,7 +119,12 @@
                 if !job.record.needs.is_empty() {
                     info!("job {id} may start: all that it needs is done");
                 }
-                self.record_demand(now, &context.catalog, context.mirror.closed(), &job.record);
+                self.record_demand(
+                    now,
+                    &context.catalog,
+                    context.store.mirror.closed(),
+                    &job.record,
+                );
                 self.record_image_use(now, &job.record);
                 if self.jobs[id].queued() > 0 {
                     self.waiting.insert(id.clone());
@@ -131,6 +142,7 @@
     /// A job's record is gone: it ended, and its end is committed.
     pub(crate) fn on_job_removed(&mut self, context: &Context, id: &JobId) {
         let leftover: Vec<_> = context
+            .store
             .mirror
             .chunks(id)
             .map(|(c, _)| (id.clone(), c))
--- a/src/controller/shard/commits.rs
+++ b/src/controller/shard/commits.rs
@@ -6,8 +6,8 @@
 use crate::controller::shard::job::{JobState, Phase, Placement};
 use crate::controller::store::chunks::{ChunkLayout, chunk_size, ranges};
 use crate::controller::store::records::{Key, PlacementRecord, PriorityClass, Record, json_bytes};
-use crate::controller::store::requests::RequestPurpose;
-use crate::controller::store::requests::ShardRequest;
+use crate::controller::store_requests::RequestPurpose;
+use crate::controller::store_requests::ShardRequest;
 use crate::ids::{Attempt, JobId, MachineId, TaskId, Time};
 use crate::wire::{StoreRequest, StoreResponse, Write};
 use log::{debug, info, warn};
@@ -77,7 +77,7 @@
 impl Context {
     fn transaction_limits(&self) -> TransactionLimits {
         let strict = self.settings.state_limits();
-        let value_bytes = if self.values_shrunk {
+        let value_bytes = if self.store.values_shrunk {
             strict.value_bytes
         } else {
             self.settings.platform.facts.state.value_bytes_now()
@@ -102,15 +102,15 @@
             };
             let priority = urgency.priority();
             // A larger transaction would leave a debt that urgent ones have to wait out.
-            let largest = context.changes.largest_call(priority) as usize;
+            let largest = context.store.change_limit.largest_call(priority) as usize;
             limits.ops = limits.ops.min(largest);
             let most = match priority {
                 Priority::Last => WRITES_IN_FLIGHT_MAX,
                 _ => WRITES_IN_FLIGHT_MAX + URGENT_WRITES_IN_FLIGHT_MAX,
             };
             if self.writes_in_flight >= most
-                || !context.requests.has(now, 1.0, priority)
-                || !context.changes.has(now, 1.0, priority)
+                || !context.store.request_limit.has(now, 1.0, priority)
+                || !context.store.change_limit.has(now, 1.0, priority)
             {
                 return;
             }
@@ -143,7 +143,7 @@
     ) {
         if reply == StoreResponse::Rejected {
             warn!("the state service takes no values of this size any more");
-            context.values_shrunk = true;
+            context.store.values_shrunk = true;
         }
         self.writes_in_flight = self.writes_in_flight.saturating_sub(1);
         if !matches!(reply, StoreResponse::Committed { .. }) {
--- a/src/controller/shard/completion.rs
+++ b/src/controller/shard/completion.rs
@@ -5,8 +5,8 @@
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::shard::commits::write_priority;
 use crate::controller::store::records::{Ending, Key, Record};
-use crate::controller::store::requests::RequestPurpose;
-use crate::controller::store::requests::ShardRequest;
+use crate::controller::store_requests::RequestPurpose;
+use crate::controller::store_requests::ShardRequest;
 use crate::ids::JobId;
 use crate::wire::{StoreRequest, StoreResponse, Write};
 use log::warn;
@@ -34,7 +34,7 @@
             // The user of a cancelled job is told with its end. By then no task of it is left, and
             // no job is open that needs it: none can be called queued when that isn't true any
             // more, whatever fails from then on.
-            let settled = job_state.placed.is_empty() && !context.mirror.has_dependents(id);
+            let settled = job_state.placed.is_empty() && !context.store.mirror.has_dependents(id);
             match job_state.cancelled {
                 Some(_) if settled => cancelled.push(id.clone()),
                 Some(_) => {}
--- a/src/controller/shards/leases.rs
+++ b/src/controller/shards/leases.rs
@@ -7,14 +7,13 @@
 use crate::controller::Controller;
 use crate::controller::autoscaling::plan::ScalingState;
 use crate::controller::context::Context;
-use crate::controller::events::Output;
 use crate::controller::quota::team_limits::LimitsWanted;
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::shard::ShardOwner;
 use crate::controller::store::records::{
     Entry, FencingTokenRecord, Key, LimitsByTeam, Record, ShardRecord, json_bytes,
 };
-use crate::controller::store::requests::RequestPurpose;
+use crate::controller::store_requests::RequestPurpose;
 use crate::ids::{ControllerId, FencingToken, JobId, MachineId, Time};
 use crate::peer::{Message, ShardCounts, TeamCount};
 use crate::wire::{StoreRequest, StoreResponse, WorkerHeartbeat, Write};
@@ -68,7 +67,7 @@
 
 impl Controller {
     pub(crate) fn become_leader(&mut self) {
-        let record = self.context.mirror.leader.record.as_ref();
+        let record = self.context.store.mirror.leader.record.as_ref();
         let token = record.map_or(FencingToken(0), |l| l.token);
         self.context.leadership = Some(Leadership {
             since: self.context.now,
@@ -96,6 +95,7 @@
         }
         let before: BTreeMap<u32, (u64, ShardRecord)> = self
             .context
+            .store
             .mirror
             .shards
             .iter()
@@ -103,7 +103,7 @@
             .collect();
         let mut after: BTreeMap<u32, ShardRecord> =
             before.iter().map(|(k, (_, b))| (*k, b.clone())).collect();
-        let mut highest = self.context.mirror.highest();
+        let mut highest = self.context.store.mirror.highest();
         self.replace_owners(&mut after, &mut highest);
         self.split(&mut after, &mut highest);
         self.context.assign_machines(&mut after);
@@ -248,7 +248,7 @@
     /// The shards that a new leader takes for itself: the only one, and those whose
     /// owners aren't heard of.
     pub(crate) fn shards_to_take(&self) -> Vec<u32> {
-        let records = self.mirror.shards.iter();
+        let records = self.store.mirror.shards.iter();
         let records: Vec<(u32, &ShardRecord)> = records
             .filter_map(|(k, b)| Some((*k, b.record.as_ref()?)))
             .collect();
@@ -272,7 +272,13 @@
 
     /// A shard's record with this process as its owner, and the revision it replaces.
     pub(crate) fn lease_to_self(&self, shard: u32, token: FencingToken) -> (u64, ShardRecord) {
-        let slot = self.mirror.shards.get(&shard).cloned().unwrap_or_default();
+        let slot = self
+            .store
+            .mirror
+            .shards
+            .get(&shard)
+            .cloned()
+            .unwrap_or_default();
         let version = slot.version();
         let old = slot.record;
         let record = ShardRecord {
@@ -289,6 +295,7 @@
     /// in the plan, so that every node comes to the same shard.
     pub(crate) fn shard_for(&self, id: &JobId) -> u32 {
         let shares = self
+            .store
             .mirror
             .plan
             .record
@@ -331,6 +338,7 @@
         let all = leadership.shard_counts.values();
         let good = all.filter(|(t, at)| {
             let record = self
+                .store
                 .mirror
                 .shards
                 .get(&t.shard)
@@ -353,7 +361,7 @@
     }
 
     pub(crate) fn add_unassigned(&mut self, entry: Entry) {
-        let records = self.mirror.shards.values();
+        let records = self.store.mirror.shards.values();
         let mut lists = records.filter_map(|b| b.record.as_ref());
         let known = lists.any(|b| b.has(&entry.0));
         if let Some(leadership) = self.leadership.as_mut().filter(|_| !known)
@@ -369,10 +377,10 @@
         after: BTreeMap<u32, ShardRecord>,
         highest: FencingToken,
     ) {
-        let mut preconditions = vec![(Key::Leader, self.mirror.leader.version())];
+        let mut preconditions = vec![(Key::Leader, self.store.mirror.leader.version())];
         if self.settings.cells.is_some() {
             // What the shards may use was taken from this record.
-            preconditions.push((Key::Cell, self.mirror.cell.version()));
+            preconditions.push((Key::Cell, self.store.mirror.cell.version()));
         }
         let (mut writes, mut bytes) = (Vec::new(), 0);
         let most = self.settings.state_limits().txn_ops - 1;
@@ -389,9 +397,15 @@
         if writes.is_empty() {
             return;
         }
-        if highest > self.mirror.highest() {
-            preconditions.push((Key::FencingToken, self.mirror.token.version()));
-            let fence = self.mirror.token.record.as_ref().and_then(|n| n.fence);
+        if highest > self.store.mirror.highest() {
+            preconditions.push((Key::FencingToken, self.store.mirror.token.version()));
+            let fence = self
+                .store
+                .mirror
+                .token
+                .record
+                .as_ref()
+                .and_then(|n| n.fence);
             let record = FencingTokenRecord { highest, fence };
             writes.push(Write::put(Key::FencingToken, Record::FencingToken(record)));
         }
@@ -520,7 +534,7 @@
             LimitsWanted::Set(limits) => limits,
             LimitsWanted::AsTheyAre => return,
         };
-        let marks = self.mirror.shards.iter();
+        let marks = self.store.mirror.shards.iter();
         let marks: BTreeMap<u32, u64> = marks.map(|(k, b)| (*k, b.revision)).collect();
         let all = self.believed();
         let current = |t: &&&ShardCounts| marks.get(&t.shard) == Some(&t.revision);
@@ -545,7 +559,7 @@
 
     /// The shares of new jobs, by machines.
     pub(crate) fn job_shares(&self) -> Vec<(u32, u32)> {
-        let records = self.mirror.shards.iter();
+        let records = self.store.mirror.shards.iter();
         let shares = records.filter_map(|(k, b)| {
             let machines = b.record.as_ref()?.machines.as_ref()?;
             Some((*k, machines.len() as u32 + 1))
@@ -562,6 +576,7 @@
             return context.on_shard_counts(shard_counts);
         }
         let leader = context
+            .store
             .mirror
             .leader
             .record
@@ -569,13 +584,13 @@
             .map(|l| l.controller_id.clone());
         if leader.is_some() {
             let message = Message::ShardCounts(Box::new(shard_counts));
-            context.out.push(Output::Peer(leader, message));
+            context.outbox.send_to_peer(leader, message);
         }
     }
 
     fn shard_counts(&self, context: &Context) -> ShardCounts {
         let catalog = &context.catalog;
-        let closed = context.mirror.closed();
+        let closed = context.store.mirror.closed();
         let named = |class: usize| catalog.get(class).map(|c| c.name.clone());
         let pools = self
             .counts(catalog, &context.settings, closed, context.now)
--- a/src/controller/store/mirror.rs
+++ b/src/controller/store/mirror.rs
@@ -67,12 +67,13 @@
 
 /// What a change means to the rest of the controller.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Event {
+pub enum MirrorEvent {
     /// A job is new, or its status changed.
-    Job(JobId),
-    JobGone(JobId),
-    /// Leader, number, shard or plan changed.
-    Control,
+    JobChanged(JobId),
+    /// A job's record is gone: it ended.
+    JobRemoved(JobId),
+    /// The record of the leader, the fencing token, a shard, the plan or limits changed.
+    ControlRecordsChanged,
 }
 
 #[derive(Debug, Default)]
@@ -96,7 +97,7 @@
 
 impl StoreMirror {
     /// Takes one change. Changes come again and late, and are then ignored.
-    pub fn apply(&mut self, now: Time, (key, revision, record): Change) -> Option<Event> {
+    pub fn apply(&mut self, now: Time, (key, revision, record): Change) -> Option<MirrorEvent> {
         match (key, record) {
             (Key::Leader, Some(Record::Leader(r))) => control(self.leader.set(revision, Some(r))),
             (Key::Leader, None) => control(self.leader.set(revision, None)),
@@ -121,7 +122,7 @@
                     return None;
                 }
                 self.remove_job(&id);
-                Some(Event::JobGone(id))
+                Some(MirrorEvent::JobRemoved(id))
             }
             (Key::Run(id, chunk), Some(Record::Run(r))) => {
                 let at = self.runs.entry((id, chunk)).or_default();
@@ -145,7 +146,13 @@
         }
     }
 
-    fn set_job(&mut self, now: Time, id: JobId, revision: u64, record: JobRecord) -> Option<Event> {
+    fn set_job(
+        &mut self,
+        now: Time,
+        id: JobId,
+        revision: u64,
+        record: JobRecord,
+    ) -> Option<MirrorEvent> {
         if self.jobs.get(&id).is_some_and(|j| j.revision >= revision) {
             return None;
         }
@@ -166,7 +173,7 @@
         if cancelled.is_some() {
             self.note_mark(&id);
         }
-        Some(Event::Job(id))
+        Some(MirrorEvent::JobChanged(id))
     }
 
     fn remove_job(&mut self, id: &JobId) {
@@ -176,7 +183,7 @@
     }
 
     /// Takes a full listing that began at revision `listed_at`: what it doesn't hold is gone.
-    pub fn replace(&mut self, now: Time, listed_at: u64, entries: Vec<Change>) -> Vec<Event> {
+    pub fn replace(&mut self, now: Time, listed_at: u64, entries: Vec<Change>) -> Vec<MirrorEvent> {
         let mut events = Vec::new();
         let listed: std::collections::HashSet<Key> =
             entries.iter().map(|(k, _, _)| k.clone()).collect();
@@ -188,7 +195,7 @@
             .collect();
         for id in lost {
             self.remove_job(&id);
-            events.push(Event::JobGone(id));
+            events.push(MirrorEvent::JobRemoved(id));
         }
         self.runs.retain(|(id, chunk), (revision, _)| {
             *revision > listed_at || listed.contains(&Key::Run(id.clone(), *chunk))
@@ -268,6 +275,6 @@
     }
 }
 
-fn control(changed: bool) -> Option<Event> {
-    changed.then_some(Event::Control)
+fn control(changed: bool) -> Option<MirrorEvent> {
+    changed.then_some(MirrorEvent::ControlRecordsChanged)
 }
