--- a/src/controller/context.rs
+++ b/src/controller/context.rs
@@ -7,6 +7,7 @@
 use crate::controller::autoscaling::CloudPurpose;
 use crate::controller::dependencies::resolution::DependencyReads;
 use crate::controller::forwarding::Forwarding;
+use crate::controller::leadership::Leadership;
 use crate::controller::leadership::election::Election;
 use crate::controller::leadership::shutdown::{LeaseRevocation, Shutdown};
 use crate::controller::leadership::standby::{HintSender, new_standby};
@@ -15,7 +16,6 @@
 use crate::controller::quota::cells::CellSharing;
 use crate::controller::quota::team_limits::TeamLimits;
 use crate::controller::rate_limits::token_bucket::TokenBucket;
-use crate::controller::shards::leases::Leadership;
 use crate::controller::store::StoreClient;
 use crate::controller::store_requests::RequestPurpose;
 use crate::ids::{CallId, ControllerId, FencingToken, Time};
@@ -24,6 +24,7 @@
 use crate::wire::{Listed, MachineType};
 use salttrestle_standby::Standby;
 use std::collections::{BTreeMap, HashMap};
+
 /// Heartbeats that are handed on and answers that needn't go out at once wait for a whole multiple
 /// of this, so that one turn and one packet carry several of them.
 pub(crate) const BATCH_MS: u64 = HOUSEKEEPING_MS / 2;
--- a/src/controller/forwarding.rs
+++ b/src/controller/forwarding.rs
@@ -13,13 +13,10 @@
 //! only once every task is proven gone (`front`), so no bound runs against a worker
 //! that nobody with sight of the store reaches.
 
-use crate::controller::Controller;
-use crate::controller::ShardOwner;
-use crate::controller::context::BATCH_MS;
-use crate::controller::context::Context;
-use crate::controller::context::RECENT_S;
+use crate::controller::context::{BATCH_MS, Context, RECENT_S};
 use crate::controller::events::{Output, Reply};
-use crate::controller::shards::leases::stable_hash;
+use crate::controller::stable_hash::stable_hash;
+use crate::controller::{Controller, ShardOwner};
 use crate::ids::{ControllerId, FencingToken, MachineId, RequestId, TaskId, Time};
 use crate::peer::{ForwardedHeartbeat, ForwardedResponse, Message, PeerHeartbeat};
 use crate::settings::Peer;
--- a/src/controller/leadership/election.rs
+++ b/src/controller/leadership/election.rs
@@ -8,8 +8,7 @@
 //! (`may_use_cloud`).
 
 use crate::controller::Controller;
-use crate::controller::context::CLOCK_DRIFT;
-use crate::controller::context::Context;
+use crate::controller::context::{CLOCK_DRIFT, Context};
 use crate::controller::events::Reply;
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::shard::ShardOwner;
--- a/src/controller/leadership/mod.rs
+++ b/src/controller/leadership/mod.rs
@@ -4,3 +4,49 @@
 pub(crate) mod election;
 pub(crate) mod shutdown;
 pub(crate) mod standby;
+
+use crate::controller::autoscaling::plan::ScalingState;
+use crate::controller::store::records::Entry;
+use crate::controller::{BTreeMap, Controller};
+use crate::ids::{FencingToken, MachineId, Time};
+use crate::peer::ShardCounts;
+
+/// What a leader knows besides what it holds itself.
+#[derive(Debug, Default)]
+pub(crate) struct Leadership {
+    pub(crate) scale: ScalingState,
+    /// The latest counts of each shard, and when they came.
+    pub(crate) shard_counts: BTreeMap<u32, (ShardCounts, Time)>,
+    /// Machines that each shard lacks, by type and kind.
+    pub(crate) needs: BTreeMap<(String, bool, u32), u32>,
+    /// Machines that belong to no shard yet.
+    pub(crate) unassigned: BTreeMap<MachineId, Entry>,
+    /// Machines that owners deleted, and when that was heard: lists show them still.
+    pub(crate) gone: BTreeMap<MachineId, Time>,
+    /// Since when more shards are needed than there are.
+    pub(crate) short_of_shards_since: Option<Time>,
+    /// A change of leases is being committed.
+    pub(crate) busy: bool,
+    /// There are machines that no shard's record has room for.
+    pub(crate) crowded: bool,
+    pub(crate) since: Time,
+    /// This leadership's own number: no other one has it.
+    pub(crate) token: FencingToken,
+    /// From when it may rent and delete: before, a leader that it replaced might.
+    pub(crate) cloud_from: Time,
+}
+
+impl Controller {
+    pub(crate) fn become_leader(&mut self) {
+        let record = self.context.store.mirror.leader.record.as_ref();
+        let token = record.map_or(FencingToken(0), |l| l.token);
+        self.context.leadership = Some(Leadership {
+            since: self.context.now,
+            token,
+            cloud_from: self.context.cloud_from(token),
+            ..Leadership::default()
+        });
+        self.update_rate_limits();
+        self.context.rebuild_scaling_state();
+    }
+}
--- a/src/controller/machines/heartbeats.rs
+++ b/src/controller/machines/heartbeats.rs
@@ -1,7 +1,6 @@
 //! What heartbeats tell of machines and tasks.
 
-use crate::controller::context::BATCH_MS;
-use crate::controller::context::Context;
+use crate::controller::context::{BATCH_MS, Context};
 use crate::controller::events::Reply;
 use crate::controller::machines::inventory::Machine;
 use crate::controller::shard::ShardOwner;
--- a/src/controller/machines/liveness.rs
+++ b/src/controller/machines/liveness.rs
@@ -1,10 +1,7 @@
 //! Machines that are silent, partitioned, or hear nothing, and leases that are over.
 
 use crate::controller::ShardOwner;
-use crate::controller::context::CLOCK_DRIFT;
-use crate::controller::context::Context;
-use crate::controller::context::MARGIN_S;
-use crate::controller::context::RECENT_S;
+use crate::controller::context::{CLOCK_DRIFT, Context, MARGIN_S, RECENT_S};
 use crate::controller::machines::inventory::Machine;
 use crate::controller::shard::job::Phase;
 use crate::controller::store::records::JobKind;
--- a/src/controller/peers/heartbeats.rs
+++ b/src/controller/peers/heartbeats.rs
@@ -1,8 +1,7 @@
 //! Heartbeats between controllers, and what they tell of who runs and who holds what.
 
 use crate::controller::Controller;
-use crate::controller::context::Context;
-use crate::controller::context::RECENT_S;
+use crate::controller::context::{Context, RECENT_S};
 use crate::controller::events::Output;
 use crate::controller::store::staleness::STALENESS_BOUND_S;
 use crate::ids::{ControllerId, MachineId, Time};
--- a/src/controller/scheduling/mod.rs
+++ b/src/controller/scheduling/mod.rs
@@ -10,8 +10,9 @@
 
 use crate::controller::context::Context;
 use crate::controller::machines::inventory::Machine;
-use crate::controller::scheduling::constraints::within_limit;
-use crate::controller::scheduling::constraints::{teams_over_guarantee, within_guarantee};
+use crate::controller::scheduling::constraints::{
+    teams_over_guarantee, within_guarantee, within_limit,
+};
 use crate::controller::scheduling::preemption::cheapest_victims;
 use crate::controller::scheduling::scoring::{
     Candidate, ImageWorths, PlacementContext, best_candidate, expected_s, fetch_s, ready_images,
--- a/src/controller/shard/mod.rs
+++ b/src/controller/shard/mod.rs
@@ -16,12 +16,9 @@
 use crate::controller::machines::failures::FailureLog;
 use crate::controller::machines::inventory::{Inventory, Machine};
 use crate::controller::shard::burst_estimate::BurstEstimate;
-use crate::controller::shard::commits::WriteQueue;
-use crate::controller::shard::commits::WriteUrgency;
+use crate::controller::shard::commits::{WriteQueue, WriteUrgency};
 use crate::controller::shard::image_demand::ImageDemand;
-use crate::controller::shard::job::JobState;
-use crate::controller::shard::job::Phase;
-use crate::controller::shard::job::Placement;
+use crate::controller::shard::job::{JobState, Phase, Placement};
 use crate::controller::store::records::{PriorityClass, Resources, ShardRecord};
 use crate::ids::{
     Attempt, ControllerId, FencingToken, Image, JobId, MachineId, RequestId, TaskId, Time,
