--- a/src/controller/api/cancellations.rs
+++ b/src/controller/api/cancellations.rs
@@ -61,7 +61,7 @@
     pub(crate) fn on_cancelled(&mut self, q: StatusQuery, reply: StoreResponse) {
         match reply {
             StoreResponse::Committed { .. } => {
-                info!("job {} withdrawn by its user", q.id);
+                info!("job cancelled by its user, job={}", q.id);
                 self.api.leaving.push_back(q);
                 self.answer_cancelled();
             }
--- a/src/controller/api/submissions.rs
+++ b/src/controller/api/submissions.rs
@@ -25,7 +25,7 @@
     /// A known job's user is told its state whatever the repeated body is like; being
     /// refused, it would take the job for one that was never accepted.
     pub(crate) fn on_malformed(&mut self, request_id: RequestId, bad: BadBody) {
-        info!("a submission is malformed: {}", bad.why);
+        info!("submission refused, reason={}", bad.why);
         match bad.id {
             Some(id) => self.on_status_query(request_id, id, Intent::Refuse(400, bad.why)),
             None => self.answer(request_id, Reply::ok(400, error_body(&bad.why))),
@@ -248,12 +248,12 @@
                 StoreResponse::Committed { .. }
                     if self.store.mirror.needs(&s.record) == DependencyState::Cancelled =>
                 {
-                    info!("job {} accepted, and cancelled with one it needs", s.id);
+                    info!("job accepted and cancelled with a dependency, job={}", s.id);
                     self.on_status_query(s.request_id, s.id, Intent::Again);
                 }
                 StoreResponse::Committed { .. } => {
                     info!(
-                        "job {} accepted: {} of {}",
+                        "job accepted, job={} tasks={} class={}",
                         s.id, s.record.count, s.record.class
                     );
                     let body = job_status_body(&s.id, JobStatus::Queued, 0, 0);
--- a/src/controller/autoscaling/machines.rs
+++ b/src/controller/autoscaling/machines.rs
@@ -5,6 +5,7 @@
 use crate::controller::autoscaling::{CloudPurpose, REPEAT_S};
 use crate::controller::context::Context;
 use crate::controller::events::Reply;
+use crate::controller::machines::DecommissionReason;
 use crate::controller::machines::inventory::Machine;
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::shard::ShardOwner;
@@ -72,7 +73,7 @@
             for h in self.shards.values_mut() {
                 let idle = |m: &Machine| m.ready_since.is_some() && m.tasks.is_empty();
                 if h.machines.get(id).is_some_and(idle) {
-                    h.decommission(now, id, "it is empty and no longer wanted");
+                    h.decommission(now, id, DecommissionReason::ScaledIn);
                 }
             }
         }
@@ -127,7 +128,7 @@
         let never = self.machines.booting().filter(|(_, m)| never(m));
         let never: Vec<MachineId> = never.map(|(id, _)| id.clone()).collect();
         for id in never {
-            self.decommission(now, &id, "it never came up");
+            self.decommission(now, &id, DecommissionReason::NeverReady);
         }
     }
 
@@ -176,7 +177,7 @@
                 self.machines.edit(&id, |m| m.deleting = false);
                 continue;
             }
-            info!("machine {id} deleted");
+            info!("machine deleted, machine={id}");
             held.extend(self.remove_machine(now, &id));
         }
         for request_id in held {
@@ -216,7 +217,7 @@
             });
         }
         if l.status == MachineStatus::Failed {
-            self.decommission(now, &id, "the cloud lists it as failed");
+            self.decommission(now, &id, DecommissionReason::FailedAtCloud);
         }
     }
 
@@ -229,7 +230,7 @@
         let missing = missing.filter(|(id, m)| unseen(m) && !listed.contains(id.as_str()));
         let missing: Vec<MachineId> = missing.map(|(id, _)| id.clone()).collect();
         for id in missing {
-            self.decommission(now, &id, "the cloud doesn't list it");
+            self.decommission(now, &id, DecommissionReason::NotListed);
         }
     }
 
--- a/src/controller/autoscaling/reconcile.rs
+++ b/src/controller/autoscaling/reconcile.rs
@@ -35,7 +35,7 @@
         if s.ready.is_none() && s.listed && !unanswered && leadership.shard_counts.len() >= shards {
             s.ready = Some(now);
             s.reconcile_at = now;
-            info!("counts are rebuilt");
+            info!("counts rebuilt, scaling begins");
         }
         let Some(ready) = leadership
             .scale
@@ -57,7 +57,7 @@
             let (mut wanted, mut gap, mut provisioned) = (0, 0, 0);
             for (shard, count) in &shards {
                 let w = count.wanted(ceiling);
-                debug!("pool {pool:?} of block {shard}: {count:?}, wanted {w}");
+                debug!("pool counted, shard={shard} pool={pool:?} wanted={w} count={count:?}");
                 let need = w.saturating_sub(count.provisioned);
                 (wanted, gap, provisioned) =
                     (wanted + w, gap + need, provisioned + count.provisioned);
@@ -69,7 +69,7 @@
             leadership.scale.record_wanted(pool, now, wanted, window_s);
             let resources = ceiling.saturating_sub(provisioned);
             if wanted >= ceiling {
-                warn!("pool {pool:?} wants {wanted} machines, as many as its ceiling allows");
+                warn!("pool at its ceiling, pool={pool:?} wanted={wanted}");
             }
             let asked = fleet.asked.get(&pool).copied().unwrap_or(0);
             // A machine in the wrong zone is no help to tasks that may not go there.
--- a/src/controller/autoscaling/scale_out.rs
+++ b/src/controller/autoscaling/scale_out.rs
@@ -64,12 +64,12 @@
         match reply {
             CloudReply::Rented(rigs) => {
                 info!(
-                    "rented {} of {} {} in {}{}",
-                    rigs.len(),
-                    record.count,
+                    "scaled out, type={} zone={} spot={} machines={} asked={}",
                     record.class,
                     record.zone,
-                    if record.spot { ", spot" } else { "" }
+                    record.spot,
+                    rigs.len(),
+                    record.count
                 );
                 if (rigs.len() as u32) < record.count {
                     leadership.scale.mark_exhausted(place, now);
@@ -80,7 +80,10 @@
                 self.add_machines(&record, rigs);
             }
             CloudReply::Refused => {
-                warn!("no capacity for {} in {}", record.class, record.zone);
+                warn!(
+                    "pool exhausted, type={} zone={} spot={}",
+                    record.class, record.zone, record.spot
+                );
                 leadership.scale.mark_exhausted(place, now);
                 leadership
                     .scale
--- a/src/controller/leadership/election.rs
+++ b/src/controller/leadership/election.rs
@@ -10,6 +10,7 @@
 use crate::controller::Controller;
 use crate::controller::context::{CLOCK_DRIFT, Context};
 use crate::controller::events::Reply;
+use crate::controller::leadership::GiveUpReason;
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::shard::ShardOwner;
 use crate::controller::store::mirror::Mirrored;
@@ -69,7 +70,7 @@
         self.context.election.busy = false;
         match reply {
             StoreResponse::LeaseRenewed => self.context.election.renewed = sent,
-            StoreResponse::LeaseNotFound => self.step_down("its grant is over"),
+            StoreResponse::LeaseNotFound => self.step_down(GiveUpReason::LeaseExpired),
             _ => {}
         }
     }
@@ -84,12 +85,12 @@
         let is_leader = leader
             .is_some_and(|l| l.controller_id == *me && l.incarnation == self.context.incarnation);
         if is_leader && self.context.leadership.is_none() && may_run_tasks {
-            info!("leads from now on");
+            info!("became leader, token={}", leader.map_or(0, |l| l.token.0));
             self.context.election.renew_at = self.context.now;
             self.context.adopt_lease();
             self.become_leader();
         } else if !is_leader && self.context.leadership.is_some() {
-            self.step_down("its key is gone");
+            self.step_down(GiveUpReason::RecordReplaced);
         }
         let shards: Vec<(u32, Mirrored<ShardRecord>)> = self
             .context
@@ -124,7 +125,7 @@
         let held = self.shards.get(&shard).map(|h| (h.token, h.shard_revision));
         match held {
             Some((token, _)) if !mine || token != record.token => {
-                self.release_shard(shard, "it has another holder");
+                self.release_shard(shard, GiveUpReason::OwnedByAnother);
             }
             Some((_, known)) if known == revision => return,
             _ => {}
@@ -134,7 +135,7 @@
         }
         let fresh = !self.shards.contains_key(&shard);
         if fresh {
-            info!("holds block {shard} under number {}", record.token.0);
+            info!("shard acquired, shard={shard} token={}", record.token.0);
             let shares_limits = self.context.settings.cells.is_some();
             let owner = ShardOwner::new(shard, record.token, self.context.now, shares_limits);
             self.shards.insert(shard, owner);
@@ -154,11 +155,14 @@
     }
 
     /// Stops acting as the owner of a shard. Always safe: another process takes over by a commit.
-    pub(crate) fn release_shard(&mut self, shard: u32, why: &str) {
+    pub(crate) fn release_shard(&mut self, shard: u32, reason: GiveUpReason) {
         let Some(owner) = self.shards.remove(&shard) else {
             return;
         };
-        warn!("no longer holds block {}: {why}", owner.shard);
+        warn!(
+            "shard released, shard={} token={} reason={reason}",
+            owner.shard, owner.token.0
+        );
         self.context
             .released_tokens
             .insert(owner.shard, owner.token);
@@ -171,9 +175,9 @@
         }
     }
 
-    fn step_down(&mut self, why: &str) {
+    fn step_down(&mut self, reason: GiveUpReason) {
         if self.context.leadership.take().is_some() {
-            warn!("no longer leads: {why}");
+            warn!("stepped down, reason={reason}");
         }
         self.context.election.lease_id = None;
         self.context.election.busy = false;
@@ -181,20 +185,20 @@
     }
 
     /// Gives up everything this controller holds.
-    pub(crate) fn give_up(&mut self, why: &str) {
-        self.step_down(why);
+    pub(crate) fn give_up(&mut self, reason: GiveUpReason) {
+        self.step_down(reason);
         let shards: Vec<u32> = self.shards.keys().copied().collect();
         for shard in shards {
-            self.release_shard(shard, why);
+            self.release_shard(shard, reason);
         }
     }
 
     /// Gives up everything and rests, when this controller can't do the work.
-    pub(crate) fn resign(&mut self, why: &str) {
+    pub(crate) fn resign(&mut self, reason: GiveUpReason) {
         let ttl = self.context.settings.tuning.leader_lease_s;
         self.context.election.not_before = self.context.now.after(ttl * REST_LEASES);
         let lease_id = self.context.election.lease_id;
-        self.give_up(why);
+        self.give_up(reason);
         // Its key goes with the lease, so that nobody waits for its end.
         if let Some(lease_id) = lease_id {
             self.context.revoke_when_quiet(lease_id);
--- a/src/controller/leadership/mod.rs
+++ b/src/controller/leadership/mod.rs
@@ -10,6 +10,7 @@
 use crate::controller::{BTreeMap, Controller};
 use crate::ids::{FencingToken, MachineId, Time};
 use crate::peer::ShardCounts;
+use std::fmt;
 
 /// What a leader knows besides what it holds itself.
 #[derive(Debug, Default)]
@@ -50,3 +51,36 @@
         self.context.rebuild_scaling_state();
     }
 }
+
+/// Why a controller gives up its leadership or a shard.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum GiveUpReason {
+    /// The leader's lease has expired at the store.
+    LeaseExpired,
+    /// The leader's record is gone, or names another controller.
+    RecordReplaced,
+    /// The shard's record names another owner.
+    OwnedByAnother,
+    /// A peer knows a higher token for the shard.
+    HigherTokenKnown,
+    /// No worker reaches this controller, while workers may reach others.
+    WorkersUnreachable,
+    /// The store forgot changes that weren't seen yet.
+    WatchFellBehind,
+    /// The process was told to terminate.
+    ShuttingDown,
+}
+
+impl fmt::Display for GiveUpReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::LeaseExpired => "lease expired",
+            Self::RecordReplaced => "leader record replaced",
+            Self::OwnedByAnother => "owned by another controller",
+            Self::HigherTokenKnown => "a peer knows a higher token",
+            Self::WorkersUnreachable => "workers unreachable",
+            Self::WatchFellBehind => "watch fell behind",
+            Self::ShuttingDown => "shutting down",
+        })
+    }
+}
--- a/src/controller/leadership/shutdown.rs
+++ b/src/controller/leadership/shutdown.rs
@@ -4,6 +4,7 @@
 use crate::controller::Controller;
 use crate::controller::autoscaling::CloudPurpose;
 use crate::controller::context::Context;
+use crate::controller::leadership::GiveUpReason;
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::store_requests::RequestPurpose;
 use crate::ids::Time;
@@ -39,12 +40,12 @@
         if self.context.shutdown.is_some() {
             return;
         }
-        info!("hands over, and ends then");
+        info!("shutting down, handing over");
         self.context.shutdown = Some(Shutdown {
             since: self.context.now,
             idle_since: None,
         });
-        self.resign("it is told to end");
+        self.resign(GiveUpReason::ShuttingDown);
     }
 }
 
--- a/src/controller/leadership/standby.rs
+++ b/src/controller/leadership/standby.rs
@@ -84,10 +84,12 @@
             self.context.leader_suspected = before.is_some();
             match before {
                 Some(why) => match self.context.standby.may_replace(self.context.now.0) {
-                    Ok(()) => info!("the leader is suspected: {why:?}"),
-                    Err(lease_id) => info!("the leader is suspected: {why:?}; as yet {lease_id:?}"),
+                    Ok(()) => info!("leader suspected, reason={why:?}"),
+                    Err(hold) => info!(
+                        "leader suspected, not replaced yet, reason={why:?} waits_for={hold:?}"
+                    ),
                 },
-                None => info!("the leader isn't suspected any more"),
+                None => info!("leader no longer suspected"),
             }
         }
         self.send_hints();
@@ -184,7 +186,7 @@
         if !self.whole {
             return;
         }
-        info!("takes over estimates that are {age_ms} ms old");
+        info!("estimates adopted from hints, age_ms={age_ms}");
         self.apply_hinted_estimates(context.now, age_ms, estimates, &context.catalog);
     }
 
--- a/src/controller/machines/heartbeats.rs
+++ b/src/controller/machines/heartbeats.rs
@@ -60,7 +60,7 @@
         }
         if taken.first {
             debug!(
-                "first report of machine {id}: session {}, number {}, {} tasks",
+                "first heartbeat, machine={id} agent_epoch={} token={} tasks={}",
                 report.agent_epoch,
                 report.token,
                 report.tasks.len()
@@ -185,7 +185,7 @@
             }
         }
         for task in gone {
-            debug!("task {task} is gone from {id}");
+            debug!("task gone, task={task} machine={id}");
             self.remove_placement(now, &task);
         }
     }
@@ -248,7 +248,7 @@
             }
             Some(Cause::Error) => self.task_failed(context, id, task),
             Some(Cause::Full) => {
-                warn!("machine {id} has no room for {task}");
+                warn!("start refused, task={task} machine={id} reason=no resources left");
                 self.machines.edit(id, |m| m.full_until = now.after(FULL_S));
             }
             Some(Cause::Unknown) => {
@@ -271,7 +271,7 @@
         };
         let tries = self.failures.task_failed(now, &task.job, id);
         job_state.not_before = now.after(self.failures.pause_s(&task.job));
-        warn!("task {task} failed on {id}, failed try {tries} in a row");
+        warn!("task failed, task={task} machine={id} failed_tries={tries}");
     }
 }
 
@@ -341,7 +341,7 @@
             self.empty.get_or_insert(now);
             let boot = now.since(self.since);
             info!(
-                "machine {} ({}, {}) is up after {boot:.0} s",
+                "machine ready, machine={} type={} zone={} boot_s={boot:.0}",
                 report.machine, self.type_name, self.zone
             );
         }
--- a/src/controller/machines/liveness.rs
+++ b/src/controller/machines/liveness.rs
@@ -2,6 +2,7 @@
 
 use crate::controller::ShardOwner;
 use crate::controller::context::{CLOCK_DRIFT, Context, MARGIN_S, RECENT_S};
+use crate::controller::machines::DecommissionReason;
 use crate::controller::machines::inventory::Machine;
 use crate::controller::shard::job::Phase;
 use crate::controller::store::records::JobKind;
@@ -80,10 +81,7 @@
             }
         }
         for (id, tasks) in lost {
-            warn!(
-                "the lease of machine {id} is over, with {} tasks",
-                tasks.len()
-            );
+            warn!("worker lease expired, machine={id} tasks={}", tasks.len());
             for task in tasks {
                 let job_state = self.jobs.get(&task.job);
                 let phase = job_state.and_then(|l| Some(l.placed.get(&task.index)?.phase));
@@ -119,7 +117,7 @@
             }
         }
         for id in late {
-            self.decommission(now, &id, "a cancelled task may still be on it");
+            self.decommission(now, &id, DecommissionReason::CancelledTaskUnproven);
         }
     }
 
@@ -186,7 +184,7 @@
             let given_up = quiet > SHELTERED_SILENT * lease_s;
             let late = (self.cut && !back) || given_up || now.since(calm) > patience;
             if quiet > patience.max(least) && late {
-                self.decommission(now, &id, "it is silent");
+                self.decommission(now, &id, DecommissionReason::Silent);
             }
         }
     }
@@ -210,7 +208,7 @@
             }
         }
         for id in unacknowledged {
-            self.decommission(now, &id, "it hears nothing");
+            self.decommission(now, &id, DecommissionReason::TokenNotAcknowledged);
         }
     }
 
--- a/src/controller/machines/mod.rs
+++ b/src/controller/machines/mod.rs
@@ -22,12 +22,46 @@
 use crate::controller::shard::ShardOwner;
 use crate::ids::{MachineId, TaskId, Time};
 use log::{info, warn};
+use std::fmt;
 
 /// A quarantined machine's tasks get this long to stop before it is deleted.
 const DRAIN_S: f64 = 15.0;
 /// Names of deleted machines are kept for late copies of their heartbeats.
 const GONE_S: f64 = 900.0;
 
+/// Why a machine is decommissioned.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum DecommissionReason {
+    /// A cancelled task may still run on it, and nothing else proves it gone.
+    CancelledTaskUnproven,
+    /// No heartbeat has come for too long.
+    Silent,
+    /// It never acknowledged the shard's token.
+    TokenNotAcknowledged,
+    /// It is empty, and the scaling plan gives it back.
+    ScaledIn,
+    /// It never became ready.
+    NeverReady,
+    /// The cloud lists it as failed.
+    FailedAtCloud,
+    /// The cloud should list it by now, and doesn't.
+    NotListed,
+}
+
+impl fmt::Display for DecommissionReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::CancelledTaskUnproven => "a cancelled task may still run on it",
+            Self::Silent => "silent",
+            Self::TokenNotAcknowledged => "token not acknowledged",
+            Self::ScaledIn => "scaled in",
+            Self::NeverReady => "never ready",
+            Self::FailedAtCloud => "failed at the cloud",
+            Self::NotListed => "not listed by the cloud",
+        })
+    }
+}
+
 impl ShardOwner {
     /// Does what no event triggers: checks machines, empties and deletes some.
     pub(crate) fn housekeeping(&mut self, context: &mut Context) {
@@ -66,7 +100,7 @@
         for faulty in self.failures.task_succeeded(&task.job, id) {
             self.machines.edit(&faulty, |m| {
                 if m.decommission_at.is_none() {
-                    warn!("machine {faulty} fails what others can run: to be replaced");
+                    warn!("machine quarantined for good, machine={faulty} reason=its tasks succeed elsewhere");
                     m.decommission_at = Some(now.after(DRAIN_S));
                 }
             });
@@ -74,10 +108,10 @@
     }
 
     /// Decides to delete a machine. Nothing is placed on it from now on.
-    pub(crate) fn decommission(&mut self, now: Time, id: &MachineId, why: &str) {
+    pub(crate) fn decommission(&mut self, now: Time, id: &MachineId, reason: DecommissionReason) {
         self.machines.edit(id, |m| {
             if m.decommission_at.is_none() {
-                info!("machine {id} is to be deleted: {why}");
+                info!("machine decommissioned, machine={id} reason={reason}");
                 m.decommission_at = Some(now);
             }
         });
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -26,6 +26,7 @@
 
 use crate::controller::context::Context;
 use crate::controller::events::{Input, Load, Output, Queue};
+use crate::controller::leadership::GiveUpReason;
 use crate::controller::leadership::standby::StandbyStatus;
 use crate::controller::rate_limits::{CLOUD_BURST_S, RateShares, Role};
 use crate::controller::shard::ShardOwner;
@@ -211,8 +212,8 @@
                 return;
             };
             if shard.workers_lost(&self.context) {
-                self.release_shard(id, "no worker reaches it");
-                self.resign("no worker reaches it");
+                self.release_shard(id, GiveUpReason::WorkersUnreachable);
+                self.resign(GiveUpReason::WorkersUnreachable);
                 return;
             }
             shard.housekeeping(&mut self.context);
--- a/src/controller/peers/heartbeats.rs
+++ b/src/controller/peers/heartbeats.rs
@@ -3,6 +3,7 @@
 use crate::controller::Controller;
 use crate::controller::context::{Context, RECENT_S};
 use crate::controller::events::Output;
+use crate::controller::leadership::GiveUpReason;
 use crate::controller::store::staleness::STALENESS_BOUND_S;
 use crate::ids::{ControllerId, MachineId, Time};
 use crate::peer::{Message, PeerHeartbeat};
@@ -93,7 +94,7 @@
         for (shard, token, _) in &heartbeat.shards {
             let replaced = self.shards.get(shard).is_some_and(|h| *token > h.token);
             if replaced {
-                self.release_shard(*shard, "a sibling knows a higher number");
+                self.release_shard(*shard, GiveUpReason::HigherTokenKnown);
             }
         }
         let (from, incarnation, at) = (
--- a/src/controller/quota/cells.rs
+++ b/src/controller/quota/cells.rs
@@ -138,7 +138,7 @@
         if !known {
             self.cells.dropped += 1;
             debug!(
-                "a message of cell {} to {} is dropped",
+                "cell message dropped, from={} to={}",
                 message.from, message.to
             );
             return;
@@ -163,7 +163,7 @@
             }
             Err(Refusal::OldFile) if !self.cells.old_file_told => {
                 let (old, new) = (file.generation, record.generation);
-                warn!("the cells file has generation {old}, and {new} was taken in before");
+                warn!("cells file is old, generation={old} newest_generation={new}");
                 self.cells.old_file_told = true;
             }
             Err(_) => {}
@@ -271,7 +271,7 @@
             let shards = self.store.mirror.shards.iter();
             preconditions.extend(shards.map(|(shard, slot)| (Key::Shard(*shard), slot.version())));
         }
-        debug!("cells: {}", change.why);
+        debug!("cell records change, reason={}", change.why);
         let op = StoreRequest::Transaction {
             preconditions,
             writes,
@@ -478,26 +478,28 @@
                 .map(|(_, at)| self.now.since(*at));
             let pending = self.cell_link(cell).pending.map_or(0, |t| t.amounts.len());
             match age.filter(|age| *age < CUT_OFF_S) {
-                Some(age) => info!("cell {cell}: heard {age:.1} s ago, {pending} teams in transit"),
-                None => warn!("cell {cell}: cut off, {pending} teams in transit"),
+                Some(age) => {
+                    info!("cell heard, cell={cell} age_s={age:.1} teams_in_transit={pending}")
+                }
+                None => warn!("cell unreachable, cell={cell} teams_in_transit={pending}"),
             }
         }
         let revision = self.store.mirror.cell.revision;
         let dropped = self.cells.dropped;
         info!(
-            "cell {}: shares of revision {revision}, {dropped} messages dropped",
+            "cell shares, cell={} revision={revision} messages_dropped={dropped}",
             file.here
         );
         let views = self.team_views(record, file).unwrap_or_default();
         for (team, view) in &views {
             let ((cpus, gpus), used) = (view.share.to_pair(), view.used.to_pair());
-            debug!("team {team}: share {cpus} CPUs, {gpus} GPUs, {used:?} in use");
+            debug!("team share, team={team} cpus={cpus} gpus={gpus} used={used:?}");
         }
         for (team, limit) in &record.limits {
             let asked = self.limit_asked(record, team);
             if asked != *limit {
                 let (limit, asked) = (limit.to_pair(), asked.to_pair());
-                warn!("team {team}: limit {limit:?} in force, {asked:?} asked for");
+                warn!("team limit not lowered yet, team={team} in_force={limit:?} asked={asked:?}");
             }
         }
     }
--- a/src/controller/quota/team_limits.rs
+++ b/src/controller/quota/team_limits.rs
@@ -55,12 +55,14 @@
         match checked {
             Ok(teams) => {
                 let count = teams.map_or(0, LimitsByTeam::len);
-                info!("limits of {count} teams are set at run time, by revision {revision}");
+                info!("team limits set, teams={count} revision={revision}");
                 self.team_limits.good = teams.cloned();
                 self.team_limits.refused = false;
             }
             Err(why) => {
-                warn!("limits of revision {revision} are refused, the last good ones stay: {why}");
+                warn!(
+                    "team limits refused, the last good ones stay, revision={revision} reason={why}"
+                );
                 self.team_limits.refused = true;
             }
         }
--- a/src/controller/scheduling/consolidation.rs
+++ b/src/controller/scheduling/consolidation.rs
@@ -89,7 +89,7 @@
         }
         for (machine, tasks) in moves {
             log::info!(
-                "machine {machine} is emptied: its {} tasks fit elsewhere",
+                "machine emptied, machine={machine} tasks={} reason=its tasks fit elsewhere",
                 tasks.len()
             );
             for task in tasks {
--- a/src/controller/scheduling/mod.rs
+++ b/src/controller/scheduling/mod.rs
@@ -153,7 +153,7 @@
                 return true;
             };
             debug!(
-                "task {id}/{index} goes to {machine}, its image takes {:.1} s",
+                "task scheduled, task={id}/{index} machine={machine} image_fetch_s={:.1}",
                 fetch_s(&record, &context.catalog[m.class], m)
             );
             let bound = Placement {
@@ -233,7 +233,7 @@
             job_state.preempting_until = now.after(pause);
         }
         for task in victims {
-            log::info!("task {task} makes room for {id}");
+            log::info!("task preempted, task={task} for_job={id}");
             self.stop(context, &task);
         }
     }
--- a/src/controller/shard/admission.rs
+++ b/src/controller/shard/admission.rs
@@ -43,7 +43,7 @@
             Vec::new()
         };
         self.estimate_demand(context.now, &context.catalog, context.store.mirror.closed());
-        info!("took over {} jobs of block {shard}", self.jobs.len());
+        info!("jobs taken over, shard={shard} jobs={}", self.jobs.len());
 
         self.adopt_hinted_estimates(context);
     }
@@ -117,7 +117,7 @@
                 job_state.released = true;
                 job_state.since = now;
                 if !job.record.needs.is_empty() {
-                    info!("job {id} may start: all that it needs is done");
+                    info!("job released, its dependencies are done, job={id}");
                 }
                 self.record_demand(
                     now,
@@ -132,7 +132,7 @@
                 }
             }
             DependencyState::Cancelled => {
-                info!("job {id} is cancelled with one that it needs");
+                info!("job cancelled with a dependency, job={id}");
                 job_state.cancelled = Some(now);
                 self.stop_cancelled(context, id);
             }
@@ -153,7 +153,10 @@
             return;
         };
         let all = job_state.cancelled.is_none();
-        info!("job {id} {}", if all { "done" } else { "cleared away" });
+        info!(
+            "job ended, job={id} ending={}",
+            if all { "done" } else { "cancelled" }
+        );
         let tasks: Vec<u32> = job_state.placed.keys().copied().collect();
         for index in tasks {
             let job = id.clone();
--- a/src/controller/shard/commits.rs
+++ b/src/controller/shard/commits.rs
@@ -141,12 +141,15 @@
         reply: StoreResponse,
     ) {
         if reply == StoreResponse::Rejected {
-            warn!("the state service takes no values of this size any more");
+            warn!("store refuses values of this size, the announced limits are in force");
             context.store.values_shrunk = true;
         }
         self.writes_in_flight = self.writes_in_flight.saturating_sub(1);
         if !matches!(reply, StoreResponse::Committed { .. }) {
-            debug!("{} chunks not written: {reply:?}", items.len());
+            debug!(
+                "placements not written, chunks={} reason={reply:?}",
+                items.len()
+            );
         }
         let mut ready = BTreeSet::new();
         let mut reread_placements = Vec::new();
@@ -317,7 +320,7 @@
         let Some(job_state) = self.jobs.get_mut(job) else {
             return;
         };
-        info!("job {job}: its records are too large to be written again, and are cut into parts");
+        info!("placement records split into parts, job={job} reason=larger than the store's limit");
         job_state.layout = ChunkLayout::new(&job_state.record, Some(chunk_size(value_bytes)));
         let unwritten = job_state.chunks.iter().filter(|(_, c)| c.unwritten);
         let mut chunks: BTreeSet<u32> = unwritten.map(|(chunk, _)| *chunk).collect();
--- a/src/controller/shard/completion.rs
+++ b/src/controller/shard/completion.rs
@@ -128,7 +128,10 @@
         if let StoreResponse::Committed { .. } = reply {
             job_state.finishing = true;
         } else if let StoreResponse::Conflict { failed } = reply {
-            warn!("job {id} didn't end: {} changed", failed.len());
+            warn!(
+                "job end not written, job={id} reason={} records changed",
+                failed.len()
+            );
         }
     }
 }
--- a/src/controller/shards/assignment.rs
+++ b/src/controller/shards/assignment.rs
@@ -114,7 +114,7 @@
             }
             let (controller_id, incarnation) = self.context.least_loaded(&load);
             info!(
-                "block {shard} goes from {} to {controller_id}",
+                "shard reassigned, shard={shard} from={} to={controller_id}",
                 record.owner
             );
             *load.entry(controller_id.clone()).or_default() += 1;
--- a/src/controller/shards/quota_shares.rs
+++ b/src/controller/shards/quota_shares.rs
@@ -129,7 +129,9 @@
         }
         let (bytes, most) = (json_bytes(&limited), self.record_most());
         if bytes > most {
-            warn!("the limits of all teams take {bytes} bytes, of at most {most}: not in force");
+            warn!(
+                "team limits not in force, bytes={bytes} bytes_max={most} reason=too large for one record"
+            );
             return;
         }
         *record = limited;
--- a/src/controller/shards/splitting.rs
+++ b/src/controller/shards/splitting.rs
@@ -46,7 +46,9 @@
             return shards;
         }
         leadership.short_of_shards_since = None;
-        info!("one holder is too busy for {machines} machines: {needed} blocks are needed");
+        info!(
+            "fleet to be split, machines={machines} shards_needed={needed} reason=owner too busy"
+        );
         needed
     }
 
@@ -99,7 +101,7 @@
             });
         let (owner, incarnation) = self.context.least_loaded(&load);
         let shard = records.keys().max().map_or(0, |k| k + 1);
-        info!("block {shard} is made for {owner}");
+        info!("shard created, shard={shard} owner={owner}");
         highest.0 += 1;
         let record = ShardRecord {
             owner,
--- a/src/controller/store_requests.rs
+++ b/src/controller/store_requests.rs
@@ -3,6 +3,7 @@
 use crate::controller::Controller;
 use crate::controller::api::{DependentSubmission, StatusQuery, Submission};
 use crate::controller::context::Context;
+use crate::controller::leadership::GiveUpReason;
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::shard::ShardOwnership;
 use crate::controller::shard::commits::PlacementWrite;
@@ -71,7 +72,7 @@
                 self.continue_watch();
                 self.on_mirror_events(events);
             }
-            StoreEvent::FellBehind => self.give_up("the follow fell behind"),
+            StoreEvent::FellBehind => self.give_up(GiveUpReason::WatchFellBehind),
             StoreEvent::Response {
                 purpose,
                 response,
