--- a/src/controller/leadership/shutdown.rs
+++ b/src/controller/leadership/shutdown.rs
@@ -1,9 +1,12 @@
 //! A controller that is told to end hands over first: it takes no new work and, if it leads, gives
 //! its lease up once its last call to the cloud is over, so that nobody waits for the lease's end.
 
+use crate::controller::Controller;
 use crate::controller::autoscaling::CloudPurpose;
+use crate::controller::context::Context;
+use crate::controller::leadership::GiveUpReason;
 use crate::controller::rate_limits::token_bucket::Priority;
-use crate::controller::{Controller, PendingRequest, RequestPurpose};
+use crate::controller::store_requests::RequestPurpose;
 use crate::ids::Time;
 use crate::wire::StoreRequest;
 use log::info;
@@ -34,17 +37,19 @@
 impl Controller {
     /// Begins to hand over; nothing is taken back.
     pub(crate) fn on_shutdown(&mut self) {
-        if self.shutdown.is_some() {
+        if self.context.shutdown.is_some() {
             return;
         }
-        info!("hands over, and ends then");
-        self.shutdown = Some(Shutdown {
-            since: self.now,
+        info!("shutting down, handing over");
+        self.context.shutdown = Some(Shutdown {
+            since: self.context.now,
             idle_since: None,
         });
-        self.resign("it is told to end");
+        self.resign(GiveUpReason::ShuttingDown);
     }
+}
 
+impl Context {
     /// Whether this controller is about to end.
     pub(crate) fn shutting_down(&self) -> bool {
         self.shutdown.is_some()
@@ -62,10 +67,9 @@
 
     pub(crate) fn shutdown_housekeeping(&mut self) {
         self.release_lease();
-        let releasing =
-            self.lease_revocation.is_some() || self.pending_requests.values().any(is_release);
+        let releasing = self.lease_revocation.is_some() || self.store.is_pending(is_revocation);
         let me = &self.settings.platform.controller_id;
-        let leader = self.mirror.leader.record.as_ref();
+        let leader = self.store.mirror.leader.record.as_ref();
         let led_by_another = leader.is_some_and(|l| l.controller_id != *me);
         let alone = self.settings.platform.peers.is_empty();
         let (now, idle) = (self.now, !releasing && (led_by_another || alone));
@@ -90,8 +94,7 @@
         let Some(lease_revocation) = &self.lease_revocation else {
             return;
         };
-        let changes = |(purpose, _): &(CloudPurpose, _)| purpose.changes();
-        let under_way = self.cloud_calls.values().any(changes);
+        let under_way = self.cloud_calls.values().any(CloudPurpose::changes);
         if under_way && self.now.since(lease_revocation.since) < CLOUD_REQUESTS_S {
             return;
         }
@@ -102,7 +105,7 @@
         }
     }
 }
-
-fn is_release(call: &PendingRequest) -> bool {
-    matches!(call.purpose, RequestPurpose::RevokeLease)
+/// Whether a request gives the leader's lease up.
+fn is_revocation(purpose: &RequestPurpose) -> bool {
+    matches!(purpose, RequestPurpose::RevokeLease)
 }
--- a/src/controller/machines/mod.rs
+++ b/src/controller/machines/mod.rs
@@ -18,51 +18,77 @@
 pub mod inventory;
 pub(crate) mod liveness;
 
-use crate::controller::Controller;
+use crate::controller::context::Context;
 use crate::controller::shard::ShardOwner;
 use crate::ids::{MachineId, TaskId, Time};
 use log::{info, warn};
+use std::fmt;
 
 /// A quarantined machine's tasks get this long to stop before it is deleted.
 const DRAIN_S: f64 = 15.0;
 /// Names of deleted machines are kept for late copies of their heartbeats.
 const GONE_S: f64 = 900.0;
 
-impl Controller {
-    pub(crate) fn owner_housekeeping(&mut self) {
-        if self.owner.is_none() {
-            return;
-        }
-        self.check_workers_reachable();
-        self.check_leases();
-        self.check_cancels();
-        self.check_silent();
-        self.check_unacknowledged();
-        self.drain();
-        self.consolidate();
-        self.decommission_abandoned();
-        self.delete_decommissioned();
-        let now = self.now;
-        if let Some(h) = &mut self.owner {
-            h.gone.retain(|_, at| now.since(*at) < GONE_S);
-        }
+/// Why a machine is decommissioned.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum DecommissionReason {
+    /// A cancelled task may still run on it, and nothing else proves it gone.
+    CancelledTaskUnproven,
+    /// No heartbeat has come for too long.
+    Silent,
+    /// It never acknowledged the shard's token.
+    TokenNotAcknowledged,
+    /// It is empty, and the scaling plan gives it back.
+    ScaledIn,
+    /// It never became ready.
+    NeverReady,
+    /// The cloud lists it as failed.
+    FailedAtCloud,
+    /// The cloud should list it by now, and doesn't.
+    NotListed,
+}
+
+impl fmt::Display for DecommissionReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::CancelledTaskUnproven => "a cancelled task may still run on it",
+            Self::Silent => "silent",
+            Self::TokenNotAcknowledged => "token not acknowledged",
+            Self::ScaledIn => "scaled in",
+            Self::NeverReady => "never ready",
+            Self::FailedAtCloud => "failed at the cloud",
+            Self::NotListed => "not listed by the cloud",
+        })
+    }
+}
+
+impl ShardOwner {
+    /// Does what no event triggers: checks machines, empties and deletes some.
+    pub(crate) fn housekeeping(&mut self, context: &mut Context) {
+        self.check_leases(context);
+        self.check_cancels(context);
+        self.check_silent(context);
+        self.check_unacknowledged(context);
+        self.drain(context);
+        self.consolidate(context);
+        self.decommission_abandoned(context);
+        self.delete_decommissioned(context);
+        let now = context.now;
+        self.gone.retain(|_, at| now.since(*at) < GONE_S);
     }
 
     /// Tells a task to stop, as soon as its machine can hear it.
-    pub(crate) fn stop(&mut self, task: &TaskId) {
-        let now = self.now;
-        let Some(h) = &mut self.owner else {
-            return;
-        };
-        let Some(p) = h.placement_mut(task) else {
+    pub(crate) fn stop(&mut self, context: &mut Context, task: &TaskId) {
+        let now = context.now;
+        let Some(p) = self.placement_mut(task) else {
             return;
         };
         p.stop_requested.get_or_insert(now);
         let machine = p.machine.clone();
-        if h.was_never_sent(task) {
-            h.remove_placement(now, task);
+        if self.was_never_sent(task) {
+            self.remove_placement(now, task);
         } else {
-            self.answer_long_poll(&machine);
+            self.answer_long_poll(context, &machine);
         }
     }
 }
@@ -74,7 +100,7 @@
         for faulty in self.failures.task_succeeded(&task.job, id) {
             self.machines.edit(&faulty, |m| {
                 if m.decommission_at.is_none() {
-                    warn!("machine {faulty} fails what others can run: to be replaced");
+                    warn!("machine quarantined for good, machine={faulty} reason=its tasks succeed elsewhere");
                     m.decommission_at = Some(now.after(DRAIN_S));
                 }
             });
@@ -82,10 +108,10 @@
     }
 
     /// Decides to delete a machine. Nothing is placed on it from now on.
-    pub(crate) fn decommission(&mut self, now: Time, id: &MachineId, why: &str) {
+    pub(crate) fn decommission(&mut self, now: Time, id: &MachineId, reason: DecommissionReason) {
         self.machines.edit(id, |m| {
             if m.decommission_at.is_none() {
-                info!("machine {id} is to be deleted: {why}");
+                info!("machine decommissioned, machine={id} reason={reason}");
                 m.decommission_at = Some(now);
             }
         });
--- a/src/controller/quota/cells.rs
+++ b/src/controller/quota/cells.rs
@@ -6,13 +6,15 @@
 //! are unchanged. What other cells tell is only ever a reason to try; a rule rests on none of it.
 //! Shards are allowed what the cell's record says, in commits that are conditional on it.
 
+use crate::controller::Controller;
+use crate::controller::context::Context;
 use crate::controller::events::Output;
 use crate::controller::quota::team_limits::LimitsWanted;
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::shard::ShardOwner;
 use crate::controller::store::mirror::Mirrored;
 use crate::controller::store::records::{Key, LimitsByTeam, Record};
-use crate::controller::{Controller, RequestPurpose};
+use crate::controller::store_requests::RequestPurpose;
 use crate::ids::Time;
 use crate::peer::TeamCount;
 use crate::settings::CellsFile;
@@ -83,39 +85,25 @@
 }
 
 impl Controller {
-    /// Another cell's leader tells how things stand there.
-    pub(crate) fn on_cell_message(&mut self, message: LinkMessage) {
-        let Some(file) = &self.settings.cells else {
-            return;
-        };
-        let known = message.to == file.here && file.others().any(|cell| *cell == message.from);
-        if !known {
-            self.cells.dropped += 1;
-            debug!(
-                "a message of cell {} to {} is dropped",
-                message.from, message.to
-            );
-            return;
-        }
-        let entry = (message.clone(), self.now);
-        self.cells.heard.insert(message.from, entry);
-    }
-
     pub(crate) fn cells_housekeeping(&mut self) {
-        let Some(file) = self.settings.cells.clone() else {
+        let Some(file) = self.context.settings.cells.clone() else {
             return;
         };
-        if self.leadership.is_none() || !self.lease_valid() || self.is_stale() {
+        if self.context.leadership.is_none()
+            || !self.context.lease_valid()
+            || self.context.is_stale()
+        {
             return;
         }
         self.count_again();
-        self.say_to_cells(&file);
-        self.tell_of_cells(&file);
-        if self.cells.busy || self.mirror.revision < self.cells.after {
+        self.context.say_to_cells(&file);
+        self.context.tell_of_cells(&file);
+        if self.context.cells.busy || self.context.store.mirror.revision < self.context.cells.after
+        {
             return;
         }
-        if let Some(change) = self.next_cell_change(&file) {
-            self.commit_cell_change(change);
+        if let Some(change) = self.context.next_cell_change(&file) {
+            self.context.commit_cell_change(change);
         }
         // A share that has just come is for the shards to use, and one that another cell needs is
         // for them to leave.
@@ -128,6 +116,7 @@
     fn count_again(&mut self) {
         let current = |shard: &u32, owner: &ShardOwner| {
             let counts = self
+                .context
                 .leadership
                 .as_ref()
                 .and_then(|leadership| leadership.shard_counts.get(shard));
@@ -137,11 +126,29 @@
             self.send_counts();
         }
     }
+}
 
-    // ---- changes
+impl Context {
+    /// Another cell's leader tells how things stand there.
+    pub(crate) fn on_cell_message(&mut self, message: LinkMessage) {
+        let Some(file) = &self.settings.cells else {
+            return;
+        };
+        let known = message.to == file.here && file.others().any(|cell| *cell == message.from);
+        if !known {
+            self.cells.dropped += 1;
+            debug!(
+                "cell message dropped, from={} to={}",
+                message.from, message.to
+            );
+            return;
+        }
+        let entry = (message.clone(), self.now);
+        self.cells.heard.insert(message.from, entry);
+    }
 
     fn next_cell_change(&mut self, file: &CellsFile) -> Option<CellChange> {
-        let Some(record) = self.mirror.cell.record.clone() else {
+        let Some(record) = self.store.mirror.cell.record.clone() else {
             let record = CellRecord::found(&file.here, file.generation, &file.teams);
             return Some(CellChange::of_cell(
                 record,
@@ -156,7 +163,7 @@
             }
             Err(Refusal::OldFile) if !self.cells.old_file_told => {
                 let (old, new) = (file.generation, record.generation);
-                warn!("the cells file has generation {old}, and {new} was taken in before");
+                warn!("cells file is old, generation={old} newest_generation={new}");
                 self.cells.old_file_told = true;
             }
             Err(_) => {}
@@ -248,23 +255,23 @@
     }
 
     fn commit_cell_change(&mut self, change: CellChange) {
-        let mut preconditions = vec![(Key::Leader, self.mirror.leader.version())];
+        let mut preconditions = vec![(Key::Leader, self.store.mirror.leader.version())];
         let mut writes = Vec::new();
-        preconditions.push((Key::Cell, self.mirror.cell.version()));
+        preconditions.push((Key::Cell, self.store.mirror.cell.version()));
         if let Some(cell) = change.cell {
             writes.push(Write::put(Key::Cell, Record::Cell(Box::new(cell))));
         }
         if let Some((other, link)) = change.link {
             let key = Key::CellLink(other.clone());
-            let slot = self.mirror.cell_links.get(&other);
+            let slot = self.store.mirror.cell_links.get(&other);
             preconditions.push((key.clone(), slot.map_or(0, Mirrored::version)));
             writes.push(Write::put(key, Record::CellLink(link)));
         }
         if change.on_shards {
-            let shards = self.mirror.shards.iter();
+            let shards = self.store.mirror.shards.iter();
             preconditions.extend(shards.map(|(shard, slot)| (Key::Shard(*shard), slot.version())));
         }
-        debug!("cells: {}", change.why);
+        debug!("cell records change, reason={}", change.why);
         let op = StoreRequest::Transaction {
             preconditions,
             writes,
@@ -282,10 +289,8 @@
         }
     }
 
-    // ---- what is known
-
     fn cell_link(&self, other: &Cell) -> LinkRecord {
-        let slot = self.mirror.cell_links.get(other);
+        let slot = self.store.mirror.cell_links.get(other);
         slot.and_then(|slot| slot.record.clone())
             .unwrap_or_default()
     }
@@ -348,7 +353,7 @@
     /// Each shard's quota shares with its owner's counts under them.
     fn current_counts(&self) -> Option<Vec<CountedShard<'_>>> {
         let believed = self.believed();
-        let shards = self.mirror.shards.iter();
+        let shards = self.store.mirror.shards.iter();
         let counts = shards.map(|(shard, slot)| {
             let quota_shares = slot.record.as_ref()?.quota_shares.as_ref()?;
             let mut current = believed.iter();
@@ -365,7 +370,7 @@
     /// called back, and of what is left no more than the cell would like to have, so that the
     /// rest can be given away.
     pub(crate) fn cell_limits(&self, file: &CellsFile) -> LimitsWanted {
-        let Some(record) = &self.mirror.cell.record else {
+        let Some(record) = &self.store.mirror.cell.record else {
             return LimitsWanted::Set(LimitsByTeam::new());
         };
         let views = self.team_views(record, file);
@@ -394,6 +399,7 @@
     /// What the shards allow now.
     fn allowed_now(&self, team: &str) -> Amount {
         let records = self
+            .store
             .mirror
             .shards
             .values()
@@ -404,10 +410,9 @@
         })
     }
 
-    // ---- messages
-
     fn say_to_cells(&mut self, file: &CellsFile) {
         let Some(record) = self
+            .store
             .mirror
             .cell
             .record
@@ -427,7 +432,7 @@
         let pause = if changed { SAY_CHANGED_S } else { SAY_S };
         self.cells.say_at = self.now.after(pause);
         for (to, message) in messages {
-            self.out.push(Output::Cell(to.clone(), message.clone()));
+            self.outbox.push(Output::Cell(to.clone(), message.clone()));
             self.cells.said.insert(to, message);
         }
     }
@@ -462,7 +467,7 @@
             return;
         }
         self.cells.tell_at = self.now.after(TELL_S);
-        let Some(record) = &self.mirror.cell.record else {
+        let Some(record) = &self.store.mirror.cell.record else {
             return;
         };
         for cell in file.others() {
@@ -473,26 +478,28 @@
                 .map(|(_, at)| self.now.since(*at));
             let pending = self.cell_link(cell).pending.map_or(0, |t| t.amounts.len());
             match age.filter(|age| *age < CUT_OFF_S) {
-                Some(age) => info!("cell {cell}: heard {age:.1} s ago, {pending} teams in transit"),
-                None => warn!("cell {cell}: cut off, {pending} teams in transit"),
+                Some(age) => {
+                    info!("cell heard, cell={cell} age_s={age:.1} teams_in_transit={pending}")
+                }
+                None => warn!("cell unreachable, cell={cell} teams_in_transit={pending}"),
             }
         }
-        let revision = self.mirror.cell.revision;
+        let revision = self.store.mirror.cell.revision;
         let dropped = self.cells.dropped;
         info!(
-            "cell {}: shares of revision {revision}, {dropped} messages dropped",
+            "cell shares, cell={} revision={revision} messages_dropped={dropped}",
             file.here
         );
         let views = self.team_views(record, file).unwrap_or_default();
         for (team, view) in &views {
             let ((cpus, gpus), used) = (view.share.to_pair(), view.used.to_pair());
-            debug!("team {team}: share {cpus} CPUs, {gpus} GPUs, {used:?} in use");
+            debug!("team share, team={team} cpus={cpus} gpus={gpus} used={used:?}");
         }
         for (team, limit) in &record.limits {
             let asked = self.limit_asked(record, team);
             if asked != *limit {
                 let (limit, asked) = (limit.to_pair(), asked.to_pair());
-                warn!("team {team}: limit {limit:?} in force, {asked:?} asked for");
+                warn!("team limit not lowered yet, team={team} in_force={limit:?} asked={asked:?}");
             }
         }
     }
--- a/src/controller/quota/team_limits.rs
+++ b/src/controller/quota/team_limits.rs
@@ -9,7 +9,7 @@
 //! A record that can't be read, or that names what there isn't, changes nothing: the last good one
 //! stays in force, also under a leader that never saw it, since the shards' records keep it.
 
-use crate::controller::Controller;
+use crate::controller::context::Context;
 use crate::controller::store::records::{LimitsByTeam, LimitsRecord};
 use crate::settings::Team;
 use log::{info, warn};
@@ -36,10 +36,10 @@
     AsTheyAre,
 }
 
-impl Controller {
+impl Context {
     /// The operators' record may have changed.
     pub(crate) fn read_limits(&mut self) {
-        let slot = &self.mirror.limits;
+        let slot = &self.store.mirror.limits;
         if slot.revision == self.team_limits.seen {
             return;
         }
@@ -55,12 +55,14 @@
         match checked {
             Ok(teams) => {
                 let count = teams.map_or(0, LimitsByTeam::len);
-                info!("limits of {count} teams are set at run time, by revision {revision}");
+                info!("team limits set, teams={count} revision={revision}");
                 self.team_limits.good = teams.cloned();
                 self.team_limits.refused = false;
             }
             Err(why) => {
-                warn!("limits of revision {revision} are refused, the last good ones stay: {why}");
+                warn!(
+                    "team limits refused, the last good ones stay, revision={revision} reason={why}"
+                );
                 self.team_limits.refused = true;
             }
         }
--- a/src/controller/shard/mod.rs
+++ b/src/controller/shard/mod.rs
@@ -11,17 +11,14 @@
 pub(crate) mod image_demand;
 pub mod job;
 
-use crate::controller::RECENT_S;
 use crate::controller::autoscaling::Pool;
+use crate::controller::context::RECENT_S;
 use crate::controller::machines::failures::FailureLog;
 use crate::controller::machines::inventory::{Inventory, Machine};
 use crate::controller::shard::burst_estimate::BurstEstimate;
-use crate::controller::shard::commits::WriteQueue;
-use crate::controller::shard::commits::WriteUrgency;
+use crate::controller::shard::commits::{WriteQueue, WriteUrgency};
 use crate::controller::shard::image_demand::ImageDemand;
-use crate::controller::shard::job::JobState;
-use crate::controller::shard::job::Phase;
-use crate::controller::shard::job::Placement;
+use crate::controller::shard::job::{JobState, Phase, Placement};
 use crate::controller::store::records::{PriorityClass, Resources, ShardRecord};
 use crate::ids::{
     Attempt, ControllerId, FencingToken, Image, JobId, MachineId, RequestId, TaskId, Time,
@@ -30,6 +27,13 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
+/// One ownership of one shard: a response to what was asked under it means nothing to another one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct ShardOwnership {
+    pub(crate) shard: u32,
+    pub(crate) token: FencingToken,
+}
+
 /// What is left of an amount of which half is forgotten in `half_s`.
 fn decayed(amount: f64, passed_s: f64, half_s: f64) -> f64 {
     amount * 0.5f64.powf(passed_s / half_s)
@@ -125,6 +129,14 @@
         }
     }
 
+    /// Which ownership of which shard this is.
+    pub(crate) fn ownership(&self) -> ShardOwnership {
+        ShardOwnership {
+            shard: self.shard,
+            token: self.token,
+        }
+    }
+
     pub fn first_long_poll_deadline(&self) -> Option<Time> {
         self.long_poll_deadlines.first().map(|(t, _)| *t)
     }
--- a/src/controller/store/watch.rs
+++ b/src/controller/store/watch.rs
@@ -1,175 +1,200 @@
-//! Following the store: one listing, then every change.
+//! The initial list of the store's records, and the watch that brings every change after it.
 
 use crate::controller::events::Output;
+use crate::controller::outbox::Outbox;
 use crate::controller::rate_limits::token_bucket::Priority;
-use crate::controller::store::mirror::Event;
+use crate::controller::store::mirror::MirrorEvent;
 use crate::controller::store::records::LIST_AFTER;
-use crate::controller::{Controller, RETRY_S, RequestPurpose, WatchState};
-use crate::ids::Time;
-use crate::wire::{StoreRequest, StoreResponse};
+use crate::controller::store::{Purpose, RETRY_S, StoreClient, StoreEvent};
+use crate::ids::{CallId, Time};
+use crate::wire::{Change, StoreRequest, StoreResponse};
 
 /// A watch that hasn't brought a revision known to exist for this long hangs.
 const WATCH_STUCK_S: f64 = 1.5;
-/// Share of its requests that a controller which places nothing follows with.
+/// Share of its requests that a controller which schedules nothing watches with.
 const WATCH_SHARE: f64 = 0.4;
 
-impl Controller {
-    pub(crate) fn watch_housekeeping(&mut self) {
+/// How far the list and the watch have come.
+#[derive(Debug)]
+pub(super) enum WatchState {
+    /// Neither is under way.
+    Idle {
+        /// When the list begins anew.
+        retry_at: Time,
+    },
+    /// The initial list is under way.
+    Listing {
+        /// The revision of the first page, from which the watch begins.
+        first_revision: Option<u64>,
+        /// The records of the pages so far.
+        entries: Vec<Change>,
+    },
+    /// A watch is open.
+    Watching {
+        /// Its call.
+        call: CallId,
+    },
+    /// The list is done, and no watch is open.
+    Paused {
+        /// When the next one is opened.
+        retry_at: Time,
+    },
+}
+
+impl Default for WatchState {
+    fn default() -> Self {
+        Self::Idle { retry_at: Time(0) }
+    }
+}
+
+impl<P> StoreClient<P> {
+    /// Begins the list, opens the watch, or opens it anew if it hangs. An `eager` controller
+    /// doesn't wait until a pause is over.
+    pub(crate) fn keep_watching(&mut self, now: Time, outbox: &mut Outbox, eager: bool) {
         match self.watch {
-            WatchState::Idle { retry_at } if self.now >= retry_at => {
+            WatchState::Idle { retry_at } if now >= retry_at => {
                 self.watch = WatchState::Listing {
-                    first: None,
+                    first_revision: None,
                     entries: Vec::new(),
                 };
-                self.list_from(LIST_AFTER.into());
+                self.list_from(now, outbox, LIST_AFTER.into());
+            }
+            WatchState::Paused { retry_at } if now >= retry_at || eager => {
+                self.open_watch(now, outbox);
             }
-            WatchState::Paused { retry_at } if self.now >= retry_at => self.start_watch(),
-            WatchState::Paused { .. } if self.suspects_leader().is_some() => self.start_watch(),
-            WatchState::Following { call } => {
-                // A cut can leave the watch's connection open and dead: a revision
-                // that is known to exist doesn't come through it.
-                let stuck = self
-                    .revision_reads
-                    .front()
-                    .is_some_and(|r| self.now.since(r.answered) > WATCH_STUCK_S);
-                if stuck {
-                    self.pending_requests.remove(&call);
-                    self.out.push(Output::Forget(call));
-                    self.revision_reads.clear();
-                    self.start_watch();
-                }
+            // A cut can leave the watch's connection open and dead: a revision that is known to
+            // exist doesn't come through it.
+            WatchState::Watching { call }
+                if self.staleness.waits_longer_than(now, WATCH_STUCK_S) =>
+            {
+                self.pending.remove(&call);
+                outbox.push(Output::Forget(call));
+                self.staleness.forget_reads();
+                self.open_watch(now, outbox);
             }
             _ => {}
         }
     }
 
-    pub(crate) fn list_from(&mut self, after: String) {
-        let op = StoreRequest::List { after };
-        if self
-            .send_store_request(op, RequestPurpose::List, Priority::First)
-            .is_err()
-        {
-            self.watch = WatchState::Idle {
-                retry_at: self.now.after(RETRY_S),
-            };
+    fn list_from(&mut self, now: Time, outbox: &mut Outbox, after: String) {
+        let request = StoreRequest::List { after };
+        let sent = self.send_for(now, outbox, request, Purpose::List, Priority::First);
+        if sent.is_err() {
+            self.list_later(now);
         }
     }
 
-    pub(crate) fn on_list(&mut self, reply: StoreResponse) {
+    fn list_later(&mut self, now: Time) {
+        self.watch = WatchState::Idle {
+            retry_at: now.after(RETRY_S),
+        };
+    }
+
+    pub(super) fn on_list(
+        &mut self,
+        now: Time,
+        outbox: &mut Outbox,
+        response: StoreResponse,
+    ) -> StoreEvent<P> {
         let StoreResponse::Page {
             entries: page,
             last,
             more,
             revision,
-        } = reply
+        } = response
         else {
-            self.watch = WatchState::Idle {
-                retry_at: self.now.after(RETRY_S),
-            };
-            return;
+            self.list_later(now);
+            return StoreEvent::None;
         };
-        let WatchState::Listing { first, entries } = &mut self.watch else {
-            return;
+        let WatchState::Listing {
+            first_revision,
+            entries,
+        } = &mut self.watch
+        else {
+            return StoreEvent::None;
         };
-        // Later pages may show later changes; the watch starts at the first
-        // page's revision and brings what the pages missed.
-        let began = *first.get_or_insert(revision);
+        // Later pages may show later changes; the watch starts at the first page's revision and
+        // brings what the pages missed.
+        let began = *first_revision.get_or_insert(revision);
         entries.extend(page);
         if let (true, Some(last)) = (more, last) {
-            self.list_from(last);
-            return;
+            self.list_from(now, outbox, last);
+            return StoreEvent::None;
         }
         let entries = std::mem::take(entries);
-        let events = self.mirror.replace(self.now, began, entries);
+        let events = self.mirror.replace(now, began, entries);
         self.initial_list_done = true;
-        self.start_watch();
-        self.apply_mirror_events(events);
+        self.open_watch(now, outbox);
+        StoreEvent::Listed(events)
     }
 
-    pub(crate) fn start_watch(&mut self) {
-        let op = StoreRequest::Watch {
+    fn open_watch(&mut self, now: Time, outbox: &mut Outbox) {
+        let request = StoreRequest::Watch {
             after: self.mirror.revision,
         };
-        self.watch = match self.send_store_request(op, RequestPurpose::Watch, Priority::First) {
-            Ok(call) => WatchState::Following { call },
+        let sent = self.send_for(now, outbox, request, Purpose::Watch, Priority::First);
+        self.watch = match sent {
+            Ok(call) => WatchState::Watching { call },
             Err(_) => WatchState::Paused {
-                retry_at: self.now.after(RETRY_S),
+                retry_at: now.after(RETRY_S),
             },
         };
     }
 
-    /// Goes on following: at once where tasks are placed. The others let changes gather,
-    /// so that opening the watch again for each of them doesn't use up their requests:
-    /// with five controllers that kept submissions waiting for a second.
-    pub(crate) fn continue_watch(&mut self) {
-        let takes_over = self.suspects_leader().is_some() || self.has_won();
-        if !self.shards.is_empty() || self.leadership.is_some() || takes_over {
-            return self.start_watch();
+    /// Opens the next watch: at once for an `eager` controller. The others let changes gather, so
+    /// that opening the watch for each of them doesn't use up their requests: with five
+    /// controllers that kept submissions waiting for a second.
+    pub(crate) fn continue_watch(&mut self, now: Time, outbox: &mut Outbox, eager: bool) {
+        if eager {
+            return self.open_watch(now, outbox);
         }
-        let gap_s = 1.0 / (self.requests.rate() * WATCH_SHARE).max(1.0);
+        let gap_s = 1.0 / (self.request_limit.rate() * WATCH_SHARE).max(1.0);
         self.watch = WatchState::Paused {
-            retry_at: self.now.after(gap_s),
+            retry_at: now.after(gap_s),
         };
     }
 
-    /// Goes on following without the pause: something is known to have changed.
-    pub(crate) fn watch_at_once(&mut self) {
+    /// Opens the next watch without a pause: something is known to have changed.
+    pub(crate) fn end_pause(&mut self, now: Time, outbox: &mut Outbox) {
         if matches!(self.watch, WatchState::Paused { .. }) {
-            self.start_watch();
+            self.open_watch(now, outbox);
         }
     }
 
-    pub(crate) fn on_watch_response(&mut self, reply: StoreResponse, sent: Time) {
-        match reply {
+    pub(super) fn on_watch(
+        &mut self,
+        now: Time,
+        response: StoreResponse,
+        sent: Time,
+    ) -> StoreEvent<P> {
+        match response {
             StoreResponse::Changes { revision, news } => {
-                let now = self.now;
                 self.write_rate.note_seen(news.len());
-                self.changes_known_at = self.changes_known_at.max(sent);
-                let events: Vec<Event> = news
-                    .into_iter()
-                    .filter_map(|change| self.mirror.apply(now, change))
+                self.staleness.changes_known(sent);
+                let mirror = &mut self.mirror;
+                let changes = news.into_iter();
+                let events: Vec<MirrorEvent> = changes
+                    .filter_map(|change| mirror.apply(now, change))
                     .collect();
-                self.mirror.revision = self.mirror.revision.max(revision);
-                self.continue_watch();
-                self.apply_mirror_events(events);
+                mirror.revision = mirror.revision.max(revision);
+                StoreEvent::Changed(events)
             }
             StoreResponse::Compacted => {
-                // What was missed can't be told apart from what never was.
-                self.give_up("the follow fell behind");
                 self.initial_list_done = false;
-                self.watch = WatchState::Idle { retry_at: self.now };
+                self.watch = WatchState::Idle { retry_at: now };
+                StoreEvent::FellBehind
             }
             _ => {
                 self.watch = WatchState::Paused {
-                    retry_at: self.now.after(RETRY_S),
-                }
+                    retry_at: now.after(RETRY_S),
+                };
+                StoreEvent::None
             }
         }
     }
 
-    pub(crate) fn apply_mirror_events(&mut self, events: Vec<Event>) {
-        let mut control = false;
-        for event in events {
-            match event {
-                Event::Job(id) => {
-                    let shard = self.mirror.jobs.get(&id).map(|j| j.record.shard);
-                    self.in_shard(shard.unwrap_or(0), |controller| {
-                        controller.on_job_changed(&id)
-                    });
-                }
-                Event::JobGone(id) => {
-                    let mut owners = self.shards.values();
-                    let owner = owners.find(|h| h.jobs.contains_key(&id));
-                    if let Some(shard) = owner.map(|h| h.shard) {
-                        self.in_shard(shard, |controller| controller.on_job_removed(&id));
-                    }
-                }
-                Event::Control => control = true,
-            }
-        }
-        if control {
-            self.on_control_records_changed();
-        }
-        self.answer_cancelled();
+    /// Whether the store's records were listed, and are watched since.
+    pub(crate) fn initial_list_done(&self) -> bool {
+        self.initial_list_done
     }
 }
