--- a/src/controller/dependencies/graph.rs
+++ b/src/controller/dependencies/graph.rs
@@ -13,7 +13,7 @@
 
 /// What is known of the jobs that a job needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DependencyState {
+pub(crate) enum DependencyState {
     /// All are done: the job may start.
     Met,
     /// Some aren't over yet.
@@ -26,7 +26,7 @@
 
 /// Who needs whom among the jobs that aren't over.
 #[derive(Debug, Default)]
-pub struct Dependencies {
+pub(crate) struct Dependencies {
     /// For each job that is needed: those that need it.
     dependents: HashMap<JobId, BTreeSet<JobId>>,
     /// Jobs that are cancelled with one that they need.
@@ -39,7 +39,7 @@
 
 impl StoreMirror {
     /// What is known of the jobs that this one needs.
-    pub fn needs(&self, record: &JobRecord) -> DependencyState {
+    pub(crate) fn needs(&self, record: &JobRecord) -> DependencyState {
         let mut needs = DependencyState::Met;
         for id in &record.needs {
             match self.ending(id).map(|(ending, _)| ending) {
@@ -55,30 +55,30 @@
     }
 
     /// Whether a job that isn't over needs this one.
-    pub fn has_dependents(&self, id: &JobId) -> bool {
+    pub(crate) fn has_dependents(&self, id: &JobId) -> bool {
         self.dependencies.dependents.contains_key(id)
     }
 
     /// Whether a job is known to have been accepted.
-    pub fn accepted(&self, id: &JobId) -> bool {
+    pub(crate) fn accepted(&self, id: &JobId) -> bool {
         self.jobs.contains_key(id) || self.ending(id).is_some()
     }
 
     /// Whether a job that isn't over can't end as done any more: it is cancelled, or one that it
     /// needs is.
-    pub fn is_cancelled(&self, id: &JobId) -> bool {
+    pub(crate) fn is_cancelled(&self, id: &JobId) -> bool {
         let marked = self.jobs.get(id).is_some_and(|j| j.cancelled.is_some());
         marked || self.is_cancelled_by_dependency(id)
     }
 
     /// Whether a job that isn't over is cancelled with one that it needs.
-    pub fn is_cancelled_by_dependency(&self, id: &JobId) -> bool {
+    pub(crate) fn is_cancelled_by_dependency(&self, id: &JobId) -> bool {
         self.dependencies.cancelled.contains(id)
     }
 
     /// Whether a job may be cancelled with one that it needs, directly or through others, of which
     /// too little is known here.
-    pub fn may_be_cancelled(&self, id: &JobId) -> bool {
+    pub(crate) fn may_be_cancelled(&self, id: &JobId) -> bool {
         if self.dependencies.unread.is_empty() {
             return false;
         }
@@ -95,13 +95,13 @@
     }
 
     /// Needed jobs whose ends are to be read.
-    pub fn unread_dependencies(&self) -> &BTreeSet<JobId> {
+    pub(crate) fn unread_dependencies(&self) -> &BTreeSet<JobId> {
         &self.dependencies.unread
     }
 
     /// Jobs for which something changed, since this was last asked, through a job that they need
     /// or that needs them.
-    pub fn take_affected(&mut self) -> BTreeSet<JobId> {
+    pub(crate) fn take_affected(&mut self) -> BTreeSet<JobId> {
         std::mem::take(&mut self.dependencies.affected)
     }
 
--- a/src/controller/dependencies/mod.rs
+++ b/src/controller/dependencies/mod.rs
@@ -1,4 +1,4 @@
 //! Jobs that wait for other jobs: the graph, and what follows when a job in it ends.
 
-pub mod graph;
+pub(crate) mod graph;
 pub(crate) mod resolution;
--- a/src/controller/leadership/shutdown.rs
+++ b/src/controller/leadership/shutdown.rs
@@ -56,7 +56,7 @@
     }
 
     /// Whether there is nothing left to hand over.
-    pub fn shutdown_complete(&self) -> bool {
+    pub(crate) fn shutdown_complete(&self) -> bool {
         let Some(shutdown) = &self.shutdown else {
             return false;
         };
--- a/src/controller/leadership/standby.rs
+++ b/src/controller/leadership/standby.rs
@@ -165,7 +165,7 @@
     }
 
     /// How the standby stands, if it is switched on.
-    pub fn standby_status(&self) -> Option<StandbyStatus> {
+    pub(crate) fn standby_status(&self) -> Option<StandbyStatus> {
         let now = self.now.0;
         self.standby_config().enabled().then(|| StandbyStatus {
             leader_silent_ms: self.standby.leader_silent_ms(now),
--- a/src/controller/machines/failures.rs
+++ b/src/controller/machines/failures.rs
@@ -97,14 +97,14 @@
 
 /// What the failures in a shard say of its jobs and machines.
 #[derive(Debug, Default)]
-pub struct FailureLog {
+pub(crate) struct FailureLog {
     jobs: BTreeMap<JobId, JobFailures>,
     machines: BTreeMap<MachineId, MachineFailures>,
 }
 
 impl FailureLog {
     /// Notes that a task failed; returns the job's failed tries in a row.
-    pub fn task_failed(&mut self, now: Time, job: &JobId, machine: &MachineId) -> u32 {
+    pub(crate) fn task_failed(&mut self, now: Time, job: &JobId, machine: &MachineId) -> u32 {
         let failures = self.jobs.entry(job.clone()).or_default();
         failures.note(now, machine);
         let tries = failures.tries;
@@ -118,7 +118,7 @@
     }
 
     /// Notes that a task completed, or runs well; returns machines that this proves quarantined.
-    pub fn task_succeeded(&mut self, job: &JobId, machine: &MachineId) -> Vec<MachineId> {
+    pub(crate) fn task_succeeded(&mut self, job: &JobId, machine: &MachineId) -> Vec<MachineId> {
         self.machines.remove(machine);
         let Some(failures) = self.jobs.get_mut(job) else {
             return Vec::new();
@@ -137,7 +137,7 @@
     }
 
     /// Takes over what an earlier owner wrote of a job's failures.
-    pub fn restore(&mut self, now: Time, job: &JobId, tries: u32, machines: &[MachineId]) {
+    pub(crate) fn restore(&mut self, now: Time, job: &JobId, tries: u32, machines: &[MachineId]) {
         if machines.is_empty() {
             return;
         }
@@ -155,7 +155,7 @@
 
     /// What the next owner has to know of a job: its failed tries in a row, and where they
     /// were.
-    pub fn of_job(&self, job: &JobId) -> (u32, Vec<MachineId>) {
+    pub(crate) fn of_job(&self, job: &JobId) -> (u32, Vec<MachineId>) {
         let Some(failures) = self.jobs.get(job) else {
             return (0, Vec::new());
         };
@@ -164,25 +164,25 @@
     }
 
     /// Whether a job failed on a machine.
-    pub fn failed_on(&self, job: &JobId, machine: &MachineId) -> bool {
+    pub(crate) fn failed_on(&self, job: &JobId, machine: &MachineId) -> bool {
         let failures = self.jobs.get(job);
         failures.is_some_and(|f| f.machines.contains(machine))
     }
 
     /// Whether a job has failed so often that it is tried one task at a time.
-    pub fn on_probation(&self, job: &JobId) -> bool {
+    pub(crate) fn on_probation(&self, job: &JobId) -> bool {
         let failures = self.jobs.get(job);
         failures.is_some_and(|f| f.tries >= PROMPT_TRIES)
     }
 
     /// Whether a job has failed so often that no machine is rented for it.
-    pub fn unplaceable(&self, job: &JobId) -> bool {
+    pub(crate) fn unplaceable(&self, job: &JobId) -> bool {
         let failures = self.jobs.get(job);
         failures.is_some_and(|f| f.tries >= UNPLACEABLE_TRIES)
     }
 
     /// How long a job waits before its next try, in seconds.
-    pub fn pause_s(&self, job: &JobId) -> f64 {
+    pub(crate) fn pause_s(&self, job: &JobId) -> f64 {
         let tries = self.jobs.get(job).map_or(0, |f| f.tries);
         match tries.saturating_sub(PROMPT_TRIES) {
             0 => 0.0,
@@ -191,13 +191,13 @@
     }
 
     /// Whether a machine may be given tasks.
-    pub fn may_run_tasks(&self, machine: &MachineId, now: Time) -> bool {
+    pub(crate) fn may_run_tasks(&self, machine: &MachineId, now: Time) -> bool {
         let on = self.machines.get(machine);
         on.is_none_or(|on| now >= on.quarantined_until)
     }
 
     /// Forgets a job that is over.
-    pub fn forget_job(&mut self, job: &JobId) {
+    pub(crate) fn forget_job(&mut self, job: &JobId) {
         let Some(failures) = self.jobs.remove(job) else {
             return;
         };
@@ -211,7 +211,7 @@
     }
 
     /// Forgets a machine that is gone.
-    pub fn forget_machine(&mut self, machine: &MachineId) {
+    pub(crate) fn forget_machine(&mut self, machine: &MachineId) {
         self.machines.remove(machine);
     }
 
--- a/src/controller/machines/inventory.rs
+++ b/src/controller/machines/inventory.rs
@@ -14,7 +14,7 @@
 
 /// A task on a machine, as far as other placements there depend on it.
 #[derive(Clone, Debug)]
-pub struct Binding {
+pub(crate) struct Binding {
     pub record: Rc<JobRecord>,
     /// Its image is there.
     pub image_cached: bool,
@@ -22,7 +22,7 @@
 
 /// A machine of the shard.
 #[derive(Debug)]
-pub struct Machine {
+pub(crate) struct Machine {
     /// Its type's place in the catalog; `usize::MAX` while that isn't known.
     pub class: usize,
     pub type_name: Rc<str>,
@@ -126,12 +126,12 @@
         }
     }
 
-    pub fn has_image(&self, image: &Image) -> bool {
+    pub(crate) fn has_image(&self, image: &Image) -> bool {
         self.images.iter().any(|(i, _)| i == image)
     }
 
     /// Notes that an image is used now; the cache drops the one unused for longest.
-    pub fn use_image(&mut self, image: &Image, gb: f64, cache_gb: f64) {
+    pub(crate) fn use_image(&mut self, image: &Image, gb: f64, cache_gb: f64) {
         self.images.retain(|(i, _)| i != image);
         self.images.push((image.clone(), gb));
         let mut total: f64 = self.images.iter().map(|(_, gb)| gb).sum();
@@ -336,17 +336,17 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Inventory {
+pub(crate) struct Inventory {
     all: BTreeMap<MachineId, Machine>,
     index: Index,
 }
 
 impl Inventory {
-    pub fn get(&self, id: &MachineId) -> Option<&Machine> {
+    pub(crate) fn get(&self, id: &MachineId) -> Option<&Machine> {
         self.all.get(id)
     }
 
-    pub fn contains_key(&self, id: &MachineId) -> bool {
+    pub(crate) fn contains_key(&self, id: &MachineId) -> bool {
         self.all.contains_key(id)
     }
 
@@ -354,12 +354,12 @@
         self.all.len()
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (&MachineId, &Machine)> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (&MachineId, &Machine)> {
         self.all.iter()
     }
 
     /// The machines behind one of this name, in the order of their names.
-    pub fn iter_after(
+    pub(crate) fn iter_after(
         &self,
         id: Option<&MachineId>,
     ) -> impl Iterator<Item = (&MachineId, &Machine)> {
@@ -368,7 +368,7 @@
         self.all.range((from, Bound::Unbounded))
     }
 
-    pub fn values(&self) -> impl Iterator<Item = &Machine> {
+    pub(crate) fn values(&self) -> impl Iterator<Item = &Machine> {
         self.all.values()
     }
 
@@ -469,7 +469,7 @@
     }
 
     /// Recounts the indexes; says what is wrong with them.
-    pub fn audit(&self) -> Result<(), String> {
+    pub(crate) fn audit(&self) -> Result<(), String> {
         let mut again = Index::default();
         for (id, m) in &self.all {
             let indexed = m.index_entry();
--- a/src/controller/machines/mod.rs
+++ b/src/controller/machines/mod.rs
@@ -13,9 +13,9 @@
 //! are silent, hear nothing, or must go.
 
 pub(crate) mod commands;
-pub mod failures;
+pub(crate) mod failures;
 pub(crate) mod heartbeats;
-pub mod inventory;
+pub(crate) mod inventory;
 pub(crate) mod liveness;
 
 use crate::controller::context::Context;
--- a/src/controller/rate_limits/mod.rs
+++ b/src/controller/rate_limits/mod.rs
@@ -4,7 +4,7 @@
 //! that follows from its role. [`token_bucket`] keeps to a share, `write_rate` measures what the
 //! others leave of theirs.
 
-pub mod token_bucket;
+pub(crate) mod token_bucket;
 pub(crate) mod write_rate;
 
 use crate::settings::Settings;
--- a/src/controller/rate_limits/token_bucket.rs
+++ b/src/controller/rate_limits/token_bucket.rs
@@ -4,7 +4,7 @@
 
 /// How much of a bucket a call must leave for those before it in rank.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Priority {
+pub(crate) enum Priority {
     /// Leases, stops, cancellations: may take the last token.
     First,
     /// Placements and submissions.
@@ -26,7 +26,7 @@
 
 /// A bucket that fills at a steady rate and holds `burst` at most.
 #[derive(Debug)]
-pub struct TokenBucket {
+pub(crate) struct TokenBucket {
     rate: f64,
     burst: f64,
     tokens: f64,
@@ -36,7 +36,7 @@
 }
 
 impl TokenBucket {
-    pub fn new(rate: f64, burst: f64) -> Self {
+    pub(crate) fn new(rate: f64, burst: f64) -> Self {
         Self {
             rate,
             burst: burst.max(1.0),
@@ -48,7 +48,7 @@
 
     /// Changes the rate, as when this controller's share of a limit changes. What is
     /// already in the bucket stays, so that a change can't mint tokens.
-    pub fn set(&mut self, now: Time, rate: f64, burst: f64) {
+    pub(crate) fn set(&mut self, now: Time, rate: f64, burst: f64) {
         self.fill(now);
         self.rate = rate;
         self.burst = burst.max(1.0);
@@ -62,33 +62,33 @@
 
     /// Whether `n` tokens are there for this priority. A bucket smaller than the
     /// call lets it through once full, so that no call waits for ever.
-    pub fn has(&mut self, now: Time, n: f64, priority: Priority) -> bool {
+    pub(crate) fn has(&mut self, now: Time, n: f64, priority: Priority) -> bool {
         self.fill(now);
         let need = (n + self.burst * priority.reserve()).min(self.burst);
         self.tokens + 1e-9 >= need
     }
 
     /// The largest call of this priority that leaves its reserve in a full bucket.
-    pub fn largest_call(&self, priority: Priority) -> f64 {
+    pub(crate) fn largest_call(&self, priority: Priority) -> f64 {
         (self.burst * (1.0 - priority.reserve())).max(1.0)
     }
 
     /// Takes `n` tokens; the debt of a large call is paid by those after it.
-    pub fn take(&mut self, n: f64) {
+    pub(crate) fn take(&mut self, n: f64) {
         self.tokens -= n;
         self.spent += n;
     }
 
-    pub fn spent(&self) -> f64 {
+    pub(crate) fn spent(&self) -> f64 {
         self.spent
     }
 
-    pub fn rate(&self) -> f64 {
+    pub(crate) fn rate(&self) -> f64 {
         self.rate
     }
 
     /// Empties the bucket: the other side said that the limit is reached.
-    pub fn drain(&mut self) {
+    pub(crate) fn drain(&mut self) {
         self.tokens = self.tokens.min(0.0);
     }
 }
--- a/src/controller/rate_limits/write_rate.rs
+++ b/src/controller/rate_limits/write_rate.rs
@@ -23,17 +23,17 @@
 
 impl WriteRateMeter {
     /// Takes note of changes that the watch brought.
-    pub fn note_seen(&mut self, changes: usize) {
+    pub(crate) fn note_seen(&mut self, changes: usize) {
         self.seen += changes as f64;
     }
 
     /// Takes note of changes made here.
-    pub fn note_own(&mut self, changes: f64) {
+    pub(crate) fn note_own(&mut self, changes: f64) {
         self.own += changes;
     }
 
     /// Ends the window if it is over; true if it was.
-    pub fn advance(&mut self, now: Time) -> bool {
+    pub(crate) fn advance(&mut self, now: Time) -> bool {
         let passed = now.since(self.since);
         if passed < WINDOW_S {
             return false;
@@ -45,7 +45,7 @@
     }
 
     /// Changes a second that others make.
-    pub fn others(&self) -> f64 {
+    pub(crate) fn others(&self) -> f64 {
         self.others
     }
 }
--- a/src/controller/shard/commits.rs
+++ b/src/controller/shard/commits.rs
@@ -14,7 +14,7 @@
 
 /// One chunk in a commit, with the placements that it makes good.
 #[derive(Debug)]
-pub struct PlacementWrite {
+pub(crate) struct PlacementWrite {
     pub job: JobId,
     pub chunk: u32,
     pub placed: Vec<(u32, Attempt)>,
@@ -22,7 +22,7 @@
 
 /// How soon a chunk is to be written; the smaller comes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum WriteUrgency {
+pub(crate) enum WriteUrgency {
     /// Placements of jobs of this rank wait for the commit, the highest rank first.
     Placements(std::cmp::Reverse<PriorityClass>),
     /// Results only: nothing starts later for them.
@@ -40,7 +40,7 @@
     ];
 
     /// The urgency of placements of a job of this rank.
-    pub const fn placements(priority_class: PriorityClass) -> Self {
+    pub(crate) const fn placements(priority_class: PriorityClass) -> Self {
         Self::Placements(std::cmp::Reverse(priority_class))
     }
 
@@ -65,7 +65,7 @@
 }
 
 /// Chunks to write, the most urgent first.
-pub type WriteQueue = BTreeSet<(WriteUrgency, JobId, u32)>;
+pub(crate) type WriteQueue = BTreeSet<(WriteUrgency, JobId, u32)>;
 
 /// Commits of chunks under way at once, and how many more there may be for urgent ones.
 const WRITES_IN_FLIGHT_MAX: usize = 4;
--- a/src/controller/shard/job.rs
+++ b/src/controller/shard/job.rs
@@ -10,7 +10,7 @@
 
 /// How far a placement has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub(crate) enum Phase {
     /// Not yet known to be committed: never sent.
     Committing,
     /// Committed; its start goes with the next answer to its machine.
@@ -25,7 +25,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Placement {
+pub(crate) struct Placement {
     pub machine: MachineId,
     pub zone: Rc<str>,
     pub attempt: Attempt,
@@ -41,7 +41,7 @@
 
 /// A job of the shard.
 #[derive(Debug)]
-pub struct JobState {
+pub(crate) struct JobState {
     pub record: Rc<JobRecord>,
     /// The rank that it was submitted with; `record` may have a higher one, of a job that needs it.
     pub own_priority_class: PriorityClass,
@@ -70,7 +70,7 @@
 
 /// What is written of a chunk.
 #[derive(Debug, Default)]
-pub struct Chunk {
+pub(crate) struct Chunk {
     pub revision: u64,
     pub busy: bool,
     /// Finished tasks that aren't written yet; their results aren't cleared.
--- a/src/controller/shard/mod.rs
+++ b/src/controller/shard/mod.rs
@@ -6,10 +6,10 @@
 
 pub(crate) mod admission;
 pub(crate) mod burst_estimate;
-pub mod commits;
+pub(crate) mod commits;
 pub(crate) mod completion;
 pub(crate) mod image_demand;
-pub mod job;
+pub(crate) mod job;
 
 use crate::controller::autoscaling::Pool;
 use crate::controller::context::RECENT_S;
@@ -40,7 +40,7 @@
 }
 
 /// One holding of a shard: all that its owner knows and decides.
-pub struct ShardOwner {
+pub(crate) struct ShardOwner {
     pub shard: u32,
     pub token: FencingToken,
     pub shard_revision: u64,
@@ -92,7 +92,7 @@
 }
 
 impl ShardOwner {
-    pub fn new(shard: u32, token: FencingToken, now: Time, shares_limits: bool) -> Self {
+    pub(crate) fn new(shard: u32, token: FencingToken, now: Time, shares_limits: bool) -> Self {
         Self {
             shard,
             token,
@@ -137,7 +137,7 @@
         }
     }
 
-    pub fn first_long_poll_deadline(&self) -> Option<Time> {
+    pub(crate) fn first_long_poll_deadline(&self) -> Option<Time> {
         self.long_poll_deadlines.first().map(|(t, _)| *t)
     }
 
--- a/src/controller/store/mirror.rs
+++ b/src/controller/store/mirror.rs
@@ -17,7 +17,7 @@
 const ENDINGS_MAX: usize = 20_000;
 
 #[derive(Clone, Debug)]
-pub struct MirroredJob {
+pub(crate) struct MirroredJob {
     pub record: Rc<JobRecord>,
     pub revision: u64,
     /// When this process learnt that the job is cancelled.
@@ -28,7 +28,7 @@
 
 /// A record with its revision; revision 0 stands for one that doesn't exist.
 #[derive(Clone, Debug)]
-pub struct Mirrored<T> {
+pub(crate) struct Mirrored<T> {
     pub revision: u64,
     pub record: Option<T>,
 }
@@ -56,7 +56,7 @@
     }
 
     /// The revision to compare with in a commit.
-    pub fn version(&self) -> u64 {
+    pub(crate) fn version(&self) -> u64 {
         if self.record.is_some() {
             self.revision
         } else {
@@ -67,7 +67,7 @@
 
 /// What a change means to the rest of the controller.
 #[derive(Clone, Debug, PartialEq)]
-pub enum MirrorEvent {
+pub(crate) enum MirrorEvent {
     /// A job is new, or its status changed.
     JobChanged(JobId),
     /// A job's record is gone: it ended.
@@ -77,7 +77,7 @@
 }
 
 #[derive(Debug, Default)]
-pub struct StoreMirror {
+pub(crate) struct StoreMirror {
     /// The revision up to which everything is known.
     pub revision: u64,
     pub leader: Mirrored<LeaderRecord>,
@@ -97,7 +97,11 @@
 
 impl StoreMirror {
     /// Takes one change. Changes come again and late, and are then ignored.
-    pub fn apply(&mut self, now: Time, (key, revision, record): Change) -> Option<MirrorEvent> {
+    pub(crate) fn apply(
+        &mut self,
+        now: Time,
+        (key, revision, record): Change,
+    ) -> Option<MirrorEvent> {
         match (key, record) {
             (Key::Leader, Some(Record::Leader(r))) => control(self.leader.set(revision, Some(r))),
             (Key::Leader, None) => control(self.leader.set(revision, None)),
@@ -183,7 +187,12 @@
     }
 
     /// Takes a full listing that began at revision `listed_at`: what it doesn't hold is gone.
-    pub fn replace(&mut self, now: Time, listed_at: u64, entries: Vec<Change>) -> Vec<MirrorEvent> {
+    pub(crate) fn replace(
+        &mut self,
+        now: Time,
+        listed_at: u64,
+        entries: Vec<Change>,
+    ) -> Vec<MirrorEvent> {
         let mut events = Vec::new();
         let listed: std::collections::HashSet<Key> =
             entries.iter().map(|(k, _, _)| k.clone()).collect();
@@ -214,7 +223,7 @@
     }
 
     /// Remembers how a job ended, within a bound.
-    pub fn remember(&mut self, now: Time, id: JobId, ending: Ending) {
+    pub(crate) fn remember(&mut self, now: Time, id: JobId, ending: Ending) {
         if !self.endings.contains_key(&id) {
             self.endings.insert(id.clone(), (ending, now));
             self.note_end(&id, ending);
@@ -229,25 +238,28 @@
     }
 
     /// How a job ended, and since when that is known here.
-    pub fn ending(&self, id: &JobId) -> Option<(Ending, Time)> {
+    pub(crate) fn ending(&self, id: &JobId) -> Option<(Ending, Time)> {
         self.endings.get(id).copied()
     }
 
     /// What the cloud has nothing left of, as the plan says.
-    pub fn closed(&self) -> &[ExhaustedPool] {
+    pub(crate) fn closed(&self) -> &[ExhaustedPool] {
         let plan = self.plan.record.as_ref();
         plan.map_or(&[], |p| &p.closed)
     }
 
     /// The chunks written for a job.
-    pub fn chunks(&self, id: &JobId) -> impl Iterator<Item = (u32, &(u64, PlacementRecord))> {
+    pub(crate) fn chunks(
+        &self,
+        id: &JobId,
+    ) -> impl Iterator<Item = (u32, &(u64, PlacementRecord))> {
         self.runs
             .range((id.clone(), 0)..=(id.clone(), u32::MAX))
             .map(|((_, chunk), run)| (*chunk, run))
     }
 
     /// What a job's records say together, and how they are laid out.
-    pub fn effective_placements(
+    pub(crate) fn effective_placements(
         &self,
         id: &JobId,
         record: &JobRecord,
@@ -256,7 +268,7 @@
     }
 
     /// Finished and placed tasks as far as they are written.
-    pub fn counts(&self, id: &JobId) -> (u32, u32) {
+    pub(crate) fn counts(&self, id: &JobId) -> (u32, u32) {
         let Some(job) = self.jobs.get(id) else {
             return (0, 0);
         };
@@ -268,7 +280,7 @@
     }
 
     /// The highest number that anything known here speaks of.
-    pub fn highest(&self) -> FencingToken {
+    pub(crate) fn highest(&self) -> FencingToken {
         let said = self.token.record.as_ref().map(|r| r.highest);
         let held = self.shards.values().filter_map(|b| b.record.as_ref());
         held.map(|b| b.token).chain(said).max().unwrap_or_default()
--- a/src/controller/store/mod.rs
+++ b/src/controller/store/mod.rs
@@ -6,7 +6,7 @@
 //! other duty of the controller: `P` is what a response is for, which only the caller understands.
 
 pub mod chunks;
-pub mod mirror;
+pub(crate) mod mirror;
 pub mod records;
 pub(crate) mod staleness;
 mod watch;
--- a/src/controller/store/records.rs
+++ b/src/controller/store/records.rs
@@ -19,9 +19,13 @@
 /// The name of a record.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Key {
+    /// Who leads.
     Leader,
+    /// The highest token ever given.
     FencingToken,
+    /// The leader's scaling plan.
     Plan,
+    /// A shard: its owner, machines and quota shares.
     Shard(u32),
     /// Team limits that operators set at run time.
     Limits,
@@ -29,8 +33,11 @@
     Cell,
     /// What passes between this cell and another one.
     CellLink(Cell),
+    /// A job that is not over.
     Job(JobId),
+    /// The placements of a chunk of a job.
     Run(JobId, u32),
+    /// How a job ended.
     End(JobId),
 }
 
@@ -79,10 +86,13 @@
 /// Who leads, and which of its processes: a restarted one has another `incarnation`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
+    /// The controller that leads.
     #[serde(rename = "member")]
     pub controller_id: ControllerId,
+    /// Which of its processes.
     #[serde(rename = "boot")]
     pub incarnation: u64,
+    /// The token of this leadership.
     #[serde(rename = "number")]
     pub token: FencingToken,
     /// The lease that the record hangs on.
@@ -97,6 +107,7 @@
 /// The highest number ever given.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FencingTokenRecord {
+    /// The token.
     pub highest: FencingToken,
     /// How long the leader that was elected last leaves the cloud alone.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -110,10 +121,13 @@
 /// condition that this record is unchanged.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShardRecord {
+    /// The controller that owns it.
     #[serde(rename = "holder")]
     pub owner: ControllerId,
+    /// Which of its processes.
     #[serde(rename = "boot")]
     pub incarnation: u64,
+    /// The token under which it commands the workers.
     #[serde(rename = "number")]
     pub token: FencingToken,
     /// The shard's machines; `None` for all there are, while it is the only shard.
@@ -152,7 +166,10 @@
         (class.into(), zone.into(), spot, begin, rests)
     }
 
-    pub fn serialize<S: Serializer>(list: &Option<Vec<Entry>>, out: S) -> Result<S::Ok, S::Error> {
+    pub(super) fn serialize<S: Serializer>(
+        list: &Option<Vec<Entry>>,
+        out: S,
+    ) -> Result<S::Ok, S::Error> {
         let groups = list.as_ref().map(|list| {
             let mut places: BTreeMap<(&str, &str, bool), Vec<&str>> = BTreeMap::new();
             let mut groups = Vec::new();
@@ -170,7 +187,9 @@
         groups.serialize(out)
     }
 
-    pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Option<Vec<Entry>>, D::Error> {
+    pub(super) fn deserialize<'de, D: Deserializer<'de>>(
+        from: D,
+    ) -> Result<Option<Vec<Entry>>, D::Error> {
         let groups: Option<Vec<Group>> = Option::deserialize(from)?;
         let entries = |(class, zone, spot, begin, rests): Group| {
             let ids = rests.split(GAP).map(|rest| format!("{begin}{rest}"));
@@ -193,11 +212,16 @@
 /// it under the same name and learn its machines instead of renting again.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ScaleOutRecord {
+    /// Names the request: the same name again asks for nothing new.
     pub name: String,
+    /// The machine type.
     #[serde(rename = "class")]
     pub class: String,
+    /// The zone.
     pub zone: String,
+    /// Whether spot machines are asked for.
     pub spot: bool,
+    /// How many machines.
     pub count: u32,
 }
 
@@ -207,9 +231,12 @@
 /// The leader's plan of a tick: wanted counts and the requests to rent under way.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ScalingPlanRecord {
+    /// The token of the leadership that wrote it.
     #[serde(rename = "number")]
     pub token: FencingToken,
+    /// Machines wanted of each type, ordinary and spot (`true`) apart.
     pub wanted: Vec<(String, bool, u32)>,
+    /// Scale-out requests under way.
     #[serde(rename = "hires")]
     pub scale_out_requests: Vec<ScaleOutRecord>,
     /// Shards that take new jobs, each with its share.
@@ -223,26 +250,36 @@
     pub scale_in: Vec<MachineId>,
 }
 
+/// What becomes of the tasks of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
+    /// Independent tasks that each run to completion.
     Batch,
+    /// Replicas that run until the job is cancelled.
     Service,
 }
 
-/// Higher ranks compare as greater.
+/// The priority of a job. Higher classes compare as greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum PriorityClass {
+    /// Runs on what nothing else wants.
     Idle,
+    /// The usual class of batch work.
     Normal,
+    /// Starts are waited for.
     Urgent,
+    /// Preempts all others.
     Critical,
 }
 
-/// An amount of a machine.
+/// Resources of a machine or a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Resources {
+    /// CPUs.
     pub cpus: f64,
+    /// GPUs.
     pub gpus: f64,
+    /// Memory, in GB.
     pub mem: f64,
 }
 
@@ -250,6 +287,7 @@
 const SLACK: f64 = 1e-6;
 
 impl Resources {
+    /// Adds so many times another amount.
     pub fn add(&mut self, other: Resources, times: f64) {
         self.cpus += other.cpus * times;
         self.gpus += other.gpus * times;
@@ -284,32 +322,51 @@
 /// A job as its user submitted it, and what became of it since.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
+    /// The workload class, for which objectives are set.
     pub class: String,
+    /// The team whose quota counts.
     pub team: String,
+    /// Batch or service.
     #[serde(rename = "form")]
     pub kind: JobKind,
+    /// Whom it may preempt.
     #[serde(rename = "rank")]
     pub priority_class: PriorityClass,
+    /// Tasks.
     pub count: u32,
+    /// What each task takes of its machine.
     #[serde(rename = "need")]
     pub need: Resources,
+    /// The image that a machine fetches before a task runs.
     pub image: Image,
+    /// The image's size.
     pub image_gb: f64,
+    /// Machine types that it may run on; `None` for all.
     pub types: Option<Vec<String>>,
+    /// The only zone that it may run in.
     pub zone: Option<String>,
+    /// Whether all tasks must be in one zone.
     #[serde(rename = "one_zone")]
     pub zone_affinity: bool,
+    /// Whether at most half of the tasks, rounded up, may be in one zone.
     #[serde(rename = "scatter")]
     pub zone_spread: bool,
+    /// Whether it may use spot machines.
     pub spot: bool,
+    /// The user's estimate of a task's run time.
     pub estimate_s: f64,
+    /// Progress after which a task saves by itself; 0 if it never does.
     pub checkpoint_s: f64,
+    /// Time that a stopped task takes to save.
     pub save_s: f64,
+    /// When it should be done, measured from its submission.
     pub deadline_s: Option<f64>,
     /// Tasks per `run` record. Kept here, since settings may change.
     pub chunk: u32,
+    /// The shard whose owner runs it.
     #[serde(rename = "block")]
     pub shard: u32,
+    /// Whether its user has cancelled it.
     #[serde(rename = "withdrawn", default)]
     pub cancelled: bool,
     /// Jobs that have to be done before any task of this one starts, each named once.
@@ -331,7 +388,9 @@
 /// One chunk of a job's tasks: ranges of finished ones, and those placed.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PlacementRecord {
+    /// Ranges of finished tasks, each with the index behind its last.
     pub done: Vec<(u32, u32)>,
+    /// Placed tasks.
     pub placed: Vec<Placed>,
     /// Failed tries of the job since a task of it last succeeded, when this was written. The
     /// next owner blames neither the machines nor the job anew.
@@ -383,21 +442,34 @@
 /// How a job ended, for good.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Ending {
+    /// All its tasks are done.
     Done,
+    /// Its user cancelled it, or a job that it depends on.
     #[serde(rename = "Withdrawn")]
     Cancelled,
 }
 
+/// The content of a key.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
+    /// Who leads.
     Leader(LeaderRecord),
+    /// The highest token.
     FencingToken(FencingTokenRecord),
+    /// The scaling plan.
     Plan(ScalingPlanRecord),
+    /// A shard.
     Shard(ShardRecord),
+    /// Team limits set at run time.
     Limits(LimitsRecord),
+    /// This cell's shares of limits.
     Cell(Box<CellRecord>),
+    /// What passes between this cell and another one.
     CellLink(LinkRecord),
+    /// A job.
     Job(Box<JobRecord>),
+    /// Placements.
     Run(PlacementRecord),
+    /// The end of a job.
     End(Ending),
 }
