--- a/src/controller/autoscaling/demand.rs
+++ b/src/controller/autoscaling/demand.rs
@@ -1,7 +1,8 @@
 //! Counts of what waits and what runs, by pool.
 
-use crate::controller::autoscaling::{Pool, Zones};
+use crate::controller::autoscaling::Zones;
 use crate::controller::machines::inventory::{Binding, Machine};
+use crate::controller::pool::{Market, Pool};
 use crate::controller::scheduling::constraints::{within_limit, zone_allowed};
 use crate::controller::shard::ShardOwner;
 use crate::controller::store::records::{
@@ -103,15 +104,13 @@
         let lease_s = settings.platform.facts.workers.lease_s;
         let mut slow = self.slow_pools(catalog, settings.tuning.boot, now);
         let mut counts: BTreeMap<Pool, PoolCount> = BTreeMap::new();
-        for class in 0..catalog.len() {
-            for spot in [false, true] {
-                let keep = self.keep((class, spot), catalog, settings.tuning.headroom, now);
-                let count = PoolCount {
-                    keep,
-                    ..PoolCount::default()
-                };
-                counts.insert((class, spot), count);
-            }
+        for pool in all_pools(catalog) {
+            let keep = self.keep(pool, catalog, settings.tuning.headroom, now);
+            let count = PoolCount {
+                keep,
+                ..PoolCount::default()
+            };
+            counts.insert(pool, count);
         }
         for m in self.machines.values() {
             let quiet = now.since(m.last_heartbeat.max(self.since)) > lease_s;
@@ -158,7 +157,10 @@
     fn slow_pools(&self, catalog: &[MachineType], overdue: f64, now: Time) -> SlowPools {
         let mut booting: BTreeMap<Pool, BootingCount> = BTreeMap::new();
         for (_, m) in self.machines.booting() {
-            let count = booting.entry((m.class, m.spot)).or_default();
+            let Some(pool) = m.pool() else {
+                continue;
+            };
+            let count = booting.entry(pool).or_default();
             let late = self.boots_longer_than(LATE_BOOTS, catalog, m, now);
             let overdue = self.boots_longer_than(overdue, catalog, m, now);
             count.all += 1;
@@ -185,8 +187,9 @@
         let mut pins = Zones::new();
         let mut ahead: BTreeMap<(Pool, &str), u32> = BTreeMap::new();
         for m in self.machines.values() {
-            if m.tasks.is_empty() && m.decommission_at.is_none() && m.notice.is_none() {
-                *ahead.entry(((m.class, m.spot), &*m.zone)).or_default() += 1;
+            let stays = m.decommission_at.is_none() && m.notice.is_none();
+            if let Some(pool) = m.pool().filter(|_| m.tasks.is_empty() && stays) {
+                *ahead.entry((pool, &*m.zone)).or_default() += 1;
             }
         }
         let waiting = self.waiting.iter();
@@ -195,7 +198,7 @@
             let Some(pool) = pool_for(catalog, &job_state.record, closed) else {
                 continue;
             };
-            let class = &catalog[pool.0];
+            let class = &catalog[pool.machine_type];
             let zones = class.zones.iter().filter(|z| zone_allowed(job_state, z));
             let zones: Vec<&String> = zones.collect();
             if zones.is_empty() || zones.len() == class.zones.len() {
@@ -210,7 +213,8 @@
                 need -= taken;
             }
             let shut = |z: &str| {
-                let same = |c: &ExhaustedPool| c.0 == class.name && c.1 == z && c.2 == pool.1;
+                let same =
+                    |c: &ExhaustedPool| c.0 == class.name && c.1 == z && c.2 == pool.is_spot();
                 closed.iter().any(same)
             };
             if let Some(zone) = zones.iter().find(|z| !shut(z)).filter(|_| need > 0) {
@@ -228,10 +232,10 @@
         counts: &mut BTreeMap<Pool, PoolCount>,
     ) {
         let leaving = silent || m.decommission_at.is_some() || m.notice.is_some();
-        let Some(class) = catalog.get(m.class).filter(|_| !leaving) else {
+        let Some(pool) = m.pool().filter(|_| !leaving) else {
             return;
         };
-        let Some(c) = counts.get_mut(&(m.class, m.spot)) else {
+        let (Some(class), Some(c)) = (pool.type_in(catalog), counts.get_mut(&pool)) else {
             return;
         };
         c.provisioned += 1;
@@ -314,7 +318,7 @@
         let Some(c) = counts.get_mut(&pool).filter(|_| left > 0.0) else {
             continue;
         };
-        let per = per_machine(&catalog[pool.0], record.need);
+        let per = per_machine(&catalog[pool.machine_type], record.need);
         let late = slow.late.get(&pool).filter(|_| urgent);
         let empty = f64::from(c.provisioned - c.busy) - c.queued;
         let coming = empty - f64::from(late.copied().unwrap_or(0));
@@ -355,35 +359,48 @@
 ) -> Option<Pool> {
     let pools = pools_for(catalog, record);
     let open = |pool: &&Pool| {
-        let name = &catalog[pool.0].name;
-        let zones = &catalog[pool.0].zones;
+        let name = &catalog[pool.machine_type].name;
+        let zones = &catalog[pool.machine_type].zones;
         let mut zones = zones
             .iter()
             .filter(|z| record.zone.as_ref().is_none_or(|r| r == *z));
         zones.any(|z| {
             !closed
                 .iter()
-                .any(|c| c.0 == *name && c.1 == *z && c.2 == pool.1)
+                .any(|c| c.0 == *name && c.1 == *z && c.2 == pool.is_spot())
         })
     };
     let mut pools = pools.iter().filter(|pool| passes(pool));
     pools.find(open).copied()
 }
 
+/// Each pool that there is.
+fn all_pools(catalog: &[MachineType]) -> impl Iterator<Item = Pool> {
+    let types = 0..catalog.len();
+    types.flat_map(|machine_type| {
+        Market::ALL.map(|market| Pool {
+            machine_type,
+            market,
+        })
+    })
+}
+
 /// The pools that a task may use, in the order in which it counts on them.
 fn pools_for(catalog: &[MachineType], record: &JobRecord) -> Vec<Pool> {
     let mut pools: Vec<Pool> = Vec::new();
     for (class, info) in catalog.iter().enumerate() {
         if record.allows(&info.name) && info.resources.holds(record.need) {
-            pools.push((class, false));
+            pools.push(Pool::of(class, false));
             if record.spot {
-                pools.push((class, true));
+                pools.push(Pool::of(class, true));
             }
         }
     }
     pools.sort_by(|a, b| {
-        let size = |p: &Pool| catalog[p.0].resources.gpus + catalog[p.0].resources.cpus / 1e3;
-        b.1.cmp(&a.1).then(size(a).total_cmp(&size(b)))
+        let size = |p: &Pool| {
+            catalog[p.machine_type].resources.gpus + catalog[p.machine_type].resources.cpus / 1e3
+        };
+        b.market.cmp(&a.market).then(size(a).total_cmp(&size(b)))
     });
     pools
 }
--- a/src/controller/autoscaling/machines.rs
+++ b/src/controller/autoscaling/machines.rs
@@ -207,7 +207,7 @@
         }
         let known = self.machines.get(&id);
         let wakes = |m: &Machine| l.status == MachineStatus::Running && m.ready_since.is_none();
-        if known.is_some_and(|m| m.class == usize::MAX || wakes(m)) {
+        if known.is_some_and(|m| m.machine_type.is_none() || wakes(m)) {
             self.machines.edit(&id, |m| {
                 if wakes(m) {
                     // From now on it counts as silent unless it heartbeats.
@@ -243,8 +243,8 @@
         m: &Machine,
         now: Time,
     ) -> bool {
-        let ready_s = catalog.get(m.class).map_or(UNKNOWN_BOOT_S, |c| c.ready_s);
-        let most_s = times * self.usual_boot_s(m.class, ready_s);
+        let ready_s = m.type_in(catalog).map_or(UNKNOWN_BOOT_S, |c| c.ready_s);
+        let most_s = times * self.usual_boot_s(m.machine_type, ready_s);
         m.ready_since.is_none() && now.since(m.since) > most_s
     }
 
--- a/src/controller/autoscaling/mod.rs
+++ b/src/controller/autoscaling/mod.rs
@@ -13,14 +13,12 @@
 
 use crate::controller::Controller;
 use crate::controller::context::Context;
+use crate::controller::pool::Pool;
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::ids::{CallId, MachineId};
 use crate::wire::{CloudOp, CloudReply, Listed};
 use std::collections::BTreeMap;
 
-/// A machine type's index in the catalog, and whether it is spot.
-pub(crate) type Pool = (usize, bool);
-
 /// Machines of a pool by zone.
 pub(crate) type Zones = BTreeMap<(Pool, String), u32>;
 
--- a/src/controller/autoscaling/plan.rs
+++ b/src/controller/autoscaling/plan.rs
@@ -1,8 +1,8 @@
 //! The leader's plan: what it wants, and the scale-out requests under way, written before they are sent.
 
-use crate::controller::autoscaling::Pool;
 use crate::controller::autoscaling::scale_out::{ScaleOutRequest, ScaleOutStep};
 use crate::controller::context::Context;
+use crate::controller::pool::Pool;
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::store::records::{
     ExhaustedPool, Key, Record, ScaleOutRecord, ScalingPlanRecord, json_bytes,
@@ -15,6 +15,15 @@
 /// Share of the value limit that the plan may fill.
 const PLAN_SHARE: f64 = 0.9;
 
+/// How long a zone of a pool isn't asked again.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Exhausted {
+    /// When it may be asked again.
+    pub(crate) until: Time,
+    /// How often it has refused in a row.
+    pub(crate) refusals: u32,
+}
+
 #[derive(Debug, Default)]
 pub(crate) struct ScalingState {
     /// Whether counts are rebuilt, so that renting may begin.
@@ -24,8 +33,8 @@
     pub(crate) wanted: BTreeMap<Pool, VecDeque<(Time, u32)>>,
     pub(crate) scale_out_requests: Vec<ScaleOutRequest>,
     pub(crate) scale_out_count: u64,
-    /// Until when a pool's zone isn't asked again, and how often it refused.
-    pub(crate) exhausted: HashMap<(usize, String, bool), (Time, u32)>,
+    /// Zones of pools that had no capacity when they were last asked.
+    pub(crate) exhausted: HashMap<(Pool, String), Exhausted>,
     pub(crate) shares: Vec<(u32, u32)>,
     pub(crate) closed: Vec<ExhaustedPool>,
     /// Machines to return, for the next plan.
@@ -74,9 +83,9 @@
         if s.plan_write_pending || !s.plan_changed {
             return;
         }
-        let wanted = s.wanted.iter().filter_map(|((class, spot), w)| {
-            let name = self.catalog.get(*class)?.name.clone();
-            Some((name, *spot, w.back()?.1))
+        let wanted = s.wanted.iter().filter_map(|(pool, w)| {
+            let name = pool.type_in(&self.catalog)?.name.clone();
+            Some((name, pool.is_spot(), w.back()?.1))
         });
         let mut plan = ScalingPlanRecord {
             token: leadership.token,
--- a/src/controller/autoscaling/reconcile.rs
+++ b/src/controller/autoscaling/reconcile.rs
@@ -1,9 +1,10 @@
 //! The tick: from the shards' counts to scale-out requests and returns.
 
 use crate::controller::Controller;
+use crate::controller::autoscaling::Zones;
 use crate::controller::autoscaling::scale_out::ScaleOutStep;
-use crate::controller::autoscaling::{Pool, Zones};
 use crate::controller::context::Context;
+use crate::controller::pool::Pool;
 use crate::ids::MachineId;
 use crate::peer::PoolCount;
 use log::{debug, info, warn};
@@ -61,11 +62,13 @@
                 let need = w.saturating_sub(count.provisioned);
                 (wanted, gap, provisioned) =
                     (wanted + w, gap + need, provisioned + count.provisioned);
-                let name = self.context.catalog[pool.0].name.clone();
-                leadership.needs.insert((name, pool.1, *shard), need);
+                let name = self.context.catalog[pool.machine_type].name.clone();
+                leadership
+                    .needs
+                    .insert((name, pool.is_spot(), *shard), need);
             }
-            let window_s =
-                self.context.settings.tuning.window * self.context.catalog[pool.0].ready_s;
+            let window_s = self.context.settings.tuning.window
+                * self.context.catalog[pool.machine_type].ready_s;
             leadership.scale.record_wanted(pool, now, wanted, window_s);
             let resources = ceiling.saturating_sub(provisioned);
             if wanted >= ceiling {
@@ -113,25 +116,25 @@
         for t in self.believed() {
             for (name, spot, c) in &t.pools {
                 if let Some(class) = class(name) {
-                    let pool = fleet.counts.entry((class, *spot)).or_default();
+                    let pool = fleet.counts.entry(Pool::of(class, *spot)).or_default();
                     pool.insert(t.shard, *c);
                 }
             }
             for (name, spot, zone, n) in &t.zones {
                 if let Some(class) = class(name) {
-                    let key = ((class, *spot), zone.clone());
+                    let key = (Pool::of(class, *spot), zone.clone());
                     *fleet.zones.entry(key).or_default() += n;
                 }
             }
             for (name, spot, zone, n) in &t.pins {
                 if let Some(class) = class(name) {
-                    let key = ((class, *spot), zone.clone());
+                    let key = (Pool::of(class, *spot), zone.clone());
                     *fleet.pins.entry(key).or_default() += n;
                 }
             }
             for (name, spot, id) in &t.empty {
                 if let Some(class) = class(name) {
-                    let pool = fleet.empty.entry((class, *spot)).or_default();
+                    let pool = fleet.empty.entry(Pool::of(class, *spot)).or_default();
                     pool.push(id.clone());
                 }
             }
@@ -142,8 +145,10 @@
             .flat_map(|l| &l.scale.scale_out_requests);
         for request in scale_out_requests.filter(|request| request.step != ScaleOutStep::Answered) {
             if let Some(class) = class(&request.record.class) {
-                *fleet.asked.entry((class, request.record.spot)).or_default() +=
-                    request.record.count;
+                *fleet
+                    .asked
+                    .entry(Pool::of(class, request.record.spot))
+                    .or_default() += request.record.count;
             }
         }
         fleet
--- a/src/controller/autoscaling/scale_out.rs
+++ b/src/controller/autoscaling/scale_out.rs
@@ -1,10 +1,11 @@
 //! Scale-out requests: planned, written, sent, and repeated under their names until they are answered.
 
 use crate::controller::Controller;
-use crate::controller::autoscaling::plan::ScalingState;
-use crate::controller::autoscaling::{CloudPurpose, Pool, REPEAT_S, Zones};
+use crate::controller::autoscaling::plan::{Exhausted, ScalingState};
+use crate::controller::autoscaling::{CloudPurpose, REPEAT_S, Zones};
 use crate::controller::context::Context;
 use crate::controller::machines::inventory::Machine;
+use crate::controller::pool::Pool;
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::store::records::{ExhaustedPool, ScaleOutRecord};
 use crate::ids::{FencingToken, MachineId, Time};
@@ -60,7 +61,7 @@
         let Some(class) = class else {
             return;
         };
-        let place = (class, record.zone.clone(), record.spot);
+        let place = (Pool::of(class, record.spot), record.zone.clone());
         match reply {
             CloudReply::Rented(rigs) => {
                 info!(
@@ -165,10 +166,10 @@
         term: FencingToken,
         now: Time,
     ) {
-        let info = &catalog[pool.0];
+        let info = &catalog[pool.machine_type];
         let mut zones: Vec<(u32, &String, u32)> = Vec::new();
         for zone in &info.zones {
-            if self.open(&pool, zone, now) {
+            if self.has_capacity(pool, zone, now) {
                 let have = there.get(&(pool, zone.clone())).copied().unwrap_or(0);
                 zones.push((have, zone, 0));
             }
@@ -194,7 +195,7 @@
                     name: format!("r-{}-{}", term.0, self.scale_out_count),
                     class: info.name.clone(),
                     zone: zone.clone(),
-                    spot: pool.1,
+                    spot: pool.is_spot(),
                     count: part,
                 };
                 self.scale_out_requests.push(ScaleOutRequest {
@@ -209,26 +210,31 @@
 
     /// What the cloud has nothing left of, for the plan.
     pub(crate) fn closed(&self, catalog: &[MachineType], now: Time) -> Vec<ExhaustedPool> {
-        let shut = self.exhausted.iter().filter(|(_, (until, _))| now < *until);
-        let shut = shut.filter_map(|((class, zone, spot), _)| {
-            Some((catalog.get(*class)?.name.clone(), zone.clone(), *spot))
+        let pools = self.exhausted.iter().filter(|(_, e)| now < e.until);
+        let pools = pools.filter_map(|((pool, zone), _)| {
+            let machine_type = pool.type_in(catalog)?;
+            Some((machine_type.name.clone(), zone.clone(), pool.is_spot()))
         });
-        let mut shut: Vec<ExhaustedPool> = shut.collect();
-        shut.sort();
-        shut
+        let mut pools: Vec<ExhaustedPool> = pools.collect();
+        pools.sort();
+        pools
     }
 
-    fn open(&self, pool: &Pool, zone: &str, now: Time) -> bool {
-        let key = (pool.0, zone.to_string(), pool.1);
-        self.exhausted
-            .get(&key)
-            .is_none_or(|(until, _)| now >= *until)
+    /// Whether a zone of a pool may be asked.
+    fn has_capacity(&self, pool: Pool, zone: &str, now: Time) -> bool {
+        let exhausted = self.exhausted.get(&(pool, zone.to_string()));
+        exhausted.is_none_or(|exhausted| now >= exhausted.until)
     }
 
-    fn mark_exhausted(&mut self, place: (usize, String, bool), now: Time) {
-        let entry = self.exhausted.entry(place).or_insert((now, 0));
-        let pause = (REFUSED_S * 2f64.powi(entry.1.min(6) as i32)).min(REFUSED_MAX_S);
-        *entry = (now.after(pause), entry.1 + 1);
+    fn mark_exhausted(&mut self, place: (Pool, String), now: Time) {
+        let known = self.exhausted.get(&place);
+        let refusals = known.map_or(0, |exhausted| exhausted.refusals);
+        let pause_s = (REFUSED_S * 2f64.powi(refusals.min(6) as i32)).min(REFUSED_MAX_S);
+        let exhausted = Exhausted {
+            until: now.after(pause_s),
+            refusals: refusals + 1,
+        };
+        self.exhausted.insert(place, exhausted);
     }
 
     fn step(&mut self, name: &str, step: ScaleOutStep, at: Time) {
--- a/src/controller/leadership/election.rs
+++ b/src/controller/leadership/election.rs
@@ -80,11 +80,11 @@
         self.context.read_limits();
         self.context.tell_standby_of_leader();
         let me = &self.context.settings.platform.controller_id;
-        let may_run_tasks = self.context.now >= self.context.election.not_before;
+        let may_acquire = self.context.now >= self.context.election.not_before;
         let leader = self.context.store.mirror.leader.record.as_ref();
         let is_leader = leader
             .is_some_and(|l| l.controller_id == *me && l.incarnation == self.context.incarnation);
-        if is_leader && self.context.leadership.is_none() && may_run_tasks {
+        if is_leader && self.context.leadership.is_none() && may_acquire {
             info!("became leader, token={}", leader.map_or(0, |l| l.token.0));
             self.context.election.renew_at = self.context.now;
             self.context.adopt_lease();
@@ -106,16 +106,15 @@
             };
             // A number once given up is never used again: what was answered under it
             // is forgotten, and copies of heartbeats from then may still come.
-            let released_tokens = self
+            let given_up = self
                 .context
                 .released_tokens
                 .get(&shard)
                 .is_some_and(|n| record.token <= *n);
             let me = &self.context.settings.platform.controller_id;
-            let mine = record.owner == *me
-                && record.incarnation == self.context.incarnation
-                && !released_tokens;
-            self.sync_shard(shard, slot.revision, &record, mine && may_run_tasks);
+            let mine =
+                record.owner == *me && record.incarnation == self.context.incarnation && !given_up;
+            self.sync_shard(shard, slot.revision, &record, mine && may_acquire);
         }
         self.apply_scale_in();
     }
--- a/src/controller/leadership/standby.rs
+++ b/src/controller/leadership/standby.rs
@@ -2,8 +2,8 @@
 //! state machine itself is package `standby`.
 
 use crate::controller::Controller;
-use crate::controller::autoscaling::Pool;
 use crate::controller::context::Context;
+use crate::controller::pool::Pool;
 use crate::controller::shard::ShardOwner;
 use crate::controller::shard::burst_estimate::BurstEstimate;
 use crate::ids::{Image, MachineId, Time};
@@ -194,9 +194,10 @@
         let named = |class: usize| catalog.get(class).map(|c| c.name.clone());
         let boots = self.boots.iter();
         let boots = boots.filter_map(|(class, boot_s)| Some((named(*class)?, *boot_s)));
-        let bursts = self.bursts.iter().filter_map(|((class, spot), burst)| {
-            let boot_s = catalog.get(*class)?.ready_s;
-            Some((named(*class)?, *spot, burst.decayed(now, boot_s)))
+        let bursts = self.bursts.iter().filter_map(|(pool, burst)| {
+            let machine_type = pool.type_in(catalog)?;
+            let squares = burst.decayed(now, machine_type.ready_s);
+            Some((machine_type.name.clone(), pool.is_spot(), squares))
         });
         Estimates {
             boots: boots.collect(),
@@ -220,7 +221,7 @@
         let told_at = Time(now.0.saturating_sub(age_ms));
         for (name, spot, squares) in &estimates.bursts {
             if let Some(class) = class_of(name) {
-                let pool: Pool = (class, *spot);
+                let pool = Pool::of(class, *spot);
                 self.bursts
                     .insert(pool, BurstEstimate::observed(told_at, *squares));
             }
@@ -240,7 +241,7 @@
             return;
         }
         self.machines.edit(id, |machine| {
-            let cache_gb = catalog.get(machine.class).map_or(f64::MAX, |c| c.cache_gb);
+            let cache_gb = machine.type_in(catalog).map_or(f64::MAX, |c| c.cache_gb);
             for image in images {
                 machine.use_image(&Image::from(image.name.as_str()), image.gb, cache_gb);
             }
--- a/src/controller/machines/heartbeats.rs
+++ b/src/controller/machines/heartbeats.rs
@@ -96,7 +96,11 @@
         let (class, zone, spot) = (&report.class, &report.zone, report.spot);
         if self.machines.contains_key(id) {
             // It may be known by name only, or from before the catalog was.
-            if self.machines.get(id).is_some_and(|m| m.class == usize::MAX) {
+            if self
+                .machines
+                .get(id)
+                .is_some_and(|m| m.machine_type.is_none())
+            {
                 let set_machine_type =
                     |m: &mut Machine| m.set_machine_type(&context.catalog, class, zone, spot);
                 self.machines.edit(id, set_machine_type);
@@ -226,7 +230,7 @@
                 bind.image_cached = true;
             }
             if phase == Phase::Running {
-                let cache_gb = catalog.get(m.class).map_or(f64::MAX, |c| c.cache_gb);
+                let cache_gb = m.type_in(catalog).map_or(f64::MAX, |c| c.cache_gb);
                 m.use_image(&record.image, record.image_gb, cache_gb);
             }
         });
@@ -365,11 +369,12 @@
         let Some(m) = self.machines.get(id) else {
             return;
         };
-        let (class, took_s) = (m.class, now.since(m.since));
-        if let Some(ready_s) = catalog.get(class).map(|c| c.ready_s)
+        let took_s = now.since(m.since);
+        let ready_s = m.type_in(catalog).map(|found| found.ready_s);
+        if let (Some(machine_type), Some(ready_s)) = (m.machine_type, ready_s)
             && took_s > ready_s * LEAST_BOOT
         {
-            self.observe_boot_time(class, ready_s, took_s);
+            self.observe_boot_time(machine_type, ready_s, took_s);
         }
     }
 }
--- a/src/controller/machines/inventory.rs
+++ b/src/controller/machines/inventory.rs
@@ -6,6 +6,7 @@
 //! knows what its tasks mean for a placement. Every change goes through `edit`, which
 //! files the machine anew: there is no second place that could forget to.
 
+use crate::controller::pool::Pool;
 use crate::controller::store::records::{JobRecord, PriorityClass, Resources};
 use crate::ids::{ControllerId, Image, MachineId, RequestId, TaskId, Time};
 use crate::wire::MachineType;
@@ -23,8 +24,8 @@
 /// A machine of the shard.
 #[derive(Debug)]
 pub(crate) struct Machine {
-    /// Its type's place in the catalog; `usize::MAX` while that isn't known.
-    pub class: usize,
+    /// Its type's place in the catalog, if that is known.
+    pub machine_type: Option<usize>,
     pub type_name: Rc<str>,
     /// What its type has.
     pub resources: Resources,
@@ -75,7 +76,7 @@
         now: Time,
     ) -> Self {
         let mut machine = Self {
-            class: usize::MAX,
+            machine_type: None,
             type_name: type_name.into(),
             resources: Resources::default(),
             zone: zone.into(),
@@ -107,9 +108,19 @@
 
     /// Looks its type up in the catalog.
     pub(crate) fn resolve_machine_type(&mut self, catalog: &[MachineType]) {
-        let class = catalog.iter().position(|c| *c.name == *self.type_name);
-        self.class = class.unwrap_or(usize::MAX);
-        self.resources = class.map_or(Resources::default(), |c| catalog[c].resources);
+        self.machine_type = catalog.iter().position(|c| *c.name == *self.type_name);
+        let found = self.type_in(catalog);
+        self.resources = found.map_or(Resources::default(), |found| found.resources);
+    }
+
+    /// Its type in the catalog.
+    pub(crate) fn type_in<'a>(&self, catalog: &'a [MachineType]) -> Option<&'a MachineType> {
+        catalog.get(self.machine_type?)
+    }
+
+    /// The pool that it is counted in.
+    pub(crate) fn pool(&self) -> Option<Pool> {
+        Some(Pool::of(self.machine_type?, self.spot))
     }
 
     /// What a machine that was known by name only is.
@@ -120,7 +131,7 @@
         zone: &str,
         spot: bool,
     ) {
-        if self.class == usize::MAX {
+        if self.machine_type.is_none() {
             (self.type_name, self.zone, self.spot) = (type_name.into(), zone.into(), spot);
             self.resolve_machine_type(catalog);
         }
@@ -185,29 +196,31 @@
         }
     }
 
-    /// Whether it can be given tasks, but for what passes by itself.
-    fn is_schedulable(&self) -> bool {
+    /// Its pool, if it can be given tasks, but for what passes by itself.
+    fn schedulable_pool(&self) -> Option<Pool> {
         let staying = self.decommission_at.is_none() && self.notice.is_none();
-        self.ready_since.is_some() && staying && self.agent_epoch > 0 && self.class != usize::MAX
+        let reports = self.ready_since.is_some() && self.agent_epoch > 0;
+        self.pool().filter(|_| staying && reports)
     }
 
     fn index_entry(&self) -> IndexEntry {
         IndexEntry {
-            schedulable: self.is_schedulable().then(|| self.capacity_bucket()),
+            schedulable: self
+                .schedulable_pool()
+                .map(|pool| self.capacity_bucket(pool)),
             leaving: self.decommission_at.is_some() || self.notice.is_some(),
             booting: self.ready_since.is_none() && self.decommission_at.is_none(),
         }
     }
 
-    fn capacity_bucket(&self) -> (CapacityBucket, u64, Option<PriorityClass>) {
+    fn capacity_bucket(&self, pool: Pool) -> (CapacityBucket, u64, Option<PriorityClass>) {
         let free = self.free();
         let step = |free: f64, all: f64| {
             let share = if all > 0.0 { free / all } else { 1.0 };
             (share * STEPS + EDGE).clamp(0.0, STEPS) as u8
         };
         let capacity_bucket = CapacityBucket {
-            class: self.class,
-            spot: self.spot,
+            pool,
             zone: self.zone.clone(),
             cpus: step(free.cpus, self.resources.cpus),
             gpus: step(free.gpus, self.resources.gpus),
@@ -229,8 +242,7 @@
 /// Machines of one type, zone and kind with about the same free room.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct CapacityBucket {
-    class: usize,
-    spot: bool,
+    pool: Pool,
     zone: Rc<str>,
     cpus: u8,
     gpus: u8,
@@ -264,9 +276,9 @@
 struct Index {
     buckets: BTreeMap<CapacityBucket, BTreeSet<MachineId>>,
     /// Open machines with tasks, by the lowest rank among these.
-    ranked: BTreeMap<(usize, bool, PriorityClass), BTreeSet<MachineId>>,
+    ranked: BTreeMap<(Pool, PriorityClass), BTreeSet<MachineId>>,
     /// Free parts of open machines, by type and kind.
-    free: BTreeMap<(usize, bool), u64>,
+    free: BTreeMap<Pool, u64>,
     leaving: BTreeSet<MachineId>,
     booting: BTreeSet<MachineId>,
 }
@@ -284,12 +296,9 @@
 
     fn add_entry(&mut self, id: &MachineId, new: &IndexEntry) {
         if let Some((capacity_bucket, free, lowest)) = &new.schedulable {
-            *self
-                .free
-                .entry((capacity_bucket.class, capacity_bucket.spot))
-                .or_default() += free;
+            *self.free.entry(capacity_bucket.pool).or_default() += free;
             if let Some(priority_class) = lowest {
-                let key = (capacity_bucket.class, capacity_bucket.spot, *priority_class);
+                let key = (capacity_bucket.pool, *priority_class);
                 self.ranked.entry(key).or_default().insert(id.clone());
             }
             let machines = self.buckets.entry(capacity_bucket.clone()).or_default();
@@ -308,14 +317,11 @@
             return;
         };
         if let Some((capacity_bucket, free, lowest)) = &old.schedulable {
-            *self
-                .free
-                .entry((capacity_bucket.class, capacity_bucket.spot))
-                .or_default() -= free;
+            *self.free.entry(capacity_bucket.pool).or_default() -= free;
             if let Some(priority_class) = lowest {
                 drop_from(
                     &mut self.ranked,
-                    &(capacity_bucket.class, capacity_bucket.spot, *priority_class),
+                    &(capacity_bucket.pool, *priority_class),
                     id,
                 );
             }
@@ -416,7 +422,7 @@
     pub(crate) fn roomy(
         &self,
         need: Resources,
-        fits: impl Fn(usize, bool, &Rc<str>) -> bool,
+        fits: impl Fn(Pool, &Rc<str>) -> bool,
     ) -> impl Iterator<Item = (&MachineId, &Machine)> {
         let wide = move |capacity_bucket: &CapacityBucket, ids: &BTreeSet<MachineId>| {
             // All machines of a shelf are of one type.
@@ -425,11 +431,7 @@
                 .and_then(|id| self.all.get(id))
                 .map(|m| m.resources);
             resources.is_some_and(|resources| capacity_bucket.may_hold(resources, need))
-                && fits(
-                    capacity_bucket.class,
-                    capacity_bucket.spot,
-                    &capacity_bucket.zone,
-                )
+                && fits(capacity_bucket.pool, &capacity_bucket.zone)
         };
         let buckets = self.index.buckets.iter();
         let buckets = buckets.filter(move |(capacity_bucket, ids)| wide(capacity_bucket, ids));
@@ -441,18 +443,17 @@
     /// pass.
     pub(crate) fn ranked(
         &self,
-        fits: impl Fn(usize, bool, PriorityClass) -> bool,
+        fits: impl Fn(Pool, PriorityClass) -> bool,
     ) -> impl Iterator<Item = (&MachineId, &Machine)> {
         let sets = self.index.ranked.iter();
-        let sets = sets
-            .filter(move |((class, spot, priority_class), _)| fits(*class, *spot, *priority_class));
+        let sets = sets.filter(move |((pool, priority_class), _)| fits(*pool, *priority_class));
         let ids = sets.flat_map(|(_, ids)| ids);
         ids.filter_map(|id| Some((id, self.all.get(id)?)))
     }
 
     /// Machines' worth of free room on the open machines of a pool.
-    pub(crate) fn free(&self, class: usize, spot: bool) -> f64 {
-        let parts = self.index.free.get(&(class, spot));
+    pub(crate) fn free(&self, pool: Pool) -> f64 {
+        let parts = self.index.free.get(&pool);
         parts.copied().unwrap_or(0) as f64 / PARTS
     }
 
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -14,6 +14,7 @@
 pub(crate) mod machines;
 pub(crate) mod outbox;
 pub(crate) mod peers;
+pub(crate) mod pool;
 pub mod processor;
 pub(crate) mod quota;
 pub(crate) mod rate_limits;
--- a/src/controller/scheduling/consolidation.rs
+++ b/src/controller/scheduling/consolidation.rs
@@ -2,6 +2,7 @@
 
 use crate::controller::context::Context;
 use crate::controller::machines::inventory::Machine;
+use crate::controller::pool::Pool;
 use crate::controller::scheduling::constraints::{suits, zone_allowed};
 use crate::controller::scheduling::usable;
 use crate::controller::shard::ShardOwner;
@@ -108,15 +109,14 @@
     headroom: f64,
     now: Time,
 ) -> BTreeSet<MachineId> {
-    let mut pools: BTreeMap<(usize, bool), Vec<(f64, &MachineId)>> = BTreeMap::new();
+    let mut pools: BTreeMap<Pool, Vec<(f64, &MachineId)>> = BTreeMap::new();
     for (id, m) in h.machines.iter() {
         let here = m.ready_since.is_some() && m.decommission_at.is_none() && m.notice.is_none();
-        if let Some(class) = catalog.get(m.class).filter(|_| here && !m.tasks.is_empty()) {
-            let share = m.used.share_of(class.resources);
-            pools
-                .entry((m.class, m.spot))
-                .or_default()
-                .push((share, id));
+        if let Some(pool) = m.pool().filter(|_| here && !m.tasks.is_empty())
+            && let Some(machine_type) = pool.type_in(catalog)
+        {
+            let share = m.used.share_of(machine_type.resources);
+            pools.entry(pool).or_default().push((share, id));
         }
     }
     let mut spare = BTreeSet::new();
@@ -159,8 +159,7 @@
             return None;
         }
         let mut best: Option<(f64, &MachineId)> = None;
-        let fits =
-            |class: usize, spot: bool, _: &Rc<str>| suits(&job_state.record, catalog, class, spot);
+        let fits = |pool: Pool, _: &Rc<str>| suits(&job_state.record, catalog, pool);
         for (id, m) in h.machines.roomy(job_state.record.need, fits) {
             let mut free = m.free();
             free.add(taken.get(id).copied().unwrap_or_default(), -1.0);
--- a/src/controller/scheduling/constraints.rs
+++ b/src/controller/scheduling/constraints.rs
@@ -1,5 +1,6 @@
 //! What teams, jobs and machine types allow: limits, guarantees, zones and kinds.
 
+use crate::controller::pool::Pool;
 use crate::controller::shard::ShardOwner;
 use crate::controller::shard::job::JobState;
 use crate::controller::store::records::JobRecord;
@@ -71,8 +72,12 @@
 }
 
 /// Whether a job's tasks may run on a type and kind of machine.
-pub(crate) fn suits(record: &JobRecord, catalog: &[MachineType], class: usize, spot: bool) -> bool {
-    (record.spot || !spot) && catalog.get(class).is_some_and(|c| record.allows(&c.name))
+pub(crate) fn suits(record: &JobRecord, catalog: &[MachineType], pool: Pool) -> bool {
+    let market = record.spot || !pool.is_spot();
+    market
+        && pool
+            .type_in(catalog)
+            .is_some_and(|c| record.allows(&c.name))
 }
 
 /// Whether a zone may take this job's next task.
--- a/src/controller/scheduling/mod.rs
+++ b/src/controller/scheduling/mod.rs
@@ -10,6 +10,7 @@
 
 use crate::controller::context::Context;
 use crate::controller::machines::inventory::Machine;
+use crate::controller::pool::Pool;
 use crate::controller::scheduling::constraints::{
     teams_over_guarantee, within_guarantee, within_limit,
 };
@@ -152,9 +153,10 @@
             let Some(m) = self.machines.get(&machine) else {
                 return true;
             };
+            let fetch_s = m.type_in(&context.catalog).map(|t| fetch_s(&record, t, m));
             debug!(
                 "task scheduled, task={id}/{index} machine={machine} image_fetch_s={:.1}",
-                fetch_s(&record, &context.catalog[m.class], m)
+                fetch_s.unwrap_or(0.0)
             );
             let bound = Placement {
                 machine: machine.clone(),
@@ -241,14 +243,15 @@
 
 /// The types whose ordinary machines have no more room than is kept for urgent starts.
 /// Work that may use spot machines waits for one rather than take that room.
-fn full_pools(h: &ShardOwner, catalog: &[MachineType], headroom: f64, now: Time) -> Vec<usize> {
-    let full = |c: &usize| h.machines.free(*c, false) < h.keep((*c, false), catalog, headroom, now);
-    (0..catalog.len()).filter(full).collect()
+fn full_pools(h: &ShardOwner, catalog: &[MachineType], headroom: f64, now: Time) -> Vec<Pool> {
+    let on_demand = (0..catalog.len()).map(|machine_type| Pool::of(machine_type, false));
+    let full = |pool: &Pool| h.machines.free(*pool) < h.keep(*pool, catalog, headroom, now);
+    on_demand.filter(full).collect()
 }
 
 pub(crate) struct SchedulingCycle {
     images: ImageWorths,
-    full: Vec<usize>,
+    full: Vec<Pool>,
     left: usize,
     /// Demands that found no machine: others like them won't either.
     failed: Vec<Rc<JobRecord>>,
--- a/src/controller/scheduling/preemption.rs
+++ b/src/controller/scheduling/preemption.rs
@@ -1,6 +1,7 @@
 //! Which tasks of lower rank are stopped to make room.
 
 use crate::controller::machines::inventory::Machine;
+use crate::controller::pool::Pool;
 use crate::controller::scheduling::constraints::{suits, zone_allowed};
 use crate::controller::scheduling::scoring::fetch_s;
 use crate::controller::shard::ShardOwner;
@@ -20,9 +21,9 @@
     over: &[&str],
 ) -> (Vec<TaskId>, u64) {
     let priority_class = job_state.record.priority_class;
-    let fits = |class: usize, spot: bool, lowest: PriorityClass| {
+    let fits = |pool: Pool, lowest: PriorityClass| {
         let yields = lowest < priority_class || (lowest == priority_class && !over.is_empty());
-        yields && suits(&job_state.record, catalog, class, spot)
+        yields && suits(&job_state.record, catalog, pool)
     };
     let (mut found, mut machines_scanned) = (Vec::new(), 0);
     for (name, m) in h.machines.ranked(fits) {
@@ -31,8 +32,10 @@
             continue;
         }
         if let Some((loss, tasks)) = victims_on(h, job_state, m, over) {
-            let cost = loss + fetch_s(&job_state.record, &catalog[m.class], m);
-            found.push((cost, name, tasks));
+            let fetch_s = m
+                .type_in(catalog)
+                .map_or(0.0, |t| fetch_s(&job_state.record, t, m));
+            found.push((loss + fetch_s, name, tasks));
         }
     }
     found.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| a.1.cmp(b.1)));
--- a/src/controller/scheduling/scoring.rs
+++ b/src/controller/scheduling/scoring.rs
@@ -1,6 +1,7 @@
 //! What a start costs on each machine: delay, spread, and what other starts would lose.
 
 use crate::controller::machines::inventory::Machine;
+use crate::controller::pool::Pool;
 use crate::controller::scheduling::constraints::{suits, zone_allowed};
 use crate::controller::scheduling::{SchedulingCycle, usable};
 use crate::controller::shard::ShardOwner;
@@ -81,8 +82,8 @@
             .into_iter()
             .filter(|z| zone_allowed(job_state, z))
             .collect();
-        let fits = |class: usize, spot: bool, zone: &Rc<str>| {
-            open.contains(&&**zone) && suits(record, self.catalog, class, spot)
+        let fits = |pool: Pool, zone: &Rc<str>| {
+            open.contains(&&**zone) && suits(record, self.catalog, pool)
         };
         let mut machines_scanned = 0;
         let machines = h.machines.roomy(record.need, fits);
@@ -104,7 +105,8 @@
         (id, m): (&MachineId, &Machine),
         cycle: &SchedulingCycle,
     ) -> Option<f64> {
-        let class = self.catalog.get(m.class)?;
+        let pool = m.pool()?;
+        let class = pool.type_in(self.catalog)?;
         let usable = usable(m, self.settings, self.now) && h.failures.may_run_tasks(id, self.now);
         if !m.free().holds(job_state.record.need) || !usable {
             return None;
@@ -115,7 +117,7 @@
             && loses
             && job_state.record.spot
             && job_state.record.priority_class <= PriorityClass::Normal;
-        if waits && !m.spot && cycle.full.contains(&m.class) {
+        if waits && cycle.full.contains(&pool) {
             return None;
         }
         let mut cost =
@@ -204,7 +206,7 @@
     let mut ready: BTreeMap<&Image, u32> = BTreeMap::new();
     let needs = h.images.values().map(|w| w.need);
     let least = needs.reduce(Resources::least).unwrap_or_default();
-    for (id, m) in h.machines.roomy(least, |_, spot, _| !spot) {
+    for (id, m) in h.machines.roomy(least, |pool, _| !pool.is_spot()) {
         if !usable(m, settings, now) || !h.failures.may_run_tasks(id, now) {
             continue;
         }
--- a/src/controller/shard/burst_estimate.rs
+++ b/src/controller/shard/burst_estimate.rs
@@ -1,8 +1,8 @@
 //! How services' demand for each pool varies, and how long machines take to boot: from both
 //! follows the room to keep free for urgent starts.
 
-use crate::controller::autoscaling::Pool;
 use crate::controller::autoscaling::demand::{per_machine, pool_for};
+use crate::controller::pool::Pool;
 use crate::controller::shard::job::JobState;
 use crate::controller::shard::{ShardOwner, decayed};
 use crate::controller::store::records::{ExhaustedPool, JobKind, JobRecord};
@@ -69,7 +69,7 @@
         record: &JobRecord,
     ) -> Option<(Pool, f64)> {
         let pool = pool_for(catalog, record, closed).filter(|_| record.kind == JobKind::Service)?;
-        let size = f64::from(record.count) / per_machine(&catalog[pool.0], record.need);
+        let size = f64::from(record.count) / per_machine(&catalog[pool.machine_type], record.need);
         Some((pool, size))
     }
 
@@ -83,7 +83,7 @@
     ) {
         if let Some((pool, size)) = self.size(catalog, closed, record) {
             let bursts = self.bursts.entry(pool).or_default();
-            bursts.add(now, catalog[pool.0].ready_s, size);
+            bursts.add(now, catalog[pool.machine_type].ready_s, size);
         }
     }
 
@@ -107,16 +107,17 @@
 
     /// How long a machine of a type usually takes to boot: no less than the catalog says,
     /// and longer when they have taken longer lately.
-    pub(crate) fn usual_boot_s(&self, class: usize, ready_s: f64) -> f64 {
-        let recent_heartbeats = self.boots.get(&class).copied().unwrap_or(ready_s);
-        recent_heartbeats.clamp(ready_s, ready_s * SLOW_BOOT)
+    pub(crate) fn usual_boot_s(&self, machine_type: Option<usize>, ready_s: f64) -> f64 {
+        let recent_s = machine_type.and_then(|machine_type| self.boots.get(&machine_type));
+        let recent_s = recent_s.copied().unwrap_or(ready_s);
+        recent_s.clamp(ready_s, ready_s * SLOW_BOOT)
     }
 
     /// Takes note of a boot.
-    pub(crate) fn observe_boot_time(&mut self, class: usize, ready_s: f64, took_s: f64) {
-        let usual = self.usual_boot_s(class, ready_s);
-        let recent_heartbeats = usual + (took_s - usual) * BOOT_NEWS;
-        self.boots.insert(class, recent_heartbeats);
+    pub(crate) fn observe_boot_time(&mut self, machine_type: usize, ready_s: f64, took_s: f64) {
+        let usual = self.usual_boot_s(Some(machine_type), ready_s);
+        let recent_s = usual + (took_s - usual) * BOOT_NEWS;
+        self.boots.insert(machine_type, recent_s);
     }
 
     /// Machines' worth of room to keep free for urgent starts.
@@ -127,7 +128,7 @@
         headroom: f64,
         now: Time,
     ) -> f64 {
-        let boot_s = catalog.get(pool.0).map_or(1.0, |c| c.ready_s.max(1.0));
+        let boot_s = pool.type_in(catalog).map_or(1.0, |c| c.ready_s.max(1.0));
         let bursts = self.bursts.get(&pool);
         let deviation = bursts.map_or(0.0, |b| b.deviation(now, boot_s));
         (headroom * deviation).max(1.0)
--- a/src/controller/shard/mod.rs
+++ b/src/controller/shard/mod.rs
@@ -11,10 +11,10 @@
 pub(crate) mod image_demand;
 pub(crate) mod job;
 
-use crate::controller::autoscaling::Pool;
 use crate::controller::context::RECENT_S;
 use crate::controller::machines::failures::FailureLog;
 use crate::controller::machines::inventory::{Inventory, Machine};
+use crate::controller::pool::Pool;
 use crate::controller::shard::burst_estimate::BurstEstimate;
 use crate::controller::shard::commits::{WriteQueue, WriteUrgency};
 use crate::controller::shard::image_demand::ImageDemand;
--- a/src/controller/shards/counts.rs
+++ b/src/controller/shards/counts.rs
@@ -2,6 +2,7 @@
 
 use crate::controller::Controller;
 use crate::controller::context::Context;
+use crate::controller::pool::Pool;
 use crate::controller::shard::ShardOwner;
 use crate::controller::shards::machine_assignment::GONE_S;
 use crate::peer::{Message, ShardCounts, TeamCount};
@@ -59,11 +60,11 @@
     pub(crate) fn shard_counts(&self, context: &Context) -> ShardCounts {
         let catalog = &context.catalog;
         let closed = context.store.mirror.closed();
-        let named = |class: usize| catalog.get(class).map(|c| c.name.clone());
+        let named = |pool: Pool| pool.type_in(catalog).map(|found| found.name.clone());
         let pools = self
             .counts(catalog, &context.settings, closed, context.now)
             .into_iter();
-        let pools = pools.filter_map(|((class, spot), c)| Some((named(class)?, spot, c)));
+        let pools = pools.filter_map(|(pool, c)| Some((named(pool)?, pool.is_spot(), c)));
         let mut zones: BTreeMap<(String, bool, String), u32> = BTreeMap::new();
         let mut empty = Vec::new();
         for (id, m) in self.machines.iter() {
@@ -75,7 +76,8 @@
             }
         }
         let pins = self.pins(catalog, closed).into_iter();
-        let pins = pins.filter_map(|((pool, zone), n)| Some((named(pool.0)?, pool.1, zone, n)));
+        let pins =
+            pins.filter_map(|((pool, zone), n)| Some((named(pool)?, pool.is_spot(), zone, n)));
         // Those with the fewest images are missed least.
         empty.sort();
         let empty = empty.into_iter().map(|(_, e)| e).take(NAMES_MAX);
--- a/src/controller/shards/quota_shares.rs
+++ b/src/controller/shards/quota_shares.rs
@@ -158,8 +158,8 @@
             return;
         }
         let lease_s = self.settings.tuning.shard_lease_s;
-        let queue_order = (self.now.since(Time(0)) / lease_s) as usize % records.len();
-        let turn = records.keys().nth(queue_order).copied().unwrap_or(0);
+        let turn_index = (self.now.since(Time(0)) / lease_s) as usize % records.len();
+        let turn = records.keys().nth(turn_index).copied().unwrap_or(0);
         for (team, limit) in limits {
             let count = |t: &ShardCounts| {
                 let found = t.teams.iter().find(|(name, _)| *name == team);
