--- a/src/controller/api/cancellations.rs
+++ b/src/controller/api/cancellations.rs
@@ -24,17 +24,18 @@
             .recent_heartbeats()
             .flat_map(|h| h.overdue.iter().cloned());
         let overdue: BTreeSet<MachineId> = told.chain(self.overdue()).collect();
-        let stuck = leaving
-            .filter(|q| self.context.is_stale() || self.context.departs_late(&q.id, &overdue));
-        stuck.map(|q| q.request_id).collect()
+        let stuck = leaving.filter(|query| {
+            self.context.is_stale() || self.context.departs_late(&query.id, &overdue)
+        });
+        stuck.map(|query| query.request_id).collect()
     }
 }
 
 impl Context {
     pub(crate) fn write_cancellations(&mut self) {
-        while let Some(q) = self.api.cancellations.pop_front() {
-            let Some(job) = self.store.mirror.jobs.get(&q.id) else {
-                self.api.unknown.push_back(q);
+        while let Some(query) = self.api.cancellations.pop_front() {
+            let Some(job) = self.store.mirror.jobs.get(&query.id) else {
+                self.api.unknown.push_back(query);
                 continue;
             };
             let mut record = (*job.record).clone();
@@ -44,32 +45,36 @@
                 // to know any more where it may run.
                 record.types = None;
             }
-            let key = Key::Job(q.id.clone());
+            let key = Key::Job(query.id.clone());
             let op = StoreRequest::Transaction {
                 preconditions: vec![(key.clone(), job.revision)],
                 writes: vec![Write::put(key, Record::Job(Box::new(record)))],
             };
-            if let Err(RequestPurpose::Cancel(q)) =
-                self.send_store_request(op, RequestPurpose::Cancel(q), Priority::First)
+            if let Err(RequestPurpose::Cancel(query)) =
+                self.send_store_request(op, RequestPurpose::Cancel(query), Priority::First)
             {
-                self.api.cancellations.push_front(q);
+                self.api.cancellations.push_front(query);
                 break;
             }
         }
     }
 
-    pub(crate) fn on_cancelled(&mut self, q: StatusQuery, reply: StoreResponse) {
+    pub(crate) fn on_cancelled(&mut self, query: StatusQuery, reply: StoreResponse) {
         match reply {
             StoreResponse::Committed { .. } => {
-                info!("job cancelled by its user, job={}", q.id);
-                self.api.leaving.push_back(q);
+                info!("job cancelled by its user, job={}", query.id);
+                self.api.leaving.push_back(query);
                 self.answer_cancelled();
             }
-            StoreResponse::Refused => self.api.cancellations.push_back(q),
+            StoreResponse::Refused => self.api.cancellations.push_back(query),
             // Somebody changed the job, or the commit may stand: look again.
             _ => {
                 let (asked, after) = (self.now, self.last_call());
-                let again = StatusQuery { asked, after, ..q };
+                let again = StatusQuery {
+                    asked,
+                    after,
+                    ..query
+                };
                 self.api.status_queries.push_back(again);
             }
         }
@@ -78,11 +83,13 @@
     /// Tells users whose jobs have gone. A cancellation is told only now, when every task
     /// is proven gone: then nothing that fails later can let one run on past the bound.
     pub(crate) fn answer_cancelled(&mut self) {
-        for q in std::mem::take(&mut self.api.leaving) {
-            match self.store.mirror.ending(&q.id) {
-                Some(ending) => self.answer_ending(q.request_id, &q.id, ending),
-                None if self.store.mirror.jobs.contains_key(&q.id) => self.api.leaving.push_back(q),
-                None => self.api.unknown.push_back(q),
+        for query in std::mem::take(&mut self.api.leaving) {
+            match self.store.mirror.ending(&query.id) {
+                Some(ending) => self.answer_ending(query.request_id, &query.id, ending),
+                None if self.store.mirror.jobs.contains_key(&query.id) => {
+                    self.api.leaving.push_back(query)
+                }
+                None => self.api.unknown.push_back(query),
             }
         }
     }
--- a/src/controller/api/mod.rs
+++ b/src/controller/api/mod.rs
@@ -133,22 +133,24 @@
     pub(crate) fn api_housekeeping(&mut self) {
         let (now, mut late) = (self.context.now, self.blocked_cancellations());
         let leave_s = self.context.settings.leave_s();
-        let f = &mut self.context.api;
-        f.leaving.retain(|q| !late.contains(&q.request_id));
+        let facts = &mut self.context.api;
+        facts
+            .leaving
+            .retain(|query| !late.contains(&query.request_id));
         for (queue, most_s) in [
-            (&mut f.status_queries, QUESTION_S),
-            (&mut f.unknown, QUESTION_S),
-            (&mut f.cancellations, QUESTION_S),
-            (&mut f.leaving, leave_s),
+            (&mut facts.status_queries, QUESTION_S),
+            (&mut facts.unknown, QUESTION_S),
+            (&mut facts.cancellations, QUESTION_S),
+            (&mut facts.leaving, leave_s),
         ] {
-            queue.retain(|q| {
-                let most_s = match q.intent {
+            queue.retain(|query| {
+                let most_s = match query.intent {
                     Intent::Poll => QUESTION_S.min(most_s),
                     _ => most_s,
                 };
-                let keep = now.since(q.asked) < most_s;
+                let keep = now.since(query.asked) < most_s;
                 if !keep {
-                    late.push(q.request_id);
+                    late.push(query.request_id);
                 }
                 keep
             });
@@ -160,8 +162,10 @@
             }
             keep
         };
-        f.submissions.retain(&mut in_time);
-        f.awaiting_dependencies.retain(|n| in_time(&n.submission));
+        facts.submissions.retain(&mut in_time);
+        facts
+            .awaiting_dependencies
+            .retain(|n| in_time(&n.submission));
         for request_id in late {
             self.context.answer(
                 request_id,
--- a/src/controller/api/status_queries.rs
+++ b/src/controller/api/status_queries.rs
@@ -84,12 +84,12 @@
 
     /// Answers what the latest fresh read allows. Questions stand in order of time.
     pub(crate) fn answer_status_queries(&mut self) {
-        while let Some(q) = self.api.status_queries.front() {
-            if q.after >= self.store.linearized_call() {
+        while let Some(query) = self.api.status_queries.front() {
+            if query.after >= self.store.linearized_call() {
                 break;
             }
-            if let Some(q) = self.api.status_queries.pop_front() {
-                self.answer_status_query(q);
+            if let Some(query) = self.api.status_queries.pop_front() {
+                self.answer_status_query(query);
             }
         }
     }
@@ -99,85 +99,87 @@
         self.now.since(self.store.changes_known_at()) <= PRESENT_S
     }
 
-    fn answer_status_query(&mut self, q: StatusQuery) {
-        if let Some(ending) = self.store.mirror.ending(&q.id) {
-            return self.answer_ending(q.request_id, &q.id, ending);
+    fn answer_status_query(&mut self, query: StatusQuery) {
+        if let Some(ending) = self.store.mirror.ending(&query.id) {
+            return self.answer_ending(query.request_id, &query.id, ending);
         }
         if !self.present() {
             // The read took long. Another node may have told more since.
             let after = self.last_call();
             self.api
                 .status_queries
-                .push_back(StatusQuery { after, ..q });
+                .push_back(StatusQuery { after, ..query });
             return;
         }
-        let Some(job) = self.store.mirror.jobs.get(&q.id) else {
-            self.api.unknown.push_back(q);
+        let Some(job) = self.store.mirror.jobs.get(&query.id) else {
+            self.api.unknown.push_back(query);
             return;
         };
-        if self.store.mirror.is_cancelled_by_dependency(&q.id) {
+        if self.store.mirror.is_cancelled_by_dependency(&query.id) {
             // It has no task, and ends as soon as its owner has written so. Called queued for
             // much longer, it would be taken for one that was left behind.
-            return self.api.leaving.push_back(q);
+            return self.api.leaving.push_back(query);
         }
-        if q.intent == Intent::Cancel {
+        if query.intent == Intent::Cancel {
             match job.cancelled {
-                None => self.api.cancellations.push_back(q),
-                Some(_) => self.api.leaving.push_back(q),
+                None => self.api.cancellations.push_back(query),
+                Some(_) => self.api.leaving.push_back(query),
             }
             return;
         }
-        if self.store.mirror.may_be_cancelled(&q.id) {
+        if self.store.mirror.may_be_cancelled(&query.id) {
             // Somebody may have been told so of a job that it needs.
             let after = self.last_call();
             return self
                 .api
                 .status_queries
-                .push_back(StatusQuery { after, ..q });
+                .push_back(StatusQuery { after, ..query });
         }
-        let (done, running) = self.store.mirror.counts(&q.id);
+        let (done, running) = self.store.mirror.counts(&query.id);
         let status = if running > 0 {
             JobStatus::Running
         } else {
             JobStatus::Queued
         };
-        let body = job_status_body(&q.id, status, done, running);
-        self.answer(q.request_id, Reply::ok(200, body));
+        let body = job_status_body(&query.id, status, done, running);
+        self.answer(query.request_id, Reply::ok(200, body));
     }
 
     pub(crate) fn read_unknown_ends(&mut self) {
-        while let Some(q) = self.api.unknown.pop_front() {
-            let op = StoreRequest::Get(Key::End(q.id.clone()));
-            if let Err(RequestPurpose::ReadEnd(q)) =
-                self.send_store_request(op, RequestPurpose::ReadEnd(q), Priority::Usual)
+        while let Some(query) = self.api.unknown.pop_front() {
+            let op = StoreRequest::Get(Key::End(query.id.clone()));
+            if let Err(RequestPurpose::ReadEnd(query)) =
+                self.send_store_request(op, RequestPurpose::ReadEnd(query), Priority::Usual)
             {
-                self.api.unknown.push_front(q);
+                self.api.unknown.push_front(query);
                 break;
             }
         }
     }
 
-    pub(crate) fn on_end_read(&mut self, q: StatusQuery, reply: StoreResponse) {
-        if let Some(ending) = self.learn_ending(&q.id, &reply) {
-            return self.answer_ending(q.request_id, &q.id, (ending, self.now));
+    pub(crate) fn on_end_read(&mut self, query: StatusQuery, reply: StoreResponse) {
+        if let Some(ending) = self.learn_ending(&query.id, &reply) {
+            return self.answer_ending(query.request_id, &query.id, (ending, self.now));
         }
-        match (reply, &q.intent) {
+        match (reply, &query.intent) {
             // It came while the read was under way.
-            (StoreResponse::Missing { .. }, _) if self.store.mirror.jobs.contains_key(&q.id) => {
+            (StoreResponse::Missing { .. }, _)
+                if self.store.mirror.jobs.contains_key(&query.id) =>
+            {
                 let after = self.last_call();
                 self.api
                     .status_queries
-                    .push_back(StatusQuery { after, ..q });
+                    .push_back(StatusQuery { after, ..query });
             }
             (StoreResponse::Missing { .. }, Intent::Refuse(status, why)) => {
                 let body = error_body(why);
-                self.answer(q.request_id, Reply::ok(*status, body));
+                self.answer(query.request_id, Reply::ok(*status, body));
             }
             (StoreResponse::Missing { .. }, Intent::Poll | Intent::Cancel) => {
-                self.answer(q.request_id, Reply::ok(404, error_body("no such job")));
+                self.answer(query.request_id, Reply::ok(404, error_body("no such job")));
             }
             _ => self.answer(
-                q.request_id,
+                query.request_id,
                 Reply::later(503, 1, "present state isn't known"),
             ),
         }
--- a/src/controller/autoscaling/demand.rs
+++ b/src/controller/autoscaling/demand.rs
@@ -112,14 +112,15 @@
             };
             counts.insert(pool, count);
         }
-        for m in self.machines.values() {
-            let quiet = now.since(m.last_heartbeat.max(self.since)) > lease_s;
-            let cut = self.cut || self.partitioned_zones.contains(&m.zone);
-            let silent = m.ready_since.is_some() && m.long_poll.is_none() && quiet && !cut;
+        for machine in self.machines.values() {
+            let quiet = now.since(machine.last_heartbeat.max(self.since)) > lease_s;
+            let cut = self.cut || self.partitioned_zones.contains(&machine.zone);
+            let silent =
+                machine.ready_since.is_some() && machine.long_poll.is_none() && quiet && !cut;
             // An overdue machine is replaced. If it comes after all, it is used or returned.
             let overdue = settings.tuning.boot;
-            let silent = silent || self.boots_longer_than(overdue, catalog, m, now);
-            self.count_machine(catalog, m, silent, &mut counts);
+            let silent = silent || self.boots_longer_than(overdue, catalog, machine, now);
+            self.count_machine(catalog, machine, silent, &mut counts);
         }
         let mut team_left = HashMap::new();
         for id in &self.waiting {
@@ -156,13 +157,13 @@
     /// The pools whose machines come late.
     fn slow_pools(&self, catalog: &[MachineType], overdue: f64, now: Time) -> SlowPools {
         let mut booting: BTreeMap<Pool, BootingCount> = BTreeMap::new();
-        for (_, m) in self.machines.booting() {
-            let Some(pool) = m.pool() else {
+        for (_, machine) in self.machines.booting() {
+            let Some(pool) = machine.pool() else {
                 continue;
             };
             let count = booting.entry(pool).or_default();
-            let late = self.boots_longer_than(LATE_BOOTS, catalog, m, now);
-            let overdue = self.boots_longer_than(overdue, catalog, m, now);
+            let late = self.boots_longer_than(LATE_BOOTS, catalog, machine, now);
+            let overdue = self.boots_longer_than(overdue, catalog, machine, now);
             count.all += 1;
             count.late += u32::from(late && !overdue);
             count.overdue += u32::from(overdue);
@@ -186,10 +187,10 @@
     pub(crate) fn pins(&self, catalog: &[MachineType], closed: &[ExhaustedPool]) -> Zones {
         let mut pins = Zones::new();
         let mut ahead: BTreeMap<(Pool, &str), u32> = BTreeMap::new();
-        for m in self.machines.values() {
-            let stays = m.decommission_at.is_none() && m.notice.is_none();
-            if let Some(pool) = m.pool().filter(|_| m.tasks.is_empty() && stays) {
-                *ahead.entry((pool, &*m.zone)).or_default() += 1;
+        for machine in self.machines.values() {
+            let stays = machine.decommission_at.is_none() && machine.notice.is_none();
+            if let Some(pool) = machine.pool().filter(|_| machine.tasks.is_empty() && stays) {
+                *ahead.entry((pool, &*machine.zone)).or_default() += 1;
             }
         }
         let waiting = self.waiting.iter();
@@ -227,29 +228,29 @@
     fn count_machine(
         &self,
         catalog: &[MachineType],
-        m: &Machine,
+        machine: &Machine,
         silent: bool,
         counts: &mut BTreeMap<Pool, PoolCount>,
     ) {
-        let leaving = silent || m.decommission_at.is_some() || m.notice.is_some();
-        let Some(pool) = m.pool().filter(|_| !leaving) else {
+        let leaving = silent || machine.decommission_at.is_some() || machine.notice.is_some();
+        let Some(pool) = machine.pool().filter(|_| !leaving) else {
             return;
         };
         let (Some(class), Some(c)) = (pool.type_in(catalog), counts.get_mut(&pool)) else {
             return;
         };
         c.provisioned += 1;
-        if m.tasks.is_empty() {
+        if machine.tasks.is_empty() {
             return;
         }
         c.busy += 1;
-        c.running += m.used.share_of(class.resources);
-        let free = 1.0 - m.used.share_of(class.resources);
+        c.running += machine.used.share_of(class.resources);
+        let free = 1.0 - machine.used.share_of(class.resources);
         if free >= SPARE_SHARE {
             c.spare += free;
         }
         // Batch work that saves its progress makes room for urgent starts at hardly any cost.
-        for Binding { record, .. } in m.tasks.values() {
+        for Binding { record, .. } in machine.tasks.values() {
             let saves = record.kind == JobKind::Batch && record.checkpoint_s > 0.0;
             if saves && record.priority_class <= PriorityClass::Normal {
                 c.spare += record.need.share_of(class.resources);
--- a/src/controller/autoscaling/machines.rs
+++ b/src/controller/autoscaling/machines.rs
@@ -68,10 +68,11 @@
             .plan
             .record
             .iter()
-            .flat_map(|p| &p.scale_in);
+            .flat_map(|placement| &placement.scale_in);
         for id in scale_in {
             for h in self.shards.values_mut() {
-                let idle = |m: &Machine| m.ready_since.is_some() && m.tasks.is_empty();
+                let idle =
+                    |machine: &Machine| machine.ready_since.is_some() && machine.tasks.is_empty();
                 if h.machines.get(id).is_some_and(idle) {
                     h.decommission(now, id, DecommissionReason::ScaledIn);
                 }
@@ -124,8 +125,12 @@
     pub(crate) fn decommission_abandoned(&mut self, context: &Context) {
         let (now, boot) = (context.now, context.settings.tuning.boot);
         let most = ABANDONED_AFTER * boot;
-        let never = |m: &Machine| self.boots_longer_than(most, &context.catalog, m, now);
-        let never = self.machines.booting().filter(|(_, m)| never(m));
+        let never =
+            |machine: &Machine| self.boots_longer_than(most, &context.catalog, machine, now);
+        let never = self
+            .machines
+            .booting()
+            .filter(|(_, machine)| never(machine));
         let never: Vec<MachineId> = never.map(|(id, _)| id.clone()).collect();
         for id in never {
             self.decommission(now, &id, DecommissionReason::NeverReady);
@@ -140,11 +145,11 @@
             return;
         }
         let mut ids = Vec::new();
-        for (id, m) in self.machines.leaving() {
-            let due = m
+        for (id, machine) in self.machines.leaving() {
+            let due = machine
                 .decommission_at
-                .is_some_and(|at| now >= at || m.tasks.is_empty());
-            if due && !m.deleting && ids.len() < DELETE_MAX && !self.committing_on(m) {
+                .is_some_and(|at| now >= at || machine.tasks.is_empty());
+            if due && !machine.deleting && ids.len() < DELETE_MAX && !self.committing_on(machine) {
                 ids.push(id.clone());
             }
         }
@@ -158,7 +163,7 @@
         };
         if context.cloud_call(op, purpose, Priority::First) {
             for id in &ids {
-                self.machines.edit(id, |m| m.deleting = true);
+                self.machines.edit(id, |machine| machine.deleting = true);
             }
         }
     }
@@ -174,7 +179,7 @@
         let mut held = Vec::new();
         for id in ids {
             if reply != CloudReply::Deleted {
-                self.machines.edit(&id, |m| m.deleting = false);
+                self.machines.edit(&id, |machine| machine.deleting = false);
                 continue;
             }
             info!("machine deleted, machine={id}");
@@ -187,10 +192,10 @@
 }
 
 impl ShardOwner {
-    fn committing_on(&self, m: &Machine) -> bool {
-        m.tasks.keys().any(|t| {
-            let p = self.jobs.get(&t.job).and_then(|l| l.placed.get(&t.index));
-            p.is_some_and(|p| p.phase == Phase::Committing)
+    fn committing_on(&self, machine: &Machine) -> bool {
+        machine.tasks.keys().any(|t| {
+            let placement = self.jobs.get(&t.job).and_then(|l| l.placed.get(&t.index));
+            placement.is_some_and(|placement| placement.phase == Phase::Committing)
         })
     }
 
@@ -201,19 +206,20 @@
             return;
         }
         if self.whole && !self.machines.contains_key(&id) {
-            let mut m = Machine::new(catalog, &l.class, &l.zone, l.spot, now);
-            m.since = Time(now.0.saturating_sub((l.age_s().max(0.0) * 1000.0) as u64));
-            self.machines.insert(id.clone(), m);
+            let mut machine = Machine::new(catalog, &l.class, &l.zone, l.spot, now);
+            machine.since = Time(now.0.saturating_sub((l.age_s().max(0.0) * 1000.0) as u64));
+            self.machines.insert(id.clone(), machine);
         }
         let known = self.machines.get(&id);
-        let wakes = |m: &Machine| l.status == MachineStatus::Running && m.ready_since.is_none();
-        if known.is_some_and(|m| m.machine_type.is_none() || wakes(m)) {
-            self.machines.edit(&id, |m| {
-                if wakes(m) {
+        let wakes =
+            |machine: &Machine| l.status == MachineStatus::Running && machine.ready_since.is_none();
+        if known.is_some_and(|machine| machine.machine_type.is_none() || wakes(machine)) {
+            self.machines.edit(&id, |machine| {
+                if wakes(machine) {
                     // From now on it counts as silent unless it heartbeats.
-                    (m.ready_since, m.last_heartbeat) = (Some(now), now);
+                    (machine.ready_since, machine.last_heartbeat) = (Some(now), now);
                 }
-                m.set_machine_type(catalog, &l.class, &l.zone, l.spot);
+                machine.set_machine_type(catalog, &l.class, &l.zone, l.spot);
             });
         }
         if l.status == MachineStatus::Failed {
@@ -225,9 +231,10 @@
     /// gone or never came to be. Absence proves nothing, so they are deleted.
     fn decommission_unlisted(&mut self, now: Time, settled_s: f64, listed: &BTreeSet<&str>) {
         let since = self.since;
-        let unseen = |m: &Machine| now.since(m.since.max(since)) > settled_s;
+        let unseen = |machine: &Machine| now.since(machine.since.max(since)) > settled_s;
         let missing = self.machines.booting();
-        let missing = missing.filter(|(id, m)| unseen(m) && !listed.contains(id.as_str()));
+        let missing =
+            missing.filter(|(id, machine)| unseen(machine) && !listed.contains(id.as_str()));
         let missing: Vec<MachineId> = missing.map(|(id, _)| id.clone()).collect();
         for id in missing {
             self.decommission(now, &id, DecommissionReason::NotListed);
@@ -240,20 +247,22 @@
         &self,
         times: f64,
         catalog: &[MachineType],
-        m: &Machine,
+        machine: &Machine,
         now: Time,
     ) -> bool {
-        let ready_s = m.type_in(catalog).map_or(UNKNOWN_BOOT_S, |c| c.ready_s);
-        let most_s = times * self.usual_boot_s(m.machine_type, ready_s);
-        m.ready_since.is_none() && now.since(m.since) > most_s
+        let ready_s = machine
+            .type_in(catalog)
+            .map_or(UNKNOWN_BOOT_S, |c| c.ready_s);
+        let most_s = times * self.usual_boot_s(machine.machine_type, ready_s);
+        machine.ready_since.is_none() && now.since(machine.since) > most_s
     }
 
     /// Forgets a deleted machine; its tasks are proven gone. Returns the request
     /// that waited for its commands.
     fn remove_machine(&mut self, now: Time, id: &MachineId) -> Option<RequestId> {
-        let m = self.machines.get(id)?;
-        let held = m.long_poll;
-        let tasks: Vec<TaskId> = m.tasks.keys().cloned().collect();
+        let machine = self.machines.get(id)?;
+        let held = machine.long_poll;
+        let tasks: Vec<TaskId> = machine.tasks.keys().cloned().collect();
         for task in tasks {
             self.remove_placement(now, &task);
         }
--- a/src/controller/autoscaling/mod.rs
+++ b/src/controller/autoscaling/mod.rs
@@ -96,7 +96,8 @@
         self.context.catalog = classes;
         let catalog = &self.context.catalog;
         for h in self.shards.values_mut() {
-            h.machines.edit_all(|m| m.resolve_machine_type(catalog));
+            h.machines
+                .edit_all(|machine| machine.resolve_machine_type(catalog));
             h.scheduling_wanted = true;
         }
     }
--- a/src/controller/autoscaling/reconcile.rs
+++ b/src/controller/autoscaling/reconcile.rs
@@ -76,7 +76,10 @@
             }
             let asked = fleet.asked.get(&pool).copied().unwrap_or(0);
             // A machine in the wrong zone is no help to tasks that may not go there.
-            let pins = fleet.pins.iter().filter(|((p, _), _)| *p == pool);
+            let pins = fleet
+                .pins
+                .iter()
+                .filter(|((placement, _), _)| *placement == pool);
             let pins: BTreeMap<&String, u32> = pins.map(|((_, z), n)| (z, *n)).collect();
             let gap = gap.max(pins.values().sum());
             let gap = gap.min(resources).saturating_sub(asked);
--- a/src/controller/autoscaling/scale_out.rs
+++ b/src/controller/autoscaling/scale_out.rs
@@ -105,14 +105,14 @@
         if let Some(h) = whole {
             for id in rigs {
                 if !h.machines.contains_key(&id) && !h.gone.contains_key(&id) {
-                    let m = Machine::new(
+                    let machine = Machine::new(
                         &self.context.catalog,
                         &record.class,
                         &record.zone,
                         record.spot,
                         now,
                     );
-                    h.machines.insert(id, m);
+                    h.machines.insert(id, machine);
                 }
             }
             return;
--- a/src/controller/leadership/election.rs
+++ b/src/controller/leadership/election.rs
@@ -323,7 +323,9 @@
             .as_ref()
             .map(|l| &l.controller_id);
         let heard = self.recent_heartbeats().map(|h| &h.from);
-        heard.filter(|m| *m < me && Some(*m) != lost).count()
+        heard
+            .filter(|machine| *machine < me && Some(*machine) != lost)
+            .count()
     }
 
     /// Gets a lease as soon as the leader is suspected, so that only the commit is left when a
@@ -399,7 +401,7 @@
                 .plan
                 .record
                 .as_ref()
-                .map_or(0, |p| p.token.0),
+                .map_or(0, |placement| placement.token.0),
         }
     }
 
--- a/src/controller/machines/commands.rs
+++ b/src/controller/machines/commands.rs
@@ -14,7 +14,7 @@
 impl ShardOwner {
     /// Answers a waiting heartbeat now, if there is one and a command for it.
     pub(crate) fn answer_long_poll(&mut self, context: &mut Context, id: &MachineId) {
-        let held = self.machines.get(id).and_then(|m| m.long_poll);
+        let held = self.machines.get(id).and_then(|machine| machine.long_poll);
         let Some((request_id, until)) = held else {
             return;
         };
@@ -37,7 +37,9 @@
             let Some((_, id)) = self.long_poll_deadlines.pop_first() else {
                 return;
             };
-            let Some((request_id, _)) = self.machines.get(&id).and_then(|m| m.long_poll) else {
+            let Some((request_id, _)) =
+                self.machines.get(&id).and_then(|machine| machine.long_poll)
+            else {
                 continue;
             };
             let commands = self.commands(context, &id, &[]);
@@ -53,9 +55,9 @@
         commands: &[Command],
     ) {
         let now = context.now;
-        self.machines.touch(id, |m| {
-            m.last_acknowledged = now;
-            m.long_poll = None;
+        self.machines.touch(id, |machine| {
+            machine.last_acknowledged = now;
+            machine.long_poll = None;
         });
         let body = commands_body(self.token, commands);
         context.answer(request_id, Reply::ok(200, body));
@@ -76,26 +78,26 @@
         let unassigned = unassigned.filter_map(|l| unplaced_command(self, id, &l.task, l.report));
         let mut out: Vec<Command> = unassigned.collect();
         let ShardOwner { machines, jobs, .. } = self;
-        let Some(m) = machines.get(id) else {
+        let Some(machine) = machines.get(id) else {
             return out;
         };
-        let starts = !is_stale && m.decommission_at.is_none();
-        for task in m.tasks.keys() {
+        let starts = !is_stale && machine.decommission_at.is_none();
+        for task in machine.tasks.keys() {
             let Some(job_state) = jobs.get_mut(&task.job) else {
                 continue;
             };
             let save_s = job_state.record.save_s;
             let grace = job_state.cancelled.is_none() && job_state.record.checkpoint_s > 0.0;
-            let Some(p) = job_state.placed.get_mut(&task.index) else {
+            let Some(placement) = job_state.placed.get_mut(&task.index) else {
                 continue;
             };
-            match (p.stop_requested, p.phase) {
+            match (placement.stop_requested, placement.phase) {
                 (None, Phase::Ready) if starts => {
-                    (p.phase, p.since) = (Phase::Sent, now);
-                    p.sends += 1;
+                    (placement.phase, placement.since) = (Phase::Sent, now);
+                    placement.sends += 1;
                     out.push(Command::Start {
                         task: task.to_string(),
-                        attempt: p.attempt,
+                        attempt: placement.attempt,
                     });
                 }
                 (Some(_), Phase::Committing | Phase::Ready) | (None, _) => {}
@@ -107,7 +109,7 @@
                     }
                     out.push(Command::Halt {
                         task: task.to_string(),
-                        attempt: p.attempt,
+                        attempt: placement.attempt,
                         grace_s: if saves { save_s + GRACE_S } else { 0.0 },
                     });
                 }
@@ -119,14 +121,14 @@
 
 /// What to do about a listed attempt that isn't a present placement.
 fn unplaced_command(
-    h: &ShardOwner,
+    shard: &ShardOwner,
     id: &MachineId,
     task: &TaskId,
     t: &HeartbeatTask,
 ) -> Option<Command> {
-    let job_state = h.jobs.get(&task.job);
+    let job_state = shard.jobs.get(&task.job);
     let placed = job_state.and_then(|l| l.placed.get(&task.index));
-    if placed.is_some_and(|p| p.machine == *id && p.attempt == t.attempt) {
+    if placed.is_some_and(|placement| placement.machine == *id && placement.attempt == t.attempt) {
         return None;
     }
     let (name, attempt) = (task.to_string(), t.attempt);
--- a/src/controller/machines/heartbeats.rs
+++ b/src/controller/machines/heartbeats.rs
@@ -46,9 +46,9 @@
         let token = self.token;
         let proof = report.token == token.0;
         let forwarded_by = context.forwarding.forwarder(request_id);
-        let taken = self.machines.edit(id, |m| {
-            m.forwarded_by = forwarded_by;
-            m.record_heartbeat(now, &report, proof)
+        let taken = self.machines.edit(id, |machine| {
+            machine.forwarded_by = forwarded_by;
+            machine.record_heartbeat(now, &report, proof)
         });
         let Some(taken) = taken else {
             return;
@@ -119,23 +119,26 @@
         id: &MachineId,
         request_id: RequestId,
     ) -> bool {
-        let Some(m) = self.machines.get(id) else {
+        let Some(machine) = self.machines.get(id) else {
             return false;
         };
         // What ends meanwhile is heard of only when the worker is answered.
-        let ends = m.tasks.values().any(|s| s.record.kind == JobKind::Batch);
+        let ends = machine
+            .tasks
+            .values()
+            .any(|s| s.record.kind == JobKind::Batch);
         let poll_s = context.settings.hold_s(ends);
         // A worker without our number yet gets it at once.
-        if poll_s <= 0.0 || !m.token_acknowledged {
+        if poll_s <= 0.0 || !machine.token_acknowledged {
             return false;
         }
-        let until = match m.is_full() {
+        let until = match machine.is_full() {
             // No start comes for it, and its lease counts from its last answered heartbeat.
             true => context.now.next_multiple(BATCH_MS),
             false => answer_at(context.now, poll_s),
         };
         self.machines
-            .touch(id, |m| m.long_poll = Some((request_id, until)));
+            .touch(id, |machine| machine.long_poll = Some((request_id, until)));
         self.long_poll_deadlines.insert((until, id.clone()));
         true
     }
@@ -165,25 +168,27 @@
     ) {
         let now = context.now;
         let ShardOwner { machines, jobs, .. } = self;
-        let Some(m) = machines.get(id) else {
+        let Some(machine) = machines.get(id) else {
             return;
         };
         let mut gone = Vec::new();
-        for task in m.tasks.keys() {
+        for task in machine.tasks.keys() {
             let job_state = jobs.get_mut(&task.job);
-            let Some(p) = job_state.and_then(|l| l.placed.get_mut(&task.index)) else {
+            let Some(placement) = job_state.and_then(|l| l.placed.get_mut(&task.index)) else {
                 continue;
             };
-            if listed.iter().any(|l| l.is(task, p.attempt)) {
+            if listed.iter().any(|l| l.is(task, placement.attempt)) {
                 continue;
             }
-            match p.phase {
+            match placement.phase {
                 Phase::Committing | Phase::Ready => {}
                 // The answer that carried the start was lost: its worker reported
                 // again, so it has dropped that answer for good. The same attempt
                 // was never there, so it can be sent once more.
-                Phase::Sent if p.stop_requested.is_none() && p.sends < SENDS_MAX => {
-                    p.phase = Phase::Ready
+                Phase::Sent
+                    if placement.stop_requested.is_none() && placement.sends < SENDS_MAX =>
+                {
+                    placement.phase = Phase::Ready
                 }
                 _ => gone.push(task.clone()),
             }
@@ -199,10 +204,10 @@
         let Some(job_state) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let Some(p) = job_state.placed.get_mut(&task.index) else {
+        let Some(placement) = job_state.placed.get_mut(&task.index) else {
             return;
         };
-        if p.machine != *id || p.attempt != t.attempt {
+        if placement.machine != *id || placement.attempt != t.attempt {
             return;
         }
         let phase = match t.status {
@@ -211,27 +216,27 @@
             TaskStatus::Flushing => Phase::Flushing,
             TaskStatus::Ended => return self.on_task_ended(context, id, task, t.cause),
         };
-        if p.phase == phase {
-            let runs_well = phase == Phase::Running && now.since(p.since) > RUNS_WELL_S;
-            if runs_well && !p.runs_well {
-                p.runs_well = true;
+        if placement.phase == phase {
+            let runs_well = phase == Phase::Running && now.since(placement.since) > RUNS_WELL_S;
+            if runs_well && !placement.runs_well {
+                placement.runs_well = true;
                 self.task_succeeded(now, id, task);
             }
             return;
         }
-        (p.phase, p.since) = (phase, now);
+        (placement.phase, placement.since) = (phase, now);
         if phase == Phase::Fetching {
             return;
         }
         let record = job_state.record.clone();
         let catalog = &context.catalog;
-        self.machines.edit(id, |m| {
-            if let Some(bind) = m.tasks.get_mut(task) {
+        self.machines.edit(id, |machine| {
+            if let Some(bind) = machine.tasks.get_mut(task) {
                 bind.image_cached = true;
             }
             if phase == Phase::Running {
-                let cache_gb = m.type_in(catalog).map_or(f64::MAX, |c| c.cache_gb);
-                m.use_image(&record.image, record.image_gb, cache_gb);
+                let cache_gb = machine.type_in(catalog).map_or(f64::MAX, |c| c.cache_gb);
+                machine.use_image(&record.image, record.image_gb, cache_gb);
             }
         });
     }
@@ -253,7 +258,8 @@
             Some(Cause::Error) => self.task_failed(context, id, task),
             Some(Cause::Full) => {
                 warn!("start refused, task={task} machine={id} reason=no resources left");
-                self.machines.edit(id, |m| m.full_until = now.after(FULL_S));
+                self.machines
+                    .edit(id, |machine| machine.full_until = now.after(FULL_S));
             }
             Some(Cause::Unknown) => {
                 // Its description isn't there yet, or never will be.
@@ -366,12 +372,12 @@
 impl ShardOwner {
     /// A machine came up. One that was merely heard of late tells nothing of its boot.
     fn record_boot(&mut self, catalog: &[MachineType], id: &MachineId, now: Time) {
-        let Some(m) = self.machines.get(id) else {
+        let Some(machine) = self.machines.get(id) else {
             return;
         };
-        let took_s = now.since(m.since);
-        let ready_s = m.type_in(catalog).map(|found| found.ready_s);
-        if let (Some(machine_type), Some(ready_s)) = (m.machine_type, ready_s)
+        let took_s = now.since(machine.since);
+        let ready_s = machine.type_in(catalog).map(|found| found.ready_s);
+        if let (Some(machine_type), Some(ready_s)) = (machine.machine_type, ready_s)
             && took_s > ready_s * LEAST_BOOT
         {
             self.observe_boot_time(machine_type, ready_s, took_s);
--- a/src/controller/machines/inventory.rs
+++ b/src/controller/machines/inventory.rs
@@ -284,14 +284,14 @@
 }
 
 impl Index {
-    fn update_entry(&mut self, id: &MachineId, m: &mut Machine) {
-        let new = m.index_entry();
-        if m.indexed.as_ref() == Some(&new) {
+    fn update_entry(&mut self, id: &MachineId, machine: &mut Machine) {
+        let new = machine.index_entry();
+        if machine.indexed.as_ref() == Some(&new) {
             return;
         }
-        self.remove_entry(id, m);
+        self.remove_entry(id, machine);
         self.add_entry(id, &new);
-        m.indexed = Some(new);
+        machine.indexed = Some(new);
     }
 
     fn add_entry(&mut self, id: &MachineId, new: &IndexEntry) {
@@ -312,8 +312,8 @@
         }
     }
 
-    fn remove_entry(&mut self, id: &MachineId, m: &mut Machine) {
-        let Some(old) = m.indexed.take() else {
+    fn remove_entry(&mut self, id: &MachineId, machine: &mut Machine) {
+        let Some(old) = machine.indexed.take() else {
             return;
         };
         if let Some((capacity_bucket, free, lowest)) = &old.schedulable {
@@ -429,7 +429,7 @@
             let resources = ids
                 .first()
                 .and_then(|id| self.all.get(id))
-                .map(|m| m.resources);
+                .map(|machine| machine.resources);
             resources.is_some_and(|resources| capacity_bucket.may_hold(resources, need))
                 && fits(capacity_bucket.pool, &capacity_bucket.zone)
         };
@@ -472,9 +472,9 @@
     /// Recounts the indexes; says what is wrong with them.
     pub(crate) fn audit(&self) -> Result<(), String> {
         let mut again = Index::default();
-        for (id, m) in &self.all {
-            let indexed = m.index_entry();
-            if m.indexed.as_ref() != Some(&indexed) {
+        for (id, machine) in &self.all {
+            let indexed = machine.index_entry();
+            if machine.indexed.as_ref() != Some(&indexed) {
                 return Err(format!("machine {id} isn't filed as it is: {indexed:?}"));
             }
             again.add_entry(id, &indexed);
--- a/src/controller/machines/liveness.rs
+++ b/src/controller/machines/liveness.rs
@@ -48,12 +48,12 @@
     /// hear none of them it is they who are gone, and giving up would only put off their
     /// replacement.
     pub(crate) fn workers_lost(&self, context: &Context) -> bool {
-        let w = &context.settings.platform.facts.workers;
-        let patience = w.report_s * DEAF_REPORTS;
+        let workers = &context.settings.platform.facts.workers;
+        let patience = workers.report_s * DEAF_REPORTS;
         let up = self
             .machines
             .values()
-            .filter(|m| m.ready_since.is_some())
+            .filter(|machine| machine.ready_since.is_some())
             .count();
         let settled = context.now.since(self.since) > FIRST_REPORT_S;
         let workers_unreachable = up >= 2 && settled && context.now.since(self.heard) > patience;
@@ -68,16 +68,21 @@
             context.settings.platform.facts.workers.lease_s * (1.0 + CLOCK_DRIFT) + MARGIN_S;
         let (now, fresh) = (context.now, context.store.linearized_at());
         let mut lost = Vec::new();
-        for (id, m) in self.machines.iter() {
-            let over = m.last_acknowledged.after(lease);
+        for (id, machine) in self.machines.iter() {
+            let over = machine.last_acknowledged.after(lease);
             // The read was sent after the lease's end, and the shard is still ours.
-            let known = m.token_acknowledged && m.long_poll.is_none() && !m.tasks.is_empty();
+            let known = machine.token_acknowledged
+                && machine.long_poll.is_none()
+                && !machine.tasks.is_empty();
             if known
                 && fresh > over
                 && now > over
-                && context.no_keepalive_by_peers(&m.zone, over, lease)
+                && context.no_keepalive_by_peers(&machine.zone, over, lease)
             {
-                lost.push((id.clone(), m.tasks.keys().cloned().collect::<Vec<_>>()));
+                lost.push((
+                    id.clone(),
+                    machine.tasks.keys().cloned().collect::<Vec<_>>(),
+                ));
             }
         }
         for (id, tasks) in lost {
@@ -96,23 +101,23 @@
     /// gone: its user is told only then. Machines of a zone that is partitioned get longer,
     /// for all that runs beside it would be lost as well.
     pub(crate) fn check_cancels(&mut self, context: &Context) {
-        let w = &context.settings.platform.facts.workers;
-        let (cancel_s, lease_s) = (w.cancel_s, w.lease_s);
+        let workers = &context.settings.platform.facts.workers;
+        let (cancel_s, lease_s) = (workers.cancel_s, workers.lease_s);
         let now = context.now;
         let mut late = BTreeSet::new();
         for job_state in self.jobs.values() {
             let Some(at) = job_state.cancelled else {
                 continue;
             };
-            for p in job_state.placed.values() {
+            for placement in job_state.placed.values() {
                 // When a cut ends, the last ones to come back get time as well.
-                let cut = self.partitioned_zones.contains(&p.zone)
+                let cut = self.partitioned_zones.contains(&placement.zone)
                     || now.since(self.partitioned_at) < lease_s;
                 let share = if cut { CUT_CANCEL_SHARE } else { CANCEL_SHARE };
                 // A new owner sees only after a while which zones are partitioned. Counting
                 // from the cancellation, it deleted the machines of one at once.
                 if now.since(at.max(self.since)) > cancel_s * share {
-                    late.insert(p.machine.clone());
+                    late.insert(placement.machine.clone());
                 }
             }
         }
@@ -126,8 +131,8 @@
     /// their tasks is a deletion needed sooner. Many at once are a cut for sure, unless
     /// they stay away for long.
     pub(crate) fn check_silent(&mut self, context: &Context) {
-        let w = &context.settings.platform.facts.workers;
-        let (lease_s, silent_s) = (w.lease_s, context.settings.silent_s(false));
+        let workers = &context.settings.platform.facts.workers;
+        let (lease_s, silent_s) = (workers.lease_s, context.settings.silent_s(false));
         let (silent_mute_s, unreachable_controllers) = (
             context.settings.silent_s(true),
             self.unreachable_controllers(context),
@@ -141,21 +146,29 @@
             .collect();
         let mut up = 0;
         let mut silent = Vec::new();
-        for (id, m) in self
+        for (id, machine) in self
             .machines
             .iter()
-            .filter(|(_, m)| m.ready_since.is_some())
+            .filter(|(_, machine)| machine.ready_since.is_some())
         {
             up += 1;
-            let quiet = now.since(m.last_heartbeat.max(self.since));
-            if m.long_poll.is_none() && quiet > silent_s * NEARLY_SILENT {
-                let provable = m.token_acknowledged || m.tasks.is_empty();
-                let patience = match (provable, unreachable_controllers.contains(&m.forwarded_by)) {
+            let quiet = now.since(machine.last_heartbeat.max(self.since));
+            if machine.long_poll.is_none() && quiet > silent_s * NEARLY_SILENT {
+                let provable = machine.token_acknowledged || machine.tasks.is_empty();
+                let patience = match (
+                    provable,
+                    unreachable_controllers.contains(&machine.forwarded_by),
+                ) {
                     (true, false) => silent_s,
                     (true, true) => silent_mute_s,
                     (false, _) => UNPROVABLE * lease_s,
                 };
-                silent.push((id.clone(), quiet, patience, sheltered.contains(&m.zone)));
+                silent.push((
+                    id.clone(),
+                    quiet,
+                    patience,
+                    sheltered.contains(&machine.zone),
+                ));
             }
         }
         if !partitioned_zones.is_empty() {
@@ -199,11 +212,16 @@
             return;
         }
         let mut unacknowledged = Vec::new();
-        for (id, m) in self.machines.iter().filter(|(_, m)| !m.token_acknowledged) {
-            let long = m
+        for (id, machine) in self
+            .machines
+            .iter()
+            .filter(|(_, machine)| !machine.token_acknowledged)
+        {
+            let long = machine
                 .first_heartbeat
                 .is_some_and(|at| now.since(at) > UNHEARING * lease_s);
-            if long && !m.tasks.is_empty() && !self.partitioned_zones.contains(&m.zone) {
+            if long && !machine.tasks.is_empty() && !self.partitioned_zones.contains(&machine.zone)
+            {
                 unacknowledged.push(id.clone());
             }
         }
@@ -225,8 +243,11 @@
         let peers = context.settings.platform.peers.iter();
         let workers_unreachable = peers.filter(|s| !context.hears_workers(&s.controller_id));
         unreachable_controllers.extend(workers_unreachable.map(|s| Some(s.controller_id.clone())));
-        self.unreachable_at
-            .extend(unreachable_controllers.into_iter().map(|m| (m, now)));
+        self.unreachable_at.extend(
+            unreachable_controllers
+                .into_iter()
+                .map(|machine| (machine, now)),
+        );
         self.unreachable_at.retain(|_, at| now.since(*at) < lease_s);
         self.unreachable_at.keys().cloned().collect()
     }
@@ -236,14 +257,16 @@
     fn find_partitioned_zones(&self, context: &Context) -> BTreeSet<Rc<str>> {
         let quiet_s = context.settings.platform.facts.workers.report_s * CUT_REPORTS;
         let mut zones: BTreeMap<&Rc<str>, (usize, usize)> = BTreeMap::new();
-        let staying = |m: &&Machine| {
-            m.ready_since.is_some() && m.notice.is_none() && m.decommission_at.is_none()
+        let staying = |machine: &&Machine| {
+            machine.ready_since.is_some()
+                && machine.notice.is_none()
+                && machine.decommission_at.is_none()
         };
-        for m in self.machines.values().filter(staying) {
-            let count = zones.entry(&m.zone).or_default();
+        for machine in self.machines.values().filter(staying) {
+            let count = zones.entry(&machine.zone).or_default();
             count.0 += 1;
-            let quiet = context.now.since(m.last_heartbeat.max(self.since)) > quiet_s;
-            count.1 += usize::from(quiet && m.long_poll.is_none());
+            let quiet = context.now.since(machine.last_heartbeat.max(self.since)) > quiet_s;
+            count.1 += usize::from(quiet && machine.long_poll.is_none());
         }
         let cut = |(all, quiet): (usize, usize)| {
             quiet >= CUT_LEAST && quiet as f64 >= CUT_SHARE * all as f64
@@ -262,18 +285,21 @@
     pub(crate) fn drain(&mut self, context: &mut Context) {
         let now = context.now;
         let mut stop = Vec::new();
-        for (_, m) in self.machines.leaving() {
-            let sick = m.decommission_at.is_some();
-            if !sick && m.notice.is_none_or(|at| at <= now) {
+        for (_, machine) in self.machines.leaving() {
+            let sick = machine.decommission_at.is_some();
+            if !sick && machine.notice.is_none_or(|at| at <= now) {
                 continue;
             }
-            for (task, bind) in &m.tasks {
+            for (task, bind) in &machine.tasks {
                 let job_state = self.jobs.get(&task.job);
-                let Some(p) = job_state.and_then(|l| l.placed.get(&task.index)) else {
+                let Some(placement) = job_state.and_then(|l| l.placed.get(&task.index)) else {
                     continue;
                 };
                 let moves = bind.record.kind == JobKind::Service || bind.record.checkpoint_s > 0.0;
-                if p.stop_requested.is_none() && (sick || moves) && p.phase != Phase::Committing {
+                if placement.stop_requested.is_none()
+                    && (sick || moves)
+                    && placement.phase != Phase::Committing
+                {
                     stop.push(task.clone());
                 }
             }
--- a/src/controller/machines/mod.rs
+++ b/src/controller/machines/mod.rs
@@ -80,11 +80,11 @@
     /// Tells a task to stop, as soon as its machine can hear it.
     pub(crate) fn stop(&mut self, context: &mut Context, task: &TaskId) {
         let now = context.now;
-        let Some(p) = self.placement_mut(task) else {
+        let Some(placement) = self.placement_mut(task) else {
             return;
         };
-        p.stop_requested.get_or_insert(now);
-        let machine = p.machine.clone();
+        placement.stop_requested.get_or_insert(now);
+        let machine = placement.machine.clone();
         if self.was_never_sent(task) {
             self.remove_placement(now, task);
         } else {
@@ -98,10 +98,10 @@
     /// then, if others say so too.
     pub(crate) fn task_succeeded(&mut self, now: Time, id: &MachineId, task: &TaskId) {
         for faulty in self.failures.task_succeeded(&task.job, id) {
-            self.machines.edit(&faulty, |m| {
-                if m.decommission_at.is_none() {
+            self.machines.edit(&faulty, |machine| {
+                if machine.decommission_at.is_none() {
                     warn!("machine quarantined for good, machine={faulty} reason=its tasks succeed elsewhere");
-                    m.decommission_at = Some(now.after(DRAIN_S));
+                    machine.decommission_at = Some(now.after(DRAIN_S));
                 }
             });
         }
@@ -109,10 +109,10 @@
 
     /// Decides to delete a machine. Nothing is placed on it from now on.
     pub(crate) fn decommission(&mut self, now: Time, id: &MachineId, reason: DecommissionReason) {
-        self.machines.edit(id, |m| {
-            if m.decommission_at.is_none() {
+        self.machines.edit(id, |machine| {
+            if machine.decommission_at.is_none() {
                 info!("machine decommissioned, machine={id} reason={reason}");
-                m.decommission_at = Some(now);
+                machine.decommission_at = Some(now);
             }
         });
     }
--- a/src/controller/peers/heartbeats.rs
+++ b/src/controller/peers/heartbeats.rs
@@ -74,11 +74,15 @@
     pub(crate) fn overdue(&self) -> Vec<MachineId> {
         let patience = self.context.settings.overdue_s();
         let held = self.shards.values();
-        let late = held.flat_map(|h| h.machines.iter().map(move |(id, m)| (h.since, id, m)));
-        let late = late.filter(|(since, _, m)| {
-            !m.tasks.is_empty()
-                && m.long_poll.is_none()
-                && self.context.now.since(m.last_heartbeat.max(*since)) > patience
+        let late = held.flat_map(|h| {
+            h.machines
+                .iter()
+                .map(move |(id, machine)| (h.since, id, machine))
+        });
+        let late = late.filter(|(since, _, machine)| {
+            !machine.tasks.is_empty()
+                && machine.long_poll.is_none()
+                && self.context.now.since(machine.last_heartbeat.max(*since)) > patience
         });
         late.map(|(_, id, _)| id.clone())
             .take(OVERDUE_MAX)
--- a/src/controller/peers/links.rs
+++ b/src/controller/peers/links.rs
@@ -85,8 +85,9 @@
             };
             let me = &self.settings.platform.controller_id;
             let mut echoes = heartbeat.echoes.iter();
-            let echo =
-                echoes.find(|(m, incarnation, _)| m == me && *incarnation == self.incarnation);
+            let echo = echoes.find(|(machine, incarnation, _)| {
+                machine == me && *incarnation == self.incarnation
+            });
             let after = echo.is_some_and(|(_, _, at)| Time(*at) >= over);
             after && heartbeat.since_keepalive_ms as f64 / 1000.0 >= lease_s
         })
--- a/src/controller/quota/cells.rs
+++ b/src/controller/quota/cells.rs
@@ -237,7 +237,7 @@
         views.retain(|team, _| !lowering(team));
         let messages = self
             .believed_messages()
-            .map(|m| (m.from.clone(), m))
+            .map(|machine| (machine.from.clone(), machine))
             .collect();
         for (to, amounts) in gifts(&views, &messages, file.cells.len()) {
             let held = |team: &str| views.get(team).map_or(Amount::ZERO, |view| view.held);
@@ -388,7 +388,7 @@
 
     /// What is promised to the shards: what they would like, or all that nobody else needs.
     fn allowed_of(&self, team: &str, view: &TeamView) -> Amount {
-        let needs = self.believed_messages().flat_map(|m| &m.needs);
+        let needs = self.believed_messages().flat_map(|machine| &machine.needs);
         let needed = needs.filter(|need| need.team == team);
         let (more, lacking) = needed.fold((Amount::ZERO, Amount::ZERO), |(more, lacking), need| {
             (more.most(need.more), lacking.most(need.lacking))
--- a/src/controller/scheduling/consolidation.rs
+++ b/src/controller/scheduling/consolidation.rs
@@ -104,25 +104,27 @@
 /// free on the others, with the room for urgent starts kept. They get nothing new
 /// while there is another place for it; their batch tasks end by themselves.
 fn spare_machines(
-    h: &ShardOwner,
+    shard: &ShardOwner,
     catalog: &[MachineType],
     headroom: f64,
     now: Time,
 ) -> BTreeSet<MachineId> {
     let mut pools: BTreeMap<Pool, Vec<(f64, &MachineId)>> = BTreeMap::new();
-    for (id, m) in h.machines.iter() {
-        let here = m.ready_since.is_some() && m.decommission_at.is_none() && m.notice.is_none();
-        if let Some(pool) = m.pool().filter(|_| here && !m.tasks.is_empty())
+    for (id, machine) in shard.machines.iter() {
+        let here = machine.ready_since.is_some()
+            && machine.decommission_at.is_none()
+            && machine.notice.is_none();
+        if let Some(pool) = machine.pool().filter(|_| here && !machine.tasks.is_empty())
             && let Some(machine_type) = pool.type_in(catalog)
         {
-            let share = m.used.share_of(machine_type.resources);
+            let share = machine.used.share_of(machine_type.resources);
             pools.entry(pool).or_default().push((share, id));
         }
     }
     let mut spare = BTreeSet::new();
     for (pool, mut machines) in pools {
         machines.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let keep = h.keep(pool, catalog, headroom, now);
+        let keep = shard.keep(pool, catalog, headroom, now);
         let mut free: f64 = machines.iter().map(|(share, _)| 1.0 - share).sum();
         for (share, id) in machines {
             // Its own room goes, and its work needs room on the others.
@@ -142,7 +144,7 @@
 /// Whether all of a machine's tasks would fit elsewhere, beside what other moves take
 /// there; what is taken with them.
 fn fits_elsewhere(
-    h: &ShardOwner,
+    shard: &ShardOwner,
     catalog: &[MachineType],
     settings: &Settings,
     now: Time,
@@ -152,28 +154,31 @@
 ) -> Option<Taken> {
     let mut taken = taken.clone();
     for task in tasks {
-        let job_state = h.jobs.get(&task.job)?;
-        let p = job_state.placed.get(&task.index)?;
-        let steady = p.phase == Phase::Running && now.since(p.since) > STEADY_S;
-        if job_state.record.kind != JobKind::Service || p.stop_requested.is_some() || !steady {
+        let job_state = shard.jobs.get(&task.job)?;
+        let placement = job_state.placed.get(&task.index)?;
+        let steady = placement.phase == Phase::Running && now.since(placement.since) > STEADY_S;
+        if job_state.record.kind != JobKind::Service
+            || placement.stop_requested.is_some()
+            || !steady
+        {
             return None;
         }
         let mut best: Option<(f64, &MachineId)> = None;
         let fits = |pool: Pool, _: &Rc<str>| suits(&job_state.record, catalog, pool);
-        for (id, m) in h.machines.roomy(job_state.record.need, fits) {
-            let mut free = m.free();
+        for (id, machine) in shard.machines.roomy(job_state.record.need, fits) {
+            let mut free = machine.free();
             free.add(taken.get(id).copied().unwrap_or_default(), -1.0);
             // In its own zone it takes its own place.
-            let zoned = m.zone == p.zone || zone_allowed(job_state, &m.zone);
+            let zoned = machine.zone == placement.zone || zone_allowed(job_state, &machine.zone);
             let good = id != from
-                && !m.tasks.is_empty()
-                && !m.cordoned
+                && !machine.tasks.is_empty()
+                && !machine.cordoned
                 && free.holds(job_state.record.need)
-                && m.has_image(&job_state.record.image)
-                && usable(m, settings, now)
-                && h.failures.may_run_tasks(id, now)
+                && machine.has_image(&job_state.record.image)
+                && usable(machine, settings, now)
+                && shard.failures.may_run_tasks(id, now)
                 && zoned;
-            let left = free.share_of(m.resources);
+            let left = free.share_of(machine.resources);
             if good && best.is_none_or(|(least, _)| left < least) {
                 best = Some((left, id));
             }
--- a/src/controller/scheduling/constraints.rs
+++ b/src/controller/scheduling/constraints.rs
@@ -9,13 +9,13 @@
 
 /// Whether one more task stays within its team's limit. Every task that isn't proven
 /// gone counts.
-pub(crate) fn within_limit(h: &ShardOwner, settings: &Settings, record: &JobRecord) -> bool {
+pub(crate) fn within_limit(shard: &ShardOwner, settings: &Settings, record: &JobRecord) -> bool {
     let teams = &settings.platform.facts.teams;
     let Some(team) = teams.iter().find(|t| t.name == record.team) else {
         return false;
     };
-    let used = h.teams.get(&record.team).copied().unwrap_or_default();
-    let (cpus, gpus) = h.quota_share(team);
+    let used = shard.teams.get(&record.team).copied().unwrap_or_default();
+    let (cpus, gpus) = shard.quota_share(team);
     let fits = |used: f64, need: f64, max: f64| used + need <= max + 1e-6;
     fits(used.cpus, record.need.cpus, cpus) && fits(used.gpus, record.need.gpus, gpus)
 }
@@ -37,7 +37,11 @@
 }
 
 /// Whether a task fits into what its team is guaranteed.
-pub(crate) fn within_guarantee(h: &ShardOwner, settings: &Settings, job_state: &JobState) -> bool {
+pub(crate) fn within_guarantee(
+    shard: &ShardOwner,
+    settings: &Settings,
+    job_state: &JobState,
+) -> bool {
     let teams = &settings.platform.facts.teams;
     let Some(team) = teams.iter().find(|t| t.name == job_state.record.team) else {
         return false;
@@ -45,7 +49,7 @@
     if team.gpus <= 0.0 && team.cpus <= 0.0 {
         return false;
     }
-    let used = h
+    let used = shard
         .teams
         .get(&job_state.record.team)
         .copied()
@@ -57,13 +61,13 @@
 
 /// The other teams that use more than they are guaranteed, while they do.
 pub(crate) fn teams_over_guarantee<'a>(
-    h: &ShardOwner,
+    shard: &ShardOwner,
     settings: &'a Settings,
     team: &str,
 ) -> Vec<&'a str> {
     let teams = settings.platform.facts.teams.iter();
     let over = teams.filter(|t| {
-        let used = h.teams.get(&t.name).copied().unwrap_or_default();
+        let used = shard.teams.get(&t.name).copied().unwrap_or_default();
         let guaranteed = t.cpus > 0.0 || t.gpus > 0.0;
         let above = |used: f64, sure: f64| sure > 0.0 && used > sure + 1e-6;
         t.name != team && (!guaranteed || above(used.cpus, t.cpus) || above(used.gpus, t.gpus))
--- a/src/controller/scheduling/mod.rs
+++ b/src/controller/scheduling/mod.rs
@@ -243,9 +243,9 @@
 
 /// The types whose ordinary machines have no more room than is kept for urgent starts.
 /// Work that may use spot machines waits for one rather than take that room.
-fn full_pools(h: &ShardOwner, catalog: &[MachineType], headroom: f64, now: Time) -> Vec<Pool> {
+fn full_pools(shard: &ShardOwner, catalog: &[MachineType], headroom: f64, now: Time) -> Vec<Pool> {
     let on_demand = (0..catalog.len()).map(|machine_type| Pool::of(machine_type, false));
-    let full = |pool: &Pool| h.machines.free(*pool) < h.keep(*pool, catalog, headroom, now);
+    let full = |pool: &Pool| shard.machines.free(*pool) < shard.keep(*pool, catalog, headroom, now);
     on_demand.filter(full).collect()
 }
 
@@ -269,12 +269,12 @@
 }
 
 /// Whether a machine takes tasks at all now.
-fn usable(m: &Machine, settings: &Settings, now: Time) -> bool {
+fn usable(machine: &Machine, settings: &Settings, now: Time) -> bool {
     let quiet = settings.platform.facts.workers.report_s * FRESH_REPORTS;
-    m.ready_since.is_some()
-        && m.decommission_at.is_none()
-        && m.notice.is_none()
-        && m.agent_epoch > 0
-        && (m.long_poll.is_some() || now.since(m.last_heartbeat) < quiet)
-        && now >= m.full_until
+    machine.ready_since.is_some()
+        && machine.decommission_at.is_none()
+        && machine.notice.is_none()
+        && machine.agent_epoch > 0
+        && (machine.long_poll.is_some() || now.since(machine.last_heartbeat) < quiet)
+        && now >= machine.full_until
 }
--- a/src/controller/scheduling/preemption.rs
+++ b/src/controller/scheduling/preemption.rs
@@ -13,7 +13,7 @@
 /// The tasks to stop for up to `most` tasks of a job: the least work of lower rank, one
 /// machine for each; and how many machines were looked at.
 pub(crate) fn cheapest_victims(
-    h: &ShardOwner,
+    shard: &ShardOwner,
     catalog: &[MachineType],
     job_state: &JobState,
     now: Time,
@@ -26,15 +26,15 @@
         yields && suits(&job_state.record, catalog, pool)
     };
     let (mut found, mut machines_scanned) = (Vec::new(), 0);
-    for (name, m) in h.machines.ranked(fits) {
+    for (name, machine) in shard.machines.ranked(fits) {
         machines_scanned += 1;
-        if !zone_allowed(job_state, &m.zone) || !h.failures.may_run_tasks(name, now) {
+        if !zone_allowed(job_state, &machine.zone) || !shard.failures.may_run_tasks(name, now) {
             continue;
         }
-        if let Some((loss, tasks)) = victims_on(h, job_state, m, over) {
-            let fetch_s = m
+        if let Some((loss, tasks)) = victims_on(shard, job_state, machine, over) {
+            let fetch_s = machine
                 .type_in(catalog)
-                .map_or(0.0, |t| fetch_s(&job_state.record, t, m));
+                .map_or(0.0, |t| fetch_s(&job_state.record, t, machine));
             found.push((loss + fetch_s, name, tasks));
         }
     }
@@ -45,13 +45,13 @@
 
 /// Which tasks to stop on one machine, and what that throws away.
 fn victims_on(
-    h: &ShardOwner,
+    shard: &ShardOwner,
     job_state: &JobState,
-    m: &Machine,
+    machine: &Machine,
     over: &[&str],
 ) -> Option<(f64, Vec<TaskId>)> {
     let mut lower: Vec<(f64, &TaskId, Resources)> = Vec::new();
-    for (t, bind) in &m.tasks {
+    for (t, bind) in &machine.tasks {
         let record = &bind.record;
         let below =
             record.priority_class < job_state.record.priority_class && yields_to(record, job_state);
@@ -60,21 +60,21 @@
         if !below && !owed {
             continue;
         }
-        let p = h.jobs.get(&t.job)?.placed.get(&t.index)?;
-        if p.stop_requested.is_none() && h.was_never_sent(t) {
+        let placement = shard.jobs.get(&t.job)?.placed.get(&t.index)?;
+        if placement.stop_requested.is_none() && shard.was_never_sent(t) {
             lower.push((0.0, t, record.need));
             continue;
         }
-        let started = matches!(p.phase, Phase::Fetching | Phase::Running);
-        if p.stop_requested.is_none() && started {
-            let ran = h.heard.since(p.since);
+        let started = matches!(placement.phase, Phase::Fetching | Phase::Running);
+        if placement.stop_requested.is_none() && started {
+            let ran = shard.heard.since(placement.since);
             let saved = record.checkpoint_s > 0.0;
             let loss = if saved { 3.0 } else { 5.0 + ran * 0.2 };
             lower.push((loss, t, record.need));
         }
     }
     lower.sort_by(|a, b| a.0.total_cmp(&b.0));
-    let (mut free, mut loss, mut out) = (m.free(), 0.0, Vec::new());
+    let (mut free, mut loss, mut out) = (machine.free(), 0.0, Vec::new());
     for (cost, task, need) in lower {
         if free.holds(job_state.record.need) {
             break;
--- a/src/controller/scheduling/scoring.rs
+++ b/src/controller/scheduling/scoring.rs
@@ -70,11 +70,11 @@
     /// looked at.
     pub(crate) fn candidates(
         &self,
-        h: &ShardOwner,
+        shard: &ShardOwner,
         job: &JobId,
         cycle: &SchedulingCycle,
     ) -> (BinaryHeap<Candidate>, u64) {
-        let job_state = &h.jobs[job];
+        let job_state = &shard.jobs[job];
         let record = &job_state.record;
         let zones = self.catalog.iter().flat_map(|c| &c.zones);
         let zones: BTreeSet<&str> = zones.map(String::as_str).collect();
@@ -86,10 +86,10 @@
             open.contains(&&**zone) && suits(record, self.catalog, pool)
         };
         let mut machines_scanned = 0;
-        let machines = h.machines.roomy(record.need, fits);
+        let machines = shard.machines.roomy(record.need, fits);
         let candidates = machines.filter_map(|(id, m)| {
             machines_scanned += 1;
-            let cost = self.cost_of(h, (job, job_state), (id, m), cycle)?;
+            let cost = self.cost_of(shard, (job, job_state), (id, m), cycle)?;
             let machine = id.clone();
             Some(Candidate { cost, machine })
         });
@@ -100,15 +100,16 @@
     /// there.
     pub(crate) fn cost_of(
         &self,
-        h: &ShardOwner,
+        shard: &ShardOwner,
         (job, job_state): (&JobId, &JobState),
-        (id, m): (&MachineId, &Machine),
+        (id, machine): (&MachineId, &Machine),
         cycle: &SchedulingCycle,
     ) -> Option<f64> {
-        let pool = m.pool()?;
+        let pool = machine.pool()?;
         let class = pool.type_in(self.catalog)?;
-        let usable = usable(m, self.settings, self.now) && h.failures.may_run_tasks(id, self.now);
-        if !m.free().holds(job_state.record.need) || !usable {
+        let usable =
+            usable(machine, self.settings, self.now) && shard.failures.may_run_tasks(id, self.now);
+        if !machine.free().holds(job_state.record.need) || !usable {
             return None;
         }
         let young = self.now.since(job_state.since) < KEPT_S;
@@ -120,9 +121,9 @@
         if waits && cycle.full.contains(&pool) {
             return None;
         }
-        let mut cost =
-            cost(self, job_state, class, m) + displacement_cost(&cycle.images, job_state, m);
-        if h.failures.failed_on(job, id) {
+        let mut cost = cost(self, job_state, class, machine)
+            + displacement_cost(&cycle.images, job_state, machine);
+        if shard.failures.failed_on(job, id) {
             cost += FAILED_COST;
         }
         Some(cost)
@@ -131,47 +132,52 @@
 
 /// Takes the cheapest offer whose zone may still have a task of the job.
 pub(crate) fn best_candidate(
-    h: &ShardOwner,
+    shard: &ShardOwner,
     job_state: &JobState,
     candidates: &mut BinaryHeap<Candidate>,
 ) -> Option<MachineId> {
     loop {
         let machine = candidates.pop()?.machine;
-        let zone = h.machines.get(&machine).map(|m| &m.zone);
+        let zone = shard.machines.get(&machine).map(|m| &m.zone);
         if zone.is_some_and(|zone| zone_allowed(job_state, zone)) {
             return Some(machine);
         }
     }
 }
 
-fn cost(context: &PlacementContext, job_state: &JobState, class: &MachineType, m: &Machine) -> f64 {
+fn cost(
+    context: &PlacementContext,
+    job_state: &JobState,
+    class: &MachineType,
+    machine: &Machine,
+) -> f64 {
     let record = &job_state.record;
-    let free_share = 1.0 - m.used.share_of(class.resources);
+    let free_share = 1.0 - machine.used.share_of(class.resources);
     // A start goes with the answer to a heartbeat: at once, where one waits for it.
     let report_s = context.settings.platform.facts.workers.report_s;
-    let answer_s = match m.long_poll {
+    let answer_s = match machine.long_poll {
         Some(_) => 0.0,
-        None => (report_s - context.now.since(m.last_heartbeat)).max(0.0),
+        None => (report_s - context.now.since(machine.last_heartbeat)).max(0.0),
     };
     let delay = delay_cost(
         context.expected,
         class,
-        answer_s + fetch_s(record, class, m),
+        answer_s + fetch_s(record, class, machine),
     );
     let mut cost = delay + FREE_COST * free_share;
     if record.kind == JobKind::Service {
         // One machine's loss shall cost a job as little as can be.
-        let seats = m.tasks.values();
+        let seats = machine.tasks.values();
         let same = seats.filter(|s| Rc::ptr_eq(&s.record, record)).count();
         // Of a large one it costs little anyway: weighed in full, its replicas went back to
         // the machines that were being emptied of them, again and again.
         let part = (SPREAD_SIZE / f64::from(record.count.max(1))).min(1.0);
         cost += SPREAD_COST * part * same as f64;
     }
-    if m.spot {
+    if machine.spot {
         cost -= SPOT_GAIN;
     }
-    if m.cordoned {
+    if machine.cordoned {
         cost += CLOSING_COST;
     }
     cost
@@ -197,22 +203,26 @@
 pub(crate) type ImageWorths = HashMap<Image, (Resources, f64)>;
 
 pub(crate) fn ready_images(
-    h: &ShardOwner,
+    shard: &ShardOwner,
     catalog: &[MachineType],
     settings: &Settings,
     now: Time,
 ) -> ImageWorths {
-    let most = h.images.values().map(|w| w.asked(now)).fold(1e-9, f64::max);
+    let most = shard
+        .images
+        .values()
+        .map(|w| w.asked(now))
+        .fold(1e-9, f64::max);
     let mut ready: BTreeMap<&Image, u32> = BTreeMap::new();
-    let needs = h.images.values().map(|w| w.need);
+    let needs = shard.images.values().map(|w| w.need);
     let least = needs.reduce(Resources::least).unwrap_or_default();
-    for (id, m) in h.machines.roomy(least, |pool, _| !pool.is_spot()) {
-        if !usable(m, settings, now) || !h.failures.may_run_tasks(id, now) {
+    for (id, machine) in shard.machines.roomy(least, |pool, _| !pool.is_spot()) {
+        if !usable(machine, settings, now) || !shard.failures.may_run_tasks(id, now) {
             continue;
         }
-        let free = m.free();
-        for (image, _) in &m.images {
-            if h.images.get(image).is_some_and(|w| free.holds(w.need)) {
+        let free = machine.free();
+        for (image, _) in &machine.images {
+            if shard.images.get(image).is_some_and(|w| free.holds(w.need)) {
                 *ready.entry(image).or_default() += 1;
             }
         }
@@ -222,7 +232,7 @@
         .map(|c| c.fetch_gb_s)
         .fold(f64::MAX, f64::min);
     let worth = |(image, n): (&Image, u32)| {
-        let w = h.images.get(image)?;
+        let w = shard.images.get(image)?;
         let cost = delay_cost(
             expected_s(settings, &w.class),
             catalog.first()?,
@@ -236,14 +246,14 @@
 
 /// What is lost when a task takes the room that a machine has for services whose images
 /// it holds.
-fn displacement_cost(worths: &ImageWorths, job_state: &JobState, m: &Machine) -> f64 {
-    if m.spot {
+fn displacement_cost(worths: &ImageWorths, job_state: &JobState, machine: &Machine) -> f64 {
+    if machine.spot {
         return 0.0;
     }
-    let before = m.free();
+    let before = machine.free();
     let mut after = before;
     after.add(job_state.record.need, -1.0);
-    let images = m
+    let images = machine
         .images
         .iter()
         .filter(|(image, _)| *image != job_state.record.image);
@@ -253,18 +263,18 @@
 }
 
 /// Seconds until the image would be there. Images fetched at once share the rate.
-pub(crate) fn fetch_s(record: &JobRecord, class: &MachineType, m: &Machine) -> f64 {
-    if m.has_image(&record.image) {
+pub(crate) fn fetch_s(record: &JobRecord, class: &MachineType, machine: &Machine) -> f64 {
+    if machine.has_image(&record.image) {
         return 0.0;
     }
     let whole = record.image_gb / class.fetch_gb_s;
     let mut others: Vec<(&Image, f64)> = Vec::new();
-    for bind in m.tasks.values().filter(|s| !s.image_cached) {
+    for bind in machine.tasks.values().filter(|s| !s.image_cached) {
         let image = &bind.record.image;
         if *image == record.image {
             return whole / 2.0;
         }
-        if !m.has_image(image) && others.iter().all(|(i, _)| *i != image) {
+        if !machine.has_image(image) && others.iter().all(|(i, _)| *i != image) {
             others.push((image, bind.record.image_gb / class.fetch_gb_s));
         }
     }
--- a/src/controller/shard/admission.rs
+++ b/src/controller/shard/admission.rs
@@ -178,12 +178,12 @@
         };
         let mut was_never_sent = Vec::new();
         let mut machines = BTreeSet::new();
-        for (index, p) in &mut job_state.placed {
-            p.stop_requested.get_or_insert(now);
-            match p.phase {
+        for (index, placement) in &mut job_state.placed {
+            placement.stop_requested.get_or_insert(now);
+            match placement.phase {
                 Phase::Ready => was_never_sent.push(*index),
                 _ => {
-                    machines.insert(p.machine.clone());
+                    machines.insert(placement.machine.clone());
                 }
             }
         }
--- a/src/controller/shard/commits.rs
+++ b/src/controller/shard/commits.rs
@@ -240,7 +240,11 @@
             let entry = job_state.chunks.entry(chunk).or_default();
             entry.revision = revision;
             entry.busy = false;
-            let placed: Vec<_> = run.placed.iter().map(|p| (p.0, p.1)).collect();
+            let placed: Vec<_> = run
+                .placed
+                .iter()
+                .map(|placement| (placement.0, placement.1))
+                .collect();
             ready = mark_committed(now, job_state, &placed);
         }
         self.remove_unsent(now, &job);
@@ -260,13 +264,13 @@
 ) -> Vec<MachineId> {
     let mut machines = Vec::new();
     for (index, attempt) in placed {
-        if let Some(p) = job_state.placed.get_mut(index)
-            && p.attempt == *attempt
-            && p.phase == Phase::Committing
+        if let Some(placement) = job_state.placed.get_mut(index)
+            && placement.attempt == *attempt
+            && placement.phase == Phase::Committing
         {
-            p.phase = Phase::Ready;
-            p.since = now;
-            machines.push(p.machine.clone());
+            placement.phase = Phase::Ready;
+            placement.since = now;
+            machines.push(placement.machine.clone());
         }
     }
     machines
@@ -281,9 +285,9 @@
             .clone()
             .filter(|index| job_state.done[*index as usize]);
         let placed = job_state.placed.range(tasks);
-        let placed = placed.map(|(index, p)| {
-            let zone = p.zone.to_string();
-            (*index, p.attempt, p.machine.clone(), zone)
+        let placed = placed.map(|(index, placement)| {
+            let zone = placement.zone.to_string();
+            (*index, placement.attempt, placement.machine.clone(), zone)
         });
         PlacementRecord {
             done: ranges(done),
@@ -341,10 +345,9 @@
         let Some(job_state) = self.jobs.get(job) else {
             return;
         };
-        let was_never_sent = job_state
-            .placed
-            .iter()
-            .filter(|(_, p)| p.stop_requested.is_some() && p.phase == Phase::Ready);
+        let was_never_sent = job_state.placed.iter().filter(|(_, placement)| {
+            placement.stop_requested.is_some() && placement.phase == Phase::Ready
+        });
         let was_never_sent: Vec<u32> = was_never_sent.map(|(index, _)| *index).collect();
         for index in was_never_sent {
             let job = job.clone();
@@ -355,7 +358,9 @@
     /// The job changed under a commit, so its placements were never made.
     fn remove_uncommitted(&mut self, now: Time, item: &PlacementWrite) {
         for (index, attempt) in &item.placed {
-            let same = |p: &Placement| p.attempt == *attempt && p.phase == Phase::Committing;
+            let same = |placement: &Placement| {
+                placement.attempt == *attempt && placement.phase == Phase::Committing
+            };
             let job_state = self.jobs.get(&item.job);
             if job_state
                 .and_then(|l| l.placed.get(index))
@@ -390,15 +395,15 @@
 /// Builds the next transaction of chunks of one priority: urgent ones don't wait until there
 /// is budget for batch work as well.
 fn next_transaction(
-    h: &mut ShardOwner,
+    shard: &mut ShardOwner,
     limits: &TransactionLimits,
     priority: Priority,
 ) -> Option<(StoreRequest, Vec<PlacementWrite>)> {
     let ops = limits.ops;
-    let mut preconditions = vec![(Key::Shard(h.shard), h.shard_revision)];
+    let mut preconditions = vec![(Key::Shard(shard.shard), shard.shard_revision)];
     let (mut writes, mut items, mut bytes) = (Vec::new(), Vec::new(), 0);
     let same = |(urgency, ..): &&(WriteUrgency, JobId, u32)| urgency.priority() == priority;
-    let candidates = h.write_queue.iter().take_while(same).take(4 * ops);
+    let candidates = shard.write_queue.iter().take_while(same).take(4 * ops);
     let candidates: Vec<_> = candidates.cloned().collect();
     for entry in candidates {
         if writes.len() >= ops || bytes > TRANSACTION_BYTES {
@@ -406,30 +411,34 @@
         }
         // Cutting a job's chunk into parts takes its other chunks out of the queue as well. Written
         // whole after that, one said that it was a part, and its tasks were spoken of twice.
-        if !h.write_queue.contains(&entry) {
+        if !shard.write_queue.contains(&entry) {
             continue;
         }
         let (_, job, chunk) = &entry;
-        let Some(job_state) = h.jobs.get(job) else {
-            h.write_queue.remove(&entry);
+        let Some(job_state) = shard.jobs.get(job) else {
+            shard.write_queue.remove(&entry);
             continue;
         };
         if job_state.finishing || job_state.chunks.get(chunk).is_some_and(|c| c.busy) {
             continue;
         }
         let revision = job_state.chunks.get(chunk).map_or(0, |c| c.revision);
-        let record = h.placement_record(job, job_state, *chunk);
+        let record = shard.placement_record(job, job_state, *chunk);
         // Only chunks of jobs accepted under larger limits can have outgrown the present one.
         let old =
             job_state.layout.tasks_of(*chunk).len() > chunk_size(limits.strict_bytes) as usize;
         if old && json_bytes(&record) > limits.value_bytes {
-            h.cut_into_parts(job, limits.strict_bytes);
+            shard.cut_into_parts(job, limits.strict_bytes);
             continue;
         }
         bytes += 60 * record.placed.len() + 12 * record.done.len();
         preconditions.push((Key::Job(job.clone()), job_state.revision));
         preconditions.push((Key::Run(job.clone(), *chunk), revision));
-        let placed = record.placed.iter().map(|p| (p.0, p.1)).collect();
+        let placed = record
+            .placed
+            .iter()
+            .map(|placement| (placement.0, placement.1))
+            .collect();
         writes.push(Write::put(
             Key::Run(job.clone(), *chunk),
             Record::Run(record),
@@ -441,9 +450,9 @@
         });
         // One commit carries all that is to be written of the chunk.
         for urgency in WriteUrgency::ALL {
-            h.write_queue.remove(&(urgency, job.clone(), *chunk));
+            shard.write_queue.remove(&(urgency, job.clone(), *chunk));
         }
-        if let Some(job_state) = h.jobs.get_mut(job) {
+        if let Some(job_state) = shard.jobs.get_mut(job) {
             job_state.chunks.entry(*chunk).or_default().busy = true;
         }
     }
--- a/src/controller/shard/job.rs
+++ b/src/controller/shard/job.rs
@@ -135,7 +135,7 @@
     /// How soon the present state of a chunk or part is to be written.
     pub(crate) fn write_urgency(&self, chunk: u32) -> WriteUrgency {
         let mut placed = self.placed.range(self.layout.tasks_of(chunk));
-        if placed.any(|(_, p)| p.phase == Phase::Committing) {
+        if placed.any(|(_, placement)| placement.phase == Phase::Committing) {
             WriteUrgency::placements(self.record.priority_class)
         } else {
             WriteUrgency::Results
@@ -144,7 +144,7 @@
 
     /// Whether one of its tasks has been started and may yet fail.
     pub(crate) fn trying(&self) -> bool {
-        self.placed.values().any(|p| !p.runs_well)
+        self.placed.values().any(|placement| !placement.runs_well)
     }
 
     /// How many tasks wait for a machine: none while the job waits for others.
--- a/src/controller/shard/mod.rs
+++ b/src/controller/shard/mod.rs
@@ -142,7 +142,10 @@
     }
 
     pub(crate) fn long_polling_requests(&self) -> Vec<RequestId> {
-        let held = self.machines.values().filter_map(|m| m.long_poll);
+        let held = self
+            .machines
+            .values()
+            .filter_map(|machine| machine.long_poll);
         held.map(|(request_id, _)| request_id).collect()
     }
 
@@ -178,20 +181,25 @@
             .long_poll_deadlines
             .iter()
             .find(|(_, id)| {
-                let m = self.machines.get(id);
-                m.and_then(|m| m.long_poll)
+                let machine = self.machines.get(id);
+                machine
+                    .and_then(|machine| machine.long_poll)
                     .is_some_and(|(r, _)| r == request_id)
             })
             .cloned();
         if let Some(entry) = held {
             self.long_poll_deadlines.remove(&entry);
-            self.machines.edit(&entry.1, |m| m.long_poll = None);
+            self.machines
+                .edit(&entry.1, |machine| machine.long_poll = None);
         }
     }
 
     /// Whether workers have reported here and none does any more.
     pub(crate) fn workers_unreachable(&self, now: Time) -> bool {
-        let had = self.machines.values().any(|m| m.agent_epoch > 0);
+        let had = self
+            .machines
+            .values()
+            .any(|machine| machine.agent_epoch > 0);
         had && now.since(self.heard) > RECENT_S
     }
 
@@ -211,7 +219,7 @@
         };
         let record = &job_state.record;
         self.machines
-            .edit(&placement.machine, |m| m.bind(task, record));
+            .edit(&placement.machine, |machine| machine.bind(task, record));
         self.teams
             .entry(record.team.clone())
             .or_default()
@@ -238,8 +246,9 @@
         for (index, placement) in &job_state.placed {
             let (job, index) = (job.clone(), *index);
             let task = TaskId { job, index };
-            self.machines
-                .edit(&placement.machine, |m| m.rebind(&task, &job_state.record));
+            self.machines.edit(&placement.machine, |machine| {
+                machine.rebind(&task, &job_state.record)
+            });
         }
         self.scheduling_wanted = true;
     }
@@ -254,7 +263,11 @@
         };
         let chunk = job_state.layout.chunk_of(task.index);
         let busy = job_state.chunks.get(&chunk).is_some_and(|c| c.busy);
-        match job_state.placed.get(&task.index).map(|p| p.phase) {
+        match job_state
+            .placed
+            .get(&task.index)
+            .map(|placement| placement.phase)
+        {
             Some(Phase::Ready) => true,
             Some(Phase::Committing) => !busy,
             _ => false,
@@ -266,14 +279,15 @@
         let Some(job_state) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let Some(p) = job_state.placed.remove(&task.index) else {
+        let Some(placement) = job_state.placed.remove(&task.index) else {
             return;
         };
         let need = job_state.record.need;
         if let Some(used) = self.teams.get_mut(&job_state.record.team) {
             used.add(need, -1.0);
         }
-        self.machines.edit(&p.machine, |m| m.unbind(now, task));
+        self.machines
+            .edit(&placement.machine, |machine| machine.unbind(now, task));
         let done = job_state
             .done
             .get(task.index as usize)
@@ -316,22 +330,31 @@
     pub(crate) fn audit(&self) -> Result<(), String> {
         let (mut seats, mut teams) = (0, HashMap::<&str, Resources>::new());
         for (job, job_state) in &self.jobs {
-            for (index, p) in &job_state.placed {
+            for (index, placement) in &job_state.placed {
                 let (job, index) = (job.clone(), *index);
                 teams
                     .entry(&job_state.record.team)
                     .or_default()
                     .add(job_state.record.need, 1.0);
-                if let Some(m) = self.machines.get(&p.machine) {
+                if let Some(machine) = self.machines.get(&placement.machine) {
                     seats += 1;
                     let task = TaskId { job, index };
-                    if !m.tasks.contains_key(&task) {
-                        return Err(format!("{task} isn't among the tasks of {}", p.machine));
+                    if !machine.tasks.contains_key(&task) {
+                        return Err(format!(
+                            "{task} isn't among the tasks of {}",
+                            placement.machine
+                        ));
                     }
                 }
             }
         }
-        if seats != self.machines.values().map(|m| m.tasks.len()).sum::<usize>() {
+        if seats
+            != self
+                .machines
+                .values()
+                .map(|machine| machine.tasks.len())
+                .sum::<usize>()
+        {
             return Err("a machine has a task that isn't placed there".into());
         }
         for (team, used) in &self.teams {
--- a/src/controller/shards/assignment.rs
+++ b/src/controller/shards/assignment.rs
@@ -73,7 +73,7 @@
         let others = self.recent_heartbeats().filter(|h| h.is_fresh);
         let others = others.map(|h| (h.from.clone(), h.incarnation));
         let all = std::iter::once(me.clone()).chain(others);
-        let least = all.min_by_key(|(m, _)| load.get(m).copied().unwrap_or(0));
+        let least = all.min_by_key(|(machine, _)| load.get(machine).copied().unwrap_or(0));
         least.unwrap_or(me)
     }
 }
--- a/src/controller/shards/counts.rs
+++ b/src/controller/shards/counts.rs
@@ -67,12 +67,19 @@
         let pools = pools.filter_map(|(pool, c)| Some((named(pool)?, pool.is_spot(), c)));
         let mut zones: BTreeMap<(String, bool, String), u32> = BTreeMap::new();
         let mut empty = Vec::new();
-        for (id, m) in self.machines.iter() {
-            let key = (m.type_name.to_string(), m.spot, m.zone.to_string());
+        for (id, machine) in self.machines.iter() {
+            let key = (
+                machine.type_name.to_string(),
+                machine.spot,
+                machine.zone.to_string(),
+            );
             *zones.entry(key).or_default() += 1;
-            if m.ready_since.is_some() && m.tasks.is_empty() && m.decommission_at.is_none() {
-                let name = m.type_name.to_string();
-                empty.push((m.images.len(), (name, m.spot, id.clone())));
+            if machine.ready_since.is_some()
+                && machine.tasks.is_empty()
+                && machine.decommission_at.is_none()
+            {
+                let name = machine.type_name.to_string();
+                empty.push((machine.images.len(), (name, machine.spot, id.clone())));
             }
         }
         let pins = self.pins(catalog, closed).into_iter();
--- a/src/controller/shards/splitting.rs
+++ b/src/controller/shards/splitting.rs
@@ -118,9 +118,9 @@
     /// The shard's machines as its record lists them.
     pub(crate) fn entries(&self) -> Vec<Entry> {
         let all = self.machines.iter();
-        let all = all.map(|(id, m)| {
-            let (class, zone) = (m.type_name.to_string(), m.zone.to_string());
-            (id.clone(), class, zone, m.spot)
+        let all = all.map(|(id, machine)| {
+            let (class, zone) = (machine.type_name.to_string(), machine.zone.to_string());
+            (id.clone(), class, zone, machine.spot)
         });
         all.collect()
     }
@@ -136,7 +136,7 @@
             .plan
             .record
             .as_ref()
-            .map(|p| p.shares.as_slice());
+            .map(|placement| placement.shares.as_slice());
         let shares = shares.unwrap_or(&[]);
         let total: u64 = shares.iter().map(|(_, n)| u64::from(*n)).sum();
         if total == 0 {
--- a/src/controller/store/mirror.rs
+++ b/src/controller/store/mirror.rs
@@ -245,7 +245,7 @@
     /// What the cloud has nothing left of, as the plan says.
     pub(crate) fn closed(&self) -> &[ExhaustedPool] {
         let plan = self.plan.record.as_ref();
-        plan.map_or(&[], |p| &p.closed)
+        plan.map_or(&[], |placement| &placement.closed)
     }
 
     /// The chunks written for a job.
