--- a/scale/src/limit_watch.rs
+++ b/scale/src/limit_watch.rs
@@ -12,7 +12,7 @@
 #[derive(Deserialize)]
 pub struct BlockView {
     /// What each team may use in the shard.
-    #[serde(default)]
+    #[serde(rename = "allowances", default)]
     pub quota_shares: Option<LimitsByTeam>,
 }
 
