--- /dev/null
+++ b/scale/src/controllers/mod.rs
@@ -0,0 +1,7 @@
+//! The controllers: real processes of the service's program, with their settings files and logs.
+
+mod process;
+mod settings;
+
+pub use process::{Controller, RunPaths, Termination, find_program};
+pub use settings::CLOUD_LIST_LAG;
--- a/scale/src/hollow/cell.rs
+++ b/scale/src/hollow/cell.rs
@@ -5,8 +5,9 @@
 use super::state_service::{Answer, BLOCK, LEADER, StateCounts, StateService};
 use super::users::Users;
 use super::workers::{Inventory, ROUND_MS};
-use crate::controllers::{CellAddresses, list_lag_ms, member};
+use crate::controllers::CLOUD_LIST_LAG;
 use crate::experiment::{Experiment, Load, Phases};
+use crate::layout::{CellAddresses, controller_id};
 use crate::limit_watch::LimitWatch;
 use crate::procfs::{CpuTime, thread_cpu};
 use crate::takeovers::TakeoverWatch;
@@ -74,11 +75,13 @@
         Self {
             name: cell.name.clone(),
             addresses,
-            members: (0..cell.controllers).map(|n| member(cell, n)).collect(),
+            members: (0..cell.controllers)
+                .map(|n| controller_id(cell, n))
+                .collect(),
             zones: cell.zones.clone(),
             workers: cell.workers,
             share: cell.workers as f64 / experiment.workers() as f64,
-            report_ms: ms(experiment.service.report_s),
+            report_ms: ms(experiment.service.heartbeat_s),
             lease_ms: ms(experiment.service.lease_s),
             load: experiment.load.clone(),
             phases: experiment.phases.clone(),
@@ -230,7 +233,7 @@
         shared: Arc<Shared>,
         commands: Receiver<Command>,
     ) -> io::Result<Self> {
-        let connections = Connections::new(plan.addresses.state, &plan.addresses.clouds)?;
+        let connections = Connections::new(plan.addresses.store, &plan.addresses.clouds)?;
         let state = StateService::new(&plan.experiment.service);
         let seed = plan.experiment.seed + plan.index as u64;
         let mut cell = Self {
@@ -382,7 +385,7 @@
     }
 
     fn answer_later(&mut self, now: u64, connection: usize, answer: Answer) {
-        let delay = self.plan.experiment.service.state_answer_ms;
+        let delay = self.plan.experiment.service.store_latency_ms;
         self.send_later(now + delay, connection, answer);
     }
 
@@ -535,7 +538,7 @@
     Cloud {
         catalog: vec![class],
         capacity: capacity.collect(),
-        lag_ms: list_lag_ms(),
+        lag_ms: CLOUD_LIST_LAG.as_millis() as u64,
         ..Cloud::default()
     }
 }
--- a/scale/src/hollow/state_service.rs
+++ b/scale/src/hollow/state_service.rs
@@ -198,10 +198,10 @@
     pub fn new(service: &Service) -> Self {
         Self {
             store: Store::new(KEPT),
-            requests: RateLimit::new(0, service.state_rps),
-            changes: RateLimit::new(0, service.state_write_rps),
-            value_bytes: (service.state_value_kb * 1024.0) as usize,
-            txn_ops: service.state_txn_ops,
+            requests: RateLimit::new(0, service.store_rps),
+            changes: RateLimit::new(0, service.store_write_rps),
+            value_bytes: (service.store_value_kb * 1024.0) as usize,
+            txn_ops: service.store_txn_ops,
             waiters: Vec::new(),
             outage: false,
             counts: StateCounts::default(),
--- a/scale/src/hollow/users.rs
+++ b/scale/src/hollow/users.rs
@@ -174,7 +174,7 @@
     pub fn begin(&mut self, now: u64) {
         let (load, phases) = (&self.plan.load, &self.plan.phases);
         let ms = |s: f64| s * 1000.0;
-        let tasks = load.standing_per_worker * self.plan.workers as f64;
+        let tasks = load.service_tasks_per_worker * self.plan.workers as f64;
         let services = (tasks / f64::from(load.replicas)).round();
         let batch_from = now as f64 + ms(phases.ramp_s);
         self.batch_from = batch_from;
@@ -247,10 +247,14 @@
     fn submit(&mut self, now: u64, class: &'static str, count: u64) {
         let load = &self.plan.load;
         let id = format!("{}{}-{count}", self.plan.name, class);
-        let team = crate::controllers::team_name(count as usize % load.teams);
+        let team = crate::layout::team_name(count as usize % load.teams);
         let service = class == STANDING;
         let (tasks, cpus, gpus) = match class {
-            STANDING => (load.replicas, load.replica_need[0], load.replica_need[1]),
+            STANDING => (
+                load.replicas,
+                load.replica_resources[0],
+                load.replica_resources[1],
+            ),
             BATCH => (load.tasks_per_job, load.batch_cpus, 0.0),
             _ => (1, load.batch_cpus, 0.0),
         };
--- a/scale/src/lib.rs
+++ b/scale/src/lib.rs
@@ -9,6 +9,7 @@
 pub mod controllers;
 pub mod experiment;
 pub mod hollow;
+pub mod layout;
 pub mod limit_watch;
 pub mod link_proxy;
 pub mod procfs;
--- a/scale/src/link_proxy.rs
+++ b/scale/src/link_proxy.rs
@@ -1,54 +1,69 @@
-//! The links between cells, through which each message passes, so that they can be cut: both ways
-//! or one way, dropping what is sent or holding it back until the link works again.
+//! A proxy for the links between cells, which can partition them: in one direction or both, with
+//! messages dropped, or delayed until the partition ends.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddrV4, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::{Arc, Mutex};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// How often a quiet link looks whether it is cut or over.
-const LOOK: Duration = Duration::from_millis(50);
+/// How often an idle link checks whether it is partitioned or the run has ended.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// How long a connection to a controller may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const READ_BYTES: usize = 16 * 1024;
 
-/// What a cut does with what is sent meanwhile.
+/// What a partition does with messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CutKind {
-    /// Connections are closed, and no others come through.
+pub enum PartitionKind {
+    /// Connections are closed, and no new ones are accepted.
     Drop,
-    /// It waits, and comes when the cut is over.
-    Hold,
+    /// Messages are delayed until the partition ends.
+    Delay,
 }
 
-/// From one cell to another.
-type Direction = (usize, usize);
+/// From one cell to another, by their indices.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Direction {
+    /// The sending cell.
+    pub from: usize,
+    /// The receiving cell.
+    pub to: usize,
+}
+
+struct Partition {
+    kind: PartitionKind,
+    until: Instant,
+}
 
 #[derive(Default)]
 struct State {
-    cuts: Mutex<BTreeMap<Direction, (CutKind, Instant)>>,
-    over: AtomicBool,
+    partitions: Mutex<BTreeMap<Direction, Partition>>,
+    stopped: AtomicBool,
 }
 
 impl State {
-    fn cut(&self, direction: Direction) -> Option<CutKind> {
-        let cuts = self
-            .cuts
+    fn partitions(&self) -> MutexGuard<'_, BTreeMap<Direction, Partition>> {
+        // A panicking thread leaves the map usable.
+        self.partitions
             .lock()
-            .unwrap_or_else(|broken| broken.into_inner());
-        let found = cuts
-            .get(&direction)
-            .filter(|(_, until)| Instant::now() < *until);
-        found.map(|(kind, _)| *kind)
+            .unwrap_or_else(PoisonError::into_inner)
+    }
+
+    fn partition(&self, direction: Direction) -> Option<PartitionKind> {
+        let partitions = self.partitions();
+        let partition = partitions.get(&direction)?;
+        (Instant::now() < partition.until).then_some(partition.kind)
     }
 
-    fn over(&self) -> bool {
-        self.over.load(Ordering::Relaxed)
+    fn stopped(&self) -> bool {
+        self.stopped.load(Ordering::Relaxed)
     }
 }
 
-/// All links between cells.
+/// All links between cells. Its threads end with this value.
 #[derive(Default)]
 pub struct LinkProxy {
     state: Arc<State>,
@@ -56,8 +71,8 @@
 }
 
 impl LinkProxy {
-    /// Carries what comes to `listen` on to `target`, as messages from one cell to another.
-    pub fn carry(
+    /// Forwards connections to `listen` to `target`, as a link in this direction.
+    pub fn forward(
         &mut self,
         direction: Direction,
         listen: SocketAddrV4,
@@ -66,46 +81,49 @@
         let listener = TcpListener::bind(listen)?;
         listener.set_nonblocking(true)?;
         let state = self.state.clone();
-        let accepts = move || accept(&state, direction, &listener, target);
+        let accept = move || accept_all(&state, direction, &listener, target);
         self.threads
-            .push(std::thread::Builder::new().spawn(accepts)?);
+            .push(std::thread::Builder::new().spawn(accept)?);
         Ok(())
     }
 
-    /// Cuts the link in one direction for a while.
-    pub fn cut(&self, direction: Direction, kind: CutKind, lasts: Duration) {
-        let mut cuts = self
-            .state
-            .cuts
-            .lock()
-            .unwrap_or_else(|broken| broken.into_inner());
-        cuts.insert(direction, (kind, Instant::now() + lasts));
+    /// Partitions the link in one direction for a while.
+    pub fn partition(&self, direction: Direction, kind: PartitionKind, duration: Duration) {
+        let until = Instant::now() + duration;
+        let partition = Partition { kind, until };
+        self.state.partitions().insert(direction, partition);
     }
 }
 
 impl Drop for LinkProxy {
     fn drop(&mut self) {
-        self.state.over.store(true, Ordering::Relaxed);
+        self.state.stopped.store(true, Ordering::Relaxed);
         for thread in self.threads.drain(..) {
             let _ = thread.join();
         }
     }
 }
 
-fn accept(state: &Arc<State>, direction: Direction, listener: &TcpListener, target: SocketAddrV4) {
+fn accept_all(
+    state: &Arc<State>,
+    direction: Direction,
+    listener: &TcpListener,
+    target: SocketAddrV4,
+) {
     let mut links: Vec<JoinHandle<()>> = Vec::new();
-    while !state.over() {
+    while !state.stopped() {
         match listener.accept() {
-            // What arrives while the link is cut is closed at once.
-            Ok((stream, _)) if state.cut(direction) != Some(CutKind::Drop) => {
+            // Connections that are accepted during a partition are dropped at once.
+            Ok((stream, _)) if state.partition(direction) != Some(PartitionKind::Drop) => {
                 let state = state.clone();
-                let carries = move || {
-                    let _ = carry(&state, direction, stream, target);
+                let forward = move || {
+                    // A failed connection is closed; the controllers reconnect.
+                    let _ = forward_bytes(&state, direction, stream, target);
                 };
-                links.extend(std::thread::Builder::new().spawn(carries));
+                links.extend(std::thread::Builder::new().spawn(forward));
             }
             Ok(_) => {}
-            Err(_) => std::thread::sleep(LOOK),
+            Err(_) => std::thread::sleep(CHECK_INTERVAL),
         }
         links.retain(|link| !link.is_finished());
     }
@@ -114,32 +132,32 @@
     }
 }
 
-/// Carries one connection's bytes until it ends, is cut, or all is over.
-fn carry(
+/// Forwards one connection's bytes until it ends, is partitioned, or the run has ended.
+fn forward_bytes(
     state: &State,
     direction: Direction,
     mut from: TcpStream,
     target: SocketAddrV4,
 ) -> io::Result<()> {
-    let mut to = TcpStream::connect_timeout(&target.into(), Duration::from_secs(1))?;
+    let mut to = TcpStream::connect_timeout(&target.into(), CONNECT_TIMEOUT)?;
     from.set_nonblocking(false)?;
-    from.set_read_timeout(Some(LOOK))?;
+    from.set_read_timeout(Some(CHECK_INTERVAL))?;
     to.set_nodelay(true)?;
     let mut buffer = vec![0; READ_BYTES];
-    while !state.over() {
-        match state.cut(direction) {
-            Some(CutKind::Drop) => return Ok(()),
-            Some(CutKind::Hold) => {
-                std::thread::sleep(LOOK);
+    while !state.stopped() {
+        match state.partition(direction) {
+            Some(PartitionKind::Drop) => return Ok(()),
+            Some(PartitionKind::Delay) => {
+                std::thread::sleep(CHECK_INTERVAL);
                 continue;
             }
             None => {}
         }
         match from.read(&mut buffer) {
             Ok(0) => return Ok(()),
-            Ok(n) => to.write_all(&buffer[..n])?,
-            Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
-            Err(e) => return Err(e),
+            Ok(length) => to.write_all(&buffer[..length])?,
+            Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
+            Err(error) => return Err(error),
         }
     }
     Ok(())
--- a/scale/src/main.rs
+++ b/scale/src/main.rs
@@ -2,10 +2,10 @@
 
 use clap::{Parser, Subcommand};
 use salttrestle_scale::capacity::{SlopeTable, with_computed};
-use salttrestle_scale::controllers::find_program;
+use salttrestle_scale::controllers::{RunPaths, find_program};
 use salttrestle_scale::experiment::{EMBEDDED, EMBEDDED_TAKEOVERS, Experiment};
 use salttrestle_scale::results::{Results, Row};
-use salttrestle_scale::run::{Places, default_folder, play};
+use salttrestle_scale::run::{default_folder, play};
 use salttrestle_scale::sweep::Sweep;
 use std::error::Error;
 use std::path::{Path, PathBuf};
@@ -157,11 +157,11 @@
     let program = find_program(arguments.controller.as_deref())?;
     let folder = arguments.out.clone();
     let folder = folder.unwrap_or_else(|| default_folder(&experiment.name));
-    let places = Places {
+    let paths = RunPaths {
         program: &program,
         folder: &folder,
     };
-    let results = play(experiment, None, &places)?;
+    let results = play(experiment, None, paths)?;
     let lines = folder.join("results.jsonl");
     std::fs::write(&lines, results.json_lines())?;
     print!("{}", results.table());
--- a/scale/src/procfs.rs
+++ b/scale/src/procfs.rs
@@ -1,24 +1,25 @@
-//! What the system says of processes and threads.
+//! Processor time, memory and open files of processes and threads, from `/proc`.
 
 use std::fs;
 
 /// Clock ticks a second in which processor time is counted.
 const TICKS_PER_S: f64 = 100.0;
-/// Fields of a `stat` line behind the name: user and system time.
+/// User time in a `stat` line, as a field behind the name.
 const USER_FIELD: usize = 11;
+/// System time in a `stat` line, as a field behind the name.
 const SYSTEM_FIELD: usize = 12;
 
-/// Processor time that was used, in seconds.
+/// Processor time, in seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CpuTime {
-    /// In the program itself.
+    /// In user mode.
     pub user_s: f64,
-    /// In the system on its behalf.
+    /// In the kernel.
     pub system_s: f64,
 }
 
 impl CpuTime {
-    /// What was used since an earlier reading.
+    /// The difference to an earlier reading.
     pub fn since(self, earlier: CpuTime) -> CpuTime {
         CpuTime {
             user_s: self.user_s - earlier.user_s,
@@ -26,7 +27,7 @@
         }
     }
 
-    /// Both together.
+    /// User and system time together.
     pub fn total_s(self) -> f64 {
         self.user_s + self.system_s
     }
@@ -52,18 +53,30 @@
     cpu_from_stat(&fs::read_to_string("/proc/thread-self/stat").ok()?)
 }
 
-/// Resident memory of a process in MiB, now and at its peak.
-pub fn process_memory_mb(pid: u32) -> Option<(f64, f64)> {
+/// Resident memory of a process, in MiB.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ProcessMemory {
+    /// At present.
+    pub resident_mb: f64,
+    /// At its peak.
+    pub peak_mb: f64,
+}
+
+/// The resident memory of a process; `None` once it has ended.
+pub fn process_memory(pid: u32) -> Option<ProcessMemory> {
     let text = fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
-    let field = |name: &str| {
-        let line = text.lines().find_map(|l| l.strip_prefix(name))?;
-        let kb: f64 = line.trim().trim_end_matches("kB").trim().parse().ok()?;
-        Some(kb / 1024.0)
+    let megabytes = |name: &str| {
+        let line = text.lines().find_map(|line| line.strip_prefix(name))?;
+        let kilobytes: f64 = line.trim().trim_end_matches("kB").trim().parse().ok()?;
+        Some(kilobytes / 1024.0)
     };
-    Some((field("VmRSS:")?, field("VmHWM:")?))
+    Some(ProcessMemory {
+        resident_mb: megabytes("VmRSS:")?,
+        peak_mb: megabytes("VmHWM:")?,
+    })
 }
 
-/// Open files of a process, sockets included.
+/// Number of open files of a process, sockets included; `None` once it has ended.
 pub fn process_files(pid: u32) -> Option<usize> {
     Some(fs::read_dir(format!("/proc/{pid}/fd")).ok()?.count())
 }
--- a/scale/src/run.rs
+++ b/scale/src/run.rs
@@ -1,20 +1,21 @@
 //! One run: starts everything, plays the load and the troubles, measures, judges, ends everything.
 
-use crate::controllers::{CellAddresses, Controller, home_of, team_name};
-use crate::experiment::{Experiment, MEMORY_MAX_MB, Trouble, TroubleKind, Which};
+use crate::controllers::{Controller, RunPaths, Termination};
+use crate::experiment::{ControllerRole, Experiment, Fault, FaultKind, LeaderEnd, MEMORY_MAX_MB};
 use crate::hollow::{CellPlan, CellSample, Command, HollowCell, Shared};
-use crate::link_proxy::{CutKind, LinkProxy};
-use crate::procfs::{CpuTime, process_cpu, process_files, process_memory_mb};
+use crate::layout::{CellAddresses, ControllerIndex, home_cell, team_name};
+use crate::link_proxy::{Direction, LinkProxy, PartitionKind};
+use crate::procfs::{CpuTime, process_cpu, process_files, process_memory};
 use crate::results::{
     HollowRow, LateRow, LatencyRow, LinkRow, ProcessRow, Results, Row, RunRow, SecondRow, StateRow,
 };
-use crate::takeovers::{EndKind, Schedule};
+use crate::takeovers::Schedule;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use salttrestle_fakes::checker::{Checker, JobView};
 use std::collections::BTreeMap;
 use std::io;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::sync::Arc;
 use std::sync::mpsc::{Sender, channel};
 use std::thread::JoinHandle;
@@ -52,14 +53,6 @@
     TooMuchMemory(f64),
 }
 
-/// Where a run finds its program and leaves its files.
-pub struct Places<'a> {
-    /// The service's program.
-    pub program: &'a Path,
-    /// The folder for settings and logs.
-    pub folder: &'a Path,
-}
-
 struct Cell {
     name: String,
     commands: Sender<Command>,
@@ -120,19 +113,19 @@
 pub fn play(
     experiment: &Experiment,
     varied: Option<(String, f64)>,
-    places: &Places,
+    paths: RunPaths,
 ) -> Result<Results, RunError> {
-    std::fs::create_dir_all(places.folder)?;
+    std::fs::create_dir_all(paths.folder)?;
     let wanted = experiment.workers() as u64 + OTHER_FILES;
     rlimit::increase_nofile_limit(wanted)?;
-    let mut run = Run::start(experiment, places)?;
+    let mut run = Run::start(experiment, paths)?;
     run.wait_until_ready()?;
     let (from, to) = run.play_load()?;
     Ok(run.results(varied, &from, &to))
 }
 
 impl<'a> Run<'a> {
-    fn start(experiment: &'a Experiment, places: &Places) -> Result<Self, RunError> {
+    fn start(experiment: &'a Experiment, paths: RunPaths) -> Result<Self, RunError> {
         // Cells that share limits have one for all of them together.
         let cells = match &experiment.sharing {
             Some(_) => 1.0,
@@ -158,12 +151,7 @@
             load_from_ms: 0,
             disobeyed: Vec::new(),
         };
-        let all: Vec<CellAddresses> = experiment
-            .cells
-            .iter()
-            .enumerate()
-            .map(|(n, cell)| CellAddresses::new(experiment.network, n, cell.controllers))
-            .collect();
+        let all = CellAddresses::of_cells(experiment);
         if experiment.sharing.is_some() {
             run.join_cells(&all)?;
         }
@@ -171,9 +159,12 @@
             let plan = Arc::new(CellPlan::new(experiment, index, all[index].clone()));
             run.cells.push(start_cell(plan, shared.clone())?);
             for n in 0..cell.controllers {
-                let files = (places.program, places.folder);
-                let made = Controller::prepare(experiment, (index, n), &all, files)?;
-                run.controllers.push(made);
+                let at = ControllerIndex {
+                    cell: index,
+                    controller: n,
+                };
+                let prepared = Controller::prepare(experiment, at, &all, paths)?;
+                run.controllers.push(prepared);
             }
         }
         for controller in &mut run.controllers {
@@ -187,8 +178,9 @@
         for from in 0..all.len() {
             for (to, addresses) in all.iter().enumerate().filter(|(to, _)| *to != from) {
                 for (n, target) in addresses.links.iter().enumerate() {
+                    let listen = addresses.proxy(from, n);
                     self.links
-                        .carry((from, to), addresses.proxy(from, n), *target)?;
+                        .forward(Direction { from, to }, listen, *target)?;
                 }
             }
         }
@@ -224,7 +216,7 @@
         self.load_from_ms = self.shared.now_ms();
         let measure_from = phases.ramp_s + phases.warmup_s;
         let measure_to = measure_from + phases.measure_s;
-        let mut troubles: Vec<&Trouble> = self.experiment.troubles.iter().collect();
+        let mut faults: Vec<&Fault> = self.experiment.faults.iter().collect();
         let mut next_sample = SAMPLE_S;
         let changes_per_s = self
             .experiment
@@ -238,9 +230,9 @@
         loop {
             std::thread::sleep(LOOK);
             let at_s = began.elapsed().as_secs_f64();
-            let due = |t: &&Trouble| at_s >= t.at_s;
-            for trouble in troubles.extract_if(.., |t| due(t)) {
-                self.strike(trouble)?;
+            let due = |fault: &&Fault| at_s >= fault.at_s;
+            for fault in faults.extract_if(.., |fault| due(fault)) {
+                self.strike(fault)?;
             }
             self.bring_back()?;
             if let Some(kind) = ends.as_mut().and_then(|ends| ends.due(at_s)) {
@@ -319,43 +311,46 @@
 
     fn check_processes(&mut self) -> Result<(), RunError> {
         for controller in &mut self.controllers {
-            if controller.has_ended() {
-                warn!("{} has ended by itself", controller.member);
-                self.self_ended.push(controller.member.clone());
+            if controller.has_crashed() {
+                warn!("{} has ended by itself", controller.id);
+                self.self_ended.push(controller.id.clone());
                 controller.kill();
                 controller.start()?;
             }
         }
         let pids = self.controllers.iter().filter_map(Controller::pid);
         let pids = pids.chain([std::process::id()]);
-        let memory: f64 = pids.filter_map(process_memory_mb).map(|(now, _)| now).sum();
+        let memory: f64 = pids
+            .filter_map(process_memory)
+            .map(|memory| memory.resident_mb)
+            .sum();
         if memory > MEMORY_MAX_MB {
             return Err(RunError::TooMuchMemory(memory));
         }
         Ok(())
     }
 
-    fn strike(&mut self, trouble: &Trouble) -> Result<(), RunError> {
-        let Some(cell) = self.cells.iter().position(|c| c.name == trouble.cell) else {
+    fn strike(&mut self, fault: &Fault) -> Result<(), RunError> {
+        let Some(cell) = self.cells.iter().position(|c| c.name == fault.cell) else {
             return Ok(());
         };
-        info!("trouble in {}: {:?}", trouble.cell, trouble.what);
+        info!("fault in {}: {:?}", fault.cell, fault.kind);
         let after = |s: f64| Instant::now() + Duration::from_secs_f64(s);
         let ms = |s: f64| (s * 1000.0) as u64;
-        match &trouble.what {
-            TroubleKind::Kill { controller, down_s } => {
+        match &fault.kind {
+            FaultKind::Kill { controller, down_s } => {
                 if let Some(n) = self.find(cell, *controller)? {
                     self.controllers[n].kill();
                     self.restarts.push((after(*down_s), n));
                 }
             }
-            TroubleKind::Pause { controller, for_s } => {
+            FaultKind::Pause { controller, for_s } => {
                 if let Some(n) = self.find(cell, *controller)? {
-                    self.controllers[n].pause(true);
+                    self.controllers[n].suspend();
                     self.resumes.push((after(*for_s), n));
                 }
             }
-            TroubleKind::MachinesLost {
+            FaultKind::MachinesLost {
                 count,
                 zone,
                 over_s,
@@ -367,45 +362,48 @@
                     over_ms: ms(*over_s),
                 },
             ),
-            TroubleKind::LinkCut {
+            FaultKind::LinkPartition {
                 to,
                 for_s,
                 one_way,
-                hold,
+                delayed,
             } => {
-                let kind = if *hold { CutKind::Hold } else { CutKind::Drop };
+                let kind = match delayed {
+                    true => PartitionKind::Delay,
+                    false => PartitionKind::Drop,
+                };
                 let lasts = Duration::from_secs_f64(*for_s);
                 self.cut_links(cell, to.as_ref(), lasts, *one_way, kind);
             }
-            TroubleKind::Load { factor } => self.tell(cell, Command::Load(*factor)),
-            TroubleKind::StateOutage { for_s } => {
+            FaultKind::Load { factor } => self.tell(cell, Command::Load(*factor)),
+            FaultKind::StoreOutage { for_s } => {
                 self.tell(cell, Command::StateOutage(ms(*for_s)));
             }
         }
         Ok(())
     }
 
-    fn end_leader(&mut self, kind: EndKind) -> Result<(), RunError> {
+    fn end_leader(&mut self, kind: LeaderEnd) -> Result<(), RunError> {
         let Some(plan) = &self.experiment.takeovers else {
             return Ok(());
         };
-        let Some(n) = self.find(0, Which::Leader)? else {
+        let Some(n) = self.find(0, ControllerRole::Leader)? else {
             warn!("nobody leads, and nobody is ended");
             return Ok(());
         };
-        info!("{} ends: {kind:?}", self.controllers[n].member);
+        info!("{} ends: {kind:?}", self.controllers[n].id);
         let after = |s: f64| Instant::now() + Duration::from_secs_f64(s);
         self.shared.takeovers().ended(self.shared.now_ms(), kind);
         match kind {
-            EndKind::Kill => {
+            LeaderEnd::Kill => {
                 self.controllers[n].kill();
                 self.restarts.push((after(plan.down_s), n));
             }
-            EndKind::Pause => {
-                self.controllers[n].pause(true);
+            LeaderEnd::Pause => {
+                self.controllers[n].suspend();
                 self.resumes.push((after(plan.pause_s), n));
             }
-            EndKind::Terminate => {
+            LeaderEnd::Terminate => {
                 self.controllers[n].terminate();
                 self.restarts.push((after(plan.down_s), n));
             }
@@ -431,7 +429,7 @@
             .unwrap_or_default();
         self.shared.limits().asked(now, &name, limit, before);
         self.tell(
-            home_of(self.experiment, team),
+            home_cell(self.experiment, team),
             Command::SetLimit(name, limit),
         );
     }
@@ -442,13 +440,15 @@
         to: Option<&String>,
         lasts: Duration,
         one_way: bool,
-        kind: CutKind,
+        kind: PartitionKind,
     ) {
         for (other, found) in self.cells.iter().enumerate() {
             if other != cell && to.is_none_or(|name| *name == found.name) {
-                self.links.cut((cell, other), kind, lasts);
+                let (from, to) = (cell, other);
+                self.links.partition(Direction { from, to }, kind, lasts);
                 if !one_way {
-                    self.links.cut((other, cell), kind, lasts);
+                    let (from, to) = (other, cell);
+                    self.links.partition(Direction { from, to }, kind, lasts);
                 }
             }
         }
@@ -459,17 +459,17 @@
     }
 
     /// A cell's leader, or another of its controllers.
-    fn find(&self, cell: usize, which: Which) -> Result<Option<usize>, RunError> {
+    fn find(&self, cell: usize, which: ControllerRole) -> Result<Option<usize>, RunError> {
         let leader = self.cells[cell].sample()?.leader;
         let mut here = self
             .controllers
             .iter()
             .enumerate()
             .filter(|(_, c)| c.cell == cell);
-        let leads = |c: &Controller| Some(&c.member) == leader.as_ref();
+        let leads = |c: &Controller| Some(&c.id) == leader.as_ref();
         let found = match which {
-            Which::Leader => here.find(|(_, c)| leads(c)),
-            Which::Other => here.find(|(_, c)| !leads(c)),
+            ControllerRole::Leader => here.find(|(_, c)| leads(c)),
+            ControllerRole::Other => here.find(|(_, c)| !leads(c)),
         };
         Ok(found.map(|(n, _)| n))
     }
@@ -477,12 +477,12 @@
     fn bring_back(&mut self) -> Result<(), RunError> {
         let now = Instant::now();
         for (_, n) in self.restarts.extract_if(.., |(at, _)| now >= *at) {
-            if !self.controllers[n].restart()? {
-                self.disobeyed.push(self.controllers[n].member.clone());
+            if self.controllers[n].restart()? == Termination::Ignored {
+                self.disobeyed.push(self.controllers[n].id.clone());
             }
         }
         for (_, n) in self.resumes.extract_if(.., |(at, _)| now >= *at) {
-            self.controllers[n].pause(false);
+            self.controllers[n].resume();
         }
         Ok(())
     }
@@ -495,7 +495,7 @@
             rows.push(Row::Process(process_row(
                 controller,
                 &self.cells[controller.cell].name,
-                cell.holder.as_ref() == Some(&controller.member),
+                cell.holder.as_ref() == Some(&controller.id),
                 (from.cpu[n], to.cpu[n]),
                 window_s,
             )));
@@ -552,7 +552,7 @@
 
     /// The urgent jobs that started later than is aimed at.
     fn late_rows(&self, checker: &Checker) -> Vec<Row> {
-        let Some(within_s) = self.experiment.aims.urgent_within_s else {
+        let Some(within_s) = self.experiment.objectives.urgent_within_s else {
             return Vec::new();
         };
         let seconds = |ms: u64| ms as f64 / 1000.0;
@@ -626,7 +626,7 @@
         let mut missed = missed_aims(self.experiment, checker, open, starts_per_s);
         missed.extend(self.missed_takeovers());
         let limits = self.shared.limits();
-        let Some(within_s) = self.experiment.aims.limits_within_s else {
+        let Some(within_s) = self.experiment.objectives.limits_within_s else {
             return missed;
         };
         for (what, times) in [
@@ -652,7 +652,7 @@
     fn missed_takeovers(&self) -> Vec<String> {
         let mut missed = Vec::new();
         let watch = self.shared.takeovers();
-        if let Some(within_s) = self.experiment.aims.takeover_within_s {
+        if let Some(within_s) = self.experiment.objectives.takeover_within_s {
             let (late, all) = (watch.late(within_s), watch.rows.len());
             if late > 0 {
                 missed.push(format!("{late} of {all} takeovers took over {within_s} s"));
@@ -706,13 +706,13 @@
     let pid = controller.pid();
     ProcessRow {
         cell: cell.into(),
-        member: controller.member.clone(),
+        member: controller.id.clone(),
         holder,
         user_cores: cores(|cpu| cpu.user_s),
         system_cores: cores(|cpu| cpu.system_s),
         memory_mb: pid
-            .and_then(process_memory_mb)
-            .map_or(0.0, |(_, peak)| peak),
+            .and_then(process_memory)
+            .map_or(0.0, |memory| memory.peak_mb),
         files: pid.and_then(process_files).unwrap_or(0),
         restarted: used.is_none(),
     }
@@ -750,7 +750,7 @@
     open: usize,
     starts_per_s: f64,
 ) -> Vec<String> {
-    let (aims, load) = (&experiment.aims, &experiment.load);
+    let (aims, load) = (&experiment.objectives, &experiment.load);
     let mut missed = Vec::new();
     if open > 0 {
         missed.push(format!("{open} batch jobs weren't over at the end"));
--- a/scale/src/sweep.rs
+++ b/scale/src/sweep.rs
@@ -1,9 +1,10 @@
 //! Sweeps: one experiment again and again with one count after another varied, so that each cost
 //! can be told from the others.
 
+use crate::controllers::RunPaths;
 use crate::experiment::{Experiment, ExperimentError};
 use crate::results::Row;
-use crate::run::{Places, RunError, play};
+use crate::run::{RunError, play};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use std::fmt;
@@ -63,7 +64,7 @@
     /// The count in an experiment of one cell.
     pub fn value(self, experiment: &Experiment) -> f64 {
         let (cell, load) = (&experiment.cells[0], &experiment.load);
-        let tasks = load.standing_per_worker * cell.workers as f64;
+        let tasks = load.service_tasks_per_worker * cell.workers as f64;
         match self {
             Self::Workers => cell.workers as f64,
             Self::Tasks => tasks,
@@ -82,13 +83,13 @@
         match self {
             Self::Workers => {
                 cell.workers = value as usize;
-                load.standing_per_worker = tasks / value;
+                load.service_tasks_per_worker = tasks / value;
             }
             Self::Tasks => {
                 // As many services as before, each with more tasks.
                 let services = tasks / f64::from(load.replicas);
                 load.replicas = (value / services).round() as u32;
-                load.standing_per_worker = value / cell.workers as f64;
+                load.service_tasks_per_worker = value / cell.workers as f64;
             }
             Self::Starts => load.starts_per_s = value,
             Self::Teams => load.teams = value as usize,
@@ -132,13 +133,9 @@
 impl Sweep {
     /// Reads a sweep, and checks every experiment that follows from it.
     pub fn parse(file: &str, text: &str, base: &Experiment) -> Result<Self, ExperimentError> {
-        let wrong = |key: &str, reason: String| ExperimentError {
-            file: file.into(),
-            key: key.into(),
-            reason,
-        };
-        let sweep: Self =
-            toml::from_str(text).map_err(|e| wrong("(file)", e.message().replace('\n', " ")))?;
+        let wrong = |key: &str, reason: String| ExperimentError::new(file, key, reason);
+        let sweep: Self = toml::from_str(text)
+            .map_err(|error| ExperimentError::malformed(file, "(file)", &error))?;
         if sweep.parallel == 0 || sweep.parallel > PARALLEL_MAX || sweep.repeats == 0 {
             let reason = format!("1 to {PARALLEL_MAX} runs at once, and at least one repeat");
             return Err(wrong("parallel", reason));
@@ -207,7 +204,7 @@
         let apart = b.wrapping_add((slot * NETWORK_STEP) as u8);
         experiment.network = Ipv4Addr::new(a, apart, c, d);
         let varied = (self.axis.to_string(), self.value);
-        let results = play(&experiment, Some(varied), &Places { program, folder })?;
+        let results = play(&experiment, Some(varied), RunPaths { program, folder })?;
         let seconds = |row: &Row| !matches!(row, Row::Second(_));
         // The run's own row comes first: those that follow are its.
         let mut rows: Vec<Row> = results.rows.into_iter().filter(seconds).collect();
--- a/scale/src/takeovers.rs
+++ b/scale/src/takeovers.rs
@@ -1,6 +1,7 @@
 //! Takeovers: the leader is ended again and again, and what each end costs is measured from what
 //! the store, the workers and the users see.
 
+use crate::experiment::{LeaderEnd, Takeovers};
 use crate::results::{LatencyRow, Row};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -9,46 +10,11 @@
 use salttrestle_fakes::orders::Orders;
 use serde::{Deserialize, Serialize};
 
-/// How leaders end, and how often.
-#[derive(Clone, Debug, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Takeovers {
-    /// How many leaders end.
-    pub count: u32,
-    /// Between two of them, in seconds, give or take a fifth.
-    pub every_s: f64,
-    /// In which ways, each drawn as often as the others.
-    pub kinds: Vec<EndKind>,
-    /// How long a process that ended is away, in seconds.
-    pub down_s: f64,
-    /// How long one stands still, in seconds: longer than a lease.
-    pub pause_s: f64,
-    /// Whether the standby is switched on.
-    #[serde(default = "yes")]
-    pub standby: bool,
-}
-
-fn yes() -> bool {
-    true
-}
-
-/// How a leader ends.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum EndKind {
-    /// SIGKILL.
-    Kill,
-    /// SIGSTOP, and SIGCONT after a while.
-    Pause,
-    /// SIGTERM: it hands over.
-    Terminate,
-}
-
 /// One end of a leader; times are since then, in milliseconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TakeoverRow {
     /// How it ended.
-    pub kind: EndKind,
+    pub kind: LeaderEnd,
     /// When, in milliseconds since the run began.
     pub at_ms: u64,
     /// The number of the shard that it held.
@@ -76,7 +42,7 @@
 
 impl TakeoverWatch {
     /// A leader was ended just now.
-    pub fn ended(&mut self, now: u64, kind: EndKind) {
+    pub fn ended(&mut self, now: u64, kind: LeaderEnd) {
         self.rows.push(TakeoverRow {
             kind,
             at_ms: now,
@@ -144,7 +110,7 @@
 
     /// The rows of the results: each takeover, and its phases by kind.
     pub fn result_rows(&self) -> Vec<Row> {
-        let mut kinds: Vec<EndKind> = self.rows.iter().map(|row| row.kind).collect();
+        let mut kinds: Vec<LeaderEnd> = self.rows.iter().map(|row| row.kind).collect();
         kinds.sort();
         kinds.dedup();
         type Phase = fn(&TakeoverRow) -> Option<u64>;
@@ -198,7 +164,7 @@
     }
 
     /// The end that is due.
-    pub fn due(&mut self, at_s: f64) -> Option<EndKind> {
+    pub fn due(&mut self, at_s: f64) -> Option<LeaderEnd> {
         if self.left == 0 || at_s < self.next_s {
             return None;
         }
--- a/scale/tests/playing/mod.rs
+++ b/scale/tests/playing/mod.rs
@@ -1,9 +1,9 @@
 //! Plays an experiment with the program that was built beside the tests.
 
-use salttrestle_scale::controllers::find_program;
+use salttrestle_scale::controllers::{RunPaths, find_program};
 use salttrestle_scale::experiment::Experiment;
 use salttrestle_scale::results::Results;
-use salttrestle_scale::run::{Places, play};
+use salttrestle_scale::run::play;
 use std::path::Path;
 
 /// Plays an experiment, its files in a folder of this name; no rule may be broken and no aim missed.
@@ -11,11 +11,11 @@
     let experiment = Experiment::parse(file, text).expect("a good experiment");
     let program = find_program(None).expect("the service's program");
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(folder);
-    let places = Places {
+    let paths = RunPaths {
         program: &program,
         folder: &folder,
     };
-    let results = play(&experiment, None, &places).expect("it is played");
+    let results = play(&experiment, None, paths).expect("it is played");
     println!("{}", results.table());
     let run = results.run().expect("a row for the run");
     assert_eq!(run.broken, Vec::<String>::new());
