--- a/scale/src/capacity.rs
+++ b/scale/src/capacity.rs
@@ -157,7 +157,7 @@
             *point.costs.entry(metric).or_default() += amount;
         };
         match row {
-            Row::Process(p) if p.holder => {
+            Row::Process(p) if p.owner => {
                 add(Metric::HolderCores, p.user_cores + p.system_cores);
                 add(Metric::HolderMemoryMb, p.memory_mb);
             }
@@ -168,15 +168,15 @@
                 let memory = point.costs.entry(Metric::RelayMemoryMb).or_default();
                 *memory = memory.max(p.memory_mb);
             }
-            Row::State(s) => {
+            Row::Store(s) => {
                 add(Metric::StateRequests, s.requests);
                 add(Metric::StateChanges, s.changes);
             }
-            Row::Link(l) if l.link == "state" => {
+            Row::Traffic(l) if l.connection == "state" => {
                 add(Metric::StateBytesIn, l.bytes_in);
                 add(Metric::StateBytesOut, l.bytes_out);
             }
-            Row::Link(l) if l.link == "worker" => {
+            Row::Traffic(l) if l.connection == "worker" => {
                 add(Metric::ReportBytes, l.bytes_out);
                 add(Metric::AnswerBytes, l.bytes_in);
             }
--- a/scale/src/hollow/cell.rs
+++ b/scale/src/hollow/cell.rs
@@ -8,9 +8,8 @@
 use crate::controllers::CLOUD_LIST_LAG;
 use crate::experiment::{Experiment, Load, Phases};
 use crate::layout::{CellAddresses, controller_id};
-use crate::limit_watch::LimitWatch;
+use crate::observers::{LimitObserver, TakeoverObserver};
 use crate::procfs::{CpuTime, thread_cpu};
-use crate::takeovers::TakeoverWatch;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
@@ -97,8 +96,8 @@
     started: Instant,
     checker: Mutex<Checker>,
     over: Mutex<BTreeSet<JobId>>,
-    limits: Mutex<LimitWatch>,
-    takeovers: Mutex<TakeoverWatch>,
+    limits: Mutex<LimitObserver>,
+    takeovers: Mutex<TakeoverObserver>,
 }
 
 impl Shared {
@@ -108,8 +107,8 @@
             started: Instant::now(),
             checker: Mutex::new(checker),
             over: Mutex::new(BTreeSet::new()),
-            limits: Mutex::new(LimitWatch::default()),
-            takeovers: Mutex::new(TakeoverWatch::default()),
+            limits: Mutex::new(LimitObserver::default()),
+            takeovers: Mutex::new(TakeoverObserver::default()),
         }
     }
 
@@ -126,14 +125,14 @@
     }
 
     /// What the cells allow teams, and which changes of that are in force.
-    pub fn limits(&self) -> MutexGuard<'_, LimitWatch> {
+    pub fn limits(&self) -> MutexGuard<'_, LimitObserver> {
         self.limits
             .lock()
             .unwrap_or_else(|broken| broken.into_inner())
     }
 
     /// What is seen of takeovers and orders, where one cell is played.
-    pub fn takeovers(&self) -> MutexGuard<'_, TakeoverWatch> {
+    pub fn takeovers(&self) -> MutexGuard<'_, TakeoverObserver> {
         self.takeovers
             .lock()
             .unwrap_or_else(|broken| broken.into_inner())
@@ -447,10 +446,10 @@
                 if let Ok(view) = value.deserialized() {
                     self.shared
                         .limits()
-                        .block_changed(now, self.plan.index, view);
+                        .shard_written(now, self.plan.index, view);
                 }
                 if let Some(block) = value.deserialized().ok().filter(|_| sole) {
-                    self.shared.takeovers().block_written(now, &block);
+                    self.shared.takeovers().shard_written(now, &block);
                 }
             } else if path == LEADER {
                 if let Some(leader) = value.deserialized().ok().filter(|_| sole) {
@@ -458,10 +457,10 @@
                 }
             } else if let Some(Key::Run(job, _)) = Key::parse(&path) {
                 if let Some(run) = value.deserialized().ok().filter(|_| sole) {
-                    self.shared.takeovers().run_written(&job, &run);
+                    self.shared.takeovers().placement_written(&job, &run);
                 }
             } else if let Ok(record) = value.deserialized() {
-                let limits = self.shared.limits().cell_changed(now, &record);
+                let limits = self.shared.limits().cell_written(now, &record);
                 let mut checker = self.shared.checker();
                 for (team, limit) in limits {
                     checker.set_limit(now, &team, limit);
@@ -478,7 +477,7 @@
         if self.plan.sole && matches!(op, CloudOp::Rent(_) | CloudOp::Delete(_)) {
             let mut watch = self.shared.takeovers();
             let member = &self.plan.members[caller];
-            watch.orders.duties.cloud_changed(now, member);
+            watch.cloud_changed(now, member);
         }
         let (reply, gone) = self.cloud.execute(now, &op);
         for id in gone {
--- a/scale/src/hollow/workers.rs
+++ b/scale/src/hollow/workers.rs
@@ -3,6 +3,7 @@
 use super::cell::{CellPlan, Shared};
 use super::connections::{Connections, Role};
 use super::users::{Jobs, URGENT};
+use crate::observers::WorkerStart;
 use rand::RngExt;
 use rand::rngs::StdRng;
 use salttrestle::http::{self, Message};
@@ -203,7 +204,9 @@
         let number = found.worker.token;
         let events = found.worker.answered(now, sent, answer, members, jobs)?;
         if self.plan.sole && found.worker.token > number {
-            self.shared.takeovers().shown(now, found.worker.token);
+            self.shared
+                .takeovers()
+                .token_acknowledged(now, found.worker.token);
         }
         if found.worker.controller != before
             && let Some(key) = found.connection.take()
@@ -239,9 +242,14 @@
                 TaskEvent::Accepted(task, attempt) if self.plan.sole => {
                     let job = checker.jobs.get(&task.job);
                     let urgent = job.is_some_and(|j| j.record.class == URGENT);
-                    let worker = (found.id.as_str(), found.worker.token);
-                    let mut watch = self.shared.takeovers();
-                    watch.started(now, worker, (&task, attempt), urgent);
+                    let start = WorkerStart {
+                        machine: &found.id,
+                        newest_token: found.worker.token,
+                        task: &task,
+                        attempt,
+                        urgent,
+                    };
+                    self.shared.takeovers().started(now, &start);
                 }
                 TaskEvent::Accepted(..) => {}
                 TaskEvent::Started(task) => {
--- a/scale/src/main.rs
+++ b/scale/src/main.rs
@@ -166,7 +166,7 @@
     std::fs::write(&lines, results.json_lines())?;
     print!("{}", results.table());
     println!("results: {}", lines.display());
-    Ok(match results.good() {
+    Ok(match results.passed() {
         true => ExitCode::SUCCESS,
         false => ExitCode::from(MISSED),
     })
--- /dev/null
+++ b/scale/src/observers/limits.rs
@@ -0,0 +1,122 @@
+//! When a change of a team's limit comes into force, as seen at the stores of all cells.
+
+use salttrestle::controller::store::records::LimitsByTeam;
+use salttrestle_cells::ledger::CellRecord;
+use serde::Deserialize;
+use std::collections::BTreeMap;
+
+/// Tolerance for rounding when quota shares are added up.
+const ROUNDING: f64 = 1e-6;
+
+/// The part of a shard's record that is observed.
+#[derive(Deserialize)]
+pub struct ShardView {
+    /// What each team may use in the shard.
+    #[serde(rename = "allowances", default)]
+    pub quota_shares: Option<LimitsByTeam>,
+}
+
+/// An operator's change of a team's limit that isn't in force yet.
+struct PendingChange {
+    team: String,
+    limit: (f64, f64),
+    direction: Direction,
+    requested_ms: u64,
+}
+
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Direction {
+    Raised,
+    Lowered,
+}
+
+/// The limits and quota shares of all cells, and the changes that aren't in force yet.
+#[derive(Default)]
+pub struct LimitObserver {
+    /// Quota shares of each cell's first shard.
+    quota_shares: BTreeMap<usize, LimitsByTeam>,
+    /// The limits that the home cells have set.
+    home_limits: LimitsByTeam,
+    pending: Vec<PendingChange>,
+    /// Milliseconds until each raised limit was set by the team's home cell.
+    pub raised_ms: Vec<u64>,
+    /// Milliseconds until the quota shares of all cells were within each lowered limit.
+    pub lowered_ms: Vec<u64>,
+    /// Changes that a later one of the same team replaced before they were in force.
+    pub replaced: u64,
+}
+
+impl LimitObserver {
+    /// An operator requests a change of a team's limit.
+    pub fn change_requested(
+        &mut self,
+        now: u64,
+        team: &str,
+        limit: (f64, f64),
+        previous: (f64, f64),
+    ) {
+        let pending = self.pending.len();
+        self.pending.retain(|change| change.team != team);
+        self.replaced += (pending - self.pending.len()) as u64;
+        let raised = limit.1 > previous.1 || limit.0 > previous.0;
+        self.pending.push(PendingChange {
+            team: team.into(),
+            limit,
+            direction: match raised {
+                true => Direction::Raised,
+                false => Direction::Lowered,
+            },
+            requested_ms: now,
+        });
+        self.complete_changes(now);
+    }
+
+    /// A cell's shard record was written.
+    pub fn shard_written(&mut self, now: u64, cell: usize, shard: ShardView) {
+        self.quota_shares
+            .insert(cell, shard.quota_shares.unwrap_or_default());
+        self.complete_changes(now);
+    }
+
+    /// A cell's own record was written; returns the limits that it sets as a home.
+    pub fn cell_written(&mut self, now: u64, record: &CellRecord) -> LimitsByTeam {
+        let limits = record.limits.iter();
+        let limits: LimitsByTeam = limits
+            .map(|(team, amounts)| (team.clone(), amounts.to_pair()))
+            .collect();
+        self.home_limits.extend(limits.clone());
+        self.complete_changes(now);
+        limits
+    }
+
+    /// Number of changes that aren't in force.
+    pub fn pending(&self) -> usize {
+        self.pending.len()
+    }
+
+    /// Records the latency of each change that has come into force.
+    fn complete_changes(&mut self, now: u64) {
+        let (in_force, pending): (Vec<_>, Vec<_>) = std::mem::take(&mut self.pending)
+            .into_iter()
+            .partition(|change| self.is_in_force(change));
+        self.pending = pending;
+        for change in in_force {
+            let latency_ms = now - change.requested_ms;
+            match change.direction {
+                Direction::Raised => self.raised_ms.push(latency_ms),
+                Direction::Lowered => self.lowered_ms.push(latency_ms),
+            }
+        }
+    }
+
+    fn is_in_force(&self, change: &PendingChange) -> bool {
+        if change.direction == Direction::Raised {
+            return self.home_limits.get(&change.team) == Some(&change.limit);
+        }
+        let shares = self.quota_shares.values();
+        let (cpus, gpus) = shares
+            .filter_map(|shares| shares.get(&change.team))
+            .fold((0.0, 0.0), |sum, share| (sum.0 + share.0, sum.1 + share.1));
+        cpus <= change.limit.0 + ROUNDING && gpus <= change.limit.1 + ROUNDING
+    }
+}
--- /dev/null
+++ b/scale/src/results/mod.rs
@@ -0,0 +1,11 @@
+//! The results of a run: rows that are stored as JSON lines, and a table for people.
+
+mod latency;
+mod rows;
+mod table;
+
+pub use latency::LatencyRow;
+pub use rows::{
+    HollowRow, LateJobRow, ProcessRow, Results, Row, RunRow, SampleRow, StoreRow, TakeoverRow,
+    TrafficRow,
+};
--- /dev/null
+++ b/scale/src/results/table.rs
@@ -0,0 +1,110 @@
+//! The table of results that is printed after a run.
+
+use super::rows::{ProcessRow, Results, Row, RunRow, StoreRow, TrafficRow};
+use std::fmt::Write as _;
+
+impl Results {
+    /// The table that is printed at the end.
+    pub fn table(&self) -> String {
+        let mut text = String::new();
+        for row in &self.rows {
+            if let Some(line) = row_line(row) {
+                let _ = writeln!(text, "{line}");
+            }
+        }
+        if let Some(run) = self.run() {
+            text += &run_lines(run);
+        }
+        text
+    }
+}
+
+/// The line of one row, if the table has one.
+fn row_line(row: &Row) -> Option<String> {
+    match row {
+        Row::Run(_) | Row::Sample(_) | Row::LateJob(_) | Row::Takeover(_) => None,
+        Row::Process(process) => Some(process_line(process)),
+        Row::Traffic(traffic) => Some(traffic_line(traffic)),
+        Row::Store(store) => Some(store_line(store)),
+        Row::Latency(latency) => Some(format!(
+            "{:<21} {:>6} times: p50 {} ms, p95 {} ms, p99 {} ms, at most {} ms",
+            latency.what, latency.count, latency.p50, latency.p95, latency.p99, latency.max,
+        )),
+        Row::Hollow(hollow) => Some(format!(
+            "{:<12} hollow   {:>9.3} cores",
+            hollow.cell, hollow.cores
+        )),
+    }
+}
+
+fn traffic_line(traffic: &TrafficRow) -> String {
+    format!(
+        "{:<12} {:<8} {:>9.1} messages/s and {:>9.1} KB/s in, {:>9.1} and {:>9.1} out",
+        traffic.cell,
+        traffic.connection,
+        traffic.messages_in,
+        traffic.bytes_in / 1e3,
+        traffic.messages_out,
+        traffic.bytes_out / 1e3,
+    )
+}
+
+fn store_line(store: &StoreRow) -> String {
+    format!(
+        "{:<12} state    {:>9.1} requests/s, {:.1} changes/s in {:.1} commits/s, {:.1} conflicts/s, \
+         {:.1} refused/s, {} keys",
+        store.cell,
+        store.requests,
+        store.changes,
+        store.commits,
+        store.conflicts,
+        store.rejected,
+        store.keys,
+    )
+}
+
+fn process_line(process: &ProcessRow) -> String {
+    let role = if process.owner { "holder" } else { "relay" };
+    let cpu = match process.restarted {
+        true => "restarted meanwhile".to_string(),
+        false => format!(
+            "{:.3} cores ({:.3} user, {:.3} system)",
+            process.user_cores + process.system_cores,
+            process.user_cores,
+            process.system_cores
+        ),
+    };
+    format!(
+        "{:<12} {role:<8} {cpu}, {:.1} MiB at its peak, {} files",
+        process.controller_id, process.memory_mb, process.files
+    )
+}
+
+fn run_lines(run: &RunRow) -> String {
+    let mut text = format!(
+        "{}: {} workers in {} cells, {} controllers, {} teams; {:.0} tasks ran, {:.1} starts/s \
+         ({} at most, {} in all), {} jobs; {} tasks killed by leases, {} requests of users failed\n",
+        run.name,
+        run.workers,
+        run.cells,
+        run.controllers,
+        run.teams,
+        run.tasks,
+        run.starts_per_s,
+        run.starts_peak,
+        run.starts,
+        run.jobs,
+        run.killed,
+        run.user_failures,
+    );
+    for violation in &run.violations {
+        let _ = writeln!(text, "RULE BROKEN: {violation}");
+    }
+    for objective in &run.missed_objectives {
+        let _ = writeln!(text, "aim missed: {objective}");
+    }
+    if run.violations.is_empty() {
+        text += "no rule was broken\n";
+    }
+    text
+}
--- a/scale/src/run.rs
+++ b/scale/src/run.rs
@@ -2,14 +2,15 @@
 
 use crate::controllers::{Controller, RunPaths, Termination};
 use crate::experiment::{ControllerRole, Experiment, Fault, FaultKind, LeaderEnd, MEMORY_MAX_MB};
-use crate::hollow::{CellPlan, CellSample, Command, HollowCell, Shared};
+use crate::hollow::{CellPlan, CellSample, Command, HollowCell, Shared, Traffic};
 use crate::layout::{CellAddresses, ControllerIndex, home_cell, team_name};
 use crate::link_proxy::{Direction, LinkProxy, PartitionKind};
 use crate::procfs::{CpuTime, process_cpu, process_files, process_memory};
 use crate::results::{
-    HollowRow, LateRow, LatencyRow, LinkRow, ProcessRow, Results, Row, RunRow, SecondRow, StateRow,
+    HollowRow, LateJobRow, LatencyRow, ProcessRow, Results, Row, RunRow, SampleRow, StoreRow,
+    TrafficRow,
 };
-use crate::takeovers::Schedule;
+use crate::takeover_schedule::TakeoverSchedule;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use salttrestle_fakes::checker::{Checker, JobView};
@@ -100,7 +101,7 @@
     /// Controllers to start again, and those to let go on, by when.
     restarts: Vec<(Instant, usize)>,
     resumes: Vec<(Instant, usize)>,
-    seconds: Vec<SecondRow>,
+    seconds: Vec<SampleRow>,
     self_ended: Vec<String>,
     links: LinkProxy,
     rng: StdRng,
@@ -225,7 +226,8 @@
             .map_or(0.0, |s| s.changes_per_s);
         let mut next_change = phases.ramp_s;
         let plan = self.experiment.takeovers.as_ref();
-        let mut ends = plan.map(|plan| Schedule::new(plan, self.experiment.seed, measure_from));
+        let mut ends =
+            plan.map(|plan| TakeoverSchedule::new(plan, self.experiment.seed, measure_from));
         let (mut from, mut to): (Option<Mark>, Option<Mark>) = (None, None);
         loop {
             std::thread::sleep(LOOK);
@@ -235,7 +237,7 @@
                 self.strike(fault)?;
             }
             self.bring_back()?;
-            if let Some(kind) = ends.as_mut().and_then(|ends| ends.due(at_s)) {
+            if let Some(kind) = ends.as_mut().and_then(|ends| ends.next_due(at_s)) {
                 self.end_leader(kind)?;
             }
             while changes_per_s > 0.0 && at_s >= next_change && at_s < measure_to {
@@ -289,7 +291,7 @@
         let before = self.seconds.iter().fold((0, 0), |(starts, changes), s| {
             (starts + s.starts, changes + s.changes)
         });
-        let second = SecondRow {
+        let second = SampleRow {
             at_s,
             starts: starts - before.0,
             tasks: sum(|s| s.tasks),
@@ -393,7 +395,9 @@
         };
         info!("{} ends: {kind:?}", self.controllers[n].id);
         let after = |s: f64| Instant::now() + Duration::from_secs_f64(s);
-        self.shared.takeovers().ended(self.shared.now_ms(), kind);
+        self.shared
+            .takeovers()
+            .leader_ended(self.shared.now_ms(), kind);
         match kind {
             LeaderEnd::Kill => {
                 self.controllers[n].kill();
@@ -427,7 +431,9 @@
             .get(&name)
             .copied()
             .unwrap_or_default();
-        self.shared.limits().asked(now, &name, limit, before);
+        self.shared
+            .limits()
+            .change_requested(now, &name, limit, before);
         self.tell(
             home_cell(self.experiment, team),
             Command::SetLimit(name, limit),
@@ -530,7 +536,7 @@
         }
         rows.extend(self.shared.takeovers().result_rows());
         rows.extend(self.late_rows(&checker));
-        rows.extend(self.seconds.iter().cloned().map(Row::Second));
+        rows.extend(self.seconds.iter().cloned().map(Row::Sample));
         drop(checker);
         if self.experiment.sharing.is_some() {
             let limits = self.shared.limits();
@@ -541,7 +547,7 @@
             info!(
                 "{} changes of limits replaced before they were in force, {} not in force",
                 limits.replaced,
-                limits.open()
+                limits.pending()
             );
         }
         let mut run = self.run_row(from, to, window_s);
@@ -561,7 +567,7 @@
             j.record.class == "urgent" && waited.is_none_or(|waited| waited > within_s)
         });
         let rows = urgent.map(|(id, j)| {
-            Row::Late(LateRow {
+            Row::LateJob(LateJobRow {
                 job: id.to_string(),
                 team: j.record.team.clone(),
                 at_s: seconds(j.submitted_at.saturating_sub(self.load_from_ms)),
@@ -617,8 +623,8 @@
             jobs: checker.jobs.len(),
             killed: last.iter().map(|s| s.killed).sum(),
             user_failures: last.iter().map(|s| s.user_failures).sum(),
-            broken,
-            missed: self.missed_aims(&checker, open, starts_per_s),
+            violations: broken,
+            missed_objectives: self.missed_aims(&checker, open, starts_per_s),
         }
     }
 
@@ -638,10 +644,10 @@
                 missed.push(format!("limits {what}: in force after {p99} ms at p99"));
             }
         }
-        if limits.open() > 0 {
+        if limits.pending() > 0 {
             missed.push(format!(
                 "{} changes of limits never came into force",
-                limits.open()
+                limits.pending()
             ));
         }
         missed
@@ -706,8 +712,8 @@
     let pid = controller.pid();
     ProcessRow {
         cell: cell.into(),
-        member: controller.id.clone(),
-        holder,
+        controller_id: controller.id.clone(),
+        owner: holder,
         user_cores: cores(|cpu| cpu.user_s),
         system_cores: cores(|cpu| cpu.system_s),
         memory_mb: pid
@@ -722,14 +728,14 @@
     let state = to.state.since(from.state);
     let rate = |count: u64| count as f64 / window_s;
     let mut rows = vec![
-        Row::State(StateRow {
+        Row::Store(StoreRow {
             cell: name.into(),
             requests: rate(state.requests),
-            follows: rate(state.follows),
+            watches: rate(state.follows),
             commits: rate(state.commits),
             changes: rate(state.changes),
             conflicts: rate(state.conflicts),
-            refused: rate(state.refused),
+            rejected: rate(state.refused),
             keys: to.keys,
         }),
         Row::Hollow(HollowRow {
@@ -739,11 +745,23 @@
     ];
     let links = from.traffic.iter().zip(&to.traffic);
     rows.extend(links.map(|((link, before), (_, after))| {
-        Row::Link(LinkRow::new(name, link, after.since(*before), window_s))
+        Row::Traffic(traffic_row(name, link, after.since(*before), window_s))
     }));
     rows
 }
 
+fn traffic_row(cell: &str, connection: &str, traffic: Traffic, window_s: f64) -> TrafficRow {
+    let rate = |count: u64| count as f64 / window_s;
+    TrafficRow {
+        cell: cell.into(),
+        connection: connection.into(),
+        messages_in: rate(traffic.messages_in),
+        messages_out: rate(traffic.messages_out),
+        bytes_in: rate(traffic.bytes_in),
+        bytes_out: rate(traffic.bytes_out),
+    }
+}
+
 fn missed_aims(
     experiment: &Experiment,
     checker: &Checker,
--- a/scale/src/sweep.rs
+++ b/scale/src/sweep.rs
@@ -205,7 +205,7 @@
         experiment.network = Ipv4Addr::new(a, apart, c, d);
         let varied = (self.axis.to_string(), self.value);
         let results = play(&experiment, Some(varied), RunPaths { program, folder })?;
-        let seconds = |row: &Row| !matches!(row, Row::Second(_));
+        let seconds = |row: &Row| !matches!(row, Row::Sample(_));
         // The run's own row comes first: those that follow are its.
         let mut rows: Vec<Row> = results.rows.into_iter().filter(seconds).collect();
         rows.rotate_right(1);
--- a/scale/tests/capacity_page.rs
+++ b/scale/tests/capacity_page.rs
@@ -56,7 +56,7 @@
             ..RunRow::default()
         };
         let process = ProcessRow {
-            holder: true,
+            owner: true,
             user_cores: 0.01 + cost(workers),
             ..ProcessRow::default()
         };
--- a/scale/tests/limit_watch.rs
+++ b/scale/tests/limit_observer.rs
@@ -1,9 +1,9 @@
-//! The part of a shard's record that the limit watch reads is the one that controllers store.
+//! The part of a shard's record that the observer of limits reads is the one that controllers store.
 
 use ciborium::Value;
 use salttrestle::controller::store::records::ShardRecord;
 use salttrestle::ids::{ControllerId, FencingToken};
-use salttrestle_scale::limit_watch::BlockView;
+use salttrestle_scale::observers::ShardView;
 
 #[test]
 fn shard_view_when_quota_shares_are_stored_then_reads_them() {
@@ -16,6 +16,6 @@
         quota_shares: Some(quota_shares),
     };
     let stored = Value::serialized(&record).expect("a record can be stored");
-    let view: BlockView = stored.deserialized().expect("the view can be read");
+    let view: ShardView = stored.deserialized().expect("the view can be read");
     assert_eq!(view.quota_shares, record.quota_shares);
 }
--- a/scale/tests/playing/mod.rs
+++ b/scale/tests/playing/mod.rs
@@ -18,7 +18,7 @@
     let results = play(&experiment, None, paths).expect("it is played");
     println!("{}", results.table());
     let run = results.run().expect("a row for the run");
-    assert_eq!(run.broken, Vec::<String>::new());
-    assert_eq!(run.missed, Vec::<String>::new());
+    assert_eq!(run.violations, Vec::<String>::new());
+    assert_eq!(run.missed_objectives, Vec::<String>::new());
     results
 }
