--- /dev/null
+++ b/scale/src/hollow/cloud.rs
@@ -0,0 +1,200 @@
+//! The cloud of one cell: the fake cloud with one machine type, behind the protocol's requests.
+
+use super::plan::CellPlan;
+use super::request::{Response, StartLine};
+use crate::controllers::CLOUD_LIST_LAG;
+use salttrestle::controller::store::records::{Resources, ScaleOutRecord};
+use salttrestle::http::Message;
+use salttrestle::ids::MachineId;
+use salttrestle::wire::{self, CloudOp, CloudReply, Listed, MachineStatus, MachineType};
+use salttrestle_fakes::cloud::Cloud;
+use serde::{Deserialize, Serialize};
+
+/// The only machine type.
+pub(super) const MACHINE_TYPE: &str = "hollow-rig";
+/// Price of a machine per hour; nothing depends on it.
+const PRICE: f64 = 10.0;
+const CACHE_GB: f64 = 200.0;
+const FETCH_GB_S: f64 = 5.0;
+
+#[derive(Deserialize)]
+struct ScaleOutBody {
+    #[serde(rename = "hire")]
+    name: String,
+    #[serde(rename = "build")]
+    class: String,
+    #[serde(rename = "quarter")]
+    zone: String,
+    #[serde(rename = "borrowed")]
+    spot: bool,
+    #[serde(rename = "number")]
+    count: u32,
+}
+
+#[derive(Deserialize)]
+struct DeleteBody {
+    #[serde(rename = "rigs")]
+    machines: Vec<MachineId>,
+}
+
+#[derive(Serialize)]
+struct CatalogBody<'a> {
+    #[serde(rename = "builds")]
+    types: Vec<TypeBody<'a>>,
+}
+
+#[derive(Serialize)]
+struct TypeBody<'a> {
+    name: &'a str,
+    #[serde(rename = "cores")]
+    cpus: f64,
+    #[serde(rename = "accelerators")]
+    gpus: f64,
+    #[serde(rename = "memGb")]
+    mem_gb: f64,
+    #[serde(rename = "localGb")]
+    cache_gb: f64,
+    #[serde(rename = "fetchGbPerS")]
+    fetch_gb_s: f64,
+    #[serde(rename = "rate")]
+    price: f64,
+    #[serde(rename = "lowPrice")]
+    spot_price: f64,
+    #[serde(rename = "readyS")]
+    ready_s: f64,
+    #[serde(rename = "quarters")]
+    zones: &'a [String],
+}
+
+#[derive(Serialize)]
+struct CreatedBody<'a> {
+    #[serde(rename = "rigs")]
+    machines: &'a [MachineId],
+}
+
+#[derive(Serialize)]
+struct ListBody<'a> {
+    #[serde(rename = "rigs")]
+    machines: Vec<MachineBody<'a>>,
+    #[serde(rename = "hasNext")]
+    has_next: bool,
+}
+
+#[derive(Serialize)]
+struct MachineBody<'a> {
+    id: &'a str,
+    endpoint: Option<&'a str>,
+    #[serde(rename = "build")]
+    class: &'a str,
+    #[serde(rename = "quarter")]
+    zone: &'a str,
+    #[serde(rename = "borrowed")]
+    spot: bool,
+    #[serde(rename = "stance")]
+    status: &'static str,
+    #[serde(rename = "ageS")]
+    age_s: f64,
+}
+
+/// The fake cloud of a cell.
+pub(super) fn fake_cloud(plan: &CellPlan) -> Cloud {
+    let [cpus, gpus, mem] = plan.service.machine;
+    let machine_type = MachineType {
+        name: MACHINE_TYPE.into(),
+        resources: Resources { cpus, gpus, mem },
+        cache_gb: CACHE_GB,
+        fetch_gb_s: FETCH_GB_S,
+        price: PRICE,
+        spot_price: PRICE,
+        ready_s: plan.service.boot_s,
+        zones: plan.zones.clone(),
+    };
+    let (spare, zones) = (plan.spare_machines, plan.zones.len() as u32);
+    let capacity = plan.zones.iter().enumerate().map(|(index, zone)| {
+        let remainder = u32::from((index as u32) < spare % zones);
+        let pool = (MACHINE_TYPE.to_string(), zone.clone(), false);
+        (pool, spare / zones + remainder)
+    });
+    Cloud {
+        catalog: vec![machine_type],
+        capacity: capacity.collect(),
+        lag_ms: CLOUD_LIST_LAG.as_millis() as u64,
+        ..Cloud::default()
+    }
+}
+
+/// Decodes a request; `None` if it is malformed.
+pub(super) fn decode_request(request: &Message) -> Option<CloudOp> {
+    let start = StartLine::of(request);
+    match (start.method, start.path) {
+        ("GET", "/catalog") => Some(CloudOp::Catalog),
+        ("GET", "/rentals") => {
+            let after = start.query.text("after").map(MachineId::from);
+            Some(CloudOp::List { after })
+        }
+        ("POST", "/rentals") => {
+            let body: ScaleOutBody = wire::decode(&request.body)?;
+            Some(CloudOp::Rent(ScaleOutRecord {
+                name: body.name,
+                class: body.class,
+                zone: body.zone,
+                spot: body.spot,
+                count: body.count,
+            }))
+        }
+        ("POST", "/rentals/delete") => {
+            let body: DeleteBody = wire::decode(&request.body)?;
+            Some(CloudOp::Delete(body.machines))
+        }
+        _ => None,
+    }
+}
+
+/// Encodes a response.
+pub(super) fn encode_response(reply: &CloudReply) -> Response {
+    match reply {
+        CloudReply::Catalog(types) => {
+            let types = types.iter().map(type_body).collect();
+            Response::ok(wire::encode(&CatalogBody { types }))
+        }
+        CloudReply::Rented(machines) => Response::ok(wire::encode(&CreatedBody { machines })),
+        CloudReply::Refused => Response::error(503, "no capacity"),
+        CloudReply::Deleted => Response::ok(Vec::new()),
+        CloudReply::Page { machines, more } => Response::ok(wire::encode(&ListBody {
+            machines: machines.iter().map(machine_body).collect(),
+            has_next: *more,
+        })),
+        CloudReply::Trouble | CloudReply::NoAnswer => Response::error(503, "trouble"),
+    }
+}
+
+fn type_body(machine_type: &MachineType) -> TypeBody<'_> {
+    TypeBody {
+        name: &machine_type.name,
+        cpus: machine_type.resources.cpus,
+        gpus: machine_type.resources.gpus,
+        mem_gb: machine_type.resources.mem,
+        cache_gb: machine_type.cache_gb,
+        fetch_gb_s: machine_type.fetch_gb_s,
+        price: machine_type.price,
+        spot_price: machine_type.spot_price,
+        ready_s: machine_type.ready_s,
+        zones: &machine_type.zones,
+    }
+}
+
+fn machine_body(machine: &Listed) -> MachineBody<'_> {
+    MachineBody {
+        id: &machine.id,
+        endpoint: machine.endpoint.as_deref(),
+        class: &machine.class,
+        zone: &machine.zone,
+        spot: machine.spot,
+        status: match machine.status {
+            MachineStatus::Starting => "starting",
+            MachineStatus::Running => "running",
+            MachineStatus::Failed => "failed",
+        },
+        age_s: machine.age_s(),
+    }
+}
--- a/scale/src/hollow/connections.rs
+++ b/scale/src/hollow/connections.rs
@@ -1,144 +1,127 @@
-//! Connections of the hollow side: accepted and made, read and written without waiting.
+//! Connections of the hollow side, accepted and opened, with non-blocking reads and writes.
 
+use super::traffic::{ConnectionKind, KindTraffic, Traffic};
 use polling::{Event as PollEvent, Events, PollMode, Poller};
 use salttrestle::http::{Decoder, Message, Side};
-use serde::{Deserialize, Serialize};
 use socket2::{Domain, Socket, Type};
 use std::collections::HashMap;
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, SocketAddrV4, TcpListener, TcpStream};
 use std::time::Duration;
 
-const STATE_LISTENER: usize = 0;
-/// The cloud has a listener for each controller.
+const STORE_LISTENER: usize = 0;
+/// The first of the cloud's listeners, of which there is one for each controller.
 const FIRST_CLOUD_LISTENER: usize = 1;
 const FIRST_CONNECTION: usize = 1_000;
 const READ_BYTES: usize = 64 * 1024;
-/// Most bytes of a body that is taken.
+/// Longest body of a message, in bytes.
 const BODY_MAX: usize = 8 << 20;
 
 /// What a connection is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Role {
+pub(super) enum Role {
     /// A controller calls the store.
-    State,
+    Store,
     /// A controller, by its index, calls the cloud.
     Cloud(usize),
-    /// A worker heartbeats, by its index.
+    /// A worker, by its index, sends heartbeats.
     Worker(usize),
-    /// A user asks, at a controller by its index.
+    /// Users call a controller, by its index.
     User(usize),
-    /// The balancer asks a controller whether it is healthy.
+    /// The load balancer probes the health of a controller, by its index.
     Probe(usize),
 }
 
-/// What went over connections of one kind, counted where the hollow side reads and writes.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Traffic {
-    /// Messages from controllers.
-    pub messages_in: u64,
-    /// Messages to controllers.
-    pub messages_out: u64,
-    /// Bytes from controllers.
-    pub bytes_in: u64,
-    /// Bytes to controllers.
-    pub bytes_out: u64,
-}
-
-impl Traffic {
-    /// What was added since an earlier count.
-    pub fn since(self, earlier: Traffic) -> Traffic {
-        Traffic {
-            messages_in: self.messages_in - earlier.messages_in,
-            messages_out: self.messages_out - earlier.messages_out,
-            bytes_in: self.bytes_in - earlier.bytes_in,
-            bytes_out: self.bytes_out - earlier.bytes_out,
-        }
-    }
-}
-
-/// Kinds of connections whose traffic is counted apart.
-pub const LINKS: [&str; 5] = ["state", "cloud", "worker", "user", "probe"];
-
 impl Role {
-    fn link(self) -> usize {
+    fn kind(self) -> ConnectionKind {
         match self {
-            Role::State => 0,
-            Role::Cloud(_) => 1,
-            Role::Worker(_) => 2,
-            Role::User(_) => 3,
-            Role::Probe(_) => 4,
+            Self::Store => ConnectionKind::Store,
+            Self::Cloud(_) => ConnectionKind::Cloud,
+            Self::Worker(_) => ConnectionKind::Worker,
+            Self::User(_) => ConnectionKind::User,
+            Self::Probe(_) => ConnectionKind::Probe,
         }
     }
 
     fn side(self) -> Side {
         match self {
-            Role::State | Role::Cloud(_) => Side::Request,
+            Self::Store | Self::Cloud(_) => Side::Request,
             _ => Side::Response,
         }
     }
 }
 
-/// What came over a connection.
-pub enum Arrival {
-    /// A whole message.
-    Message(usize, Role, Message),
-    /// The connection is gone.
-    ExhaustedPool(usize, Role),
+/// An event of a connection.
+pub(super) struct ConnectionEvent {
+    /// The connection.
+    pub(super) key: usize,
+    /// What it is for.
+    pub(super) role: Role,
+    /// What happened.
+    pub(super) kind: EventKind,
+}
+
+/// What happened on a connection.
+pub(super) enum EventKind {
+    /// A complete message was received.
+    Message(Message),
+    /// The connection is closed.
+    Closed,
 }
 
 struct Connection {
     stream: TcpStream,
     role: Role,
     decoder: Decoder,
-    out: Vec<u8>,
-    writing: bool,
+    /// Bytes that wait until the socket accepts them.
+    unsent: Vec<u8>,
+    /// The poller reports when the socket is writable.
+    awaits_writable: bool,
 }
 
 /// All connections of one cell's hollow side.
-pub struct Connections {
+pub(super) struct Connections {
     poller: Poller,
     events: Events,
-    state_listener: TcpListener,
+    store_listener: TcpListener,
     cloud_listeners: Vec<TcpListener>,
     open: HashMap<usize, Connection>,
     next_key: usize,
     buffer: Vec<u8>,
-    /// Traffic by kind, in the order of `LINKS`.
-    pub traffic: [Traffic; LINKS.len()],
+    /// Traffic by kind, in the order of `ConnectionKind::ALL`.
+    traffic: [Traffic; ConnectionKind::ALL.len()],
 }
 
 impl Connections {
     /// Listens for the cell's controllers.
-    pub fn new(state: SocketAddrV4, clouds: &[SocketAddrV4]) -> io::Result<Self> {
+    pub(super) fn new(store: SocketAddrV4, clouds: &[SocketAddrV4]) -> io::Result<Self> {
         let poller = Poller::new()?;
-        let state_listener = listen(&poller, state, STATE_LISTENER)?;
+        let store_listener = listen(&poller, store, STORE_LISTENER)?;
         let cloud_listeners = clouds
             .iter()
             .enumerate()
-            .map(|(n, cloud)| listen(&poller, *cloud, FIRST_CLOUD_LISTENER + n));
+            .map(|(index, cloud)| listen(&poller, *cloud, FIRST_CLOUD_LISTENER + index));
         let cloud_listeners = cloud_listeners.collect::<io::Result<_>>()?;
         Ok(Self {
             poller,
             events: Events::new(),
-            state_listener,
+            store_listener,
             cloud_listeners,
             open: HashMap::new(),
             next_key: FIRST_CONNECTION,
             buffer: vec![0; READ_BYTES],
-            traffic: [Traffic::default(); LINKS.len()],
+            traffic: [Traffic::default(); ConnectionKind::ALL.len()],
         })
     }
 
-    /// Begins a connection to a controller.
-    pub fn connect(&mut self, to: SocketAddrV4, role: Role) -> io::Result<usize> {
+    /// Opens a connection to a controller, without waiting until it is established.
+    pub(super) fn connect(&mut self, to: SocketAddrV4, role: Role) -> io::Result<usize> {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
         socket.set_nonblocking(true)?;
         match socket.connect(&SocketAddr::V4(to).into()) {
             Ok(()) => {}
-            Err(e) if e.raw_os_error() == Some(rustix::io::Errno::INPROGRESS.raw_os_error()) => {}
-            Err(e) if e.kind() == ErrorKind::WouldBlock => {}
-            Err(e) => return Err(e),
+            Err(error) if is_in_progress(&error) => {}
+            Err(error) => return Err(error),
         }
         self.add(socket.into(), role)
     }
@@ -157,42 +140,42 @@
             stream,
             role,
             decoder: Decoder::new(role.side(), BODY_MAX),
-            out: Vec::new(),
-            writing: false,
+            unsent: Vec::new(),
+            awaits_writable: false,
         };
         self.open.insert(key, connection);
         Ok(key)
     }
 
-    /// Sends a message, now or as soon as the connection takes it.
-    pub fn send(&mut self, key: usize, bytes: &[u8]) {
+    /// Sends a message, now or as soon as the socket is writable.
+    pub(super) fn send(&mut self, key: usize, bytes: &[u8]) {
         let Some(connection) = self.open.get_mut(&key) else {
             return;
         };
-        let traffic = &mut self.traffic[connection.role.link()];
+        let traffic = &mut self.traffic[connection.role.kind() as usize];
         traffic.messages_out += 1;
         traffic.bytes_out += bytes.len() as u64;
-        connection.out.extend_from_slice(bytes);
+        connection.unsent.extend_from_slice(bytes);
         self.flush(key);
     }
 
-    /// Writes what a connection takes. One that has failed is found when it is read.
+    /// Writes as much as the socket accepts. A failed connection is found when it is read.
     fn flush(&mut self, key: usize) {
         let Some(connection) = self.open.get_mut(&key) else {
             return;
         };
-        while !connection.out.is_empty() {
-            match connection.stream.write(&connection.out) {
+        while !connection.unsent.is_empty() {
+            match connection.stream.write(&connection.unsent) {
                 Ok(0) => break,
-                Ok(n) => drop(connection.out.drain(..n)),
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
+                Ok(length) => drop(connection.unsent.drain(..length)),
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(_) => break,
             }
         }
-        let writing = !connection.out.is_empty();
-        if writing != connection.writing {
-            connection.writing = writing;
-            let interest = PollEvent::new(key, true, writing);
+        let pending = !connection.unsent.is_empty();
+        if pending != connection.awaits_writable {
+            connection.awaits_writable = pending;
+            let interest = PollEvent::new(key, true, pending);
             let stream = &connection.stream;
             let _ = self
                 .poller
@@ -200,32 +183,44 @@
         }
     }
 
-    /// Closes a connection without a word.
-    pub fn close(&mut self, key: usize) {
+    /// Closes a connection.
+    pub(super) fn close(&mut self, key: usize) {
         if let Some(connection) = self.open.remove(&key) {
             let _ = self.poller.delete(&connection.stream);
         }
     }
 
-    /// Stops reading a connection and leaves it open: the other side sees a silent machine.
-    pub fn silence(&mut self, key: usize) {
+    /// Stops reading a connection and leaves it open, as a failed machine does.
+    pub(super) fn silence(&mut self, key: usize) {
         if let Some(connection) = self.open.get(&key) {
             let _ = self.poller.delete(&connection.stream);
         }
     }
 
-    /// Waits for at most `patience`, and hands out what came.
-    pub fn wait(&mut self, patience: Duration, arrivals: &mut Vec<Arrival>) -> io::Result<()> {
+    /// Traffic by kind.
+    pub(super) fn traffic(&self) -> Vec<KindTraffic> {
+        let kinds = ConnectionKind::ALL.into_iter().zip(self.traffic);
+        kinds
+            .map(|(kind, traffic)| KindTraffic { kind, traffic })
+            .collect()
+    }
+
+    /// Waits for at most `timeout`, and appends the events of the connections.
+    pub(super) fn wait(
+        &mut self,
+        timeout: Duration,
+        received: &mut Vec<ConnectionEvent>,
+    ) -> io::Result<()> {
         self.events.clear();
-        match self.poller.wait(&mut self.events, Some(patience)) {
+        match self.poller.wait(&mut self.events, Some(timeout)) {
             Ok(_) => {}
-            Err(e) if e.kind() == ErrorKind::Interrupted => return Ok(()),
-            Err(e) => return Err(e),
+            Err(error) if error.kind() == ErrorKind::Interrupted => return Ok(()),
+            Err(error) => return Err(error),
         }
         let events: Vec<PollEvent> = self.events.iter().collect();
         for event in events {
             match event.key {
-                STATE_LISTENER => self.accept(Role::State)?,
+                STORE_LISTENER => self.accept(Role::Store)?,
                 key if key < FIRST_CONNECTION => {
                     self.accept(Role::Cloud(key - FIRST_CLOUD_LISTENER))?;
                 }
@@ -234,7 +229,7 @@
                         self.flush(key);
                     }
                     if event.readable {
-                        self.read(key, arrivals);
+                        self.read(key, received);
                     }
                 }
             }
@@ -245,49 +240,35 @@
     fn accept(&mut self, role: Role) -> io::Result<()> {
         loop {
             let listener = match role {
-                Role::Cloud(n) => &self.cloud_listeners[n],
-                _ => &self.state_listener,
+                Role::Cloud(controller) => &self.cloud_listeners[controller],
+                _ => &self.store_listener,
             };
             match listener.accept() {
                 Ok((stream, _)) => {
                     stream.set_nonblocking(true)?;
                     self.add(stream, role)?;
                 }
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(()),
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) => return Err(e),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(()),
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error) => return Err(error),
             }
         }
     }
 
-    fn read(&mut self, key: usize, arrivals: &mut Vec<Arrival>) {
+    fn read(&mut self, key: usize, received: &mut Vec<ConnectionEvent>) {
         let Some(connection) = self.open.get_mut(&key) else {
             return;
         };
         let role = connection.role;
-        let mut closed = false;
-        loop {
-            match connection.stream.read(&mut self.buffer) {
-                Ok(0) => closed = true,
-                Ok(n) => {
-                    self.traffic[role.link()].bytes_in += n as u64;
-                    connection.decoder.feed(&self.buffer[..n]);
-                    if n == self.buffer.len() {
-                        continue;
-                    }
-                }
-                Err(e) if e.kind() == ErrorKind::Interrupted => continue,
-                Err(e) if e.kind() == ErrorKind::WouldBlock => {}
-                Err(_) => closed = true,
-            }
-            break;
-        }
+        let traffic = &mut self.traffic[role.kind() as usize];
+        let mut closed = connection.receive(&mut self.buffer, traffic);
         loop {
             match connection.decoder.next_message() {
                 Ok(Some(message)) => {
                     closed |= message.close;
-                    self.traffic[role.link()].messages_in += 1;
-                    arrivals.push(Arrival::Message(key, role, message));
+                    traffic.messages_in += 1;
+                    let kind = EventKind::Message(message);
+                    received.push(ConnectionEvent { key, role, kind });
                 }
                 Ok(None) => break,
                 Err(_) => {
@@ -298,11 +279,38 @@
         }
         if closed {
             self.close(key);
-            arrivals.push(Arrival::ExhaustedPool(key, role));
+            let kind = EventKind::Closed;
+            received.push(ConnectionEvent { key, role, kind });
         }
     }
 }
 
+impl Connection {
+    /// Feeds the decoder with all bytes that can be read; true if the connection is closed.
+    fn receive(&mut self, buffer: &mut [u8], traffic: &mut Traffic) -> bool {
+        loop {
+            match self.stream.read(buffer) {
+                Ok(0) => return true,
+                Ok(length) => {
+                    traffic.bytes_in += length as u64;
+                    self.decoder.feed(&buffer[..length]);
+                    if length < buffer.len() {
+                        return false;
+                    }
+                }
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error) => return error.kind() != ErrorKind::WouldBlock,
+            }
+        }
+    }
+}
+
+/// Whether a connection is being established.
+fn is_in_progress(error: &io::Error) -> bool {
+    error.raw_os_error() == Some(rustix::io::Errno::INPROGRESS.raw_os_error())
+        || error.kind() == ErrorKind::WouldBlock
+}
+
 fn listen(poller: &Poller, at: SocketAddrV4, key: usize) -> io::Result<TcpListener> {
     let listener = TcpListener::bind(at)?;
     listener.set_nonblocking(true)?;
--- a/scale/src/hollow/mod.rs
+++ b/scale/src/hollow/mod.rs
@@ -1,12 +1,24 @@
-//! One cell's outside world: workers, users, cloud and store, in one thread.
+//! The hollow side of one cell: its workers, users, cloud and store, which speak the protocols with
+//! real controllers. One thread plays all of them.
 
 mod cell;
-mod cloud_service;
+mod cloud;
+mod commands;
 mod connections;
-mod state_service;
+mod jobs;
+mod plan;
+mod request;
+mod shared;
+mod store;
+mod timers;
+mod traffic;
 mod users;
 mod workers;
 
-pub use cell::{CellPlan, CellSample, Command, HollowCell, Shared};
-pub use connections::Traffic;
-pub use state_service::StateCounts;
+pub use cell::HollowCell;
+pub use commands::{CellSample, Command};
+pub use jobs::{BATCH, SERVICE, URGENT};
+pub use plan::CellPlan;
+pub use shared::SharedState;
+pub use store::StoreCounts;
+pub use traffic::{ConnectionKind, KindTraffic, Traffic};
--- /dev/null
+++ b/scale/src/hollow/store/watches.rs
@@ -0,0 +1,77 @@
+//! Watches of the store: requests that wait for the next change below a prefix.
+
+use super::bodies::{EventBody, EventsBody};
+use crate::hollow::request::{Query, Response};
+use ciborium::Value;
+use salttrestle::wire;
+use salttrestle_fakes::store::{Change, Store};
+use std::rc::Rc;
+
+/// Longest wait of a watch, in milliseconds.
+const WAIT_MAX_MS: u64 = 60_000;
+
+/// What a watch asks for.
+pub(super) struct WatchRequest<'a> {
+    pub(super) prefix: &'a str,
+    /// Only changes after this revision.
+    pub(super) after: u64,
+    pub(super) wait_ms: u64,
+}
+
+impl<'a> WatchRequest<'a> {
+    pub(super) fn parse(query: Query<'a>) -> Self {
+        Self {
+            prefix: query.text("prefix").unwrap_or(""),
+            after: query.number("after").unwrap_or(0),
+            wait_ms: query.number("blockMs").unwrap_or(0).min(WAIT_MAX_MS),
+        }
+    }
+}
+
+/// A watch that waits for a change.
+pub(super) struct PendingWatch {
+    pub(super) connection: usize,
+    pub(super) prefix: String,
+    pub(super) after: u64,
+    pub(super) deadline_ms: u64,
+}
+
+/// The response with the changes after a revision, if there are any.
+pub(super) fn events(store: &Store<Rc<Value>>, prefix: &str, after: u64) -> Option<Response> {
+    let Some(changes) = store.changes_after(after) else {
+        return Some(Response::error(410, "too old"));
+    };
+    let watched = changes
+        .iter()
+        .filter(|change| change.path.starts_with(prefix));
+    let events: Vec<EventBody> = watched.map(event).collect();
+    if events.is_empty() {
+        return None;
+    }
+    Some(encode(store, events))
+}
+
+/// The response to a watch whose time is over.
+pub(super) fn no_events(store: &Store<Rc<Value>>) -> Response {
+    encode(store, Vec::new())
+}
+
+fn encode(store: &Store<Rc<Value>>, events: Vec<EventBody>) -> Response {
+    let revision = store.revision;
+    Response::ok(wire::encode(&EventsBody { revision, events }))
+}
+
+fn event(change: &Change<Rc<Value>>) -> EventBody<'_> {
+    let revision = change.revision;
+    match &change.value {
+        Some(value) => EventBody::Put {
+            put: &change.path,
+            data: value,
+            revision,
+        },
+        None => EventBody::Delete {
+            delete: &change.path,
+            revision,
+        },
+    }
+}
--- /dev/null
+++ b/scale/src/hollow/users/arrivals.rs
@@ -0,0 +1,108 @@
+//! When jobs are submitted: a steady rate for each class.
+
+use crate::hollow::jobs::{BATCH, SERVICE, URGENT};
+use crate::hollow::plan::CellPlan;
+
+/// Shortest ramp, in seconds, over which services are submitted.
+const RAMP_MIN_S: f64 = 0.1;
+/// Lowest rate by which the first service's time is rounded.
+const RATE_MIN: f64 = 0.001;
+
+/// Jobs of one class that are submitted at a steady rate. Times are in milliseconds.
+struct Stream {
+    class: &'static str,
+    per_s: f64,
+    next_ms: f64,
+    end_ms: f64,
+    count: u64,
+}
+
+/// A job that is due to be submitted.
+pub(super) struct DueJob {
+    /// Its class.
+    pub(super) class: &'static str,
+    /// Its number among the jobs of its class, from 1.
+    pub(super) number: u64,
+}
+
+/// The jobs of a cell, by their times.
+pub(super) struct Arrivals {
+    streams: Vec<Stream>,
+    /// The rate of batch jobs, as a multiple of the initial one.
+    batch_factor: f64,
+}
+
+impl Arrivals {
+    /// No jobs until the load begins.
+    pub(super) fn new() -> Self {
+        Self {
+            streams: Vec::new(),
+            batch_factor: 1.0,
+        }
+    }
+
+    /// The load begins: services over the ramp, then batch and urgent jobs.
+    pub(super) fn begin(&mut self, now: u64, plan: &CellPlan) {
+        let (load, phases) = (&plan.load, &plan.phases);
+        let now = now as f64;
+        let ramp_end_ms = now + phases.ramp_s * 1000.0;
+        let load_end_ms = ramp_end_ms + (phases.warmup_s + phases.measure_s) * 1000.0;
+        // Whole milliseconds.
+        let load_end_ms = load_end_ms as u64 as f64;
+        let service_tasks = load.service_tasks_per_worker * plan.workers as f64;
+        let services = (service_tasks / f64::from(load.replicas)).round();
+        let services_per_s = services / phases.ramp_s.max(RAMP_MIN_S);
+        let batch_per_s = load.starts_per_s * plan.worker_share / f64::from(load.tasks_per_job);
+        // Half an interval later, so that rounding changes nothing in the number of services.
+        let first_service_ms = now + 0.5 * 1000.0 / services_per_s.max(RATE_MIN);
+        let stream = |class, per_s, next_ms, end_ms| Stream {
+            class,
+            per_s,
+            next_ms,
+            end_ms,
+            count: 0,
+        };
+        let urgent_per_s = load.urgent_per_s * plan.worker_share;
+        self.streams = vec![
+            stream(SERVICE, services_per_s, first_service_ms, ramp_end_ms),
+            stream(BATCH, batch_per_s, ramp_end_ms, load_end_ms),
+            stream(URGENT, urgent_per_s, ramp_end_ms, load_end_ms),
+        ];
+    }
+
+    /// Changes the rate of batch jobs, as a multiple of the initial one.
+    pub(super) fn set_batch_factor(&mut self, now: u64, factor: f64) {
+        self.batch_factor = factor;
+        for stream in &mut self.streams {
+            stream.next_ms = stream.next_ms.max(now as f64);
+        }
+    }
+
+    /// The next job that is due.
+    pub(super) fn next_due(&mut self, now: u64) -> Option<DueJob> {
+        let batch_factor = self.batch_factor;
+        self.streams.iter_mut().find_map(|stream| {
+            let factor = if stream.class == BATCH {
+                batch_factor
+            } else {
+                1.0
+            };
+            stream.next_due(now as f64, factor)
+        })
+    }
+}
+
+impl Stream {
+    fn next_due(&mut self, now: f64, factor: f64) -> Option<DueJob> {
+        let per_s = self.per_s * factor;
+        if per_s <= 0.0 || self.next_ms > now || self.next_ms >= self.end_ms {
+            return None;
+        }
+        self.next_ms += 1000.0 / per_s;
+        self.count += 1;
+        Some(DueJob {
+            class: self.class,
+            number: self.count,
+        })
+    }
+}
--- /dev/null
+++ b/scale/src/hollow/users/balancer.rs
@@ -0,0 +1,137 @@
+//! The load balancer of a cell's users: probes the controllers' health, and keeps connections to
+//! them open.
+
+use crate::hollow::connections::{Connections, Role};
+use rand::RngExt;
+use rand::rngs::StdRng;
+use salttrestle::http;
+use std::io;
+use std::net::SocketAddrV4;
+
+/// Between two probes of a controller, and how long one may take, in milliseconds.
+const PROBE_MS: u64 = 1000;
+/// Most idle connections of users that are kept open to one controller.
+const IDLE_MAX: usize = 64;
+
+/// One controller, as the balancer sees it.
+struct Backend {
+    address: SocketAddrV4,
+    /// The connection of the probe in flight.
+    probe: Option<usize>,
+    next_probe_ms: u64,
+    healthy: bool,
+    idle: Vec<usize>,
+}
+
+/// The load balancer of a cell's users.
+pub(super) struct Balancer {
+    backends: Vec<Backend>,
+}
+
+impl Balancer {
+    /// A balancer that knows of no healthy controller yet.
+    pub(super) fn new(controllers: &[SocketAddrV4]) -> Self {
+        let backends = controllers.iter().map(|address| Backend {
+            address: *address,
+            probe: None,
+            next_probe_ms: PROBE_MS,
+            healthy: false,
+            idle: Vec::new(),
+        });
+        Self {
+            backends: backends.collect(),
+        }
+    }
+
+    /// Probes the controllers that are due. One that hasn't answered the probe before is unhealthy.
+    pub(super) fn probe(&mut self, now: u64, connections: &mut Connections) {
+        for (controller, backend) in self.backends.iter_mut().enumerate() {
+            if now < backend.next_probe_ms {
+                continue;
+            }
+            if let Some(key) = backend.probe.take() {
+                connections.close(key);
+                backend.healthy = false;
+            }
+            backend.next_probe_ms = now + PROBE_MS;
+            match connections.connect(backend.address, Role::Probe(controller)) {
+                Ok(key) => {
+                    backend.probe = Some(key);
+                    let host = backend.address.to_string();
+                    connections.send(key, &http::request("GET", "/up", &host, None));
+                }
+                Err(_) => backend.healthy = false,
+            }
+        }
+    }
+
+    /// A probe was answered, or its connection is closed (`None`). True if it is the one in flight.
+    pub(super) fn probed(&mut self, controller: usize, key: usize, status: Option<u16>) -> bool {
+        let backend = &mut self.backends[controller];
+        let in_flight = backend.probe == Some(key);
+        if in_flight {
+            backend.probe = None;
+            backend.healthy = status == Some(200);
+        }
+        in_flight
+    }
+
+    /// Number of healthy controllers.
+    pub(super) fn healthy(&self) -> usize {
+        let backends = self.backends.iter();
+        backends.filter(|backend| backend.healthy).count()
+    }
+
+    /// A random healthy controller.
+    pub(super) fn pick(&self, rng: &mut StdRng) -> Option<usize> {
+        let backends = self.backends.iter().enumerate();
+        let healthy = backends.filter(|(_, backend)| backend.healthy);
+        let healthy: Vec<usize> = healthy.map(|(index, _)| index).collect();
+        match healthy.len() {
+            0 => None,
+            count => Some(healthy[rng.random_range(0..count)]),
+        }
+    }
+
+    /// A controller's address.
+    pub(super) fn address(&self, controller: usize) -> SocketAddrV4 {
+        self.backends[controller].address
+    }
+
+    /// An idle connection to a controller, or a new one.
+    pub(super) fn connection(
+        &mut self,
+        controller: usize,
+        connections: &mut Connections,
+    ) -> io::Result<usize> {
+        let backend = &mut self.backends[controller];
+        match backend.idle.pop() {
+            Some(key) => Ok(key),
+            None => connections.connect(backend.address, Role::User(controller)),
+        }
+    }
+
+    /// Keeps a connection for the next request, or closes it if it can't be reused or there are
+    /// enough.
+    pub(super) fn release(
+        &mut self,
+        controller: usize,
+        key: usize,
+        reusable: bool,
+        connections: &mut Connections,
+    ) {
+        let idle = &mut self.backends[controller].idle;
+        if reusable && idle.len() < IDLE_MAX {
+            idle.push(key);
+        } else {
+            connections.close(key);
+        }
+    }
+
+    /// A connection is closed.
+    pub(super) fn closed(&mut self, key: usize) {
+        for backend in &mut self.backends {
+            backend.idle.retain(|idle| *idle != key);
+        }
+    }
+}
--- /dev/null
+++ b/scale/src/hollow/users/submission.rs
@@ -0,0 +1,130 @@
+//! The jobs that users submit.
+
+use crate::experiment::Load;
+use crate::hollow::jobs::{BATCH, Job, SERVICE};
+use salttrestle::wire;
+use salttrestle_fakes::worker::TaskSpec;
+use serde::Serialize;
+
+/// The image of every job.
+const IMAGE: &str = "img-hollow";
+const IMAGE_GB: f64 = 0.5;
+/// How long a worker takes to fetch the image, in milliseconds.
+const FETCH_MS: u64 = 100;
+/// Memory of a task, in GB.
+const TASK_GB: f64 = 4.0;
+
+/// A submission, with the protocol's names.
+#[derive(Serialize)]
+struct SubmissionBody<'a> {
+    id: &'a str,
+    #[serde(rename = "troupe")]
+    class: &'a str,
+    #[serde(rename = "crew")]
+    team: &'a str,
+    #[serde(rename = "form")]
+    kind: &'a str,
+    #[serde(rename = "rank")]
+    priority: &'a str,
+    #[serde(rename = "verses")]
+    tasks: u32,
+    #[serde(rename = "cores")]
+    cpus: f64,
+    #[serde(rename = "accelerators")]
+    gpus: f64,
+    #[serde(rename = "memGb")]
+    mem_gb: f64,
+    #[serde(rename = "score")]
+    image: &'a str,
+    #[serde(rename = "sizeGb")]
+    image_gb: f64,
+    #[serde(rename = "builds")]
+    machine_types: Option<Vec<String>>,
+    #[serde(rename = "quarter")]
+    zone: Option<String>,
+    #[serde(rename = "samePlace")]
+    same_zone: bool,
+    #[serde(rename = "scatter")]
+    zone_spread: bool,
+    #[serde(rename = "borrowed")]
+    spot: bool,
+    #[serde(rename = "reckonS")]
+    estimate_s: f64,
+    #[serde(rename = "bookmarkS")]
+    checkpoint_s: f64,
+    #[serde(rename = "stashS")]
+    save_s: f64,
+    #[serde(rename = "curtainS")]
+    deadline_s: Option<f64>,
+}
+
+/// The number and the size of a job's tasks.
+struct Shape {
+    tasks: u32,
+    cpus: f64,
+    gpus: f64,
+}
+
+impl Shape {
+    fn of_class(class: &str, load: &Load) -> Self {
+        let [replica_cpus, replica_gpus] = load.replica_resources;
+        match class {
+            SERVICE => Self {
+                tasks: load.replicas,
+                cpus: replica_cpus,
+                gpus: replica_gpus,
+            },
+            BATCH => Self {
+                tasks: load.tasks_per_job,
+                cpus: load.batch_cpus,
+                gpus: 0.0,
+            },
+            _ => Self {
+                tasks: 1,
+                cpus: load.batch_cpus,
+                gpus: 0.0,
+            },
+        }
+    }
+}
+
+/// A job of a class, as a team submits it.
+pub(super) fn job(id: &str, class: &str, team: &str, load: &Load) -> Job {
+    let shape = Shape::of_class(class, load);
+    let service = class == SERVICE;
+    let body = wire::encode(&SubmissionBody {
+        id,
+        class,
+        team,
+        kind: if service { "service" } else { "batch" },
+        priority: match class {
+            SERVICE => "critical",
+            BATCH => "normal",
+            _ => "urgent",
+        },
+        tasks: shape.tasks,
+        cpus: shape.cpus,
+        gpus: shape.gpus,
+        mem_gb: TASK_GB,
+        image: IMAGE,
+        image_gb: IMAGE_GB,
+        machine_types: None,
+        zone: None,
+        same_zone: false,
+        zone_spread: false,
+        spot: false,
+        estimate_s: if service { 0.0 } else { load.run_s },
+        checkpoint_s: 0.0,
+        save_s: 0.0,
+        deadline_s: None,
+    });
+    let spec = TaskSpec {
+        image: IMAGE.into(),
+        run_ms: (load.run_s * 1000.0) as u64,
+        fetch_ms: FETCH_MS,
+        save_ms: 0,
+        service,
+        broken: false,
+    };
+    Job { body, spec }
+}
--- a/scale/src/hollow/workers.rs
+++ b/scale/src/hollow/workers.rs
@@ -1,119 +1,159 @@
-//! The hollow workers of one cell: the shared worker behind real connections.
+//! The hollow workers of one cell: fake workers that heartbeat over real connections.
 
-use super::cell::{CellPlan, Shared};
 use super::connections::{Connections, Role};
-use super::users::{Jobs, URGENT};
+use super::jobs::{Jobs, URGENT};
+use super::plan::CellPlan;
+use super::shared::SharedState;
 use crate::observers::WorkerStart;
 use rand::RngExt;
 use rand::rngs::StdRng;
 use salttrestle::http::{self, Message};
+use salttrestle::ids::TaskId;
 use salttrestle::wire::Cause;
 use salttrestle_fakes::checker::Place;
 use salttrestle_fakes::worker::{ANSWER_MS, TaskEvent, TaskState, Worker};
 use std::collections::HashMap;
 use std::sync::Arc;
+use thiserror::Error;
 
-/// Each worker is looked at once in this time, in milliseconds.
-pub const ROUND_MS: u64 = 100;
-/// The address that workers name for direct commands; none are sent by this service.
+/// Each worker is visited once in this time, in milliseconds.
+pub(super) const ROUND_MS: u64 = 100;
+/// The address that workers give for direct commands, which the service doesn't send.
 const ENDPOINT: &str = "127.0.0.1:9";
 
+/// A machine that a worker runs on.
+pub(super) struct Machine<'a> {
+    pub(super) id: &'a str,
+    pub(super) machine_type: &'a str,
+    pub(super) zone: &'a str,
+    pub(super) spot: bool,
+}
+
+/// How a machine stops.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum MachineStop {
+    /// It was deleted: its connection is closed.
+    Deleted,
+    /// It failed: its connection stays open and silent.
+    Failed,
+}
+
+/// A response to a heartbeat that no worker could interpret.
+#[derive(Debug, Error)]
+#[error("{0}")]
+pub(super) struct InvalidResponse(String);
+
 struct HollowWorker {
+    /// Id of its machine.
     id: String,
     worker: Worker,
     connection: Option<usize>,
-    /// The machine has stopped: nothing comes from it any more.
+    /// Its machine has stopped and sends nothing any more.
     stopped: bool,
 }
 
 /// The hollow workers of one cell.
-pub struct Inventory {
+pub(super) struct Workers {
     plan: Arc<CellPlan>,
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     workers: Vec<HollowWorker>,
     by_id: HashMap<String, usize>,
+    /// The worker that was visited last.
     cursor: usize,
-    reports: u64,
-    /// Tasks killed since their worker's lease was over.
-    pub killed: u64,
+    heartbeats: u64,
+    /// Tasks killed by the expiry of their worker's lease.
+    pub(super) lease_kills: u64,
 }
 
-impl Inventory {
+impl Workers {
     /// A cell without workers.
-    pub fn new(plan: Arc<CellPlan>, shared: Arc<Shared>) -> Self {
+    pub(super) fn new(plan: Arc<CellPlan>, shared: Arc<SharedState>) -> Self {
         Self {
             plan,
             shared,
             workers: Vec::new(),
             by_id: HashMap::new(),
             cursor: 0,
-            reports: 0,
-            killed: 0,
+            heartbeats: 0,
+            lease_kills: 0,
         }
     }
 
-    /// A machine has come up.
-    pub fn boot(&mut self, now: u64, id: &str, class: &str, zone: &str, spot: bool) {
+    /// A machine has booted. Workers begin with one controller after another.
+    pub(super) fn boot(&mut self, now: u64, machine: &Machine) {
         let index = self.workers.len();
-        let controller = index % self.plan.addresses.controllers.len();
-        self.by_id.insert(id.into(), index);
+        let controller = index % self.controllers();
+        self.by_id.insert(machine.id.into(), index);
+        let Machine {
+            machine_type, zone, ..
+        } = machine;
         self.workers.push(HollowWorker {
-            id: id.into(),
-            worker: Worker::new(now, class, zone, spot, controller),
+            id: machine.id.into(),
+            worker: Worker::new(now, machine_type, zone, machine.spot, controller),
             connection: None,
             stopped: false,
         });
     }
 
-    /// Workers whose machines run.
-    pub fn running(&self) -> usize {
-        self.workers.iter().filter(|w| !w.stopped).count()
+    fn controllers(&self) -> usize {
+        self.plan.addresses.controllers.len()
+    }
+
+    /// The workers whose machines run.
+    fn live(&self) -> impl Iterator<Item = &HollowWorker> {
+        self.workers.iter().filter(|worker| !worker.stopped)
     }
 
-    /// Workers that have been answered under a token.
-    pub fn joined(&self) -> usize {
-        let joined = |w: &&HollowWorker| !w.stopped && w.worker.token > 0;
-        self.workers.iter().filter(joined).count()
+    /// Number of workers whose machines run.
+    pub(super) fn running(&self) -> usize {
+        self.live().count()
     }
 
-    /// Tasks that run.
-    pub fn tasks(&self) -> usize {
-        let live = self.workers.iter().filter(|w| !w.stopped);
-        let tasks = live.flat_map(|w| w.worker.tasks.values());
-        tasks.filter(|t| t.state == TaskState::Running).count()
+    /// Number of workers that have been answered under a fencing token.
+    pub(super) fn joined(&self) -> usize {
+        let joined = |live: &&HollowWorker| live.worker.token > 0;
+        self.live().filter(joined).count()
     }
 
-    /// Machines that run, of one zone or of all: their names.
-    pub fn machines(&self, zone: Option<&str>) -> Vec<String> {
-        let here = |w: &&HollowWorker| !w.stopped && zone.is_none_or(|z| z == w.worker.zone);
-        let found = self.workers.iter().filter(here);
-        found.map(|w| w.id.clone()).collect()
+    /// Number of running tasks.
+    pub(super) fn tasks(&self) -> usize {
+        let tasks = self.live().flat_map(|live| live.worker.tasks.values());
+        tasks
+            .filter(|task| task.state == TaskState::Running)
+            .count()
     }
 
-    /// A machine stops, with all that is on it. Its connection stays open and silent unless it
-    /// was deleted.
-    pub fn stop(&mut self, connections: &mut Connections, id: &str, deleted: bool) {
+    /// Ids of the machines that run, of one zone or of all.
+    pub(super) fn machines(&self, zone: Option<&str>) -> Vec<String> {
+        self.live()
+            .filter(|live| zone.is_none_or(|zone| zone == live.worker.zone))
+            .map(|live| live.id.clone())
+            .collect()
+    }
+
+    /// A machine stops, with all tasks on it.
+    pub(super) fn stop(&mut self, connections: &mut Connections, id: &str, stop: MachineStop) {
         let Some(index) = self.by_id.get(id).copied() else {
             return;
         };
-        let stopped = &mut self.workers[index];
-        if let Some(key) = stopped.connection {
-            match deleted {
-                true => connections.close(key),
-                false => connections.silence(key),
+        let worker = &mut self.workers[index];
+        if let Some(key) = worker.connection {
+            match stop {
+                MachineStop::Deleted => connections.close(key),
+                MachineStop::Failed => connections.silence(key),
             }
         }
-        if std::mem::replace(&mut stopped.stopped, true) {
+        if std::mem::replace(&mut worker.stopped, true) {
             return;
         }
         let mut checker = self.shared.checker();
-        for task in stopped.worker.tasks.keys() {
+        for task in worker.worker.tasks.keys() {
             checker.stops(task, id);
         }
     }
 
-    /// Looks at the next few workers, so that each is looked at once in a round.
-    pub fn tick(
+    /// Visits this share of the workers, one after another.
+    pub(super) fn tick(
         &mut self,
         now: u64,
         share: f64,
@@ -125,12 +165,13 @@
         for _ in 0..count.min(self.workers.len()) {
             self.cursor = (self.cursor + 1) % self.workers.len();
             if !self.workers[self.cursor].stopped {
-                self.look_at(now, self.cursor, connections, jobs, rng);
+                self.visit(now, self.cursor, connections, jobs, rng);
             }
         }
     }
 
-    fn look_at(
+    /// Runs a worker's tasks, and sends its heartbeat if it is due.
+    fn visit(
         &mut self,
         now: u64,
         index: usize,
@@ -138,136 +179,166 @@
         jobs: &Jobs,
         rng: &mut StdRng,
     ) {
-        let controllers = self.plan.addresses.controllers.len();
-        let found = &mut self.workers[index];
-        let killed = found.worker.check_lease(now, self.plan.lease_ms);
-        let events = found.worker.run_tasks(now, jobs);
-        let late = |(_, sent): (u64, u64)| now >= sent + ANSWER_MS;
-        let given_up = found.worker.flight.is_some_and(late);
-        if given_up && let Some(key) = found.connection.take() {
+        let controllers = self.controllers();
+        let HollowWorker {
+            worker, connection, ..
+        } = &mut self.workers[index];
+        let killed = worker.check_lease(now, self.plan.lease_ms);
+        let events = worker.run_tasks(now, jobs);
+        let timed_out = worker
+            .flight
+            .is_some_and(|(_, sent_ms)| now >= sent_ms + ANSWER_MS);
+        if timed_out && let Some(key) = connection.take() {
             connections.close(key);
         }
-        let due = found.worker.report_due(now, controllers);
-        if !killed.is_empty() {
-            self.killed += killed.len() as u64;
-            let mut checker = self.shared.checker();
-            for task in &killed {
-                checker.stops(task, &found.id);
-            }
+        let heartbeat_due = worker.report_due(now, controllers);
+        self.lease_expired(index, &killed);
+        self.check(now, index, events);
+        if heartbeat_due {
+            let interval_ms = self.plan.heartbeat_ms;
+            let jitter_ms = rng.random_range(0..interval_ms / 2);
+            let interval_ms = interval_ms * 3 / 4 + jitter_ms;
+            self.send_heartbeat(now, index, interval_ms, connections);
+        }
+    }
+
+    fn lease_expired(&mut self, index: usize, killed: &[TaskId]) {
+        if killed.is_empty() {
+            return;
         }
-        self.note(now, index, events);
-        if due {
-            let interval = self.plan.report_ms;
-            let jitter = rng.random_range(0..interval / 2);
-            self.report(now, index, interval * 3 / 4 + jitter, connections);
+        self.lease_kills += killed.len() as u64;
+        let mut checker = self.shared.checker();
+        for task in killed {
+            checker.stops(task, &self.workers[index].id);
         }
     }
 
-    fn report(&mut self, now: u64, index: usize, interval: u64, connections: &mut Connections) {
-        let found = &mut self.workers[index];
-        found.worker.begin_report(now, interval);
-        let to = self.plan.addresses.controllers[found.worker.controller];
-        let key = match found.connection {
-            Some(key) => key,
-            None => match connections.connect(to, Role::Worker(index)) {
-                Ok(key) => key,
-                Err(_) => {
-                    let controllers = self.plan.addresses.controllers.len();
-                    return found.worker.unanswered(now, controllers);
-                }
-            },
+    fn send_heartbeat(
+        &mut self,
+        now: u64,
+        index: usize,
+        interval_ms: u64,
+        connections: &mut Connections,
+    ) {
+        let controllers = self.controllers();
+        let HollowWorker {
+            id,
+            worker,
+            connection,
+            ..
+        } = &mut self.workers[index];
+        worker.begin_report(now, interval_ms);
+        let address = self.plan.addresses.controllers[worker.controller];
+        let opened = match *connection {
+            Some(key) => Ok(key),
+            None => connections.connect(address, Role::Worker(index)),
         };
-        found.connection = Some(key);
-        self.reports += 1;
-        found.worker.flight = Some((self.reports, now));
-        let body = found.worker.report_body(&found.id, ENDPOINT, now);
-        let bytes = http::request("POST", "/agent/beat", &to.to_string(), Some(&body));
-        connections.send(key, &bytes);
+        let Ok(key) = opened else {
+            return worker.unanswered(now, controllers);
+        };
+        *connection = Some(key);
+        self.heartbeats += 1;
+        worker.flight = Some((self.heartbeats, now));
+        let body = worker.report_body(id, ENDPOINT, now);
+        let host = address.to_string();
+        connections.send(
+            key,
+            &http::request("POST", "/agent/beat", &host, Some(&body)),
+        );
     }
 
-    /// An answer has reached a worker. `Err` says what no worker would understand.
-    pub fn answered(
+    /// A response to a worker's heartbeat was received.
+    pub(super) fn responded(
         &mut self,
         now: u64,
         index: usize,
-        message: &Message,
+        response: &Message,
         connections: &mut Connections,
         jobs: &Jobs,
-    ) -> Result<(), String> {
-        let found = &mut self.workers[index];
-        let Some((_, sent)) = found.worker.flight.filter(|_| !found.stopped) else {
+    ) -> Result<(), InvalidResponse> {
+        let HollowWorker {
+            worker,
+            connection,
+            stopped,
+            ..
+        } = &mut self.workers[index];
+        let Some((_, sent_ms)) = worker.flight.filter(|_| !*stopped) else {
             return Ok(());
         };
-        let before = found.worker.controller;
-        let answer = (message.status().unwrap_or(0), message.body.as_slice());
-        let members = &self.plan.members;
-        let number = found.worker.token;
-        let events = found.worker.answered(now, sent, answer, members, jobs)?;
-        if self.plan.sole && found.worker.token > number {
-            self.shared
-                .takeovers()
-                .token_acknowledged(now, found.worker.token);
+        let (controller, token) = (worker.controller, worker.token);
+        let status = response.status().unwrap_or(0);
+        let response = (status, response.body.as_slice());
+        let controller_ids = &self.plan.controller_ids;
+        let events = worker
+            .answered(now, sent_ms, response, controller_ids, jobs)
+            .map_err(|error| InvalidResponse(error.to_string()))?;
+        if self.plan.single && worker.token > token {
+            let mut takeovers = self.shared.takeovers();
+            takeovers.token_acknowledged(now, worker.token);
         }
-        if found.worker.controller != before
-            && let Some(key) = found.connection.take()
+        if worker.controller != controller
+            && let Some(key) = connection.take()
         {
             connections.close(key);
         }
-        self.note(now, index, events);
+        self.check(now, index, events);
         Ok(())
     }
 
-    /// A worker's connection is gone.
-    pub fn closed(&mut self, now: u64, index: usize, key: usize) {
-        let controllers = self.plan.addresses.controllers.len();
-        let found = &mut self.workers[index];
-        if found.connection != Some(key) {
+    /// A worker's connection is closed.
+    pub(super) fn closed(&mut self, now: u64, index: usize, key: usize) {
+        let controllers = self.controllers();
+        let HollowWorker {
+            worker, connection, ..
+        } = &mut self.workers[index];
+        if *connection != Some(key) {
             return;
         }
-        found.connection = None;
-        if found.worker.flight.is_some() {
-            found.worker.unanswered(now, controllers);
+        *connection = None;
+        if worker.flight.is_some() {
+            worker.unanswered(now, controllers);
         }
     }
 
-    /// Tells the checker what happened to a worker's tasks.
-    fn note(&self, now: u64, index: usize, events: Vec<TaskEvent>) {
+    /// Passes the events of a worker's tasks to the checker.
+    fn check(&self, now: u64, index: usize, events: Vec<TaskEvent>) {
         if events.is_empty() {
             return;
         }
-        let found = &self.workers[index];
+        let HollowWorker { id, worker, .. } = &self.workers[index];
         let mut checker = self.shared.checker();
         for event in events {
             match event {
-                TaskEvent::Accepted(task, attempt) if self.plan.sole => {
+                TaskEvent::Accepted(task, attempt) => {
                     let job = checker.jobs.get(&task.job);
-                    let urgent = job.is_some_and(|j| j.record.class == URGENT);
                     let start = WorkerStart {
-                        machine: &found.id,
-                        newest_token: found.worker.token,
+                        machine: id,
+                        newest_token: worker.token,
                         task: &task,
                         attempt,
-                        urgent,
-                    };
-                    self.shared.takeovers().started(now, &start);
-                }
-                TaskEvent::Accepted(..) => {}
-                TaskEvent::Started(task) => {
-                    let place = Place {
-                        machine: found.id.clone(),
-                        class: found.worker.class.clone(),
-                        zone: found.worker.zone.clone(),
-                        spot: found.worker.spot,
+                        urgent: job.is_some_and(|job| job.record.class == URGENT),
                     };
-                    checker.starts(now, &task, place);
+                    if self.plan.single {
+                        self.shared.takeovers().started(now, &start);
+                    }
                 }
+                TaskEvent::Started(task) => checker.starts(now, &task, place(id, worker)),
                 TaskEvent::Ended(task, cause) => {
                     if cause == Cause::Done {
                         checker.finishes(now, &task);
                     }
-                    checker.stops(&task, &found.id);
+                    checker.stops(&task, id);
                 }
             }
         }
     }
 }
+
+fn place(machine: &str, worker: &Worker) -> Place {
+    Place {
+        machine: machine.into(),
+        class: worker.class.clone(),
+        zone: worker.zone.clone(),
+        spot: worker.spot,
+    }
+}
--- a/scale/src/lib.rs
+++ b/scale/src/lib.rs
@@ -16,4 +16,3 @@
 pub mod results;
 pub mod run;
 pub mod sweep;
-mod takeover_schedule;
--- a/scale/src/takeover_schedule.rs
+++ b/scale/src/run/takeover_schedule.rs
@@ -5,7 +5,7 @@
 use rand::{RngExt, SeedableRng};
 
 /// The ends of leaders that are still to come.
-pub(crate) struct TakeoverSchedule {
+pub(super) struct TakeoverSchedule {
     takeovers: Takeovers,
     rng: StdRng,
     remaining: u32,
@@ -14,7 +14,7 @@
 
 impl TakeoverSchedule {
     /// The first end comes one interval after the measurement has begun.
-    pub(crate) fn new(takeovers: &Takeovers, seed: u64, measure_from_s: f64) -> Self {
+    pub(super) fn new(takeovers: &Takeovers, seed: u64, measure_from_s: f64) -> Self {
         Self {
             remaining: takeovers.count,
             next_s: measure_from_s + takeovers.every_s,
@@ -24,7 +24,7 @@
     }
 
     /// The end that is due.
-    pub(crate) fn next_due(&mut self, at_s: f64) -> Option<LeaderEnd> {
+    pub(super) fn next_due(&mut self, at_s: f64) -> Option<LeaderEnd> {
         if self.remaining == 0 || at_s < self.next_s {
             return None;
         }
--- a/scale/src/sweep.rs
+++ b/scale/src/sweep.rs
@@ -4,7 +4,7 @@
 use crate::controllers::RunPaths;
 use crate::experiment::{Experiment, ExperimentError};
 use crate::results::Row;
-use crate::run::{RunError, play};
+use crate::run::{RunError, VariedAxis, play};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use std::fmt;
@@ -203,7 +203,10 @@
         let [a, b, c, d] = experiment.network.octets();
         let apart = b.wrapping_add((slot * NETWORK_STEP) as u8);
         experiment.network = Ipv4Addr::new(a, apart, c, d);
-        let varied = (self.axis.to_string(), self.value);
+        let varied = VariedAxis {
+            axis: self.axis.to_string(),
+            value: self.value,
+        };
         let results = play(&experiment, Some(varied), RunPaths { program, folder })?;
         let seconds = |row: &Row| !matches!(row, Row::Sample(_));
         // The run's own row comes first: those that follow are its.
