--- a/scale/src/lib.rs
+++ b/scale/src/lib.rs
@@ -1,10 +1,11 @@
-//! Plays the service at scale on one machine: real controllers, and hollow workers, clouds, state
-//! services and users that speak the protocols over TCP on the loopback addresses. What the
-//! hollow workers run and what users are told is judged by a checker; what each controller takes
-//! of processor, memory and network is measured.
+//! Plays the service at scale on one machine: real controllers, and hollow workers, clouds, stores
+//! and users that speak the protocols over TCP on the loopback addresses. A checker judges what the
+//! workers run and what users are answered; processor, memory and network use of each controller
+//! are measured.
 
 #![warn(missing_docs)]
 
+pub mod axis;
 pub mod capacity;
 pub mod controllers;
 pub mod experiment;
--- a/scale/src/main.rs
+++ b/scale/src/main.rs
@@ -1,22 +1,43 @@
-//! The program: arguments, logging, exit codes. Everything else is in the library.
+//! The program: arguments, logging and exit codes. All else is in the library.
 
 use clap::{Parser, Subcommand};
 use salttrestle_scale::capacity::{SlopeTable, with_computed};
 use salttrestle_scale::controllers::{RunPaths, find_program};
-use salttrestle_scale::experiment::{EMBEDDED, EMBEDDED_TAKEOVERS, Experiment};
+use salttrestle_scale::experiment::{EMBEDDED, EMBEDDED_TAKEOVERS, Experiment, ExperimentError};
 use salttrestle_scale::results::{Results, Row};
-use salttrestle_scale::run::{default_folder, play};
+use salttrestle_scale::run::{RunError, default_folder, play};
 use salttrestle_scale::sweep::Sweep;
-use std::error::Error;
+use std::io;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
+use thiserror::Error;
 use tracing_subscriber::EnvFilter;
 
-/// A rule was broken or an aim missed.
-const MISSED: u8 = 1;
-/// What was asked for can't be played.
+/// Exit code: a rule was violated, an objective missed, or a page is out of date.
+const FAILED: u8 = 1;
+/// Exit code: the command couldn't be carried out.
 const REFUSED: u8 = 2;
 
+/// Why a command couldn't be carried out.
+#[derive(Debug, Error)]
+enum CommandError {
+    /// A named file can't be read.
+    #[error("{}: (file): {error}", path.display())]
+    Read { path: PathBuf, error: io::Error },
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    #[error(transparent)]
+    Experiment(#[from] ExperimentError),
+    #[error(transparent)]
+    Run(#[from] RunError),
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    #[error("the experiment has no takeovers")]
+    NoTakeovers,
+    #[error("the page has no computed part")]
+    NoComputedPart,
+}
+
 /// Plays salttrestle's controllers at scale against hollow workers, and measures them.
 #[derive(Parser)]
 #[command(version)]
@@ -108,27 +129,28 @@
     let filter = EnvFilter::try_from_env("LOG_LEVEL").unwrap_or_else(|_| EnvFilter::new("info"));
     let log = tracing_subscriber::fmt().with_env_filter(filter);
     log.with_writer(std::io::stderr).with_target(false).init();
-    let done = match arguments
-        .command
-        .unwrap_or(Action::Run(RunArguments::default()))
-    {
+    let command = arguments.command;
+    let executed = match command.unwrap_or(Action::Run(RunArguments::default())) {
         Action::Run(arguments) => run(&arguments),
         Action::Takeovers(arguments) => takeovers(&arguments),
         Action::Sweep(arguments) => sweep(&arguments),
         Action::Fit(arguments) => fit(&arguments),
         Action::Capacity(arguments) => capacity(&arguments),
     };
-    done.unwrap_or_else(|error| {
+    executed.unwrap_or_else(|error| {
         eprintln!("salttrestle-scale: {error}");
         ExitCode::from(REFUSED)
     })
 }
 
-fn read(path: &Path) -> Result<String, Box<dyn Error>> {
-    std::fs::read_to_string(path).map_err(|e| format!("{}: (file): {e}", path.display()).into())
+fn read(path: &Path) -> Result<String, CommandError> {
+    std::fs::read_to_string(path).map_err(|error| CommandError::Read {
+        path: path.into(),
+        error,
+    })
 }
 
-fn run(arguments: &RunArguments) -> Result<ExitCode, Box<dyn Error>> {
+fn run(arguments: &RunArguments) -> Result<ExitCode, CommandError> {
     let experiment = match &arguments.experiment {
         None => Experiment::parse("(embedded)", EMBEDDED)?,
         Some(path) => read_experiment(path)?,
@@ -136,15 +158,15 @@
     play_and_print(&experiment, arguments)
 }
 
-fn takeovers(arguments: &TakeoverArguments) -> Result<ExitCode, Box<dyn Error>> {
+fn takeovers(arguments: &TakeoverArguments) -> Result<ExitCode, CommandError> {
     let mut experiment = match &arguments.run.experiment {
         None => Experiment::parse("(embedded)", EMBEDDED_TAKEOVERS)?,
         Some(path) => read_experiment(path)?,
     };
-    let plan = experiment.takeovers.as_mut();
-    let plan = plan.ok_or("the experiment has no takeovers")?;
+    let takeovers = experiment.takeovers.as_mut();
+    let takeovers = takeovers.ok_or(CommandError::NoTakeovers)?;
     if arguments.without_standby {
-        plan.standby = false;
+        takeovers.standby = false;
         experiment.name += "-without-standby";
     }
     play_and_print(&experiment, &arguments.run)
@@ -153,7 +175,7 @@
 fn play_and_print(
     experiment: &Experiment,
     arguments: &RunArguments,
-) -> Result<ExitCode, Box<dyn Error>> {
+) -> Result<ExitCode, CommandError> {
     let program = find_program(arguments.controller.as_deref())?;
     let folder = arguments.out.clone();
     let folder = folder.unwrap_or_else(|| default_folder(&experiment.name));
@@ -168,23 +190,27 @@
     println!("results: {}", lines.display());
     Ok(match results.passed() {
         true => ExitCode::SUCCESS,
-        false => ExitCode::from(MISSED),
+        false => ExitCode::from(FAILED),
     })
 }
 
-fn read_experiment(path: &Path) -> Result<Experiment, Box<dyn Error>> {
+fn read_experiment(path: &Path) -> Result<Experiment, CommandError> {
     Ok(Experiment::parse(
         &path.display().to_string(),
         &read(path)?,
     )?)
 }
 
-fn sweep(arguments: &SweepArguments) -> Result<ExitCode, Box<dyn Error>> {
+fn sweep(arguments: &SweepArguments) -> Result<ExitCode, CommandError> {
     let base = read_experiment(&arguments.experiment)?;
     let file = arguments.sweep.display().to_string();
     let sweep = Sweep::parse(&file, &read(&arguments.sweep)?, &base)?;
     let program = find_program(arguments.controller.as_deref())?;
-    let rows = sweep.play(&base, &program, &arguments.out);
+    let paths = RunPaths {
+        program: &program,
+        folder: &arguments.out,
+    };
+    let rows = sweep.play(&base, paths);
     let table = SlopeTable::from_rows(&arguments.sources, &base, &rows);
     let lines = Results { rows }.json_lines();
     std::fs::create_dir_all(&arguments.out)?;
@@ -192,7 +218,7 @@
     write_lines(&table, &arguments.out.join("slopes.json"))
 }
 
-fn fit(arguments: &FitArguments) -> Result<ExitCode, Box<dyn Error>> {
+fn fit(arguments: &FitArguments) -> Result<ExitCode, CommandError> {
     let base = read_experiment(&arguments.experiment)?;
     let text = read(&arguments.runs)?;
     let rows = text.lines().map(serde_json::from_str);
@@ -201,29 +227,29 @@
     write_lines(&table, &arguments.out)
 }
 
-fn write_lines(table: &SlopeTable, to: &Path) -> Result<ExitCode, Box<dyn Error>> {
+fn write_lines(table: &SlopeTable, to: &Path) -> Result<ExitCode, CommandError> {
     std::fs::write(to, serde_json::to_string_pretty(table)? + "\n")?;
     println!("{}", table.page());
     println!("lines: {}", to.display());
     Ok(ExitCode::SUCCESS)
 }
 
-fn capacity(arguments: &CapacityArguments) -> Result<ExitCode, Box<dyn Error>> {
+fn capacity(arguments: &CapacityArguments) -> Result<ExitCode, CommandError> {
     let table: SlopeTable = serde_json::from_str(&read(&arguments.slopes)?)?;
     let page = read(&arguments.page)?;
-    let anew = with_computed(&page, &table).ok_or("the page has no computed part")?;
+    let updated = with_computed(&page, &table).ok_or(CommandError::NoComputedPart)?;
     if arguments.write {
-        std::fs::write(&arguments.page, anew)?;
+        std::fs::write(&arguments.page, updated)?;
         return Ok(ExitCode::SUCCESS);
     }
-    Ok(match anew == page {
+    Ok(match updated == page {
         true => ExitCode::SUCCESS,
         false => {
             eprintln!(
                 "{}: doesn't follow from the lines",
                 arguments.page.display()
             );
-            ExitCode::from(MISSED)
+            ExitCode::from(FAILED)
         }
     })
 }
--- a/scale/tests/capacity_page.rs
+++ b/scale/tests/capacity_page.rs
@@ -1,10 +1,10 @@
-//! The capacity page says what follows from the measured lines, and the lines are those of the
-//! runs that are kept beside them.
+//! The capacity page follows from the stored lines, and these from the stored runs.
 
+use salttrestle_scale::axis::Axis;
 use salttrestle_scale::capacity::{Metric, SlopeTable, with_computed};
 use salttrestle_scale::experiment::Experiment;
 use salttrestle_scale::results::{HollowRow, ProcessRow, Row, RunRow};
-use salttrestle_scale::sweep::{Axis, Sweep};
+use salttrestle_scale::sweep::Sweep;
 
 const PAGE: &str = include_str!("../../docs/CAPACITY.md");
 const SLOPES: &str = include_str!("../../docs/capacity/slopes.json");
@@ -47,7 +47,7 @@
     }
 }
 
-/// Runs of a cell whose owner costs 0.01 cores and so much a worker.
+/// Runs of a cell whose owner uses 0.01 cores, and `cost` of the number of workers.
 fn rows(cost: impl Fn(f64) -> f64) -> Vec<Row> {
     let of = |workers: f64| {
         let run = RunRow {
@@ -77,12 +77,12 @@
     let base = Experiment::parse("cell.toml", CELL).expect("a good experiment");
     let even = SlopeTable::from_rows("test", &base, &rows(|workers| workers * 1e-4));
     let slope = even
-        .slope(Axis::Workers, Metric::HolderCores)
+        .slope(Axis::Workers, Metric::OwnerCores)
         .expect("a line");
     assert!((slope.slope - 1e-4).abs() < 1e-12 && (slope.intercept - 0.01).abs() < 1e-12);
     assert!(slope.matters() && !slope.grows_faster());
     let at = [(Axis::Workers, 1000.0)].into();
-    assert!((even.predict(Metric::HolderCores, &at) - 0.11).abs() < 1e-9);
+    assert!((even.predict(Metric::OwnerCores, &at) - 0.11).abs() < 1e-9);
     let hollow = even
         .slope(Axis::Workers, Metric::HollowCores)
         .expect("a line");
--- a/scale/tests/cells_run.rs
+++ b/scale/tests/cells_run.rs
@@ -1,9 +1,9 @@
-//! Three cells with real processes share team limits while these change, links are cut, a leader is
-//! killed and demand moves: no team uses more than its limit in all cells together, every change is
-//! in force in time, and all work is done in the end.
+//! Three cells with real processes share team limits while these change, links are partitioned, a
+//! leader is killed and load moves: no team uses more than its limit in all cells together, every
+//! change is in force in time, and all jobs end.
 //!
-//! Seen to fail: room that the home called back wasn't given, so that work waited without end; and
-//! no room was given while demand moved, so that starts took 10 s and more.
+//! Seen to fail: quota that the home cell reclaimed wasn't returned, so that jobs waited forever;
+//! and no quota was lent while load moved, so that starts took 10 s and more.
 
 mod playing;
 
@@ -16,7 +16,7 @@
 fn cells_share_limits_that_change() {
     let results = play_well("cells.toml", CELLS, "cells-run");
     let changes = results.rows.iter().map(|row| match row {
-        Row::Latency(l) if l.what.starts_with("limits ") => l.count,
+        Row::Latency(latency) if latency.what.starts_with("limits ") => latency.count,
         _ => 0,
     });
     let changes: u64 = changes.sum();
--- a/scale/tests/experiments.rs
+++ b/scale/tests/experiments.rs
@@ -1,5 +1,5 @@
-//! Experiments that mustn't be played are refused before anything starts, and the message names
-//! file, key and reason.
+//! Invalid experiments are refused before anything starts, and the message names file, key and
+//! reason.
 
 use salttrestle_scale::experiment::{EMBEDDED, Experiment};
 
--- a/scale/tests/playing/mod.rs
+++ b/scale/tests/playing/mod.rs
@@ -6,8 +6,9 @@
 use salttrestle_scale::run::play;
 use std::path::Path;
 
-/// Plays an experiment, its files in a folder of this name; no rule may be broken and no aim missed.
-pub fn play_well(file: &str, text: &str, folder: &str) -> Results {
+/// Plays an experiment, with its files in a folder of this name; no rule may be violated and no
+/// objective missed.
+pub(crate) fn play_well(file: &str, text: &str, folder: &str) -> Results {
     let experiment = Experiment::parse(file, text).expect("a good experiment");
     let program = find_program(None).expect("the service's program");
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(folder);
--- a/scale/tests/takeovers_run.rs
+++ b/scale/tests/takeovers_run.rs
@@ -1,5 +1,5 @@
-//! Takeovers with real processes: the leader is killed, stopped and told to end, and each time
-//! another one starts tasks within five seconds, without a wrong order.
+//! Takeovers with real processes: the leader is killed, suspended or terminated, and each time its
+//! successor starts tasks within five seconds, without a command under a stale token.
 
 mod playing;
 
