--- a/scale/src/hollow/users/arrivals.rs
+++ b/scale/src/hollow/users/arrivals.rs
@@ -46,9 +46,8 @@
         let (load, phases) = (&plan.load, &plan.phases);
         let now = now as f64;
         let ramp_end_ms = now + phases.ramp_s * 1000.0;
-        let load_end_ms = ramp_end_ms + (phases.warmup_s + phases.measure_s) * 1000.0;
-        // Whole milliseconds.
-        let load_end_ms = load_end_ms as u64 as f64;
+        let load_s = phases.warmup_s + phases.measure_s;
+        let load_end_ms = (ramp_end_ms + load_s * 1000.0).trunc();
         let service_tasks = load.service_tasks_per_worker * plan.workers as f64;
         let services = (service_tasks / f64::from(load.replicas)).round();
         let services_per_s = services / phases.ramp_s.max(RAMP_MIN_S);
--- a/scale/src/hollow/users/balancer.rs
+++ b/scale/src/hollow/users/balancer.rs
@@ -65,15 +65,20 @@
         }
     }
 
-    /// A probe was answered, or its connection is closed (`None`). True if it is the one in flight.
-    pub(super) fn probed(&mut self, controller: usize, key: usize, status: Option<u16>) -> bool {
+    /// A probe was answered, or its connection is closed (`None`).
+    pub(super) fn probed(
+        &mut self,
+        controller: usize,
+        key: usize,
+        status: Option<u16>,
+        connections: &mut Connections,
+    ) {
         let backend = &mut self.backends[controller];
-        let in_flight = backend.probe == Some(key);
-        if in_flight {
+        if backend.probe == Some(key) {
             backend.probe = None;
             backend.healthy = status == Some(200);
+            connections.close(key);
         }
-        in_flight
     }
 
     /// Number of healthy controllers.
--- a/scale/src/hollow/users/mod.rs
+++ b/scale/src/hollow/users/mod.rs
@@ -203,9 +203,7 @@
         status: Option<u16>,
         connections: &mut Connections,
     ) {
-        if self.balancer.probed(controller, key, status) {
-            connections.close(key);
-        }
+        self.balancer.probed(controller, key, status, connections);
     }
 
     /// A response was received.
