--- a/src/controller/autoscaling/reconcile.rs
+++ b/src/controller/autoscaling/reconcile.rs
@@ -5,7 +5,7 @@
 use crate::controller::autoscaling::scale_out::ScaleOutStep;
 use crate::controller::context::Context;
 use crate::controller::pool::Pool;
-use crate::ids::MachineId;
+use crate::ids::{MachineId, Time};
 use crate::peer::PoolCount;
 use log::{debug, info, warn};
 use std::collections::BTreeMap;
@@ -21,93 +21,118 @@
     asked: BTreeMap<Pool, u32>,
 }
 
+/// What is wanted of one pool, over all shards.
+#[derive(Clone, Copy, Debug, Default)]
+struct PoolDemand {
+    wanted: u32,
+    provisioned: u32,
+    /// Machines lacking. A machine serves its own shard only, so each shard's gap is its own.
+    gap: u32,
+}
+
 impl Controller {
+    /// One turn of the reconcile loop: from counts to scale-out requests and machines to give back.
     pub(crate) fn reconcile(&mut self) {
-        let now = self.context.now;
-        let Some(leadership) = &mut self.context.leadership else {
+        let Some(ready) = self.context.reconcile_due() else {
             return;
         };
-        let s = &mut leadership.scale;
-        let unanswered = s
-            .scale_out_requests
-            .iter()
-            .any(|request| request.step != ScaleOutStep::Answered);
-        let shards = self.context.store.mirror.shards.len();
-        if s.ready.is_none() && s.listed && !unanswered && leadership.shard_counts.len() >= shards {
-            s.ready = Some(now);
-            s.reconcile_at = now;
+        self.send_counts();
+        let fleet = self.context.count_fleet();
+        if let Some(leadership) = &mut self.context.leadership {
+            leadership.needs.clear();
+        }
+        for (pool, shards) in &fleet.counts {
+            let demand = self.context.count_demand(*pool, shards);
+            self.context.scale_pool(&fleet, *pool, demand, ready);
+        }
+    }
+}
+
+impl Context {
+    /// Since when counts are rebuilt, if it is time for the next turn.
+    fn reconcile_due(&mut self) -> Option<Time> {
+        let now = self.now;
+        let shards = self.store.mirror.shards.len();
+        let leadership = self.leadership.as_mut()?;
+        let counted = leadership.shard_counts.len() >= shards;
+        let scale = &mut leadership.scale;
+        let mut requests = scale.scale_out_requests.iter();
+        let unanswered = requests.any(|request| request.step != ScaleOutStep::Answered);
+        if scale.ready.is_none() && scale.listed && !unanswered && counted {
+            scale.ready = Some(now);
+            scale.reconcile_at = now;
             info!("counts rebuilt, scaling begins");
         }
-        let Some(ready) = leadership
-            .scale
-            .ready
-            .filter(|_| now >= leadership.scale.reconcile_at)
+        let ready = scale.ready.filter(|_| now >= scale.reconcile_at)?;
+        scale.reconcile_at = now.after(self.settings.tuning.tick_s);
+        Some(ready)
+    }
+
+    /// Adds up what the shards want of a pool, and takes note of what each of them lacks.
+    fn count_demand(&mut self, pool: Pool, shards: &BTreeMap<u32, PoolCount>) -> PoolDemand {
+        let ceiling = self.settings.ceiling();
+        let mut demand = PoolDemand::default();
+        for (shard, count) in shards {
+            let wanted = count.wanted(ceiling);
+            debug!("pool counted, shard={shard} pool={pool:?} wanted={wanted} count={count:?}");
+            let gap = wanted.saturating_sub(count.provisioned);
+            demand.wanted += wanted;
+            demand.provisioned += count.provisioned;
+            demand.gap += gap;
+            if let (Some(leadership), Some(found)) =
+                (&mut self.leadership, pool.type_in(&self.catalog))
+            {
+                let key = (found.name.clone(), pool.is_spot(), *shard);
+                leadership.needs.insert(key, gap);
+            }
+        }
+        if demand.wanted >= ceiling {
+            warn!(
+                "pool at its ceiling, pool={pool:?} wanted={}",
+                demand.wanted
+            );
+        }
+        demand
+    }
+
+    /// Plans what to scale out, and what to give back, of one pool.
+    fn scale_pool(&mut self, fleet: &FleetCounts, pool: Pool, demand: PoolDemand, ready: Time) {
+        let now = self.now;
+        let (Some(leadership), Some(machine_type)) =
+            (&mut self.leadership, pool.type_in(&self.catalog))
         else {
             return;
         };
-        leadership.scale.reconcile_at = now.after(self.context.settings.tuning.tick_s);
-        self.send_counts();
-        let fleet = self.context.count_fleet();
-        let Some(leadership) = &mut self.context.leadership else {
+        let scale = &mut leadership.scale;
+        let PoolDemand {
+            wanted,
+            provisioned,
+            gap,
+        } = demand;
+        let window_s = self.settings.tuning.window * machine_type.ready_s;
+        scale.record_wanted(pool, now, wanted, window_s);
+        let asked = fleet.asked.get(&pool).copied().unwrap_or(0);
+        // A machine in the wrong zone is no help to tasks that may not go there.
+        let pins = fleet.pins.iter().filter(|((of, _), _)| *of == pool);
+        let pins: BTreeMap<&String, u32> = pins.map(|((_, zone), n)| (zone, *n)).collect();
+        let below_ceiling = self.settings.ceiling().saturating_sub(provisioned);
+        let gap = gap.max(pins.values().sum());
+        let gap = gap.min(below_ceiling).saturating_sub(asked);
+        let gap = gap.min(self.settings.rise(gap));
+        if gap > 0 {
+            let zones = (&fleet.zones, &pins);
+            scale.plan_scale_out(&self.catalog, pool, gap, zones, leadership.token, now);
+        }
+        // A new leader hasn't seen how high the count stood before its time.
+        if now.since(ready) < window_s {
             return;
-        };
-        leadership.needs.clear();
-        let ceiling = self.context.settings.ceiling();
-        for (pool, shards) in fleet.counts {
-            // A machine serves its own shard only, so each shard's gap is its own.
-            let (mut wanted, mut gap, mut provisioned) = (0, 0, 0);
-            for (shard, count) in &shards {
-                let w = count.wanted(ceiling);
-                debug!("pool counted, shard={shard} pool={pool:?} wanted={w} count={count:?}");
-                let need = w.saturating_sub(count.provisioned);
-                (wanted, gap, provisioned) =
-                    (wanted + w, gap + need, provisioned + count.provisioned);
-                let name = self.context.catalog[pool.machine_type].name.clone();
-                leadership
-                    .needs
-                    .insert((name, pool.is_spot(), *shard), need);
-            }
-            let window_s = self.context.settings.tuning.window
-                * self.context.catalog[pool.machine_type].ready_s;
-            leadership.scale.record_wanted(pool, now, wanted, window_s);
-            let resources = ceiling.saturating_sub(provisioned);
-            if wanted >= ceiling {
-                warn!("pool at its ceiling, pool={pool:?} wanted={wanted}");
-            }
-            let asked = fleet.asked.get(&pool).copied().unwrap_or(0);
-            // A machine in the wrong zone is no help to tasks that may not go there.
-            let pins = fleet
-                .pins
-                .iter()
-                .filter(|((placement, _), _)| *placement == pool);
-            let pins: BTreeMap<&String, u32> = pins.map(|((_, z), n)| (z, *n)).collect();
-            let gap = gap.max(pins.values().sum());
-            let gap = gap.min(resources).saturating_sub(asked);
-            let gap = gap.min(self.context.settings.rise(gap));
-            if gap > 0 {
-                leadership.scale.plan_scale_out(
-                    &self.context.catalog,
-                    pool,
-                    gap,
-                    (&fleet.zones, &pins),
-                    leadership.token,
-                    now,
-                );
-            }
-            // A new leader hasn't seen how high the count stood before its time.
-            if now.since(ready) < window_s {
-                continue;
-            }
-            let keep = leadership.scale.highest(pool).max(wanted);
-            let surplus = (provisioned + asked).saturating_sub(keep) as usize;
-            let idle = fleet.empty.get(&pool).into_iter().flatten();
-            let before = leadership.scale.scale_in.len();
-            leadership
-                .scale
-                .scale_in
-                .extend(idle.take(surplus).cloned());
-            leadership.scale.plan_changed |= leadership.scale.scale_in.len() > before;
         }
+        let keep = scale.highest(pool).max(wanted);
+        let surplus = (provisioned + asked).saturating_sub(keep) as usize;
+        let idle = fleet.empty.get(&pool).into_iter().flatten();
+        let before = scale.scale_in.len();
+        scale.scale_in.extend(idle.take(surplus).cloned());
+        scale.plan_changed |= scale.scale_in.len() > before;
     }
 }
 
--- a/src/controller/scheduling/consolidation.rs
+++ b/src/controller/scheduling/consolidation.rs
@@ -11,6 +11,7 @@
 use crate::ids::{JobId, MachineId, TaskId, Time};
 use crate::settings::Settings;
 use crate::wire::MachineType;
+use log::info;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -21,82 +22,91 @@
 /// Share of a fleet that one tick may empty, and one machine at least.
 const MOVE_SHARE: f64 = 0.02;
 
-/// Moves the replicas of a little used machine to fuller ones that have their images,
-/// so that it empties and goes back: what a fleet that shrinks would otherwise never do.
+/// The replicas of one machine, to be stopped there.
+struct Move {
+    machine: MachineId,
+    tasks: Vec<TaskId>,
+}
+
 impl ShardOwner {
+    /// Moves the replicas of little used machines to fuller ones that have their images, so that
+    /// the former go back: what a fleet that shrinks would otherwise never do.
     pub(crate) fn consolidate(&mut self, context: &mut Context) {
         let now = context.now;
-        if context.is_stale() {
-            return;
-        }
-        let headroom = context.settings.tuning.headroom;
-        if now < self.consolidate_at {
+        if context.is_stale() || now < self.consolidate_at {
             return;
         }
         self.consolidate_at = now.after(context.settings.tuning.tick_s);
+        let spare = self.cordon_spare_machines(context);
+        for Move { machine, tasks } in self.possible_moves(context, &spare) {
+            info!(
+                "machine emptied, machine={machine} tasks={} reason=its tasks fit elsewhere",
+                tasks.len()
+            );
+            for task in tasks {
+                self.stop(context, &task);
+            }
+        }
+    }
+
+    /// Cordons the machines whose work would fit on others, and no others but emptied ones.
+    fn cordon_spare_machines(&mut self, context: &Context) -> BTreeSet<MachineId> {
         // While somebody waits for room, none is given up.
-        let pressed = |id: &JobId| {
-            self.jobs
-                .get(id)
-                .is_some_and(|l| l.record.priority_class > PriorityClass::Normal)
+        let urgent = |id: &JobId| {
+            let job_state = self.jobs.get(id);
+            job_state.is_some_and(|l| l.record.priority_class > PriorityClass::Normal)
         };
-        let open = !self.cut && !self.waiting.iter().any(pressed);
-        let spare = if open {
-            spare_machines(self, &context.catalog, headroom, now)
+        let room_to_spare = !self.cut && !self.waiting.iter().any(urgent);
+        let spare = if room_to_spare {
+            let headroom = context.settings.tuning.headroom;
+            spare_machines(self, &context.catalog, headroom, context.now)
         } else {
             BTreeSet::new()
         };
-        // One that has been emptied stays closed: opened again, it drew the replicas of the next
+        // One that has been emptied stays cordoned: opened again, it drew the replicas of the next
         // one to be emptied, which then drew them back, without end.
-        let emptied = |m: &Machine| open && m.cordoned && m.tasks.is_empty();
-        let changed =
+        let emptied = |m: &Machine| room_to_spare && m.cordoned && m.tasks.is_empty();
+        let changes =
             |(id, m): &(&MachineId, &Machine)| m.cordoned != (spare.contains(*id) || emptied(m));
-        let changed = self.machines.iter().filter(changed);
+        let changed = self.machines.iter().filter(changes);
         let changed: Vec<MachineId> = changed.map(|(id, _)| id.clone()).collect();
         for id in changed {
             self.machines.edit(&id, |m| m.cordoned = !m.cordoned);
         }
-        // One a tick never caught up with a fleet of hundreds that shrinks.
+        spare
+    }
+
+    /// The machines that can be emptied now. One at a time never caught up with a fleet of hundreds
+    /// that shrinks.
+    fn possible_moves(&self, context: &Context, spare: &BTreeSet<MachineId>) -> Vec<Move> {
         let most = (self.machines.len() as f64 * MOVE_SHARE).ceil() as usize;
         let (mut taken, mut moves) = (BTreeMap::new(), Vec::new());
-        let mut standing = 0;
-        for id in &spare {
-            let Some(m) = self.machines.get(id).filter(|_| moves.len() < most) else {
+        let mut critical_moves = 0;
+        for id in spare {
+            let Some(machine) = self.machines.get(id).filter(|_| moves.len() < most) else {
                 break;
             };
             // What shall never be down is moved one machine at a time.
-            let critical = m
+            let classes = machine
                 .tasks
                 .values()
-                .any(|s| s.record.priority_class == PriorityClass::Critical);
-            if critical && standing > 0 {
+                .map(|bound| bound.record.priority_class);
+            let critical = classes.max() == Some(PriorityClass::Critical);
+            if critical && critical_moves > 0 {
                 continue;
             }
-            let tasks: Vec<TaskId> = m.tasks.keys().cloned().collect();
-            let now_taken = fits_elsewhere(
-                self,
-                &context.catalog,
-                &context.settings,
-                now,
-                id,
-                &tasks,
-                &taken,
-            );
+            let tasks: Vec<TaskId> = machine.tasks.keys().cloned().collect();
+            let (catalog, settings) = (&context.catalog, &context.settings);
+            let now_taken =
+                fits_elsewhere(self, catalog, settings, context.now, id, &tasks, &taken);
             if let Some(now_taken) = now_taken.filter(|_| !tasks.is_empty()) {
                 taken = now_taken;
-                standing += usize::from(critical);
-                moves.push((id.clone(), tasks));
-            }
-        }
-        for (machine, tasks) in moves {
-            log::info!(
-                "machine emptied, machine={machine} tasks={} reason=its tasks fit elsewhere",
-                tasks.len()
-            );
-            for task in tasks {
-                self.stop(context, &task);
+                critical_moves += usize::from(critical);
+                let machine = id.clone();
+                moves.push(Move { machine, tasks });
             }
         }
+        moves
     }
 }
 
--- a/src/controller/shard/job.rs
+++ b/src/controller/shard/job.rs
@@ -39,6 +39,22 @@
     pub runs_well: bool,
 }
 
+impl Placement {
+    /// A placement that is still to be committed.
+    pub(crate) fn new(machine: MachineId, zone: Rc<str>, attempt: Attempt, now: Time) -> Self {
+        Self {
+            machine,
+            zone,
+            attempt,
+            phase: Phase::Committing,
+            since: now,
+            stop_requested: None,
+            sends: 0,
+            runs_well: false,
+        }
+    }
+}
+
 /// A job of the shard.
 #[derive(Debug)]
 pub(crate) struct JobState {
