--- a/src/controller/machines/liveness.rs
+++ b/src/controller/machines/liveness.rs
@@ -6,7 +6,7 @@
 use crate::controller::machines::inventory::Machine;
 use crate::controller::shard::job::Phase;
 use crate::controller::store::records::JobKind;
-use crate::ids::ControllerId;
+use crate::ids::{ControllerId, MachineId, Time};
 use log::warn;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -15,32 +15,44 @@
 /// deleted: its user waits, and repeats the request for a minute.
 const CANCEL_SHARE: f64 = 0.6;
 /// The same in a zone that is partitioned; cuts mostly end sooner.
-const CUT_CANCEL_SHARE: f64 = 2.0;
+const PARTITION_CANCEL_SHARE: f64 = 2.0;
 /// Without any heartbeat for this many heartbeat intervals, an owner whose machines all
 /// reported before takes itself to be partitioned from them.
-const DEAF_REPORTS: f64 = 5.0;
+const UNREACHABLE_HEARTBEATS: f64 = 5.0;
 /// Silent machines are a few up to this share; more are taken to be partitioned, and are
 /// given up after so many leases.
 const FEW_SILENT_SHARE: f64 = 0.15;
-const MASS_SILENT: f64 = 4.0;
+/// So many are few whatever the size of the fleet.
+const FEW_SILENT_LEAST: f64 = 2.0;
+const MASS_SILENT_LEASES: f64 = 4.0;
 /// Machines that have been quiet for this share of the patience with silent ones are
 /// counted among these.
 const NEARLY_SILENT: f64 = 0.95;
 /// Machines that may be sheltered are given up after so many.
-const SHELTERED_SILENT: f64 = 9.0;
+const KEPT_ALIVE_SILENT_LEASES: f64 = 9.0;
 /// A zone is taken to be partitioned when this share of its machines, and at least so
 /// many, have missed so many heartbeats.
-const CUT_SHARE: f64 = 0.25;
-const CUT_LEAST: usize = 3;
-const CUT_REPORTS: f64 = 3.0;
+const PARTITION_SHARE: f64 = 0.25;
+const PARTITION_LEAST: usize = 3;
+const PARTITION_HEARTBEATS: f64 = 3.0;
 /// A machine that never showed this shard's number, with tasks on it, is deleted after
 /// this many leases of silence: only that proves them gone.
-const UNPROVABLE: f64 = 1.2;
+const UNPROVABLE_LEASES: f64 = 1.2;
 /// A machine that heartbeats and doesn't take up this shard's number is deleted after so many
 /// leases if tasks may be on it.
-const UNHEARING: f64 = 2.0;
+const UNACKNOWLEDGED_LEASES: f64 = 2.0;
 /// Seconds a machine of an older leadership has to heartbeat before it counts as silent.
-const FIRST_REPORT_S: f64 = 12.0;
+const FIRST_HEARTBEAT_S: f64 = 12.0;
+
+/// A machine from which no heartbeat has come for long.
+struct SilentMachine {
+    id: MachineId,
+    silent_s: f64,
+    /// How long it is waited for.
+    patience_s: f64,
+    /// A controller of its partitioned zone may keep its worker alive.
+    kept_alive: bool,
+}
 
 impl ShardOwner {
     /// An owner that hears none of its machines, while they heartbeat to a peer, or no
@@ -49,13 +61,13 @@
     /// replacement.
     pub(crate) fn workers_lost(&self, context: &Context) -> bool {
         let workers = &context.settings.platform.facts.workers;
-        let patience = workers.report_s * DEAF_REPORTS;
+        let patience = workers.report_s * UNREACHABLE_HEARTBEATS;
         let up = self
             .machines
             .values()
             .filter(|machine| machine.ready_since.is_some())
             .count();
-        let settled = context.now.since(self.since) > FIRST_REPORT_S;
+        let settled = context.now.since(self.since) > FIRST_HEARTBEAT_S;
         let workers_unreachable = up >= 2 && settled && context.now.since(self.heard) > patience;
         workers_unreachable
             && !context.is_stale()
@@ -113,7 +125,11 @@
                 // When a cut ends, the last ones to come back get time as well.
                 let cut = self.partitioned_zones.contains(&placement.zone)
                     || now.since(self.partitioned_at) < lease_s;
-                let share = if cut { CUT_CANCEL_SHARE } else { CANCEL_SHARE };
+                let share = if cut {
+                    PARTITION_CANCEL_SHARE
+                } else {
+                    CANCEL_SHARE
+                };
                 // A new owner sees only after a while which zones are partitioned. Counting
                 // from the cancellation, it deleted the machines of one at once.
                 if now.since(at.max(self.since)) > cancel_s * share {
@@ -126,80 +142,87 @@
         }
     }
 
-    /// Machines that stay silent are deleted. Most come back when a cut is over, with
-    /// their images, so they get time; only where nothing else proves what became of
-    /// their tasks is a deletion needed sooner. Many at once are a cut for sure, unless
-    /// they stay away for long.
+    /// Machines that stay silent are deleted. Most come back when a partition is over, with their
+    /// images, so they get time; only where nothing else proves what became of their tasks is a
+    /// deletion needed sooner. Many at once are a partition for sure, unless they stay away for
+    /// long.
     pub(crate) fn check_silent(&mut self, context: &Context) {
-        let workers = &context.settings.platform.facts.workers;
-        let (lease_s, silent_s) = (workers.lease_s, context.settings.silent_s(false));
-        let (silent_mute_s, unreachable_controllers) = (
-            context.settings.silent_s(true),
-            self.unreachable_controllers(context),
-        );
-        let (now, is_stale) = (context.now, context.is_stale());
+        let (now, lease_s) = (context.now, context.settings.platform.facts.workers.lease_s);
+        let unreachable = self.unreachable_controllers(context);
         let partitioned_zones = self.find_partitioned_zones(context);
-        let sheltered: BTreeSet<Rc<str>> = partitioned_zones
-            .iter()
-            .filter(|z| context.zone_has_peer(z))
-            .cloned()
-            .collect();
-        let mut up = 0;
+        let silent = self.find_silent(context, &unreachable, &partitioned_zones);
+        let partitioned_before = self.partitioned_at;
+        self.note_partition(now, partitioned_zones, silent.len());
+        if context.is_stale() {
+            return;
+        }
+        let zones_partitioned_at = self.zones_partitioned_at;
+        let zones_come_back = zones_partitioned_at.is_some_and(|at| now.since(at) < lease_s);
+        for machine in silent {
+            let least_s = match (self.cut, machine.kept_alive) {
+                (_, true) => KEPT_ALIVE_SILENT_LEASES * lease_s,
+                (true, false) => MASS_SILENT_LEASES * lease_s,
+                (false, false) => 0.0,
+            };
+            // When a partition ends, those who come back last aren't taken for dead. None is waited
+            // for for ever: those that went meanwhile look as if it went on.
+            let given_up = machine.silent_s > KEPT_ALIVE_SILENT_LEASES * lease_s;
+            let calm = now.since(partitioned_before) > machine.patience_s;
+            let late = (self.cut && !zones_come_back) || given_up || calm;
+            if machine.silent_s > machine.patience_s.max(least_s) && late {
+                self.decommission(now, &machine.id, DecommissionReason::Silent);
+            }
+        }
+    }
+
+    /// Machines that have been quiet for nearly as long as is waited for them.
+    fn find_silent(
+        &self,
+        context: &Context,
+        unreachable: &BTreeSet<Option<ControllerId>>,
+        partitioned_zones: &BTreeSet<Rc<str>>,
+    ) -> Vec<SilentMachine> {
+        let lease_s = context.settings.platform.facts.workers.lease_s;
+        let usual_s = context.settings.silent_s(false);
+        let controller_unreachable_s = context.settings.silent_s(true);
         let mut silent = Vec::new();
-        for (id, machine) in self
-            .machines
-            .iter()
-            .filter(|(_, machine)| machine.ready_since.is_some())
-        {
-            up += 1;
-            let quiet = now.since(machine.last_heartbeat.max(self.since));
-            if machine.long_poll.is_none() && quiet > silent_s * NEARLY_SILENT {
-                let provable = machine.token_acknowledged || machine.tasks.is_empty();
-                let patience = match (
-                    provable,
-                    unreachable_controllers.contains(&machine.forwarded_by),
-                ) {
-                    (true, false) => silent_s,
-                    (true, true) => silent_mute_s,
-                    (false, _) => UNPROVABLE * lease_s,
-                };
-                silent.push((
-                    id.clone(),
-                    quiet,
-                    patience,
-                    sheltered.contains(&machine.zone),
-                ));
+        for (id, machine) in self.machines.iter() {
+            let silent_s = context.now.since(machine.last_heartbeat.max(self.since));
+            let waits = machine.ready_since.is_none() || machine.long_poll.is_some();
+            if waits || silent_s <= usual_s * NEARLY_SILENT {
+                continue;
             }
+            let provable = machine.token_acknowledged || machine.tasks.is_empty();
+            let patience_s = match (provable, unreachable.contains(&machine.forwarded_by)) {
+                (true, false) => usual_s,
+                (true, true) => controller_unreachable_s,
+                (false, _) => UNPROVABLE_LEASES * lease_s,
+            };
+            let zone = &machine.zone;
+            silent.push(SilentMachine {
+                id: id.clone(),
+                silent_s,
+                patience_s,
+                kept_alive: partitioned_zones.contains(zone) && context.zone_has_peer(zone),
+            });
         }
+        silent
+    }
+
+    /// Takes note of which zones, and whether so many machines, are taken to be partitioned.
+    fn note_partition(&mut self, now: Time, partitioned_zones: BTreeSet<Rc<str>>, silent: usize) {
         if !partitioned_zones.is_empty() {
             self.zones_partitioned_at = Some(now);
         }
         self.partitioned_zones = partitioned_zones;
-        let back = self
-            .zones_partitioned_at
-            .is_some_and(|at| now.since(at) < lease_s);
-        let calm = self.partitioned_at;
-        self.cut = silent.len() as f64 > (FEW_SILENT_SHARE * f64::from(up)).max(2.0);
+        let machines = self.machines.values();
+        let ready = machines
+            .filter(|machine| machine.ready_since.is_some())
+            .count();
+        self.cut = silent as f64 > (FEW_SILENT_SHARE * ready as f64).max(FEW_SILENT_LEAST);
         if self.cut || !self.partitioned_zones.is_empty() {
             self.partitioned_at = now;
         }
-        if is_stale {
-            return;
-        }
-        for (id, quiet, patience, sheltered) in silent {
-            let least = match (self.cut, sheltered) {
-                (_, true) => SHELTERED_SILENT * lease_s,
-                (true, false) => MASS_SILENT * lease_s,
-                (false, false) => 0.0,
-            };
-            // When a cut ends, those who come back last aren't taken for dead. None is
-            // waited for for ever: those that went meanwhile look as if it went on.
-            let given_up = quiet > SHELTERED_SILENT * lease_s;
-            let late = (self.cut && !back) || given_up || now.since(calm) > patience;
-            if quiet > patience.max(least) && late {
-                self.decommission(now, &id, DecommissionReason::Silent);
-            }
-        }
     }
 
     /// Machines whose heartbeats come while nothing told them arrives never show this shard's
@@ -219,7 +242,7 @@
         {
             let long = machine
                 .first_heartbeat
-                .is_some_and(|at| now.since(at) > UNHEARING * lease_s);
+                .is_some_and(|at| now.since(at) > UNACKNOWLEDGED_LEASES * lease_s);
             if long && !machine.tasks.is_empty() && !self.partitioned_zones.contains(&machine.zone)
             {
                 unacknowledged.push(id.clone());
@@ -255,7 +278,7 @@
     /// Zones of which so many machines have missed their heartbeats that they must be cut
     /// off. Their own controllers keep them alive.
     fn find_partitioned_zones(&self, context: &Context) -> BTreeSet<Rc<str>> {
-        let quiet_s = context.settings.platform.facts.workers.report_s * CUT_REPORTS;
+        let quiet_s = context.settings.platform.facts.workers.report_s * PARTITION_HEARTBEATS;
         let mut zones: BTreeMap<&Rc<str>, (usize, usize)> = BTreeMap::new();
         let staying = |machine: &&Machine| {
             machine.ready_since.is_some()
@@ -269,7 +292,7 @@
             count.1 += usize::from(quiet && machine.long_poll.is_none());
         }
         let cut = |(all, quiet): (usize, usize)| {
-            quiet >= CUT_LEAST && quiet as f64 >= CUT_SHARE * all as f64
+            quiet >= PARTITION_LEAST && quiet as f64 >= PARTITION_SHARE * all as f64
         };
         // Where a controller of the zone hears workers and is heard, there is no cut: a
         // wave that took many spot machines looked like one.
--- a/src/controller/shard/commits.rs
+++ b/src/controller/shard/commits.rs
@@ -152,48 +152,26 @@
             );
         }
         let mut ready = BTreeSet::new();
-        let mut reread_placements = Vec::new();
+        let mut conflicts = Vec::new();
         for item in &items {
-            let now = context.now;
-            let Some(job_state) = self.jobs.get_mut(&item.job) else {
-                continue;
-            };
-            let chunk = job_state.chunks.entry(item.chunk).or_default();
-            chunk.busy = false;
             match &reply {
                 StoreResponse::Committed { revision } => {
-                    chunk.revision = *revision;
-                    // What came in meanwhile is still to be written.
-                    let queued = |u| {
-                        self.write_queue
-                            .contains(&(u, item.job.clone(), item.chunk))
-                    };
-                    chunk.unwritten = WriteUrgency::ALL.into_iter().any(queued);
-                    for machine in mark_committed(now, job_state, &item.placed) {
-                        ready.insert(machine);
-                    }
+                    ready.extend(self.on_chunk_written(context.now, item, *revision));
                 }
                 StoreResponse::Conflict { failed } => {
-                    let own = failed.contains(&Key::Run(item.job.clone(), item.chunk));
-                    let job = failed.contains(&Key::Job(item.job.clone()));
-                    if own {
-                        chunk.busy = true;
-                        reread_placements.push((item.job.clone(), item.chunk));
-                    } else if job {
-                        self.remove_uncommitted(now, item);
-                    } else {
-                        self.requeue_write(&item.job, item.chunk);
+                    if self.on_chunk_conflict(context.now, item, failed) {
+                        conflicts.push((item.job.clone(), item.chunk));
                     }
                 }
                 // Not executed, or perhaps: the same conditions make it happen once.
                 _ => self.requeue_write(&item.job, item.chunk),
             }
         }
-        let jobs: BTreeSet<JobId> = items.into_iter().map(|i| i.job).collect();
+        let jobs: BTreeSet<JobId> = items.into_iter().map(|item| item.job).collect();
         for job in &jobs {
             self.remove_unsent(context.now, job);
         }
-        for (job, chunk) in reread_placements {
+        for (job, chunk) in conflicts {
             self.reread_placements(context, job, chunk);
         }
         for machine in ready {
@@ -201,6 +179,45 @@
         }
     }
 
+    /// A chunk's record was written: its placements may be sent. Returns their machines.
+    fn on_chunk_written(
+        &mut self,
+        now: Time,
+        item: &PlacementWrite,
+        revision: u64,
+    ) -> Vec<MachineId> {
+        let Some(job_state) = self.jobs.get_mut(&item.job) else {
+            return Vec::new();
+        };
+        let chunk = job_state.chunks.entry(item.chunk).or_default();
+        chunk.busy = false;
+        chunk.revision = revision;
+        // What came in meanwhile is still to be written.
+        let entry = |urgency| (urgency, item.job.clone(), item.chunk);
+        let mut urgencies = WriteUrgency::ALL.into_iter();
+        chunk.unwritten = urgencies.any(|urgency| self.write_queue.contains(&entry(urgency)));
+        mark_committed(now, job_state, &item.placed)
+    }
+
+    /// A transaction failed by its preconditions. Whether this chunk's record is another than
+    /// expected, and has to be read.
+    fn on_chunk_conflict(&mut self, now: Time, item: &PlacementWrite, failed: &[Key]) -> bool {
+        let Some(job_state) = self.jobs.get_mut(&item.job) else {
+            return false;
+        };
+        let chunk_changed = failed.contains(&Key::Run(item.job.clone(), item.chunk));
+        job_state.chunks.entry(item.chunk).or_default().busy = chunk_changed;
+        if chunk_changed {
+            return true;
+        }
+        if failed.contains(&Key::Job(item.job.clone())) {
+            self.remove_uncommitted(now, item);
+        } else {
+            self.requeue_write(&item.job, item.chunk);
+        }
+        false
+    }
+
     /// Reads a chunk whose revision isn't the expected one: an earlier commit whose
     /// answer was lost stands after all.
     fn reread_placements(&mut self, context: &mut Context, job: JobId, chunk: u32) {
