--- a/src/controller/api/mod.rs
+++ b/src/controller/api/mod.rs
@@ -68,7 +68,7 @@
     /// Submissions that name jobs of which it isn't known here that they were accepted.
     awaiting_dependencies: VecDeque<DependentSubmission>,
     /// Cancellations that are marked, and told once no task of their job is left; and questions
-    /// about jobs that are cancelled with one that they need, until their end is committed.
+    /// about jobs that are cancelled with one that they depend on, until their end is committed.
     leaving: VecDeque<StatusQuery>,
     /// The last call sent before the newest request came that isn't a mere question: a
     /// cancellation, or a submission that has to be looked up.
@@ -123,7 +123,7 @@
     }
 
     pub(crate) fn on_disconnect(&mut self, request_id: RequestId) {
-        self.context.forget_report(request_id);
+        self.context.forget_heartbeat(request_id);
         for h in self.shards.values_mut() {
             h.forget_request(request_id);
         }
--- a/src/controller/api/status_queries.rs
+++ b/src/controller/api/status_queries.rs
@@ -128,7 +128,7 @@
             return;
         }
         if self.store.mirror.may_be_cancelled(&query.id) {
-            // Somebody may have been told so of a job that it needs.
+            // Somebody may have been told so of a job that it depends on.
             let after = self.last_call();
             return self
                 .api
--- a/src/controller/api/submissions.rs
+++ b/src/controller/api/submissions.rs
@@ -110,7 +110,7 @@
         None
     }
 
-    /// Takes a submission whose needed jobs are all known to be accepted, and looks the others up.
+    /// Takes a submission whose dependencies are all known to be accepted, and looks the others up.
     fn check_needs(&mut self, submission: Submission) {
         let needs = &submission.record.needs;
         let mut job_state = needs.iter().filter_map(|n| self.store.mirror.jobs.get(n));
@@ -136,7 +136,7 @@
             .push_back(awaiting_dependencies);
     }
 
-    /// Goes on with submissions whose needed jobs are known by now, or of which an end has to be
+    /// Goes on with submissions whose dependencies are known by now, or of which an end has to be
     /// read.
     pub(crate) fn check_named_dependencies(&mut self) {
         let fresh = self.store.linearized_call();
@@ -244,9 +244,10 @@
                 StoreResponse::Committed { .. } if late => {
                     self.on_status_query(s.request_id, s.id, Intent::Again)
                 }
-                // It is accepted, and cancelled with a job that it needs.
+                // It is accepted, and cancelled with a job that it depends on.
                 StoreResponse::Committed { .. }
-                    if self.store.mirror.needs(&s.record) == DependencyState::Cancelled =>
+                    if self.store.mirror.dependency_state(&s.record)
+                        == DependencyState::Cancelled =>
                 {
                     info!("job accepted and cancelled with a dependency, job={}", s.id);
                     self.on_status_query(s.request_id, s.id, Intent::Again);
--- a/src/controller/autoscaling/demand.rs
+++ b/src/controller/autoscaling/demand.rs
@@ -24,7 +24,7 @@
 
 /// Pools of which at least half of the machines that boot are late or overdue. Work that may
 /// use others counts on these: an empty fleet whose smallest type didn't come up ran nothing,
-/// and rented and deleted that type's machines without end.
+/// and scaled out and deleted that type's machines without end.
 #[derive(Default)]
 struct SlowPools {
     /// Slow for urgent work: half are late.
@@ -34,7 +34,7 @@
     /// Late machines that aren't overdue yet.
     late: BTreeMap<Pool, u32>,
     /// Machines' worth of urgent work that counts on each pool. For these, as many others are
-    /// rented as are late, once each: late ones that come after all count again.
+    /// scaled out as are late, once each: late ones that come after all count again.
     urgent_waiting: BTreeMap<Pool, f64>,
 }
 
@@ -66,7 +66,7 @@
 }
 
 impl PoolCount {
-    /// Makes the count ask for machines in place of late ones, as many as urgent work waits
+    /// Makes the count ask for machines in place lately ones, as many as urgent work waits
     /// for beyond those that come in time. The room that is kept stays on the late ones: they
     /// may come, and count again then.
     fn replace_late(&mut self, late: u32, waiting: u32) {
@@ -114,7 +114,7 @@
         }
         for machine in self.machines.values() {
             let quiet = now.since(machine.last_heartbeat.max(self.since)) > lease_s;
-            let cut = self.cut || self.partitioned_zones.contains(&machine.zone);
+            let cut = self.mass_partition || self.partitioned_zones.contains(&machine.zone);
             let silent =
                 machine.ready_since.is_some() && machine.long_poll.is_none() && quiet && !cut;
             // An overdue machine is replaced. If it comes after all, it is used or returned.
@@ -302,7 +302,7 @@
 
 /// Counts a job's queued tasks. Where the cloud has nothing left they count on the next
 /// pool, but only those that the machines on their way there don't hold: counting them
-/// all rented a second fleet beside the first, when an empty one's first pool was full.
+/// all scaled out a second fleet beside the first, when an empty one's first pool was full.
 fn count_queued(
     catalog: &[MachineType],
     record: &JobRecord,
--- a/src/controller/autoscaling/machines.rs
+++ b/src/controller/autoscaling/machines.rs
@@ -105,7 +105,7 @@
     }
 
     /// Asks for the next page, now or as soon as the budget allows. Begun anew instead, a list of
-    /// more pages than the budget holds calls never came to its end, and nothing was rented.
+    /// more pages than the budget holds calls never came to its end, and nothing was scaled out.
     fn list_on(&mut self, so_far: Vec<Listed>) {
         let after = so_far.last().map(|l| MachineId::from(l.id.as_str()));
         let op = CloudOp::List { after };
@@ -121,7 +121,7 @@
 impl ShardOwner {
     /// Machines that never come up are paid for until they are deleted. That is long after
     /// they were replaced: on a night on which all boots took several times as long, each was
-    /// deleted shortly before it was up, and rented anew.
+    /// deleted shortly before it was up, and scaled out anew.
     pub(crate) fn decommission_abandoned(&mut self, context: &Context) {
         let (now, boot) = (context.now, context.settings.tuning.boot);
         let most = ABANDONED_AFTER * boot;
@@ -202,7 +202,7 @@
     /// Takes note of a listed machine.
     fn observe_listed(&mut self, now: Time, catalog: &[MachineType], l: &Listed) {
         let id = MachineId::from(l.id.as_str());
-        if self.gone.contains_key(&id) {
+        if self.deleted_machines.contains_key(&id) {
             return;
         }
         if self.whole && !self.machines.contains_key(&id) {
@@ -271,7 +271,7 @@
         }
         self.machines.remove(id);
         self.failures.forget_machine(id);
-        self.gone.insert(id.clone(), now);
+        self.deleted_machines.insert(id.clone(), now);
         self.scheduling_wanted = true;
         held.map(|(request_id, _)| request_id)
     }
--- a/src/controller/autoscaling/mod.rs
+++ b/src/controller/autoscaling/mod.rs
@@ -1,5 +1,5 @@
 //! How many machines there are. Each type is a pool, ordinary and spot apart. Each
-//! tick compares the larger of two counts, what waits and what runs, with what is
+//! reconcile turn compares the larger of two counts, what waits and what runs, with what is
 //! provisioned, booting machines included.
 //!
 //! [`demand`] counts, `tick` decides, `plan` writes the decision down, `scale_out_requests` carries
@@ -34,7 +34,7 @@
 }
 
 impl CloudPurpose {
-    /// Whether the call rents or deletes machines.
+    /// Whether the call scales out or deletes machines.
     pub(crate) fn changes(&self) -> bool {
         matches!(self, Self::Rent(_) | Self::Delete { .. })
     }
@@ -42,7 +42,7 @@
 
 /// Pause before a scale-out request without an answer is repeated.
 const REPEAT_S: f64 = 2.0;
-/// Counts are told to the leader this often, as a share of its tick.
+/// Counts are told to the leader this often, as a share of its reconcile turn.
 const COUNTS_SHARE: f64 = 0.2;
 
 impl Controller {
--- a/src/controller/autoscaling/plan.rs
+++ b/src/controller/autoscaling/plan.rs
@@ -26,7 +26,7 @@
 
 #[derive(Debug, Default)]
 pub(crate) struct ScalingState {
-    /// Whether counts are rebuilt, so that renting may begin.
+    /// Whether counts are rebuilt, so that scaling out may begin.
     pub(crate) ready: Option<Time>,
     pub(crate) listed: bool,
     pub(crate) reconcile_at: Time,
@@ -45,7 +45,7 @@
 
 impl Context {
     /// A new leader first repeats the scale-out requests that the plan speaks of, under their
-    /// names, and lists: it rents only once it knows what is there.
+    /// names, and lists: it scales out only once it knows what is there.
     pub(crate) fn rebuild_scaling_state(&mut self) {
         let now = self.now;
         let plan = self.store.mirror.plan.record.clone().unwrap_or_default();
@@ -145,8 +145,8 @@
 }
 
 impl ScalingState {
-    /// The requests to rent and the machines to return that fit into so many bytes. With
-    /// many pools and zones a plan outgrew its value, and then nothing was rented. Requests
+    /// The requests to scale out and the machines to return that fit into so many bytes. With
+    /// many pools and zones a plan outgrew its value, and then nothing was scaled out. Requests
     /// that are answered go first: they only help a new leader before its list does; those
     /// that nobody has sent are planned again.
     fn fit(&mut self, bytes: usize) -> (Vec<ScaleOutRecord>, Vec<MachineId>) {
--- a/src/controller/autoscaling/reconcile.rs
+++ b/src/controller/autoscaling/reconcile.rs
@@ -1,4 +1,4 @@
-//! The tick: from the shards' counts to scale-out requests and returns.
+//! The reconcile turn: from the shards' counts to scale-out requests and returns.
 
 use crate::controller::Controller;
 use crate::controller::autoscaling::Zones;
@@ -39,7 +39,7 @@
         self.send_counts();
         let fleet = self.context.count_fleet();
         if let Some(leadership) = &mut self.context.leadership {
-            leadership.needs.clear();
+            leadership.lacking_machines.clear();
         }
         for (pool, shards) in &fleet.counts {
             let demand = self.context.count_demand(*pool, shards);
@@ -83,7 +83,7 @@
                 (&mut self.leadership, pool.type_in(&self.catalog))
             {
                 let key = (found.name.clone(), pool.is_spot(), *shard);
-                leadership.needs.insert(key, gap);
+                leadership.lacking_machines.insert(key, gap);
             }
         }
         if demand.wanted >= ceiling {
--- a/src/controller/autoscaling/scale_out.rs
+++ b/src/controller/autoscaling/scale_out.rs
@@ -19,7 +19,7 @@
 /// Most machines that one scale-out request may ask for.
 const SCALE_OUT_MAX: u32 = 50;
 
-/// A request to rent.
+/// A request to scale out.
 #[derive(Debug)]
 pub(crate) struct ScaleOutRequest {
     pub(crate) record: ScaleOutRecord,
@@ -63,22 +63,22 @@
         };
         let place = (Pool::of(class, record.spot), record.zone.clone());
         match reply {
-            CloudReply::Rented(rigs) => {
+            CloudReply::Rented(machines) => {
                 info!(
                     "scaled out, type={} zone={} spot={} machines={} asked={}",
                     record.class,
                     record.zone,
                     record.spot,
-                    rigs.len(),
+                    machines.len(),
                     record.count
                 );
-                if (rigs.len() as u32) < record.count {
+                if (machines.len() as u32) < record.count {
                     leadership.scale.mark_exhausted(place, now);
                 } else {
                     leadership.scale.exhausted.remove(&place);
                 }
                 leadership.scale.step(name, ScaleOutStep::Answered, now);
-                self.add_machines(&record, rigs);
+                self.add_machines(&record, machines);
             }
             CloudReply::Refused => {
                 warn!(
@@ -99,12 +99,12 @@
     }
 
     /// New machines join the only shard at once, or a shard's list.
-    fn add_machines(&mut self, record: &ScaleOutRecord, rigs: Vec<MachineId>) {
+    fn add_machines(&mut self, record: &ScaleOutRecord, machines: Vec<MachineId>) {
         let now = self.context.now;
         let whole = self.shards.values_mut().find(|h| h.whole);
         if let Some(h) = whole {
-            for id in rigs {
-                if !h.machines.contains_key(&id) && !h.gone.contains_key(&id) {
+            for id in machines {
+                if !h.machines.contains_key(&id) && !h.deleted_machines.contains_key(&id) {
                     let machine = Machine::new(
                         &self.context.catalog,
                         &record.class,
@@ -117,7 +117,7 @@
             }
             return;
         }
-        for id in rigs {
+        for id in machines {
             self.context.add_unassigned((
                 id,
                 record.class.clone(),
--- a/src/controller/context.rs
+++ b/src/controller/context.rs
@@ -25,7 +25,7 @@
 use salttrestle_standby::Standby;
 use std::collections::{BTreeMap, HashMap};
 
-/// Heartbeats that are handed on and answers that needn't go out at once wait for a whole multiple
+/// Heartbeats that are forwarded and answers that needn't go out at once wait for a whole multiple
 /// of this, so that one turn and one packet carry several of them.
 pub(crate) const BATCH_MS: u64 = HOUSEKEEPING_MS / 2;
 /// A controller has heard workers lately if one reported within this time.
@@ -52,7 +52,7 @@
     pub(crate) cells: CellSharing,
     pub(crate) api: Api,
     pub(crate) election: Election,
-    /// The number under which each shard was last held and given up.
+    /// The token under which each shard was last held and given up.
     pub(crate) released_tokens: BTreeMap<u32, FencingToken>,
     pub(crate) leadership: Option<Leadership>,
     pub(crate) standby: Standby,
--- a/src/controller/dependencies/graph.rs
+++ b/src/controller/dependencies/graph.rs
@@ -1,6 +1,6 @@
 //! Jobs that have to be done before others start, and what follows for those others.
 //!
-//! A job may start once each job that it needs has ended as done, which a committed `end/ID` says
+//! A job may start once each job that it depends on has ended as done, which a committed `end/ID` says
 //! and nothing else does. A job that needs a cancelled one is cancelled with it: from the moment
 //! at which the cancelled one can't end as done any more, that is, once its record is marked or
 //! its end is committed. All of this is derived from the records whenever they change, so nobody
@@ -27,19 +27,19 @@
 /// Who needs whom among the jobs that aren't over.
 #[derive(Debug, Default)]
 pub(crate) struct Dependencies {
-    /// For each job that is needed: those that need it.
+    /// For each job that is needed: those that depend on it.
     dependents: HashMap<JobId, BTreeSet<JobId>>,
-    /// Jobs that are cancelled with one that they need.
+    /// Jobs that are cancelled with one that they depend on.
     cancelled: HashSet<JobId>,
-    /// Needed jobs of which neither a live record nor an end is known: their ends are to be read.
+    /// Dependencies of which neither a live record nor an end is known: their ends are to be read.
     unread: BTreeSet<JobId>,
-    /// Jobs for which something changed through a job that they need or that needs them.
+    /// Jobs for which something changed through a job that they depend on or that needs them.
     affected: BTreeSet<JobId>,
 }
 
 impl StoreMirror {
     /// What is known of the jobs that this one needs.
-    pub(crate) fn needs(&self, record: &JobRecord) -> DependencyState {
+    pub(crate) fn dependency_state(&self, record: &JobRecord) -> DependencyState {
         let mut needs = DependencyState::Met;
         for id in &record.needs {
             match self.ending(id).map(|(ending, _)| ending) {
@@ -71,12 +71,12 @@
         marked || self.is_cancelled_by_dependency(id)
     }
 
-    /// Whether a job that isn't over is cancelled with one that it needs.
+    /// Whether a job that isn't over is cancelled with one that it depends on.
     pub(crate) fn is_cancelled_by_dependency(&self, id: &JobId) -> bool {
         self.dependencies.cancelled.contains(id)
     }
 
-    /// Whether a job may be cancelled with one that it needs, directly or through others, of which
+    /// Whether a job may be cancelled with one that it depends on, directly or through others, of which
     /// too little is known here.
     pub(crate) fn may_be_cancelled(&self, id: &JobId) -> bool {
         if self.dependencies.unread.is_empty() {
@@ -94,12 +94,12 @@
         false
     }
 
-    /// Needed jobs whose ends are to be read.
+    /// Dependencies whose ends are to be read.
     pub(crate) fn unread_dependencies(&self) -> &BTreeSet<JobId> {
         &self.dependencies.unread
     }
 
-    /// Jobs for which something changed, since this was last asked, through a job that they need
+    /// Jobs for which something changed, since this was last asked, through a job that they depend on
     /// or that needs them.
     pub(crate) fn take_affected(&mut self) -> BTreeSet<JobId> {
         std::mem::take(&mut self.dependencies.affected)
@@ -119,7 +119,7 @@
                 .insert(id.clone());
             self.look_for_end(need);
         }
-        if self.needs(&record) == DependencyState::Cancelled {
+        if self.dependency_state(&record) == DependencyState::Cancelled {
             self.cancel(id);
         }
         let needs = record.needs.iter().cloned();
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Cancels a job, and all that need it, directly or through others.
+    /// Cancels a job, and all that depend on it, directly or through others.
     fn cancel(&mut self, id: &JobId) {
         let mut left = vec![id.clone()];
         while let Some(id) = left.pop() {
@@ -196,8 +196,8 @@
         job.map_or(Vec::new(), |j| j.record.needs.clone())
     }
 
-    /// Finds the highest rank of each of these jobs and of the open ones that need it, and tells
-    /// it on to those that they need themselves.
+    /// Finds the highest rank of each of these jobs and of the open ones that depend on it, and tells
+    /// it on to those that they depend on themselves.
     fn update_ranks(&mut self, mut left: Vec<JobId>) {
         while let Some(id) = left.pop() {
             let Some(job) = self.jobs.get(&id) else {
--- a/src/controller/dependencies/resolution.rs
+++ b/src/controller/dependencies/resolution.rs
@@ -1,5 +1,5 @@
 //! What changes in jobs that others need comes to those: ends are read where they aren't known,
-//! waiting jobs are released or cancelled, and ranks rise and fall.
+//! waiting jobs are released or cancelled, and priority classes rise and fall.
 
 use crate::controller::Controller;
 use crate::controller::context::Context;
@@ -10,13 +10,13 @@
 use crate::wire::{StoreRequest, StoreResponse};
 use std::collections::BTreeSet;
 
-/// Ends of needed jobs that are read at once.
+/// Ends of dependencies that are read at once.
 const READS_MOST: usize = 4;
 /// Pause before an end that wasn't there is looked for again: the job's record may not have come
 /// here yet.
 const READ_AGAIN_S: f64 = 0.2;
 
-/// Reads of the ends of needed jobs.
+/// Reads of the ends of dependencies.
 #[derive(Debug, Default)]
 pub(crate) struct DependencyReads {
     /// Under way.
@@ -39,7 +39,7 @@
 }
 
 impl Context {
-    /// Reads the ends of needed jobs of which nothing is known here.
+    /// Reads the ends of dependencies of which nothing is known here.
     pub(crate) fn read_dependencies(&mut self) {
         if !self.store.initial_list_done() || self.now < self.dependency_reads.not_before {
             return;
--- a/src/controller/events.rs
+++ b/src/controller/events.rs
@@ -43,7 +43,7 @@
     Link(ControllerId, Link),
     /// The share of the time since the last such word for which this process didn't wait.
     ProcessorUtilization(f64),
-    /// The process is told to end, and hands over first.
+    /// The process is told to terminate, and hands over first.
     Shutdown,
     /// Time has passed.
     Tick,
--- a/src/controller/forwarding.rs
+++ b/src/controller/forwarding.rs
@@ -1,17 +1,17 @@
 //! How heartbeats come to the owner of their machine's shard, and what keeps workers
 //! alive when they can't.
 //!
-//! A worker heartbeats to a controller of its own zone, which hands the heartbeat on to the
+//! A worker heartbeats to a controller of its own zone, which forwards the heartbeat to the
 //! owner and the answer back. When the zone is partitioned, or the owner ends, the worker
 //! needn't look for another controller while its lease runs: its own one answers in
-//! the owner's place ("shelters" it) under the number it knows, without starts.
+//! the owner's place ("keeps alive" it) under the token it knows, without starts.
 //!
-//! Why that is safe. An answer under the owner's number gives a worker nothing but
+//! Why that is safe. An answer under the owner's token gives a worker nothing but
 //! time, and stops what is cancelled. Time breaks two things only. A lease proves a
-//! task gone only once the zone's other controllers have said that they sheltered
+//! task gone only once the zone's other controllers have said that they kept alive
 //! nobody while it ran out (`no_keepalive_by_peers`). And a cancellation is told to its user
 //! only once every task is proven gone (`front`), so no bound runs against a worker
-//! that nobody with sight of the store reaches.
+//! that nobody with a fresh mirror reaches.
 
 use crate::controller::context::{BATCH_MS, Context, RECENT_S};
 use crate::controller::events::{Output, Reply};
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 struct OwnerlessHeartbeat {
     request_id: RequestId,
-    report: WorkerHeartbeat,
+    heartbeat: WorkerHeartbeat,
     since: Time,
     /// The owner that it was handed to in vain.
     tried: Option<ControllerId>,
@@ -36,7 +36,7 @@
 /// How long such a heartbeat waits at most, in seconds. Workers wait for 4 s. How many do at
 /// once is bounded by the connections on which they came.
 const OWNERLESS_MAX_S: f64 = 3.8;
-/// A heartbeat handed on is answered here when no answer came this long after the time
+/// A heartbeat forwarded is answered here when no answer came this long after the time
 /// for which the owner may hold it.
 const RELAY_GRACE_S: f64 = 0.9;
 /// Heartbeats with more tasks don't fit into a message to a peer; their workers go to
@@ -52,7 +52,7 @@
 #[derive(Debug)]
 struct ForwardedOut {
     to: ControllerId,
-    report: WorkerHeartbeat,
+    heartbeat: WorkerHeartbeat,
     since: Time,
 }
 
@@ -61,14 +61,14 @@
     fn ownerless(self, request_id: RequestId) -> OwnerlessHeartbeat {
         OwnerlessHeartbeat {
             request_id,
-            report: self.report,
+            heartbeat: self.heartbeat,
             since: self.since,
             tried: Some(self.to),
         }
     }
 }
 
-/// A heartbeat that a peer handed on: which of its processes, and which request there.
+/// A heartbeat that a peer forwarded: which of its processes, and which request there.
 #[derive(Debug)]
 struct ForwardedIn {
     from: ControllerId,
@@ -81,7 +81,7 @@
     out: BTreeMap<RequestId, ForwardedOut>,
     guests: HashMap<RequestId, ForwardedIn>,
     guest_count: u64,
-    /// Heartbeats to be handed on together, and when.
+    /// Heartbeats to be forwarded together, and when.
     batched: Vec<(ControllerId, Box<ForwardedHeartbeat>)>,
     batched_until: Option<Time>,
     /// Heartbeats that wait until there is somebody to send their workers to.
@@ -111,12 +111,12 @@
 const GUESTS: u64 = 1 << 62;
 
 impl Forwarding {
-    /// When the heartbeats gathered so far are to be handed on.
+    /// When the heartbeats gathered so far are to be forwarded.
     pub(crate) fn batched_until(&self) -> Option<Time> {
         self.batched_until
     }
 
-    /// The peer that handed on a heartbeat.
+    /// The peer that forwarded a heartbeat.
     pub(crate) fn forwarder(&self, request_id: RequestId) -> Option<ControllerId> {
         self.guests.get(&request_id).map(|g| g.from.clone())
     }
@@ -136,19 +136,23 @@
 }
 
 impl Controller {
-    pub(crate) fn on_worker_heartbeat(&mut self, request_id: RequestId, report: WorkerHeartbeat) {
+    pub(crate) fn on_worker_heartbeat(
+        &mut self,
+        request_id: RequestId,
+        heartbeat: WorkerHeartbeat,
+    ) {
         self.context.last_worker_heartbeat = self.context.now;
-        let id = MachineId::from(report.machine.as_str());
-        if let Some(home) = self.context.preferred_controller(&id, &report) {
+        let id = MachineId::from(heartbeat.machine.as_str());
+        if let Some(home) = self.context.preferred_controller(&id, &heartbeat) {
             return self
                 .context
                 .answer(request_id, Reply::ok(421, redirect_body(Some(&home))));
         }
         if let Some(shard) = owner_of_machine(&mut self.shards, &id) {
-            return shard.on_heartbeat(&mut self.context, request_id, &id, report);
+            return shard.on_heartbeat(&mut self.context, request_id, &id, heartbeat);
         }
-        self.context.note_unassigned(&id, &report);
-        self.context.forward(request_id, report);
+        self.context.note_unassigned(&id, &heartbeat);
+        self.context.forward(request_id, heartbeat);
     }
 
     pub(crate) fn forwarding_housekeeping(&mut self) {
@@ -157,11 +161,11 @@
         let redirected = &mut self.context.forwarding.redirected;
         redirected.retain(|_, at| now.since(*at) < kept_s);
         for ownerless in std::mem::take(&mut self.context.forwarding.ownerless) {
-            let id = MachineId::from(ownerless.report.machine.as_str());
+            let id = MachineId::from(ownerless.heartbeat.machine.as_str());
             let held = owner_of_machine(&mut self.shards, &id).is_some();
             let owner = self.context.owner_for(&ownerless);
             if held || owner.is_some_and(|h| self.context.reachable(&h)) {
-                self.on_worker_heartbeat(ownerless.request_id, ownerless.report);
+                self.on_worker_heartbeat(ownerless.request_id, ownerless.heartbeat);
             } else {
                 self.context.without_owner(ownerless);
             }
@@ -180,7 +184,7 @@
         }
     }
 
-    /// A peer hands on a heartbeat of one of its workers.
+    /// A peer forwards a heartbeat of one of its workers.
     pub(crate) fn on_forwarded_heartbeat(&mut self, relayed: ForwardedHeartbeat) {
         if !self.context.is_peer(&relayed.from) {
             return;
@@ -193,10 +197,10 @@
             request_id: RequestId(relayed.request_id),
         };
         self.context.forwarding.guests.insert(request_id, guest);
-        let report = relayed.report();
-        let id = MachineId::from(report.machine.as_str());
+        let heartbeat = relayed.report();
+        let id = MachineId::from(heartbeat.machine.as_str());
         match owner_of_machine(&mut self.shards, &id) {
-            Some(shard) => shard.on_heartbeat(&mut self.context, request_id, &id, report),
+            Some(shard) => shard.on_heartbeat(&mut self.context, request_id, &id, heartbeat),
             None => self
                 .context
                 .answer(request_id, Reply::ok(421, redirect_body(None))),
@@ -211,15 +215,15 @@
     fn preferred_controller(
         &mut self,
         id: &MachineId,
-        report: &WorkerHeartbeat,
+        heartbeat: &WorkerHeartbeat,
     ) -> Option<ControllerId> {
-        if report.tasks.len() > RELAY_TASKS || self.unanswered(id, report) {
+        if heartbeat.tasks.len() > RELAY_TASKS || self.unanswered(id, heartbeat) {
             return None;
         }
-        if report.zone == self.settings.platform.site {
+        if heartbeat.zone == self.settings.platform.site {
             return self.safer_controller(id);
         }
-        let local = self.forwarders_in(&report.zone);
+        let local = self.forwarders_in(&heartbeat.zone);
         let safe: Vec<&ControllerId> = local.iter().filter(|m| self.has_next(m)).copied().collect();
         let local = if safe.is_empty() { local } else { safe };
         let home = pick_by_name(id, &local)?.clone();
@@ -235,7 +239,7 @@
     /// Whether a worker wasn't answered yet by the present owner of its shard: its lease counts
     /// from an answer of an earlier one, and may be about to end. It is answered first and sent
     /// elsewhere later.
-    fn unanswered(&self, id: &MachineId, report: &WorkerHeartbeat) -> bool {
+    fn unanswered(&self, id: &MachineId, heartbeat: &WorkerHeartbeat) -> bool {
         let mut records = self
             .store
             .mirror
@@ -243,7 +247,7 @@
             .values()
             .filter_map(|b| b.record.as_ref());
         let token = records.find(|b| b.has(id)).map(|b| b.token.0);
-        token.is_some_and(|token| report.token < token)
+        token.is_some_and(|token| heartbeat.token < token)
     }
 
     /// Another controller of this zone for a worker that would find nobody if this one fell
@@ -262,7 +266,7 @@
         Some(home)
     }
 
-    /// Controllers of a zone, besides this one, that can hand heartbeats on.
+    /// Controllers of a zone, besides this one, that can forward heartbeats.
     fn forwarders_in<'a>(&'a self, zone: &'a str) -> Vec<&'a ControllerId> {
         let relaying = |s: &&Peer| {
             let heartbeat = self.peers.get(&s.controller_id).map(|(h, _)| h);
@@ -287,35 +291,40 @@
     }
 
     /// Hands a heartbeat on to its owner, or does what can be done without it.
-    fn forward(&mut self, request_id: RequestId, report: WorkerHeartbeat) {
-        let id = MachineId::from(report.machine.as_str());
+    fn forward(&mut self, request_id: RequestId, heartbeat: WorkerHeartbeat) {
+        let id = MachineId::from(heartbeat.machine.as_str());
         let owner = self.owner_of(&id);
         let reached = owner.filter(|h| self.reachable(h));
         match reached {
-            Some(to) if self.linked(&to) && report.tasks.len() <= RELAY_TASKS => {
+            Some(to) if self.linked(&to) && heartbeat.tasks.len() <= RELAY_TASKS => {
                 let relayed = ForwardedHeartbeat::new(
                     &self.settings.platform.controller_id,
                     self.incarnation,
                     request_id,
-                    &report,
+                    &heartbeat,
                 );
                 let batched = (to.clone(), Box::new(relayed));
                 self.forwarding.batched.push(batched);
                 let until = self.now.next_multiple(BATCH_MS);
                 self.forwarding.batched_until.get_or_insert(until);
                 let since = self.now;
-                self.forwarding
-                    .out
-                    .insert(request_id, ForwardedOut { to, report, since });
+                self.forwarding.out.insert(
+                    request_id,
+                    ForwardedOut {
+                        to,
+                        heartbeat,
+                        since,
+                    },
+                );
             }
-            Some(to) if report.tasks.len() > RELAY_TASKS => {
+            Some(to) if heartbeat.tasks.len() > RELAY_TASKS => {
                 self.answer(request_id, Reply::ok(421, redirect_body(Some(&to))));
             }
             _ => {
                 let since = self.now;
                 self.without_owner(OwnerlessHeartbeat {
                     request_id,
-                    report,
+                    heartbeat,
                     since,
                     tried: None,
                 });
@@ -323,25 +332,25 @@
         }
     }
 
-    /// Hands on the heartbeats that were gathered, once their time has come.
+    /// Forwards the heartbeats that were gathered, once their time has come.
     pub(crate) fn send_batched_forwards(&mut self) {
         if self.forwarding.batched_until.is_none_or(|at| self.now < at) {
             return;
         }
         self.forwarding.batched_until = None;
-        for (to, report) in std::mem::take(&mut self.forwarding.batched) {
-            let message = Message::ForwardedHeartbeat(report);
+        for (to, heartbeat) in std::mem::take(&mut self.forwarding.batched) {
+            let message = Message::ForwardedHeartbeat(heartbeat);
             self.outbox.send_to_peer(Some(to), message);
         }
     }
 
     /// Answers a heartbeat in its owner's place, or keeps it for a while.
     fn without_owner(&mut self, ownerless: OwnerlessHeartbeat) {
-        if let Some(reply) = self.keepalive_for_owner(&ownerless.report) {
+        if let Some(reply) = self.keepalive_for_owner(&ownerless.heartbeat) {
             self.forwarding.last_keepalive = Some(self.now);
             return self.answer(ownerless.request_id, reply);
         }
-        let id = MachineId::from(ownerless.report.machine.as_str());
+        let id = MachineId::from(ownerless.heartbeat.machine.as_str());
         let known = self.owner_for(&ownerless).is_some();
         let waited = self.now.since(ownerless.since) >= OWNERLESS_MAX_S;
         let starting = !self.store.initial_list_done();
@@ -362,16 +371,16 @@
     /// heartbeat was handed to it seems to run until its next message is missed: workers that
     /// were sent there waited for 5 s, and then for another 5 s where it had sent them before.
     fn owner_for(&self, ownerless: &OwnerlessHeartbeat) -> Option<ControllerId> {
-        let owner = self.owner_of(&MachineId::from(ownerless.report.machine.as_str()))?;
+        let owner = self.owner_of(&MachineId::from(ownerless.heartbeat.machine.as_str()))?;
         let runs = self.reachable(&owner) && ownerless.tried.as_ref() != Some(&owner);
         (runs || self.refuses_connections(&owner)).then_some(owner)
     }
 
     /// The answer that keeps a worker of this controller's own zone alive while its
     /// owner can't be reached: no starts, but stops for what is cancelled or over.
-    fn keepalive_for_owner(&self, report: &WorkerHeartbeat) -> Option<Reply> {
-        let id = MachineId::from(report.machine.as_str());
-        if report.zone != self.settings.platform.site {
+    fn keepalive_for_owner(&self, heartbeat: &WorkerHeartbeat) -> Option<Reply> {
+        let id = MachineId::from(heartbeat.machine.as_str());
+        if heartbeat.zone != self.settings.platform.site {
             return None;
         }
         let is_stale = self.is_stale();
@@ -381,10 +390,10 @@
         if record.is_some_and(|b| self.refuses_connections(&b.owner)) {
             return None;
         }
-        // A process that began in a zone that is partitioned knows no number, or an old one.
+        // A process that began in a zone that is partitioned knows no token, or an old one.
         // The worker's own tells it nothing that it doesn't know, and gives it time.
-        let known = record.map(|b| b.token).filter(|n| n.0 >= report.token);
-        let own = Some(FencingToken(report.token)).filter(|n| is_stale && n.0 > 0);
+        let known = record.map(|b| b.token).filter(|n| n.0 >= heartbeat.token);
+        let own = Some(FencingToken(heartbeat.token)).filter(|n| is_stale && n.0 > 0);
         let token = known.or(own)?;
         // A job that isn't known here may be newer than what is: only one whose end is known is
         // over. Tasks that the owner had started just before it ended were stopped here, since the
@@ -393,7 +402,7 @@
             Some(job) => job.cancelled.is_some(),
             None => self.store.mirror.ending(&task.job).is_some(),
         };
-        let halts = report.tasks.iter().filter_map(|t| {
+        let halts = heartbeat.tasks.iter().filter_map(|t| {
             let task = TaskId::parse(&t.task)?;
             let runs = t.status != TaskStatus::Ended;
             (runs && over(&task)).then(|| Command::Halt {
@@ -423,7 +432,7 @@
         self.heartbeat_fresh(owner) || peers_unreachable && !self.is_stale()
     }
 
-    /// The owner's answer to a heartbeat that was handed on to it.
+    /// The owner's answer to a heartbeat that was forwarded to it.
     pub(crate) fn on_forwarded_response(&mut self, answer: ForwardedResponse) {
         let request_id = RequestId(answer.request_id);
         if answer.incarnation != self.incarnation {
@@ -459,7 +468,7 @@
         self.outbox.send_to_peer(Some(guest.from), message);
     }
 
-    pub(crate) fn forget_report(&mut self, request_id: RequestId) {
+    pub(crate) fn forget_heartbeat(&mut self, request_id: RequestId) {
         self.forwarding
             .ownerless
             .retain(|l| l.request_id != request_id);
--- a/src/controller/leadership/election.rs
+++ b/src/controller/leadership/election.rs
@@ -1,6 +1,6 @@
 //! Who leads. The leader's key hangs on a lease of a few seconds; whoever commits it
 //! next leads from then on, and takes over the shards of those who are gone under
-//! higher numbers in the same commit.
+//! higher tokens in the same commit.
 //!
 //! A leader that a majority has lost is replaced before its lease's end (package `standby`). The
 //! commit is conditional on its record, as any other; only calls to the cloud, which carry no
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The leader's, a shard's, the number's or the plan's record changed.
+    /// The leader's, a shard's, the token's or the plan's record changed.
     pub(crate) fn on_control_records_changed(&mut self) {
         self.context.read_limits();
         self.context.tell_standby_of_leader();
@@ -104,7 +104,7 @@
             let Some(record) = slot.record else {
                 continue;
             };
-            // A number once given up is never used again: what was answered under it
+            // A token once given up is never used again: what was answered under it
             // is forgotten, and copies of heartbeats from then may still come.
             let given_up = self
                 .context
@@ -167,7 +167,7 @@
             .insert(owner.shard, owner.token);
         self.update_rate_limits();
         // Its workers stay where they are until there is a new owner. An answer under
-        // the number given up is worth nothing to those that have shown a higher one.
+        // the token given up is worth nothing to those that have shown a higher one.
         for request_id in owner.long_polling_requests() {
             let body = commands_body(owner.token, &[]);
             self.context.answer(request_id, Reply::ok(200, body));
@@ -222,7 +222,7 @@
         self.leadership.is_some() && renewed && self.staleness_s() < ttl
     }
 
-    /// Whether this leader may rent and delete. Calls to the cloud have no condition that an
+    /// Whether this leader may scale out and delete. Calls to the cloud have no condition that an
     /// outdated leader would fail.
     pub(crate) fn may_use_cloud(&self) -> bool {
         self.lease_valid() && !self.fenced()
@@ -382,7 +382,7 @@
     }
 
     /// What the records say of earlier leaders. The commit is conditional on the records of the
-    /// leader and of the highest number; an older plan only makes the wait longer.
+    /// leader and of the highest token; an older plan only makes the wait longer.
     fn predecessors(&self) -> Predecessors {
         let leader = self.store.mirror.leader.record.as_ref();
         let replaced = leader.filter(|_| self.has_leader());
@@ -406,7 +406,7 @@
     }
 
     fn commit_leadership(&mut self, lease_id: u64) {
-        // The leadership's own number comes first: scale-out requests are named after it.
+        // The leadership's own token comes first: scale-out requests are named after it.
         let token = FencingToken(self.store.mirror.highest().0 + 1);
         let mut highest = token;
         let mut preconditions = vec![
@@ -414,7 +414,7 @@
             (Key::FencingToken, self.store.mirror.token.version()),
         ];
         let mut writes = Vec::new();
-        // Two changes are kept for the leader's and the number's records.
+        // Two changes are kept for the leader's and the token's records.
         let most = self.settings.state_limits().txn_ops - 2;
         for shard in self.shards_to_take().into_iter().take(most) {
             highest.0 += 1;
--- a/src/controller/leadership/mod.rs
+++ b/src/controller/leadership/mod.rs
@@ -19,11 +19,11 @@
     /// The latest counts of each shard, and when they came.
     pub(crate) shard_counts: BTreeMap<u32, (ShardCounts, Time)>,
     /// Machines that each shard lacks, by type and kind.
-    pub(crate) needs: BTreeMap<(String, bool, u32), u32>,
+    pub(crate) lacking_machines: BTreeMap<(String, bool, u32), u32>,
     /// Machines that belong to no shard yet.
     pub(crate) unassigned: BTreeMap<MachineId, Entry>,
     /// Machines that owners deleted, and when that was heard: lists show them still.
-    pub(crate) gone: BTreeMap<MachineId, Time>,
+    pub(crate) deleted_machines: BTreeMap<MachineId, Time>,
     /// Since when more shards are needed than there are.
     pub(crate) short_of_shards_since: Option<Time>,
     /// A change of leases is being committed.
@@ -31,9 +31,9 @@
     /// There are machines that no shard's record has room for.
     pub(crate) crowded: bool,
     pub(crate) since: Time,
-    /// This leadership's own number: no other one has it.
+    /// This leadership's own token: no other one has it.
     pub(crate) token: FencingToken,
-    /// From when it may rent and delete: before, a leader that it replaced might.
+    /// From when it may scale out and delete: before, a leader that it replaced might.
     pub(crate) cloud_from: Time,
 }
 
--- a/src/controller/leadership/shutdown.rs
+++ b/src/controller/leadership/shutdown.rs
@@ -1,4 +1,4 @@
-//! A controller that is told to end hands over first: it takes no new work and, if it leads, gives
+//! A controller that is told to terminate hands over first: it takes no new work and, if it leads, gives
 //! its lease up once its last call to the cloud is over, so that nobody waits for the lease's end.
 
 use crate::controller::Controller;
@@ -13,7 +13,7 @@
 
 /// Calls to the cloud are given up as in doubt after so long.
 const CLOUD_REQUESTS_S: f64 = 1.0;
-/// After its leadership is over a controller hands on heartbeats for so long, until its workers'
+/// After its leadership is over a controller forwards heartbeats for so long, until its workers'
 /// answers are out and the others know the next leader.
 const LAST_HEARTBEATS_S: f64 = 0.5;
 /// It ends at the latest after so many lives of a lease: by then a successor needs no word of it.
--- a/src/controller/machines/commands.rs
+++ b/src/controller/machines/commands.rs
@@ -72,10 +72,11 @@
         listed: &[ListedTask<'_>],
     ) -> Vec<Command> {
         let now = context.now;
-        // A start needs sight of the store: a cancellation may stand there.
+        // A start needs a fresh mirror: a cancellation may stand there.
         let is_stale = context.is_stale();
         let unassigned = listed.iter();
-        let unassigned = unassigned.filter_map(|l| unplaced_command(self, id, &l.task, l.report));
+        let unassigned =
+            unassigned.filter_map(|l| unplaced_command(self, id, &l.task, l.heartbeat));
         let mut out: Vec<Command> = unassigned.collect();
         let ShardOwner { machines, jobs, .. } = self;
         let Some(machine) = machines.get(id) else {
--- a/src/controller/machines/failures.rs
+++ b/src/controller/machines/failures.rs
@@ -2,7 +2,7 @@
 //!
 //! A task that fails speaks against its machine or against its job, and one failure doesn't
 //! tell which. What does is where the job fails and where it doesn't: a job that failed on
-//! several machines is flawed, and its failures no longer count against them; a machine is
+//! several machines is crash-looping, and its failures no longer count against them; a machine is
 //! quarantined once jobs that failed there have succeeded elsewhere. Counting failures alone gave
 //! up healthy machines that a swarm of crash-looping jobs had been tried on.
 
@@ -18,7 +18,7 @@
 /// Longest rest while no job that failed there has succeeded elsewhere, and once one has.
 const QUARANTINE_SUSPECTED_MAX_S: f64 = 20.0;
 const QUARANTINE_PROVEN_MAX_S: f64 = 120.0;
-/// A job that failed on this many machines without any success between is flawed.
+/// A job that failed on this many machines without any success between is crash-looping.
 const CRASH_LOOP_MACHINES: usize = 3;
 /// Machines remembered of each job's failures.
 const MACHINES_MAX: usize = 8;
@@ -61,7 +61,7 @@
 /// The failures on one machine since a task last succeeded there.
 #[derive(Debug, Default)]
 struct MachineFailures {
-    /// Jobs that failed there and aren't known to be flawed.
+    /// Jobs that failed there and aren't known to be crash-looping.
     suspected_by: BTreeSet<JobId>,
     /// Those of them that have succeeded elsewhere.
     proven_by: BTreeSet<JobId>,
@@ -175,7 +175,7 @@
         failures.is_some_and(|f| f.tries >= PROMPT_TRIES)
     }
 
-    /// Whether a job has failed so often that no machine is rented for it.
+    /// Whether a job has failed so often that no machine is scaled out for it.
     pub(crate) fn unplaceable(&self, job: &JobId) -> bool {
         let failures = self.jobs.get(job);
         failures.is_some_and(|f| f.tries >= UNPLACEABLE_TRIES)
--- a/src/controller/machines/heartbeats.rs
+++ b/src/controller/machines/heartbeats.rs
@@ -31,51 +31,51 @@
         context: &mut Context,
         request_id: RequestId,
         id: &MachineId,
-        report: WorkerHeartbeat,
+        heartbeat: WorkerHeartbeat,
     ) {
         let now = context.now;
-        self.heard = now;
+        self.last_worker_heartbeat = now;
         // Somebody newer gives commands. Its answers count, ours would be dropped.
-        if report.token > self.token.0 {
+        if heartbeat.token > self.token.0 {
             return context.redirect(request_id, id);
         }
-        if self.gone.contains_key(id) {
+        if self.deleted_machines.contains_key(id) {
             return context.answer(request_id, Reply::later(503, 5, "this machine is deleted"));
         }
-        self.adopt_unknown_machine(context, id, &report);
+        self.adopt_unknown_machine(context, id, &heartbeat);
         let token = self.token;
-        let proof = report.token == token.0;
+        let proof = heartbeat.token == token.0;
         let forwarded_by = context.forwarding.forwarder(request_id);
-        let taken = self.machines.edit(id, |machine| {
+        let outcome = self.machines.edit(id, |machine| {
             machine.forwarded_by = forwarded_by;
-            machine.record_heartbeat(now, &report, proof)
+            machine.record_heartbeat(now, &heartbeat, proof)
         });
-        let Some(taken) = taken else {
+        let Some(outcome) = outcome else {
             return;
         };
-        if !taken.fresh {
+        if !outcome.fresh {
             // A copy, or overtaken by a newer one: it is answered, since its worker
             // may still wait, but nothing in it is news.
             return context.answer(request_id, Reply::ok(200, commands_body(token, &[])));
         }
-        if taken.first {
+        if outcome.first {
             debug!(
                 "first heartbeat, machine={id} agent_epoch={} token={} tasks={}",
-                report.agent_epoch,
-                report.token,
-                report.tasks.len()
+                heartbeat.agent_epoch,
+                heartbeat.token,
+                heartbeat.tasks.len()
             );
             self.apply_hinted_images(id, context.standby.hints(), &context.catalog);
         }
-        if taken.born {
+        if outcome.first_ever {
             self.scheduling_wanted = true;
             self.record_boot(&context.catalog, id, now);
         }
-        if let Some((old, until)) = taken.held {
+        if let Some((old, until)) = outcome.waiting {
             self.long_poll_deadlines.remove(&(until, id.clone()));
             context.answer(old, Reply::ok(200, commands_body(token, &[])));
         }
-        let listed = listed_tasks(&report);
+        let listed = listed_tasks(&heartbeat);
         self.update_tasks(context, id, &listed, proof);
         let commands = self.commands(context, id, &listed);
         if commands.is_empty() && self.start_long_poll(context, id, request_id) {
@@ -90,10 +90,10 @@
         &mut self,
         context: &Context,
         id: &MachineId,
-        report: &WorkerHeartbeat,
+        heartbeat: &WorkerHeartbeat,
     ) {
         let now = context.now;
-        let (class, zone, spot) = (&report.class, &report.zone, report.spot);
+        let (class, zone, spot) = (&heartbeat.class, &heartbeat.zone, heartbeat.spot);
         if self.machines.contains_key(id) {
             // It may be known by name only, or from before the catalog was.
             if self
@@ -128,7 +128,7 @@
             .values()
             .any(|s| s.record.kind == JobKind::Batch);
         let poll_s = context.settings.hold_s(ends);
-        // A worker without our number yet gets it at once.
+        // A worker without our token yet gets it at once.
         if poll_s <= 0.0 || !machine.token_acknowledged {
             return false;
         }
@@ -152,7 +152,7 @@
         proof: bool,
     ) {
         for entry in listed {
-            self.update_task(context, id, &entry.task, entry.report);
+            self.update_task(context, id, &entry.task, entry.heartbeat);
         }
         if proof {
             self.remove_unlisted_tasks(context, id, listed);
@@ -288,21 +288,21 @@
 /// A task that a heartbeat lists.
 pub(crate) struct ListedTask<'a> {
     pub(crate) task: TaskId,
-    pub(crate) report: &'a HeartbeatTask,
+    pub(crate) heartbeat: &'a HeartbeatTask,
 }
 
 impl ListedTask<'_> {
     fn is(&self, task: &TaskId, attempt: Attempt) -> bool {
-        self.report.attempt == attempt && self.task == *task
+        self.heartbeat.attempt == attempt && self.task == *task
     }
 }
 
 /// The tasks of a heartbeat whose names can be read.
-fn listed_tasks(report: &WorkerHeartbeat) -> Vec<ListedTask<'_>> {
-    let tasks = report.tasks.iter();
-    let listed = tasks.filter_map(|report| {
-        let task = TaskId::parse(&report.task)?;
-        Some(ListedTask { task, report })
+fn listed_tasks(heartbeat: &WorkerHeartbeat) -> Vec<ListedTask<'_>> {
+    let tasks = heartbeat.tasks.iter();
+    let listed = tasks.filter_map(|heartbeat| {
+        let task = TaskId::parse(&heartbeat.task)?;
+        Some(ListedTask { task, heartbeat })
     });
     listed.collect()
 }
@@ -316,61 +316,66 @@
 }
 
 /// What came of a heartbeat's head.
-struct Taken {
+struct HeartbeatOutcome {
     /// It is newer than any before it.
     fresh: bool,
     /// It is the first that this owner has of the machine.
     first: bool,
     /// It is the machine's first.
-    born: bool,
+    first_ever: bool,
     /// The older heartbeat that waited for its answer.
-    held: Option<(RequestId, Time)>,
+    waiting: Option<(RequestId, Time)>,
 }
 
 impl Machine {
     /// Takes in all of a heartbeat but its tasks. An answer follows in any case.
-    fn record_heartbeat(&mut self, now: Time, report: &WorkerHeartbeat, proof: bool) -> Taken {
-        let fresh = (report.agent_epoch, report.sequence) > (self.agent_epoch, self.sequence);
-        let born = fresh && self.ready_since.is_none();
+    fn record_heartbeat(
+        &mut self,
+        now: Time,
+        heartbeat: &WorkerHeartbeat,
+        proof: bool,
+    ) -> HeartbeatOutcome {
+        let fresh = (heartbeat.agent_epoch, heartbeat.sequence) > (self.agent_epoch, self.sequence);
+        let first_ever = fresh && self.ready_since.is_none();
         if !fresh {
             self.last_acknowledged = now;
-            return Taken {
+            return HeartbeatOutcome {
                 fresh,
                 first: false,
-                born,
-                held: None,
+                first_ever,
+                waiting: None,
             };
         }
         (self.agent_epoch, self.sequence, self.last_heartbeat) =
-            (report.agent_epoch, report.sequence, now);
+            (heartbeat.agent_epoch, heartbeat.sequence, now);
         let first = self.first_heartbeat.is_none();
         self.first_heartbeat.get_or_insert(now);
         self.token_acknowledged |= proof;
-        if born {
+        if first_ever {
             self.ready_since = Some(now);
             self.empty.get_or_insert(now);
             let boot = now.since(self.since);
             info!(
                 "machine ready, machine={} type={} zone={} boot_s={boot:.0}",
-                report.machine, self.type_name, self.zone
+                heartbeat.machine, self.type_name, self.zone
             );
         }
-        self.notice = report.notice_s.map(|s| now.after(s.0));
-        let held = self.long_poll.take();
-        if held.is_some() {
+        self.notice = heartbeat.notice_s.map(|s| now.after(s.0));
+        let waiting = self.long_poll.take();
+        if waiting.is_some() {
             self.last_acknowledged = now;
         }
-        Taken {
+        HeartbeatOutcome {
             fresh,
             first,
-            born,
-            held,
+            first_ever,
+            waiting,
         }
     }
 }
 
 impl ShardOwner {
-    /// A machine came up. One that was merely heard of late tells nothing of its boot.
+    /// A machine came up. One that was merely heard lately tells nothing of its boot.
     fn record_boot(&mut self, catalog: &[MachineType], id: &MachineId, now: Time) {
         let Some(machine) = self.machines.get(id) else {
             return;
--- a/src/controller/machines/inventory.rs
+++ b/src/controller/machines/inventory.rs
@@ -31,18 +31,18 @@
     pub resources: Resources,
     pub zone: Rc<str>,
     pub spot: bool,
-    /// When it was rented or first heard of.
+    /// When it was scaled out or first heard of.
     pub since: Time,
     /// When its first heartbeat came; `None` while it boots.
     pub ready_since: Option<Time>,
     pub agent_epoch: u64,
     pub sequence: u64,
-    /// A heartbeat showed that it has this shard's number.
+    /// A heartbeat showed that it has this shard's token.
     pub token_acknowledged: bool,
     pub last_heartbeat: Time,
     /// When this owner first had a heartbeat of it.
     pub first_heartbeat: Option<Time>,
-    /// The peer that handed on its latest heartbeat; `None` if it came here.
+    /// The peer that forwarded its latest heartbeat; `None` if it came here.
     pub forwarded_by: Option<ControllerId>,
     /// When this process last answered one of its heartbeats with 200.
     pub last_acknowledged: Time,
@@ -439,7 +439,7 @@
         ids.filter_map(|id| Some((id, self.all.get(id)?)))
     }
 
-    /// Open machines with tasks, of those types, kinds and lowest ranks that `fits` lets
+    /// Open machines with tasks, of those types, kinds and lowest priority classes that `fits` lets
     /// pass.
     pub(crate) fn ranked(
         &self,
--- a/src/controller/machines/liveness.rs
+++ b/src/controller/machines/liveness.rs
@@ -28,17 +28,17 @@
 /// Machines that have been quiet for this share of the patience with silent ones are
 /// counted among these.
 const NEARLY_SILENT: f64 = 0.95;
-/// Machines that may be sheltered are given up after so many.
+/// Machines that may be kept alive are given up after so many.
 const KEPT_ALIVE_SILENT_LEASES: f64 = 9.0;
 /// A zone is taken to be partitioned when this share of its machines, and at least so
 /// many, have missed so many heartbeats.
 const PARTITION_SHARE: f64 = 0.25;
 const PARTITION_LEAST: usize = 3;
 const PARTITION_HEARTBEATS: f64 = 3.0;
-/// A machine that never showed this shard's number, with tasks on it, is deleted after
+/// A machine that never showed this shard's token, with tasks on it, is deleted after
 /// this many leases of silence: only that proves them gone.
 const UNPROVABLE_LEASES: f64 = 1.2;
-/// A machine that heartbeats and doesn't take up this shard's number is deleted after so many
+/// A machine that heartbeats and doesn't take up this shard's token is deleted after so many
 /// leases if tasks may be on it.
 const UNACKNOWLEDGED_LEASES: f64 = 2.0;
 /// Seconds a machine of an older leadership has to heartbeat before it counts as silent.
@@ -68,7 +68,8 @@
             .filter(|machine| machine.ready_since.is_some())
             .count();
         let settled = context.now.since(self.since) > FIRST_HEARTBEAT_S;
-        let workers_unreachable = up >= 2 && settled && context.now.since(self.heard) > patience;
+        let workers_unreachable =
+            up >= 2 && settled && context.now.since(self.last_worker_heartbeat) > patience;
         workers_unreachable
             && !context.is_stale()
             && (context.peer_hears_workers() || context.peers_unreachable())
@@ -122,7 +123,7 @@
                 continue;
             };
             for placement in job_state.placed.values() {
-                // When a cut ends, the last ones to come back get time as well.
+                // When a partition ends, the last ones to come back get time as well.
                 let cut = self.partitioned_zones.contains(&placement.zone)
                     || now.since(self.partitioned_at) < lease_s;
                 let share = if cut {
@@ -159,7 +160,7 @@
         let zones_partitioned_at = self.zones_partitioned_at;
         let zones_come_back = zones_partitioned_at.is_some_and(|at| now.since(at) < lease_s);
         for machine in silent {
-            let least_s = match (self.cut, machine.kept_alive) {
+            let least_s = match (self.mass_partition, machine.kept_alive) {
                 (_, true) => KEPT_ALIVE_SILENT_LEASES * lease_s,
                 (true, false) => MASS_SILENT_LEASES * lease_s,
                 (false, false) => 0.0,
@@ -168,7 +169,7 @@
             // for for ever: those that went meanwhile look as if it went on.
             let given_up = machine.silent_s > KEPT_ALIVE_SILENT_LEASES * lease_s;
             let calm = now.since(partitioned_before) > machine.patience_s;
-            let late = (self.cut && !zones_come_back) || given_up || calm;
+            let late = (self.mass_partition && !zones_come_back) || given_up || calm;
             if machine.silent_s > machine.patience_s.max(least_s) && late {
                 self.decommission(now, &machine.id, DecommissionReason::Silent);
             }
@@ -219,8 +220,9 @@
         let ready = machines
             .filter(|machine| machine.ready_since.is_some())
             .count();
-        self.cut = silent as f64 > (FEW_SILENT_SHARE * ready as f64).max(FEW_SILENT_LEAST);
-        if self.cut || !self.partitioned_zones.is_empty() {
+        self.mass_partition =
+            silent as f64 > (FEW_SILENT_SHARE * ready as f64).max(FEW_SILENT_LEAST);
+        if self.mass_partition || !self.partitioned_zones.is_empty() {
             self.partitioned_at = now;
         }
     }
@@ -231,7 +233,7 @@
     pub(crate) fn check_unacknowledged(&mut self, context: &Context) {
         let lease_s = context.settings.platform.facts.workers.lease_s;
         let (now, is_stale) = (context.now, context.is_stale());
-        if is_stale || self.cut {
+        if is_stale || self.mass_partition {
             return;
         }
         let mut unacknowledged = Vec::new();
--- a/src/controller/machines/mod.rs
+++ b/src/controller/machines/mod.rs
@@ -1,9 +1,9 @@
 //! Heartbeats and their answers, and the proofs that a task is gone.
 //!
 //! A task may be placed again, and its quota and place are free, only when
-//! 1. a heartbeat that shows this shard's number, newer than any before it, lists the
+//! 1. a heartbeat that shows this shard's token, newer than any before it, lists the
 //!    attempt as ended or doesn't list it; or
-//! 2. the worker had shown this number, its lease must be over by now, counted from
+//! 2. the worker had acknowledged this token, its lease must be over by now, counted from
 //!    the last 200 this process sent it, the other controllers of its zone have said
 //!    since that they kept nobody alive for a lease, and the shard was then still
 //!    unchanged at the store; or
@@ -74,7 +74,8 @@
         self.decommission_abandoned(context);
         self.delete_decommissioned(context);
         let now = context.now;
-        self.gone.retain(|_, at| now.since(*at) < GONE_S);
+        self.deleted_machines
+            .retain(|_, at| now.since(*at) < GONE_S);
     }
 
     /// Tells a task to stop, as soon as its machine can hear it.
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -111,7 +111,7 @@
         })
     }
 
-    /// The highest number under which this controller holds a shard.
+    /// The highest token under which this controller holds a shard.
     pub fn holds(&self) -> Option<FencingToken> {
         self.shards.values().map(|h| h.token).max()
     }
--- a/src/controller/peers/heartbeats.rs
+++ b/src/controller/peers/heartbeats.rs
@@ -8,7 +8,7 @@
 use crate::ids::{ControllerId, MachineId, Time};
 use crate::peer::{Message, PeerHeartbeat};
 
-/// Peers say heartbeat every second; one that has missed two is taken to be down.
+/// Peers send heartbeats every second; one that has missed two is taken to be down.
 const HEARTBEAT_LOST_S: f64 = 2.2;
 /// Most overdue machines named in one message. With more of them silent, cancellations
 /// merely wait for their full time.
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Answers a peer that has just begun at once. It hands no heartbeat on to an owner that it
+    /// Answers a peer that has just begun at once. It forwards no heartbeat to an owner that it
     /// hasn't heard: after an outage of all controllers that kept heartbeats waiting for up to a
     /// second each time one came back, and their workers' leases ran out.
     fn greet(&mut self, peer: &ControllerId) {
--- a/src/controller/peers/links.rs
+++ b/src/controller/peers/links.rs
@@ -41,7 +41,7 @@
         !self.is_stale() && refused.is_some_and(|since| self.now.since(since) > patience)
     }
 
-    /// Whether this controller can hand heartbeats on: to itself, or to who leads.
+    /// Whether this controller can forward heartbeats: to itself, or to who leads.
     pub(crate) fn can_forward(&self) -> bool {
         let leader = self
             .store
@@ -105,7 +105,7 @@
         local.peek().is_some() && local.all(|s| self.hears_workers(&s.controller_id))
     }
 
-    /// Whether a zone has a controller besides this one, which may shelter its workers.
+    /// Whether a zone has a controller besides this one, which may keep alive its workers.
     pub(crate) fn zone_has_peer(&self, zone: &str) -> bool {
         self.peers_in(zone).next().is_some()
     }
--- a/src/controller/processor.rs
+++ b/src/controller/processor.rs
@@ -15,7 +15,7 @@
 /// Below this share nothing can be told of what a machine costs: what runs besides is more.
 const LEAST_SHARE: f64 = 0.05;
 
-/// How busy this process has been of late.
+/// How busy this process has been lately.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ProcessorUtilization {
     latest: Option<(Time, f64)>,
@@ -41,7 +41,7 @@
         self.latest.is_some()
     }
 
-    /// The share of its time for which this process has been busy of late; `None` where that
+    /// The share of its time for which this process has been busy lately; `None` where that
     /// isn't measured.
     pub fn share(&self, now: Time) -> Option<f64> {
         let fresh = |(at, _): &(Time, f64)| now.since(*at) < STALE_S;
--- a/src/controller/quota/cells.rs
+++ b/src/controller/quota/cells.rs
@@ -226,7 +226,7 @@
         asked.unwrap_or_else(|| record.limits.get(team).copied().unwrap_or_default())
     }
 
-    /// Room for a cell that needs it more, or for a home that calls it back.
+    /// Room for a cell that depends on it more, or for a home that calls it back.
     fn gift(&self, record: &CellRecord, file: &CellsFile) -> Option<CellChange> {
         let mut views = self.team_views(record, file)?;
         // What the home calls back it doesn't give away itself.
--- a/src/controller/rate_limits/mod.rs
+++ b/src/controller/rate_limits/mod.rs
@@ -11,7 +11,7 @@
 
 /// Share of what the other controllers may write that a sole owner leaves to them at least.
 const OTHERS_SHARE_MIN: f64 = 0.35;
-/// How much more than they wrote of late the others may write before the owner knows.
+/// How much more than they wrote lately the others may write before the owner knows.
 const OTHERS_USE_MARGIN: f64 = 1.5;
 /// Of the cloud's limit, with several shards: the leader's share, and that of all others.
 const CLOUD_SHARE_LEADER: f64 = 0.6;
@@ -28,7 +28,7 @@
     pub(crate) owns_shard: bool,
     /// Whether it leads.
     pub(crate) is_leader: bool,
-    /// Puts and deletes a second that the others made of late.
+    /// Puts and deletes a second that the others made lately.
     pub(crate) others_write_rate: f64,
 }
 
--- a/src/controller/scheduling/consolidation.rs
+++ b/src/controller/scheduling/consolidation.rs
@@ -19,7 +19,7 @@
 /// while: starts that are stopped soon after don't count for anyone.
 const CLOSE_SHARE: f64 = 0.5;
 const STEADY_S: f64 = 45.0;
-/// Share of a fleet that one tick may empty, and one machine at least.
+/// Share of a fleet that one reconcile turn may empty, and one machine at least.
 const MOVE_SHARE: f64 = 0.02;
 
 /// The replicas of one machine, to be stopped there.
@@ -56,7 +56,7 @@
             let job_state = self.jobs.get(id);
             job_state.is_some_and(|l| l.record.priority_class > PriorityClass::Normal)
         };
-        let room_to_spare = !self.cut && !self.waiting.iter().any(urgent);
+        let room_to_spare = !self.mass_partition && !self.waiting.iter().any(urgent);
         let spare = if room_to_spare {
             let headroom = context.settings.tuning.headroom;
             spare_machines(self, &context.catalog, headroom, context.now)
@@ -148,7 +148,7 @@
     spare
 }
 
-/// Room that moves of this tick take on other machines.
+/// Room that moves of this reconcile turn take on other machines.
 type Taken = BTreeMap<MachineId, Resources>;
 
 /// Whether all of a machine's tasks would fit elsewhere, beside what other moves take
--- a/src/controller/scheduling/preemption.rs
+++ b/src/controller/scheduling/preemption.rs
@@ -1,4 +1,4 @@
-//! Which tasks of lower rank are stopped to make room.
+//! Which tasks of lower priority class are stopped to make room.
 
 use crate::controller::machines::inventory::Machine;
 use crate::controller::pool::Pool;
@@ -10,7 +10,7 @@
 use crate::ids::{TaskId, Time};
 use crate::wire::MachineType;
 
-/// The tasks to stop for up to `most` tasks of a job: the least work of lower rank, one
+/// The tasks to stop for up to `most` tasks of a job: the least work of lower priority class, one
 /// machine for each; and how many machines were looked at.
 pub(crate) fn cheapest_victims(
     shard: &ShardOwner,
@@ -67,7 +67,7 @@
         }
         let started = matches!(placement.phase, Phase::Fetching | Phase::Running);
         if placement.stop_requested.is_none() && started {
-            let ran = shard.heard.since(placement.since);
+            let ran = shard.last_worker_heartbeat.since(placement.since);
             let saved = record.checkpoint_s > 0.0;
             let loss = if saved { 3.0 } else { 5.0 + ran * 0.2 };
             lower.push((loss, t, record.need));
@@ -87,7 +87,7 @@
 }
 
 /// Whether work may be stopped for a job as far as it loses by it. For a rank that a job has only
-/// from those that need it, just work that saves its progress is, beside what the job's own rank
+/// from those that depend on it, just work that saves its progress is, beside what the job's own rank
 /// is above: arrays needed by pipelines stopped others of their class, which lost all they had
 /// done, and were needed or waited themselves soon after, again and again.
 fn yields_to(record: &JobRecord, job_state: &JobState) -> bool {
--- a/src/controller/shard/admission.rs
+++ b/src/controller/shard/admission.rs
@@ -42,7 +42,11 @@
         } else {
             Vec::new()
         };
-        self.estimate_demand(context.now, &context.catalog, context.store.mirror.closed());
+        self.estimate_demand(
+            context.now,
+            &context.catalog,
+            context.store.mirror.exhausted_pools(),
+        );
         info!("jobs taken over, shard={shard} jobs={}", self.jobs.len());
 
         self.adopt_hinted_estimates(context);
@@ -97,7 +101,7 @@
         self.on_dependencies_changed(context, id);
     }
 
-    /// Something changed for a job through one that it needs or that needs it: it may start, it is
+    /// Something changed for a job through one that it depends on or that depends on it: it may start, it is
     /// cancelled, or its rank is another.
     pub(crate) fn on_dependencies_changed(&mut self, context: &mut Context, id: &JobId) {
         let now = context.now;
@@ -111,7 +115,7 @@
         if job_state.released || job_state.cancelled.is_some() {
             return;
         }
-        match context.store.mirror.needs(&job.record) {
+        match context.store.mirror.dependency_state(&job.record) {
             DependencyState::Open | DependencyState::Unknown => {}
             DependencyState::Met => {
                 job_state.released = true;
@@ -122,7 +126,7 @@
                 self.record_demand(
                     now,
                     &context.catalog,
-                    context.store.mirror.closed(),
+                    context.store.mirror.exhausted_pools(),
                     &job.record,
                 );
                 self.record_image_use(now, &job.record);
@@ -208,7 +212,7 @@
         job: &JobId,
         (index, attempt, machine, zone): Placed,
     ) {
-        if !self.machines.contains_key(&machine) && !self.gone.contains_key(&machine) {
+        if !self.machines.contains_key(&machine) && !self.deleted_machines.contains_key(&machine) {
             // Known by name only until it heartbeats. If it never does, it is
             // deleted, which proves its tasks gone.
             let mut known = Machine::new(&[], "", &zone, false, now);
--- a/src/controller/shard/burst_estimate.rs
+++ b/src/controller/shard/burst_estimate.rs
@@ -53,7 +53,7 @@
     }
 
     /// The standard deviation of demand, jobs coming and going, over a boot time: what
-    /// may come on top before a machine rented for it is up.
+    /// may come on top before a machine scaled out for it is up.
     pub(crate) fn deviation(&self, now: Time, boot_s: f64) -> f64 {
         let per_boot = self.decayed(now, boot_s) * std::f64::consts::LN_2 / BURST_HALF;
         (2.0 * per_boot).sqrt()
--- a/src/controller/shard/commits.rs
+++ b/src/controller/shard/commits.rs
@@ -337,7 +337,7 @@
 
     /// Turns to writing a job's chunks in parts that fit into values of so many bytes. What waits
     /// to be written of a chunk is written with its parts, results before they are cleared.
-    fn cut_into_parts(&mut self, job: &JobId, value_bytes: usize) {
+    fn split_into_parts(&mut self, job: &JobId, value_bytes: usize) {
         let Some(job_state) = self.jobs.get_mut(job) else {
             return;
         };
@@ -445,7 +445,7 @@
         let old =
             job_state.layout.tasks_of(*chunk).len() > chunk_size(limits.strict_bytes) as usize;
         if old && json_bytes(&record) > limits.value_bytes {
-            shard.cut_into_parts(job, limits.strict_bytes);
+            shard.split_into_parts(job, limits.strict_bytes);
             continue;
         }
         bytes += 60 * record.placed.len() + 12 * record.done.len();
--- a/src/controller/shard/completion.rs
+++ b/src/controller/shard/completion.rs
@@ -31,7 +31,7 @@
                 continue;
             }
             // The user of a cancelled job is told with its end. By then no task of it is left, and
-            // no job is open that needs it: none can be called queued when that isn't true any
+            // no job is open that depends on it: none can be called queued when that isn't true any
             // more, whatever fails from then on.
             let settled = job_state.placed.is_empty() && !context.store.mirror.has_dependents(id);
             match job_state.cancelled {
--- a/src/controller/shard/job.rs
+++ b/src/controller/shard/job.rs
@@ -59,7 +59,7 @@
 #[derive(Debug)]
 pub(crate) struct JobState {
     pub record: Rc<JobRecord>,
-    /// The rank that it was submitted with; `record` may have a higher one, of a job that needs it.
+    /// The rank that it was submitted with; `record` may have a higher one, of a job that depends on it.
     pub own_priority_class: PriorityClass,
     /// In which records its tasks are.
     pub layout: ChunkLayout,
@@ -68,7 +68,7 @@
     pub arrival: u64,
     pub since: Time,
     pub cancelled: Option<Time>,
-    /// Whether all jobs that it needs are known to be done. Until then nothing of it starts.
+    /// Whether all jobs that it depends on are known to be done. Until then nothing of it starts.
     pub released: bool,
     pub done: Vec<bool>,
     pub done_count: u32,
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Gives the job another rank than its own: the highest of those that need it. Whatever goes
+    /// Gives the job another rank than its own: the highest of those that depend on it. Whatever goes
     /// by rank goes by this one.
     pub(crate) fn set_priority_class(&mut self, priority_class: PriorityClass) {
         if priority_class != self.record.priority_class {
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Whether its rank is that of a job that needs it.
+    /// Whether its rank is that of a job that depends on it.
     pub(crate) fn inherits_priority_class(&self) -> bool {
         self.record.priority_class > self.own_priority_class
     }
--- a/src/controller/shard/mod.rs
+++ b/src/controller/shard/mod.rs
@@ -83,10 +83,10 @@
     pub(crate) deleting_placements: bool,
     /// When held answers must go out.
     pub(crate) long_poll_deadlines: BTreeSet<(Time, MachineId)>,
-    pub(crate) gone: BTreeMap<MachineId, Time>,
-    pub(crate) heard: Time,
+    pub(crate) deleted_machines: BTreeMap<MachineId, Time>,
+    pub(crate) last_worker_heartbeat: Time,
     /// So many machines are silent that they must be partitioned rather than down.
-    pub(crate) cut: bool,
+    pub(crate) mass_partition: bool,
     /// When that was last so. Machines get time from then to come back.
     pub(crate) partitioned_at: Time,
 }
@@ -122,9 +122,9 @@
             leftover_placements: Vec::new(),
             deleting_placements: false,
             long_poll_deadlines: BTreeSet::new(),
-            gone: BTreeMap::new(),
-            heard: now,
-            cut: false,
+            deleted_machines: BTreeMap::new(),
+            last_worker_heartbeat: now,
+            mass_partition: false,
             partitioned_at: now,
         }
     }
@@ -169,7 +169,7 @@
             return;
         };
         for (id, type_name, zone, spot) in list {
-            if !self.machines.contains_key(id) && !self.gone.contains_key(id) {
+            if !self.machines.contains_key(id) && !self.deleted_machines.contains_key(id) {
                 let machine = Machine::new(catalog, type_name, zone, *spot, now);
                 self.machines.insert(id.clone(), machine);
             }
@@ -200,7 +200,7 @@
             .machines
             .values()
             .any(|machine| machine.agent_epoch > 0);
-        had && now.since(self.heard) > RECENT_S
+        had && now.since(self.last_worker_heartbeat) > RECENT_S
     }
 
     pub(crate) fn next_attempt(&mut self) -> Attempt {
--- a/src/controller/shards/assignment.rs
+++ b/src/controller/shards/assignment.rs
@@ -80,7 +80,7 @@
 
 impl Controller {
     /// Shards whose owner restarted or counts no more go to another controller,
-    /// under a higher number.
+    /// under a higher token.
     pub(crate) fn replace_owners(
         &self,
         records: &mut BTreeMap<u32, ShardRecord>,
--- a/src/controller/shards/counts.rs
+++ b/src/controller/shards/counts.rs
@@ -11,7 +11,7 @@
 /// Longest list of empty or deleted machines in one message.
 pub(crate) const NAMES_MAX: usize = 100;
 
-/// Counts older than this are no longer believed, in ticks.
+/// Counts older than this are no longer believed, in reconcile turns.
 pub(crate) const STALE_TICKS: f64 = 3.0;
 
 impl Controller {
@@ -26,9 +26,11 @@
     pub(crate) fn on_shard_counts(&mut self, shard_counts: ShardCounts) {
         let now = self.now;
         if let Some(leadership) = &mut self.leadership {
-            leadership.gone.retain(|_, at| now.since(*at) < GONE_S);
             leadership
-                .gone
+                .deleted_machines
+                .retain(|_, at| now.since(*at) < GONE_S);
+            leadership
+                .deleted_machines
                 .extend(shard_counts.gone.iter().map(|id| (id.clone(), now)));
             leadership
                 .shard_counts
@@ -59,7 +61,7 @@
 impl ShardOwner {
     pub(crate) fn shard_counts(&self, context: &Context) -> ShardCounts {
         let catalog = &context.catalog;
-        let closed = context.store.mirror.closed();
+        let closed = context.store.mirror.exhausted_pools();
         let named = |pool: Pool| pool.type_in(catalog).map(|found| found.name.clone());
         let pools = self
             .counts(catalog, &context.settings, closed, context.now)
@@ -98,7 +100,13 @@
             zones: zones.collect(),
             pins: pins.collect(),
             empty: empty.collect(),
-            gone: self.gone.keys().rev().take(NAMES_MAX).cloned().collect(),
+            gone: self
+                .deleted_machines
+                .keys()
+                .rev()
+                .take(NAMES_MAX)
+                .cloned()
+                .collect(),
             teams: self.team_counts(),
         }
     }
@@ -121,7 +129,7 @@
 }
 
 impl ShardOwner {
-    /// Tells the leader what the shard in hand counts.
+    /// Tells the leader what the shard given counts.
     pub(crate) fn report_counts(&self, context: &mut Context) {
         let shard_counts = self.shard_counts(context);
         if context.leadership.is_some() {
--- a/src/controller/shards/machine_assignment.rs
+++ b/src/controller/shards/machine_assignment.rs
@@ -18,11 +18,11 @@
             return;
         };
         for list in records.values_mut().filter_map(|b| b.machines.as_mut()) {
-            list.retain(|e| !leadership.gone.contains_key(&e.0));
+            list.retain(|e| !leadership.deleted_machines.contains_key(&e.0));
         }
         leadership
             .unassigned
-            .retain(|id, _| !leadership.gone.contains_key(id));
+            .retain(|id, _| !leadership.deleted_machines.contains_key(id));
         let lists = records.values().filter_map(|b| b.machines.as_ref());
         let listed: BTreeSet<MachineId> = lists.flatten().map(|e| e.0.clone()).collect();
         leadership.unassigned.retain(|id, _| !listed.contains(id));
@@ -40,7 +40,13 @@
             let size = 2 * entry.0.as_str().len() + entry.1.len() + entry.2.len() + 20;
             let open = lists.filter(|(k, _)| bytes.get(k).is_some_and(|n| n + size < most));
             let key = |shard: u32| (entry.1.clone(), entry.3, shard);
-            let lack = |shard: u32| leadership.needs.get(&key(shard)).copied().unwrap_or(0);
+            let lack = |shard: u32| {
+                leadership
+                    .lacking_machines
+                    .get(&key(shard))
+                    .copied()
+                    .unwrap_or(0)
+            };
             let best = open.max_by_key(|(k, list)| (lack(*k), std::cmp::Reverse(list.len())));
             let Some((shard, list)) = best else {
                 leadership.crowded = !bytes.is_empty();
@@ -48,7 +54,7 @@
             };
             list.push(entry.clone());
             *bytes.entry(shard).or_default() += entry.0.as_str().len() + 1;
-            if let Some(n) = leadership.needs.get_mut(&key(shard)) {
+            if let Some(n) = leadership.lacking_machines.get_mut(&key(shard)) {
                 *n = n.saturating_sub(1);
             }
         }
@@ -56,12 +62,12 @@
 
     /// A worker heartbeats that belongs to no shard here. The leader sees to it that
     /// it comes to belong to one.
-    pub(crate) fn note_unassigned(&mut self, id: &MachineId, report: &WorkerHeartbeat) {
+    pub(crate) fn note_unassigned(&mut self, id: &MachineId, heartbeat: &WorkerHeartbeat) {
         let entry = (
             id.clone(),
-            report.class.clone(),
-            report.zone.clone(),
-            report.spot,
+            heartbeat.class.clone(),
+            heartbeat.zone.clone(),
+            heartbeat.spot,
         );
         self.add_unassigned(entry);
     }
@@ -71,7 +77,7 @@
         let mut lists = records.filter_map(|b| b.record.as_ref());
         let known = lists.any(|b| b.has(&entry.0));
         if let Some(leadership) = self.leadership.as_mut().filter(|_| !known)
-            && !leadership.gone.contains_key(&entry.0)
+            && !leadership.deleted_machines.contains_key(&entry.0)
         {
             leadership.unassigned.insert(entry.0.clone(), entry);
         }
--- a/src/controller/shards/splitting.rs
+++ b/src/controller/shards/splitting.rs
@@ -17,7 +17,7 @@
 
 impl Controller {
     /// Into how many shards a fleet is cut. Where it is measured how busy the owner is, that
-    /// decides, and only once it has said so for long: a cut costs more than a full processor for
+    /// decides, and only once it has said so for long: a partition costs more than a full processor for
     /// some seconds, and isn't undone.
     pub(crate) fn shards_needed(&mut self, machines: u32, shards: usize) -> usize {
         let now = self.context.now;
--- a/src/controller/store/chunks.rs
+++ b/src/controller/store/chunks.rs
@@ -99,7 +99,7 @@
     ranges
 }
 
-/// One record of a job as far as it counts: its number, its revision, and what it says.
+/// One record of a job as far as it counts: its token, its revision, and what it says.
 pub type EffectivePlacements<'a> = (u32, u64, Cow<'a, PlacementRecord>);
 
 /// What a job's records say together, each task spoken of once, and how they are laid out.
--- a/src/controller/store/mirror.rs
+++ b/src/controller/store/mirror.rs
@@ -22,7 +22,7 @@
     pub revision: u64,
     /// When this process learnt that the job is cancelled.
     pub cancelled: Option<Time>,
-    /// The highest rank of the job and of the open ones that need it.
+    /// The highest rank of the job and of the open ones that depend on it.
     pub priority_class: PriorityClass,
 }
 
@@ -243,7 +243,7 @@
     }
 
     /// What the cloud has nothing left of, as the plan says.
-    pub(crate) fn closed(&self) -> &[ExhaustedPool] {
+    pub(crate) fn exhausted_pools(&self) -> &[ExhaustedPool] {
         let plan = self.plan.record.as_ref();
         plan.map_or(&[], |placement| &placement.closed)
     }
@@ -279,7 +279,7 @@
         })
     }
 
-    /// The highest number that anything known here speaks of.
+    /// The highest token that anything known here speaks of.
     pub(crate) fn highest(&self) -> FencingToken {
         let said = self.token.record.as_ref().map(|r| r.highest);
         let held = self.shards.values().filter_map(|b| b.record.as_ref());
--- a/src/controller/store/records.rs
+++ b/src/controller/store/records.rs
@@ -104,7 +104,7 @@
     pub fenced_ms: Option<u64>,
 }
 
-/// The highest number ever given.
+/// The highest token ever given.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FencingTokenRecord {
     /// The token.
@@ -208,8 +208,8 @@
     }
 }
 
-/// One request to rent, written before it is sent, so that a new leader can repeat
-/// it under the same name and learn its machines instead of renting again.
+/// One request to scale out, written before it is sent, so that a new leader can repeat
+/// it under the same name and learn its machines instead of scaling out again.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ScaleOutRecord {
     /// Names the request: the same name again asks for nothing new.
@@ -228,7 +228,7 @@
 /// A type, zone and kind (spot or not) of which the cloud has nothing left.
 pub type ExhaustedPool = (String, String, bool);
 
-/// The leader's plan of a tick: wanted counts and the requests to rent under way.
+/// The leader's plan of a reconcile turn: wanted counts and the requests to scale out under way.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ScalingPlanRecord {
     /// The token of the leadership that wrote it.
--- a/src/controller/store/watch.rs
+++ b/src/controller/store/watch.rs
@@ -62,7 +62,7 @@
             WatchState::Paused { retry_at } if now >= retry_at || eager => {
                 self.open_watch(now, outbox);
             }
-            // A cut can leave the watch's connection open and dead: a revision that is known to
+            // A partition can leave the watch's connection open and dead: a revision that is known to
             // exist doesn't come through it.
             WatchState::Watching { call }
                 if self.staleness.waits_longer_than(now, WATCH_STUCK_S) =>
