--- a/src/controller/api/submissions.rs
+++ b/src/controller/api/submissions.rs
@@ -42,7 +42,7 @@
                 Reply::later(503, 2, "the state service doesn't answer"),
             );
         }
-        if self.catalog.is_empty() {
+        if self.cloud.catalog.is_empty() {
             return self.answer(
                 request_id,
                 Reply::later(503, 2, "machine types aren't known yet"),
@@ -91,7 +91,7 @@
         let Some(team) = facts.teams.iter().find(|t| t.name == record.team) else {
             return Some("unknown team".into());
         };
-        let fits = self.catalog.iter().any(|c| {
+        let fits = self.cloud.catalog.iter().any(|c| {
             let zoned = record.zone.as_ref().is_none_or(|z| c.zones.contains(z));
             record.allows(&c.name) && zoned && c.resources.holds(record.need)
         });
--- a/src/controller/autoscaling/machines.rs
+++ b/src/controller/autoscaling/machines.rs
@@ -26,7 +26,7 @@
 
 impl Controller {
     pub(crate) fn on_machine_list(&mut self, mut so_far: Vec<Listed>, reply: CloudReply) {
-        self.context.listing = false;
+        self.context.cloud.listing.under_way = false;
         let CloudReply::Page { machines, more } = reply else {
             return;
         };
@@ -40,7 +40,7 @@
         let listed: BTreeSet<&str> = so_far.iter().map(|l| l.id.as_str()).collect();
         for h in self.shards.values_mut() {
             for l in &so_far {
-                h.observe_listed(now, &self.context.catalog, l);
+                h.observe_listed(now, &self.context.cloud.catalog, l);
             }
             h.decommission_unlisted(now, settled_s, &listed);
         }
@@ -85,7 +85,7 @@
     /// The leader lists machines to find those nobody expected; with several shards,
     /// the other owners list them, less often, to learn what became of their own.
     pub(crate) fn list_machines(&mut self) {
-        if let Some(so_far) = self.list_pages.take() {
+        if let Some(so_far) = self.cloud.listing.waiting_pages.take() {
             return self.list_on(so_far);
         }
         let lag = self.settings.platform.facts.cloud.list_lag_s.max(2.0);
@@ -94,13 +94,14 @@
         } else {
             2.0 * lag
         };
-        if self.listing || self.now < self.list_at || self.is_stale() {
+        if self.cloud.listing.under_way || self.now < self.cloud.listing.next_at || self.is_stale()
+        {
             return;
         }
         let op = CloudOp::List { after: None };
         if self.cloud_call(op, CloudPurpose::List(Vec::new()), Priority::Usual) {
-            self.listing = true;
-            self.list_at = self.now.after(pause);
+            self.cloud.listing.under_way = true;
+            self.cloud.listing.next_at = self.now.after(pause);
         }
     }
 
@@ -109,9 +110,9 @@
     fn list_on(&mut self, so_far: Vec<Listed>) {
         let after = so_far.last().map(|l| MachineId::from(l.id.as_str()));
         let op = CloudOp::List { after };
-        self.listing = true;
-        if !self.cloud_rate_limit.has(self.now, 1.0, Priority::Usual) {
-            self.list_pages = Some(so_far);
+        self.cloud.listing.under_way = true;
+        if !self.cloud.rate_limit.has(self.now, 1.0, Priority::Usual) {
+            self.cloud.listing.waiting_pages = Some(so_far);
             return;
         }
         self.cloud_call(op, CloudPurpose::List(so_far), Priority::Usual);
@@ -126,7 +127,7 @@
         let (now, boot) = (context.now, context.settings.tuning.boot);
         let most = ABANDONED_AFTER * boot;
         let never =
-            |machine: &Machine| self.boots_longer_than(most, &context.catalog, machine, now);
+            |machine: &Machine| self.boots_longer_than(most, &context.cloud.catalog, machine, now);
         let never = self
             .machines
             .booting()
--- a/src/controller/autoscaling/mod.rs
+++ b/src/controller/autoscaling/mod.rs
@@ -55,7 +55,7 @@
             self.send_counts();
             self.lease_housekeeping();
         }
-        if self.context.catalog.is_empty() {
+        if self.context.cloud.catalog.is_empty() {
             return;
         }
         let several = self.shards.values().any(|h| !h.whole);
@@ -71,12 +71,9 @@
     }
 
     pub(crate) fn on_cloud(&mut self, id: CallId, reply: CloudReply) {
-        let Some(purpose) = self.context.cloud_calls.remove(&id) else {
+        let Some(purpose) = self.context.cloud.on_response(id, &reply) else {
             return;
         };
-        if reply == CloudReply::Trouble {
-            self.context.cloud_rate_limit.drain();
-        }
         match purpose {
             CloudPurpose::Catalog => self.on_catalog(reply),
             CloudPurpose::Rent(name) => self.on_scaled_out(&name, reply),
@@ -93,8 +90,8 @@
         let CloudReply::Catalog(classes) = reply else {
             return;
         };
-        self.context.catalog = classes;
-        let catalog = &self.context.catalog;
+        self.context.cloud.catalog = classes;
+        let catalog = &self.context.cloud.catalog;
         for h in self.shards.values_mut() {
             h.machines
                 .edit_all(|machine| machine.resolve_machine_type(catalog));
@@ -105,19 +102,14 @@
 
 impl Context {
     pub(crate) fn catalog_housekeeping(&mut self) {
-        if self.catalog.is_empty() && self.now >= self.catalog_retry {
-            self.catalog_retry = self.now.after(REPEAT_S);
+        if self.cloud.catalog.is_empty() && self.now >= self.cloud.catalog_retry {
+            self.cloud.catalog_retry = self.now.after(REPEAT_S);
             self.cloud_call(CloudOp::Catalog, CloudPurpose::Catalog, Priority::First);
         }
     }
 
     fn cloud_call(&mut self, op: CloudOp, purpose: CloudPurpose, priority: Priority) -> bool {
-        if !self.cloud_rate_limit.has(self.now, 1.0, priority) {
-            return false;
-        }
-        self.cloud_rate_limit.take(1.0);
-        let call = self.outbox.call_cloud(op);
-        self.cloud_calls.insert(call, purpose);
-        true
+        let outbox = &mut self.outbox;
+        self.cloud.send(self.now, outbox, op, purpose, priority)
     }
 }
--- a/src/controller/autoscaling/plan.rs
+++ b/src/controller/autoscaling/plan.rs
@@ -77,14 +77,14 @@
         s.scale_out_requests.retain(|request| {
             request.step != ScaleOutStep::Answered || now.since(request.at) < kept_s
         });
-        let closed = s.closed(&self.catalog, now);
+        let closed = s.closed(&self.cloud.catalog, now);
         s.plan_changed |=
             s.scale_out_requests.len() != before || s.shares != shares || s.closed != closed;
         if s.plan_write_pending || !s.plan_changed {
             return;
         }
         let wanted = s.wanted.iter().filter_map(|(pool, w)| {
-            let name = pool.type_in(&self.catalog)?.name.clone();
+            let name = pool.type_in(&self.cloud.catalog)?.name.clone();
             Some((name, pool.is_spot(), w.back()?.1))
         });
         let mut plan = ScalingPlanRecord {
--- a/src/controller/autoscaling/reconcile.rs
+++ b/src/controller/autoscaling/reconcile.rs
@@ -80,7 +80,7 @@
             demand.provisioned += count.provisioned;
             demand.gap += gap;
             if let (Some(leadership), Some(found)) =
-                (&mut self.leadership, pool.type_in(&self.catalog))
+                (&mut self.leadership, pool.type_in(&self.cloud.catalog))
             {
                 let key = (found.name.clone(), pool.is_spot(), *shard);
                 leadership.lacking_machines.insert(key, gap);
@@ -99,7 +99,7 @@
     fn scale_pool(&mut self, fleet: &FleetCounts, pool: Pool, demand: PoolDemand, ready: Time) {
         let now = self.now;
         let (Some(leadership), Some(machine_type)) =
-            (&mut self.leadership, pool.type_in(&self.catalog))
+            (&mut self.leadership, pool.type_in(&self.cloud.catalog))
         else {
             return;
         };
@@ -121,7 +121,7 @@
         let gap = gap.min(self.settings.rise(gap));
         if gap > 0 {
             let zones = (&fleet.zones, &pins);
-            scale.plan_scale_out(&self.catalog, pool, gap, zones, leadership.token, now);
+            scale.plan_scale_out(&self.cloud.catalog, pool, gap, zones, leadership.token, now);
         }
         // A new leader hasn't seen how high the count stood before its time.
         if now.since(ready) < window_s {
@@ -140,7 +140,7 @@
     /// Adds up what the shards' owners count.
     fn count_fleet(&self) -> FleetCounts {
         let mut fleet = FleetCounts::default();
-        let class = |name: &str| self.catalog.iter().position(|c| c.name == name);
+        let class = |name: &str| self.cloud.catalog.iter().position(|c| c.name == name);
         for t in self.believed() {
             for (name, spot, c) in &t.pools {
                 if let Some(class) = class(name) {
--- a/src/controller/autoscaling/scale_out.rs
+++ b/src/controller/autoscaling/scale_out.rs
@@ -55,6 +55,7 @@
         let record = record.record.clone();
         let class = self
             .context
+            .cloud
             .catalog
             .iter()
             .position(|c| c.name == record.class);
@@ -106,7 +107,7 @@
             for id in machines {
                 if !h.machines.contains_key(&id) && !h.deleted_machines.contains_key(&id) {
                     let machine = Machine::new(
-                        &self.context.catalog,
+                        &self.context.cloud.catalog,
                         &record.class,
                         &record.zone,
                         record.spot,
--- a/src/controller/context.rs
+++ b/src/controller/context.rs
@@ -2,9 +2,9 @@
 //! cloud and its peers, and the outputs of the present step. The shards that it owns aren't part of
 //! it, so that their methods take it as an argument.
 
-use crate::controller::HOUSEKEEPING_MS;
 use crate::controller::api::Api;
 use crate::controller::autoscaling::CloudPurpose;
+use crate::controller::cloud::CloudClient;
 use crate::controller::dependencies::resolution::DependencyReads;
 use crate::controller::forwarding::Forwarding;
 use crate::controller::leadership::Leadership;
@@ -12,18 +12,18 @@
 use crate::controller::leadership::shutdown::{LeaseRevocation, Shutdown};
 use crate::controller::leadership::standby::{HintSender, new_standby};
 use crate::controller::outbox::Outbox;
+use crate::controller::peers::PeerTable;
 use crate::controller::processor::ProcessorUtilization;
 use crate::controller::quota::cells::CellSharing;
 use crate::controller::quota::team_limits::TeamLimits;
 use crate::controller::rate_limits::token_bucket::TokenBucket;
 use crate::controller::store::StoreClient;
 use crate::controller::store_requests::RequestPurpose;
-use crate::ids::{CallId, ControllerId, FencingToken, Time};
-use crate::peer::PeerHeartbeat;
+use crate::controller::{CLOUD_BURST_S, HOUSEKEEPING_MS};
+use crate::ids::{FencingToken, Time};
 use crate::settings::Settings;
-use crate::wire::{Listed, MachineType};
 use salttrestle_standby::Standby;
-use std::collections::{BTreeMap, HashMap};
+use std::collections::BTreeMap;
 
 /// Heartbeats that are forwarded and answers that needn't go out at once wait for a whole multiple
 /// of this, so that one turn and one packet carry several of them.
@@ -45,8 +45,7 @@
     /// What the present step sends.
     pub(crate) outbox: Outbox,
     pub(crate) store: StoreClient<RequestPurpose>,
-    pub(crate) cloud_calls: HashMap<CallId, CloudPurpose>,
-    pub(crate) cloud_rate_limit: TokenBucket,
+    pub(crate) cloud: CloudClient<CloudPurpose>,
     pub(crate) dependency_reads: DependencyReads,
     pub(crate) team_limits: TeamLimits,
     pub(crate) cells: CellSharing,
@@ -64,16 +63,9 @@
     /// A lease that is to be given up.
     pub(crate) lease_revocation: Option<LeaseRevocation>,
     pub(crate) shutdown: Option<Shutdown>,
-    pub(crate) catalog: Vec<MachineType>,
-    pub(crate) catalog_retry: Time,
-    pub(crate) peers: BTreeMap<ControllerId, (PeerHeartbeat, Time)>,
-    pub(crate) heartbeat_at: Time,
+    pub(crate) peers: PeerTable,
     pub(crate) forwarding: Forwarding,
     pub(crate) counts_at: Time,
-    pub(crate) listing: bool,
-    /// The pages of a list of machines of which the next one waits for the budget.
-    pub(crate) list_pages: Option<Vec<Listed>>,
-    pub(crate) list_at: Time,
     /// The revision of the plan that was carried out here.
     pub(crate) plan_seen: u64,
     /// When a worker last reported here.
@@ -87,20 +79,17 @@
 impl Context {
     /// The state of a process that begins.
     pub(crate) fn new(settings: Settings, incarnation: u64) -> Self {
-        let f = &settings.platform.facts;
-        let share = settings.tuning.budget_share;
-        let cloud = f.cloud.rps * share;
-        let cloud_rate_limit = TokenBucket::new(cloud, cloud * 1.5);
+        let cloud_rps = settings.platform.facts.cloud.rps * settings.tuning.budget_share;
+        let cloud_limit = TokenBucket::new(cloud_rps, cloud_rps * CLOUD_BURST_S);
         let standby = new_standby(&settings, incarnation);
         Self {
-            cloud_rate_limit,
+            cloud: CloudClient::new(cloud_limit),
             settings,
             incarnation,
             now: Time(0),
             began: None,
             outbox: Outbox::default(),
             store: StoreClient::default(),
-            cloud_calls: HashMap::new(),
             dependency_reads: DependencyReads::default(),
             team_limits: TeamLimits::default(),
             cells: CellSharing::default(),
@@ -114,15 +103,9 @@
             hint_sender: HintSender::default(),
             lease_revocation: None,
             shutdown: None,
-            catalog: Vec::new(),
-            catalog_retry: Time(0),
-            peers: BTreeMap::new(),
-            heartbeat_at: Time(0),
+            peers: PeerTable::default(),
             forwarding: Forwarding::default(),
             counts_at: Time(0),
-            listing: false,
-            list_pages: None,
-            list_at: Time(0),
             plan_seen: 0,
             last_worker_heartbeat: Time(0),
             housekeeping_at: Time(0),
--- a/src/controller/forwarding.rs
+++ b/src/controller/forwarding.rs
@@ -86,8 +86,6 @@
     batched_until: Option<Time>,
     /// Heartbeats that wait until there is somebody to send their workers to.
     ownerless: VecDeque<OwnerlessHeartbeat>,
-    /// Peers to whom no connection can be made, and since when they refuse it.
-    pub(crate) down: BTreeMap<ControllerId, Option<Time>>,
     /// When this process last answered in an owner's place; at first its start.
     pub(crate) last_keepalive: Option<Time>,
     probes: BTreeMap<ControllerId, Time>,
@@ -227,7 +225,11 @@
         let safe: Vec<&ControllerId> = local.iter().filter(|m| self.has_next(m)).copied().collect();
         let local = if safe.is_empty() { local } else { safe };
         let home = pick_by_name(id, &local)?.clone();
-        let heard = self.peers.get(&home).is_some_and(|(h, _)| h.hears_workers);
+        let heard = self
+            .peers
+            .heartbeats
+            .get(&home)
+            .is_some_and(|(h, _)| h.hears_workers);
         let trial = self.forwarding.probes.get(&home);
         if !heard && trial.is_some_and(|at| self.now.since(*at) < TRIAL_PAUSE_S) {
             return None;
@@ -269,7 +271,7 @@
     /// Controllers of a zone, besides this one, that can forward heartbeats.
     fn forwarders_in<'a>(&'a self, zone: &'a str) -> Vec<&'a ControllerId> {
         let relaying = |s: &&Peer| {
-            let heartbeat = self.peers.get(&s.controller_id).map(|(h, _)| h);
+            let heartbeat = self.peers.heartbeats.get(&s.controller_id).map(|(h, _)| h);
             self.linked(&s.controller_id) && heartbeat.is_some_and(|h| h.can_forward)
         };
         let local = self.peers_in(zone).filter(relaying);
@@ -287,7 +289,9 @@
         let next = all.min_by_key(|m| (order(m) <= order(controller_id), order(m)));
         let lease_s = platform.facts.workers.lease_s;
         let silent = |(_, at): &(PeerHeartbeat, Time)| self.now.since(*at) > lease_s;
-        !next.and_then(|m| self.peers.get(m)).is_some_and(silent)
+        !next
+            .and_then(|m| self.peers.heartbeats.get(m))
+            .is_some_and(silent)
     }
 
     /// Hands a heartbeat on to its owner, or does what can be done without it.
@@ -427,7 +431,7 @@
     /// is dead lose half of their lease.
     fn surely_runs(&self, owner: &ControllerId) -> bool {
         let takeover_s = self.settings.tuning.leader_lease_s + TAKEOVER_S;
-        let heard = self.peers.get(owner).map(|(_, at)| *at);
+        let heard = self.peers.heartbeats.get(owner).map(|(_, at)| *at);
         let peers_unreachable = heard.is_none_or(|at| self.now.since(at) > takeover_s);
         self.heartbeat_fresh(owner) || peers_unreachable && !self.is_stale()
     }
--- a/src/controller/leadership/election.rs
+++ b/src/controller/leadership/election.rs
@@ -145,7 +145,7 @@
             if fresh {
                 owner.rebuild_from_mirror(context);
             }
-            owner.sync(context.now, revision, record, &context.catalog);
+            owner.sync(context.now, revision, record, &context.cloud.catalog);
         }
         if fresh {
             // Heartbeats wait elsewhere for the owner: their controllers learn of it at once.
--- a/src/controller/leadership/standby.rs
+++ b/src/controller/leadership/standby.rs
@@ -119,7 +119,7 @@
         let hints = Hints {
             from: self.context.settings.platform.controller_id.to_string(),
             token: leadership.token.0,
-            estimates: owner.estimates_for_peers(self.context.now, &self.context.catalog),
+            estimates: owner.estimates_for_peers(self.context.now, &self.context.cloud.catalog),
             images,
             machines,
         };
@@ -187,7 +187,7 @@
             return;
         }
         info!("estimates adopted from hints, age_ms={age_ms}");
-        self.apply_hinted_estimates(context.now, age_ms, estimates, &context.catalog);
+        self.apply_hinted_estimates(context.now, age_ms, estimates, &context.cloud.catalog);
     }
 
     fn estimates_for_peers(&self, now: Time, catalog: &[MachineType]) -> Estimates {
--- a/src/controller/machines/heartbeats.rs
+++ b/src/controller/machines/heartbeats.rs
@@ -65,11 +65,11 @@
                 heartbeat.token,
                 heartbeat.tasks.len()
             );
-            self.apply_hinted_images(id, context.standby.hints(), &context.catalog);
+            self.apply_hinted_images(id, context.standby.hints(), &context.cloud.catalog);
         }
         if outcome.first_ever {
             self.scheduling_wanted = true;
-            self.record_boot(&context.catalog, id, now);
+            self.record_boot(&context.cloud.catalog, id, now);
         }
         if let Some((old, until)) = outcome.waiting {
             self.long_poll_deadlines.remove(&(until, id.clone()));
@@ -102,12 +102,12 @@
                 .is_some_and(|m| m.machine_type.is_none())
             {
                 let set_machine_type =
-                    |m: &mut Machine| m.set_machine_type(&context.catalog, class, zone, spot);
+                    |m: &mut Machine| m.set_machine_type(&context.cloud.catalog, class, zone, spot);
                 self.machines.edit(id, set_machine_type);
             }
             return;
         }
-        let machine = Machine::new(&context.catalog, class, zone, spot, now);
+        let machine = Machine::new(&context.cloud.catalog, class, zone, spot, now);
         self.machines.insert(id.clone(), machine);
     }
 
@@ -229,7 +229,7 @@
             return;
         }
         let record = job_state.record.clone();
-        let catalog = &context.catalog;
+        let catalog = &context.cloud.catalog;
         self.machines.edit(id, |machine| {
             if let Some(bind) = machine.tasks.get_mut(task) {
                 bind.image_cached = true;
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -6,6 +6,7 @@
 
 pub(crate) mod api;
 pub(crate) mod autoscaling;
+pub(crate) mod cloud;
 pub(crate) mod context;
 pub(crate) mod dependencies;
 pub mod events;
@@ -124,8 +125,8 @@
             requests_rate: self.context.store.request_limit.rate(),
             changes: self.context.store.change_limit.spent(),
             changes_rate: self.context.store.change_limit.rate(),
-            cloud: self.context.cloud_rate_limit.spent(),
-            cloud_rate: self.context.cloud_rate_limit.rate(),
+            cloud: self.context.cloud.rate_limit.spent(),
+            cloud_rate: self.context.cloud.rate_limit.rate(),
             queued: self.context.api.backlog() + written.sum::<usize>(),
             machines_scanned: self.context.machines_scanned,
             placed: self.context.placed,
@@ -167,8 +168,8 @@
         if self.context.store.write_rate.advance(self.context.now) {
             self.update_rate_limits();
         }
-        if self.context.now >= self.context.heartbeat_at {
-            self.context.heartbeat_at = self.context.now.after(1.0);
+        if self.context.now >= self.context.peers.next_heartbeat_at {
+            self.context.peers.next_heartbeat_at = self.context.now.after(1.0);
             self.send_heartbeat();
         }
     }
@@ -202,7 +203,7 @@
         store.request_limit.set(now, requests, requests);
         store.change_limit.set(now, changes, changes);
         let cloud_burst = cloud * CLOUD_BURST_S;
-        context.cloud_rate_limit.set(now, cloud, cloud_burst);
+        context.cloud.rate_limit.set(now, cloud, cloud_burst);
     }
 
     fn shards_housekeeping(&mut self) {
--- a/src/controller/peers/heartbeats.rs
+++ b/src/controller/peers/heartbeats.rs
@@ -106,7 +106,11 @@
             heartbeat.incarnation,
             self.context.now,
         );
-        let before = self.context.peers.insert(from.clone(), (heartbeat, at));
+        let before = self
+            .context
+            .peers
+            .heartbeats
+            .insert(from.clone(), (heartbeat, at));
         if before.is_none_or(|(h, _)| h.incarnation != incarnation) {
             self.greet(&from);
         }
@@ -116,7 +120,7 @@
 impl Context {
     /// Which message of each peer came last, for `no_keepalive_by_peers` there.
     pub(crate) fn echoes(&self) -> Vec<(ControllerId, u64, u64)> {
-        let all = self.peers.values();
+        let all = self.peers.heartbeats.values();
         all.map(|(h, _)| (h.from.clone(), h.incarnation, h.at_ms))
             .collect()
     }
@@ -161,7 +165,7 @@
             let theirs = h.staleness_ms as f64 / 1000.0 + self.now.since(*at);
             theirs + STALENESS_BOUND_S < self.staleness_s()
         };
-        self.peers.values().any(|s| behind(&s))
+        self.peers.heartbeats.values().any(|s| behind(&s))
     }
 
     /// Whether workers can be sent to a peer: it runs and hasn't lost its workers. A
@@ -170,6 +174,7 @@
     pub(crate) fn reachable(&self, controller_id: &ControllerId) -> bool {
         let workers_unreachable = self
             .peers
+            .heartbeats
             .get(controller_id)
             .is_some_and(|(h, _)| h.workers_unreachable);
         !workers_unreachable && self.heartbeat_fresh(controller_id)
@@ -177,7 +182,7 @@
 
     /// Whether a peer was heard of so lately that it surely runs.
     pub(crate) fn heartbeat_fresh(&self, controller_id: &ControllerId) -> bool {
-        let heard = self.peers.get(controller_id).map(|(_, at)| *at);
+        let heard = self.peers.heartbeats.get(controller_id).map(|(_, at)| *at);
         heard.is_some_and(|at| self.now.since(at) < HEARTBEAT_LOST_S)
     }
 
@@ -194,7 +199,7 @@
 
     pub(crate) fn recent_heartbeats(&self) -> impl Iterator<Item = &PeerHeartbeat> {
         let recent = |at: &Time| self.now.since(*at) < RECENT_S;
-        let all = self.peers.values();
+        let all = self.peers.heartbeats.values();
         all.filter(move |(_, at)| recent(at)).map(|(h, _)| h)
     }
 }
--- a/src/controller/peers/links.rs
+++ b/src/controller/peers/links.rs
@@ -16,13 +16,13 @@
         }
         match link {
             Link::Up => {
-                self.forwarding.down.remove(&controller_id);
+                self.peers.links_down.remove(&controller_id);
             }
             Link::Lost => {
-                self.forwarding.down.entry(controller_id).or_insert(None);
+                self.peers.links_down.entry(controller_id).or_insert(None);
             }
             Link::Refused => {
-                let since = self.forwarding.down.entry(controller_id).or_insert(None);
+                let since = self.peers.links_down.entry(controller_id).or_insert(None);
                 since.get_or_insert(self.now);
             }
         }
@@ -30,14 +30,14 @@
 
     /// Whether messages reach a peer, as far as is known.
     pub(crate) fn linked(&self, controller_id: &ControllerId) -> bool {
-        self.heartbeat_fresh(controller_id) && !self.forwarding.down.contains_key(controller_id)
+        self.heartbeat_fresh(controller_id) && !self.peers.links_down.contains_key(controller_id)
     }
 
     /// Whether an owner runs, since its record stands, while it refuses connections
     /// from here: a filter between the controllers, which its workers may pass.
     pub(crate) fn refuses_connections(&self, owner: &ControllerId) -> bool {
         let patience = self.settings.tuning.leader_lease_s + TAKEOVER_S;
-        let refused = self.forwarding.down.get(owner).copied().flatten();
+        let refused = self.peers.links_down.get(owner).copied().flatten();
         !self.is_stale() && refused.is_some_and(|since| self.now.since(since) > patience)
     }
 
@@ -80,7 +80,7 @@
         // One whose zone isn't known may be of any.
         let mut local = peers.filter(|s| s.site == zone || s.site.is_empty());
         local.all(|s| {
-            let Some((heartbeat, _)) = self.peers.get(&s.controller_id) else {
+            let Some((heartbeat, _)) = self.peers.heartbeats.get(&s.controller_id) else {
                 return false;
             };
             let me = &self.settings.platform.controller_id;
@@ -95,7 +95,7 @@
 
     /// Whether a peer is heard of, and hears workers.
     pub(crate) fn hears_workers(&self, controller_id: &ControllerId) -> bool {
-        let heartbeat = self.peers.get(controller_id).map(|(h, _)| h);
+        let heartbeat = self.peers.heartbeats.get(controller_id).map(|(h, _)| h);
         self.linked(controller_id) && heartbeat.is_some_and(|h| h.hears_workers)
     }
 
--- a/src/controller/scheduling/consolidation.rs
+++ b/src/controller/scheduling/consolidation.rs
@@ -59,7 +59,7 @@
         let room_to_spare = !self.mass_partition && !self.waiting.iter().any(urgent);
         let spare = if room_to_spare {
             let headroom = context.settings.tuning.headroom;
-            spare_machines(self, &context.catalog, headroom, context.now)
+            spare_machines(self, &context.cloud.catalog, headroom, context.now)
         } else {
             BTreeSet::new()
         };
@@ -96,7 +96,7 @@
                 continue;
             }
             let tasks: Vec<TaskId> = machine.tasks.keys().cloned().collect();
-            let (catalog, settings) = (&context.catalog, &context.settings);
+            let (catalog, settings) = (&context.cloud.catalog, &context.settings);
             let now_taken =
                 fits_elsewhere(self, catalog, settings, context.now, id, &tasks, &taken);
             if let Some(now_taken) = now_taken.filter(|_| !tasks.is_empty()) {
--- a/src/controller/scheduling/mod.rs
+++ b/src/controller/scheduling/mod.rs
@@ -100,7 +100,10 @@
         // Pauses of failing jobs, of machines and of batch work end without any event.
         let due = now.since(self.schedule_at) > PLACE_EVERY_S && !self.waiting.is_empty();
         let wanted = self.scheduling_wanted || due;
-        wanted && !context.is_stale() && !context.catalog.is_empty() && now >= self.schedule_at
+        wanted
+            && !context.is_stale()
+            && !context.cloud.catalog.is_empty()
+            && now >= self.schedule_at
     }
 
     /// The jobs with queued tasks, those that are served first before the others.
@@ -139,7 +142,7 @@
         }
         let placement = PlacementContext {
             settings: &context.settings,
-            catalog: &context.catalog,
+            catalog: &context.cloud.catalog,
             expected: expected_s(&context.settings, &record.class),
             now: context.now,
         };
@@ -248,7 +251,7 @@
         };
         let most = job_state.queued().min(VICTIMS_MAX) as usize;
         let (victims, machines_scanned) =
-            cheapest_victims(self, &context.catalog, job_state, now, most, &over);
+            cheapest_victims(self, &context.cloud.catalog, job_state, now, most, &over);
         context.machines_scanned += machines_scanned;
         let counts_for_all = !guaranteed && !job_state.inherits_priority_class();
         let anywhere = !record.zone_affinity && !record.zone_spread;
@@ -262,7 +265,7 @@
     /// Work of the same class is stopped only then: scaling out didn't help, and it may lose all it
     /// has done.
     fn is_owed_its_guarantee(&self, context: &Context, job_state: &JobState) -> bool {
-        let boots = context.catalog.iter().map(|found| found.ready_s);
+        let boots = context.cloud.catalog.iter().map(|found| found.ready_s);
         let waited = context.now.since(job_state.since) > boots.fold(0.0, f64::max);
         waited && within_guarantee(self, &context.settings, job_state)
     }
@@ -308,7 +311,7 @@
 
 impl SchedulingCycle {
     fn new(shard: &ShardOwner, context: &Context) -> Self {
-        let (catalog, now) = (&context.catalog, context.now);
+        let (catalog, now) = (&context.cloud.catalog, context.now);
         let headroom = context.settings.tuning.headroom;
         Self {
             images: ready_images(shard, catalog, &context.settings, now),
--- a/src/controller/shard/admission.rs
+++ b/src/controller/shard/admission.rs
@@ -44,7 +44,7 @@
         };
         self.estimate_demand(
             context.now,
-            &context.catalog,
+            &context.cloud.catalog,
             context.store.mirror.exhausted_pools(),
         );
         info!("jobs taken over, shard={shard} jobs={}", self.jobs.len());
@@ -125,7 +125,7 @@
                 }
                 self.record_demand(
                     now,
-                    &context.catalog,
+                    &context.cloud.catalog,
                     context.store.mirror.exhausted_pools(),
                     &job.record,
                 );
--- a/src/controller/shards/counts.rs
+++ b/src/controller/shards/counts.rs
@@ -60,7 +60,7 @@
 
 impl ShardOwner {
     pub(crate) fn shard_counts(&self, context: &Context) -> ShardCounts {
-        let catalog = &context.catalog;
+        let catalog = &context.cloud.catalog;
         let closed = context.store.mirror.exhausted_pools();
         let named = |pool: Pool| pool.type_in(catalog).map(|found| found.name.clone());
         let pools = self
