--- a/src/controller/leadership/election.rs
+++ b/src/controller/leadership/election.rs
@@ -9,23 +9,18 @@
 
 use crate::controller::Controller;
 use crate::controller::context::{CLOCK_DRIFT, Context};
-use crate::controller::events::Reply;
 use crate::controller::leadership::GiveUpReason;
 use crate::controller::rate_limits::token_bucket::Priority;
-use crate::controller::shard::ShardOwner;
-use crate::controller::store::mirror::Mirrored;
-use crate::controller::store::records::{
-    FencingTokenRecord, Key, LeaderRecord, Record, ShardRecord,
-};
+use crate::controller::store::records::{FencingTokenRecord, Key, LeaderRecord, Record};
 use crate::controller::store::staleness::STALENESS_BOUND_S;
 use crate::controller::store_requests::RequestPurpose;
 use crate::ids::{FencingToken, Time};
-use crate::wire::{StoreRequest, StoreResponse, Write, commands_body};
-use log::{info, warn};
+use crate::wire::{StoreRequest, StoreResponse, Write};
+use log::warn;
 use salttrestle_standby::fence::Predecessors;
 use std::collections::VecDeque;
 
-/// A lease got for standing.
+/// A lease granted to a candidate.
 #[derive(Clone, Copy, Debug)]
 struct CandidateLease {
     lease_id: u64,
@@ -33,11 +28,12 @@
     asked: Time,
 }
 
+/// How far this controller has come with being elected, or with staying so.
 #[derive(Debug, Default)]
 pub(crate) struct Election {
     /// The lease that the leader's key hangs on, while this controller leads.
     lease_id: Option<u64>,
-    /// Leases got for standing, the latest last.
+    /// Leases granted to this candidate, the latest last.
     leases: VecDeque<CandidateLease>,
     /// The revision at which this controller won. Until the watch shows it, standing
     /// again would only lose to itself.
@@ -48,15 +44,33 @@
     renew_at: Time,
     /// Since when there has been no leader, or it may be replaced.
     vacant_since: Option<Time>,
-    /// Not standing before this.
+    /// It is no candidate, and owns no shard, before this.
     not_before: Time,
 }
 
-/// Pause by rank before standing, so that one is usually enough.
+impl Election {
+    /// Whether leadership and shards may be acquired.
+    pub(crate) fn may_acquire(&self, now: Time) -> bool {
+        now >= self.not_before
+    }
+
+    /// Renews the lease from now on.
+    pub(crate) fn begin_renewing(&mut self, now: Time) {
+        self.renew_at = now;
+    }
+
+    /// Acquires nothing for some lives of a lease. Returns the leader's lease, if it has one.
+    pub(crate) fn rest(&mut self, now: Time, lease_s: f64) -> Option<u64> {
+        self.not_before = now.after(lease_s * REST_LEASES);
+        self.lease_id
+    }
+}
+
+/// Pause between two candidates, so that one is usually enough.
 const CANDIDATE_GAP_S: f64 = 0.1;
 /// Share of a lease's life after which it is renewed.
 const RENEW_SHARE: f64 = 0.3;
-/// A lease that was got beforehand is used to stand within this share of its life.
+/// A lease that was granted beforehand is used within this share of its life.
 const PREPARED_SHARE: f64 = 0.3;
 /// Leases remembered: attempts that may still turn out to have won.
 const LEASES_MAX: usize = 8;
@@ -75,106 +89,7 @@
         }
     }
 
-    /// The leader's, a shard's, the token's or the plan's record changed.
-    pub(crate) fn on_control_records_changed(&mut self) {
-        self.context.read_limits();
-        self.context.tell_standby_of_leader();
-        let me = &self.context.settings.platform.controller_id;
-        let may_acquire = self.context.now >= self.context.election.not_before;
-        let leader = self.context.store.mirror.leader.record.as_ref();
-        let is_leader = leader
-            .is_some_and(|l| l.controller_id == *me && l.incarnation == self.context.incarnation);
-        if is_leader && self.context.leadership.is_none() && may_acquire {
-            info!("became leader, token={}", leader.map_or(0, |l| l.token.0));
-            self.context.election.renew_at = self.context.now;
-            self.context.adopt_lease();
-            self.become_leader();
-        } else if !is_leader && self.context.leadership.is_some() {
-            self.step_down(GiveUpReason::RecordReplaced);
-        }
-        let shards: Vec<(u32, Mirrored<ShardRecord>)> = self
-            .context
-            .store
-            .mirror
-            .shards
-            .iter()
-            .map(|(k, slot)| (*k, slot.clone()))
-            .collect();
-        for (shard, slot) in shards {
-            let Some(record) = slot.record else {
-                continue;
-            };
-            // A token once given up is never used again: what was answered under it
-            // is forgotten, and copies of heartbeats from then may still come.
-            let given_up = self
-                .context
-                .released_tokens
-                .get(&shard)
-                .is_some_and(|n| record.token <= *n);
-            let me = &self.context.settings.platform.controller_id;
-            let mine =
-                record.owner == *me && record.incarnation == self.context.incarnation && !given_up;
-            self.sync_shard(shard, slot.revision, &record, mine && may_acquire);
-        }
-        self.apply_scale_in();
-    }
-
-    /// Brings what is held here in line with a shard's record.
-    fn sync_shard(&mut self, shard: u32, revision: u64, record: &ShardRecord, mine: bool) {
-        let held = self.shards.get(&shard).map(|h| (h.token, h.shard_revision));
-        match held {
-            Some((token, _)) if !mine || token != record.token => {
-                self.release_shard(shard, GiveUpReason::OwnedByAnother);
-            }
-            Some((_, known)) if known == revision => return,
-            _ => {}
-        }
-        if !mine {
-            return;
-        }
-        let fresh = !self.shards.contains_key(&shard);
-        if fresh {
-            info!("shard acquired, shard={shard} token={}", record.token.0);
-            let shares_limits = self.context.settings.cells.is_some();
-            let owner = ShardOwner::new(shard, record.token, self.context.now, shares_limits);
-            self.shards.insert(shard, owner);
-        }
-        self.update_rate_limits();
-        if let Some(owner) = self.shards.get_mut(&shard) {
-            let context = &mut self.context;
-            if fresh {
-                owner.rebuild_from_mirror(context);
-            }
-            owner.sync(context.now, revision, record, &context.cloud.catalog);
-        }
-        if fresh {
-            // Heartbeats wait elsewhere for the owner: their controllers learn of it at once.
-            self.send_heartbeat();
-        }
-    }
-
-    /// Stops acting as the owner of a shard. Always safe: another process takes over by a commit.
-    pub(crate) fn release_shard(&mut self, shard: u32, reason: GiveUpReason) {
-        let Some(owner) = self.shards.remove(&shard) else {
-            return;
-        };
-        warn!(
-            "shard released, shard={} token={} reason={reason}",
-            owner.shard, owner.token.0
-        );
-        self.context
-            .released_tokens
-            .insert(owner.shard, owner.token);
-        self.update_rate_limits();
-        // Its workers stay where they are until there is a new owner. An answer under
-        // the token given up is worth nothing to those that have shown a higher one.
-        for request_id in owner.long_polling_requests() {
-            let body = commands_body(owner.token, &[]);
-            self.context.answer(request_id, Reply::ok(200, body));
-        }
-    }
-
-    fn step_down(&mut self, reason: GiveUpReason) {
+    pub(crate) fn step_down(&mut self, reason: GiveUpReason) {
         if self.context.leadership.take().is_some() {
             warn!("stepped down, reason={reason}");
         }
@@ -182,27 +97,6 @@
         self.context.election.busy = false;
         self.update_rate_limits();
     }
-
-    /// Gives up everything this controller holds.
-    pub(crate) fn give_up(&mut self, reason: GiveUpReason) {
-        self.step_down(reason);
-        let shards: Vec<u32> = self.shards.keys().copied().collect();
-        for shard in shards {
-            self.release_shard(shard, reason);
-        }
-    }
-
-    /// Gives up everything and rests, when this controller can't do the work.
-    pub(crate) fn resign(&mut self, reason: GiveUpReason) {
-        let ttl = self.context.settings.tuning.leader_lease_s;
-        self.context.election.not_before = self.context.now.after(ttl * REST_LEASES);
-        let lease_id = self.context.election.lease_id;
-        self.give_up(reason);
-        // Its key goes with the lease, so that nobody waits for its end.
-        if let Some(lease_id) = lease_id {
-            self.context.revoke_when_quiet(lease_id);
-        }
-    }
 }
 
 impl Context {
@@ -470,7 +364,7 @@
 
     /// Takes the lease that the leader's record names. A later attempt's lease stood in its
     /// place: the one that counted ran out unrenewed, and with it the leadership, after 3 s.
-    fn adopt_lease(&mut self) {
+    pub(crate) fn adopt_lease(&mut self) {
         let record = self.store.mirror.leader.record.as_ref();
         let named = record.map_or(0, |l| l.lease_id);
         let mut leases = self.election.leases.drain(..);
--- a/src/controller/shards/mod.rs
+++ b/src/controller/shards/mod.rs
@@ -8,5 +8,6 @@
 pub(crate) mod counts;
 pub(crate) mod leases;
 pub(crate) mod machine_assignment;
+pub(crate) mod ownership;
 pub(crate) mod quota_shares;
 pub(crate) mod splitting;
