--- /dev/null
+++ b/tests/scenario_runs/checker_rules.rs
@@ -0,0 +1,161 @@
+//! Violations on purpose: the checker must see each rule broken.
+
+use crate::sim::scenario::Scenario;
+use crate::sim::world::World;
+use libtest_mimic::{Failed, Trial};
+use salttrestle::ids::{JobId, TaskId};
+use salttrestle_fakes::checker::{Checker, Place, Said};
+
+/// What breaks a rule.
+type Violation = fn(&mut Checker);
+
+/// Each rule, and what breaks it.
+const VIOLATIONS: [(&str, Violation); 18] = [
+    ("ran_twice", |checker| {
+        checker.starts(1, &task(0), place("m1", "a"));
+        checker.starts(2, &task(0), place("m2", "b"));
+    }),
+    ("quota", |checker| {
+        for (index, zone) in [(0, "a"), (1, "b"), (2, "a")] {
+            checker.starts(1, &task(index), place("m1", zone));
+        }
+    }),
+    ("quota: t uses 0 CPUs, 2 GPUs", |checker| {
+        for task in &mut [task(0), task(1)] {
+            checker
+                .jobs
+                .get_mut(&task.job)
+                .expect("submitted")
+                .record
+                .need
+                .cpus = 0.0;
+            checker.starts(1, task, place("m1", "a"));
+        }
+        assert!(checker.broken.is_empty(), "two are allowed");
+        checker.set_limit(2, "t", (0.0, 3.0));
+        assert!(checker.broken.is_empty(), "three are");
+        checker.set_limit(3, "t", (0.0, 1.0));
+    }),
+    ("wrong_place", |checker| {
+        for index in 0..3 {
+            checker.starts(1, &task(index), place("m1", "a"));
+        }
+    }),
+    ("ran_cancelled", |checker| {
+        checker.starts(1, &task(0), place("m1", "a"));
+        checker.cancel_asked(1, &JobId::from("j-1"));
+        checker.said(2, &JobId::from("j-1"), Said::Cancelled);
+        checker.check_cancelled(36_000);
+    }),
+    ("forgotten", |checker| {
+        checker.said(1, &JobId::from("j-1"), Said::Unknown);
+    }),
+    ("forgotten: j-1 is Refused", |checker| {
+        checker.said(1, &JobId::from("j-1"), Said::Refused);
+    }),
+    ("invented", |checker| {
+        checker.said(1, &JobId::from("j-2"), Said::Queued);
+    }),
+    ("not_done", |checker| {
+        checker.said(1, &JobId::from("j-1"), Said::Done);
+    }),
+    ("went_back", |checker| {
+        (0..4).for_each(|index| checker.finishes(1, &task(index)));
+        checker.said(1, &JobId::from("j-1"), Said::Done);
+        checker.said(2, &JobId::from("j-1"), Said::Running);
+    }),
+    ("too_early", |checker| {
+        let mut record = checker.jobs[&JobId::from("j-1")].record.clone();
+        record.needs = vec![JobId::from("j-1")];
+        checker.submitted(1, &JobId::from("j-2"), record);
+        (0..3).for_each(|index| checker.finishes(1, &task(index)));
+        let job = JobId::from("j-2");
+        checker.starts(2, &TaskId { job, index: 0 }, place("m1", "a"));
+    }),
+    ("orphaned", |checker| {
+        let (needed, job) = (JobId::from("j-1"), JobId::from("j-2"));
+        let mut record = checker.jobs[&needed].record.clone();
+        record.needs = vec![needed.clone()];
+        checker.submitted(1, &job, record);
+        checker.said(1, &job, Said::Queued);
+        checker.cancel_asked(1, &needed);
+        checker.said(2, &needed, Said::Cancelled);
+        checker.said(35_000, &job, Said::Queued);
+        assert!(checker.broken.is_empty(), "there is a moment left");
+        checker.said(36_000, &job, Said::Queued);
+    }),
+    ("nothing_ran", |checker| checker.check_end(1)),
+    ("started_cancelled", |checker| {
+        checker.cancel_asked(1, &JobId::from("j-1"));
+        checker.said(2, &JobId::from("j-1"), Said::Cancelled);
+        checker.starts(3, &task(0), place("m1", "a"));
+    }),
+    ("odd_accepted", |checker| {
+        let job = checker.jobs.get_mut(&JobId::from("j-1"));
+        job.expect("submitted").unfit = true;
+        checker.said(1, &JobId::from("j-1"), Said::Queued);
+    }),
+    ("unanswered", |checker| {
+        let answered = [(JobId::from("j-1"), 10_000)].into();
+        checker.check_answers(84_000, 5_000, &answered);
+        assert!(checker.broken.is_empty(), "there is a second left");
+        checker.check_answers(86_000, 5_000, &answered);
+    }),
+    ("left_waiting", |checker| {
+        let roomy = [JobId::from("j-1")].into();
+        checker.check_waiting(1_000, &roomy);
+        // A moment without room begins the time anew.
+        checker.check_waiting(50_000, &Default::default());
+        checker.check_waiting(60_000, &roomy);
+        checker.check_waiting(149_000, &roomy);
+        assert!(checker.broken.is_empty(), "there is a second left");
+        checker.check_waiting(151_000, &roomy);
+    }),
+    ("starved: class c, largest of class c", |checker| {
+        checker.starts(1, &task(0), place("m1", "a"));
+        checker.check_end(2);
+    }),
+];
+
+/// One trial for each rule.
+pub(crate) fn trials() -> Vec<Trial> {
+    let trials = VIOLATIONS.iter().map(|(rule, violate)| {
+        Trial::test(format!("checker sees {rule}"), move || {
+            let mut checker = checker();
+            violate(&mut checker);
+            let broken = checker.broken;
+            match broken.iter().any(|broken| broken.contains(rule)) {
+                true => Ok(()),
+                false => Err(Failed::from(format!("not seen: {broken:?}"))),
+            }
+        })
+    });
+    trials.collect()
+}
+
+/// One job `j-1` of four one-GPU tasks in a team of at most two GPUs, accepted.
+fn checker() -> Checker {
+    let text = "type g8\nteam t gpus_max=2\nat 1 submit j-1 count=4 scatter types=g8\nend 1.5";
+    let mut world = World::new(&Scenario::parse(text));
+    world.run();
+    let mut checker = world.checker;
+    checker.broken.clear();
+    checker.said(0, &JobId::from("j-1"), Said::Queued);
+    checker
+}
+
+fn place(machine: &str, zone: &str) -> Place {
+    Place {
+        machine: machine.into(),
+        class: "g8".into(),
+        zone: zone.into(),
+        spot: false,
+    }
+}
+
+fn task(index: u32) -> TaskId {
+    TaskId {
+        job: JobId::from("j-1"),
+        index,
+    }
+}
--- /dev/null
+++ b/tests/scenario_runs/play.rs
@@ -0,0 +1,50 @@
+//! Plays a scenario, and gathers what it broke.
+
+use super::expectations::Expectation;
+use crate::sim::scenario::Scenario;
+use crate::sim::world::World;
+use libtest_mimic::Failed;
+use thiserror::Error;
+
+/// A run that didn't go as it must.
+#[derive(Debug, Error)]
+#[error("{}", .0.join("\n"))]
+pub(crate) struct RunError(Vec<String>);
+
+/// A run that failed, with its seed.
+#[derive(Debug, Error)]
+#[error("seed {seed}: {error}")]
+struct SeedError {
+    seed: String,
+    error: RunError,
+}
+
+/// Plays a scenario with each of the seeds that it names.
+pub(crate) fn with_its_seeds(name: &str, scenario: &Scenario) -> Result<(), Failed> {
+    let Some(seeds) = scenario.first("seeds") else {
+        return Ok(once(name, scenario)?);
+    };
+    for seed in seeds.words() {
+        let run = format!("{name}/{seed}");
+        once(&run, &scenario.with_seed(seed)).map_err(|error| SeedError {
+            seed: seed.clone(),
+            error,
+        })?;
+    }
+    Ok(())
+}
+
+/// Plays a scenario once.
+pub(crate) fn once(name: &str, scenario: &Scenario) -> Result<(), RunError> {
+    let mut world = World::new(scenario);
+    world.run();
+    world.digest.record(name);
+    let expectations = scenario.all("expect");
+    let unmet = expectations.filter_map(|line| Expectation::new(&world, line).check().err());
+    let unmet: Vec<String> = unmet.map(|error| error.to_string()).collect();
+    let failures = [std::mem::take(&mut world.checker.broken), unmet].concat();
+    match failures.is_empty() {
+        true => Ok(()),
+        false => Err(RunError(failures)),
+    }
+}
--- a/tests/sim/digest.rs
+++ b/tests/sim/digest.rs
@@ -10,20 +10,20 @@
 use xxhash_rust::xxh3::Xxh3;
 
 /// Names the file that digests are appended to, one line a run. Not set in CI.
-pub const FILE_VARIABLE: &str = "SCENARIO_DIGESTS";
+pub(crate) const FILE_VARIABLE: &str = "SCENARIO_DIGESTS";
 
 /// The digest of one run so far.
 #[derive(Default)]
-pub struct OutputDigest {
+pub(crate) struct OutputDigest {
     hasher: Xxh3,
 }
 
 impl OutputDigest {
     /// Adds one output of a controller.
-    pub fn add(&mut self, now: u64, node: usize, process: u64, output: &Output) {
+    pub(crate) fn add(&mut self, now: u64, controller: usize, incarnation: u64, output: &Output) {
         self.number(now);
-        self.number(node as u64);
-        self.number(process);
+        self.number(controller as u64);
+        self.number(incarnation);
         match output {
             Output::Answer(request, reply) => {
                 self.number(0);
@@ -32,8 +32,8 @@
                 self.number(reply.retry_after.map_or(u64::MAX, u64::from));
                 self.bytes(&reply.body);
             }
-            Output::Store(call, op) => self.call(1, call.0, &op.call()),
-            Output::Cloud(call, op) => self.call(2, call.0, &op.call()),
+            Output::Store(call, request) => self.call(1, call.0, &request.call()),
+            Output::Cloud(call, request) => self.call(2, call.0, &request.call()),
             Output::Forget(call) => {
                 self.number(3);
                 self.number(call.0);
@@ -77,7 +77,7 @@
     }
 
     /// Appends the run's line to the file that [`FILE_VARIABLE`] names, if it is set.
-    pub fn record(&self, run: &str) {
+    pub(crate) fn record(&self, run: &str) {
         let Ok(path) = std::env::var(FILE_VARIABLE) else {
             return;
         };
--- a/tests/sim/limits.rs
+++ b/tests/sim/limits.rs
@@ -1,24 +1,38 @@
 //! Operators who change team limits at run time, and when a change is in force.
 
-use super::world::{Args, Ev, World, ms, num};
+use super::scenario::{Arguments, milliseconds};
+use super::world::World;
 use salttrestle::controller::store::records::{Key, LimitsByTeam, LimitsRecord, Record};
 use salttrestle_fakes::store::{CommitOutcome, Write};
 
 /// A lowered limit has stopped new starts within this time.
 const IN_FORCE_S: f64 = 5.0;
+/// Room for rounding when the quota shares of several shards are added.
+const SLACK: f64 = 1e-6;
+
+/// A change that isn't in force yet.
+struct PendingChange {
+    made_at: u64,
+    team: String,
+}
 
 /// What operators have set, and what became of it.
 #[derive(Default)]
-pub struct LimitChanges {
+pub(crate) struct LimitChanges {
     set: LimitsByTeam,
     /// The limits of the settings, of teams whose limits were changed.
     of_settings: LimitsByTeam,
-    /// Changes that aren't in force yet: when they were made, of which team.
-    open: Vec<(u64, String)>,
+    pending: Vec<PendingChange>,
     /// How long each change took to come into force.
     pub took: Vec<u64>,
 }
 
+/// A limit as a line gives it: CPUs and GPUs.
+fn limit_of(arguments: &Arguments) -> (f64, f64) {
+    let amount = |key| arguments.number(key, 0.0);
+    (amount("cpus"), amount("gpus"))
+}
+
 impl World {
     fn write_limits(&mut self, record: Option<LimitsRecord>) {
         let path = Key::Limits.to_string();
@@ -30,81 +44,87 @@
             },
             None => Write::Delete { path },
         };
-        let outcome = self.state.store.commit(&[], vec![write]);
+        let outcome = self.store.records.commit(&[], vec![write]);
         assert!(matches!(outcome, CommitOutcome::Committed(_)));
-        self.wake_followers();
+        self.answer_watches();
     }
 
-    /// `limits t gpus=4 cpus=0`: a team's limit from now on, or that of a team that there isn't.
-    pub fn set_limits(&mut self, args: Args) {
-        let (team, limit) = (&args[0], (num(args, "cpus", 0.0), num(args, "gpus", 0.0)));
-        self.limit_changes.set.insert(team.clone(), limit);
+    /// `limits t gpus=4 cpus=0`: a team's limit from now on, or that of a team that doesn't exist.
+    pub(super) fn set_limits(&mut self, arguments: &Arguments) {
+        let (team, limit) = (arguments.word(0), limit_of(arguments));
+        self.limit_changes.set.insert(team.into(), limit);
         let record = LimitsRecord::Teams(self.limit_changes.set.clone());
         self.write_limits(Some(record));
-        if !self.checker.limits.contains_key(team) {
+        let Some(before) = self.checker.limits.get(team).copied() else {
             // It is refused, and mustn't be part of what comes next.
             self.limit_changes.set.remove(team);
             return;
-        }
-        self.limit_changes.open.push((self.now, team.clone()));
-        let before = self.checker.limits[team];
+        };
+        self.limit_changes.pending.push(PendingChange {
+            made_at: self.now,
+            team: team.into(),
+        });
         let of_settings = &mut self.limit_changes.of_settings;
-        of_settings.entry(team.clone()).or_insert(before);
+        of_settings.entry(team.into()).or_insert(before);
+        // Until the change is in force, the old limit may still be used.
         let most = (before.0.max(limit.0), before.1.max(limit.1));
-        self.checker.limits.insert(team.clone(), most);
-        let words = [
-            String::from("limit-holds"),
-            team.clone(),
+        self.checker.limits.insert(team.into(), most);
+        let words = vec![
+            team.into(),
             format!("cpus={}", limit.0),
             format!("gpus={}", limit.1),
         ];
-        self.after(ms(IN_FORCE_S), Ev::Line(words.to_vec()));
+        self.command_after(milliseconds(IN_FORCE_S), "limit-holds", words);
     }
 
     /// A change is so old that no start may go beyond it any more, unless a later one raised it.
-    pub fn limit_holds(&mut self, args: Args) {
-        let limit = (num(args, "cpus", 0.0), num(args, "gpus", 0.0));
-        if self.limit_changes.set.get(&args[0]) == Some(&limit) {
-            self.checker.limits.insert(args[0].clone(), limit);
+    pub(super) fn limit_in_force(&mut self, arguments: &Arguments) {
+        let (team, limit) = (arguments.word(0), limit_of(arguments));
+        if self.limit_changes.set.get(team) == Some(&limit) {
+            self.checker.limits.insert(team.into(), limit);
         }
     }
 
-    /// What stands there can't be read from now on, or nothing stands there.
-    pub fn spoil_limits(&mut self, gone: bool) {
-        let unreadable = || LimitsRecord::Unreadable("invalid type".into());
-        self.write_limits((!gone).then(unreadable));
-        if gone {
-            self.limit_changes.set.clear();
-            let of_settings = self.limit_changes.of_settings.clone();
-            self.checker.limits.extend(of_settings);
-        }
+    /// The record of the limits can't be read from now on.
+    pub(super) fn make_limits_unreadable(&mut self) {
+        let record = LimitsRecord::Unreadable("invalid type".into());
+        self.write_limits(Some(record));
+    }
+
+    /// The record of the limits is deleted: those of the settings hold again.
+    pub(super) fn delete_limits(&mut self) {
+        self.write_limits(None);
+        self.limit_changes.set.clear();
+        let of_settings = self.limit_changes.of_settings.clone();
+        self.checker.limits.extend(of_settings);
     }
 
     /// Notes which changes the shards' records show by now.
-    pub fn check_limits(&mut self) {
-        let entries = self.state.store.entries.values();
-        let shards: Vec<_> = entries
-            .filter_map(|entry| match &entry.value {
-                Record::Shard(shard) => shard.quota_shares.clone(),
-                _ => None,
-            })
-            .collect();
+    pub(super) fn check_limits(&mut self) {
+        let entries = self.store.records.entries.values();
+        let shares = entries.filter_map(|entry| match &entry.value {
+            Record::Shard(shard) => shard.quota_shares.clone(),
+            _ => None,
+        });
+        let shares: Vec<_> = shares.collect();
         let changes = &mut self.limit_changes;
-        let (now, set) = (self.now, &changes.set);
+        let set = &changes.set;
         let in_force = |team: &str| {
-            let here = shards.iter().filter_map(|b| b.get(team));
-            let sum = here.fold((0.0, 0.0), |sum, a| (sum.0 + a.0, sum.1 + a.1));
+            let of_team = shares.iter().filter_map(|shard| shard.get(team));
+            let sum = of_team.fold((0.0, 0.0), |sum, share| (sum.0 + share.0, sum.1 + share.1));
             let Some(limit) = set.get(team) else {
                 return false;
             };
-            let all = sum.0 <= limit.0 + 1e-6 && sum.1 <= limit.1 + 1e-6;
-            all && (shards.len() > 1 || sum == *limit)
+            let within = sum.0 <= limit.0 + SLACK && sum.1 <= limit.1 + SLACK;
+            within && (shares.len() > 1 || sum == *limit)
         };
-        let (done, open): (Vec<_>, Vec<_>) =
-            changes.open.drain(..).partition(|(_, team)| in_force(team));
-        changes.open = open;
-        changes
-            .took
-            .extend(done.into_iter().map(|(at, _)| now - at));
+        let pending = std::mem::take(&mut changes.pending);
+        let (done, pending): (Vec<_>, Vec<_>) = pending
+            .into_iter()
+            .partition(|change| in_force(&change.team));
+        changes.pending = pending;
+        let now = self.now;
+        let took = done.iter().map(|change| now - change.made_at);
+        changes.took.extend(took);
     }
 }
--- /dev/null
+++ b/tests/sim/links.rs
@@ -0,0 +1,130 @@
+//! Links between controllers and what they talk to, and the partitions that cut them.
+
+use super::event::{Event, Process};
+use super::world::World;
+use salttrestle::controller::events::{Input, Link};
+
+/// What is at the other end of a controller's link.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum LinkEnd {
+    Store,
+    Cloud,
+    Workers,
+    Peers,
+}
+
+impl LinkEnd {
+    /// As scenarios name it.
+    pub(crate) fn parse(word: &str) -> Self {
+        match word {
+            "state" => Self::Store,
+            "cloud" => Self::Cloud,
+            "workers" => Self::Workers,
+            "peers" => Self::Peers,
+            other => panic!("unknown link {other}"),
+        }
+    }
+}
+
+/// A controller can't reach what is at the other end.
+#[derive(Debug)]
+pub(crate) struct Partition {
+    pub id: u64,
+    pub controller: usize,
+    pub end: LinkEnd,
+    /// Messages are kept until it is over, in place of being lost.
+    pub holds_messages: bool,
+    /// Only the workers of this zone.
+    pub zone: Option<String>,
+}
+
+/// What a partition keeps until it is over.
+pub(crate) struct HeldMessage {
+    partition: u64,
+    event: Event,
+}
+
+/// A connection from one controller to another.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct PeerConnection {
+    pub from: usize,
+    pub to: usize,
+}
+
+impl World {
+    /// Cuts a link until then.
+    pub(super) fn partition(
+        &mut self,
+        controller: usize,
+        end: LinkEnd,
+        holds_messages: bool,
+        zone: Option<&str>,
+        until: u64,
+    ) {
+        self.sequence += 1;
+        let id = self.sequence;
+        self.partitions.push(Partition {
+            id,
+            controller,
+            end,
+            holds_messages,
+            zone: zone.map(String::from),
+        });
+        self.at(until, Event::PartitionEnds(id));
+    }
+
+    /// The partition that cuts a link, if there is one.
+    pub(super) fn partition_of(&self, controller: usize, end: LinkEnd) -> Option<&Partition> {
+        let mut partitions = self.partitions.iter();
+        partitions.find(|cut| cut.end == end && cut.controller == controller)
+    }
+
+    /// Whether a worker and a controller can't reach each other.
+    pub(super) fn worker_partitioned(&self, controller: usize, machine: &str) -> bool {
+        let zone = self.workers.get(machine).map(|worker| &worker.zone);
+        let partitions = self.partitions.iter();
+        let mut partitions =
+            partitions.filter(|cut| cut.end == LinkEnd::Workers && cut.controller == controller);
+        partitions.any(|cut| cut.zone.is_none() || cut.zone.as_ref() == zone)
+    }
+
+    /// Sends over a link, unless it is cut: then the message is lost, or kept until the partition
+    /// is over.
+    pub(super) fn cross(&mut self, controller: usize, end: LinkEnd, delay: u64, event: Event) {
+        match self.partition_of(controller, end) {
+            None => self.after(delay, event),
+            Some(cut) if cut.holds_messages => {
+                let partition = cut.id;
+                self.held.push(HeldMessage { partition, event });
+            }
+            Some(_) => {}
+        }
+    }
+
+    /// A partition is over: what it has kept arrives.
+    pub(super) fn end_partition(&mut self, id: u64) {
+        self.partitions.retain(|cut| cut.id != id);
+        for message in std::mem::take(&mut self.held) {
+            if message.partition == id {
+                self.after(5, message.event);
+            } else {
+                self.held.push(message);
+            }
+        }
+    }
+
+    /// Tells a controller how its connection to a peer stands.
+    pub(super) fn set_link(&mut self, controller: usize, peer: usize, link: Link) {
+        let input = Input::Link(self.controller_ids[peer].as_str().into(), link);
+        let process = self.process(controller);
+        self.after(1, Event::Input { process, input });
+    }
+
+    /// The process that a controller runs now, or the next one if it runs none.
+    pub(super) fn process(&self, controller: usize) -> Process {
+        Process {
+            controller,
+            incarnation: self.hosts[controller].incarnation,
+        }
+    }
+}
--- a/tests/sim/mod.rs
+++ b/tests/sim/mod.rs
@@ -1,13 +1,26 @@
-//! Stand-ins for store, cloud, workers and users, in simulated time, around
-//! real cores; a checker looks at every rule after every step.
+//! Real controllers in simulated time, with test doubles of the store, the cloud, workers and users
+//! around them. A checker judges every rule by what users are told and what machines run.
 
+mod cancellations;
+mod checks;
+mod controllers;
 mod digest;
+mod event;
+mod faults;
 mod limits;
-mod nodes;
+mod links;
+mod load;
+mod malformed_requests;
+mod observed;
+mod outputs;
+mod requests;
+pub(crate) mod scenario;
 mod script;
 mod services;
-mod state;
-mod troubles;
+mod setup;
+mod store;
+mod store_conditions;
+mod submissions;
 mod users;
 mod workers;
-pub mod world;
+pub(crate) mod world;
--- a/tests/sim/script.rs
+++ b/tests/sim/script.rs
@@ -1,280 +1,261 @@
 //! The commands of a scenario's script.
 
+use super::event::Event;
+use super::faults::{ActiveFault, HeartbeatCopies};
+use super::links::LinkEnd;
+use super::scenario::{Arguments, Line};
 use super::users::Intent;
-use super::world::{Args, Cut, Ev, Far, Node, Spec, World, arg, flag, ms, num};
-use ciborium::cbor;
-use salttrestle::controller::Controller;
+use super::world::World;
 use salttrestle::controller::events::Input;
 use salttrestle::ids::JobId;
-use salttrestle::wire;
-use salttrestle_fakes::worker::TaskSpec;
+
+/// How long a killed controller stays down unless the line says it, in seconds.
+const DOWN_S: f64 = 3.0;
 
 impl World {
-    pub fn leader(&self) -> Option<usize> {
-        let holds = |n: &&Node| n.controller.as_ref().and_then(Controller::holds);
-        let best = self
-            .nodes
-            .iter()
-            .filter(|n| holds(n).is_some())
-            .max_by_key(holds)?;
-        self.nodes.iter().position(|n| std::ptr::eq(n, best))
+    /// How long a line's command lasts.
+    pub(super) fn span_ms(&self, arguments: &Arguments) -> u64 {
+        arguments.span_ms("for", 10.0)
     }
 
-    pub(super) fn node_arg(&self, word: &str) -> usize {
-        match word {
-            "leader" => self.leader().unwrap_or(0),
-            "other" => (self.leader().unwrap_or(0) + 1) % self.nodes.len(),
-            n => n.parse().expect("a node"),
-        }
+    /// When a line's command is over.
+    pub(super) fn until(&self, arguments: &Arguments) -> u64 {
+        self.now + self.span_ms(arguments)
     }
 
-    pub(super) fn machine_arg(&self, word: &str) -> Vec<String> {
-        let mut list: Vec<(usize, &String)> = self
-            .workers
-            .iter()
-            .map(|(id, w)| (w.tasks.len(), id))
-            .collect();
-        list.sort_by(|a, b| b.0.cmp(&a.0).then(a.1.cmp(b.1)));
-        let names = list.iter().map(|(_, id)| (*id).clone());
-        match word {
-            "all" => names.collect(),
-            "busiest" => names.take(1).collect(),
-            "spot" => names.filter(|id| self.workers[id].spot).collect(),
-            n => names.take(n.parse().expect("a count")).collect(),
-        }
+    /// Carries out a line of the script.
+    pub(super) fn command(&mut self, line: &Line) {
+        let keyword = line.keyword.as_str();
+        let arguments = &line.arguments;
+        let known = self.user_command(keyword, arguments)
+            || self.controller_command(keyword, arguments)
+            || self.store_command(keyword, arguments)
+            || self.cloud_command(keyword, arguments)
+            || self.machine_command(keyword, arguments)
+            || self.fault_command(keyword, arguments);
+        assert!(known, "unknown command {keyword}");
     }
 
-    pub(super) fn command(&mut self, line: &[String]) {
-        let args = &line[1..];
-        let for_ms = ms(num(args, "for", 10.0));
-        let until = self.now + for_ms;
-        match line[0].as_str() {
-            "submit" => self.submit(args),
-            "withdraw" => self.user(&JobId::from(args[0].as_str()), Intent::Withdraw),
-            "poll" => self.user(&JobId::from(args[0].as_str()), Intent::Poll),
+    /// What users and operators do. False for other commands.
+    fn user_command(&mut self, keyword: &str, arguments: &Arguments) -> bool {
+        match keyword {
+            "submit" => self.submit(arguments),
+            "withdraw" => self.user_request(&arguments.job(0), Intent::Cancel),
+            "poll" => self.user_request(&arguments.job(0), Intent::Poll),
+            "mangled" => self.user_request(&arguments.job(0), Intent::ResubmitMalformed),
+            "again" => self.user_request(&arguments.job(0), Intent::Submit),
             "probe" => {
-                let id = JobId::from(format!("up-{}", args[0]).as_str());
-                let n = self.node_arg(&args[0]);
-                self.ask_at(&id, Intent::Probe, n);
-            }
-            "mangled" => self.user(&JobId::from(args[0].as_str()), Intent::Mangled),
-            "again" => self.user(&JobId::from(args[0].as_str()), Intent::Submit),
-            "kill" if args[0] == "all" => {
-                for n in 0..self.nodes.len() {
-                    self.kill(n, ms(num(args, "down", 3.0)));
-                }
+                let name = format!("up-{}", arguments.word(0));
+                let controller = self.controller_named(arguments.word(0));
+                let job = JobId::from(name.as_str());
+                self.user_request_to(&job, Intent::Probe, controller);
             }
+            "cancel-now" => self.cancel_running(arguments),
+            "stream" => self.stream(arguments),
+            "pipelines" => self.pipelines(arguments),
+            "poll-storm" => self.status_query_storm(arguments),
+            "limits" => self.set_limits(arguments),
+            "limit-holds" => self.limit_in_force(arguments),
+            "limits-spoilt" => self.make_limits_unreadable(),
+            "limits-gone" => self.delete_limits(),
+            _ => return false,
+        }
+        true
+    }
+
+    /// What becomes of controllers and their links. False for other commands.
+    fn controller_command(&mut self, keyword: &str, arguments: &Arguments) -> bool {
+        let until = self.until(arguments);
+        match keyword {
             "kill" => {
-                let n = self.node_arg(&args[0]);
-                self.kill(n, ms(num(args, "down", 3.0)));
+                let down_ms = arguments.span_ms("down", DOWN_S);
+                for controller in self.controllers_named(arguments.word(0)) {
+                    self.kill(controller, down_ms);
+                }
             }
-            // It is told to end, hands over, and comes back.
+            // It is told to shut down, hands over, and comes back.
             "drain" => {
-                let n = self.node_arg(&args[0]);
-                self.nodes[n].drain_down = Some(ms(num(args, "down", 3.0)));
-                self.feed(n, Input::Shutdown);
+                let controller = self.controller_named(arguments.word(0));
+                let down_ms = arguments.span_ms("down", DOWN_S);
+                self.hosts[controller].down_after_shutdown = Some(down_ms);
+                self.feed(controller, Input::Shutdown);
             }
             // It ends, and comes back with settings that announce the limits to come.
             "upgrade" => {
-                let n = self.node_arg(&args[0]);
-                self.nodes[n].announced = true;
-                self.kill(n, ms(num(args, "down", 3.0)));
-            }
-            "limits" => self.set_limits(args),
-            "limit-holds" => self.limit_holds(args),
-            "limits-spoilt" => self.spoil_limits(false),
-            "limits-gone" => self.spoil_limits(true),
-            "limits-fall" => {
-                let now = self.now;
-                let next = self.next.expect("next limits");
-                self.state.lower_limits(now, next);
+                let controller = self.controller_named(arguments.word(0));
+                self.hosts[controller].announces_limits = true;
+                self.kill(controller, arguments.span_ms("down", DOWN_S));
             }
             "freeze" => {
-                let n = self.node_arg(&args[0]);
-                self.nodes[n].frozen_until = until;
+                let controller = self.controller_named(arguments.word(0));
+                self.hosts[controller].paused_until = until;
             }
-            // The leader, whoever it is, measures that it is so busy.
-            "busy" => self.busy = (num(args, "share", 0.95), until),
-            "cut" => self.make_cuts(args, until),
+            // Whoever leads by then measures that its processor is so busy.
+            "busy" => self.busy = self.fault(arguments, 0.95),
             "refuse" => {
-                let n = self.node_arg(&args[0]);
-                self.nodes[n].refused_until = until;
-            }
-            "outage" if args[0] == "state" => self.state.outage = true,
-            "outage" => self.cloud.outage = true,
-            "restore" if args[0] == "state" => {
-                let now = self.now;
-                self.state.end_outage(now);
-                self.wake_followers();
+                let controller = self.controller_named(arguments.word(0));
+                self.hosts[controller].refused_until = until;
             }
-            "restore" => self.cloud.outage = false,
+            "cut" => self.partition_controller(arguments, until),
+            "part" => self.partition_zone(arguments, until),
             "peers-refuse" => self.peers_refuse_until = until,
-            "lose-commits" => self.lose_commits = args[0].parse().expect("a count"),
-            "throttle" => self.throttle = (num(args, "rps", 50.0) as u32, until),
-            "copies" => self.copies = Some((ms(num(args, "delay", 5.0)), until)),
-            "late-writes" => self.troubles.late_writes = (num(args, "share", 0.3), until),
-            "lost-answers" => self.troubles.lost_answers = (num(args, "share", 0.3), until),
-            "late-reports" => self.troubles.late_reports = (num(args, "share", 0.3), until),
-            "keep-reports" => self.troubles.kept_reports = (num(args, "share", 0.3), until),
-            "slow-state" => self.troubles.slow_state = (num(args, "share", 0.3), until),
-            "cancel-at-end" => self.troubles.cancel_at_end = (num(args, "share", 0.5), until),
-            "close-looks" => {
-                self.troubles.close_looks = until;
-                self.troubles.cancel_at_once = (num(args, "cancel", 0.0), until);
-            }
-            "slow-boots" => {
-                self.cloud.slow = (num(args, "times", 4.0), until);
-                self.cloud.slow_type = arg(args, "type").map(String::from);
-            }
-            "fast-boots" => self.cloud.fast_until = until,
-            "odd" => {
-                self.troubles.odd = until;
-                self.after(1, Ev::Odd);
-            }
-            "cancel-now" => self.cancel_now(args),
-            "stream" => self.stream(args, for_ms),
-            "pipelines" => self.pipelines(args, for_ms),
-            "poll-storm" => self.poll_storm(num(args, "rate", 50.0), for_ms),
-            "forget-log" => self.state.store.kept = args[0].parse().expect("a count"),
-            "stillborn" => self.cloud.stillborn = args[0].parse().expect("a count"),
-            "capacity" => {
-                let key = (args[0].clone(), args[1].clone(), flag(args, "spot"));
-                let n = args[2].parse().expect("a count");
-                self.cloud.capacity.insert(key, n);
-            }
-            "part" => {
-                for n in arg(args, "from").expect("from=").split(',') {
-                    self.sequence += 1;
-                    let id = self.sequence;
-                    self.cuts.push(Cut {
-                        id,
-                        node: Some(self.node_arg(n)),
-                        far: Far::Workers,
-                        hold: false,
-                        zone: Some(args[0].clone()),
-                    });
-                    self.at(until, Ev::Heal(id));
-                }
+            _ => return false,
+        }
+        true
+    }
+
+    /// What becomes of the store. False for other commands.
+    fn store_command(&mut self, keyword: &str, arguments: &Arguments) -> bool {
+        let now = self.now;
+        match keyword {
+            "outage" if arguments.word(0) == "state" => self.store.outage = true,
+            "restore" if arguments.word(0) == "state" => {
+                self.store.end_outage(now);
+                self.answer_watches();
             }
-            "machine" => {
-                for id in self.machine_arg(&args[0]) {
-                    self.hurt(&id, args, until);
-                }
+            "limits-fall" => {
+                let next = self.next_limits.expect("next limits");
+                self.store.lower_limits(now, next);
             }
-            "zone" => {
-                let ids: Vec<String> = self
-                    .workers
-                    .iter()
-                    .filter(|(_, w)| w.zone == args[0])
-                    .map(|(id, _)| id.clone())
-                    .collect();
-                for id in ids {
-                    self.hurt(&id, args, until);
-                }
+            "lose-commits" => self.lose_answers = arguments.parsed(0),
+            "throttle" => {
+                self.throttle.requests_per_second = arguments.number("rps", 50.0) as u32;
+                self.throttle.until = self.until(arguments);
             }
-            other => panic!("unknown command {other}"),
+            "forget-log" => self.store.records.kept = arguments.parsed(0),
+            _ => return false,
         }
+        true
     }
 
-    pub(super) fn make_cuts(&mut self, args: Args, until: u64) {
-        let n = self.node_arg(&args[0]);
-        for what in arg(args, "from").expect("from=").split(',') {
-            let far = match what {
-                "state" => Far::State,
-                "cloud" => Far::Cloud,
-                "workers" => Far::Workers,
-                "peers" => Far::Peers,
-                other => panic!("unknown link {other}"),
-            };
-            self.sequence += 1;
-            let id = self.sequence;
-            let hold = flag(args, "hold");
-            self.cuts.push(Cut {
-                id,
-                node: Some(n),
-                far,
-                hold,
-                zone: None,
-            });
-            self.at(until, Ev::Heal(id));
+    /// What becomes of the cloud. False for other commands.
+    fn cloud_command(&mut self, keyword: &str, arguments: &Arguments) -> bool {
+        let until = self.until(arguments);
+        match keyword {
+            "outage" => self.cloud.outage = true,
+            "restore" => self.cloud.outage = false,
+            "slow-boots" => {
+                self.cloud.slow = (arguments.number("times", 4.0), until);
+                self.cloud.slow_type = arguments.value("type").map(String::from);
+            }
+            "fast-boots" => self.cloud.fast_until = until,
+            "stillborn" => self.cloud.stillborn = arguments.parsed(0),
+            "capacity" => self.set_capacity(arguments),
+            _ => return false,
         }
+        true
     }
 
-    pub(super) fn hurt(&mut self, id: &str, args: Args, until: u64) {
-        let now = self.now;
-        if flag(args, "die") {
-            self.end_worker(id);
-            if let Some(r) = self.cloud.rigs.get_mut(id) {
-                r.failed = Some(now + 30_000);
-            }
-            return;
-        }
-        let Some(w) = self.workers.get_mut(id) else {
-            return;
+    /// So many machines of a type, zone and market can be had.
+    pub(super) fn set_capacity(&mut self, arguments: &Arguments) {
+        let (machine_type, zone) = (arguments.word(0), arguments.word(1));
+        let pool = (machine_type.into(), zone.into(), arguments.has("spot"));
+        self.cloud.capacity.insert(pool, arguments.parsed(2));
+    }
+
+    /// What becomes of machines. False for other commands.
+    fn machine_command(&mut self, keyword: &str, arguments: &Arguments) -> bool {
+        let machines = match keyword {
+            "machine" => self.machines_named(arguments.word(0)),
+            "zone" => self.machines_of_zone(arguments.word(0)),
+            _ => return false,
         };
-        if flag(args, "hang") {
-            w.hang(now, until);
+        for machine in machines {
+            self.strike_machine(&machine, arguments);
         }
-        if flag(args, "mute") {
-            w.mute_until = until;
+        true
+    }
+
+    /// Faults that strike a share of what happens. False for other commands.
+    fn fault_command(&mut self, keyword: &str, arguments: &Arguments) -> bool {
+        let until = self.until(arguments);
+        let fault = self.fault(arguments, 0.3);
+        match keyword {
+            "copies" => {
+                let delay = arguments.span_ms("delay", 5.0);
+                self.heartbeat_copies = Some(HeartbeatCopies { delay, until });
+            }
+            "late-writes" => self.faults.late_transactions = fault,
+            "lost-answers" => self.faults.lost_answers = fault,
+            "late-reports" => self.faults.late_heartbeats = fault,
+            "keep-reports" => self.faults.replayed_heartbeats = fault,
+            "slow-state" => self.faults.slow_store = fault,
+            "cancel-at-end" => self.faults.cancel_at_completion = self.fault(arguments, 0.5),
+            "close-looks" => {
+                let share = arguments.number("cancel", 0.0);
+                self.faults.query_changes_until = until;
+                self.faults.cancel_at_acceptance = ActiveFault { share, until };
+            }
+            "odd" => self.begin_malformed_requests(until),
+            _ => return false,
         }
-        if flag(args, "cut") {
-            w.cut_until = until;
+        true
+    }
+
+    /// The controller that a line names: by its place, `leader`, or `other` for the one behind it.
+    fn controller_named(&self, word: &str) -> usize {
+        let leader = || self.leader().unwrap_or(0);
+        match word {
+            "leader" => leader(),
+            "other" => (leader() + 1) % self.hosts.len(),
+            place => place.parse().expect("a controller"),
         }
-        if flag(args, "deaf") {
-            w.deaf_until = until;
+    }
+
+    fn controllers_named(&self, word: &str) -> Vec<usize> {
+        match word {
+            "all" => (0..self.hosts.len()).collect(),
+            one => vec![self.controller_named(one)],
         }
-        if flag(args, "sick") {
-            w.sick = true;
+    }
+
+    /// The machines that a line names: `all`, `spot`, or so many that run most tasks.
+    fn machines_named(&self, word: &str) -> Vec<String> {
+        let mut busiest: Vec<&String> = self.workers.keys().collect();
+        busiest.sort_by_key(|machine| std::cmp::Reverse(self.workers[*machine].tasks.len()));
+        let machines = busiest.into_iter().cloned();
+        match word {
+            "all" => machines.collect(),
+            "busiest" => machines.take(1).collect(),
+            "spot" => machines
+                .filter(|machine| self.workers[machine].spot)
+                .collect(),
+            count => machines.take(count.parse().expect("a count")).collect(),
         }
-        if flag(args, "taken") {
-            w.taken_at = Some(now + ms(num(args, "notice", 0.0)));
-            w.changed = true;
+    }
+
+    fn machines_of_zone(&self, zone: &str) -> Vec<String> {
+        let workers = self.workers.iter();
+        let workers = workers.filter(|(_, worker)| worker.zone == zone);
+        workers.map(|(machine, _)| machine.clone()).collect()
+    }
+
+    /// A controller is partitioned from all that the line lists.
+    fn partition_controller(&mut self, arguments: &Arguments, until: u64) {
+        let controller = self.controller_named(arguments.word(0));
+        let holds_messages = arguments.has("hold");
+        for end in arguments.list("from").expect("from=") {
+            self.partition(
+                controller,
+                LinkEnd::parse(&end),
+                holds_messages,
+                None,
+                until,
+            );
         }
     }
 
-    pub fn submit(&mut self, args: Args) {
-        let id = JobId::from(args[0].as_str());
-        let service = flag(args, "service");
-        let (gb, save) = (num(args, "gb", 5.0), num(args, "save", 0.0));
-        let image = arg(args, "image").unwrap_or("img-1").to_string();
-        let run = num(args, "run", 20.0);
-        let types = arg(args, "types").map(|t| t.split(',').map(String::from).collect::<Vec<_>>());
-        let needs = arg(args, "needs").map(|n| n.split(',').map(String::from).collect::<Vec<_>>());
-        let needs = needs.unwrap_or_default();
-        let body = cbor!({
-            "id" => args[0], "troupe" => arg(args, "class").unwrap_or("c"),
-            "crew" => arg(args, "team").unwrap_or("t"),
-            "form" => if service { "service" } else { "batch" },
-            "rank" => arg(args, "rank").unwrap_or("normal"),
-            "verses" => num(args, "count", 1.0) as u64,
-            "cores" => num(args, "cpus", 4.0), "accelerators" => num(args, "gpus", 1.0),
-            "memGb" => num(args, "mem", 8.0), "score" => image, "sizeGb" => gb,
-            "builds" => types, "quarter" => arg(args, "zone"),
-            "samePlace" => flag(args, "one-zone"), "scatter" => flag(args, "scatter"),
-            "borrowed" => flag(args, "spot"), "reckonS" => run,
-            "bookmarkS" => if save > 0.0 { 10.0 } else { 0.0 }, "stashS" => save,
-            "curtainS" => Option::<f64>::None,
-            "awaits" => (!needs.is_empty()).then_some(&needs)
-        });
-        let spec = Spec {
-            body: wire::encode(&body.expect("a map")),
-            task: TaskSpec {
-                image,
-                run_ms: ms(run),
-                fetch_ms: ms(gb / 5.0),
-                save_ms: ms(save),
-                service,
-                broken: flag(args, "broken"),
-            },
-            needs: needs.iter().map(|id| JobId::from(id.as_str())).collect(),
-            late: flag(args, "late"),
-            hasty: flag(args, "hasty"),
-        };
-        self.add_spec(&id, spec);
-        if flag(args, "unfit") {
-            self.checker.set_unfit(&id);
+    /// The workers of a zone are partitioned from the controllers that the line lists.
+    fn partition_zone(&mut self, arguments: &Arguments, until: u64) {
+        let zone = arguments.word(0);
+        for controller in arguments.list("from").expect("from=") {
+            let controller = self.controller_named(&controller);
+            self.partition(controller, LinkEnd::Workers, false, Some(zone), until);
         }
-        self.user(&id, Intent::Submit);
+    }
+
+    /// A line's command that is due after a while.
+    pub(super) fn command_after(&mut self, delay: u64, keyword: &str, words: Vec<String>) {
+        self.after(delay, Event::Line(Line::new(keyword, words)));
     }
 }
--- a/tests/sim/users.rs
+++ b/tests/sim/users.rs
@@ -1,153 +1,181 @@
 //! Users: submit, ask, cancel, and try again as PROTOCOL says they do.
 
-use super::world::{Ev, Origin, Spec, World};
-use ciborium::Value;
+use super::event::Event;
+use super::requests::RequestOrigin;
+use super::submissions::without_rank;
+use super::world::World;
 use salttrestle::controller::events::{Input, Reply, Request};
 use salttrestle::ids::JobId;
 use salttrestle::wire;
 use salttrestle_fakes::checker::Said;
 use salttrestle_fakes::user::{POLL_MS, POLL_WAIT_MS, WAIT_MS, read_answer, retry_ms};
-use std::collections::BTreeMap;
 
+/// Before a user tries again what can't be asked for yet: a cancellation of a job that isn't
+/// accepted, a submission whose dependencies aren't.
+const CANCEL_AGAIN_MS: u64 = 500;
+const SUBMIT_AGAIN_MS: u64 = 100;
+
+/// What a user wants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Intent {
+pub(crate) enum Intent {
+    /// That a job is accepted, and then to follow it.
     Submit,
+    /// To follow a job until it is over.
     Poll,
-    Withdraw,
-    /// A question that isn't followed by others.
-    Look,
-    /// A submission of a known job once more, as it was or with a field missing.
-    Repeat,
-    Mangled,
-    /// The balancer's question whether a node is healthy.
+    Cancel,
+    /// One status query that isn't followed by others.
+    Query,
+    /// A submission of a known job once more, as it was.
+    Resubmit,
+    /// The same with a field missing.
+    ResubmitMalformed,
+    /// The load balancer's question whether a controller is healthy.
     Probe,
 }
 
+impl Intent {
+    /// How long the answer is waited for.
+    fn timeout_ms(self) -> u64 {
+        match self {
+            Self::Poll | Self::Query => POLL_WAIT_MS,
+            _ => WAIT_MS,
+        }
+    }
+}
+
 impl World {
-    pub fn user(&mut self, id: &JobId, intent: Intent) {
-        // Nobody calls off what hasn't been accepted yet.
-        let accepted = self.checker.jobs.get(id).is_none_or(|j| j.told.accepted);
-        if intent == Intent::Withdraw && !accepted {
-            return self.after(500, Ev::User(id.clone(), intent));
+    /// A user sends a request to any controller that runs, once it may.
+    pub(super) fn user_request(&mut self, job: &JobId, intent: Intent) {
+        if let Some(delay) = self.too_early(job, intent) {
+            let job = job.clone();
+            return self.after(delay, Event::UserRequest { job, intent });
         }
-        if intent == Intent::Submit && !self.needs_allow(id) {
-            return self.after(100, Ev::User(id.clone(), intent));
+        // The load balancer passes over controllers that don't answer `/up`.
+        let running = (0..self.hosts.len()).filter(|n| self.hosts[*n].controller.is_some());
+        let running: Vec<usize> = running.collect();
+        let pick = self.random(running.len() as u64) as usize;
+        // With no controller there, the request times out.
+        let controller = running.get(pick).copied().unwrap_or(0);
+        self.user_request_to(job, intent, controller);
+    }
+
+    /// After which pause a user tries again what can't be asked for yet.
+    fn too_early(&self, job: &JobId, intent: Intent) -> Option<u64> {
+        match intent {
+            // Nobody cancels what hasn't been accepted yet.
+            Intent::Cancel => {
+                let view = self.checker.jobs.get(job);
+                let accepted = view.is_none_or(|view| view.told.accepted);
+                (!accepted).then_some(CANCEL_AGAIN_MS)
+            }
+            Intent::Submit => (!self.dependencies_allow(job)).then_some(SUBMIT_AGAIN_MS),
+            _ => None,
         }
-        // The balancer passes over nodes that don't answer `/up`.
-        let alive: Vec<usize> = (0..self.nodes.len())
-            .filter(|n| self.nodes[*n].controller.is_some())
-            .collect();
-        let pick = self.random(alive.len() as u64) as usize;
-        // With no node there, the request times out.
-        self.ask_at(id, intent, alive.get(pick).copied().unwrap_or(0));
     }
 
-    /// Whether a job's user submits it by now: each that it needs is accepted or, of one that comes
-    /// late, over.
-    fn needs_allow(&self, id: &JobId) -> bool {
-        let Some(spec) = self.specs.get(id) else {
+    /// Whether a job's user submits it by now: each of its dependencies is accepted or, of a job
+    /// that comes late, over.
+    fn dependencies_allow(&self, job: &JobId) -> bool {
+        let Some(spec) = self.specs.get(job) else {
             return true;
         };
-        let ready = |need: &JobId| {
-            let told = self.checker.jobs.get(need).map(|j| &j.told);
-            told.is_some_and(|told| match spec.late {
-                true => told.done || told.withdrawn_at.is_some(),
-                false => told.accepted,
+        let ready = |dependency: &JobId| {
+            let view = self.checker.jobs.get(dependency);
+            view.is_some_and(|view| match spec.late {
+                true => view.told.done || view.told.withdrawn_at.is_some(),
+                false => view.told.accepted,
             })
         };
-        spec.hasty || spec.needs.iter().all(ready)
+        spec.hasty || spec.dependencies.iter().all(ready)
     }
 
-    /// A user asks at this node.
-    pub fn ask_at(&mut self, id: &JobId, intent: Intent, n: usize) {
-        let wait = match intent {
-            Intent::Poll | Intent::Look => POLL_WAIT_MS,
-            _ => WAIT_MS,
+    /// A user sends a request to this controller.
+    pub(super) fn user_request_to(&mut self, job: &JobId, intent: Intent, controller: usize) {
+        let Some(request) = self.request_of(job, intent) else {
+            return;
         };
-        let body = self.specs.get(id).map(|s| s.body.clone());
-        let ask = match (intent, body) {
-            (Intent::Poll | Intent::Look, _) => Request::Poll(id.clone()),
-            (Intent::Withdraw, _) => {
-                let now = self.now;
-                self.checker.cancel_asked(now, id);
-                Request::Cancel(id.clone())
-            }
-            (Intent::Probe, _) => Request::Up,
-            (Intent::Submit | Intent::Repeat, Some(body)) => {
-                Request::Submit(wire::submission(&body))
-            }
-            (Intent::Mangled, Some(body)) => {
-                Request::Submit(wire::submission(&without_rank(&body)))
-            }
-            (_, None) => return,
+        let origin = RequestOrigin::User {
+            job: job.clone(),
+            intent,
         };
-        let request_id = self.request(Origin::User(id.clone(), intent));
-        log::debug!("{} {intent:?} {id} at node {n}", self.now);
-        if intent == Intent::Withdraw {
-            self.met.asked.insert(request_id.0, self.now);
+        let id = self.new_request(origin);
+        log::debug!("{} {intent:?} {job} at controller {controller}", self.now);
+        if intent == Intent::Cancel {
+            let now = self.now;
+            self.checker.cancel_asked(now, job);
+            self.observed.pending_cancellations.insert(id.0, now);
         }
-        self.after(wait, Ev::UserTimeout(request_id.0));
-        if self.nodes[n].controller.is_some() {
-            self.send(n, Input::Request(request_id, ask));
+        self.after(intent.timeout_ms(), Event::UserTimeout(id.0));
+        if self.hosts[controller].controller.is_some() {
+            self.send_input(controller, 1, Input::Request(id, request));
         }
     }
 
-    /// A user got an answer, or gave up waiting for one.
-    pub fn user_answer(&mut self, id: JobId, intent: Intent, reply: Option<Reply>) {
+    /// A request as it goes onto the wire; `None` for a submission of a job that isn't known.
+    fn request_of(&self, job: &JobId, intent: Intent) -> Option<Request> {
+        let body = || Some(&self.specs.get(job)?.body);
+        Some(match intent {
+            Intent::Poll | Intent::Query => Request::Poll(job.clone()),
+            Intent::Cancel => Request::Cancel(job.clone()),
+            Intent::Probe => Request::Up,
+            Intent::Submit | Intent::Resubmit => Request::Submit(wire::submission(body()?)),
+            Intent::ResubmitMalformed => Request::Submit(wire::submission(&without_rank(body()?))),
+        })
+    }
+
+    /// A user got an answer, or stopped waiting for one.
+    pub(super) fn user_answered(&mut self, job: JobId, intent: Intent, reply: Option<Reply>) {
         let now = self.now;
-        let status = reply.as_ref().map_or(0, |r| r.status);
-        log::debug!("{now} {intent:?} {id}: {status}");
-        self.statuses
-            .entry((id.clone(), status))
-            .and_modify(|n| *n += 1)
-            .or_insert(1);
-        if let Some(r) = &reply {
-            let needs = matches!(r.status, 429 | 503);
-            if needs && r.retry_after.is_none() {
-                let what = format!("{} without Retry-After", r.status);
-                self.checker.broken.push(what);
-            }
+        let status = reply.as_ref().map_or(0, |reply| reply.status);
+        log::debug!("{now} {intent:?} {job}: {status}");
+        self.statuses.insert((job.clone(), status));
+        if let Some(reply) = &reply {
+            self.check_retry_after(reply);
         }
-        let said = reply.as_ref().and_then(|r| read_answer(r.status, &r.body));
-        if let Some(said) = said {
-            let news = self.checker.said(now, &id, said);
-            self.answered.insert(id.clone(), now);
-            if news {
-                self.look_closely(&id, said);
+        let answer = reply
+            .as_ref()
+            .and_then(|reply| read_answer(reply.status, &reply.body));
+        if let Some(answer) = answer {
+            let changed = self.checker.said(now, &job, answer);
+            self.answered.insert(job.clone(), now);
+            if changed {
+                self.query_after_change(&job, answer);
             }
         }
-        let over = matches!(said, Some(Said::Done | Said::Cancelled | Said::Refused));
+        let retry_after = reply.and_then(|reply| reply.retry_after);
+        self.user_goes_on(job, intent, answer, retry_after);
+    }
+
+    /// Who is told to come back must be told when.
+    fn check_retry_after(&mut self, reply: &Reply) {
+        if matches!(reply.status, 429 | 503) && reply.retry_after.is_none() {
+            let what = format!("{} without Retry-After", reply.status);
+            self.checker.broken.push(what);
+        }
+    }
+
+    /// What a user does next: asks how a job goes until it is over, and repeats what wasn't done.
+    fn user_goes_on(
+        &mut self,
+        job: JobId,
+        intent: Intent,
+        answer: Option<Said>,
+        retry_after: Option<u32>,
+    ) {
+        let over = matches!(answer, Some(Said::Done | Said::Cancelled | Said::Refused));
         match intent {
-            Intent::Submit if said.is_some() && !over => {
-                self.after(POLL_MS, Ev::User(id, Intent::Poll));
-            }
-            Intent::Poll if !over => self.after(POLL_MS, Ev::User(id, Intent::Poll)),
-            Intent::Submit | Intent::Withdraw if said.is_none() => {
-                let asked = reply.and_then(|r| r.retry_after).map(u64::from);
-                self.after(retry_ms(asked), Ev::User(id, intent));
+            Intent::Submit if answer.is_some() && !over => self.poll_later(job),
+            Intent::Poll if !over => self.poll_later(job),
+            Intent::Submit | Intent::Cancel if answer.is_none() => {
+                let delay = retry_ms(retry_after.map(u64::from));
+                self.after(delay, Event::UserRequest { job, intent });
             }
             _ => {}
         }
     }
 
-    pub fn add_spec(&mut self, id: &JobId, spec: Spec) {
-        if let Ok((_, record)) = wire::submission(&spec.body) {
-            self.checker.submitted(self.now, id, record);
-        }
-        self.specs.insert(id.clone(), spec);
+    fn poll_later(&mut self, job: JobId) {
+        let intent = Intent::Poll;
+        self.after(POLL_MS, Event::UserRequest { job, intent });
     }
 }
-
-/// The same submission with a field missing.
-fn without_rank(body: &[u8]) -> Vec<u8> {
-    edited(body, |map| {
-        map.remove("rank");
-    })
-}
-
-/// The same submission with some of its fields changed.
-pub fn edited(body: &[u8], edit: impl FnOnce(&mut BTreeMap<String, Value>)) -> Vec<u8> {
-    let mut map = wire::decode(body).expect("a submission");
-    edit(&mut map);
-    wire::encode(&map)
-}
--- a/tests/sim/workers.rs
+++ b/tests/sim/workers.rs
@@ -1,104 +1,99 @@
 //! Workers in simulated time: what their heartbeats and answers meet on the way, and what the
 //! checker sees of their tasks.
 
-use super::world::{Ev, Origin, Spec, World};
+use super::event::Event;
+use super::requests::RequestOrigin;
+use super::submissions::SubmittedJobs;
+use super::world::World;
 use salttrestle::controller::events::{Input, Reply, Request};
-use salttrestle::ids::{JobId, TaskId};
-use salttrestle::wire::{self, Cause};
+use salttrestle::wire::{self, Cause, WorkerHeartbeat};
 use salttrestle_fakes::checker::Place;
-use salttrestle_fakes::worker::{ANSWER_MS, TaskEvent, TaskSpec, TaskSpecs, Worker};
-use std::collections::HashMap;
+use salttrestle_fakes::worker::{ANSWER_MS, TaskEvent, Worker};
 
-pub const TICK_MS: u64 = 100;
+/// Between two moments at which a worker does what is due.
+const TICK_MS: u64 = 100;
 const ENDPOINT: &str = "10.1.0.1:9000";
 
-/// The jobs that a world's users have uploaded.
-pub struct Specs<'a>(pub &'a HashMap<JobId, Spec>);
-
-impl TaskSpecs for Specs<'_> {
-    fn spec(&self, task: &TaskId) -> Option<&TaskSpec> {
-        self.0.get(&task.job).map(|spec| &spec.task)
-    }
-}
-
 impl World {
-    /// A machine came up.
-    pub fn boot_worker(&mut self, id: &str) {
-        let Some(rig) = self.cloud.rigs.get(id).filter(|r| r.gone.is_none()) else {
+    /// A machine has come up, and its worker begins.
+    pub(super) fn start_worker(&mut self, machine: &str) {
+        let rented = self.cloud.rigs.get(machine);
+        let Some(rented) = rented.filter(|rented| rented.gone.is_none()) else {
             return;
         };
-        let controller = self.workers.len() % self.nodes.len();
-        let worker = Worker::new(self.now, &rig.class, &rig.zone, rig.spot, controller);
-        self.workers.insert(id.into(), worker);
-        self.after(1, Ev::WorkerTick(id.into()));
+        let controller = self.workers.len() % self.hosts.len();
+        let (class, zone) = (&rented.class, &rented.zone);
+        let worker = Worker::new(self.now, class, zone, rented.spot, controller);
+        self.workers.insert(machine.into(), worker);
+        self.after(1, Event::WorkerTick(machine.into()));
     }
 
-    /// Takes a machine with all on it out of the world.
-    pub fn end_worker(&mut self, id: &str) {
-        if let Some(w) = self.workers.remove(id) {
-            for task in w.tasks.keys() {
-                self.checker.stops(task, id);
+    /// A machine is gone, with all that runs on it.
+    pub(super) fn end_worker(&mut self, machine: &str) {
+        if let Some(worker) = self.workers.remove(machine) {
+            for task in worker.tasks.keys() {
+                self.checker.stops(task, machine);
             }
         }
     }
 
-    pub fn worker_tick(&mut self, id: &str) {
+    /// A worker does what is due.
+    pub(super) fn worker_tick(&mut self, machine: &str) {
         let now = self.now;
-        let Some(worker) = self.workers.get_mut(id) else {
+        let Some(worker) = self.workers.get_mut(machine) else {
             return;
         };
         if worker.taken_at.is_some_and(|at| now >= at) {
-            self.end_worker(id);
-            if let Some(r) = self.cloud.rigs.get_mut(id) {
-                r.gone = Some(now);
-            }
-            return;
+            return self.preempt_machine(machine);
         }
         let killed = worker.check_lease(now, self.lease_ms);
         let hung = worker.hung_until > now;
         let events = match hung {
             true => Vec::new(),
-            false => worker.run_tasks(now, &Specs(&self.specs)),
+            false => worker.run_tasks(now, &SubmittedJobs(&self.specs)),
         };
-        self.after(TICK_MS, Ev::WorkerTick(id.into()));
+        self.after(TICK_MS, Event::WorkerTick(machine.into()));
         self.killed += killed.len();
         for task in killed {
-            self.checker.stops(&task, id);
+            self.checker.stops(&task, machine);
         }
-        self.note_tasks(id, events);
+        self.note_tasks(machine, events);
         if !hung {
-            self.report(id);
+            self.send_heartbeat(machine);
+        }
+    }
+
+    /// The cloud takes a spot machine back.
+    fn preempt_machine(&mut self, machine: &str) {
+        self.end_worker(machine);
+        let now = self.now;
+        if let Some(machine) = self.cloud.rigs.get_mut(machine) {
+            machine.gone = Some(now);
         }
     }
 
-    /// What the checker sees of a worker's tasks.
-    fn note_tasks(&mut self, id: &str, events: Vec<TaskEvent>) {
+    /// The checker and the judge of orders learn what happened to a worker's tasks.
+    fn note_tasks(&mut self, machine: &str, events: Vec<TaskEvent>) {
         let now = self.now;
         for event in events {
             match event {
                 TaskEvent::Accepted(task, attempt) => {
-                    let newest = self.workers[id].token;
-                    let orders = &mut self.state.orders;
-                    orders.started(now, id, newest, &task, attempt);
+                    let token = self.workers[machine].token;
+                    let orders = &mut self.store.orders;
+                    orders.started(now, machine, token, &task, attempt);
                 }
                 TaskEvent::Started(task) => {
-                    let w = &self.workers[id];
-                    let place = Place {
-                        machine: id.into(),
-                        class: w.class.clone(),
-                        zone: w.zone.clone(),
-                        spot: w.spot,
-                    };
+                    let place = self.place_on(machine);
                     self.checker.starts(now, &task, place);
                 }
                 TaskEvent::Ended(task, cause) => {
                     if cause == Cause::Done {
                         self.checker.finishes(now, &task);
                     }
-                    self.checker.stops(&task, id);
+                    self.checker.stops(&task, machine);
                     match cause {
-                        Cause::Done => self.cancel_at_end(&task.job),
-                        Cause::Error => self.met.failures += 1,
+                        Cause::Done => self.cancel_at_completion(&task.job),
+                        Cause::Error => self.observed.task_failures += 1,
                         _ => {}
                     }
                 }
@@ -106,72 +101,77 @@
         }
     }
 
-    // ---- heartbeats
+    fn place_on(&self, machine: &str) -> Place {
+        let worker = &self.workers[machine];
+        Place {
+            machine: machine.into(),
+            class: worker.class.clone(),
+            zone: worker.zone.clone(),
+            spot: worker.spot,
+        }
+    }
 
-    fn report(&mut self, id: &str) {
+    /// A worker sends a heartbeat if one is due.
+    fn send_heartbeat(&mut self, machine: &str) {
         let now = self.now;
-        let interval = self.report_ms;
+        let interval = self.heartbeat_ms;
         let jitter = self.random(interval / 2);
-        let controllers = self.nodes.len();
-        let Some(w) = self.workers.get_mut(id) else {
+        let controllers = self.hosts.len();
+        let Some(worker) = self.workers.get_mut(machine) else {
             return;
         };
-        if !w.report_due(now, controllers) {
+        if !worker.report_due(now, controllers) {
             return;
         }
-        w.begin_report(now, interval * 3 / 4 + jitter);
-        let body = w.report_body(id, ENDPOINT, now);
-        let report: wire::WorkerHeartbeat = wire::decode(&body).expect("a report");
-        let controller = w.controller;
-        let cut = w.cut_until > now || w.mute_until > now;
-        let request_id = self.request(Origin::Worker(id.into()));
-        if let Some(w) = self.workers.get_mut(id) {
-            w.flight = Some((request_id.0, now));
-        }
-        if let Some((delay, until)) = self.copies
-            && now < until
-        {
-            for n in 0..self.nodes.len() {
-                let copy = self.request(Origin::Nobody);
-                let ask = Request::Heartbeat(report.clone());
-                self.send_later(n, delay, Input::Request(copy, ask));
-            }
+        worker.begin_report(now, interval * 3 / 4 + jitter);
+        let body = worker.report_body(machine, ENDPOINT, now);
+        let heartbeat: WorkerHeartbeat = wire::decode(&body).expect("a heartbeat");
+        let controller = worker.controller;
+        let unreachable = worker.cut_until > now || worker.mute_until > now;
+        let request = self.new_request(RequestOrigin::Worker(machine.into()));
+        if let Some(worker) = self.workers.get_mut(machine) {
+            worker.flight = Some((request.0, now));
         }
-        self.copy_report(&report);
-        if !cut {
-            self.worker_to_node(
-                id,
-                controller,
-                Input::Request(request_id, Request::Heartbeat(report)),
-            );
+        self.copy_heartbeat(&heartbeat);
+        if !unreachable {
+            let input = Input::Request(request, Request::Heartbeat(heartbeat));
+            self.send_from_worker(machine, controller, input);
         }
     }
 
-    /// An answer to a heartbeat reached its worker.
-    pub fn worker_answer(&mut self, id: &str, request_id: u64, reply: Option<Reply>) {
+    /// An answer to a heartbeat has come to its worker's machine.
+    pub(super) fn heartbeat_answered(&mut self, machine: &str, request: u64, reply: Option<Reply>) {
         let now = self.now;
-        let controllers = self.nodes.len();
-        let Some(w) = self.workers.get_mut(id) else {
+        let controllers = self.hosts.len();
+        let Some(worker) = self.workers.get_mut(machine) else {
             return;
         };
-        let Some((_, sent)) = w.flight.filter(|(r, _)| *r == request_id) else {
+        let Some((_, sent)) = worker.flight.filter(|(waited, _)| *waited == request) else {
             return;
         };
-        if now > sent + ANSWER_MS || w.deaf_until > now || w.cut_until > now {
+        let unreachable = worker.deaf_until > now || worker.cut_until > now;
+        if now > sent + ANSWER_MS || unreachable {
             return;
         }
-        if w.hung_until > now {
+        if worker.hung_until > now {
             // It reads the answer when it goes on.
-            let on_at = w.hung_until;
-            return self.at(on_at, Ev::ToWorker(id.into(), request_id, reply));
+            let at = worker.hung_until;
+            let machine = machine.into();
+            let again = Event::HeartbeatAnswer {
+                machine,
+                request,
+                reply,
+            };
+            return self.at(at, again);
         }
         let Some(reply) = reply else {
-            return w.unanswered(now, controllers);
+            return worker.unanswered(now, controllers);
         };
         let answer = (reply.status, reply.body.as_slice());
-        match w.answered(now, sent, answer, &self.controller_ids, &Specs(&self.specs)) {
-            Ok(events) => self.note_tasks(id, events),
-            Err(why) => self.checker.broken.push(why),
+        let jobs = SubmittedJobs(&self.specs);
+        match worker.answered(now, sent, answer, &self.controller_ids, &jobs) {
+            Ok(events) => self.note_tasks(machine, events),
+            Err(defect) => self.checker.broken.push(defect),
         }
     }
 }
