--- a/fakes/src/cloud.rs
+++ b/fakes/src/cloud.rs
@@ -1,16 +1,22 @@
-//! The cloud: rents machines, lists them late, takes some back.
+//! The cloud: rents machines, lists them late, and takes some back.
 
 use ciborium::cbor;
+use salttrestle::controller::store::records::ScaleOutRecord;
 use salttrestle::ids::MachineId;
-use salttrestle::wire::{CloudOp, CloudReply, MachineType};
+use salttrestle::wire::{CloudOp, CloudReply, Listed, MachineType};
 use std::collections::BTreeMap;
 
 /// Most machines in one page of the list.
 const PAGE: usize = 500;
+/// How long a machine of an unknown type boots.
+const UNKNOWN_BOOT_MS: u64 = 1000;
+/// Shortest boot while boots are fast, and how much longer one may take.
+const FAST_BOOT_MS: u64 = 200;
+const FAST_BOOT_SPREAD_MS: u64 = 1800;
 
-/// A rented machine. Times are in milliseconds.
+/// A machine that was rented. Times are in milliseconds.
 #[derive(Clone, Debug)]
-pub struct Rig {
+pub struct RentedMachine {
     /// Its type.
     pub class: String,
     /// Its zone.
@@ -23,33 +29,65 @@
     pub boots: Option<u64>,
     /// From when on it is listed as failed: for a while a dead machine is listed as running.
     pub failed: Option<u64>,
-    /// When it was deleted or taken back.
+    /// When it was deleted or preempted.
     pub gone: Option<u64>,
 }
 
+impl RentedMachine {
+    /// Whether the list shows it as of this moment.
+    fn is_listed(&self, at: u64) -> bool {
+        self.rented <= at && self.gone.is_none_or(|gone| gone > at)
+    }
+
+    /// Its status in a list as of this moment.
+    fn status(&self, at: u64) -> &'static str {
+        match (self.failed, self.boots) {
+            (Some(failed), _) if failed <= at => "failed",
+            (_, Some(up)) if up <= at => "running",
+            _ => "starting",
+        }
+    }
+}
+
+/// Boots take so many times as long as usual that begin until then.
+#[derive(Clone, Debug)]
+pub struct SlowBoots {
+    /// How many times as long.
+    pub times: f64,
+    /// Until when.
+    pub until: u64,
+    /// The only type of machines whose boots do; all if there is none.
+    pub machine_type: Option<String>,
+}
+
+impl SlowBoots {
+    fn strike(&self, now: u64, machine_type: &str) -> bool {
+        let only = self.machine_type.as_ref();
+        now < self.until && only.is_none_or(|only| only == machine_type)
+    }
+}
+
 /// The cloud.
 #[derive(Default)]
 pub struct Cloud {
     /// The types of machines that it has.
     pub catalog: Vec<MachineType>,
     /// Every machine that was ever rented, by name.
-    pub rigs: BTreeMap<String, Rig>,
-    /// What scale-out request requests were answered, by their names.
+    pub rigs: BTreeMap<String, RentedMachine>,
+    /// What scale-out requests were answered, by their names.
     pub answers: BTreeMap<String, Vec<MachineId>>,
-    /// Free machines by type, zone and kind.
+    /// Free machines by type, zone, and whether they are spot machines.
     pub capacity: BTreeMap<(String, String, bool), u32>,
     /// It answers nobody.
     pub outage: bool,
     /// By how much its list of machines lags.
     pub lag_ms: u64,
-    /// The next so many machines never boot.
-    pub stillborn: u32,
+    /// The next so many machines never come up.
+    pub failing_boots: u32,
     /// Machines rented until then are up within two seconds.
-    pub fast_until: u64,
-    /// How many times as long boots take that begin until then.
-    pub slow: (f64, u64),
-    /// The only type of which they do.
-    pub slow_type: Option<String>,
+    pub fast_boots_until: u64,
+    /// Boots that take longer than usual.
+    pub slow_boots: Option<SlowBoots>,
 }
 
 impl Cloud {
@@ -63,7 +101,7 @@
         boots: Option<u64>,
     ) -> MachineId {
         let id = format!("i-{:06}", self.rigs.len());
-        let rig = Rig {
+        let machine = RentedMachine {
             class: class.into(),
             zone: zone.into(),
             spot,
@@ -72,7 +110,7 @@
             failed: None,
             gone: None,
         };
-        self.rigs.insert(id.clone(), rig);
+        self.rigs.insert(id.clone(), machine);
         MachineId::from(id.as_str())
     }
 
@@ -83,82 +121,93 @@
         }
         match op {
             CloudOp::Catalog => (CloudReply::Catalog(self.catalog.clone()), Vec::new()),
-            CloudOp::Rent(h) => {
-                if let Some(rigs) = self.answers.get(&h.name) {
-                    return (CloudReply::Rented(rigs.clone()), Vec::new());
-                }
-                let key = (h.class.clone(), h.zone.clone(), h.spot);
-                let free = self.capacity.entry(key).or_default();
-                let n = (*free).min(h.count);
-                if n == 0 {
-                    return (CloudReply::Refused, Vec::new());
-                }
-                *free -= n;
-                let ready = self.catalog.iter().find(|c| c.name == h.class);
-                let fast = now < self.fast_until;
-                let usual = ready.map_or(1000, |c| (c.ready_s * 1000.0) as u64);
-                let (times, until) = self.slow;
-                let slow = self.slow_type.as_ref().is_none_or(|t| *t == h.class);
-                let usual = if slow && now < until {
-                    (usual as f64 * times) as u64
-                } else {
-                    usual
-                };
-                let incarnation = if fast { 200 + now % 1800 } else { usual };
-                let rigs: Vec<MachineId> = (0..n)
-                    .map(|_| {
-                        let dead = self.stillborn > 0;
-                        self.stillborn = self.stillborn.saturating_sub(1);
-                        let boots = (!dead).then_some(now + incarnation);
-                        self.add(now, &h.class, &h.zone, h.spot, boots)
-                    })
-                    .collect();
-                self.answers.insert(h.name.clone(), rigs.clone());
-                (CloudReply::Rented(rigs), Vec::new())
-            }
-            CloudOp::Delete(ids) => {
-                let mut gone = Vec::new();
-                for id in ids {
-                    if let Some(r) = self.rigs.get_mut(id.as_str())
-                        && r.gone.is_none()
-                    {
-                        r.gone = Some(now);
-                        gone.push(id.to_string());
-                        let key = (r.class.clone(), r.zone.clone(), r.spot);
-                        *self.capacity.entry(key).or_default() += 1;
-                    }
-                }
-                (CloudReply::Deleted, gone)
-            }
+            CloudOp::Rent(request) => (self.rent(now, request), Vec::new()),
+            CloudOp::Delete(ids) => (CloudReply::Deleted, self.delete(now, ids)),
             CloudOp::List { after } => (self.list(now, after.as_ref()), Vec::new()),
         }
     }
 
+    /// Rents as many machines as can be had of those that are asked for. A request that comes again
+    /// under its name gets its first answer.
+    fn rent(&mut self, now: u64, request: &ScaleOutRecord) -> CloudReply {
+        if let Some(machines) = self.answers.get(&request.name) {
+            return CloudReply::Rented(machines.clone());
+        }
+        let pool = (request.class.clone(), request.zone.clone(), request.spot);
+        let free = self.capacity.entry(pool).or_default();
+        let count = (*free).min(request.count);
+        if count == 0 {
+            return CloudReply::Refused;
+        }
+        *free -= count;
+        let boot_ms = self.boot_ms(now, &request.class);
+        let machines = (0..count).map(|_| {
+            let fails = self.failing_boots > 0;
+            self.failing_boots = self.failing_boots.saturating_sub(1);
+            let up_at = (!fails).then_some(now + boot_ms);
+            self.add(now, &request.class, &request.zone, request.spot, up_at)
+        });
+        let machines: Vec<MachineId> = machines.collect();
+        self.answers.insert(request.name.clone(), machines.clone());
+        CloudReply::Rented(machines)
+    }
+
+    /// How long a machine boots that is rented now.
+    fn boot_ms(&self, now: u64, machine_type: &str) -> u64 {
+        if now < self.fast_boots_until {
+            return FAST_BOOT_MS + now % FAST_BOOT_SPREAD_MS;
+        }
+        let mut catalog = self.catalog.iter();
+        let known = catalog.find(|known| known.name == machine_type);
+        let usual_ms = known.map_or(UNKNOWN_BOOT_MS, |known| (known.ready_s * 1000.0) as u64);
+        let slow = self.slow_boots.as_ref();
+        match slow.filter(|slow| slow.strike(now, machine_type)) {
+            Some(slow) => (usual_ms as f64 * slow.times) as u64,
+            None => usual_ms,
+        }
+    }
+
+    /// Deletes machines, and says which of them were there.
+    fn delete(&mut self, now: u64, ids: &[MachineId]) -> Vec<String> {
+        let mut deleted = Vec::new();
+        for id in ids {
+            if let Some(machine) = self.rigs.get_mut(id.as_str())
+                && machine.gone.is_none()
+            {
+                machine.gone = Some(now);
+                deleted.push(id.to_string());
+                let pool = (machine.class.clone(), machine.zone.clone(), machine.spot);
+                *self.capacity.entry(pool).or_default() += 1;
+            }
+        }
+        deleted
+    }
+
+    /// A page of the list, as of a while ago.
     fn list(&self, now: u64, after: Option<&MachineId>) -> CloudReply {
         let at = now.saturating_sub(self.lag_ms);
-        let mut shown = self.rigs.iter().filter(|(id, r)| {
-            let behind = after.is_none_or(|a| id.as_str() > a.as_str());
-            behind && r.rented <= at && r.gone.is_none_or(|g| g > at)
-        });
-        let machines = shown.by_ref().take(PAGE).map(|(id, r)| {
-            let status = match (r.failed, r.boots) {
-                (Some(failed), _) if failed <= at => "failed",
-                (_, Some(b)) if b <= at => "running",
-                _ => "starting",
-            };
-            let age = (at - r.rented) as f64 / 1000.0;
-            let body = cbor!({
-                "id" => id, "endpoint" => "10.1.0.1:9000", "build" => r.class,
-                "quarter" => r.zone, "borrowed" => r.spot, "stance" => status, "ageS" => age
-            });
-            body.expect("a map")
-                .deserialized()
-                .expect("a listed machine")
+        let mut listed = self.rigs.iter().filter(|(id, machine)| {
+            let behind = after.is_none_or(|after| id.as_str() > after.as_str());
+            behind && machine.is_listed(at)
         });
+        let page = listed.by_ref().take(PAGE);
+        let machines = page.map(|(id, machine)| listed_machine(id, machine, at));
         let machines = machines.collect();
         CloudReply::Page {
             machines,
-            more: shown.next().is_some(),
+            more: listed.next().is_some(),
         }
     }
 }
+
+/// A machine as the list shows it, read back from the wire's form.
+fn listed_machine(id: &str, machine: &RentedMachine, at: u64) -> Listed {
+    let age_s = (at - machine.rented) as f64 / 1000.0;
+    let body = cbor!({
+        "id" => id, "endpoint" => "10.1.0.1:9000", "build" => machine.class,
+        "quarter" => machine.zone, "borrowed" => machine.spot,
+        "stance" => machine.status(at), "ageS" => age_s
+    });
+    let body = body.expect("a map");
+    body.deserialized().expect("a listed machine")
+}
--- a/fakes/src/orders.rs
+++ b/fakes/src/orders.rs
@@ -1,6 +1,6 @@
-//! Orders, judged by what the store, the workers and the cloud saw of them: no start that
-//! wasn't committed for that machine before, none under a number that wasn't the worker's newest,
-//! no attempt that falls, and calls to the cloud by one leader after the other ([`Duties`]).
+//! Orders, judged by what the store, the workers and the cloud saw of them: no start that wasn't
+//! committed for that machine before, none under a token that wasn't the worker's newest, no
+//! attempt that falls, and calls to the cloud by one leader after the other ([`Duties`]).
 
 use crate::duties::Duties;
 use salttrestle::controller::store::records::PlacementRecord;
@@ -12,55 +12,51 @@
 pub struct Orders {
     /// Calls to the cloud.
     pub duties: Duties,
-    /// Numbers under which a shard's record was written.
-    held: HashSet<u64>,
+    /// Tokens under which a shard's record was written.
+    owned: HashSet<u64>,
     /// Where each attempt was committed to run.
     committed: HashMap<(TaskId, Attempt), MachineId>,
     /// The latest attempt of each task that reached a worker.
     latest: HashMap<TaskId, Attempt>,
     /// Starts of tasks that had been started before: when, of what, and the attempts.
     pub repeats: Vec<String>,
-    /// What was broken.
+    /// Violations.
     pub broken: Vec<String>,
 }
 
 impl Orders {
-    fn fault(&mut self, now: u64, what: String) {
-        self.broken.push(format!("{:.3} {what}", now as f64 / 1e3));
+    fn violation(&mut self, now: u64, what: String) {
+        self.broken
+            .push(format!("{:.3} start: {what}", now as f64 / 1e3));
     }
 
-    /// A shard's record was written under a number.
+    /// A shard's record was written under a token.
     pub fn held(&mut self, token: u64) {
-        self.held.insert(token);
+        self.owned.insert(token);
     }
 
     /// A chunk of a job's placements was written.
     pub fn committed(&mut self, job: &JobId, run: &PlacementRecord) {
         for (index, attempt, machine, ..) in &run.placed {
-            let (job, index) = (job.clone(), *index);
-            self.committed
-                .insert((TaskId { job, index }, *attempt), machine.clone());
+            let task = TaskId {
+                job: job.clone(),
+                index: *index,
+            };
+            self.committed.insert((task, *attempt), machine.clone());
         }
     }
 
-    /// A start has reached a worker that knows this number as the newest.
+    /// A start has reached a worker that knows this token as the newest.
     pub fn started(&mut self, now: u64, machine: &str, newest: u64, task: &TaskId, it: Attempt) {
-        let token = it.token().0;
-        if !self.held.contains(&token) {
-            self.fault(now, format!("start: {task} under {token}, never held"));
-        }
-        if token != newest {
-            let what = format!("start: {task} under {token} on a worker that knows {newest}");
-            self.fault(now, what);
-        }
+        self.check_token(now, newest, task, it);
         let committed = self.committed.get(&(task.clone(), it));
         if committed.is_none_or(|id| id.as_str() != machine) {
-            let what = format!("start: {task} on {machine}, committed for {committed:?}");
-            self.fault(now, what);
+            let what = format!("{task} on {machine}, committed for {committed:?}");
+            self.violation(now, what);
         }
         match self.latest.insert(task.clone(), it) {
             Some(before) if before > it => {
-                self.fault(now, format!("start: {task} falls to an earlier attempt"));
+                self.violation(now, format!("{task} falls to an earlier attempt"));
             }
             Some(before) => {
                 let at_s = now as f64 / 1e3;
@@ -72,4 +68,16 @@
             None => {}
         }
     }
+
+    /// An attempt must be under a token that an owner had, and that its worker knows as the newest.
+    fn check_token(&mut self, now: u64, newest: u64, task: &TaskId, attempt: Attempt) {
+        let token = attempt.token().0;
+        if !self.owned.contains(&token) {
+            self.violation(now, format!("{task} under {token}, never held"));
+        }
+        if token != newest {
+            let what = format!("{task} under {token} on a worker that knows {newest}");
+            self.violation(now, what);
+        }
+    }
 }
--- a/fakes/src/store.rs
+++ b/fakes/src/store.rs
@@ -1,9 +1,9 @@
-//! The store's store: keys with revisions, transactions on conditions, leases, and a
-//! history that can be followed.
+//! The store: keys with revisions, transactions with preconditions, leases, and a
+//! history that can be watched.
 
 use std::collections::BTreeMap;
 
-/// What stands under a key.
+/// What a key has.
 #[derive(Clone, Debug)]
 pub struct Entry<V> {
     /// The value.
@@ -51,7 +51,7 @@
     Committed(u64),
     /// These keys didn't have the revisions that it asked for.
     Conflict(Vec<String>),
-    /// It names a lease that is over.
+    /// It names a lease that has expired.
     NoSuchLease,
 }
 
@@ -70,23 +70,23 @@
     pub entries: BTreeMap<String, Entry<V>>,
     /// All changes that are remembered, the oldest first.
     pub history: Vec<Change<V>>,
-    /// How many of the latest changes can be followed.
+    /// How many of the latest changes can be watched.
     pub kept: usize,
-    /// The highest revision that has been forgotten for good.
-    forgotten: u64,
+    /// The highest revision whose changes have been compacted.
+    compacted: u64,
     leases: BTreeMap<u64, Lease>,
     last_lease: u64,
 }
 
 impl<V: Clone> Store<V> {
-    /// An empty store of which so many of the latest changes can be followed.
+    /// An empty store of which so many of the latest changes can be watched.
     pub fn new(kept: usize) -> Self {
         Self {
             revision: 0,
             entries: BTreeMap::new(),
             history: Vec::new(),
             kept,
-            forgotten: 0,
+            compacted: 0,
             leases: BTreeMap::new(),
             last_lease: 0,
         }
@@ -94,16 +94,16 @@
 
     /// The revision of a key, 0 if it doesn't exist.
     pub fn revision_of(&self, path: &str) -> u64 {
-        self.entries.get(path).map_or(0, |e| e.revision)
+        self.entries.get(path).map_or(0, |entry| entry.revision)
     }
 
-    /// Carries a transaction out if each key has the revision that is asked for.
+    /// Carries a transaction out if each key has the revision that it asks for.
     pub fn commit(&mut self, conditions: &[(String, u64)], writes: Vec<Write<V>>) -> CommitOutcome {
-        let over = |write: &Write<V>| match write {
+        let expired = |write: &Write<V>| match write {
             Write::Put { lease, .. } => lease.is_some_and(|id| !self.leases.contains_key(&id)),
             Write::Delete { .. } => false,
         };
-        if writes.iter().any(over) {
+        if writes.iter().any(expired) {
             return CommitOutcome::NoSuchLease;
         }
         let failed = conditions
@@ -172,27 +172,29 @@
     pub fn changes_after(&self, revision: u64) -> Option<&[Change<V>]> {
         let oldest = self.history.len().saturating_sub(self.kept);
         let dropped = match oldest {
-            0 => self.forgotten,
+            0 => self.compacted,
             n => self.history[n - 1].revision,
         };
         if dropped > revision {
             return None;
         }
-        let from = self.history.partition_point(|c| c.revision <= revision);
+        let from = self
+            .history
+            .partition_point(|change| change.revision <= revision);
         Some(&self.history[from..])
     }
 
-    /// Frees the memory of changes that can't be followed any more.
+    /// Frees the memory of changes that can't be watched any more.
     pub fn compact(&mut self) {
         if self.history.len() < 2 * self.kept {
             return;
         }
         let drop = self.history.len() - self.kept;
-        self.forgotten = self.history[drop - 1].revision;
+        self.compacted = self.history[drop - 1].revision;
         self.history.drain(..drop);
     }
 
-    /// Leases a lease.
+    /// Grants a lease.
     pub fn grant(&mut self, now_ms: u64, ttl_ms: u64) -> u64 {
         self.last_lease += 1;
         let lease = Lease {
@@ -203,7 +205,7 @@
         self.last_lease
     }
 
-    /// Renews a lease; false if it is over.
+    /// Renews a lease; false if it has expired.
     pub fn extend(&mut self, now_ms: u64, id: u64) -> bool {
         let Some(lease) = self.leases.get_mut(&id) else {
             return false;
@@ -212,7 +214,7 @@
         true
     }
 
-    /// Ends a lease now, with the keys attached to it; false if it was over.
+    /// Ends a lease now, with the keys attached to it; false if it had expired.
     pub fn release(&mut self, id: u64) -> bool {
         let known = self.leases.remove(&id).is_some();
         if known {
@@ -221,17 +223,23 @@
         known
     }
 
-    /// Ends the leases whose time is over.
+    /// Ends the leases that have expired.
     pub fn expire(&mut self, now_ms: u64) {
-        let over = self.leases.iter().filter(|(_, l)| now_ms > l.ends_ms);
-        let over: Vec<u64> = over.map(|(id, _)| *id).collect();
-        for id in over {
+        let expired = self
+            .leases
+            .iter()
+            .filter(|(_, lease)| now_ms > lease.ends_ms);
+        let expired: Vec<u64> = expired.map(|(id, _)| *id).collect();
+        for id in expired {
             self.release(id);
         }
     }
 
     fn remove_attached(&mut self, id: u64) {
-        let attached = self.entries.iter().filter(|(_, e)| e.lease == Some(id));
+        let attached = self
+            .entries
+            .iter()
+            .filter(|(_, entry)| entry.lease == Some(id));
         let attached: Vec<String> = attached.map(|(path, _)| path.clone()).collect();
         for path in attached {
             self.revision += 1;
--- a/fakes/src/worker.rs
+++ b/fakes/src/worker/mod.rs
@@ -1,9 +1,14 @@
 //! A worker: its heartbeats, lease, agent epoch, token and tasks. It has no clock and no network: the
 //! caller hands in the time and carries heartbeats and answers.
 
+mod messages;
+mod task;
+
+pub use task::{TaskEvent, TaskSpec, TaskSpecs, TaskState, WorkerTask};
+
+use messages::{AnswerBody, HeartbeatBody, HeartbeatTask, RedirectBody};
 use salttrestle::ids::{Attempt, TaskId};
-use salttrestle::wire::{self, Cause, TaskStatus};
-use serde::{Deserialize, Serialize};
+use salttrestle::wire::{self, Cause};
 use std::collections::BTreeMap;
 
 /// How long the answer to a heartbeat is waited for, in milliseconds.
@@ -11,68 +16,10 @@
 /// Pause before the next controller is tried, in milliseconds.
 const NEXT_CONTROLLER_MS: u64 = 1000;
 /// Shortest time between two heartbeats, and before the first one of a new agent epoch, in milliseconds.
-const REPORT_GAP_MS: u64 = 500;
+const HEARTBEAT_GAP_MS: u64 = 500;
 /// A task of a service runs until it is stopped.
 const FOREVER_MS: u64 = u64::MAX / 2;
 
-/// What a worker learns of a job from its user.
-#[derive(Clone, Debug)]
-pub struct TaskSpec {
-    /// The image that its tasks need.
-    pub image: String,
-    /// How long a task runs, in milliseconds.
-    pub run_ms: u64,
-    /// How long the image is fetched, in milliseconds.
-    pub fetch_ms: u64,
-    /// How long a task that is stopped saves its progress, in milliseconds; 0: it never does.
-    pub save_ms: u64,
-    /// Its tasks run until they are stopped.
-    pub service: bool,
-    /// It was submitted with a mistake, and fails everywhere.
-    pub broken: bool,
-}
-
-/// Where workers look up the jobs whose tasks they are to start.
-pub trait TaskSpecs {
-    /// What is known of the job that a task belongs to.
-    fn spec(&self, task: &TaskId) -> Option<&TaskSpec>;
-}
-
-/// Where a task stands.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TaskState {
-    /// Waits for its image.
-    Fetching,
-    /// Runs.
-    Running,
-    /// Was told to stop, and saves.
-    Saving,
-    /// Has exited.
-    Ended(Cause),
-}
-
-/// A task on a worker.
-#[derive(Clone, Debug)]
-pub struct WorkerTask {
-    /// Its attempt.
-    pub attempt: Attempt,
-    /// Where it stands.
-    pub state: TaskState,
-    /// When that passes by itself.
-    pub until: u64,
-}
-
-/// What happened to a task, in the order in which it happened.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum TaskEvent {
-    /// A start was carried out: it waits for its image, or has it.
-    Accepted(TaskId, Attempt),
-    /// It has its image and is on the machine from now on.
-    Started(TaskId),
-    /// It is no longer on the machine.
-    Ended(TaskId, Cause),
-}
-
 /// One worker. Times are in milliseconds.
 #[derive(Clone, Debug, Default)]
 pub struct Worker {
@@ -89,94 +36,33 @@
     /// Rises with every heartbeat.
     pub sequence: u64,
     /// When the last answered heartbeat was sent.
-    pub renewed: u64,
-    /// Its tasks, exited ones included until they are cleared.
+    pub lease_renewed_at: u64,
+    /// Its tasks, including those that have exited, until they are cleared.
     pub tasks: BTreeMap<TaskId, WorkerTask>,
-    /// The controller that it heartbeats to.
+    /// The controller that it sends heartbeats to.
     pub controller: usize,
     /// The request in flight, and when it was sent.
     pub flight: Option<(u64, u64)>,
-    /// When it reported last.
-    pub last_sent: u64,
-    /// When it heartbeats next, if nothing changes.
-    pub next_at: u64,
+    /// When it sent its last heartbeat.
+    pub last_heartbeat_at: u64,
+    /// When it sends its next heartbeat, if nothing changes.
+    pub next_heartbeat_at: u64,
     /// Whether something has changed since the last heartbeat.
-    pub changed: bool,
+    pub status_changed: bool,
     /// The images that it has.
-    pub images: Vec<String>,
-    /// It stands still until then.
-    pub hung_until: u64,
-    /// It reaches nobody until then.
-    pub cut_until: u64,
-    /// Answers don't reach it until then.
-    pub deaf_until: u64,
-    /// It reaches no controller until then.
-    pub mute_until: u64,
-    /// Every task fails on it.
-    pub sick: bool,
-    /// When the cloud takes the machine away.
-    pub taken_at: Option<u64>,
-}
-
-#[derive(Serialize)]
-struct ReportBody<'a> {
-    #[serde(rename = "rig")]
-    machine: &'a str,
-    endpoint: &'a str,
-    #[serde(rename = "build")]
-    class: &'a str,
-    #[serde(rename = "quarter")]
-    zone: &'a str,
-    #[serde(rename = "borrowed")]
-    spot: bool,
-    #[serde(rename = "shift")]
-    agent_epoch: u64,
-    #[serde(rename = "tally")]
-    sequence: u64,
-    #[serde(rename = "baton")]
-    token: u64,
-    #[serde(rename = "warningS")]
-    notice_s: Option<f64>,
-    #[serde(rename = "verses")]
-    tasks: Vec<HeartbeatTask>,
-}
-
-#[derive(Serialize)]
-struct HeartbeatTask {
-    #[serde(rename = "verse")]
-    task: String,
-    #[serde(rename = "take")]
-    attempt: Attempt,
-    #[serde(rename = "stance")]
-    state: TaskStatus,
-    #[serde(skip_serializing_if = "Option::is_none")]
-    cause: Option<Cause>,
-}
-
-#[derive(Deserialize)]
-struct AnswerBody {
-    #[serde(rename = "baton")]
-    token: Option<u64>,
-    #[serde(rename = "cues", default)]
-    commands: Vec<CommandBody>,
-}
-
-#[derive(Deserialize)]
-struct CommandBody {
-    #[serde(rename = "cueKind")]
-    kind: String,
-    #[serde(rename = "verse")]
-    task: String,
-    #[serde(rename = "take")]
-    attempt: u64,
-    #[serde(rename = "bowS")]
-    grace_s: Option<f64>,
-}
-
-#[derive(Deserialize)]
-struct RedirectBody {
-    #[serde(rename = "conductor")]
-    to: Option<String>,
+    pub cached_images: Vec<String>,
+    /// It is paused until then.
+    pub paused_until: u64,
+    /// It is partitioned from all controllers, in both directions, until then.
+    pub partitioned_until: u64,
+    /// It is unreachable for answers until then; its heartbeats arrive.
+    pub answers_lost_until: u64,
+    /// It can reach no controller until then: its heartbeats are lost.
+    pub heartbeats_lost_until: u64,
+    /// The machine is faulty: every task fails on it.
+    pub faulty: bool,
+    /// When the cloud preempts the machine.
+    pub preempted_at: Option<u64>,
 }
 
 impl Worker {
@@ -187,39 +73,42 @@
             zone: zone.into(),
             spot,
             agent_epoch: 1,
-            renewed: now,
+            lease_renewed_at: now,
             controller,
-            next_at: now,
+            next_heartbeat_at: now,
             ..Self::default()
         }
     }
 
-    /// Stands still until then; what its tasks still have to run isn't run meanwhile.
-    pub fn hang(&mut self, now: u64, until: u64) {
-        self.hung_until = until;
+    /// Pauses until then; what its tasks still have to run isn't run meanwhile.
+    pub fn pause(&mut self, now: u64, until: u64) {
+        self.paused_until = until;
         for task in self.tasks.values_mut() {
             task.until = task.until.saturating_add(until - now);
         }
     }
 
-    /// Kills and forgets all tasks if the lease is over; these were the tasks.
+    /// Kills and forgets all tasks if the lease has expired; these were the tasks.
     pub fn check_lease(&mut self, now: u64, lease_ms: u64) -> Vec<TaskId> {
-        if now <= self.renewed + lease_ms {
+        if now <= self.lease_renewed_at + lease_ms {
             return Vec::new();
         }
         self.agent_epoch += 1;
-        self.renewed = now;
+        self.lease_renewed_at = now;
         self.flight = None;
-        self.next_at = now + REPORT_GAP_MS;
-        self.changed = true;
+        self.next_heartbeat_at = now + HEARTBEAT_GAP_MS;
+        self.status_changed = true;
         std::mem::take(&mut self.tasks).into_keys().collect()
     }
 
-    /// Lets tasks come as far as they are by now.
+    /// Lets each task come as far as it has by now.
     pub fn run_tasks(&mut self, now: u64, specs: &impl TaskSpecs) -> Vec<TaskEvent> {
-        let live = |t: &WorkerTask| !matches!(t.state, TaskState::Ended(_));
-        let due = self.tasks.iter().filter(|(_, t)| t.until <= now && live(t));
-        let due: Vec<(TaskId, TaskState)> = due.map(|(task, t)| (task.clone(), t.state)).collect();
+        let due = self
+            .tasks
+            .iter()
+            .filter(|(_, on_worker)| on_worker.is_due(now));
+        let due = due.map(|(task, on_worker)| (task.clone(), on_worker.state));
+        let due: Vec<(TaskId, TaskState)> = due.collect();
         let mut events = Vec::new();
         for (task, state) in due {
             match state {
@@ -242,11 +131,11 @@
         let Some(spec) = specs.spec(&task) else {
             return;
         };
-        if !self.images.contains(&spec.image) {
-            self.images.push(spec.image.clone());
+        if !self.cached_images.contains(&spec.image) {
+            self.cached_images.push(spec.image.clone());
         }
-        self.changed = true;
-        if self.sick || spec.broken {
+        self.status_changed = true;
+        if self.faulty || spec.broken {
             return self.end_task(task, Cause::Error, events);
         }
         let run_ms = if spec.service {
@@ -254,17 +143,17 @@
         } else {
             spec.run_ms
         };
-        if let Some(t) = self.tasks.get_mut(&task) {
-            t.state = TaskState::Running;
-            t.until = now + run_ms;
+        if let Some(on_worker) = self.tasks.get_mut(&task) {
+            on_worker.state = TaskState::Running;
+            on_worker.until = now + run_ms;
         }
         events.push(TaskEvent::Started(task));
     }
 
     fn end_task(&mut self, task: TaskId, cause: Cause, events: &mut Vec<TaskEvent>) {
-        self.changed = true;
-        if let Some(t) = self.tasks.get_mut(&task) {
-            t.state = TaskState::Ended(cause);
+        self.status_changed = true;
+        if let Some(on_worker) = self.tasks.get_mut(&task) {
+            on_worker.state = TaskState::Ended(cause);
         }
         events.push(TaskEvent::Ended(task, cause));
     }
@@ -278,35 +167,30 @@
             self.flight = None;
             self.try_next(now, controllers);
         }
-        let rested = now >= self.last_sent + REPORT_GAP_MS;
-        rested && (self.changed || now >= self.next_at)
+        let rested = now >= self.last_heartbeat_at + HEARTBEAT_GAP_MS;
+        rested && (self.status_changed || now >= self.next_heartbeat_at)
     }
 
     /// Begins a heartbeat; the next one is due after `interval` if nothing changes.
     pub fn begin_report(&mut self, now: u64, interval: u64) {
-        self.next_at = now + interval;
-        self.last_sent = now;
-        self.changed = false;
+        self.next_heartbeat_at = now + interval;
+        self.last_heartbeat_at = now;
+        self.status_changed = false;
         self.sequence += 1;
     }
 
     /// The heartbeat as it goes onto the wire.
     pub fn report_body(&self, machine: &str, endpoint: &str, now: u64) -> Vec<u8> {
-        let tasks = self.tasks.iter().map(|(task, t)| {
-            let (state, cause) = match t.state {
-                TaskState::Fetching => (TaskStatus::Fetching, None),
-                TaskState::Running => (TaskStatus::Running, None),
-                TaskState::Saving => (TaskStatus::Flushing, None),
-                TaskState::Ended(cause) => (TaskStatus::Ended, Some(cause)),
-            };
+        let tasks = self.tasks.iter().map(|(task, on_worker)| {
+            let (state, cause) = on_worker.status();
             HeartbeatTask {
                 task: task.to_string(),
-                attempt: t.attempt,
+                attempt: on_worker.attempt,
                 state,
                 cause,
             }
         });
-        wire::encode(&ReportBody {
+        wire::encode(&HeartbeatBody {
             machine,
             endpoint,
             class: &self.class,
@@ -316,7 +200,7 @@
             sequence: self.sequence,
             token: self.token,
             notice_s: self
-                .taken_at
+                .preempted_at
                 .map(|at| at.saturating_sub(now) as f64 / 1000.0),
             tasks: tasks.collect(),
         })
@@ -324,7 +208,7 @@
 
     fn try_next(&mut self, now: u64, controllers: usize) {
         self.controller = (self.controller + 1) % controllers;
-        self.next_at = now + NEXT_CONTROLLER_MS;
+        self.next_heartbeat_at = now + NEXT_CONTROLLER_MS;
     }
 
     /// The heartbeat in flight got no answer: the connection failed.
@@ -333,8 +217,8 @@
         self.try_next(now, controllers);
     }
 
-    /// Takes the answer to the heartbeat that was sent at `sent`. `Err` says what no worker would
-    /// understand.
+    /// The answer to the heartbeat that was sent at `sent` has come. `Err` says what no worker would
+    /// understand of it.
     pub fn answered(
         &mut self,
         now: u64,
@@ -346,24 +230,28 @@
         self.flight = None;
         match status {
             200 => return self.obey(now, sent, body, specs),
-            421 => {
-                let steer: Option<RedirectBody> = wire::decode(body);
-                let to = steer.and_then(|s| s.to);
-                let to = to.and_then(|name| controller_ids.iter().position(|m| *m == name));
-                match to.filter(|controller| *controller != self.controller) {
-                    Some(controller) => {
-                        self.controller = controller;
-                        self.next_at = now;
-                        self.changed = true;
-                    }
-                    None => self.try_next(now, controller_ids.len()),
-                }
-            }
+            421 => self.redirected(now, body, controller_ids),
             _ => self.try_next(now, controller_ids.len()),
         }
         Ok(Vec::new())
     }
 
+    /// Goes on to the controller that an answer names, or to the next one if that makes no sense.
+    fn redirected(&mut self, now: u64, body: &[u8], controller_ids: &[String]) {
+        let redirect: Option<RedirectBody> = wire::decode(body);
+        let named = redirect.and_then(|redirect| redirect.to);
+        let named = named.and_then(|name| controller_ids.iter().position(|id| *id == name));
+        match named.filter(|controller| *controller != self.controller) {
+            Some(controller) => {
+                self.controller = controller;
+                self.next_heartbeat_at = now;
+                self.status_changed = true;
+            }
+            None => self.try_next(now, controller_ids.len()),
+        }
+    }
+
+    /// Carries out the commands of an answer, unless they are under an outdated token.
     fn obey(
         &mut self,
         now: u64,
@@ -381,9 +269,9 @@
         }
         if token > self.token {
             self.token = token;
-            self.changed = true;
+            self.status_changed = true;
         }
-        self.renewed = self.renewed.max(sent);
+        self.lease_renewed_at = self.lease_renewed_at.max(sent);
         for command in answer.commands {
             let task = TaskId::parse(&command.task).ok_or("a task's name can't be read")?;
             let attempt = Attempt(command.attempt);
@@ -391,7 +279,7 @@
                 "start" => self.start(now, task, attempt, specs, &mut events),
                 "halt" => {
                     let grace_ms = (command.grace_s.unwrap_or(0.0) * 1000.0) as u64;
-                    self.halt(now, task, attempt, grace_ms, specs, &mut events);
+                    self.stop(now, task, attempt, grace_ms, specs, &mut events);
                 }
                 "clear" => self.clear(&task, attempt),
                 other => return Err(format!("strange command {other}")),
@@ -401,11 +289,8 @@
     }
 
     fn clear(&mut self, task: &TaskId, attempt: Attempt) {
-        let ended = self
-            .tasks
-            .get(task)
-            .is_some_and(|t| t.attempt == attempt && matches!(t.state, TaskState::Ended(_)));
-        if ended {
+        let on_worker = self.tasks.get(task);
+        if on_worker.is_some_and(|found| found.attempt == attempt && found.has_ended()) {
             self.tasks.remove(task);
         }
     }
@@ -422,15 +307,15 @@
             return;
         };
         let busy = match self.tasks.get(&task) {
-            Some(t) if t.attempt == attempt => return,
-            Some(t) => !matches!(t.state, TaskState::Ended(_)),
+            Some(found) if found.attempt == attempt => return,
+            Some(found) => !found.has_ended(),
             None => false,
         };
-        self.changed = true;
+        self.status_changed = true;
         if busy {
             return;
         }
-        let fetch_ms = match self.images.contains(&spec.image) {
+        let fetch_ms = match self.cached_images.contains(&spec.image) {
             true => 0,
             false => spec.fetch_ms,
         };
@@ -446,7 +331,7 @@
         }
     }
 
-    fn halt(
+    fn stop(
         &mut self,
         now: u64,
         task: TaskId,
@@ -459,15 +344,15 @@
             return;
         };
         let found = self.tasks.get_mut(&task);
-        let Some(t) = found.filter(|t| t.attempt == attempt) else {
+        let Some(found) = found.filter(|found| found.attempt == attempt) else {
             return;
         };
         let saves = save_ms > 0 && grace_ms >= save_ms;
-        match t.state {
+        match found.state {
             TaskState::Running if saves => {
-                t.state = TaskState::Saving;
-                t.until = now + save_ms;
-                self.changed = true;
+                found.state = TaskState::Saving;
+                found.until = now + save_ms;
+                self.status_changed = true;
             }
             TaskState::Saving if saves => {}
             TaskState::Ended(_) => {}
--- a/fakes/tests/orders.rs
+++ b/fakes/tests/orders.rs
@@ -1,4 +1,4 @@
-//! The judge of orders sees each kind of wrong order, and nothing wrong in a right history.
+//! The judge of orders sees each kind of violation, and none in a history without one.
 
 use salttrestle::controller::store::records::PlacementRecord;
 use salttrestle::ids::{Attempt, FencingToken, JobId, MachineId, TaskId};
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_right_history() {
+fn history_without_violations_is_accepted() {
     let mut orders = history();
     orders.started(10, MACHINE, 4, &task(), attempt(4, 1));
     orders.started(20, MACHINE, 6, &task(), attempt(6, 1));
@@ -45,36 +45,36 @@
 }
 
 #[test]
-fn wrong_starts() {
-    type Wrong = fn(&mut Orders);
-    let rows: [(&str, Wrong); 5] = [
-        ("never held", |o| {
-            o.started(1, MACHINE, 5, &task(), attempt(5, 1))
+fn starts_that_break_a_rule_are_violations() {
+    type Violation = fn(&mut Orders);
+    let rows: [(&str, Violation); 5] = [
+        ("never held", |orders| {
+            orders.started(1, MACHINE, 5, &task(), attempt(5, 1))
         }),
-        ("that knows 6", |o| {
-            o.started(1, MACHINE, 6, &task(), attempt(4, 1))
+        ("that knows 6", |orders| {
+            orders.started(1, MACHINE, 6, &task(), attempt(4, 1))
         }),
-        ("committed for None", |o| {
-            o.started(1, MACHINE, 4, &task(), attempt(4, 2))
+        ("committed for None", |orders| {
+            orders.started(1, MACHINE, 4, &task(), attempt(4, 2))
         }),
-        ("committed for Some", |o| {
-            o.started(1, "i-2", 4, &task(), attempt(4, 1))
+        ("committed for Some", |orders| {
+            orders.started(1, "i-2", 4, &task(), attempt(4, 1))
         }),
-        ("an earlier attempt", |o| {
-            o.started(1, MACHINE, 6, &task(), attempt(6, 1));
-            o.started(2, MACHINE, 4, &task(), attempt(4, 1));
+        ("an earlier attempt", |orders| {
+            orders.started(1, MACHINE, 6, &task(), attempt(6, 1));
+            orders.started(2, MACHINE, 4, &task(), attempt(4, 1));
         }),
     ];
-    for (what, wrong) in rows {
+    for (what, violate) in rows {
         let mut orders = history();
-        wrong(&mut orders);
+        violate(&mut orders);
         let seen = orders.broken.iter().any(|broken| broken.contains(what));
         assert!(seen, "{what}: {:?}", orders.broken);
     }
 }
 
 #[test]
-fn wrong_calls_to_the_cloud() {
+fn cloud_calls_of_leaders_out_of_order_are_violations() {
     let mut orders = history();
     let duties = &mut orders.duties;
     duties.leader_is(Some((3, "n0")));
@@ -85,7 +85,7 @@
     assert_eq!(
         duties.broken.len(),
         1,
-        "the old one may, until the new one does"
+        "the former leader may, until the new one does"
     );
     duties.cloud_changed(3, "n1");
     duties.cloud_changed(4, "n0");
--- a/tests/processor.rs
+++ b/tests/processor.rs
@@ -1,4 +1,4 @@
-//! How busy a process is, and what follows for the number of shards.
+//! How busy a controller's processor is, and how many machines one owner can have by that.
 
 use salttrestle::controller::processor::ProcessorUtilization;
 use salttrestle::ids::Time;
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn nothing_is_told_without_measurements_or_with_old_ones() {
+fn share_without_recent_measurements_is_unknown() {
     let (usage, now) = measured([]);
     assert_eq!(usage.share(now), None);
     assert!(!usage.measured());
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn one_second_counts_for_little_and_a_minute_for_all() {
+fn share_after_one_second_hardly_moves_and_after_a_minute_has_moved() {
     let calm = [0.2; 60];
     let (usage, now) = measured(calm.into_iter().chain([1.0]));
     let share = usage.share(now).expect("measured");
@@ -40,11 +40,11 @@
 }
 
 #[test]
-fn machines_a_holder_follow_from_what_it_holds() {
+fn machines_per_owner_follow_from_what_the_owner_has() {
     let (usage, now) = measured([0.5; 120]);
     let most = usage.machines_per_owner(now, 200).expect("measured");
     assert!((most - 400.0).abs() < 1.0, "{most}");
-    // A process that holds nothing, or hardly does anything, tells nothing of machines.
+    // An owner without machines, or one that hardly does anything, shows nothing of what one can have.
     assert_eq!(usage.machines_per_owner(now, 0), None);
     let (usage, now) = measured([0.01; 120]);
     assert_eq!(usage.machines_per_owner(now, 200), None);
--- a/tests/scenario_runs/checker_rules.rs
+++ b/tests/scenario_runs/checker_rules.rs
@@ -92,7 +92,7 @@
     }),
     ("odd_accepted", |checker| {
         let job = checker.jobs.get_mut(&JobId::from("j-1"));
-        job.expect("submitted").unfit = true;
+        job.expect("submitted").must_be_refused = true;
         checker.said(1, &JobId::from("j-1"), Said::Queued);
     }),
     ("unanswered", |checker| {
--- a/tests/scenario_runs/expectations.rs
+++ b/tests/scenario_runs/expectations.rs
@@ -83,9 +83,9 @@
         Ok(Some(match self.kind() {
             "done" => self
                 .job()?
-                .done_told_at
+                .done_notified_at
                 .is_some_and(|at| at <= self.span_ms()),
-            "withdrawn" => self.job()?.told.withdrawn_at.is_some(),
+            "withdrawn" => self.job()?.notified.cancelled_at.is_some(),
             "started" => self.started_in_time(self.job()?),
             "waiting" => self.job()?.first_start.is_none(),
             "runs" => self.runs(self.job()?),
@@ -110,7 +110,7 @@
     /// are just then moved from a machine that is emptied.
     fn runs(&self, job: &JobView) -> bool {
         let id = self.line.job(1);
-        let tasks = self.world.checker.on.keys();
+        let tasks = self.world.checker.running.keys();
         let running = tasks.filter(|task| task.job == id).count() as u32;
         let moved = self
             .line
@@ -138,7 +138,7 @@
             "deleted-tasks-at-most" => world.deleted_tasks,
             "replaced-at-most" => world.store.orders.duties.replaced,
             "failures-at-most" => world.observed.task_failures,
-            "sick-machines-at-most" => world.workers.values().filter(|w| w.sick).count(),
+            "sick-machines-at-most" => world.workers.values().filter(|w| w.faulty).count(),
             "rejected-at-most" => world.store.rejected,
             "limited-at-most" => world.store.limited,
             "starts-at-most" => world.checker.starts as usize,
--- a/tests/sheltered_tasks.rs
+++ b/tests/sheltered_tasks.rs
@@ -1,4 +1,5 @@
-//! What a controller answers a worker of its zone while the owner can't be reached.
+//! What a controller answers a worker of its zone while it keeps the lease alive in the place of an
+//! owner that can't be reached.
 
 use salttrestle::controller::Controller;
 use salttrestle::controller::events::{Input, Output, Request};
@@ -118,13 +119,13 @@
 /// A job that the watch hasn't brought yet was taken for one that is over: its tasks, the last that
 /// the owner had started, were stopped, and started again by its successor.
 #[test]
-fn tasks_of_an_unknown_job_go_on() {
+fn heartbeat_with_a_task_of_an_unknown_job_stops_nothing() {
     let body = answer(&[]);
     assert!(!body.contains("halt"), "{body}");
 }
 
 #[test]
-fn tasks_of_a_job_that_ended_are_halted() {
+fn heartbeat_with_a_task_of_a_cancelled_job_stops_it() {
     let end = Key::End(JobId::from("wk-7"));
     let body = answer(&[(end, REVISION + 1, Some(Record::End(Ending::Cancelled)))]);
     assert!(body.contains("halt"), "{body}");
--- a/tests/sim/cancellations.rs
+++ b/tests/sim/cancellations.rs
@@ -68,7 +68,7 @@
 
     /// Jobs with tasks on machines whose cancellation nobody has asked for.
     fn running_jobs(&self, prefix: &str) -> Vec<JobId> {
-        let running = self.checker.on.keys().map(|task| task.job.clone());
+        let running = self.checker.running.keys().map(|task| task.job.clone());
         let running: BTreeSet<JobId> = running.collect();
         let wanted = |id: &JobId| {
             id.as_str().starts_with(prefix) && self.checker.jobs[id].cancel_asked.is_none()
@@ -77,12 +77,12 @@
     }
 
     fn hang_machine_of(&mut self, job: &JobId, hang_ms: u64) {
-        let mut running = self.checker.on.iter();
+        let mut running = self.checker.running.iter();
         let places = running.find(|(task, _)| task.job == *job);
         let machine = places.map(|(_, places)| places[0].machine.clone());
         let now = self.now;
         if let Some(worker) = machine.and_then(|machine| self.workers.get_mut(&machine)) {
-            worker.hang(now, now + hang_ms);
+            worker.pause(now, now + hang_ms);
         }
     }
 }
--- a/tests/sim/checks.rs
+++ b/tests/sim/checks.rs
@@ -53,16 +53,16 @@
             return;
         }
         let jobs = self.checker.jobs.iter().filter(|(id, job)| {
-            let over = job.told.done || self.checker.cancel_asked_above(id).is_some();
-            let held = self.checker.open_need(&job.record).is_some();
-            let runs = self.checker.on.keys().any(|task| task.job == **id);
+            let over = job.notified.done || self.checker.cancel_asked_upstream(id).is_some();
+            let held = self.checker.open_dependency(&job.record).is_some();
+            let runs = self.checker.running.keys().any(|task| task.job == **id);
             let left = (job.finished.len() as u32) < job.record.count;
-            job.told.accepted
+            job.notified.accepted
                 && !over
                 && !held
                 && !runs
                 && left
-                && self.checker.below_limit(&job.record)
+                && self.checker.within_limit(&job.record)
         });
         let with_room = jobs.filter(|(id, job)| {
             let crash_loops = self.specs[*id].task.broken;
@@ -79,7 +79,8 @@
     }
 
     fn machine_has_room(&self, worker: &Worker, record: &JobRecord) -> bool {
-        let healthy = !worker.sick && worker.taken_at.is_none() && worker.hung_until <= self.now;
+        let healthy =
+            !worker.faulty && worker.preempted_at.is_none() && worker.paused_until <= self.now;
         let market = record.spot || !worker.spot;
         let zone = record.zone.as_ref();
         let zone = zone.is_none_or(|zone| *zone == worker.zone);
--- a/tests/sim/faults.rs
+++ b/tests/sim/faults.rs
@@ -144,23 +144,23 @@
             return;
         };
         if arguments.has("hang") {
-            worker.hang(now, until);
+            worker.pause(now, until);
         }
         if arguments.has("mute") {
-            worker.mute_until = until;
+            worker.heartbeats_lost_until = until;
         }
         if arguments.has("cut") {
-            worker.cut_until = until;
+            worker.partitioned_until = until;
         }
         if arguments.has("deaf") {
-            worker.deaf_until = until;
+            worker.answers_lost_until = until;
         }
         if arguments.has("sick") {
-            worker.sick = true;
+            worker.faulty = true;
         }
         if arguments.has("taken") {
-            worker.taken_at = Some(now + arguments.span_ms("notice", 0.0));
-            worker.changed = true;
+            worker.preempted_at = Some(now + arguments.span_ms("notice", 0.0));
+            worker.status_changed = true;
         }
     }
 
--- a/tests/sim/malformed_requests.rs
+++ b/tests/sim/malformed_requests.rs
@@ -37,7 +37,9 @@
     fn known_jobs(&self, done: bool) -> Vec<JobId> {
         let jobs = self.checker.jobs.iter();
         let jobs = jobs.filter(|(_, job)| {
-            job.told.accepted && job.told.withdrawn_at.is_none() && job.told.done == done
+            job.notified.accepted
+                && job.notified.cancelled_at.is_none()
+                && job.notified.done == done
         });
         jobs.map(|(id, _)| id.clone()).collect()
     }
@@ -56,7 +58,7 @@
             ..model.clone()
         };
         self.add_spec(&id, spec);
-        self.checker.set_unfit(&id);
+        self.checker.expect_refusal(&id);
         self.user_request(&id, Intent::Submit);
     }
 }
--- a/tests/sim/observed.rs
+++ b/tests/sim/observed.rs
@@ -108,23 +108,23 @@
         let jobs = self.checker.jobs.values().filter(of_class);
         Some(match what {
             "cancels" => window.count(jobs.filter_map(|job| job.cancel_asked)),
-            "confirmed" => window.count(jobs.filter_map(|job| job.told.withdrawn_at)),
+            "confirmed" => window.count(jobs.filter_map(|job| job.notified.cancelled_at)),
             // Cancellations confirmed so soon after they were first asked for.
             "prompt" => {
                 let cancelled =
-                    jobs.filter_map(|job| Some((job.cancel_asked?, job.told.withdrawn_at?)));
+                    jobs.filter_map(|job| Some((job.cancel_asked?, job.notified.cancelled_at?)));
                 let prompt = cancelled.filter(|(asked, told)| told - asked <= at_most(3.0));
                 window.count(prompt.map(|(asked, _)| asked))
             }
             // Jobs that were cancelled with one that they depend on, after their users learnt it.
-            "cascaded" => window.count(self.checker.cascaded()),
+            "cascaded" => window.count(self.checker.cascading_cancellations()),
             // Jobs that waited for others, and started so soon after the last one was done.
             "released" => {
-                let released = self.checker.released();
-                let soon = released.filter(|(_, took)| *took <= at_most(any_time_s));
-                window.count(soon.map(|(at, _)| at))
+                let releases = self.checker.releases();
+                let soon = releases.filter(|release| release.took_ms <= at_most(any_time_s));
+                window.count(soon.map(|release| release.at))
             }
-            "ended" => window.count(jobs.filter_map(|job| job.done_told_at)),
+            "ended" => window.count(jobs.filter_map(|job| job.done_notified_at)),
             // Jobs of which a task was on a machine so soon after their submission.
             "begun" => {
                 let begun = jobs.filter_map(|job| Some(job.first_start? - job.submitted_at));
--- a/tests/sim/script.rs
+++ b/tests/sim/script.rs
@@ -8,6 +8,7 @@
 use super::world::World;
 use salttrestle::controller::events::Input;
 use salttrestle::ids::JobId;
+use salttrestle_fakes::cloud::SlowBoots;
 
 /// How long a killed controller stays down unless the line says it, in seconds.
 const DOWN_S: f64 = 3.0;
@@ -135,11 +136,14 @@
             "outage" => self.cloud.outage = true,
             "restore" => self.cloud.outage = false,
             "slow-boots" => {
-                self.cloud.slow = (arguments.number("times", 4.0), until);
-                self.cloud.slow_type = arguments.value("type").map(String::from);
+                self.cloud.slow_boots = Some(SlowBoots {
+                    times: arguments.number("times", 4.0),
+                    until,
+                    machine_type: arguments.value("type").map(String::from),
+                });
             }
-            "fast-boots" => self.cloud.fast_until = until,
-            "stillborn" => self.cloud.stillborn = arguments.parsed(0),
+            "fast-boots" => self.cloud.fast_boots_until = until,
+            "stillborn" => self.cloud.failing_boots = arguments.parsed(0),
             "capacity" => self.set_capacity(arguments),
             _ => return false,
         }
--- a/tests/sim/submissions.rs
+++ b/tests/sim/submissions.rs
@@ -125,7 +125,7 @@
         let id = arguments.job(0);
         self.add_spec(&id, JobSpec::of_line(arguments));
         if arguments.has("unfit") {
-            self.checker.set_unfit(&id);
+            self.checker.expect_refusal(&id);
         }
         self.user_request(&id, Intent::Submit);
     }
--- a/tests/sim/users.rs
+++ b/tests/sim/users.rs
@@ -65,7 +65,7 @@
             // Nobody cancels what hasn't been accepted yet.
             Intent::Cancel => {
                 let view = self.checker.jobs.get(job);
-                let accepted = view.is_none_or(|view| view.told.accepted);
+                let accepted = view.is_none_or(|view| view.notified.accepted);
                 (!accepted).then_some(CANCEL_AGAIN_MS)
             }
             Intent::Submit => (!self.dependencies_allow(job)).then_some(SUBMIT_AGAIN_MS),
@@ -82,8 +82,8 @@
         let ready = |dependency: &JobId| {
             let view = self.checker.jobs.get(dependency);
             view.is_some_and(|view| match spec.late {
-                true => view.told.done || view.told.withdrawn_at.is_some(),
-                false => view.told.accepted,
+                true => view.notified.done || view.notified.cancelled_at.is_some(),
+                false => view.notified.accepted,
             })
         };
         spec.hasty || spec.dependencies.iter().all(ready)
--- a/tests/sim/workers.rs
+++ b/tests/sim/workers.rs
@@ -43,11 +43,11 @@
         let Some(worker) = self.workers.get_mut(machine) else {
             return;
         };
-        if worker.taken_at.is_some_and(|at| now >= at) {
+        if worker.preempted_at.is_some_and(|at| now >= at) {
             return self.preempt_machine(machine);
         }
         let killed = worker.check_lease(now, self.lease_ms);
-        let hung = worker.hung_until > now;
+        let hung = worker.paused_until > now;
         let events = match hung {
             true => Vec::new(),
             false => worker.run_tasks(now, &SubmittedJobs(&self.specs)),
@@ -127,7 +127,7 @@
         let body = worker.report_body(machine, ENDPOINT, now);
         let heartbeat: WorkerHeartbeat = wire::decode(&body).expect("a heartbeat");
         let controller = worker.controller;
-        let unreachable = worker.cut_until > now || worker.mute_until > now;
+        let unreachable = worker.partitioned_until > now || worker.heartbeats_lost_until > now;
         let request = self.new_request(RequestOrigin::Worker(machine.into()));
         if let Some(worker) = self.workers.get_mut(machine) {
             worker.flight = Some((request.0, now));
@@ -149,13 +149,13 @@
         let Some((_, sent)) = worker.flight.filter(|(waited, _)| *waited == request) else {
             return;
         };
-        let unreachable = worker.deaf_until > now || worker.cut_until > now;
+        let unreachable = worker.answers_lost_until > now || worker.partitioned_until > now;
         if now > sent + ANSWER_MS || unreachable {
             return;
         }
-        if worker.hung_until > now {
+        if worker.paused_until > now {
             // It reads the answer when it goes on.
-            let at = worker.hung_until;
+            let at = worker.paused_until;
             let machine = machine.into();
             let again = Event::HeartbeatAnswer {
                 machine,
