--- a/cells/tests/world/mod.rs
+++ b/cells/tests/world/mod.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Mistake {
     None,
-    /// A transfer is accepted whatever its number.
+    /// A transfer is accepted with any sequence number.
     AnyNumber,
     /// Commits are carried out though records have changed.
     NoConditions,
@@ -61,7 +61,7 @@
     }
 }
 
-/// One leader: what it has read, and what other cells last told it.
+/// One leader: what it has read, and the last message of each other cell.
 #[derive(Clone, Debug, Default)]
 struct Leader {
     view: Store,
@@ -183,8 +183,8 @@
         }
     }
 
-    /// Every link and store works, nobody wants to start anything, all tasks end: then nothing may
-    /// be in transit, and the limits are what the operators want.
+    /// Every link and store works, no task is to be started, all tasks end: then nothing may be in
+    /// transit, and the limits are what the operators want.
     pub(crate) fn settle(&mut self) {
         self.commits.clear();
         for store in &mut self.stores {
--- a/cells/tests/world/store.rs
+++ b/cells/tests/world/store.rs
@@ -25,7 +25,7 @@
     pub used: BTreeMap<Team, Amount>,
     /// What the operators want as limits of the teams at home here.
     pub wanted: BTreeMap<Team, Amount>,
-    /// The store answers nobody.
+    /// The store refuses all requests.
     pub outage: bool,
 }
 
--- a/fakes/src/checker/answers.rs
+++ b/fakes/src/checker/answers.rs
@@ -18,7 +18,7 @@
     Forgotten { job: JobId, answer: Said },
     /// The job is called cancelled while tasks of it run.
     StillRuns { job: JobId },
-    /// The job is called cancelled and nobody asked for it.
+    /// The job is called cancelled without a request for that.
     NotCancelled { job: JobId },
     /// The job is called done before all its tasks have finished.
     NotDone { job: JobId },
--- a/fakes/src/checker/dependencies.rs
+++ b/fakes/src/checker/dependencies.rs
@@ -52,7 +52,7 @@
         record.needs.iter().find(|id| !done(id)).cloned()
     }
 
-    /// When jobs were called cancelled whose own cancellation nobody asked for.
+    /// When jobs were called cancelled for which no cancellation was requested.
     pub fn cascading_cancellations(&self) -> impl Iterator<Item = u64> {
         let jobs = self.jobs.values().filter(|job| job.cancel_asked.is_none());
         jobs.filter_map(|job| job.notified.cancelled_at)
--- a/fakes/src/checker/mod.rs
+++ b/fakes/src/checker/mod.rs
@@ -4,7 +4,7 @@
 //! `told_early`, `not_done`, `orphaned`, `odd_accepted` and `unanswered` are about answers
 //! (`answers`); `ran_twice`, `wrong_place`, `too_early`, `quota`, `started_cancelled` and
 //! `ran_cancelled` about tasks (`tasks`); `nothing_ran`, `unfinished`, `starved` and
-//! `left_waiting` about whether everybody is served (`service`).
+//! `left_waiting` about service (`service`).
 
 mod answers;
 mod dependencies;
--- a/fakes/src/checker/service.rs
+++ b/fakes/src/checker/service.rs
@@ -1,5 +1,5 @@
-//! Rules on whether everybody is served: jobs end, no group is starved, and nobody waits beside
-//! room.
+//! Rules on service: jobs end, no group of jobs is starved, and no job waits for long while a machine
+//! has room for it.
 
 use super::{Checker, JobView};
 use salttrestle::controller::store::records::JobKind;
--- a/fakes/src/cloud.rs
+++ b/fakes/src/cloud.rs
@@ -78,7 +78,7 @@
     pub answers: BTreeMap<String, Vec<MachineId>>,
     /// Free machines by type, zone, and whether they are spot machines.
     pub capacity: BTreeMap<(String, String, bool), u32>,
-    /// It answers nobody.
+    /// It refuses all requests.
     pub outage: bool,
     /// By how much its list of machines lags.
     pub lag_ms: u64,
--- a/fakes/src/worker/task.rs
+++ b/fakes/src/worker/task.rs
@@ -60,7 +60,7 @@
         self.until <= now && !self.has_ended()
     }
 
-    /// Its status and, once it has ended, the cause, as heartbeats tell them.
+    /// Its status in a heartbeat and, once it has ended, the cause.
     pub(super) fn status(&self) -> (TaskStatus, Option<Cause>) {
         match self.state {
             TaskState::Fetching => (TaskStatus::Fetching, None),
--- a/standby/tests/world/controllers.rs
+++ b/standby/tests/world/controllers.rs
@@ -8,7 +8,7 @@
 
 /// Between two plans of a leader.
 const PLAN_MS: u64 = 500;
-/// Moments are told apart in attempts by this many milliseconds.
+/// Attempts of one token that are placed within this many milliseconds have different numbers.
 const ATTEMPT_MOMENTS: u64 = 100;
 
 /// What one leading process knows.
--- a/standby/tests/world/mod.rs
+++ b/standby/tests/world/mod.rs
@@ -31,7 +31,7 @@
     NoFence,
     /// A successor's successor knows nothing of the wait.
     FenceForgotten,
-    /// The cloud is called on a renewed lease, whatever the leader's record says by now.
+    /// The cloud is called on a renewed lease, without a recent read of the leader's record.
     CallsWithoutReading,
     /// A new owner places what it doesn't know to be placed, before its watch has caught up.
     OrdersBeforeCaughtUp,
--- a/standby/tests/world/records.rs
+++ b/standby/tests/world/records.rs
@@ -3,7 +3,7 @@
 use salttrestle_standby::fence::Fence;
 use salttrestle_standby::standby::Term;
 
-/// Attempts of one token are told apart by this many bits.
+/// The bits of an attempt that count the attempts under one token.
 const COUNT_BITS: u32 = 8;
 
 /// A record with the revision of its last change.
--- a/tests/sheltered_tasks.rs
+++ b/tests/sheltered_tasks.rs
@@ -41,8 +41,9 @@
     ]
 }
 
-fn reply(op: &StoreRequest, news: &[Change]) -> Option<StoreResponse> {
-    match op {
+/// What the store answers; `None` for a request that gets no answer.
+fn store_response(request: &StoreRequest, news: &[Change]) -> Option<StoreResponse> {
+    match request {
         StoreRequest::List { .. } => Some(StoreResponse::Page {
             entries: records(),
             last: None,
@@ -60,7 +61,7 @@
     }
 }
 
-/// A controller of zone a that knows the owner's record, and these news.
+/// A controller of zone a that has read the owner's record and then these changes.
 fn controller(now: &mut u64, news: &[Change]) -> Controller {
     let settings = Settings {
         platform: Platform::parse(PLATFORM, "test").expect("good"),
@@ -68,29 +69,27 @@
         cells: None,
     };
     let mut controller = Controller::new(settings, 1);
-    let mut replies: Vec<(CallId, StoreResponse)> = Vec::new();
+    let mut responses: Vec<(CallId, StoreResponse)> = Vec::new();
     for _ in 0..12 {
         *now += 50;
         let mut outputs = controller.step(Time(*now), Input::Tick);
-        for (call, reply) in std::mem::take(&mut replies) {
-            outputs.extend(controller.step(Time(*now), Input::Store(call, reply)));
+        for (call, response) in std::mem::take(&mut responses) {
+            outputs.extend(controller.step(Time(*now), Input::Store(call, response)));
         }
         for output in outputs {
-            if let Output::Store(call, op) = output
-                && let Some(reply) = reply(&op, news)
+            if let Output::Store(call, request) = output
+                && let Some(response) = store_response(&request, news)
             {
-                replies.push((call, reply));
+                responses.push((call, response));
             }
         }
     }
     controller
 }
 
-/// The body of the answer to a worker whose task runs.
-fn answer(news: &[Change]) -> String {
-    let mut now = 10_000_000;
-    let mut controller = controller(&mut now, news);
-    let report = WorkerHeartbeat {
+/// A heartbeat of a worker that runs a task of the owner's.
+fn heartbeat() -> WorkerHeartbeat {
+    WorkerHeartbeat {
         machine: "i-1".into(),
         endpoint: "127.0.0.1:9".into(),
         class: "g8".into(),
@@ -106,8 +105,14 @@
             status: TaskStatus::Running,
             cause: None,
         }],
-    };
-    let input = Input::Request(RequestId(1), Request::Heartbeat(report));
+    }
+}
+
+/// The body of the answer to that heartbeat.
+fn answer(news: &[Change]) -> String {
+    let mut now = 10_000_000;
+    let mut controller = controller(&mut now, news);
+    let input = Input::Request(RequestId(1), Request::Heartbeat(heartbeat()));
     let outputs = controller.step(Time(now), input);
     let answered = outputs.iter().find_map(|output| match output {
         Output::Answer(RequestId(1), reply) if reply.status == 200 => Some(reply.body.clone()),
@@ -116,8 +121,8 @@
     String::from_utf8_lossy(&answered.expect("an answer")).into_owned()
 }
 
-/// A job that the watch hasn't brought yet was taken for one that is over: its tasks, the last that
-/// the owner had started, were stopped, and started again by its successor.
+/// A job that the watch hasn't brought yet was once treated as over: its tasks, the last that the
+/// owner had started, were stopped, and started again by its successor.
 #[test]
 fn heartbeat_with_a_task_of_an_unknown_job_stops_nothing() {
     let body = answer(&[]);
--- a/tests/sim/cancellations.rs
+++ b/tests/sim/cancellations.rs
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Jobs with tasks on machines whose cancellation nobody has asked for.
+    /// Jobs with tasks on machines for which no cancellation was requested.
     fn running_jobs(&self, prefix: &str) -> Vec<JobId> {
         let running = self.checker.running.keys().map(|task| task.job.clone());
         let running: BTreeSet<JobId> = running.collect();
--- a/tests/sim/links.rs
+++ b/tests/sim/links.rs
@@ -1,4 +1,4 @@
-//! Links between controllers and what they talk to, and the partitions that cut them.
+//! Links of controllers to the store, the cloud, workers and peers, and their partitions.
 
 use super::event::{Event, Process};
 use super::world::World;
@@ -52,7 +52,7 @@
 }
 
 impl World {
-    /// Cuts a link until then.
+    /// Partitions a link until then.
     pub(super) fn partition(
         &mut self,
         controller: usize,
@@ -73,29 +73,33 @@
         self.at(until, Event::PartitionEnds(id));
     }
 
-    /// The partition that cuts a link, if there is one.
+    /// The partition of a link, if it is partitioned.
     pub(super) fn partition_of(&self, controller: usize, end: LinkEnd) -> Option<&Partition> {
         let mut partitions = self.partitions.iter();
-        partitions.find(|cut| cut.end == end && cut.controller == controller)
+        partitions.find(|partition| partition.end == end && partition.controller == controller)
     }
 
     /// Whether a worker and a controller can't reach each other.
     pub(super) fn worker_partitioned(&self, controller: usize, machine: &str) -> bool {
         let zone = self.workers.get(machine).map(|worker| &worker.zone);
         let partitions = self.partitions.iter();
-        let mut partitions =
-            partitions.filter(|cut| cut.end == LinkEnd::Workers && cut.controller == controller);
-        partitions.any(|cut| cut.zone.is_none() || cut.zone.as_ref() == zone)
+        let mut partitions = partitions.filter(|partition| {
+            partition.end == LinkEnd::Workers && partition.controller == controller
+        });
+        partitions.any(|partition| partition.zone.is_none() || partition.zone.as_ref() == zone)
     }
 
-    /// Sends over a link, unless it is cut: then the message is lost, or kept until the partition
+    /// Sends over a link. If that is partitioned, the message is lost, or kept until the partition
     /// is over.
     pub(super) fn cross(&mut self, controller: usize, end: LinkEnd, delay: u64, event: Event) {
         match self.partition_of(controller, end) {
             None => self.after(delay, event),
-            Some(cut) if cut.holds_messages => {
-                let partition = cut.id;
-                self.held.push(HeldMessage { partition, event });
+            Some(partition) if partition.holds_messages => {
+                let held = HeldMessage {
+                    partition: partition.id,
+                    event,
+                };
+                self.held.push(held);
             }
             Some(_) => {}
         }
@@ -103,7 +107,7 @@
 
     /// A partition is over: what it has kept arrives.
     pub(super) fn end_partition(&mut self, id: u64) {
-        self.partitions.retain(|cut| cut.id != id);
+        self.partitions.retain(|partition| partition.id != id);
         for message in std::mem::take(&mut self.held) {
             if message.partition == id {
                 self.after(5, message.event);
@@ -113,7 +117,7 @@
         }
     }
 
-    /// Tells a controller how its connection to a peer stands.
+    /// A controller learns the state of its connection to a peer.
     pub(super) fn set_link(&mut self, controller: usize, peer: usize, link: Link) {
         let input = Input::Link(self.controller_ids[peer].as_str().into(), link);
         let process = self.process(controller);
--- a/tests/sim/mod.rs
+++ b/tests/sim/mod.rs
@@ -1,5 +1,5 @@
 //! Real controllers in simulated time, with test doubles of the store, the cloud, workers and users
-//! around them. A checker judges every rule by what users are told and what machines run.
+//! around them. A checker judges every rule by what users are answered and what machines run.
 
 mod cancellations;
 mod checks;
--- a/tests/sim/scenario.rs
+++ b/tests/sim/scenario.rs
@@ -101,7 +101,7 @@
         Self::of_words(code.split_whitespace().map(String::from))
     }
 
-    /// The command of an `at` line, which stands behind its time.
+    /// The command of an `at` line: the words after its time.
     pub(crate) fn command(&self) -> Self {
         let words = self.arguments.words()[1..].iter().cloned();
         Self::of_words(words).expect("a command behind the time")
--- a/tests/sim/script.rs
+++ b/tests/sim/script.rs
@@ -74,14 +74,14 @@
                     self.kill(controller, down_ms);
                 }
             }
-            // It is told to shut down, hands over, and comes back.
+            // It shuts down gracefully, hands over, and starts again.
             "drain" => {
                 let controller = self.controller_named(arguments.word(0));
                 let down_ms = arguments.span_ms("down", DOWN_S);
                 self.hosts[controller].down_after_shutdown = Some(down_ms);
                 self.feed(controller, Input::Shutdown);
             }
-            // It ends, and comes back with settings that announce the limits to come.
+            // It ends, and starts again with settings that announce the limits to come.
             "upgrade" => {
                 let controller = self.controller_named(arguments.word(0));
                 self.hosts[controller].announces_limits = true;
--- a/tests/sim/users.rs
+++ b/tests/sim/users.rs
@@ -62,7 +62,7 @@
     /// After which pause a user tries again what can't be asked for yet.
     fn too_early(&self, job: &JobId, intent: Intent) -> Option<u64> {
         match intent {
-            // Nobody cancels what hasn't been accepted yet.
+            // Users cancel only jobs that are accepted.
             Intent::Cancel => {
                 let view = self.checker.jobs.get(job);
                 let accepted = view.is_none_or(|view| view.notified.accepted);
@@ -146,7 +146,7 @@
         self.user_goes_on(job, intent, answer, retry_after);
     }
 
-    /// Who is told to come back must be told when.
+    /// An answer that asks for a retry must say when.
     fn check_retry_after(&mut self, reply: &Reply) {
         if matches!(reply.status, 429 | 503) && reply.retry_after.is_none() {
             let what = format!("{} without Retry-After", reply.status);
