--- a/src/controller/api/mod.rs
+++ b/src/controller/api/mod.rs
@@ -68,7 +68,7 @@
     /// Submissions that name jobs of which it isn't known here that they were accepted.
     awaiting_dependencies: VecDeque<DependentSubmission>,
     /// Cancellations that are marked, and told once no task of their job is left; and questions
-    /// about jobs that are cancelled with one that they need, until their end is committed.
+    /// about jobs that are cancelled with one that they depend on, until their end is committed.
     leaving: VecDeque<StatusQuery>,
     /// The last call sent before the newest request came that isn't a mere question: a
     /// cancellation, or a submission that has to be looked up.
@@ -123,7 +123,7 @@
     }
 
     pub(crate) fn on_disconnect(&mut self, request_id: RequestId) {
-        self.context.forget_report(request_id);
+        self.context.forget_heartbeat(request_id);
         for h in self.shards.values_mut() {
             h.forget_request(request_id);
         }
@@ -133,22 +133,24 @@
     pub(crate) fn api_housekeeping(&mut self) {
         let (now, mut late) = (self.context.now, self.blocked_cancellations());
         let leave_s = self.context.settings.leave_s();
-        let f = &mut self.context.api;
-        f.leaving.retain(|q| !late.contains(&q.request_id));
+        let facts = &mut self.context.api;
+        facts
+            .leaving
+            .retain(|query| !late.contains(&query.request_id));
         for (queue, most_s) in [
-            (&mut f.status_queries, QUESTION_S),
-            (&mut f.unknown, QUESTION_S),
-            (&mut f.cancellations, QUESTION_S),
-            (&mut f.leaving, leave_s),
+            (&mut facts.status_queries, QUESTION_S),
+            (&mut facts.unknown, QUESTION_S),
+            (&mut facts.cancellations, QUESTION_S),
+            (&mut facts.leaving, leave_s),
         ] {
-            queue.retain(|q| {
-                let most_s = match q.intent {
+            queue.retain(|query| {
+                let most_s = match query.intent {
                     Intent::Poll => QUESTION_S.min(most_s),
                     _ => most_s,
                 };
-                let keep = now.since(q.asked) < most_s;
+                let keep = now.since(query.asked) < most_s;
                 if !keep {
-                    late.push(q.request_id);
+                    late.push(query.request_id);
                 }
                 keep
             });
@@ -160,8 +162,10 @@
             }
             keep
         };
-        f.submissions.retain(&mut in_time);
-        f.awaiting_dependencies.retain(|n| in_time(&n.submission));
+        facts.submissions.retain(&mut in_time);
+        facts
+            .awaiting_dependencies
+            .retain(|n| in_time(&n.submission));
         for request_id in late {
             self.context.answer(
                 request_id,
--- a/src/controller/autoscaling/demand.rs
+++ b/src/controller/autoscaling/demand.rs
@@ -1,7 +1,8 @@
 //! Counts of what waits and what runs, by pool.
 
-use crate::controller::autoscaling::{Pool, Zones};
+use crate::controller::autoscaling::Zones;
 use crate::controller::machines::inventory::{Binding, Machine};
+use crate::controller::pool::{Market, Pool};
 use crate::controller::scheduling::constraints::{within_limit, zone_allowed};
 use crate::controller::shard::ShardOwner;
 use crate::controller::store::records::{
@@ -23,7 +24,7 @@
 
 /// Pools of which at least half of the machines that boot are late or overdue. Work that may
 /// use others counts on these: an empty fleet whose smallest type didn't come up ran nothing,
-/// and rented and deleted that type's machines without end.
+/// and scaled out and deleted that type's machines without end.
 #[derive(Default)]
 struct SlowPools {
     /// Slow for urgent work: half are late.
@@ -33,7 +34,7 @@
     /// Late machines that aren't overdue yet.
     late: BTreeMap<Pool, u32>,
     /// Machines' worth of urgent work that counts on each pool. For these, as many others are
-    /// rented as are late, once each: late ones that come after all count again.
+    /// scaled out as are late, once each: late ones that come after all count again.
     urgent_waiting: BTreeMap<Pool, f64>,
 }
 
@@ -65,7 +66,7 @@
 }
 
 impl PoolCount {
-    /// Makes the count ask for machines in place of late ones, as many as urgent work waits
+    /// Makes the count ask for machines in place lately ones, as many as urgent work waits
     /// for beyond those that come in time. The room that is kept stays on the late ones: they
     /// may come, and count again then.
     fn replace_late(&mut self, late: u32, waiting: u32) {
@@ -103,24 +104,23 @@
         let lease_s = settings.platform.facts.workers.lease_s;
         let mut slow = self.slow_pools(catalog, settings.tuning.boot, now);
         let mut counts: BTreeMap<Pool, PoolCount> = BTreeMap::new();
-        for class in 0..catalog.len() {
-            for spot in [false, true] {
-                let keep = self.keep((class, spot), catalog, settings.tuning.headroom, now);
-                let count = PoolCount {
-                    keep,
-                    ..PoolCount::default()
-                };
-                counts.insert((class, spot), count);
-            }
+        for pool in all_pools(catalog) {
+            let keep = self.keep(pool, catalog, settings.tuning.headroom, now);
+            let count = PoolCount {
+                keep,
+                ..PoolCount::default()
+            };
+            counts.insert(pool, count);
         }
-        for m in self.machines.values() {
-            let quiet = now.since(m.last_heartbeat.max(self.since)) > lease_s;
-            let cut = self.cut || self.partitioned_zones.contains(&m.zone);
-            let silent = m.ready_since.is_some() && m.long_poll.is_none() && quiet && !cut;
+        for machine in self.machines.values() {
+            let quiet = now.since(machine.last_heartbeat.max(self.since)) > lease_s;
+            let cut = self.mass_partition || self.partitioned_zones.contains(&machine.zone);
+            let silent =
+                machine.ready_since.is_some() && machine.long_poll.is_none() && quiet && !cut;
             // An overdue machine is replaced. If it comes after all, it is used or returned.
             let overdue = settings.tuning.boot;
-            let silent = silent || self.boots_longer_than(overdue, catalog, m, now);
-            self.count_machine(catalog, m, silent, &mut counts);
+            let silent = silent || self.boots_longer_than(overdue, catalog, machine, now);
+            self.count_machine(catalog, machine, silent, &mut counts);
         }
         let mut team_left = HashMap::new();
         for id in &self.waiting {
@@ -157,10 +157,13 @@
     /// The pools whose machines come late.
     fn slow_pools(&self, catalog: &[MachineType], overdue: f64, now: Time) -> SlowPools {
         let mut booting: BTreeMap<Pool, BootingCount> = BTreeMap::new();
-        for (_, m) in self.machines.booting() {
-            let count = booting.entry((m.class, m.spot)).or_default();
-            let late = self.boots_longer_than(LATE_BOOTS, catalog, m, now);
-            let overdue = self.boots_longer_than(overdue, catalog, m, now);
+        for (_, machine) in self.machines.booting() {
+            let Some(pool) = machine.pool() else {
+                continue;
+            };
+            let count = booting.entry(pool).or_default();
+            let late = self.boots_longer_than(LATE_BOOTS, catalog, machine, now);
+            let overdue = self.boots_longer_than(overdue, catalog, machine, now);
             count.all += 1;
             count.late += u32::from(late && !overdue);
             count.overdue += u32::from(overdue);
@@ -184,9 +187,10 @@
     pub(crate) fn pins(&self, catalog: &[MachineType], closed: &[ExhaustedPool]) -> Zones {
         let mut pins = Zones::new();
         let mut ahead: BTreeMap<(Pool, &str), u32> = BTreeMap::new();
-        for m in self.machines.values() {
-            if m.tasks.is_empty() && m.decommission_at.is_none() && m.notice.is_none() {
-                *ahead.entry(((m.class, m.spot), &*m.zone)).or_default() += 1;
+        for machine in self.machines.values() {
+            let stays = machine.decommission_at.is_none() && machine.notice.is_none();
+            if let Some(pool) = machine.pool().filter(|_| machine.tasks.is_empty() && stays) {
+                *ahead.entry((pool, &*machine.zone)).or_default() += 1;
             }
         }
         let waiting = self.waiting.iter();
@@ -195,7 +199,7 @@
             let Some(pool) = pool_for(catalog, &job_state.record, closed) else {
                 continue;
             };
-            let class = &catalog[pool.0];
+            let class = &catalog[pool.machine_type];
             let zones = class.zones.iter().filter(|z| zone_allowed(job_state, z));
             let zones: Vec<&String> = zones.collect();
             if zones.is_empty() || zones.len() == class.zones.len() {
@@ -210,7 +214,8 @@
                 need -= taken;
             }
             let shut = |z: &str| {
-                let same = |c: &ExhaustedPool| c.0 == class.name && c.1 == z && c.2 == pool.1;
+                let same =
+                    |c: &ExhaustedPool| c.0 == class.name && c.1 == z && c.2 == pool.is_spot();
                 closed.iter().any(same)
             };
             if let Some(zone) = zones.iter().find(|z| !shut(z)).filter(|_| need > 0) {
@@ -223,29 +228,29 @@
     fn count_machine(
         &self,
         catalog: &[MachineType],
-        m: &Machine,
+        machine: &Machine,
         silent: bool,
         counts: &mut BTreeMap<Pool, PoolCount>,
     ) {
-        let leaving = silent || m.decommission_at.is_some() || m.notice.is_some();
-        let Some(class) = catalog.get(m.class).filter(|_| !leaving) else {
+        let leaving = silent || machine.decommission_at.is_some() || machine.notice.is_some();
+        let Some(pool) = machine.pool().filter(|_| !leaving) else {
             return;
         };
-        let Some(c) = counts.get_mut(&(m.class, m.spot)) else {
+        let (Some(class), Some(c)) = (pool.type_in(catalog), counts.get_mut(&pool)) else {
             return;
         };
         c.provisioned += 1;
-        if m.tasks.is_empty() {
+        if machine.tasks.is_empty() {
             return;
         }
         c.busy += 1;
-        c.running += m.used.share_of(class.resources);
-        let free = 1.0 - m.used.share_of(class.resources);
+        c.running += machine.used.share_of(class.resources);
+        let free = 1.0 - machine.used.share_of(class.resources);
         if free >= SPARE_SHARE {
             c.spare += free;
         }
         // Batch work that saves its progress makes room for urgent starts at hardly any cost.
-        for Binding { record, .. } in m.tasks.values() {
+        for Binding { record, .. } in machine.tasks.values() {
             let saves = record.kind == JobKind::Batch && record.checkpoint_s > 0.0;
             if saves && record.priority_class <= PriorityClass::Normal {
                 c.spare += record.need.share_of(class.resources);
@@ -297,7 +302,7 @@
 
 /// Counts a job's queued tasks. Where the cloud has nothing left they count on the next
 /// pool, but only those that the machines on their way there don't hold: counting them
-/// all rented a second fleet beside the first, when an empty one's first pool was full.
+/// all scaled out a second fleet beside the first, when an empty one's first pool was full.
 fn count_queued(
     catalog: &[MachineType],
     record: &JobRecord,
@@ -314,7 +319,7 @@
         let Some(c) = counts.get_mut(&pool).filter(|_| left > 0.0) else {
             continue;
         };
-        let per = per_machine(&catalog[pool.0], record.need);
+        let per = per_machine(&catalog[pool.machine_type], record.need);
         let late = slow.late.get(&pool).filter(|_| urgent);
         let empty = f64::from(c.provisioned - c.busy) - c.queued;
         let coming = empty - f64::from(late.copied().unwrap_or(0));
@@ -355,35 +360,48 @@
 ) -> Option<Pool> {
     let pools = pools_for(catalog, record);
     let open = |pool: &&Pool| {
-        let name = &catalog[pool.0].name;
-        let zones = &catalog[pool.0].zones;
+        let name = &catalog[pool.machine_type].name;
+        let zones = &catalog[pool.machine_type].zones;
         let mut zones = zones
             .iter()
             .filter(|z| record.zone.as_ref().is_none_or(|r| r == *z));
         zones.any(|z| {
             !closed
                 .iter()
-                .any(|c| c.0 == *name && c.1 == *z && c.2 == pool.1)
+                .any(|c| c.0 == *name && c.1 == *z && c.2 == pool.is_spot())
         })
     };
     let mut pools = pools.iter().filter(|pool| passes(pool));
     pools.find(open).copied()
 }
 
+/// Each pool that there is.
+fn all_pools(catalog: &[MachineType]) -> impl Iterator<Item = Pool> {
+    let types = 0..catalog.len();
+    types.flat_map(|machine_type| {
+        Market::ALL.map(|market| Pool {
+            machine_type,
+            market,
+        })
+    })
+}
+
 /// The pools that a task may use, in the order in which it counts on them.
 fn pools_for(catalog: &[MachineType], record: &JobRecord) -> Vec<Pool> {
     let mut pools: Vec<Pool> = Vec::new();
     for (class, info) in catalog.iter().enumerate() {
         if record.allows(&info.name) && info.resources.holds(record.need) {
-            pools.push((class, false));
+            pools.push(Pool::of(class, false));
             if record.spot {
-                pools.push((class, true));
+                pools.push(Pool::of(class, true));
             }
         }
     }
     pools.sort_by(|a, b| {
-        let size = |p: &Pool| catalog[p.0].resources.gpus + catalog[p.0].resources.cpus / 1e3;
-        b.1.cmp(&a.1).then(size(a).total_cmp(&size(b)))
+        let size = |p: &Pool| {
+            catalog[p.machine_type].resources.gpus + catalog[p.machine_type].resources.cpus / 1e3
+        };
+        b.market.cmp(&a.market).then(size(a).total_cmp(&size(b)))
     });
     pools
 }
--- a/src/controller/autoscaling/mod.rs
+++ b/src/controller/autoscaling/mod.rs
@@ -1,5 +1,5 @@
 //! How many machines there are. Each type is a pool, ordinary and spot apart. Each
-//! tick compares the larger of two counts, what waits and what runs, with what is
+//! reconcile turn compares the larger of two counts, what waits and what runs, with what is
 //! provisioned, booting machines included.
 //!
 //! [`demand`] counts, `tick` decides, `plan` writes the decision down, `scale_out_requests` carries
@@ -13,14 +13,12 @@
 
 use crate::controller::Controller;
 use crate::controller::context::Context;
+use crate::controller::pool::Pool;
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::ids::{CallId, MachineId};
 use crate::wire::{CloudOp, CloudReply, Listed};
 use std::collections::BTreeMap;
 
-/// A machine type's index in the catalog, and whether it is spot.
-pub(crate) type Pool = (usize, bool);
-
 /// Machines of a pool by zone.
 pub(crate) type Zones = BTreeMap<(Pool, String), u32>;
 
@@ -36,7 +34,7 @@
 }
 
 impl CloudPurpose {
-    /// Whether the call rents or deletes machines.
+    /// Whether the call scales out or deletes machines.
     pub(crate) fn changes(&self) -> bool {
         matches!(self, Self::Rent(_) | Self::Delete { .. })
     }
@@ -44,7 +42,7 @@
 
 /// Pause before a scale-out request without an answer is repeated.
 const REPEAT_S: f64 = 2.0;
-/// Counts are told to the leader this often, as a share of its tick.
+/// Counts are told to the leader this often, as a share of its reconcile turn.
 const COUNTS_SHARE: f64 = 0.2;
 
 impl Controller {
@@ -57,7 +55,7 @@
             self.send_counts();
             self.lease_housekeeping();
         }
-        if self.context.catalog.is_empty() {
+        if self.context.cloud.catalog.is_empty() {
             return;
         }
         let several = self.shards.values().any(|h| !h.whole);
@@ -73,12 +71,9 @@
     }
 
     pub(crate) fn on_cloud(&mut self, id: CallId, reply: CloudReply) {
-        let Some(purpose) = self.context.cloud_calls.remove(&id) else {
+        let Some(purpose) = self.context.cloud.on_response(id, &reply) else {
             return;
         };
-        if reply == CloudReply::Trouble {
-            self.context.cloud_rate_limit.drain();
-        }
         match purpose {
             CloudPurpose::Catalog => self.on_catalog(reply),
             CloudPurpose::Rent(name) => self.on_scaled_out(&name, reply),
@@ -95,10 +90,11 @@
         let CloudReply::Catalog(classes) = reply else {
             return;
         };
-        self.context.catalog = classes;
-        let catalog = &self.context.catalog;
+        self.context.cloud.catalog = classes;
+        let catalog = &self.context.cloud.catalog;
         for h in self.shards.values_mut() {
-            h.machines.edit_all(|m| m.resolve_machine_type(catalog));
+            h.machines
+                .edit_all(|machine| machine.resolve_machine_type(catalog));
             h.scheduling_wanted = true;
         }
     }
@@ -106,19 +102,14 @@
 
 impl Context {
     pub(crate) fn catalog_housekeeping(&mut self) {
-        if self.catalog.is_empty() && self.now >= self.catalog_retry {
-            self.catalog_retry = self.now.after(REPEAT_S);
+        if self.cloud.catalog.is_empty() && self.now >= self.cloud.catalog_retry {
+            self.cloud.catalog_retry = self.now.after(REPEAT_S);
             self.cloud_call(CloudOp::Catalog, CloudPurpose::Catalog, Priority::First);
         }
     }
 
     fn cloud_call(&mut self, op: CloudOp, purpose: CloudPurpose, priority: Priority) -> bool {
-        if !self.cloud_rate_limit.has(self.now, 1.0, priority) {
-            return false;
-        }
-        self.cloud_rate_limit.take(1.0);
-        let call = self.outbox.call_cloud(op);
-        self.cloud_calls.insert(call, purpose);
-        true
+        let outbox = &mut self.outbox;
+        self.cloud.send(self.now, outbox, op, purpose, priority)
     }
 }
--- a/src/controller/autoscaling/plan.rs
+++ b/src/controller/autoscaling/plan.rs
@@ -1,8 +1,8 @@
 //! The leader's plan: what it wants, and the scale-out requests under way, written before they are sent.
 
-use crate::controller::autoscaling::Pool;
 use crate::controller::autoscaling::scale_out::{ScaleOutRequest, ScaleOutStep};
 use crate::controller::context::Context;
+use crate::controller::pool::Pool;
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::store::records::{
     ExhaustedPool, Key, Record, ScaleOutRecord, ScalingPlanRecord, json_bytes,
@@ -15,17 +15,26 @@
 /// Share of the value limit that the plan may fill.
 const PLAN_SHARE: f64 = 0.9;
 
+/// How long a zone of a pool isn't asked again.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Exhausted {
+    /// When it may be asked again.
+    pub(crate) until: Time,
+    /// How often it has refused in a row.
+    pub(crate) refusals: u32,
+}
+
 #[derive(Debug, Default)]
 pub(crate) struct ScalingState {
-    /// Whether counts are rebuilt, so that renting may begin.
+    /// Whether counts are rebuilt, so that scaling out may begin.
     pub(crate) ready: Option<Time>,
     pub(crate) listed: bool,
     pub(crate) reconcile_at: Time,
     pub(crate) wanted: BTreeMap<Pool, VecDeque<(Time, u32)>>,
     pub(crate) scale_out_requests: Vec<ScaleOutRequest>,
     pub(crate) scale_out_count: u64,
-    /// Until when a pool's zone isn't asked again, and how often it refused.
-    pub(crate) exhausted: HashMap<(usize, String, bool), (Time, u32)>,
+    /// Zones of pools that had no capacity when they were last asked.
+    pub(crate) exhausted: HashMap<(Pool, String), Exhausted>,
     pub(crate) shares: Vec<(u32, u32)>,
     pub(crate) closed: Vec<ExhaustedPool>,
     /// Machines to return, for the next plan.
@@ -36,7 +45,7 @@
 
 impl Context {
     /// A new leader first repeats the scale-out requests that the plan speaks of, under their
-    /// names, and lists: it rents only once it knows what is there.
+    /// names, and lists: it scales out only once it knows what is there.
     pub(crate) fn rebuild_scaling_state(&mut self) {
         let now = self.now;
         let plan = self.store.mirror.plan.record.clone().unwrap_or_default();
@@ -68,15 +77,15 @@
         s.scale_out_requests.retain(|request| {
             request.step != ScaleOutStep::Answered || now.since(request.at) < kept_s
         });
-        let closed = s.closed(&self.catalog, now);
+        let closed = s.closed(&self.cloud.catalog, now);
         s.plan_changed |=
             s.scale_out_requests.len() != before || s.shares != shares || s.closed != closed;
         if s.plan_write_pending || !s.plan_changed {
             return;
         }
-        let wanted = s.wanted.iter().filter_map(|((class, spot), w)| {
-            let name = self.catalog.get(*class)?.name.clone();
-            Some((name, *spot, w.back()?.1))
+        let wanted = s.wanted.iter().filter_map(|(pool, w)| {
+            let name = pool.type_in(&self.cloud.catalog)?.name.clone();
+            Some((name, pool.is_spot(), w.back()?.1))
         });
         let mut plan = ScalingPlanRecord {
             token: leadership.token,
@@ -136,8 +145,8 @@
 }
 
 impl ScalingState {
-    /// The requests to rent and the machines to return that fit into so many bytes. With
-    /// many pools and zones a plan outgrew its value, and then nothing was rented. Requests
+    /// The requests to scale out and the machines to return that fit into so many bytes. With
+    /// many pools and zones a plan outgrew its value, and then nothing was scaled out. Requests
     /// that are answered go first: they only help a new leader before its list does; those
     /// that nobody has sent are planned again.
     fn fit(&mut self, bytes: usize) -> (Vec<ScaleOutRecord>, Vec<MachineId>) {
--- a/src/controller/autoscaling/scale_out.rs
+++ b/src/controller/autoscaling/scale_out.rs
@@ -1,10 +1,11 @@
 //! Scale-out requests: planned, written, sent, and repeated under their names until they are answered.
 
 use crate::controller::Controller;
-use crate::controller::autoscaling::plan::ScalingState;
-use crate::controller::autoscaling::{CloudPurpose, Pool, REPEAT_S, Zones};
+use crate::controller::autoscaling::plan::{Exhausted, ScalingState};
+use crate::controller::autoscaling::{CloudPurpose, REPEAT_S, Zones};
 use crate::controller::context::Context;
 use crate::controller::machines::inventory::Machine;
+use crate::controller::pool::Pool;
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::store::records::{ExhaustedPool, ScaleOutRecord};
 use crate::ids::{FencingToken, MachineId, Time};
@@ -18,7 +19,7 @@
 /// Most machines that one scale-out request may ask for.
 const SCALE_OUT_MAX: u32 = 50;
 
-/// A request to rent.
+/// A request to scale out.
 #[derive(Debug)]
 pub(crate) struct ScaleOutRequest {
     pub(crate) record: ScaleOutRecord,
@@ -54,30 +55,31 @@
         let record = record.record.clone();
         let class = self
             .context
+            .cloud
             .catalog
             .iter()
             .position(|c| c.name == record.class);
         let Some(class) = class else {
             return;
         };
-        let place = (class, record.zone.clone(), record.spot);
+        let place = (Pool::of(class, record.spot), record.zone.clone());
         match reply {
-            CloudReply::Rented(rigs) => {
+            CloudReply::Rented(machines) => {
                 info!(
                     "scaled out, type={} zone={} spot={} machines={} asked={}",
                     record.class,
                     record.zone,
                     record.spot,
-                    rigs.len(),
+                    machines.len(),
                     record.count
                 );
-                if (rigs.len() as u32) < record.count {
+                if (machines.len() as u32) < record.count {
                     leadership.scale.mark_exhausted(place, now);
                 } else {
                     leadership.scale.exhausted.remove(&place);
                 }
                 leadership.scale.step(name, ScaleOutStep::Answered, now);
-                self.add_machines(&record, rigs);
+                self.add_machines(&record, machines);
             }
             CloudReply::Refused => {
                 warn!(
@@ -98,25 +100,25 @@
     }
 
     /// New machines join the only shard at once, or a shard's list.
-    fn add_machines(&mut self, record: &ScaleOutRecord, rigs: Vec<MachineId>) {
+    fn add_machines(&mut self, record: &ScaleOutRecord, machines: Vec<MachineId>) {
         let now = self.context.now;
         let whole = self.shards.values_mut().find(|h| h.whole);
         if let Some(h) = whole {
-            for id in rigs {
-                if !h.machines.contains_key(&id) && !h.gone.contains_key(&id) {
-                    let m = Machine::new(
-                        &self.context.catalog,
+            for id in machines {
+                if !h.machines.contains_key(&id) && !h.deleted_machines.contains_key(&id) {
+                    let machine = Machine::new(
+                        &self.context.cloud.catalog,
                         &record.class,
                         &record.zone,
                         record.spot,
                         now,
                     );
-                    h.machines.insert(id, m);
+                    h.machines.insert(id, machine);
                 }
             }
             return;
         }
-        for id in rigs {
+        for id in machines {
             self.context.add_unassigned((
                 id,
                 record.class.clone(),
@@ -165,10 +167,10 @@
         term: FencingToken,
         now: Time,
     ) {
-        let info = &catalog[pool.0];
+        let info = &catalog[pool.machine_type];
         let mut zones: Vec<(u32, &String, u32)> = Vec::new();
         for zone in &info.zones {
-            if self.open(&pool, zone, now) {
+            if self.has_capacity(pool, zone, now) {
                 let have = there.get(&(pool, zone.clone())).copied().unwrap_or(0);
                 zones.push((have, zone, 0));
             }
@@ -194,7 +196,7 @@
                     name: format!("r-{}-{}", term.0, self.scale_out_count),
                     class: info.name.clone(),
                     zone: zone.clone(),
-                    spot: pool.1,
+                    spot: pool.is_spot(),
                     count: part,
                 };
                 self.scale_out_requests.push(ScaleOutRequest {
@@ -209,26 +211,31 @@
 
     /// What the cloud has nothing left of, for the plan.
     pub(crate) fn closed(&self, catalog: &[MachineType], now: Time) -> Vec<ExhaustedPool> {
-        let shut = self.exhausted.iter().filter(|(_, (until, _))| now < *until);
-        let shut = shut.filter_map(|((class, zone, spot), _)| {
-            Some((catalog.get(*class)?.name.clone(), zone.clone(), *spot))
+        let pools = self.exhausted.iter().filter(|(_, e)| now < e.until);
+        let pools = pools.filter_map(|((pool, zone), _)| {
+            let machine_type = pool.type_in(catalog)?;
+            Some((machine_type.name.clone(), zone.clone(), pool.is_spot()))
         });
-        let mut shut: Vec<ExhaustedPool> = shut.collect();
-        shut.sort();
-        shut
+        let mut pools: Vec<ExhaustedPool> = pools.collect();
+        pools.sort();
+        pools
     }
 
-    fn open(&self, pool: &Pool, zone: &str, now: Time) -> bool {
-        let key = (pool.0, zone.to_string(), pool.1);
-        self.exhausted
-            .get(&key)
-            .is_none_or(|(until, _)| now >= *until)
+    /// Whether a zone of a pool may be asked.
+    fn has_capacity(&self, pool: Pool, zone: &str, now: Time) -> bool {
+        let exhausted = self.exhausted.get(&(pool, zone.to_string()));
+        exhausted.is_none_or(|exhausted| now >= exhausted.until)
     }
 
-    fn mark_exhausted(&mut self, place: (usize, String, bool), now: Time) {
-        let entry = self.exhausted.entry(place).or_insert((now, 0));
-        let pause = (REFUSED_S * 2f64.powi(entry.1.min(6) as i32)).min(REFUSED_MAX_S);
-        *entry = (now.after(pause), entry.1 + 1);
+    fn mark_exhausted(&mut self, place: (Pool, String), now: Time) {
+        let known = self.exhausted.get(&place);
+        let refusals = known.map_or(0, |exhausted| exhausted.refusals);
+        let pause_s = (REFUSED_S * 2f64.powi(refusals.min(6) as i32)).min(REFUSED_MAX_S);
+        let exhausted = Exhausted {
+            until: now.after(pause_s),
+            refusals: refusals + 1,
+        };
+        self.exhausted.insert(place, exhausted);
     }
 
     fn step(&mut self, name: &str, step: ScaleOutStep, at: Time) {
--- a/src/controller/machines/heartbeats.rs
+++ b/src/controller/machines/heartbeats.rs
@@ -31,51 +31,51 @@
         context: &mut Context,
         request_id: RequestId,
         id: &MachineId,
-        report: WorkerHeartbeat,
+        heartbeat: WorkerHeartbeat,
     ) {
         let now = context.now;
-        self.heard = now;
+        self.last_worker_heartbeat = now;
         // Somebody newer gives commands. Its answers count, ours would be dropped.
-        if report.token > self.token.0 {
+        if heartbeat.token > self.token.0 {
             return context.redirect(request_id, id);
         }
-        if self.gone.contains_key(id) {
+        if self.deleted_machines.contains_key(id) {
             return context.answer(request_id, Reply::later(503, 5, "this machine is deleted"));
         }
-        self.adopt_unknown_machine(context, id, &report);
+        self.adopt_unknown_machine(context, id, &heartbeat);
         let token = self.token;
-        let proof = report.token == token.0;
+        let proof = heartbeat.token == token.0;
         let forwarded_by = context.forwarding.forwarder(request_id);
-        let taken = self.machines.edit(id, |m| {
-            m.forwarded_by = forwarded_by;
-            m.record_heartbeat(now, &report, proof)
+        let outcome = self.machines.edit(id, |machine| {
+            machine.forwarded_by = forwarded_by;
+            machine.record_heartbeat(now, &heartbeat, proof)
         });
-        let Some(taken) = taken else {
+        let Some(outcome) = outcome else {
             return;
         };
-        if !taken.fresh {
+        if !outcome.fresh {
             // A copy, or overtaken by a newer one: it is answered, since its worker
             // may still wait, but nothing in it is news.
             return context.answer(request_id, Reply::ok(200, commands_body(token, &[])));
         }
-        if taken.first {
+        if outcome.first {
             debug!(
                 "first heartbeat, machine={id} agent_epoch={} token={} tasks={}",
-                report.agent_epoch,
-                report.token,
-                report.tasks.len()
+                heartbeat.agent_epoch,
+                heartbeat.token,
+                heartbeat.tasks.len()
             );
-            self.apply_hinted_images(id, context.standby.hints(), &context.catalog);
+            self.apply_hinted_images(id, context.standby.hints(), &context.cloud.catalog);
         }
-        if taken.born {
+        if outcome.first_ever {
             self.scheduling_wanted = true;
-            self.record_boot(&context.catalog, id, now);
+            self.record_boot(&context.cloud.catalog, id, now);
         }
-        if let Some((old, until)) = taken.held {
+        if let Some((old, until)) = outcome.waiting {
             self.long_poll_deadlines.remove(&(until, id.clone()));
             context.answer(old, Reply::ok(200, commands_body(token, &[])));
         }
-        let listed = listed_tasks(&report);
+        let listed = listed_tasks(&heartbeat);
         self.update_tasks(context, id, &listed, proof);
         let commands = self.commands(context, id, &listed);
         if commands.is_empty() && self.start_long_poll(context, id, request_id) {
@@ -90,20 +90,24 @@
         &mut self,
         context: &Context,
         id: &MachineId,
-        report: &WorkerHeartbeat,
+        heartbeat: &WorkerHeartbeat,
     ) {
         let now = context.now;
-        let (class, zone, spot) = (&report.class, &report.zone, report.spot);
+        let (class, zone, spot) = (&heartbeat.class, &heartbeat.zone, heartbeat.spot);
         if self.machines.contains_key(id) {
             // It may be known by name only, or from before the catalog was.
-            if self.machines.get(id).is_some_and(|m| m.class == usize::MAX) {
+            if self
+                .machines
+                .get(id)
+                .is_some_and(|m| m.machine_type.is_none())
+            {
                 let set_machine_type =
-                    |m: &mut Machine| m.set_machine_type(&context.catalog, class, zone, spot);
+                    |m: &mut Machine| m.set_machine_type(&context.cloud.catalog, class, zone, spot);
                 self.machines.edit(id, set_machine_type);
             }
             return;
         }
-        let machine = Machine::new(&context.catalog, class, zone, spot, now);
+        let machine = Machine::new(&context.cloud.catalog, class, zone, spot, now);
         self.machines.insert(id.clone(), machine);
     }
 
@@ -115,23 +119,26 @@
         id: &MachineId,
         request_id: RequestId,
     ) -> bool {
-        let Some(m) = self.machines.get(id) else {
+        let Some(machine) = self.machines.get(id) else {
             return false;
         };
         // What ends meanwhile is heard of only when the worker is answered.
-        let ends = m.tasks.values().any(|s| s.record.kind == JobKind::Batch);
+        let ends = machine
+            .tasks
+            .values()
+            .any(|s| s.record.kind == JobKind::Batch);
         let poll_s = context.settings.hold_s(ends);
-        // A worker without our number yet gets it at once.
-        if poll_s <= 0.0 || !m.token_acknowledged {
+        // A worker without our token yet gets it at once.
+        if poll_s <= 0.0 || !machine.token_acknowledged {
             return false;
         }
-        let until = match m.is_full() {
+        let until = match machine.is_full() {
             // No start comes for it, and its lease counts from its last answered heartbeat.
             true => context.now.next_multiple(BATCH_MS),
             false => answer_at(context.now, poll_s),
         };
         self.machines
-            .touch(id, |m| m.long_poll = Some((request_id, until)));
+            .touch(id, |machine| machine.long_poll = Some((request_id, until)));
         self.long_poll_deadlines.insert((until, id.clone()));
         true
     }
@@ -145,7 +152,7 @@
         proof: bool,
     ) {
         for entry in listed {
-            self.update_task(context, id, &entry.task, entry.report);
+            self.update_task(context, id, &entry.task, entry.heartbeat);
         }
         if proof {
             self.remove_unlisted_tasks(context, id, listed);
@@ -161,25 +168,27 @@
     ) {
         let now = context.now;
         let ShardOwner { machines, jobs, .. } = self;
-        let Some(m) = machines.get(id) else {
+        let Some(machine) = machines.get(id) else {
             return;
         };
         let mut gone = Vec::new();
-        for task in m.tasks.keys() {
+        for task in machine.tasks.keys() {
             let job_state = jobs.get_mut(&task.job);
-            let Some(p) = job_state.and_then(|l| l.placed.get_mut(&task.index)) else {
+            let Some(placement) = job_state.and_then(|l| l.placed.get_mut(&task.index)) else {
                 continue;
             };
-            if listed.iter().any(|l| l.is(task, p.attempt)) {
+            if listed.iter().any(|l| l.is(task, placement.attempt)) {
                 continue;
             }
-            match p.phase {
+            match placement.phase {
                 Phase::Committing | Phase::Ready => {}
                 // The answer that carried the start was lost: its worker reported
                 // again, so it has dropped that answer for good. The same attempt
                 // was never there, so it can be sent once more.
-                Phase::Sent if p.stop_requested.is_none() && p.sends < SENDS_MAX => {
-                    p.phase = Phase::Ready
+                Phase::Sent
+                    if placement.stop_requested.is_none() && placement.sends < SENDS_MAX =>
+                {
+                    placement.phase = Phase::Ready
                 }
                 _ => gone.push(task.clone()),
             }
@@ -195,10 +204,10 @@
         let Some(job_state) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let Some(p) = job_state.placed.get_mut(&task.index) else {
+        let Some(placement) = job_state.placed.get_mut(&task.index) else {
             return;
         };
-        if p.machine != *id || p.attempt != t.attempt {
+        if placement.machine != *id || placement.attempt != t.attempt {
             return;
         }
         let phase = match t.status {
@@ -207,27 +216,27 @@
             TaskStatus::Flushing => Phase::Flushing,
             TaskStatus::Ended => return self.on_task_ended(context, id, task, t.cause),
         };
-        if p.phase == phase {
-            let runs_well = phase == Phase::Running && now.since(p.since) > RUNS_WELL_S;
-            if runs_well && !p.runs_well {
-                p.runs_well = true;
+        if placement.phase == phase {
+            let runs_well = phase == Phase::Running && now.since(placement.since) > RUNS_WELL_S;
+            if runs_well && !placement.runs_well {
+                placement.runs_well = true;
                 self.task_succeeded(now, id, task);
             }
             return;
         }
-        (p.phase, p.since) = (phase, now);
+        (placement.phase, placement.since) = (phase, now);
         if phase == Phase::Fetching {
             return;
         }
         let record = job_state.record.clone();
-        let catalog = &context.catalog;
-        self.machines.edit(id, |m| {
-            if let Some(bind) = m.tasks.get_mut(task) {
+        let catalog = &context.cloud.catalog;
+        self.machines.edit(id, |machine| {
+            if let Some(bind) = machine.tasks.get_mut(task) {
                 bind.image_cached = true;
             }
             if phase == Phase::Running {
-                let cache_gb = catalog.get(m.class).map_or(f64::MAX, |c| c.cache_gb);
-                m.use_image(&record.image, record.image_gb, cache_gb);
+                let cache_gb = machine.type_in(catalog).map_or(f64::MAX, |c| c.cache_gb);
+                machine.use_image(&record.image, record.image_gb, cache_gb);
             }
         });
     }
@@ -249,7 +258,8 @@
             Some(Cause::Error) => self.task_failed(context, id, task),
             Some(Cause::Full) => {
                 warn!("start refused, task={task} machine={id} reason=no resources left");
-                self.machines.edit(id, |m| m.full_until = now.after(FULL_S));
+                self.machines
+                    .edit(id, |machine| machine.full_until = now.after(FULL_S));
             }
             Some(Cause::Unknown) => {
                 // Its description isn't there yet, or never will be.
@@ -278,21 +288,21 @@
 /// A task that a heartbeat lists.
 pub(crate) struct ListedTask<'a> {
     pub(crate) task: TaskId,
-    pub(crate) report: &'a HeartbeatTask,
+    pub(crate) heartbeat: &'a HeartbeatTask,
 }
 
 impl ListedTask<'_> {
     fn is(&self, task: &TaskId, attempt: Attempt) -> bool {
-        self.report.attempt == attempt && self.task == *task
+        self.heartbeat.attempt == attempt && self.task == *task
     }
 }
 
 /// The tasks of a heartbeat whose names can be read.
-fn listed_tasks(report: &WorkerHeartbeat) -> Vec<ListedTask<'_>> {
-    let tasks = report.tasks.iter();
-    let listed = tasks.filter_map(|report| {
-        let task = TaskId::parse(&report.task)?;
-        Some(ListedTask { task, report })
+fn listed_tasks(heartbeat: &WorkerHeartbeat) -> Vec<ListedTask<'_>> {
+    let tasks = heartbeat.tasks.iter();
+    let listed = tasks.filter_map(|heartbeat| {
+        let task = TaskId::parse(&heartbeat.task)?;
+        Some(ListedTask { task, heartbeat })
     });
     listed.collect()
 }
@@ -306,70 +316,76 @@
 }
 
 /// What came of a heartbeat's head.
-struct Taken {
+struct HeartbeatOutcome {
     /// It is newer than any before it.
     fresh: bool,
     /// It is the first that this owner has of the machine.
     first: bool,
     /// It is the machine's first.
-    born: bool,
+    first_ever: bool,
     /// The older heartbeat that waited for its answer.
-    held: Option<(RequestId, Time)>,
+    waiting: Option<(RequestId, Time)>,
 }
 
 impl Machine {
     /// Takes in all of a heartbeat but its tasks. An answer follows in any case.
-    fn record_heartbeat(&mut self, now: Time, report: &WorkerHeartbeat, proof: bool) -> Taken {
-        let fresh = (report.agent_epoch, report.sequence) > (self.agent_epoch, self.sequence);
-        let born = fresh && self.ready_since.is_none();
+    fn record_heartbeat(
+        &mut self,
+        now: Time,
+        heartbeat: &WorkerHeartbeat,
+        proof: bool,
+    ) -> HeartbeatOutcome {
+        let fresh = (heartbeat.agent_epoch, heartbeat.sequence) > (self.agent_epoch, self.sequence);
+        let first_ever = fresh && self.ready_since.is_none();
         if !fresh {
             self.last_acknowledged = now;
-            return Taken {
+            return HeartbeatOutcome {
                 fresh,
                 first: false,
-                born,
-                held: None,
+                first_ever,
+                waiting: None,
             };
         }
         (self.agent_epoch, self.sequence, self.last_heartbeat) =
-            (report.agent_epoch, report.sequence, now);
+            (heartbeat.agent_epoch, heartbeat.sequence, now);
         let first = self.first_heartbeat.is_none();
         self.first_heartbeat.get_or_insert(now);
         self.token_acknowledged |= proof;
-        if born {
+        if first_ever {
             self.ready_since = Some(now);
             self.empty.get_or_insert(now);
             let boot = now.since(self.since);
             info!(
                 "machine ready, machine={} type={} zone={} boot_s={boot:.0}",
-                report.machine, self.type_name, self.zone
+                heartbeat.machine, self.type_name, self.zone
             );
         }
-        self.notice = report.notice_s.map(|s| now.after(s.0));
-        let held = self.long_poll.take();
-        if held.is_some() {
+        self.notice = heartbeat.notice_s.map(|s| now.after(s.0));
+        let waiting = self.long_poll.take();
+        if waiting.is_some() {
             self.last_acknowledged = now;
         }
-        Taken {
+        HeartbeatOutcome {
             fresh,
             first,
-            born,
-            held,
+            first_ever,
+            waiting,
         }
     }
 }
 
 impl ShardOwner {
-    /// A machine came up. One that was merely heard of late tells nothing of its boot.
+    /// A machine came up. One that was merely heard lately tells nothing of its boot.
     fn record_boot(&mut self, catalog: &[MachineType], id: &MachineId, now: Time) {
-        let Some(m) = self.machines.get(id) else {
+        let Some(machine) = self.machines.get(id) else {
             return;
         };
-        let (class, took_s) = (m.class, now.since(m.since));
-        if let Some(ready_s) = catalog.get(class).map(|c| c.ready_s)
+        let took_s = now.since(machine.since);
+        let ready_s = machine.type_in(catalog).map(|found| found.ready_s);
+        if let (Some(machine_type), Some(ready_s)) = (machine.machine_type, ready_s)
             && took_s > ready_s * LEAST_BOOT
         {
-            self.observe_boot_time(class, ready_s, took_s);
+            self.observe_boot_time(machine_type, ready_s, took_s);
         }
     }
 }
--- a/src/controller/machines/inventory.rs
+++ b/src/controller/machines/inventory.rs
@@ -6,6 +6,7 @@
 //! knows what its tasks mean for a placement. Every change goes through `edit`, which
 //! files the machine anew: there is no second place that could forget to.
 
+use crate::controller::pool::Pool;
 use crate::controller::store::records::{JobRecord, PriorityClass, Resources};
 use crate::ids::{ControllerId, Image, MachineId, RequestId, TaskId, Time};
 use crate::wire::MachineType;
@@ -14,7 +15,7 @@
 
 /// A task on a machine, as far as other placements there depend on it.
 #[derive(Clone, Debug)]
-pub struct Binding {
+pub(crate) struct Binding {
     pub record: Rc<JobRecord>,
     /// Its image is there.
     pub image_cached: bool,
@@ -22,26 +23,26 @@
 
 /// A machine of the shard.
 #[derive(Debug)]
-pub struct Machine {
-    /// Its type's place in the catalog; `usize::MAX` while that isn't known.
-    pub class: usize,
+pub(crate) struct Machine {
+    /// Its type's place in the catalog, if that is known.
+    pub machine_type: Option<usize>,
     pub type_name: Rc<str>,
     /// What its type has.
     pub resources: Resources,
     pub zone: Rc<str>,
     pub spot: bool,
-    /// When it was rented or first heard of.
+    /// When it was scaled out or first heard of.
     pub since: Time,
     /// When its first heartbeat came; `None` while it boots.
     pub ready_since: Option<Time>,
     pub agent_epoch: u64,
     pub sequence: u64,
-    /// A heartbeat showed that it has this shard's number.
+    /// A heartbeat showed that it has this shard's token.
     pub token_acknowledged: bool,
     pub last_heartbeat: Time,
     /// When this owner first had a heartbeat of it.
     pub first_heartbeat: Option<Time>,
-    /// The peer that handed on its latest heartbeat; `None` if it came here.
+    /// The peer that forwarded its latest heartbeat; `None` if it came here.
     pub forwarded_by: Option<ControllerId>,
     /// When this process last answered one of its heartbeats with 200.
     pub last_acknowledged: Time,
@@ -75,7 +76,7 @@
         now: Time,
     ) -> Self {
         let mut machine = Self {
-            class: usize::MAX,
+            machine_type: None,
             type_name: type_name.into(),
             resources: Resources::default(),
             zone: zone.into(),
@@ -107,9 +108,19 @@
 
     /// Looks its type up in the catalog.
     pub(crate) fn resolve_machine_type(&mut self, catalog: &[MachineType]) {
-        let class = catalog.iter().position(|c| *c.name == *self.type_name);
-        self.class = class.unwrap_or(usize::MAX);
-        self.resources = class.map_or(Resources::default(), |c| catalog[c].resources);
+        self.machine_type = catalog.iter().position(|c| *c.name == *self.type_name);
+        let found = self.type_in(catalog);
+        self.resources = found.map_or(Resources::default(), |found| found.resources);
+    }
+
+    /// Its type in the catalog.
+    pub(crate) fn type_in<'a>(&self, catalog: &'a [MachineType]) -> Option<&'a MachineType> {
+        catalog.get(self.machine_type?)
+    }
+
+    /// The pool that it is counted in.
+    pub(crate) fn pool(&self) -> Option<Pool> {
+        Some(Pool::of(self.machine_type?, self.spot))
     }
 
     /// What a machine that was known by name only is.
@@ -120,18 +131,18 @@
         zone: &str,
         spot: bool,
     ) {
-        if self.class == usize::MAX {
+        if self.machine_type.is_none() {
             (self.type_name, self.zone, self.spot) = (type_name.into(), zone.into(), spot);
             self.resolve_machine_type(catalog);
         }
     }
 
-    pub fn has_image(&self, image: &Image) -> bool {
+    pub(crate) fn has_image(&self, image: &Image) -> bool {
         self.images.iter().any(|(i, _)| i == image)
     }
 
     /// Notes that an image is used now; the cache drops the one unused for longest.
-    pub fn use_image(&mut self, image: &Image, gb: f64, cache_gb: f64) {
+    pub(crate) fn use_image(&mut self, image: &Image, gb: f64, cache_gb: f64) {
         self.images.retain(|(i, _)| i != image);
         self.images.push((image.clone(), gb));
         let mut total: f64 = self.images.iter().map(|(_, gb)| gb).sum();
@@ -185,29 +196,31 @@
         }
     }
 
-    /// Whether it can be given tasks, but for what passes by itself.
-    fn is_schedulable(&self) -> bool {
+    /// Its pool, if it can be given tasks, but for what passes by itself.
+    fn schedulable_pool(&self) -> Option<Pool> {
         let staying = self.decommission_at.is_none() && self.notice.is_none();
-        self.ready_since.is_some() && staying && self.agent_epoch > 0 && self.class != usize::MAX
+        let reports = self.ready_since.is_some() && self.agent_epoch > 0;
+        self.pool().filter(|_| staying && reports)
     }
 
     fn index_entry(&self) -> IndexEntry {
         IndexEntry {
-            schedulable: self.is_schedulable().then(|| self.capacity_bucket()),
+            schedulable: self
+                .schedulable_pool()
+                .map(|pool| self.capacity_bucket(pool)),
             leaving: self.decommission_at.is_some() || self.notice.is_some(),
             booting: self.ready_since.is_none() && self.decommission_at.is_none(),
         }
     }
 
-    fn capacity_bucket(&self) -> (CapacityBucket, u64, Option<PriorityClass>) {
+    fn capacity_bucket(&self, pool: Pool) -> (CapacityBucket, u64, Option<PriorityClass>) {
         let free = self.free();
         let step = |free: f64, all: f64| {
             let share = if all > 0.0 { free / all } else { 1.0 };
             (share * STEPS + EDGE).clamp(0.0, STEPS) as u8
         };
         let capacity_bucket = CapacityBucket {
-            class: self.class,
-            spot: self.spot,
+            pool,
             zone: self.zone.clone(),
             cpus: step(free.cpus, self.resources.cpus),
             gpus: step(free.gpus, self.resources.gpus),
@@ -229,8 +242,7 @@
 /// Machines of one type, zone and kind with about the same free room.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct CapacityBucket {
-    class: usize,
-    spot: bool,
+    pool: Pool,
     zone: Rc<str>,
     cpus: u8,
     gpus: u8,
@@ -264,32 +276,29 @@
 struct Index {
     buckets: BTreeMap<CapacityBucket, BTreeSet<MachineId>>,
     /// Open machines with tasks, by the lowest rank among these.
-    ranked: BTreeMap<(usize, bool, PriorityClass), BTreeSet<MachineId>>,
+    ranked: BTreeMap<(Pool, PriorityClass), BTreeSet<MachineId>>,
     /// Free parts of open machines, by type and kind.
-    free: BTreeMap<(usize, bool), u64>,
+    free: BTreeMap<Pool, u64>,
     leaving: BTreeSet<MachineId>,
     booting: BTreeSet<MachineId>,
 }
 
 impl Index {
-    fn update_entry(&mut self, id: &MachineId, m: &mut Machine) {
-        let new = m.index_entry();
-        if m.indexed.as_ref() == Some(&new) {
+    fn update_entry(&mut self, id: &MachineId, machine: &mut Machine) {
+        let new = machine.index_entry();
+        if machine.indexed.as_ref() == Some(&new) {
             return;
         }
-        self.remove_entry(id, m);
+        self.remove_entry(id, machine);
         self.add_entry(id, &new);
-        m.indexed = Some(new);
+        machine.indexed = Some(new);
     }
 
     fn add_entry(&mut self, id: &MachineId, new: &IndexEntry) {
         if let Some((capacity_bucket, free, lowest)) = &new.schedulable {
-            *self
-                .free
-                .entry((capacity_bucket.class, capacity_bucket.spot))
-                .or_default() += free;
+            *self.free.entry(capacity_bucket.pool).or_default() += free;
             if let Some(priority_class) = lowest {
-                let key = (capacity_bucket.class, capacity_bucket.spot, *priority_class);
+                let key = (capacity_bucket.pool, *priority_class);
                 self.ranked.entry(key).or_default().insert(id.clone());
             }
             let machines = self.buckets.entry(capacity_bucket.clone()).or_default();
@@ -303,19 +312,16 @@
         }
     }
 
-    fn remove_entry(&mut self, id: &MachineId, m: &mut Machine) {
-        let Some(old) = m.indexed.take() else {
+    fn remove_entry(&mut self, id: &MachineId, machine: &mut Machine) {
+        let Some(old) = machine.indexed.take() else {
             return;
         };
         if let Some((capacity_bucket, free, lowest)) = &old.schedulable {
-            *self
-                .free
-                .entry((capacity_bucket.class, capacity_bucket.spot))
-                .or_default() -= free;
+            *self.free.entry(capacity_bucket.pool).or_default() -= free;
             if let Some(priority_class) = lowest {
                 drop_from(
                     &mut self.ranked,
-                    &(capacity_bucket.class, capacity_bucket.spot, *priority_class),
+                    &(capacity_bucket.pool, *priority_class),
                     id,
                 );
             }
@@ -336,17 +342,17 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Inventory {
+pub(crate) struct Inventory {
     all: BTreeMap<MachineId, Machine>,
     index: Index,
 }
 
 impl Inventory {
-    pub fn get(&self, id: &MachineId) -> Option<&Machine> {
+    pub(crate) fn get(&self, id: &MachineId) -> Option<&Machine> {
         self.all.get(id)
     }
 
-    pub fn contains_key(&self, id: &MachineId) -> bool {
+    pub(crate) fn contains_key(&self, id: &MachineId) -> bool {
         self.all.contains_key(id)
     }
 
@@ -354,12 +360,12 @@
         self.all.len()
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (&MachineId, &Machine)> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (&MachineId, &Machine)> {
         self.all.iter()
     }
 
     /// The machines behind one of this name, in the order of their names.
-    pub fn iter_after(
+    pub(crate) fn iter_after(
         &self,
         id: Option<&MachineId>,
     ) -> impl Iterator<Item = (&MachineId, &Machine)> {
@@ -368,7 +374,7 @@
         self.all.range((from, Bound::Unbounded))
     }
 
-    pub fn values(&self) -> impl Iterator<Item = &Machine> {
+    pub(crate) fn values(&self) -> impl Iterator<Item = &Machine> {
         self.all.values()
     }
 
@@ -416,20 +422,16 @@
     pub(crate) fn roomy(
         &self,
         need: Resources,
-        fits: impl Fn(usize, bool, &Rc<str>) -> bool,
+        fits: impl Fn(Pool, &Rc<str>) -> bool,
     ) -> impl Iterator<Item = (&MachineId, &Machine)> {
         let wide = move |capacity_bucket: &CapacityBucket, ids: &BTreeSet<MachineId>| {
             // All machines of a shelf are of one type.
             let resources = ids
                 .first()
                 .and_then(|id| self.all.get(id))
-                .map(|m| m.resources);
+                .map(|machine| machine.resources);
             resources.is_some_and(|resources| capacity_bucket.may_hold(resources, need))
-                && fits(
-                    capacity_bucket.class,
-                    capacity_bucket.spot,
-                    &capacity_bucket.zone,
-                )
+                && fits(capacity_bucket.pool, &capacity_bucket.zone)
         };
         let buckets = self.index.buckets.iter();
         let buckets = buckets.filter(move |(capacity_bucket, ids)| wide(capacity_bucket, ids));
@@ -437,22 +439,21 @@
         ids.filter_map(|id| Some((id, self.all.get(id)?)))
     }
 
-    /// Open machines with tasks, of those types, kinds and lowest ranks that `fits` lets
+    /// Open machines with tasks, of those types, kinds and lowest priority classes that `fits` lets
     /// pass.
     pub(crate) fn ranked(
         &self,
-        fits: impl Fn(usize, bool, PriorityClass) -> bool,
+        fits: impl Fn(Pool, PriorityClass) -> bool,
     ) -> impl Iterator<Item = (&MachineId, &Machine)> {
         let sets = self.index.ranked.iter();
-        let sets = sets
-            .filter(move |((class, spot, priority_class), _)| fits(*class, *spot, *priority_class));
+        let sets = sets.filter(move |((pool, priority_class), _)| fits(*pool, *priority_class));
         let ids = sets.flat_map(|(_, ids)| ids);
         ids.filter_map(|id| Some((id, self.all.get(id)?)))
     }
 
     /// Machines' worth of free room on the open machines of a pool.
-    pub(crate) fn free(&self, class: usize, spot: bool) -> f64 {
-        let parts = self.index.free.get(&(class, spot));
+    pub(crate) fn free(&self, pool: Pool) -> f64 {
+        let parts = self.index.free.get(&pool);
         parts.copied().unwrap_or(0) as f64 / PARTS
     }
 
@@ -469,11 +470,11 @@
     }
 
     /// Recounts the indexes; says what is wrong with them.
-    pub fn audit(&self) -> Result<(), String> {
+    pub(crate) fn audit(&self) -> Result<(), String> {
         let mut again = Index::default();
-        for (id, m) in &self.all {
-            let indexed = m.index_entry();
-            if m.indexed.as_ref() != Some(&indexed) {
+        for (id, machine) in &self.all {
+            let indexed = machine.index_entry();
+            if machine.indexed.as_ref() != Some(&indexed) {
                 return Err(format!("machine {id} isn't filed as it is: {indexed:?}"));
             }
             again.add_entry(id, &indexed);
--- a/src/controller/machines/mod.rs
+++ b/src/controller/machines/mod.rs
@@ -1,9 +1,9 @@
 //! Heartbeats and their answers, and the proofs that a task is gone.
 //!
 //! A task may be placed again, and its quota and place are free, only when
-//! 1. a heartbeat that shows this shard's number, newer than any before it, lists the
+//! 1. a heartbeat that shows this shard's token, newer than any before it, lists the
 //!    attempt as ended or doesn't list it; or
-//! 2. the worker had shown this number, its lease must be over by now, counted from
+//! 2. the worker had acknowledged this token, its lease must be over by now, counted from
 //!    the last 200 this process sent it, the other controllers of its zone have said
 //!    since that they kept nobody alive for a lease, and the shard was then still
 //!    unchanged at the store; or
@@ -13,9 +13,9 @@
 //! are silent, hear nothing, or must go.
 
 pub(crate) mod commands;
-pub mod failures;
+pub(crate) mod failures;
 pub(crate) mod heartbeats;
-pub mod inventory;
+pub(crate) mod inventory;
 pub(crate) mod liveness;
 
 use crate::controller::context::Context;
@@ -74,17 +74,18 @@
         self.decommission_abandoned(context);
         self.delete_decommissioned(context);
         let now = context.now;
-        self.gone.retain(|_, at| now.since(*at) < GONE_S);
+        self.deleted_machines
+            .retain(|_, at| now.since(*at) < GONE_S);
     }
 
     /// Tells a task to stop, as soon as its machine can hear it.
     pub(crate) fn stop(&mut self, context: &mut Context, task: &TaskId) {
         let now = context.now;
-        let Some(p) = self.placement_mut(task) else {
+        let Some(placement) = self.placement_mut(task) else {
             return;
         };
-        p.stop_requested.get_or_insert(now);
-        let machine = p.machine.clone();
+        placement.stop_requested.get_or_insert(now);
+        let machine = placement.machine.clone();
         if self.was_never_sent(task) {
             self.remove_placement(now, task);
         } else {
@@ -98,10 +99,10 @@
     /// then, if others say so too.
     pub(crate) fn task_succeeded(&mut self, now: Time, id: &MachineId, task: &TaskId) {
         for faulty in self.failures.task_succeeded(&task.job, id) {
-            self.machines.edit(&faulty, |m| {
-                if m.decommission_at.is_none() {
+            self.machines.edit(&faulty, |machine| {
+                if machine.decommission_at.is_none() {
                     warn!("machine quarantined for good, machine={faulty} reason=its tasks succeed elsewhere");
-                    m.decommission_at = Some(now.after(DRAIN_S));
+                    machine.decommission_at = Some(now.after(DRAIN_S));
                 }
             });
         }
@@ -109,10 +110,10 @@
 
     /// Decides to delete a machine. Nothing is placed on it from now on.
     pub(crate) fn decommission(&mut self, now: Time, id: &MachineId, reason: DecommissionReason) {
-        self.machines.edit(id, |m| {
-            if m.decommission_at.is_none() {
+        self.machines.edit(id, |machine| {
+            if machine.decommission_at.is_none() {
                 info!("machine decommissioned, machine={id} reason={reason}");
-                m.decommission_at = Some(now);
+                machine.decommission_at = Some(now);
             }
         });
     }
--- a/src/controller/peers/heartbeats.rs
+++ b/src/controller/peers/heartbeats.rs
@@ -8,7 +8,7 @@
 use crate::ids::{ControllerId, MachineId, Time};
 use crate::peer::{Message, PeerHeartbeat};
 
-/// Peers say heartbeat every second; one that has missed two is taken to be down.
+/// Peers send heartbeats every second; one that has missed two is taken to be down.
 const HEARTBEAT_LOST_S: f64 = 2.2;
 /// Most overdue machines named in one message. With more of them silent, cancellations
 /// merely wait for their full time.
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Answers a peer that has just begun at once. It hands no heartbeat on to an owner that it
+    /// Answers a peer that has just begun at once. It forwards no heartbeat to an owner that it
     /// hasn't heard: after an outage of all controllers that kept heartbeats waiting for up to a
     /// second each time one came back, and their workers' leases ran out.
     fn greet(&mut self, peer: &ControllerId) {
@@ -74,11 +74,15 @@
     pub(crate) fn overdue(&self) -> Vec<MachineId> {
         let patience = self.context.settings.overdue_s();
         let held = self.shards.values();
-        let late = held.flat_map(|h| h.machines.iter().map(move |(id, m)| (h.since, id, m)));
-        let late = late.filter(|(since, _, m)| {
-            !m.tasks.is_empty()
-                && m.long_poll.is_none()
-                && self.context.now.since(m.last_heartbeat.max(*since)) > patience
+        let late = held.flat_map(|h| {
+            h.machines
+                .iter()
+                .map(move |(id, machine)| (h.since, id, machine))
+        });
+        let late = late.filter(|(since, _, machine)| {
+            !machine.tasks.is_empty()
+                && machine.long_poll.is_none()
+                && self.context.now.since(machine.last_heartbeat.max(*since)) > patience
         });
         late.map(|(_, id, _)| id.clone())
             .take(OVERDUE_MAX)
@@ -102,7 +106,11 @@
             heartbeat.incarnation,
             self.context.now,
         );
-        let before = self.context.peers.insert(from.clone(), (heartbeat, at));
+        let before = self
+            .context
+            .peers
+            .heartbeats
+            .insert(from.clone(), (heartbeat, at));
         if before.is_none_or(|(h, _)| h.incarnation != incarnation) {
             self.greet(&from);
         }
@@ -112,7 +120,7 @@
 impl Context {
     /// Which message of each peer came last, for `no_keepalive_by_peers` there.
     pub(crate) fn echoes(&self) -> Vec<(ControllerId, u64, u64)> {
-        let all = self.peers.values();
+        let all = self.peers.heartbeats.values();
         all.map(|(h, _)| (h.from.clone(), h.incarnation, h.at_ms))
             .collect()
     }
@@ -157,7 +165,7 @@
             let theirs = h.staleness_ms as f64 / 1000.0 + self.now.since(*at);
             theirs + STALENESS_BOUND_S < self.staleness_s()
         };
-        self.peers.values().any(|s| behind(&s))
+        self.peers.heartbeats.values().any(|s| behind(&s))
     }
 
     /// Whether workers can be sent to a peer: it runs and hasn't lost its workers. A
@@ -166,6 +174,7 @@
     pub(crate) fn reachable(&self, controller_id: &ControllerId) -> bool {
         let workers_unreachable = self
             .peers
+            .heartbeats
             .get(controller_id)
             .is_some_and(|(h, _)| h.workers_unreachable);
         !workers_unreachable && self.heartbeat_fresh(controller_id)
@@ -173,7 +182,7 @@
 
     /// Whether a peer was heard of so lately that it surely runs.
     pub(crate) fn heartbeat_fresh(&self, controller_id: &ControllerId) -> bool {
-        let heard = self.peers.get(controller_id).map(|(_, at)| *at);
+        let heard = self.peers.heartbeats.get(controller_id).map(|(_, at)| *at);
         heard.is_some_and(|at| self.now.since(at) < HEARTBEAT_LOST_S)
     }
 
@@ -190,7 +199,7 @@
 
     pub(crate) fn recent_heartbeats(&self) -> impl Iterator<Item = &PeerHeartbeat> {
         let recent = |at: &Time| self.now.since(*at) < RECENT_S;
-        let all = self.peers.values();
+        let all = self.peers.heartbeats.values();
         all.filter(move |(_, at)| recent(at)).map(|(h, _)| h)
     }
 }
--- a/src/controller/peers/links.rs
+++ b/src/controller/peers/links.rs
@@ -16,13 +16,13 @@
         }
         match link {
             Link::Up => {
-                self.forwarding.down.remove(&controller_id);
+                self.peers.links_down.remove(&controller_id);
             }
             Link::Lost => {
-                self.forwarding.down.entry(controller_id).or_insert(None);
+                self.peers.links_down.entry(controller_id).or_insert(None);
             }
             Link::Refused => {
-                let since = self.forwarding.down.entry(controller_id).or_insert(None);
+                let since = self.peers.links_down.entry(controller_id).or_insert(None);
                 since.get_or_insert(self.now);
             }
         }
@@ -30,18 +30,18 @@
 
     /// Whether messages reach a peer, as far as is known.
     pub(crate) fn linked(&self, controller_id: &ControllerId) -> bool {
-        self.heartbeat_fresh(controller_id) && !self.forwarding.down.contains_key(controller_id)
+        self.heartbeat_fresh(controller_id) && !self.peers.links_down.contains_key(controller_id)
     }
 
     /// Whether an owner runs, since its record stands, while it refuses connections
     /// from here: a filter between the controllers, which its workers may pass.
     pub(crate) fn refuses_connections(&self, owner: &ControllerId) -> bool {
         let patience = self.settings.tuning.leader_lease_s + TAKEOVER_S;
-        let refused = self.forwarding.down.get(owner).copied().flatten();
+        let refused = self.peers.links_down.get(owner).copied().flatten();
         !self.is_stale() && refused.is_some_and(|since| self.now.since(since) > patience)
     }
 
-    /// Whether this controller can hand heartbeats on: to itself, or to who leads.
+    /// Whether this controller can forward heartbeats: to itself, or to who leads.
     pub(crate) fn can_forward(&self) -> bool {
         let leader = self
             .store
@@ -80,13 +80,14 @@
         // One whose zone isn't known may be of any.
         let mut local = peers.filter(|s| s.site == zone || s.site.is_empty());
         local.all(|s| {
-            let Some((heartbeat, _)) = self.peers.get(&s.controller_id) else {
+            let Some((heartbeat, _)) = self.peers.heartbeats.get(&s.controller_id) else {
                 return false;
             };
             let me = &self.settings.platform.controller_id;
             let mut echoes = heartbeat.echoes.iter();
-            let echo =
-                echoes.find(|(m, incarnation, _)| m == me && *incarnation == self.incarnation);
+            let echo = echoes.find(|(machine, incarnation, _)| {
+                machine == me && *incarnation == self.incarnation
+            });
             let after = echo.is_some_and(|(_, _, at)| Time(*at) >= over);
             after && heartbeat.since_keepalive_ms as f64 / 1000.0 >= lease_s
         })
@@ -94,7 +95,7 @@
 
     /// Whether a peer is heard of, and hears workers.
     pub(crate) fn hears_workers(&self, controller_id: &ControllerId) -> bool {
-        let heartbeat = self.peers.get(controller_id).map(|(h, _)| h);
+        let heartbeat = self.peers.heartbeats.get(controller_id).map(|(h, _)| h);
         self.linked(controller_id) && heartbeat.is_some_and(|h| h.hears_workers)
     }
 
@@ -104,7 +105,7 @@
         local.peek().is_some() && local.all(|s| self.hears_workers(&s.controller_id))
     }
 
-    /// Whether a zone has a controller besides this one, which may shelter its workers.
+    /// Whether a zone has a controller besides this one, which may keep alive its workers.
     pub(crate) fn zone_has_peer(&self, zone: &str) -> bool {
         self.peers_in(zone).next().is_some()
     }
--- a/src/controller/shard/commits.rs
+++ b/src/controller/shard/commits.rs
@@ -14,7 +14,7 @@
 
 /// One chunk in a commit, with the placements that it makes good.
 #[derive(Debug)]
-pub struct PlacementWrite {
+pub(crate) struct PlacementWrite {
     pub job: JobId,
     pub chunk: u32,
     pub placed: Vec<(u32, Attempt)>,
@@ -22,7 +22,7 @@
 
 /// How soon a chunk is to be written; the smaller comes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum WriteUrgency {
+pub(crate) enum WriteUrgency {
     /// Placements of jobs of this rank wait for the commit, the highest rank first.
     Placements(std::cmp::Reverse<PriorityClass>),
     /// Results only: nothing starts later for them.
@@ -40,7 +40,7 @@
     ];
 
     /// The urgency of placements of a job of this rank.
-    pub const fn placements(priority_class: PriorityClass) -> Self {
+    pub(crate) const fn placements(priority_class: PriorityClass) -> Self {
         Self::Placements(std::cmp::Reverse(priority_class))
     }
 
@@ -65,7 +65,7 @@
 }
 
 /// Chunks to write, the most urgent first.
-pub type WriteQueue = BTreeSet<(WriteUrgency, JobId, u32)>;
+pub(crate) type WriteQueue = BTreeSet<(WriteUrgency, JobId, u32)>;
 
 /// Commits of chunks under way at once, and how many more there may be for urgent ones.
 const WRITES_IN_FLIGHT_MAX: usize = 4;
@@ -152,48 +152,26 @@
             );
         }
         let mut ready = BTreeSet::new();
-        let mut reread_placements = Vec::new();
+        let mut conflicts = Vec::new();
         for item in &items {
-            let now = context.now;
-            let Some(job_state) = self.jobs.get_mut(&item.job) else {
-                continue;
-            };
-            let chunk = job_state.chunks.entry(item.chunk).or_default();
-            chunk.busy = false;
             match &reply {
                 StoreResponse::Committed { revision } => {
-                    chunk.revision = *revision;
-                    // What came in meanwhile is still to be written.
-                    let queued = |u| {
-                        self.write_queue
-                            .contains(&(u, item.job.clone(), item.chunk))
-                    };
-                    chunk.unwritten = WriteUrgency::ALL.into_iter().any(queued);
-                    for machine in mark_committed(now, job_state, &item.placed) {
-                        ready.insert(machine);
-                    }
+                    ready.extend(self.on_chunk_written(context.now, item, *revision));
                 }
                 StoreResponse::Conflict { failed } => {
-                    let own = failed.contains(&Key::Run(item.job.clone(), item.chunk));
-                    let job = failed.contains(&Key::Job(item.job.clone()));
-                    if own {
-                        chunk.busy = true;
-                        reread_placements.push((item.job.clone(), item.chunk));
-                    } else if job {
-                        self.remove_uncommitted(now, item);
-                    } else {
-                        self.requeue_write(&item.job, item.chunk);
+                    if self.on_chunk_conflict(context.now, item, failed) {
+                        conflicts.push((item.job.clone(), item.chunk));
                     }
                 }
                 // Not executed, or perhaps: the same conditions make it happen once.
                 _ => self.requeue_write(&item.job, item.chunk),
             }
         }
-        let jobs: BTreeSet<JobId> = items.into_iter().map(|i| i.job).collect();
+        let jobs: BTreeSet<JobId> = items.into_iter().map(|item| item.job).collect();
         for job in &jobs {
             self.remove_unsent(context.now, job);
         }
-        for (job, chunk) in reread_placements {
+        for (job, chunk) in conflicts {
             self.reread_placements(context, job, chunk);
         }
         for machine in ready {
@@ -201,6 +179,45 @@
         }
     }
 
+    /// A chunk's record was written: its placements may be sent. Returns their machines.
+    fn on_chunk_written(
+        &mut self,
+        now: Time,
+        item: &PlacementWrite,
+        revision: u64,
+    ) -> Vec<MachineId> {
+        let Some(job_state) = self.jobs.get_mut(&item.job) else {
+            return Vec::new();
+        };
+        let chunk = job_state.chunks.entry(item.chunk).or_default();
+        chunk.busy = false;
+        chunk.revision = revision;
+        // What came in meanwhile is still to be written.
+        let entry = |urgency| (urgency, item.job.clone(), item.chunk);
+        let mut urgencies = WriteUrgency::ALL.into_iter();
+        chunk.unwritten = urgencies.any(|urgency| self.write_queue.contains(&entry(urgency)));
+        mark_committed(now, job_state, &item.placed)
+    }
+
+    /// A transaction failed by its preconditions. Whether this chunk's record is another than
+    /// expected, and has to be read.
+    fn on_chunk_conflict(&mut self, now: Time, item: &PlacementWrite, failed: &[Key]) -> bool {
+        let Some(job_state) = self.jobs.get_mut(&item.job) else {
+            return false;
+        };
+        let chunk_changed = failed.contains(&Key::Run(item.job.clone(), item.chunk));
+        job_state.chunks.entry(item.chunk).or_default().busy = chunk_changed;
+        if chunk_changed {
+            return true;
+        }
+        if failed.contains(&Key::Job(item.job.clone())) {
+            self.remove_uncommitted(now, item);
+        } else {
+            self.requeue_write(&item.job, item.chunk);
+        }
+        false
+    }
+
     /// Reads a chunk whose revision isn't the expected one: an earlier commit whose
     /// answer was lost stands after all.
     fn reread_placements(&mut self, context: &mut Context, job: JobId, chunk: u32) {
@@ -240,7 +257,11 @@
             let entry = job_state.chunks.entry(chunk).or_default();
             entry.revision = revision;
             entry.busy = false;
-            let placed: Vec<_> = run.placed.iter().map(|p| (p.0, p.1)).collect();
+            let placed: Vec<_> = run
+                .placed
+                .iter()
+                .map(|placement| (placement.0, placement.1))
+                .collect();
             ready = mark_committed(now, job_state, &placed);
         }
         self.remove_unsent(now, &job);
@@ -260,13 +281,13 @@
 ) -> Vec<MachineId> {
     let mut machines = Vec::new();
     for (index, attempt) in placed {
-        if let Some(p) = job_state.placed.get_mut(index)
-            && p.attempt == *attempt
-            && p.phase == Phase::Committing
+        if let Some(placement) = job_state.placed.get_mut(index)
+            && placement.attempt == *attempt
+            && placement.phase == Phase::Committing
         {
-            p.phase = Phase::Ready;
-            p.since = now;
-            machines.push(p.machine.clone());
+            placement.phase = Phase::Ready;
+            placement.since = now;
+            machines.push(placement.machine.clone());
         }
     }
     machines
@@ -281,9 +302,9 @@
             .clone()
             .filter(|index| job_state.done[*index as usize]);
         let placed = job_state.placed.range(tasks);
-        let placed = placed.map(|(index, p)| {
-            let zone = p.zone.to_string();
-            (*index, p.attempt, p.machine.clone(), zone)
+        let placed = placed.map(|(index, placement)| {
+            let zone = placement.zone.to_string();
+            (*index, placement.attempt, placement.machine.clone(), zone)
         });
         PlacementRecord {
             done: ranges(done),
@@ -316,7 +337,7 @@
 
     /// Turns to writing a job's chunks in parts that fit into values of so many bytes. What waits
     /// to be written of a chunk is written with its parts, results before they are cleared.
-    fn cut_into_parts(&mut self, job: &JobId, value_bytes: usize) {
+    fn split_into_parts(&mut self, job: &JobId, value_bytes: usize) {
         let Some(job_state) = self.jobs.get_mut(job) else {
             return;
         };
@@ -341,10 +362,9 @@
         let Some(job_state) = self.jobs.get(job) else {
             return;
         };
-        let was_never_sent = job_state
-            .placed
-            .iter()
-            .filter(|(_, p)| p.stop_requested.is_some() && p.phase == Phase::Ready);
+        let was_never_sent = job_state.placed.iter().filter(|(_, placement)| {
+            placement.stop_requested.is_some() && placement.phase == Phase::Ready
+        });
         let was_never_sent: Vec<u32> = was_never_sent.map(|(index, _)| *index).collect();
         for index in was_never_sent {
             let job = job.clone();
@@ -355,7 +375,9 @@
     /// The job changed under a commit, so its placements were never made.
     fn remove_uncommitted(&mut self, now: Time, item: &PlacementWrite) {
         for (index, attempt) in &item.placed {
-            let same = |p: &Placement| p.attempt == *attempt && p.phase == Phase::Committing;
+            let same = |placement: &Placement| {
+                placement.attempt == *attempt && placement.phase == Phase::Committing
+            };
             let job_state = self.jobs.get(&item.job);
             if job_state
                 .and_then(|l| l.placed.get(index))
@@ -390,15 +412,15 @@
 /// Builds the next transaction of chunks of one priority: urgent ones don't wait until there
 /// is budget for batch work as well.
 fn next_transaction(
-    h: &mut ShardOwner,
+    shard: &mut ShardOwner,
     limits: &TransactionLimits,
     priority: Priority,
 ) -> Option<(StoreRequest, Vec<PlacementWrite>)> {
     let ops = limits.ops;
-    let mut preconditions = vec![(Key::Shard(h.shard), h.shard_revision)];
+    let mut preconditions = vec![(Key::Shard(shard.shard), shard.shard_revision)];
     let (mut writes, mut items, mut bytes) = (Vec::new(), Vec::new(), 0);
     let same = |(urgency, ..): &&(WriteUrgency, JobId, u32)| urgency.priority() == priority;
-    let candidates = h.write_queue.iter().take_while(same).take(4 * ops);
+    let candidates = shard.write_queue.iter().take_while(same).take(4 * ops);
     let candidates: Vec<_> = candidates.cloned().collect();
     for entry in candidates {
         if writes.len() >= ops || bytes > TRANSACTION_BYTES {
@@ -406,30 +428,34 @@
         }
         // Cutting a job's chunk into parts takes its other chunks out of the queue as well. Written
         // whole after that, one said that it was a part, and its tasks were spoken of twice.
-        if !h.write_queue.contains(&entry) {
+        if !shard.write_queue.contains(&entry) {
             continue;
         }
         let (_, job, chunk) = &entry;
-        let Some(job_state) = h.jobs.get(job) else {
-            h.write_queue.remove(&entry);
+        let Some(job_state) = shard.jobs.get(job) else {
+            shard.write_queue.remove(&entry);
             continue;
         };
         if job_state.finishing || job_state.chunks.get(chunk).is_some_and(|c| c.busy) {
             continue;
         }
         let revision = job_state.chunks.get(chunk).map_or(0, |c| c.revision);
-        let record = h.placement_record(job, job_state, *chunk);
+        let record = shard.placement_record(job, job_state, *chunk);
         // Only chunks of jobs accepted under larger limits can have outgrown the present one.
         let old =
             job_state.layout.tasks_of(*chunk).len() > chunk_size(limits.strict_bytes) as usize;
         if old && json_bytes(&record) > limits.value_bytes {
-            h.cut_into_parts(job, limits.strict_bytes);
+            shard.split_into_parts(job, limits.strict_bytes);
             continue;
         }
         bytes += 60 * record.placed.len() + 12 * record.done.len();
         preconditions.push((Key::Job(job.clone()), job_state.revision));
         preconditions.push((Key::Run(job.clone(), *chunk), revision));
-        let placed = record.placed.iter().map(|p| (p.0, p.1)).collect();
+        let placed = record
+            .placed
+            .iter()
+            .map(|placement| (placement.0, placement.1))
+            .collect();
         writes.push(Write::put(
             Key::Run(job.clone(), *chunk),
             Record::Run(record),
@@ -441,9 +467,9 @@
         });
         // One commit carries all that is to be written of the chunk.
         for urgency in WriteUrgency::ALL {
-            h.write_queue.remove(&(urgency, job.clone(), *chunk));
+            shard.write_queue.remove(&(urgency, job.clone(), *chunk));
         }
-        if let Some(job_state) = h.jobs.get_mut(job) {
+        if let Some(job_state) = shard.jobs.get_mut(job) {
             job_state.chunks.entry(*chunk).or_default().busy = true;
         }
     }
--- a/src/controller/shard/job.rs
+++ b/src/controller/shard/job.rs
@@ -10,7 +10,7 @@
 
 /// How far a placement has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub(crate) enum Phase {
     /// Not yet known to be committed: never sent.
     Committing,
     /// Committed; its start goes with the next answer to its machine.
@@ -25,7 +25,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Placement {
+pub(crate) struct Placement {
     pub machine: MachineId,
     pub zone: Rc<str>,
     pub attempt: Attempt,
@@ -39,11 +39,27 @@
     pub runs_well: bool,
 }
 
+impl Placement {
+    /// A placement that is still to be committed.
+    pub(crate) fn new(machine: MachineId, zone: Rc<str>, attempt: Attempt, now: Time) -> Self {
+        Self {
+            machine,
+            zone,
+            attempt,
+            phase: Phase::Committing,
+            since: now,
+            stop_requested: None,
+            sends: 0,
+            runs_well: false,
+        }
+    }
+}
+
 /// A job of the shard.
 #[derive(Debug)]
-pub struct JobState {
+pub(crate) struct JobState {
     pub record: Rc<JobRecord>,
-    /// The rank that it was submitted with; `record` may have a higher one, of a job that needs it.
+    /// The rank that it was submitted with; `record` may have a higher one, of a job that depends on it.
     pub own_priority_class: PriorityClass,
     /// In which records its tasks are.
     pub layout: ChunkLayout,
@@ -52,7 +68,7 @@
     pub arrival: u64,
     pub since: Time,
     pub cancelled: Option<Time>,
-    /// Whether all jobs that it needs are known to be done. Until then nothing of it starts.
+    /// Whether all jobs that it depends on are known to be done. Until then nothing of it starts.
     pub released: bool,
     pub done: Vec<bool>,
     pub done_count: u32,
@@ -70,7 +86,7 @@
 
 /// What is written of a chunk.
 #[derive(Debug, Default)]
-pub struct Chunk {
+pub(crate) struct Chunk {
     pub revision: u64,
     pub busy: bool,
     /// Finished tasks that aren't written yet; their results aren't cleared.
@@ -100,7 +116,7 @@
         }
     }
 
-    /// Gives the job another rank than its own: the highest of those that need it. Whatever goes
+    /// Gives the job another rank than its own: the highest of those that depend on it. Whatever goes
     /// by rank goes by this one.
     pub(crate) fn set_priority_class(&mut self, priority_class: PriorityClass) {
         if priority_class != self.record.priority_class {
@@ -112,7 +128,7 @@
         }
     }
 
-    /// Whether its rank is that of a job that needs it.
+    /// Whether its rank is that of a job that depends on it.
     pub(crate) fn inherits_priority_class(&self) -> bool {
         self.record.priority_class > self.own_priority_class
     }
@@ -135,7 +151,7 @@
     /// How soon the present state of a chunk or part is to be written.
     pub(crate) fn write_urgency(&self, chunk: u32) -> WriteUrgency {
         let mut placed = self.placed.range(self.layout.tasks_of(chunk));
-        if placed.any(|(_, p)| p.phase == Phase::Committing) {
+        if placed.any(|(_, placement)| placement.phase == Phase::Committing) {
             WriteUrgency::placements(self.record.priority_class)
         } else {
             WriteUrgency::Results
@@ -144,7 +160,7 @@
 
     /// Whether one of its tasks has been started and may yet fail.
     pub(crate) fn trying(&self) -> bool {
-        self.placed.values().any(|p| !p.runs_well)
+        self.placed.values().any(|placement| !placement.runs_well)
     }
 
     /// How many tasks wait for a machine: none while the job waits for others.
--- a/src/controller/shards/assignment.rs
+++ b/src/controller/shards/assignment.rs
@@ -73,14 +73,14 @@
         let others = self.recent_heartbeats().filter(|h| h.is_fresh);
         let others = others.map(|h| (h.from.clone(), h.incarnation));
         let all = std::iter::once(me.clone()).chain(others);
-        let least = all.min_by_key(|(m, _)| load.get(m).copied().unwrap_or(0));
+        let least = all.min_by_key(|(machine, _)| load.get(machine).copied().unwrap_or(0));
         least.unwrap_or(me)
     }
 }
 
 impl Controller {
     /// Shards whose owner restarted or counts no more go to another controller,
-    /// under a higher number.
+    /// under a higher token.
     pub(crate) fn replace_owners(
         &self,
         records: &mut BTreeMap<u32, ShardRecord>,
--- a/src/controller/shards/counts.rs
+++ b/src/controller/shards/counts.rs
@@ -2,6 +2,7 @@
 
 use crate::controller::Controller;
 use crate::controller::context::Context;
+use crate::controller::pool::Pool;
 use crate::controller::shard::ShardOwner;
 use crate::controller::shards::machine_assignment::GONE_S;
 use crate::peer::{Message, ShardCounts, TeamCount};
@@ -10,7 +11,7 @@
 /// Longest list of empty or deleted machines in one message.
 pub(crate) const NAMES_MAX: usize = 100;
 
-/// Counts older than this are no longer believed, in ticks.
+/// Counts older than this are no longer believed, in reconcile turns.
 pub(crate) const STALE_TICKS: f64 = 3.0;
 
 impl Controller {
@@ -25,9 +26,11 @@
     pub(crate) fn on_shard_counts(&mut self, shard_counts: ShardCounts) {
         let now = self.now;
         if let Some(leadership) = &mut self.leadership {
-            leadership.gone.retain(|_, at| now.since(*at) < GONE_S);
             leadership
-                .gone
+                .deleted_machines
+                .retain(|_, at| now.since(*at) < GONE_S);
+            leadership
+                .deleted_machines
                 .extend(shard_counts.gone.iter().map(|id| (id.clone(), now)));
             leadership
                 .shard_counts
@@ -57,25 +60,33 @@
 
 impl ShardOwner {
     pub(crate) fn shard_counts(&self, context: &Context) -> ShardCounts {
-        let catalog = &context.catalog;
-        let closed = context.store.mirror.closed();
-        let named = |class: usize| catalog.get(class).map(|c| c.name.clone());
+        let catalog = &context.cloud.catalog;
+        let closed = context.store.mirror.exhausted_pools();
+        let named = |pool: Pool| pool.type_in(catalog).map(|found| found.name.clone());
         let pools = self
             .counts(catalog, &context.settings, closed, context.now)
             .into_iter();
-        let pools = pools.filter_map(|((class, spot), c)| Some((named(class)?, spot, c)));
+        let pools = pools.filter_map(|(pool, c)| Some((named(pool)?, pool.is_spot(), c)));
         let mut zones: BTreeMap<(String, bool, String), u32> = BTreeMap::new();
         let mut empty = Vec::new();
-        for (id, m) in self.machines.iter() {
-            let key = (m.type_name.to_string(), m.spot, m.zone.to_string());
+        for (id, machine) in self.machines.iter() {
+            let key = (
+                machine.type_name.to_string(),
+                machine.spot,
+                machine.zone.to_string(),
+            );
             *zones.entry(key).or_default() += 1;
-            if m.ready_since.is_some() && m.tasks.is_empty() && m.decommission_at.is_none() {
-                let name = m.type_name.to_string();
-                empty.push((m.images.len(), (name, m.spot, id.clone())));
+            if machine.ready_since.is_some()
+                && machine.tasks.is_empty()
+                && machine.decommission_at.is_none()
+            {
+                let name = machine.type_name.to_string();
+                empty.push((machine.images.len(), (name, machine.spot, id.clone())));
             }
         }
         let pins = self.pins(catalog, closed).into_iter();
-        let pins = pins.filter_map(|((pool, zone), n)| Some((named(pool.0)?, pool.1, zone, n)));
+        let pins =
+            pins.filter_map(|((pool, zone), n)| Some((named(pool)?, pool.is_spot(), zone, n)));
         // Those with the fewest images are missed least.
         empty.sort();
         let empty = empty.into_iter().map(|(_, e)| e).take(NAMES_MAX);
@@ -89,7 +100,13 @@
             zones: zones.collect(),
             pins: pins.collect(),
             empty: empty.collect(),
-            gone: self.gone.keys().rev().take(NAMES_MAX).cloned().collect(),
+            gone: self
+                .deleted_machines
+                .keys()
+                .rev()
+                .take(NAMES_MAX)
+                .cloned()
+                .collect(),
             teams: self.team_counts(),
         }
     }
@@ -112,7 +129,7 @@
 }
 
 impl ShardOwner {
-    /// Tells the leader what the shard in hand counts.
+    /// Tells the leader what the shard given counts.
     pub(crate) fn report_counts(&self, context: &mut Context) {
         let shard_counts = self.shard_counts(context);
         if context.leadership.is_some() {
--- a/src/controller/shards/splitting.rs
+++ b/src/controller/shards/splitting.rs
@@ -17,7 +17,7 @@
 
 impl Controller {
     /// Into how many shards a fleet is cut. Where it is measured how busy the owner is, that
-    /// decides, and only once it has said so for long: a cut costs more than a full processor for
+    /// decides, and only once it has said so for long: a partition costs more than a full processor for
     /// some seconds, and isn't undone.
     pub(crate) fn shards_needed(&mut self, machines: u32, shards: usize) -> usize {
         let now = self.context.now;
@@ -118,9 +118,9 @@
     /// The shard's machines as its record lists them.
     pub(crate) fn entries(&self) -> Vec<Entry> {
         let all = self.machines.iter();
-        let all = all.map(|(id, m)| {
-            let (class, zone) = (m.type_name.to_string(), m.zone.to_string());
-            (id.clone(), class, zone, m.spot)
+        let all = all.map(|(id, machine)| {
+            let (class, zone) = (machine.type_name.to_string(), machine.zone.to_string());
+            (id.clone(), class, zone, machine.spot)
         });
         all.collect()
     }
@@ -136,7 +136,7 @@
             .plan
             .record
             .as_ref()
-            .map(|p| p.shares.as_slice());
+            .map(|placement| placement.shares.as_slice());
         let shares = shares.unwrap_or(&[]);
         let total: u64 = shares.iter().map(|(_, n)| u64::from(*n)).sum();
         if total == 0 {
