--- a/src/net/connections.rs
+++ b/src/net/connections.rs
@@ -1,403 +1,280 @@
-//! Connections: how they are accepted, read, written, shed and closed.
+//! Connections, whichever protocol they carry: their sockets, the bytes that wait to be written,
+//! and the time at which something last came. The modules of the protocols own what the bytes mean.
 
-use crate::controller::events::{Input, Link};
-use crate::http::{Decoder, Side};
-use crate::ids::{CallId, ControllerId, RequestId, Time};
-use crate::net::Net;
-use crate::net::calls::Service;
-use crate::net::waiting::Ready;
-use crate::wire;
-use log::{debug, warn};
+use crate::ids::Time;
+use crate::net::clock::Clock;
+use crate::net::listeners::ListenerKind;
+use crate::net::waiting::{Ready, SocketPoller};
+use log::warn;
 use socket2::{Domain, Socket, Type};
-use std::collections::BTreeMap;
+use std::collections::HashMap;
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, SocketAddrV4, TcpStream};
+use std::time::Duration;
 
-/// Sockets kept for the store, the cloud, peers and listeners.
-const OUTGOING_SOCKETS: usize = 40;
-/// Share of the other sockets that workers may use: users and health checks get through
-/// however many machines there are. Users' connections give way to workers' below that.
-pub(super) const WORKER_SHARE: f64 = 0.75;
-/// Most bytes that wait to be written to one connection.
-const OUT_MAX: usize = 1 << 20;
-const CELL_OUT_MAX: usize = 2 * salttrestle_cells::message::MESSAGE_MAX;
-/// Quiet connections are closed after this time, or sooner when sockets are short.
-const IDLE_S: f64 = 90.0;
-/// Answers from the store have no size limit; a watch that brings more than
-/// this at once is given up, and the connection with it.
-pub(super) const ANSWER_MAX: usize = 8 << 20;
-/// A whole request has to come within this time.
-const REQUEST_S: f64 = 10.0;
-pub(super) const FIRST_CONN: usize = 3;
+/// Most bytes that wait to be written to one connection, unless its protocol needs more.
+pub(super) const UNSENT_MAX: usize = 1 << 20;
+/// The error of a connection that is being made. It has no `ErrorKind` that is stable.
+const EINPROGRESS: i32 = 115;
 
-/// Who connects to a listener.
+/// Names a connection; never used again for another one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub(super) struct ConnectionId(pub(super) usize);
+
+/// What a connection carries, and with it the module that owns it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Protocol {
+    /// HTTP requests to this process.
+    IncomingHttp,
+    /// HTTP requests of this process to the store or the cloud.
+    OutgoingHttp,
+    /// Messages from a peer.
+    FromPeer,
+    /// Messages to a peer.
+    ToPeer,
+    /// Messages from a controller of another cell.
+    FromCell,
+    /// Messages to a controller of another cell.
+    ToCell,
+}
+
+/// What becomes of a connection after an event on it.
+#[must_use]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Inbound {
-    UsersAndWorkers,
-    Peers,
-    Cells,
+pub(super) enum Outcome {
+    KeepOpen,
+    Close,
 }
 
-pub(super) enum Role {
-    Server {
-        decoder: Decoder,
-        /// The request being answered; no other is read meanwhile.
-        pending: Option<RequestId>,
-        close: bool,
-        worker: bool,
-    },
-    Client {
-        service: Service,
-        decoder: Decoder,
-        call: Option<CallId>,
-    },
-    PeerIn {
-        buf: Vec<u8>,
-    },
-    PeerOut {
-        to: ControllerId,
-        /// Whether the connection stands.
-        made: bool,
-    },
-    /// A controller of another cell tells how things stand there.
-    CellIn {
-        buf: Vec<u8>,
-    },
-    /// To a controller of another cell.
-    CellOut {
-        to: SocketAddrV4,
-    },
+/// What a connection gave when it was read.
+pub(super) enum ReadResult {
+    /// So many bytes.
+    Bytes(usize),
+    /// Nothing for now, or the connection is closed already.
+    Nothing,
+    /// The other side closed it, or it broke.
+    Ended,
 }
 
-pub(super) struct Conn {
-    pub(super) stream: TcpStream,
-    pub(super) role: Role,
-    pub(super) out: Vec<u8>,
-    /// Whether writability is waited for.
-    pub(super) writing: bool,
+/// How far a connection that this process began has come.
+pub(super) enum ConnectProgress {
+    Established,
+    Refused,
+    /// It failed for another reason.
+    Failed,
+    Pending,
+}
+
+struct Connection {
+    stream: TcpStream,
+    protocol: Protocol,
+    /// Bytes that wait to be written.
+    unsent: Vec<u8>,
+    unsent_max: usize,
+    /// Whether the poller watches for room to write.
+    is_write_watched: bool,
     /// When something last came or, for a new connection, when it was opened.
-    pub(super) active: Time,
-    /// The other side refused the connection.
-    pub(super) refused: bool,
+    last_active: Time,
 }
 
-impl Net {
-    pub(super) fn accept(&mut self, from: Inbound) {
-        loop {
-            let listener = match from {
-                Inbound::UsersAndWorkers => Some(&self.listener),
-                Inbound::Peers => Some(&self.peer_listener),
-                Inbound::Cells => self.cell_listener.as_ref(),
-            };
-            let Some(listener) = listener else {
-                return;
-            };
-            match listener.accept() {
-                Ok((stream, _)) => self.accepted(stream, from),
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return,
-                Err(e) => {
-                    warn!("can't accept: {e}");
-                    self.shed();
-                    return;
-                }
-            }
-        }
-    }
+/// All connections of this process, and the poller that watches them.
+pub(super) struct Connections {
+    poller: SocketPoller,
+    connections: HashMap<ConnectionId, Connection>,
+    next_key: usize,
+}
 
-    pub(super) fn accepted(&mut self, stream: TcpStream, from: Inbound) {
-        if self.inbound >= self.room() && !self.shed() {
-            return;
-        }
-        let role = match from {
-            Inbound::Peers => Role::PeerIn { buf: Vec::new() },
-            Inbound::Cells => Role::CellIn { buf: Vec::new() },
-            Inbound::UsersAndWorkers => Role::Server {
-                decoder: Decoder::new(Side::Request, wire::BODY_MAX),
-                pending: None,
-                close: false,
-                worker: false,
-            },
-        };
-        if stream.set_nonblocking(true).is_ok() && self.add(stream, role).is_some() {
-            self.inbound += 1;
+/// A connection that was taken out. Its socket closes when this is dropped.
+pub(super) struct ClosingConnection {
+    _stream: TcpStream,
+}
+
+impl Connections {
+    pub(super) fn new(poller: SocketPoller) -> Self {
+        Self {
+            poller,
+            connections: HashMap::new(),
+            next_key: ListenerKind::COUNT,
         }
     }
 
-    /// Sockets for those who connect.
-    pub(super) fn room(&self) -> usize {
-        let all = self.settings.platform.facts.resources.max_sockets;
-        let cells = self
-            .settings
-            .cells
-            .iter()
-            .flat_map(|file| file.cells.values());
-        let to_cells: usize = cells.map(BTreeMap::len).sum();
-        all.saturating_sub(OUTGOING_SOCKETS + to_cells).max(8)
+    /// Waits until a listener or a connection is ready, or the time is over.
+    pub(super) fn wait(&mut self, timeout: Duration) -> io::Result<&[Ready]> {
+        self.poller.wait(timeout)
     }
 
-    /// Closes the user connection that has been quiet for longest, to make room.
-    pub(super) fn shed(&mut self) -> bool {
-        let quiet = |c: &Conn| {
-            matches!(
-                &c.role,
-                Role::Server {
-                    pending: None,
-                    worker: false,
-                    ..
-                }
-            )
-        };
-        let candidates = self.conns.iter().filter(|(_, c)| quiet(c));
-        let oldest = candidates.min_by_key(|(_, c)| c.active).map(|(k, _)| *k);
-        match oldest {
-            Some(key) => {
-                self.close(key);
-                true
-            }
-            None => false,
-        }
+    /// How many connections there are.
+    pub(super) fn count(&self) -> usize {
+        self.connections.len()
     }
 
-    pub(super) fn add(&mut self, stream: TcpStream, role: Role) -> Option<usize> {
-        let key = self.next_key;
+    /// Takes a connection over; nothing if it can't be watched.
+    pub(super) fn add(
+        &mut self,
+        stream: TcpStream,
+        protocol: Protocol,
+        unsent_max: usize,
+        clock: Clock,
+    ) -> Option<ConnectionId> {
+        let id = ConnectionId(self.next_key);
         self.next_key += 1;
         let _ = stream.set_nodelay(true);
-        // `close` removes it before it is dropped.
-        if let Err(e) = self.waiting.add(&stream, key) {
-            warn!("can't watch a connection: {e}");
+        // `remove` ends the watch before the socket is dropped.
+        if let Err(error) = self.poller.add(&stream, id.0) {
+            warn!(
+                "connection can't be watched: connection={} reason={error}",
+                id.0
+            );
             return None;
         }
-        let conn = Conn {
+        let connection = Connection {
             stream,
-            role,
-            out: Vec::new(),
-            writing: false,
-            active: self.now(),
-            refused: false,
+            protocol,
+            unsent: Vec::new(),
+            unsent_max,
+            is_write_watched: false,
+            last_active: clock.now(),
         };
-        self.conns.insert(key, conn);
-        Some(key)
+        self.connections.insert(id, connection);
+        Some(id)
     }
 
-    pub(super) fn close(&mut self, key: usize) {
-        let Some(mut conn) = self.conns.remove(&key) else {
-            return;
-        };
-        let _ = self.waiting.remove(&conn.stream);
-        match &mut conn.role {
-            Role::Server {
-                pending, worker, ..
-            } => {
-                self.inbound -= 1;
-                self.workers -= usize::from(*worker);
-                if let Some(request_id) = pending.take() {
-                    self.requests.remove(&request_id);
-                    self.inputs.push_back(Input::Disconnect(request_id));
-                }
-            }
-            Role::PeerIn { .. } | Role::CellIn { .. } => self.inbound -= 1,
-            Role::CellOut { to } => {
-                self.cell_links.remove(to);
-            }
-            Role::Client {
-                service,
-                decoder,
-                call,
-            } => {
-                let (service, call) = (*service, *call);
-                *self.open.entry(service).or_default() -= 1;
-                self.idle.entry(service).or_default().retain(|k| *k != key);
-                if let Some(id) = call {
-                    match decoder.closed() {
-                        Some(message) => self.finish_call(id, Some(&message)),
-                        None => self.finish_call(id, None),
-                    }
-                }
-                self.start_queued(service);
-            }
-            Role::PeerOut { to, .. } => {
-                self.peers.remove(to);
-                let link = if conn.refused {
-                    Link::Refused
-                } else {
-                    Link::Lost
-                };
-                self.inputs.push_back(Input::Link(to.clone(), link));
-            }
-        }
+    /// Takes a connection out. Its socket closes once the caller drops what it gets.
+    pub(super) fn remove(&mut self, id: ConnectionId) -> Option<ClosingConnection> {
+        let connection = self.connections.remove(&id)?;
+        let _ = self.poller.remove(&connection.stream);
+        Some(ClosingConnection {
+            _stream: connection.stream,
+        })
+    }
+
+    /// What a connection carries; nothing if it is closed.
+    pub(super) fn protocol(&self, id: ConnectionId) -> Option<Protocol> {
+        Some(self.connections.get(&id)?.protocol)
+    }
+
+    /// When something last came on a connection.
+    pub(super) fn last_active(&self, id: ConnectionId) -> Option<Time> {
+        Some(self.connections.get(&id)?.last_active)
+    }
+
+    /// Whether bytes wait to be written.
+    pub(super) fn has_unsent(&self, id: ConnectionId) -> bool {
+        let connection = self.connections.get(&id);
+        connection.is_some_and(|connection| !connection.unsent.is_empty())
     }
 
-    pub(super) fn ready(&mut self, event: Ready, buf: &mut [u8]) {
-        let key = event.key;
-        if event.writable {
-            self.check_link(key);
-            if !self.flush(key) {
-                return self.close(key);
+    /// Whether a connection that this process began is made.
+    pub(super) fn connect_progress(&self, id: ConnectionId) -> ConnectProgress {
+        let Some(connection) = self.connections.get(&id) else {
+            return ConnectProgress::Pending;
+        };
+        match connection.stream.take_error() {
+            Ok(None) if connection.stream.peer_addr().is_ok() => ConnectProgress::Established,
+            Ok(Some(error)) if error.kind() == ErrorKind::ConnectionRefused => {
+                ConnectProgress::Refused
             }
-        }
-        if event.readable {
-            self.read(key, buf);
+            Ok(Some(_)) => ConnectProgress::Failed,
+            Ok(None) | Err(_) => ConnectProgress::Pending,
         }
     }
 
-    pub(super) fn read(&mut self, key: usize, buf: &mut [u8]) {
-        let now = self.now();
+    /// Reads what has come, as far as the buffer goes.
+    pub(super) fn read(&mut self, id: ConnectionId, buffer: &mut [u8], now: Time) -> ReadResult {
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return ReadResult::Nothing;
+        };
         loop {
-            let Some(conn) = self.conns.get_mut(&key) else {
-                return;
-            };
-            let n = match conn.stream.read(buf) {
-                Ok(0) => return self.close(key),
-                Ok(n) => n,
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return,
-                Err(e) if e.kind() == ErrorKind::Interrupted => continue,
-                Err(_) => return self.close(key),
-            };
-            conn.active = now;
-            let good = match &mut conn.role {
-                Role::Server { decoder, .. } | Role::Client { decoder, .. } => {
-                    decoder.feed(&buf[..n]);
-                    self.messages(key)
+            match connection.stream.read(buffer) {
+                Ok(0) => return ReadResult::Ended,
+                Ok(count) => {
+                    connection.last_active = now;
+                    return ReadResult::Bytes(count);
                 }
-                Role::PeerIn { buf: all } => {
-                    all.extend_from_slice(&buf[..n]);
-                    self.heartbeats(key)
-                }
-                Role::CellIn { buf: all } => {
-                    all.extend_from_slice(&buf[..n]);
-                    self.cell_messages(key)
-                }
-                // The other side only listens on these.
-                Role::PeerOut { .. } | Role::CellOut { .. } => true,
-            };
-            if !good {
-                return self.close(key);
-            }
-            if n < buf.len() {
-                return;
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return ReadResult::Nothing,
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(_) => return ReadResult::Ended,
             }
         }
     }
 
-    /// Sends bytes; false when the connection is broken or takes nothing.
-    pub(super) fn send(&mut self, key: usize, bytes: &[u8]) -> bool {
-        self.queue(key, bytes) && self.flush(key)
+    /// Sends bytes, at once as far as the socket takes them.
+    pub(super) fn send(&mut self, id: ConnectionId, bytes: &[u8]) -> Outcome {
+        match self.queue(id, bytes) {
+            Outcome::KeepOpen => self.flush(id),
+            Outcome::Close => Outcome::Close,
+        }
     }
 
-    /// Adds bytes to those that wait to be written; false when there is no room for them.
-    pub(super) fn queue(&mut self, key: usize, bytes: &[u8]) -> bool {
-        let Some(conn) = self.conns.get_mut(&key) else {
-            return false;
+    /// Adds bytes to those that wait to be written. A connection that has no room for them is to
+    /// be closed.
+    pub(super) fn queue(&mut self, id: ConnectionId, bytes: &[u8]) -> Outcome {
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return Outcome::Close;
         };
-        let most = match conn.role {
-            Role::PeerOut { .. } => self.settings.peer_out_bytes(),
-            Role::CellOut { .. } => CELL_OUT_MAX,
-            _ => OUT_MAX,
-        };
-        if conn.out.len() + bytes.len() > most {
-            return false;
+        if connection.unsent.len() + bytes.len() > connection.unsent_max {
+            return Outcome::Close;
         }
-        conn.out.extend_from_slice(bytes);
-        true
+        connection.unsent.extend_from_slice(bytes);
+        Outcome::KeepOpen
     }
 
-    pub(super) fn flush(&mut self, key: usize) -> bool {
-        let Some(conn) = self.conns.get_mut(&key) else {
-            return true;
+    /// Writes what waits, as far as the socket takes it, and watches for room for the rest.
+    pub(super) fn flush(&mut self, id: ConnectionId) -> Outcome {
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return Outcome::KeepOpen;
         };
-        let mut sent = 0;
-        while sent < conn.out.len() {
-            match conn.stream.write(&conn.out[sent..]) {
-                Ok(0) => return false,
-                Ok(n) => sent += n,
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                // A connection that isn't made yet can't be written to either.
-                Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected) => {
-                    break;
-                }
-                Err(_) => return false,
-            }
+        if connection.write_unsent().is_err() {
+            return Outcome::Close;
         }
-        conn.out.drain(..sent);
-        let writing = !conn.out.is_empty();
-        if writing != conn.writing {
-            conn.writing = writing;
-            let set = self.waiting.watch_writing(&conn.stream, key, writing);
-            if set.is_err() {
-                return false;
+        let must_watch = !connection.unsent.is_empty();
+        if must_watch != connection.is_write_watched {
+            connection.is_write_watched = must_watch;
+            let watched = self
+                .poller
+                .watch_writing(&connection.stream, id.0, must_watch);
+            if watched.is_err() {
+                return Outcome::Close;
             }
         }
-        let Some(conn) = self.conns.get(&key) else {
-            return true;
-        };
-        let closing = matches!(
-            &conn.role,
-            Role::Server {
-                pending: None,
-                close: true,
-                ..
-            }
-        );
-        !(closing && conn.out.is_empty())
+        Outcome::KeepOpen
     }
+}
 
-    /// Ends calls and connections whose time is over.
-    pub(super) fn sweep(&mut self, now: Time) {
-        while let Some((at, id)) = self.deadlines.first().copied() {
-            if at > now {
-                break;
-            }
-            self.deadlines.pop_first();
-            let conn = self.calls.get(&id).and_then(|c| c.conn);
-            debug!("call {} has no answer", id.0);
-            self.finish_call(id, None);
-            if let Some(key) = conn {
-                if let Some(Conn {
-                    role: Role::Client { call, .. },
-                    ..
-                }) = self.conns.get_mut(&key)
+impl Connection {
+    fn write_unsent(&mut self) -> io::Result<()> {
+        let mut sent = 0;
+        while sent < self.unsent.len() {
+            match self.stream.write(&self.unsent[sent..]) {
+                Ok(0) => return Err(ErrorKind::WriteZero.into()),
+                Ok(count) => sent += count,
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                // A connection that isn't made yet can't be written to either.
+                Err(error)
+                    if matches!(
+                        error.kind(),
+                        ErrorKind::WouldBlock | ErrorKind::NotConnected
+                    ) =>
                 {
-                    *call = None;
+                    break;
                 }
-                self.close(key);
+                Err(error) => return Err(error),
             }
         }
-        let over = |c: &Conn| match &c.role {
-            Role::Server {
-                pending: None,
-                decoder,
-                ..
-            } => {
-                let quiet = now.since(c.active);
-                quiet > IDLE_S || (decoder.midway() && quiet > REQUEST_S)
-            }
-            _ => false,
-        };
-        let old: Vec<usize> = self
-            .conns
-            .iter()
-            .filter(|(_, c)| over(c))
-            .map(|(k, _)| *k)
-            .collect();
-        for key in old {
-            self.close(key);
-        }
+        self.unsent.drain(..sent);
+        Ok(())
     }
 }
 
 /// Begins a connection without waiting for it.
-pub(super) fn open(to: SocketAddrV4) -> io::Result<TcpStream> {
+pub(super) fn begin_connect(address: SocketAddrV4) -> io::Result<TcpStream> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_nonblocking(true)?;
-    match socket.connect(&SocketAddr::V4(to).into()) {
+    match socket.connect(&SocketAddr::V4(address).into()) {
         Ok(()) => {}
-        Err(e) if e.kind() == ErrorKind::WouldBlock => {}
-        // EINPROGRESS has no kind of its own that is stable.
-        Err(e) if e.raw_os_error() == Some(EINPROGRESS) => {}
-        Err(e) => return Err(e),
+        Err(error) if error.kind() == ErrorKind::WouldBlock => {}
+        Err(error) if error.raw_os_error() == Some(EINPROGRESS) => {}
+        Err(error) => return Err(error),
     }
     Ok(socket.into())
 }
-
-pub(super) const EINPROGRESS: i32 = 115;
--- a/src/net/waiting.rs
+++ b/src/net/waiting.rs
@@ -14,17 +14,23 @@
 /// Most events taken in one wait; further ones come with the next.
 const EVENTS_MAX: usize = 256;
 
+/// The key of a notifier that `polling` watches for itself, and that isn't used here.
+#[cfg(target_os = "linux")]
+const NOTIFIER_KEY: usize = usize::MAX;
+
 /// What a socket is ready for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ready {
     /// The key under which the socket was added.
     pub key: usize,
+    /// Something can be read, or the other side closed it, or it failed.
     pub readable: bool,
+    /// There is room to write, or it failed.
     pub writable: bool,
 }
 
-/// The sockets that are watched, and the wait for them.
-pub struct Waiting {
+/// Watches sockets, and waits for them.
+pub struct SocketPoller {
     poller: Poller,
     ready: Vec<Ready>,
     #[cfg(target_os = "linux")]
@@ -33,7 +39,8 @@
     buffer: polling::Events,
 }
 
-impl Waiting {
+impl SocketPoller {
+    /// A poller that watches nothing yet.
     pub fn new() -> io::Result<Self> {
         Ok(Self {
             poller: Poller::new()?,
@@ -60,23 +67,24 @@
         self.poller.modify_with_mode(stream, event, PollMode::Level)
     }
 
+    /// Watches a connection no longer.
     pub fn remove(&self, stream: &TcpStream) -> io::Result<()> {
         self.poller.delete(stream)
     }
 
-    /// Waits until a socket is ready or the time is over, and tells which ones are.
-    pub fn wait(&mut self, most: Duration) -> io::Result<&[Ready]> {
+    /// Waits until a socket is ready or the time is over, and returns those that are ready.
+    pub fn wait(&mut self, timeout: Duration) -> io::Result<&[Ready]> {
         self.ready.clear();
-        self.fill(most)?;
+        self.fill(timeout)?;
         Ok(&self.ready)
     }
 
     #[cfg(target_os = "linux")]
-    fn fill(&mut self, most: Duration) -> io::Result<()> {
+    fn fill(&mut self, timeout: Duration) -> io::Result<()> {
         use rustix::event::epoll::{self, EventFlags};
         let timeout = rustix::event::Timespec {
-            tv_sec: most.as_secs() as i64,
-            tv_nsec: i64::from(most.subsec_nanos()),
+            tv_sec: timeout.as_secs() as i64,
+            tv_nsec: i64::from(timeout.subsec_nanos()),
         };
         self.buffer.clear();
         let spare = rustix::buffer::spare_capacity(&mut self.buffer);
@@ -85,8 +93,7 @@
         for event in &self.buffer {
             let flags = event.flags;
             let key = event.data.u64() as usize;
-            // `polling` watches a notifier of its own, which nobody uses here.
-            if key != usize::MAX {
+            if key != NOTIFIER_KEY {
                 self.ready.push(Ready {
                     key,
                     readable: flags.intersects(EventFlags::IN | EventFlags::PRI | failed),
@@ -98,9 +105,9 @@
     }
 
     #[cfg(not(target_os = "linux"))]
-    fn fill(&mut self, most: Duration) -> io::Result<()> {
+    fn fill(&mut self, timeout: Duration) -> io::Result<()> {
         self.buffer.clear();
-        self.poller.wait(&mut self.buffer, Some(most))?;
+        self.poller.wait(&mut self.buffer, Some(timeout))?;
         let events = self.buffer.iter();
         let ready = events.map(|event| Ready {
             key: event.key,
--- a/tests/waiting.rs
+++ b/tests/waiting.rs
@@ -1,6 +1,6 @@
 //! Waiting for sockets: the keys they were added under come back, and time passes.
 
-use salttrestle::net::waiting::{Ready, Waiting};
+use salttrestle::net::waiting::{Ready, SocketPoller};
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
@@ -11,7 +11,7 @@
 const LONG: Duration = Duration::from_secs(5);
 
 struct Pair {
-    waiting: Waiting,
+    waiting: SocketPoller,
     /// Kept, since it is watched.
     _listener: TcpListener,
     near: TcpStream,
@@ -20,7 +20,7 @@
 
 /// A connection whose near end is watched under `ACCEPTED`.
 fn pair() -> Pair {
-    let mut waiting = Waiting::new().expect("a poller");
+    let mut waiting = SocketPoller::new().expect("a poller");
     let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
     waiting.add(&listener, LISTENER).expect("watched");
     let address = listener.local_addr().expect("an address");
@@ -96,7 +96,7 @@
 /// Each watched socket has a place of its own in one answer.
 #[test]
 fn many_connections_are_told_at_once() {
-    let mut waiting = Waiting::new().expect("a poller");
+    let mut waiting = SocketPoller::new().expect("a poller");
     let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
     let address = listener.local_addr().expect("an address");
     let mut kept = Vec::new();
