--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -1,82 +1,146 @@
-//! Calls to the cloud and its answers.
+//! Requests to the cloud and its responses.
 
 use crate::controller::store::records::{Resources, ScaleOutRecord};
 use crate::ids::MachineId;
-use crate::wire::{Call, Num, decode, encode, get};
+use crate::wire::{Call, Num, decode, encode};
 use serde::{Deserialize, Serialize};
 
+/// Most machines that one page of the list holds.
+const LIST_LIMIT: usize = 500;
+/// The error of a pool that is exhausted.
+const NO_CAPACITY: &str = "no capacity";
+/// Least rate at which images are taken to be fetched, in GB a second: divisors aren't 0.
+const FETCH_GB_S_MIN: f64 = 1e-3;
+/// Shortest time until a new machine is ready, in seconds.
+const READY_S_MIN: f64 = 1.0;
+
+/// A request to the cloud.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudOp {
+    /// Which machine types there are.
     Catalog,
+    /// Rent machines; repeated under the same name until it is answered.
     Rent(ScaleOutRecord),
+    /// Give machines back.
     Delete(Vec<MachineId>),
-    List { after: Option<MachineId> },
+    /// A page of the rented machines.
+    List {
+        /// The last machine of the page before; nothing for the first page.
+        after: Option<MachineId>,
+    },
 }
 
+/// What the cloud answered.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudReply {
+    /// The machine types.
     Catalog(Vec<MachineType>),
+    /// The machines that a request rented.
     Rented(Vec<MachineId>),
     /// No capacity for this type, zone and kind.
     Refused,
+    /// The machines were given back.
     Deleted,
+    /// A page of the rented machines.
     Page {
+        /// The machines on it.
         machines: Vec<Listed>,
+        /// Whether there is another page.
         more: bool,
     },
     /// 429, an outage, or an answer that makes no sense: ask again later.
     Trouble,
+    /// No answer came in time.
     NoAnswer,
 }
 
 /// A machine type as the cloud describes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineType {
+    /// Its name.
     pub name: String,
+    /// What a machine of it has for tasks.
     pub resources: Resources,
+    /// Room for images, in GB.
     pub cache_gb: f64,
+    /// How fast images are fetched, in GB a second.
     pub fetch_gb_s: f64,
+    /// Price of a machine on demand.
     pub price: f64,
+    /// Price of a spot machine.
     pub spot_price: f64,
+    /// Usual time from the request until a machine is ready, in seconds.
     pub ready_s: f64,
+    /// Zones that have it.
     pub zones: Vec<String>,
 }
 
 #[derive(Deserialize)]
 struct CatalogBody {
-    builds: Vec<BuildBody>,
+    #[serde(rename = "builds")]
+    types: Vec<MachineTypeBody>,
 }
 
 #[derive(Deserialize)]
-struct BuildBody {
+struct MachineTypeBody {
     name: String,
-    cores: Num,
-    accelerators: Num,
+    #[serde(rename = "cores")]
+    cpus: Num,
+    #[serde(rename = "accelerators")]
+    gpus: Num,
     #[serde(rename = "memGb")]
     mem_gb: Num,
     #[serde(rename = "localGb")]
-    local_gb: Num,
+    cache_gb: Num,
     #[serde(rename = "fetchGbPerS")]
     fetch_gb_s: Num,
-    rate: Num,
+    #[serde(rename = "rate")]
+    price: Num,
     #[serde(rename = "lowPrice")]
-    low_price: Num,
+    spot_price: Num,
     #[serde(rename = "readyS")]
     ready_s: Num,
-    quarters: Vec<String>,
+    #[serde(rename = "quarters")]
+    zones: Vec<String>,
+}
+
+impl From<MachineTypeBody> for MachineType {
+    fn from(body: MachineTypeBody) -> Self {
+        Self {
+            name: body.name,
+            resources: Resources {
+                cpus: body.cpus.0,
+                gpus: body.gpus.0,
+                mem: body.mem_gb.0,
+            },
+            cache_gb: body.cache_gb.0,
+            fetch_gb_s: body.fetch_gb_s.0.max(FETCH_GB_S_MIN),
+            price: body.price.0,
+            spot_price: body.spot_price.0,
+            ready_s: body.ready_s.0.max(READY_S_MIN),
+            zones: body.zones,
+        }
+    }
 }
 
+/// A rented machine in the cloud's list.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Listed {
+    /// The machine.
     pub id: String,
+    /// Where its worker can be reached, once that is known.
     #[serde(default)]
     pub endpoint: Option<String>,
+    /// The machine's type.
     #[serde(rename = "build")]
     pub class: String,
+    /// The zone in which it stands.
     #[serde(rename = "quarter")]
     pub zone: String,
+    /// Whether the cloud may take it back.
     #[serde(rename = "borrowed")]
     pub spot: bool,
+    /// How far it has come.
     #[serde(rename = "stance")]
     pub status: MachineStatus,
     #[serde(rename = "ageS")]
@@ -84,120 +148,121 @@
 }
 
 impl Listed {
+    /// For how many seconds the machine has been rented.
     pub fn age_s(&self) -> f64 {
         self.age.0
     }
 }
 
+/// How far a rented machine has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineStatus {
+    /// It boots.
     Starting,
+    /// It runs.
     Running,
+    /// It won't run any more.
     Failed,
 }
 
 #[derive(Deserialize)]
-struct RigsBody {
-    rigs: Vec<MachineId>,
+struct RentedBody {
+    #[serde(rename = "rigs")]
+    machines: Vec<MachineId>,
 }
 
 #[derive(Deserialize)]
 struct ListBody {
-    rigs: Vec<Listed>,
+    #[serde(rename = "rigs")]
+    machines: Vec<Listed>,
     #[serde(rename = "hasNext", default)]
     has_next: bool,
 }
 
+#[derive(Deserialize)]
+struct ErrorBody {
+    error: String,
+}
+
 #[derive(Serialize)]
-struct RentalBody<'a> {
+struct RentBody<'a> {
     #[serde(rename = "hire")]
     name: &'a str,
-    build: &'a str,
-    quarter: &'a str,
-    borrowed: bool,
-    number: u32,
+    #[serde(rename = "build")]
+    class: &'a str,
+    #[serde(rename = "quarter")]
+    zone: &'a str,
+    #[serde(rename = "borrowed")]
+    spot: bool,
+    #[serde(rename = "number")]
+    count: u32,
+}
+
+impl<'a> From<&'a ScaleOutRecord> for RentBody<'a> {
+    fn from(record: &'a ScaleOutRecord) -> Self {
+        Self {
+            name: &record.name,
+            class: &record.class,
+            zone: &record.zone,
+            spot: record.spot,
+            count: record.count,
+        }
+    }
 }
 
 #[derive(Serialize)]
 struct DeleteBody<'a> {
-    rigs: &'a [MachineId],
+    #[serde(rename = "rigs")]
+    machines: &'a [MachineId],
 }
 
-/// Most machines that one page of the list holds.
-const LIST_LIMIT: usize = 500;
-
 impl CloudOp {
+    /// The request as it goes onto the wire.
     pub fn call(&self) -> Call {
-        let post = |path: &str, body| Call {
-            method: "POST",
-            path: path.into(),
-            body: Some(body),
-        };
         match self {
-            Self::Catalog => get("/catalog".into()),
-            Self::Rent(h) => post(
-                "/rentals",
-                encode(&RentalBody {
-                    name: &h.name,
-                    build: &h.class,
-                    quarter: &h.zone,
-                    borrowed: h.spot,
-                    number: h.count,
-                }),
-            ),
-            Self::Delete(rigs) => post("/rentals/delete", encode(&DeleteBody { rigs })),
-            Self::List { after } => get(match after {
-                Some(id) => format!("/rentals?after={id}&limit={LIST_LIMIT}"),
-                None => format!("/rentals?limit={LIST_LIMIT}"),
-            }),
+            Self::Catalog => Call::get("/catalog"),
+            Self::Rent(record) => Call::post("/rentals", encode(&RentBody::from(record))),
+            Self::Delete(machines) => {
+                Call::post("/rentals/delete", encode(&DeleteBody { machines }))
+            }
+            Self::List { after: Some(id) } => {
+                Call::get(format!("/rentals?after={id}&limit={LIST_LIMIT}"))
+            }
+            Self::List { after: None } => Call::get(format!("/rentals?limit={LIST_LIMIT}")),
         }
     }
 
     /// Makes sense of the answer to this request.
     pub fn reply(&self, status: u16, body: &[u8]) -> CloudReply {
-        let read = match (self, status) {
-            (Self::Catalog, 200) => decode::<CatalogBody>(body).map(catalog),
-            (Self::Rent(_), 200) => decode::<RigsBody>(body).map(|b| CloudReply::Rented(b.rigs)),
-            (Self::Rent(_), 503) if decode::<ErrorOwned>(body).is_some_and(|e| e.full()) => {
-                Some(CloudReply::Refused)
+        let reply = match (self, status) {
+            (Self::Catalog, 200) => read_catalog(body),
+            (Self::Rent(_), 200) => {
+                decode(body).map(|body: RentedBody| CloudReply::Rented(body.machines))
             }
+            (Self::Rent(_), 503) if is_out_of_capacity(body) => Some(CloudReply::Refused),
             (Self::Delete(_), 200) => Some(CloudReply::Deleted),
-            (Self::List { .. }, 200) => decode::<ListBody>(body).map(|b| CloudReply::Page {
-                machines: b.rigs,
-                more: b.has_next,
-            }),
+            (Self::List { .. }, 200) => read_page(body),
             _ => None,
         };
-        read.unwrap_or(CloudReply::Trouble)
+        reply.unwrap_or(CloudReply::Trouble)
     }
 }
 
-#[derive(Deserialize)]
-struct ErrorOwned {
-    error: String,
+fn read_catalog(body: &[u8]) -> Option<CloudReply> {
+    let body: CatalogBody = decode(body)?;
+    let types = body.types.into_iter().map(MachineType::from);
+    Some(CloudReply::Catalog(types.collect()))
 }
 
-impl ErrorOwned {
-    fn full(&self) -> bool {
-        self.error == "no capacity"
-    }
+fn read_page(body: &[u8]) -> Option<CloudReply> {
+    let body: ListBody = decode(body)?;
+    Some(CloudReply::Page {
+        machines: body.machines,
+        more: body.has_next,
+    })
 }
 
-fn catalog(body: CatalogBody) -> CloudReply {
-    let classes = body.builds.into_iter().map(|b| MachineType {
-        name: b.name,
-        resources: Resources {
-            cpus: b.cores.0,
-            gpus: b.accelerators.0,
-            mem: b.mem_gb.0,
-        },
-        cache_gb: b.local_gb.0,
-        fetch_gb_s: b.fetch_gb_s.0.max(1e-3),
-        price: b.rate.0,
-        spot_price: b.low_price.0,
-        ready_s: b.ready_s.0.max(1.0),
-        zones: b.quarters,
-    });
-    CloudReply::Catalog(classes.collect())
+fn is_out_of_capacity(body: &[u8]) -> bool {
+    decode(body).is_some_and(|body: ErrorBody| body.error == NO_CAPACITY)
 }
--- a/src/wire/state.rs
+++ b/src/wire/state.rs
@@ -1,24 +1,32 @@
-//! Calls to the store and its answers.
+//! Requests to the store and its responses.
 
 use crate::controller::store::records::{Key, LimitsByTeam, LimitsRecord, PREFIX, Record};
-use crate::wire::{Call, Num, decode, encode, get};
+use crate::wire::{Call, Num, decode, encode};
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
+/// One change that a transaction makes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Write {
+    /// Write a record.
     Put {
+        /// Where.
         key: Key,
+        /// What.
         record: Record,
+        /// The lease with which the record ends, if it ends with one.
         lease_id: Option<u64>,
     },
+    /// Delete a record.
     Delete {
+        /// Which.
         key: Key,
     },
 }
 
 impl Write {
+    /// Writes a record that ends with no lease.
     pub fn put(key: Key, record: Record) -> Self {
         Self::Put {
             key,
@@ -28,57 +36,89 @@
     }
 }
 
+/// A request to the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreRequest {
     /// Reads a key that never exists: the answer is the present revision.
     ReadRevision,
+    /// Reads one record.
     Get(Key),
+    /// Reads a page of all records.
     List {
+        /// The last path of the page before; empty for the first page.
         after: String,
     },
+    /// Makes all writes at once, if all preconditions hold.
     Transaction {
+        /// Records, and the revision that each must have; 0 for one that must not exist.
         preconditions: Vec<(Key, u64)>,
+        /// The changes.
         writes: Vec<Write>,
     },
+    /// Begins a lease.
     GrantLease {
+        /// Its life, in milliseconds.
         ttl_ms: u64,
     },
+    /// Renews a lease.
     RenewLease(u64),
-    /// Ends a lease now, and with it the keys that hang on it.
+    /// Ends a lease now, and with it the records that hang on it.
     RevokeLease(u64),
+    /// Waits for changes.
     Watch {
+        /// The revision after which changes are wanted.
         after: u64,
     },
 }
 
-/// One entry or change, with what could be read of it.
+/// One entry or change: its key, its revision, and the record unless it was deleted.
 pub type Change = (Key, u64, Option<Record>);
 
+/// What the store answered.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreResponse {
+    /// A record.
     Found {
+        /// The record.
         record: Record,
+        /// The revision at which it was written.
         revision: u64,
     },
+    /// There is no such record.
     Missing {
+        /// The present revision.
         revision: u64,
     },
+    /// A page of all records.
     Page {
+        /// The records on it that could be read.
         entries: Vec<Change>,
+        /// The path of the last one; nothing on an empty page.
         last: Option<String>,
+        /// Whether there is another page.
         more: bool,
+        /// The revision that the page shows.
         revision: u64,
     },
+    /// A transaction was made.
     Committed {
+        /// Its revision.
         revision: u64,
     },
+    /// A transaction wasn't made: preconditions don't hold.
     Conflict {
+        /// The records whose preconditions don't hold.
         failed: Vec<Key>,
     },
+    /// A lease began.
     LeaseGranted(u64),
+    /// A lease was renewed or revoked.
     LeaseRenewed,
+    /// Changes, possibly none.
     Changes {
+        /// The revision up to which these are all.
         revision: u64,
+        /// The changes that could be read.
         news: Vec<Change>,
     },
     /// 410: too old to follow from.
@@ -95,19 +135,22 @@
     Malformed,
 }
 
-/// How long the store lets a watch wait, and a page's size.
+/// How long the store lets a watch wait.
 pub const WATCH_MS: u64 = 10_000;
-const PAGE: usize = 500;
+/// Most records on one page.
+const PAGE_LIMIT: usize = 500;
+/// The error of a transaction that attaches a record to a lease which is over.
+const NO_LEASE: &str = "no such lease";
 
 #[derive(Serialize)]
-struct CommitBody {
+struct TransactionBody {
     #[serde(rename = "when")]
-    preconditions: Vec<WhenBody>,
+    preconditions: Vec<PreconditionBody>,
     writes: Vec<WriteBody>,
 }
 
 #[derive(Serialize)]
-struct WhenBody {
+struct PreconditionBody {
     path: String,
     #[serde(rename = "mark")]
     revision: u64,
@@ -117,18 +160,20 @@
 #[serde(untagged)]
 enum WriteBody {
     Put {
-        write: String,
+        #[serde(rename = "write")]
+        path: String,
         data: Value,
         #[serde(rename = "hold", skip_serializing_if = "Option::is_none")]
         lease_id: Option<u64>,
     },
     Delete {
-        delete: String,
+        #[serde(rename = "delete")]
+        path: String,
     },
 }
 
 #[derive(Serialize)]
-struct GrantBody {
+struct GrantLeaseBody {
     #[serde(rename = "ttlMs")]
     ttl_ms: u64,
 }
@@ -136,19 +181,19 @@
 /// A record as the store keeps it.
 pub fn record_value(record: &Record) -> Value {
     let value = match record {
-        Record::Leader(r) => Value::serialized(r),
-        Record::FencingToken(r) => Value::serialized(r),
-        Record::Plan(r) => Value::serialized(r),
-        Record::Shard(r) => Value::serialized(r),
+        Record::Leader(record) => Value::serialized(record),
+        Record::FencingToken(record) => Value::serialized(record),
+        Record::Plan(record) => Value::serialized(record),
+        Record::Shard(record) => Value::serialized(record),
         Record::Limits(LimitsRecord::Teams(teams)) => Value::serialized(&LimitsBody {
             teams: teams.clone(),
         }),
         Record::Limits(LimitsRecord::Unreadable(_)) => Ok(Value::Null),
-        Record::Cell(r) => Value::serialized(r),
-        Record::CellLink(r) => Value::serialized(r),
-        Record::Job(r) => Value::serialized(r),
-        Record::Run(r) => Value::serialized(r),
-        Record::End(r) => Value::serialized(r),
+        Record::Cell(record) => Value::serialized(record),
+        Record::CellLink(record) => Value::serialized(record),
+        Record::Job(record) => Value::serialized(record),
+        Record::Run(record) => Value::serialized(record),
+        Record::End(record) => Value::serialized(record),
     };
     value.unwrap_or(Value::Null)
 }
@@ -160,11 +205,17 @@
         Key::FencingToken => data.deserialized().ok().map(Record::FencingToken),
         Key::Plan => data.deserialized().ok().map(Record::Plan),
         Key::Shard(_) => data.deserialized().ok().map(Record::Shard),
-        Key::Cell => data.deserialized().ok().map(|r| Record::Cell(Box::new(r))),
+        Key::Cell => data
+            .deserialized()
+            .ok()
+            .map(|record| Record::Cell(Box::new(record))),
         Key::CellLink(_) => data.deserialized().ok().map(Record::CellLink),
-        // Operators write it: what can't be read has to be seen, and told.
+        // Operators write it: what can't be read has to show.
         Key::Limits => Some(Record::Limits(read_limits(&data))),
-        Key::Job(_) => data.deserialized().ok().map(|r| Record::Job(Box::new(r))),
+        Key::Job(_) => data
+            .deserialized()
+            .ok()
+            .map(|record| Record::Job(Box::new(record))),
         Key::Run(..) => data.deserialized().ok().map(Record::Run),
         Key::End(_) => data.deserialized().ok().map(Record::End),
     }
@@ -185,39 +236,34 @@
     match data.deserialized::<LimitsRead>() {
         Ok(body) => {
             let teams = body.teams.into_iter();
-            LimitsRecord::Teams(teams.map(|(team, (c, g))| (team, (c.0, g.0))).collect())
+            let teams = teams.map(|(team, (cpus, gpus))| (team, (cpus.0, gpus.0)));
+            LimitsRecord::Teams(teams.collect())
         }
-        Err(e) => LimitsRecord::Unreadable(e.to_string()),
+        Err(error) => LimitsRecord::Unreadable(error.to_string()),
     }
 }
 
 impl StoreRequest {
+    /// The request as it goes onto the wire.
     pub fn call(&self) -> Call {
-        let post = |path: String, body| Call {
-            method: "POST",
-            path,
-            body: Some(body),
-        };
         match self {
-            Self::ReadRevision => get(format!("/keys/{PREFIX}none")),
-            Self::Get(key) => get(format!("/keys/{key}")),
-            Self::List { after } => {
-                get(format!("/keys?prefix={PREFIX}&after={after}&limit={PAGE}"))
-            }
+            Self::ReadRevision => Call::get(format!("/keys/{PREFIX}none")),
+            Self::Get(key) => Call::get(format!("/keys/{key}")),
+            Self::List { after } => Call::get(format!(
+                "/keys?prefix={PREFIX}&after={after}&limit={PAGE_LIMIT}"
+            )),
             Self::Transaction {
                 preconditions,
                 writes,
-            } => post("/commit".into(), commit_body(preconditions, writes)),
+            } => Call::post("/commit", transaction_body(preconditions, writes)),
             Self::GrantLease { ttl_ms } => {
-                post("/grants".into(), encode(&GrantBody { ttl_ms: *ttl_ms }))
+                Call::post("/grants", encode(&GrantLeaseBody { ttl_ms: *ttl_ms }))
             }
-            Self::RenewLease(lease_id) => post(format!("/grants/{lease_id}/extend"), Vec::new()),
-            Self::RevokeLease(lease_id) => Call {
-                method: "DELETE",
-                path: format!("/grants/{lease_id}"),
-                body: None,
-            },
-            Self::Watch { after } => get(format!(
+            Self::RenewLease(lease_id) => {
+                Call::post(format!("/grants/{lease_id}/extend"), Vec::new())
+            }
+            Self::RevokeLease(lease_id) => Call::delete(format!("/grants/{lease_id}")),
+            Self::Watch { after } => Call::get(format!(
                 "/follow?prefix={PREFIX}&after={after}&blockMs={WATCH_MS}"
             )),
         }
@@ -228,82 +274,68 @@
         if status == 429 || status == 503 {
             return StoreResponse::Refused;
         }
-        let read = match (self, status) {
+        let response = match (self, status) {
             (Self::ReadRevision | Self::Get(_), 404) => {
-                decode::<RevisionBody>(body).map(|b| StoreResponse::Missing {
-                    revision: b.revision,
+                decode(body).map(|body: RevisionBody| StoreResponse::Missing {
+                    revision: body.revision,
                 })
             }
-            (Self::Get(key), 200) => decode::<EntryBody>(body).and_then(|b| {
-                let record = record_from(key, b.data)?;
-                Some(StoreResponse::Found {
-                    record,
-                    revision: b.revision,
-                })
-            }),
-            (Self::List { .. }, 200) => decode::<PageBody>(body).map(page),
+            (Self::Get(key), 200) => read_entry(key, body),
+            (Self::List { .. }, 200) => read_page(body),
             (Self::Transaction { .. }, 200) => {
-                decode::<RevisionBody>(body).map(|b| StoreResponse::Committed {
-                    revision: b.revision,
-                })
-            }
-            (Self::Transaction { .. }, 409) => {
-                decode::<ConflictBody>(body).map(|b| StoreResponse::Conflict {
-                    failed: b.failed.iter().filter_map(|p| Key::parse(p)).collect(),
+                decode(body).map(|body: RevisionBody| StoreResponse::Committed {
+                    revision: body.revision,
                 })
             }
-            (Self::Transaction { .. }, 400) => Some(rejected(body)),
+            (Self::Transaction { .. }, 409) => read_conflict(body),
+            (Self::Transaction { .. }, 400) => Some(read_rejection(body)),
             (Self::GrantLease { .. }, 200) => {
-                decode::<HoldBody>(body).map(|b| StoreResponse::LeaseGranted(b.lease_id))
+                decode(body).map(|body: LeaseBody| StoreResponse::LeaseGranted(body.lease_id))
             }
             (Self::RenewLease(_) | Self::RevokeLease(_), 200..=204) => {
                 Some(StoreResponse::LeaseRenewed)
             }
             (Self::RenewLease(_) | Self::RevokeLease(_), 404) => Some(StoreResponse::LeaseNotFound),
-            (Self::Watch { .. }, 200) => decode::<NewsBody>(body).map(news),
+            (Self::Watch { .. }, 200) => read_changes(body),
             (Self::Watch { .. }, 410) => Some(StoreResponse::Compacted),
             _ => None,
         };
-        read.unwrap_or(StoreResponse::Malformed)
+        response.unwrap_or(StoreResponse::Malformed)
     }
 }
 
-fn commit_body(preconditions: &[(Key, u64)], writes: &[Write]) -> Vec<u8> {
-    let preconditions = preconditions.iter().map(|(key, revision)| WhenBody {
-        path: key.to_string(),
-        revision: *revision,
-    });
-    let writes = writes.iter().map(|w| match w {
-        Write::Put {
-            key,
-            record,
-            lease_id,
-        } => WriteBody::Put {
-            write: key.to_string(),
-            data: record_value(record),
-            lease_id: *lease_id,
-        },
-        Write::Delete { key } => WriteBody::Delete {
-            delete: key.to_string(),
-        },
-    });
-    encode(&CommitBody {
+fn transaction_body(preconditions: &[(Key, u64)], writes: &[Write]) -> Vec<u8> {
+    let preconditions = preconditions
+        .iter()
+        .map(|(key, revision)| PreconditionBody {
+            path: key.to_string(),
+            revision: *revision,
+        });
+    encode(&TransactionBody {
         preconditions: preconditions.collect(),
-        writes: writes.collect(),
+        writes: writes.iter().map(WriteBody::from).collect(),
     })
 }
 
-/// What a 400 to a transaction says: a lease is over, or a limit of size is passed.
-fn rejected(body: &[u8]) -> StoreResponse {
-    match decode::<ErrorBody>(body) {
-        Some(body) if body.error == NO_LEASE => StoreResponse::LeaseNotFound,
-        _ => StoreResponse::Rejected,
+impl From<&Write> for WriteBody {
+    fn from(write: &Write) -> Self {
+        match write {
+            Write::Put {
+                key,
+                record,
+                lease_id,
+            } => Self::Put {
+                path: key.to_string(),
+                data: record_value(record),
+                lease_id: *lease_id,
+            },
+            Write::Delete { key } => Self::Delete {
+                path: key.to_string(),
+            },
+        }
     }
 }
 
-/// The error of a transaction that attaches a key to a lease which is over.
-const NO_LEASE: &str = "no such lease";
-
 #[derive(Deserialize)]
 struct ErrorBody {
     #[serde(default)]
@@ -317,7 +349,7 @@
 }
 
 #[derive(Deserialize)]
-struct HoldBody {
+struct LeaseBody {
     #[serde(rename = "hold")]
     lease_id: u64,
 }
@@ -353,11 +385,11 @@
 }
 
 #[derive(Deserialize)]
-struct NewsEntry {
-    #[serde(default)]
-    write: Option<String>,
-    #[serde(default)]
-    delete: Option<String>,
+struct ChangeEntry {
+    #[serde(rename = "write", default)]
+    written: Option<String>,
+    #[serde(rename = "delete", default)]
+    deleted: Option<String>,
     #[serde(default)]
     data: Option<Value>,
     #[serde(rename = "mark")]
@@ -365,43 +397,71 @@
 }
 
 #[derive(Deserialize)]
-struct NewsBody {
+struct ChangesBody {
     #[serde(rename = "ledger")]
     revision: u64,
-    #[serde(default)]
-    news: Vec<NewsEntry>,
+    #[serde(rename = "news", default)]
+    changes: Vec<ChangeEntry>,
+}
+
+fn read_entry(key: &Key, body: &[u8]) -> Option<StoreResponse> {
+    let body: EntryBody = decode(body)?;
+    Some(StoreResponse::Found {
+        record: record_from(key, body.data)?,
+        revision: body.revision,
+    })
+}
+
+fn read_conflict(body: &[u8]) -> Option<StoreResponse> {
+    let body: ConflictBody = decode(body)?;
+    let failed = body.failed.iter().filter_map(|path| Key::parse(path));
+    Some(StoreResponse::Conflict {
+        failed: failed.collect(),
+    })
+}
+
+/// What a 400 to a transaction says: a lease is over, or a limit of size is passed.
+fn read_rejection(body: &[u8]) -> StoreResponse {
+    match decode(body) {
+        Some(ErrorBody { error }) if error == NO_LEASE => StoreResponse::LeaseNotFound,
+        _ => StoreResponse::Rejected,
+    }
 }
 
-fn page(body: PageBody) -> StoreResponse {
-    let last = body.entries.last().map(|e| e.path.clone());
-    let entries = body.entries.into_iter().filter_map(|e| {
-        let key = Key::parse(&e.path)?;
-        let record = record_from(&key, e.data)?;
-        Some((key, e.revision, Some(record)))
+fn read_page(body: &[u8]) -> Option<StoreResponse> {
+    let body: PageBody = decode(body)?;
+    let last = body.entries.last().map(|entry| entry.path.clone());
+    let entries = body.entries.into_iter().filter_map(|entry| {
+        let key = Key::parse(&entry.path)?;
+        let record = record_from(&key, entry.data)?;
+        Some((key, entry.revision, Some(record)))
     });
-    StoreResponse::Page {
+    Some(StoreResponse::Page {
         entries: entries.collect(),
         last,
         more: body.has_next,
         revision: body.revision,
-    }
+    })
 }
 
-fn news(body: NewsBody) -> StoreResponse {
-    let news = body
-        .news
-        .into_iter()
-        .filter_map(|e| match (e.write, e.delete) {
-            (Some(path), _) => {
-                let key = Key::parse(&path)?;
-                let record = record_from(&key, e.data?)?;
-                Some((key, e.revision, Some(record)))
-            }
-            (None, Some(path)) => Some((Key::parse(&path)?, e.revision, None)),
-            (None, None) => None,
-        });
-    StoreResponse::Changes {
+fn read_changes(body: &[u8]) -> Option<StoreResponse> {
+    let body: ChangesBody = decode(body)?;
+    let changes = body.changes.into_iter().filter_map(ChangeEntry::read);
+    Some(StoreResponse::Changes {
         revision: body.revision,
-        news: news.collect(),
+        news: changes.collect(),
+    })
+}
+
+impl ChangeEntry {
+    /// The change; nothing if it can't be read.
+    fn read(self) -> Option<Change> {
+        if let Some(path) = self.written {
+            let key = Key::parse(&path)?;
+            let record = record_from(&key, self.data?)?;
+            return Some((key, self.revision, Some(record)));
+        }
+        let key = Key::parse(&self.deleted?)?;
+        Some((key, self.revision, None))
     }
 }
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -2,43 +2,65 @@
 
 use crate::controller::store::records::{JobKind, JobRecord, PriorityClass, Resources};
 use crate::ids::{Image, JobId};
-use crate::wire::{AMOUNT_MAX, NAME_MAX, Num, TASKS_MAX, TYPES_MAX, encode};
+use crate::wire::{Num, encode};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
+use thiserror::Error;
 
+/// Most tasks of one job.
+const TASKS_MAX: u32 = 100_000;
+/// Longest name of a team, class, image, type or zone, and longest list of types: together they
+/// keep a job's record below the smallest value limit seen.
+const NAME_MAX: usize = 128;
+const TYPES_MAX: usize = 32;
+/// Larger amounts and durations than this are no honest input.
+const AMOUNT_MAX: f64 = 1e9;
+
+/// A submission as users write it. The order of the fields is that in which the parser names those
+/// that are missing.
 #[derive(Deserialize)]
 struct SubmitBody {
     id: String,
-    troupe: String,
-    crew: String,
+    #[serde(rename = "troupe")]
+    class: String,
+    #[serde(rename = "crew")]
+    team: String,
     #[serde(rename = "form")]
     kind: JobKindWord,
     #[serde(rename = "rank")]
     priority_class: PriorityClassWord,
-    verses: u32,
-    cores: Num,
-    accelerators: Num,
+    #[serde(rename = "verses")]
+    tasks: u32,
+    #[serde(rename = "cores")]
+    cpus: Num,
+    #[serde(rename = "accelerators")]
+    gpus: Num,
     #[serde(rename = "memGb")]
     mem_gb: Num,
-    score: String,
+    #[serde(rename = "score")]
+    image: String,
     #[serde(rename = "sizeGb")]
-    size_gb: Num,
-    builds: Option<Vec<String>>,
-    quarter: Option<String>,
+    image_gb: Num,
+    #[serde(rename = "builds")]
+    types: Option<Vec<String>>,
+    #[serde(rename = "quarter")]
+    zone: Option<String>,
     #[serde(rename = "samePlace")]
-    same_place: bool,
+    zone_affinity: bool,
     #[serde(rename = "scatter")]
     zone_spread: bool,
-    borrowed: bool,
+    #[serde(rename = "borrowed")]
+    spot: bool,
     #[serde(rename = "reckonS")]
-    reckon_s: Num,
+    estimate_s: Num,
     #[serde(rename = "bookmarkS")]
-    bookmark_s: Num,
+    checkpoint_s: Num,
     #[serde(rename = "stashS")]
-    stash_s: Num,
+    save_s: Num,
     #[serde(rename = "curtainS")]
-    curtain_s: Option<Num>,
-    awaits: Option<Vec<String>>,
+    deadline_s: Option<Num>,
+    #[serde(rename = "awaits")]
+    dependencies: Option<Vec<String>>,
 }
 
 #[derive(Deserialize)]
@@ -48,6 +70,15 @@
     Service,
 }
 
+impl From<JobKindWord> for JobKind {
+    fn from(word: JobKindWord) -> Self {
+        match word {
+            JobKindWord::Batch => Self::Batch,
+            JobKindWord::Service => Self::Service,
+        }
+    }
+}
+
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum PriorityClassWord {
@@ -57,117 +88,143 @@
     Idle,
 }
 
+impl From<PriorityClassWord> for PriorityClass {
+    fn from(word: PriorityClassWord) -> Self {
+        match word {
+            PriorityClassWord::Critical => Self::Critical,
+            PriorityClassWord::Urgent => Self::Urgent,
+            PriorityClassWord::Normal => Self::Normal,
+            PriorityClassWord::Idle => Self::Idle,
+        }
+    }
+}
+
+/// Why a submission is malformed. Users read this.
+#[derive(Debug, Error)]
+enum SubmissionError {
+    #[error("malformed: {0}")]
+    Unreadable(#[from] ciborium::de::Error<std::io::Error>),
+    #[error("something follows the submission")]
+    TrailingBytes,
+    /// The field, as users write it.
+    #[error("{0} is invalid")]
+    InvalidField(&'static str),
+}
+
 /// Why a submission is malformed: the field, or what the parser said. Its id, if that can
 /// be read: the job may be known, and then its state is the answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BadBody {
+    /// The reason, as users read it.
     pub why: String,
+    /// The job's id, if that can be read.
     pub id: Option<JobId>,
 }
 
-impl From<String> for BadBody {
-    fn from(why: String) -> Self {
-        Self { why, id: None }
-    }
-}
-
-impl From<&'static str> for BadBody {
-    fn from(field: &'static str) -> Self {
-        Self::from(format!("{field} is invalid"))
-    }
-}
-
 /// What a submission that is otherwise malformed may still tell.
 #[derive(Deserialize)]
-struct Named {
+struct IdBody {
     id: String,
 }
 
 /// Reads and checks a submission. Chunk size and shard are for the controller to set.
 pub fn submission(body: &[u8]) -> Result<(JobId, JobRecord), BadBody> {
-    checked(body).map_err(|bad| {
-        let named = ciborium::from_reader::<Named, _>(body).ok();
-        let id = named.and_then(|n| JobId::parse(&n.id));
-        BadBody { id, ..bad }
+    read_submission(body).map_err(|error| {
+        let named = ciborium::from_reader::<IdBody, _>(body).ok();
+        BadBody {
+            why: error.to_string(),
+            id: named.and_then(|named| JobId::parse(&named.id)),
+        }
     })
 }
 
-fn checked(body: &[u8]) -> Result<(JobId, JobRecord), BadBody> {
+fn read_submission(body: &[u8]) -> Result<(JobId, JobRecord), SubmissionError> {
     let mut rest = body;
-    let b: SubmitBody = ciborium::from_reader(&mut rest).map_err(|e| format!("malformed: {e}"))?;
+    let body: SubmitBody = ciborium::from_reader(&mut rest)?;
     if !rest.is_empty() {
-        return Err(String::from("something follows the submission").into());
+        return Err(SubmissionError::TrailingBytes);
     }
-    let id = JobId::parse(&b.id).ok_or("id")?;
-    if b.verses == 0 || b.verses > TASKS_MAX {
-        return Err("verses".into());
-    }
-    let name = |field: &'static str, text: String| {
-        let good = !text.is_empty() && text.len() <= NAME_MAX && !text.contains(char::is_control);
-        good.then_some(text).ok_or(BadBody::from(field))
-    };
-    let amount = |field: &'static str, n: Num| {
-        let good = n.0.is_finite() && (0.0..=AMOUNT_MAX).contains(&n.0);
-        good.then_some(n.0).ok_or(BadBody::from(field))
-    };
-    let types = match b.builds {
-        None => None,
-        Some(list) if list.is_empty() || list.len() > TYPES_MAX => return Err("builds".into()),
-        Some(list) => Some(
-            list.into_iter()
-                .map(|t| name("builds", t))
-                .collect::<Result<Vec<_>, _>>()?,
-        ),
-    };
-    let mut needs = BTreeSet::new();
-    for need in b.awaits.unwrap_or_default() {
-        needs.insert(JobId::parse(&need).ok_or("awaits")?);
+    let id = job_id("id", &body.id)?;
+    if body.tasks == 0 || body.tasks > TASKS_MAX {
+        return Err(SubmissionError::InvalidField("verses"));
     }
+    let types = body.types.map(machine_types).transpose()?;
+    let dependencies = dependencies(&body.dependencies.unwrap_or_default())?;
+    let zone = |zone| name("quarter", zone);
+    let deadline_s = |seconds| amount("curtainS", seconds);
     let record = JobRecord {
-        class: name("troupe", b.troupe)?,
-        team: name("crew", b.crew)?,
-        kind: match b.kind {
-            JobKindWord::Batch => JobKind::Batch,
-            JobKindWord::Service => JobKind::Service,
-        },
-        priority_class: match b.priority_class {
-            PriorityClassWord::Critical => PriorityClass::Critical,
-            PriorityClassWord::Urgent => PriorityClass::Urgent,
-            PriorityClassWord::Normal => PriorityClass::Normal,
-            PriorityClassWord::Idle => PriorityClass::Idle,
-        },
-        count: b.verses,
+        class: name("troupe", body.class)?,
+        team: name("crew", body.team)?,
+        kind: body.kind.into(),
+        priority_class: body.priority_class.into(),
+        count: body.tasks,
         need: Resources {
-            cpus: amount("cores", b.cores)?,
-            gpus: amount("accelerators", b.accelerators)?,
-            mem: amount("memGb", b.mem_gb)?,
+            cpus: amount("cores", body.cpus)?,
+            gpus: amount("accelerators", body.gpus)?,
+            mem: amount("memGb", body.mem_gb)?,
         },
-        image: Image::from(name("score", b.score)?.as_str()),
-        image_gb: amount("sizeGb", b.size_gb)?,
+        image: Image::from(name("score", body.image)?.as_str()),
+        image_gb: amount("sizeGb", body.image_gb)?,
         types,
-        zone: b.quarter.map(|z| name("quarter", z)).transpose()?,
-        zone_affinity: b.same_place,
-        zone_spread: b.zone_spread,
-        spot: b.borrowed,
-        estimate_s: amount("reckonS", b.reckon_s)?,
-        checkpoint_s: amount("bookmarkS", b.bookmark_s)?,
-        save_s: amount("stashS", b.stash_s)?,
-        deadline_s: b.curtain_s.map(|n| amount("curtainS", n)).transpose()?,
+        zone: body.zone.map(zone).transpose()?,
+        zone_affinity: body.zone_affinity,
+        zone_spread: body.zone_spread,
+        spot: body.spot,
+        estimate_s: amount("reckonS", body.estimate_s)?,
+        checkpoint_s: amount("bookmarkS", body.checkpoint_s)?,
+        save_s: amount("stashS", body.save_s)?,
+        deadline_s: body.deadline_s.map(deadline_s).transpose()?,
         chunk: 1,
         shard: 0,
         cancelled: false,
-        needs: needs.into_iter().collect(),
+        needs: dependencies,
     };
     Ok((id, record))
 }
 
-/// A job's status as users are told it.
+fn job_id(field: &'static str, text: &str) -> Result<JobId, SubmissionError> {
+    JobId::parse(text).ok_or(SubmissionError::InvalidField(field))
+}
+
+fn name(field: &'static str, text: String) -> Result<String, SubmissionError> {
+    if text.is_empty() || text.len() > NAME_MAX || text.contains(char::is_control) {
+        return Err(SubmissionError::InvalidField(field));
+    }
+    Ok(text)
+}
+
+fn amount(field: &'static str, number: Num) -> Result<f64, SubmissionError> {
+    if !(0.0..=AMOUNT_MAX).contains(&number.0) {
+        return Err(SubmissionError::InvalidField(field));
+    }
+    Ok(number.0)
+}
+
+fn machine_types(types: Vec<String>) -> Result<Vec<String>, SubmissionError> {
+    if types.is_empty() || types.len() > TYPES_MAX {
+        return Err(SubmissionError::InvalidField("builds"));
+    }
+    types.into_iter().map(|text| name("builds", text)).collect()
+}
+
+/// The jobs that a submission depends on, each once, in order.
+fn dependencies(ids: &[String]) -> Result<Vec<JobId>, SubmissionError> {
+    let ids = ids.iter().map(|id| job_id("awaits", id));
+    let ids: BTreeSet<JobId> = ids.collect::<Result<_, _>>()?;
+    Ok(ids.into_iter().collect())
+}
+
+/// A job's status as users see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobStatus {
+    /// No task has started.
     Queued,
+    /// A task has started.
     Running,
+    /// All tasks are complete.
     Done,
+    /// The job was cancelled.
     #[serde(rename = "withdrawn")]
     Cancelled,
 }
@@ -181,7 +238,7 @@
     running: u32,
 }
 
-/// The answer to a submission, a question or a cancellation.
+/// The answer to a submission, a status query or a cancellation.
 pub fn job_status_body(id: &JobId, status: JobStatus, done: u32, running: u32) -> Vec<u8> {
     encode(&JobStatusBody {
         id: id.as_str(),
