--- a/src/settings/cells.rs
+++ b/src/settings/cells.rs
@@ -3,7 +3,7 @@
 
 use crate::ids::ControllerId;
 use crate::settings::platform::{Platform, Team};
-use crate::settings::{SettingsError, bad};
+use crate::settings::{Reason, SettingsError};
 use salttrestle_cells::ledger::HomeTeam;
 use salttrestle_cells::{Amount, Cell};
 use std::collections::{BTreeMap, HashMap};
@@ -41,7 +41,7 @@
 impl Table<'_> {
     fn text(&mut self, key: &str) -> Result<String, SettingsError> {
         let found = self.values.remove(key);
-        let text = found.ok_or_else(|| bad(self.file, key, "is missing"))?;
+        let text = found.ok_or_else(|| self.error(key, Reason::Missing))?;
         Ok(text.trim().to_string())
     }
 
@@ -50,11 +50,15 @@
             return Ok(default);
         }
         let text = self.text(key)?;
-        let number = text.parse().ok().filter(|n| *n > 0);
-        number.ok_or_else(|| bad(self.file, key, format!("'{text}' is no generation")))
+        let number = text.parse().ok().filter(|number| *number > 0);
+        number.ok_or_else(|| self.error(key, Reason::NotAGeneration(text)))
     }
 
-    /// The keys `PREFIX.NAME.LAST` with what stands for the name.
+    fn error(&self, key: &str, reason: Reason) -> SettingsError {
+        SettingsError::new(self.file, key, reason)
+    }
+
+    /// The names in the keys that begin and end like this.
     fn names(&self, prefix: &str, last: &str) -> Vec<String> {
         let keys = self.values.keys();
         let names = keys.filter_map(|key| key.strip_prefix(prefix)?.strip_suffix(last));
@@ -68,7 +72,7 @@
     /// Reads a cells file and checks it against the platform's settings.
     pub fn parse(text: &str, file: &str, platform: &Platform) -> Result<Self, SettingsError> {
         let values = java_properties::read(text.as_bytes())
-            .map_err(|e| bad(file, "(file)", e.to_string()))?;
+            .map_err(|error| SettingsError::whole_file(file, error))?;
         let mut table = Table { file, values };
         let generation = table.generation("cells.generation", None)?;
         let here = table.text("cells.here")?;
@@ -76,29 +80,29 @@
         let teams = read_teams(&mut table, generation, platform, &cells)?;
         let floors = read_floors(&mut table, &teams, cells.len())?;
         if let Some(key) = table.values.keys().min() {
-            return Err(bad(file, key, "unknown key"));
+            return Err(table.error(key, Reason::UnknownKey));
         }
-        let it = Self {
+        let cells_file = Self {
             generation,
             here,
             cells,
             teams,
             floors,
         };
-        it.check_here(file, platform)?;
-        Ok(it)
+        cells_file.check_here(file, platform)?;
+        Ok(cells_file)
     }
 
     fn check_here(&self, file: &str, platform: &Platform) -> Result<(), SettingsError> {
         let Some(controller_ids) = self.cells.get(&self.here) else {
-            let reason = format!("there is no cell {}", self.here);
-            return Err(bad(file, "cells.here", reason));
+            let reason = Reason::UnknownCell(self.here.clone());
+            return Err(SettingsError::new(file, "cells.here", reason));
         };
-        let peers = platform.peers.iter().map(|s| &s.controller_id);
+        let peers = platform.peers.iter().map(|peer| &peer.controller_id);
         for controller_id in peers.chain([&platform.controller_id]) {
             if !controller_ids.contains_key(controller_id) {
                 let key = format!("cell.{}.{controller_id}", self.here);
-                return Err(bad(file, &key, "is missing"));
+                return Err(SettingsError::new(file, &key, Reason::Missing));
             }
         }
         Ok(())
@@ -129,20 +133,16 @@
         let text = table.text(&key)?;
         let Some((cell, controller_id)) = name.split_once('.').filter(|(cell, _)| is_name(cell))
         else {
-            return Err(bad(table.file, &key, "isn't cell.CELL.MEMBER"));
+            return Err(table.error(&key, Reason::NotACellMember));
         };
-        let address = text.parse();
-        let address = address.map_err(|_| bad(table.file, &key, format!("'{text}' is no address")));
+        let address: Result<SocketAddrV4, _> = text.parse();
+        let address = address.map_err(|_| table.error(&key, Reason::NotAnAddress(text)));
         let controller_ids = cells.entry(cell.to_string()).or_default();
         controller_ids.insert(ControllerId::from(controller_id), address?);
     }
     match cells.len() {
         2..=CELLS_MAX => Ok(cells),
-        _ => Err(bad(
-            table.file,
-            "cell",
-            format!("there must be 2 to {CELLS_MAX} cells"),
-        )),
+        _ => Err(table.error("cell", Reason::CellCount(CELLS_MAX))),
     }
 }
 
@@ -152,16 +152,16 @@
     platform: &Platform,
     cells: &BTreeMap<Cell, BTreeMap<ControllerId, SocketAddrV4>>,
 ) -> Result<BTreeMap<String, HomeTeam>, SettingsError> {
-    let limited = |t: &&Team| t.cpus_max > 0.0 || t.gpus_max > 0.0;
-    let limited: Vec<&Team> = platform.facts.teams.iter().filter(limited).collect();
+    let teams = platform.facts.teams.iter();
+    let limited = teams.filter(|team| team.cpus_max > 0.0 || team.gpus_max > 0.0);
+    let limited: Vec<&Team> = limited.collect();
     if limited.len() > TEAMS_MAX {
-        let reason = format!("at most {TEAMS_MAX} teams may have limits");
-        return Err(bad(table.file, "team", reason));
+        return Err(table.error("team", Reason::TooManyTeams(TEAMS_MAX)));
     }
     for name in table.names("team.", ".home") {
-        if !limited.iter().any(|t| t.name == name) {
+        if !limited.iter().any(|team| team.name == name) {
             let key = format!("team.{name}.home");
-            return Err(bad(table.file, &key, "no team of this name has a limit"));
+            return Err(table.error(&key, Reason::UnknownTeam));
         }
     }
     let mut teams = BTreeMap::new();
@@ -169,12 +169,12 @@
         let key = format!("team.{}.home", team.name);
         let home = table.text(&key)?;
         if !cells.contains_key(&home) {
-            return Err(bad(table.file, &key, format!("there is no cell {home}")));
+            return Err(table.error(&key, Reason::UnknownCell(home)));
         }
         let key = format!("team.{}.since", team.name);
         let since = table.generation(&key, Some(1))?;
         if since > generation {
-            return Err(bad(table.file, &key, "lies after cells.generation"));
+            return Err(table.error(&key, Reason::AfterGeneration));
         }
         let limit = Amount::rounded_down(team.cpus_max, team.gpus_max);
         teams.insert(team.name.clone(), HomeTeam { home, since, limit });
@@ -191,27 +191,19 @@
     for name in table.names("team.", ".floor") {
         let key = format!("team.{name}.floor");
         let text = table.text(&key)?;
-        let amounts: Vec<f64> = text.split(' ').filter_map(|t| t.parse().ok()).collect();
+        let amounts = text.split(' ').filter_map(|amount| amount.parse().ok());
+        let amounts: Vec<f64> = amounts.collect();
         let good = |amount: &f64| amount.is_finite() && *amount >= 0.0;
         let [cpus, gpus] = amounts[..] else {
-            return Err(bad(
-                table.file,
-                &key,
-                format!("'{text}' isn't CPUs and GPUs"),
-            ));
+            return Err(table.error(&key, Reason::NotAnAmount(text)));
         };
         let Some(team) = teams.get(&name).filter(|_| good(&cpus) && good(&gpus)) else {
-            return Err(bad(
-                table.file,
-                &key,
-                "is of no team with a limit, or no amount",
-            ));
+            return Err(table.error(&key, Reason::InvalidFloor));
         };
         let floor = Amount::rounded_up(cpus, gpus);
         let all = (0..cells).fold(Amount::ZERO, |sum, _| sum.plus(floor));
         if !all.beyond(team.limit).is_zero() {
-            let reason = format!("in {cells} cells that is more than the team's limit");
-            return Err(bad(table.file, &key, reason));
+            return Err(table.error(&key, Reason::FloorsExceedLimit(cells)));
         }
         floors.insert(name, floor);
     }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -7,11 +7,13 @@
 
 mod cells;
 mod derived;
+mod error;
 mod platform;
 mod state_limits;
 mod tuning;
 
 pub use crate::settings::cells::CellsFile;
+pub use crate::settings::error::{Reason, SettingsError};
 pub use crate::settings::platform::{
     CloudLimits, ControllerResources, Facts, Objective, Peer, Platform, Services, Team, Workers,
 };
@@ -19,27 +21,6 @@
 pub use crate::settings::tuning::Tuning;
 use std::path::Path;
 use std::sync::Arc;
-use thiserror::Error;
-
-/// A setting that ends the start: names file, key and reason in one line.
-#[derive(Debug, Error)]
-#[error("{file}: {key}: {reason}")]
-pub struct SettingsError {
-    /// The file that has it.
-    pub file: String,
-    /// The setting, or the line.
-    pub key: String,
-    /// What is wrong with it.
-    pub reason: String,
-}
-
-fn bad(file: &str, key: &str, reason: impl Into<String>) -> SettingsError {
-    SettingsError {
-        file: file.into(),
-        key: key.into(),
-        reason: reason.into().replace('\n', " "),
-    }
-}
 
 /// Everything that a controller is started with.
 #[derive(Clone, Debug)]
@@ -59,35 +40,36 @@
         properties: Option<&Path>,
         cells: Option<&Path>,
     ) -> Result<Self, SettingsError> {
-        let name = config.display().to_string();
-        let text = read(config, &name)?;
-        let platform = Platform::parse(&text, &name)?;
-        let tuning = match properties {
-            None => Tuning::parse(None)?,
-            Some(path) => {
-                let name = path.display().to_string();
-                Tuning::parse(Some((&name, &read(path, &name)?)))?
-            }
-        };
-        let cells = match cells {
-            None => None,
-            Some(path) => {
-                let name = path.display().to_string();
-                Some(Arc::new(CellsFile::parse(
-                    &read(path, &name)?,
-                    &name,
-                    &platform,
-                )?))
-            }
-        };
+        let config = SettingsFile::read(config)?;
+        let platform = Platform::parse(&config.text, &config.name)?;
+        let properties = properties.map(SettingsFile::read).transpose()?;
+        let overrides = properties.as_ref();
+        let overrides = overrides.map(|file| (file.name.as_str(), file.text.as_str()));
+        let tuning = Tuning::parse(overrides)?;
+        let cells = cells.map(SettingsFile::read).transpose()?;
+        let cells = cells
+            .map(|file| CellsFile::parse(&file.text, &file.name, &platform))
+            .transpose()?;
         Ok(Self {
             platform,
             tuning,
-            cells,
+            cells: cells.map(Arc::new),
         })
     }
 }
 
-fn read(path: &Path, name: &str) -> Result<String, SettingsError> {
-    std::fs::read_to_string(path).map_err(|e| bad(name, "(file)", e.to_string()))
+/// A file, with the name that errors give it.
+struct SettingsFile {
+    name: String,
+    text: String,
+}
+
+impl SettingsFile {
+    fn read(path: &Path) -> Result<Self, SettingsError> {
+        let name = path.display().to_string();
+        match std::fs::read_to_string(path) {
+            Ok(text) => Ok(Self { name, text }),
+            Err(error) => Err(SettingsError::whole_file(&name, error)),
+        }
+    }
 }
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -2,10 +2,13 @@
 
 use crate::ids::ControllerId;
 use crate::settings::state_limits::StateLimits;
-use crate::settings::{SettingsError, bad};
+use crate::settings::{Reason, SettingsError};
 use serde::Deserialize;
 use std::net::SocketAddrV4;
 
+/// Fewest sockets with which a controller starts.
+const SOCKETS_MIN: usize = 32;
+
 /// The settings of one controller, as the platform hands them over.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Platform {
@@ -108,7 +111,6 @@
 #[derive(Clone, Debug, Deserialize)]
 pub struct Workers {
     /// Between two heartbeats.
-    #[serde(rename = "report_s")]
     pub report_s: f64,
     /// After the last answered heartbeat a worker kills its tasks.
     pub lease_s: f64,
@@ -142,45 +144,51 @@
 impl Platform {
     /// Reads the platform's settings; unknown fields are ignored.
     pub fn parse(text: &str, file: &str) -> Result<Self, SettingsError> {
-        let it: Self =
-            serde_json::from_str(text).map_err(|e| bad(file, &key_of(&e), e.to_string()))?;
-        it.check(file)?;
-        Ok(it)
+        let platform: Self = serde_json::from_str(text).map_err(|error| {
+            let key = key_of(&error);
+            SettingsError::new(file, &key, error.into())
+        })?;
+        platform.check(file)?;
+        Ok(platform)
     }
 
     fn check(&self, file: &str) -> Result<(), SettingsError> {
-        let f = &self.facts;
+        let facts = &self.facts;
         let positive = [
-            ("facts.workers.report_s", f.workers.report_s),
-            ("facts.workers.lease_s", f.workers.lease_s),
-            ("facts.workers.cancel_s", f.workers.cancel_s),
-            ("facts.cloud.rps", f.cloud.rps),
-            ("facts.resources.cpu", f.resources.cpu),
+            ("facts.workers.report_s", facts.workers.report_s),
+            ("facts.workers.lease_s", facts.workers.lease_s),
+            ("facts.workers.cancel_s", facts.workers.cancel_s),
+            ("facts.cloud.rps", facts.cloud.rps),
+            ("facts.resources.cpu", facts.resources.cpu),
         ];
         for (key, value) in positive {
             if !(value.is_finite() && value > 0.0) {
-                return Err(bad(file, key, "must be a number above 0"));
+                return Err(SettingsError::new(file, key, Reason::NotPositive));
             }
         }
-        if !(f.cloud.list_lag_s.is_finite() && f.cloud.list_lag_s >= 0.0) {
-            return Err(bad(file, "facts.cloud.list_lag_s", "must not be negative"));
+        if !(facts.cloud.list_lag_s.is_finite() && facts.cloud.list_lag_s >= 0.0) {
+            return Err(SettingsError::new(
+                file,
+                "facts.cloud.list_lag_s",
+                Reason::Negative,
+            ));
         }
-        f.state.check(file)?;
-        if f.resources.max_sockets < 32 {
-            return Err(bad(
+        facts.state.check(file)?;
+        if facts.resources.max_sockets < SOCKETS_MIN {
+            return Err(SettingsError::new(
                 file,
                 "facts.resources.max_sockets",
-                "must be at least 32",
+                Reason::BelowMinimum(SOCKETS_MIN),
             ));
         }
-        if f.zones.is_empty() {
-            return Err(bad(file, "facts.zones", "must name a zone"));
+        if facts.zones.is_empty() {
+            return Err(SettingsError::new(file, "facts.zones", Reason::NoZone));
         }
-        if f.workers.cancel_s <= f.workers.lease_s {
-            return Err(bad(
+        if facts.workers.cancel_s <= facts.workers.lease_s {
+            return Err(SettingsError::new(
                 file,
                 "facts.workers.cancel_s",
-                "must be longer than facts.workers.lease_s",
+                Reason::ShorterThanLease,
             ));
         }
         self.check_controller_ids(file)?;
@@ -189,33 +197,34 @@
 
     fn check_controller_ids(&self, file: &str) -> Result<(), SettingsError> {
         let mut seen = vec![&self.controller_id];
-        for s in &self.peers {
-            if seen.contains(&&s.controller_id) {
-                return Err(bad(
-                    file,
-                    "siblings",
-                    format!("{} stands twice", s.controller_id),
-                ));
+        for peer in &self.peers {
+            if seen.contains(&&peer.controller_id) {
+                let reason = Reason::DuplicateController(peer.controller_id.to_string());
+                return Err(SettingsError::new(file, "siblings", reason));
             }
-            seen.push(&s.controller_id);
+            seen.push(&peer.controller_id);
         }
         if self.listen == self.peer_listen {
-            return Err(bad(file, "peer_listen", "must differ from listen"));
+            return Err(SettingsError::new(
+                file,
+                "peer_listen",
+                Reason::SameAsListen,
+            ));
         }
         Ok(())
     }
 
     fn check_teams(&self, file: &str) -> Result<(), SettingsError> {
-        for (at, t) in self.facts.teams.iter().enumerate() {
+        for (index, team) in self.facts.teams.iter().enumerate() {
             for (key, value) in [
-                ("cpus", t.cpus),
-                ("cpus_max", t.cpus_max),
-                ("gpus", t.gpus),
-                ("gpus_max", t.gpus_max),
+                ("cpus", team.cpus),
+                ("cpus_max", team.cpus_max),
+                ("gpus", team.gpus),
+                ("gpus_max", team.gpus_max),
             ] {
                 if !(value.is_finite() && value >= 0.0) {
-                    let key = format!("facts.teams[{at}].{key}");
-                    return Err(bad(file, &key, "must not be negative"));
+                    let key = format!("facts.teams[{index}].{key}");
+                    return Err(SettingsError::new(file, &key, Reason::Negative));
                 }
             }
         }
--- a/src/settings/state_limits.rs
+++ b/src/settings/state_limits.rs
@@ -1,6 +1,6 @@
 //! Limits of the store, now and later.
 
-use crate::settings::{SettingsError, bad};
+use crate::settings::{Reason, SettingsError};
 use serde::Deserialize;
 
 /// Limits of the store, as they are now and as they are announced to become.
@@ -69,7 +69,7 @@
         ];
         for (key, value) in rates {
             if value.is_some_and(|v| !(v.is_finite() && v > 0.0)) {
-                return Err(bad(file, key, "must be a number above 0"));
+                return Err(SettingsError::new(file, key, Reason::NotPositive));
             }
         }
         let operations = [
@@ -77,9 +77,9 @@
             ("facts.state.next.txn_ops", next.txn_ops),
         ];
         for (key, value) in operations {
-            if value.is_some_and(|n| n < TXN_OPS_LEAST) {
-                let reason = format!("must be at least {TXN_OPS_LEAST}");
-                return Err(bad(file, key, reason));
+            if value.is_some_and(|n| n < TXN_OPS_MIN) {
+                let reason = Reason::BelowMinimum(TXN_OPS_MIN);
+                return Err(SettingsError::new(file, key, reason));
             }
         }
         Ok(())
@@ -101,7 +101,7 @@
 
 /// An election writes the leader's and the number's records and leases a shard, and a job's end
 /// is written with the deletion of its record and of chunks.
-const TXN_OPS_LEAST: usize = 4;
+const TXN_OPS_MIN: usize = 4;
 
 fn kib(amount: f64) -> usize {
     (amount * 1024.0) as usize
--- a/src/settings/tuning.rs
+++ b/src/settings/tuning.rs
@@ -1,22 +1,24 @@
 //! What operators set, as Java-style properties.
 
-use crate::settings::{SettingsError, bad};
+use crate::settings::{Reason, SettingsError};
 use salttrestle_standby::Config;
 use std::collections::HashMap;
 
-/// The documented defaults, as they stand in the repository.
+/// The documented defaults.
 const DEFAULTS: &str = include_str!("../../deploy/salttrestle.properties");
+/// What errors call them.
+const DEFAULTS_NAME: &str = "(defaults)";
 
 /// Operators' settings; `deploy/salttrestle.properties` documents each key in full.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tuning {
     /// `leader.grant-s`: life of the leader's lease, in seconds.
     pub leader_lease_s: f64,
-    /// `shard.lease-s`: life of a shard's lease, in seconds.
+    /// `block.lease-s`: life of a shard's lease, in seconds.
     pub shard_lease_s: f64,
-    /// `shard.min-machines`: fewest machines of a shard.
+    /// `block.min-machines`: fewest machines of a shard.
     pub shard_min: f64,
-    /// `shard.cpu`: share of the processor that a shard's owner may use.
+    /// `block.cpu`: share of the processor that a shard's owner may use.
     pub shard_cpu: f64,
     /// `standby.heartbeat-s`: between two heartbeats of the leader; 0 for no standby.
     pub heartbeat_s: f64,
@@ -40,30 +42,21 @@
     pub headroom: f64,
     /// `budget.share`: part of the limits that the controllers use together.
     pub budget_share: f64,
-    /// `budget.owner`: part of that for a shard's owner.
+    /// `budget.holder`: part of that for a shard's owner.
     pub budget_owner: f64,
-    /// `report.lease_id`: how long a heartbeat's answer may wait, in heartbeat intervals.
+    /// `report.hold`: how long a heartbeat's answer may wait, in heartbeat intervals.
     pub report_hold: f64,
     /// `health.silent`: when a silent machine is deleted, in leases.
     pub silent: f64,
-    /// `health.incarnation`: when a booting machine is replaced, in usual boot times.
+    /// `health.boot`: when a booting machine is replaced, in usual boot times.
     pub boot: f64,
 }
 
 impl Tuning {
     /// The embedded defaults, with single keys overridden by an operator's file.
-    pub fn parse(over: Option<(&str, &str)>) -> Result<Self, SettingsError> {
-        let mut table = properties("(defaults)", DEFAULTS)?;
-        let mut file = "(defaults)";
-        if let Some((name, text)) = over {
-            file = name;
-            for (key, value) in properties(name, text)? {
-                if table.insert(key.clone(), value).is_none() {
-                    return Err(bad(name, &key, "unknown key"));
-                }
-            }
-        }
-        let num = |key: &str, low: f64, high: f64| number(&table, file, key, low, high);
+    pub fn parse(overrides: Option<(&str, &str)>) -> Result<Self, SettingsError> {
+        let table = Table::read(overrides)?;
+        let num = |key: &str, low: f64, high: f64| table.number(key, low, high);
         let tuning = Self {
             leader_lease_s: num("leader.grant-s", 0.5, 60.0)?,
             shard_lease_s: num("block.lease-s", 1.0, 600.0)?,
@@ -87,7 +80,10 @@
         };
         match tuning.standby().check() {
             Ok(()) => Ok(tuning),
-            Err(e) => Err(bad(file, "standby.heartbeat-s", e.to_string())),
+            Err(error) => {
+                let key = "standby.heartbeat-s";
+                Err(SettingsError::new(table.file, key, error.into()))
+            }
         }
     }
 
@@ -104,25 +100,41 @@
     }
 }
 
-fn properties(file: &str, text: &str) -> Result<HashMap<String, String>, SettingsError> {
-    java_properties::read(text.as_bytes()).map_err(|e| bad(file, "(file)", e.to_string()))
+/// The defaults, with what overrides them.
+struct Table<'a> {
+    /// The file that errors name.
+    file: &'a str,
+    values: HashMap<String, String>,
 }
 
-fn number(
-    table: &HashMap<String, String>,
-    file: &str,
-    key: &str,
-    low: f64,
-    high: f64,
-) -> Result<f64, SettingsError> {
-    let text = table.get(key).ok_or_else(|| bad(file, key, "is missing"))?;
-    let value: f64 = text
-        .trim()
-        .parse()
-        .map_err(|_| bad(file, key, format!("'{text}' is not a number")))?;
-    if value.is_finite() && (low..=high).contains(&value) {
-        Ok(value)
-    } else {
-        Err(bad(file, key, format!("must lie in {low} to {high}")))
+impl<'a> Table<'a> {
+    fn read(overrides: Option<(&'a str, &str)>) -> Result<Self, SettingsError> {
+        let mut values = properties(DEFAULTS_NAME, DEFAULTS)?;
+        let Some((file, text)) = overrides else {
+            let file = DEFAULTS_NAME;
+            return Ok(Self { file, values });
+        };
+        for (key, value) in properties(file, text)? {
+            if values.insert(key.clone(), value).is_none() {
+                return Err(SettingsError::new(file, &key, Reason::UnknownKey));
+            }
+        }
+        Ok(Self { file, values })
     }
+
+    fn number(&self, key: &str, low: f64, high: f64) -> Result<f64, SettingsError> {
+        let error = |reason| SettingsError::new(self.file, key, reason);
+        let text = self.values.get(key).ok_or_else(|| error(Reason::Missing))?;
+        let value: Result<f64, _> = text.trim().parse();
+        let value = value.map_err(|_| error(Reason::NotANumber(text.clone())))?;
+        if value.is_finite() && (low..=high).contains(&value) {
+            Ok(value)
+        } else {
+            Err(error(Reason::OutOfBounds { low, high }))
+        }
+    }
+}
+
+fn properties(file: &str, text: &str) -> Result<HashMap<String, String>, SettingsError> {
+    java_properties::read(text.as_bytes()).map_err(|error| SettingsError::whole_file(file, error))
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -67,7 +67,7 @@
             error.file == "f.json" && error.key.contains(key),
             "{new}: {error}"
         );
-        assert!(!error.reason.is_empty() && !error.to_string().contains('\n'));
+        assert!(!error.reason.to_string().is_empty() && !error.to_string().contains('\n'));
     }
 }
 
@@ -236,7 +236,7 @@
             ("cells.properties", key),
             "{error}"
         );
-        assert!(!error.reason.is_empty());
+        assert!(!error.reason.to_string().is_empty());
     }
 }
 
