--- a/src/http.rs
+++ b/src/http.rs
@@ -1,17 +1,24 @@
 //! HTTP/1.1 as far as the interfaces need it: an incremental parser and a writer.
 //! Every size is bounded, so that no peer can make a connection grow.
 
+#![warn(missing_docs)]
+
 use thiserror::Error;
 
 /// Most bytes of a start line with its headers.
 const HEAD_MAX: usize = 8 * 1024;
 /// Most bytes of a line that gives a chunk's size.
 const CHUNK_LINE_MAX: usize = 64;
+const LINE_END: &[u8] = b"\r\n";
+const HEAD_END: &[u8] = b"\r\n\r\n";
 
+/// Why a message isn't accepted.
 #[derive(Debug, Error, PartialEq, Eq, Clone, Copy)]
 pub enum HttpError {
+    /// It isn't HTTP, or not in a form that is accepted here.
     #[error("malformed message")]
     Malformed,
+    /// It is longer than its reader accepts.
     #[error("message too large")]
     TooLarge,
 }
@@ -21,8 +28,11 @@
 pub struct Message {
     /// The three parts of the start line.
     pub start: [String; 3],
+    /// Whether the sender closes the connection after this message, or wants it closed.
     pub close: bool,
+    /// `Retry-After`, in seconds.
     pub retry_after: Option<u64>,
+    /// The body; empty if there is none.
     pub body: Vec<u8>,
 }
 
@@ -33,17 +43,34 @@
     }
 }
 
+/// Which messages a connection brings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Side {
+    /// Requests.
     Request,
+    /// Responses.
     Response,
 }
 
+/// Where a message's body ends.
 #[derive(Debug)]
-enum Body {
+enum BodyEnd {
     Length(usize),
     Chunked,
-    UntilClose,
+    ConnectionClose,
+}
+
+/// A message whose head was read, and whose body is still to come.
+#[derive(Debug)]
+struct Head {
+    message: Message,
+    body_end: BodyEnd,
+}
+
+/// A body, and how many bytes of the connection it took.
+struct ReadBody {
+    body: Vec<u8>,
+    consumed: usize,
 }
 
 /// Collects the bytes of one connection and hands out whole messages.
@@ -51,19 +78,20 @@
 pub struct Decoder {
     side: Side,
     body_max: usize,
-    buf: Vec<u8>,
+    buffer: Vec<u8>,
     /// How far the search for the end of the head has come, so that a message
     /// that drips in byte by byte isn't searched from its start each time.
     scanned: usize,
-    head: Option<(Message, Body)>,
+    head: Option<Head>,
 }
 
 impl Decoder {
+    /// A decoder for messages with bodies of at most `body_max` bytes.
     pub fn new(side: Side, body_max: usize) -> Self {
         Self {
             side,
             body_max,
-            buf: Vec::new(),
+            buffer: Vec::new(),
             scanned: 0,
             head: None,
         }
@@ -71,151 +99,190 @@
 
     /// Adds bytes as they came.
     pub fn feed(&mut self, bytes: &[u8]) {
-        self.buf.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
     /// Whether a message has begun and isn't whole yet.
     pub fn midway(&self) -> bool {
-        self.head.is_some() || !self.buf.is_empty()
+        self.head.is_some() || !self.buffer.is_empty()
     }
 
     /// Whether more has piled up than one message may hold.
     pub fn overfull(&self) -> bool {
-        self.buf.len() > self.body_max + HEAD_MAX
+        self.buffer.len() > self.body_max + HEAD_MAX
     }
 
     /// The next whole message, if it is all there.
     pub fn next_message(&mut self) -> Result<Option<Message>, HttpError> {
-        if self.head.is_none() && !self.take_head()? {
-            return Ok(None);
+        if self.head.is_none() {
+            self.head = self.read_head()?;
         }
-        let Some((_, body)) = &self.head else {
+        let Some(head) = &self.head else {
             return Ok(None);
         };
-        let taken = match body {
-            Body::Length(n) => (self.buf.len() >= *n).then(|| (self.buf[..*n].to_vec(), *n)),
-            Body::Chunked => chunked(&self.buf, self.body_max)?,
-            Body::UntilClose if self.buf.len() > self.body_max => return Err(HttpError::TooLarge),
-            Body::UntilClose => None,
+        let body = match head.body_end {
+            BodyEnd::Length(length) => self.buffer.get(..length).map(|body| ReadBody {
+                body: body.to_vec(),
+                consumed: length,
+            }),
+            BodyEnd::Chunked => read_chunked(&self.buffer, self.body_max)?,
+            BodyEnd::ConnectionClose if self.buffer.len() > self.body_max => {
+                return Err(HttpError::TooLarge);
+            }
+            BodyEnd::ConnectionClose => None,
         };
-        Ok(taken.and_then(|(body, used)| self.finish(body, used)))
+        Ok(body.and_then(|body| self.finish(body)))
     }
 
     /// The message that ends because its sender closed the connection.
     pub fn closed(&mut self) -> Option<Message> {
-        match &self.head {
-            Some((_, Body::UntilClose)) => {
-                let body = std::mem::take(&mut self.buf);
-                self.finish(body, 0)
+        match self.head.as_ref()?.body_end {
+            BodyEnd::ConnectionClose => {
+                let body = std::mem::take(&mut self.buffer);
+                self.finish(ReadBody { body, consumed: 0 })
             }
-            _ => None,
+            BodyEnd::Length(_) | BodyEnd::Chunked => None,
         }
     }
 
-    fn finish(&mut self, body: Vec<u8>, used: usize) -> Option<Message> {
-        let (mut message, _) = self.head.take()?;
-        message.body = body;
-        self.buf.drain(..used);
+    fn finish(&mut self, read: ReadBody) -> Option<Message> {
+        let mut message = self.head.take()?.message;
+        message.body = read.body;
+        self.buffer.drain(..read.consumed);
         self.scanned = 0;
         Some(message)
     }
 
-    fn take_head(&mut self) -> Result<bool, HttpError> {
-        // Empty lines before a message are allowed and skipped.
-        let blank = self
-            .buf
-            .iter()
-            .take_while(|b| **b == b'\r' || **b == b'\n')
-            .count();
-        if blank > 0 {
-            self.buf.drain(..blank);
-            self.scanned = 0;
-        }
-        let from = self.scanned.saturating_sub(3);
-        let end = self.buf[from..].windows(4).position(|w| w == b"\r\n\r\n");
-        let Some(end) = end.map(|at| at + from) else {
-            self.scanned = self.buf.len();
-            return if self.buf.len() > HEAD_MAX {
-                Err(HttpError::TooLarge)
-            } else {
-                Ok(false)
+    /// The next message's head, if it is all there.
+    fn read_head(&mut self) -> Result<Option<Head>, HttpError> {
+        self.skip_blank_lines();
+        let from = self.scanned.saturating_sub(HEAD_END.len() - 1);
+        let mut windows = self.buffer[from..].windows(HEAD_END.len());
+        let Some(end) = windows.position(|window| window == HEAD_END) else {
+            self.scanned = self.buffer.len();
+            return match self.buffer.len() > HEAD_MAX {
+                true => Err(HttpError::TooLarge),
+                false => Ok(None),
             };
         };
+        let end = from + end;
         if end > HEAD_MAX {
             return Err(HttpError::TooLarge);
         }
-        let text = std::str::from_utf8(&self.buf[..end]).map_err(|_| HttpError::Malformed)?;
+        let text = std::str::from_utf8(&self.buffer[..end]).map_err(|_| HttpError::Malformed)?;
         let head = parse_head(text, self.side, self.body_max)?;
-        self.buf.drain(..end + 4);
+        self.buffer.drain(..end + HEAD_END.len());
         self.scanned = 0;
-        self.head = Some(head);
-        Ok(true)
+        Ok(Some(head))
     }
+
+    /// Empty lines before a message are allowed.
+    fn skip_blank_lines(&mut self) {
+        let bytes = self.buffer.iter();
+        let blank = bytes
+            .take_while(|byte| matches!(byte, b'\r' | b'\n'))
+            .count();
+        if blank > 0 {
+            self.buffer.drain(..blank);
+            self.scanned = 0;
+        }
+    }
+}
+
+/// The headers that matter here.
+struct Headers {
+    content_length: Option<usize>,
+    is_chunked: bool,
+    close: bool,
+    retry_after: Option<u64>,
 }
 
-fn parse_head(text: &str, side: Side, body_max: usize) -> Result<(Message, Body), HttpError> {
+fn parse_head(text: &str, side: Side, body_max: usize) -> Result<Head, HttpError> {
     let mut lines = text.split("\r\n");
     let start = start_line(lines.next().unwrap_or(""), side)?;
-    let version = if side == Side::Request {
-        &start[2]
-    } else {
-        &start[0]
+    let version = match side {
+        Side::Request => &start[2],
+        Side::Response => &start[0],
+    };
+    let headers = parse_headers(lines, version)?;
+    let body_end = match (headers.is_chunked, headers.content_length) {
+        // Both at once is how requests are smuggled past a proxy.
+        (true, Some(_)) => return Err(HttpError::Malformed),
+        (true, None) => BodyEnd::Chunked,
+        (false, Some(length)) if length > body_max => return Err(HttpError::TooLarge),
+        (false, Some(length)) => BodyEnd::Length(length),
+        (false, None) if side == Side::Response && !is_bodiless(&start[1]) => {
+            BodyEnd::ConnectionClose
+        }
+        (false, None) => BodyEnd::Length(0),
+    };
+    let message = Message {
+        start,
+        close: headers.close,
+        retry_after: headers.retry_after,
+        body: Vec::new(),
+    };
+    Ok(Head { message, body_end })
+}
+
+fn parse_headers<'a>(
+    lines: impl Iterator<Item = &'a str>,
+    version: &str,
+) -> Result<Headers, HttpError> {
+    let mut headers = Headers {
+        content_length: None,
+        is_chunked: false,
+        close: version == "HTTP/1.0",
+        retry_after: None,
     };
-    let mut close = version == "HTTP/1.0";
-    let (mut length, mut is_chunked, mut retry_after) = (None, false, None);
     for line in lines {
         let (name, value) = line.split_once(':').ok_or(HttpError::Malformed)?;
         let value = value.trim_matches([' ', '\t']);
-        if name.is_empty() || !name.bytes().all(token_byte) {
+        if name.is_empty() || !name.bytes().all(is_token_byte) {
             return Err(HttpError::Malformed);
         }
-        match name.to_ascii_lowercase().as_str() {
+        headers.read(&name.to_ascii_lowercase(), value)?;
+    }
+    Ok(headers)
+}
+
+impl Headers {
+    fn read(&mut self, name: &str, value: &str) -> Result<(), HttpError> {
+        match name {
             "content-length" => {
-                let n = content_length(value)?;
-                if length.is_some_and(|had| had != n) {
+                let length = content_length(value)?;
+                if self.content_length.is_some_and(|earlier| earlier != length) {
                     return Err(HttpError::Malformed);
                 }
-                length = Some(n);
+                self.content_length = Some(length);
             }
-            "transfer-encoding" if value.eq_ignore_ascii_case("chunked") => is_chunked = true,
+            "transfer-encoding" if value.eq_ignore_ascii_case("chunked") => self.is_chunked = true,
             "transfer-encoding" => return Err(HttpError::Malformed),
-            "connection" => {
-                for word in value.split(',') {
-                    if word.trim().eq_ignore_ascii_case("close") {
-                        close = true;
-                    } else if word.trim().eq_ignore_ascii_case("keep-alive") {
-                        close = false;
-                    }
-                }
-            }
-            "retry-after" => retry_after = value.parse().ok(),
+            "connection" => self.read_connection(value),
+            "retry-after" => self.retry_after = value.parse().ok(),
             _ => {}
         }
+        Ok(())
+    }
+
+    fn read_connection(&mut self, value: &str) {
+        for option in value.split(',').map(str::trim) {
+            if option.eq_ignore_ascii_case("close") {
+                self.close = true;
+            } else if option.eq_ignore_ascii_case("keep-alive") {
+                self.close = false;
+            }
+        }
     }
-    let body = match (is_chunked, length) {
-        // Both at once is how requests are smuggled past a proxy.
-        (true, Some(_)) => return Err(HttpError::Malformed),
-        (true, None) => Body::Chunked,
-        (false, Some(n)) if n > body_max => return Err(HttpError::TooLarge),
-        (false, Some(n)) => Body::Length(n),
-        (false, None) if side == Side::Response && !bodiless(&start[1]) => Body::UntilClose,
-        (false, None) => Body::Length(0),
-    };
-    let message = Message {
-        start,
-        close,
-        retry_after,
-        body: Vec::new(),
-    };
-    Ok((message, body))
 }
 
-fn bodiless(status: &str) -> bool {
+/// Whether responses of a status never have a body.
+fn is_bodiless(status: &str) -> bool {
     status == "204" || status == "304" || status.starts_with('1')
 }
 
 fn content_length(value: &str) -> Result<usize, HttpError> {
-    if value.is_empty() || !value.bytes().all(|b| b.is_ascii_digit()) {
+    if value.is_empty() || !value.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(HttpError::Malformed);
     }
     value.parse().map_err(|_| HttpError::TooLarge)
@@ -225,76 +292,90 @@
     let mut parts = line.splitn(3, ' ');
     let mut part = || parts.next().unwrap_or("").to_string();
     let start = [part(), part(), part()];
-    let good = match side {
+    let is_valid = match side {
         Side::Request => {
             !start[0].is_empty()
-                && start[0].bytes().all(token_byte)
+                && start[0].bytes().all(is_token_byte)
                 && start[1].starts_with('/')
-                && start[1].bytes().all(|b| b.is_ascii_graphic())
+                && start[1].bytes().all(|byte| byte.is_ascii_graphic())
                 && (start[2] == "HTTP/1.1" || start[2] == "HTTP/1.0")
         }
         Side::Response => {
             (start[0] == "HTTP/1.1" || start[0] == "HTTP/1.0")
                 && start[1].len() == 3
-                && start[1].bytes().all(|b| b.is_ascii_digit())
+                && start[1].bytes().all(|byte| byte.is_ascii_digit())
         }
     };
-    if good {
+    if is_valid {
         Ok(start)
     } else {
         Err(HttpError::Malformed)
     }
 }
 
-fn token_byte(b: u8) -> bool {
-    b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b)
+/// Whether a byte may stand in a method or in a header's name.
+fn is_token_byte(byte: u8) -> bool {
+    byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte)
 }
 
 /// Reads a chunked body from its start; `None` while it isn't whole.
-fn chunked(buf: &[u8], body_max: usize) -> Result<Option<(Vec<u8>, usize)>, HttpError> {
+fn read_chunked(buffer: &[u8], body_max: usize) -> Result<Option<ReadBody>, HttpError> {
     let (mut at, mut body) = (0, Vec::new());
     loop {
-        let Some(end) = line_end(&buf[at..])? else {
+        let Some(line_length) = find_line_end(&buffer[at..])? else {
             return Ok(None);
         };
-        let line = std::str::from_utf8(&buf[at..at + end]).map_err(|_| HttpError::Malformed)?;
-        let digits = line.split(';').next().unwrap_or("").trim();
-        if digits.is_empty() || !digits.bytes().all(|b| b.is_ascii_hexdigit()) {
-            return Err(HttpError::Malformed);
-        }
-        let size = usize::from_str_radix(digits, 16).map_err(|_| HttpError::TooLarge)?;
-        at += end + 2;
+        let size = chunk_size(&buffer[at..at + line_length])?;
+        at += line_length + LINE_END.len();
         if size > body_max || body.len() + size > body_max {
             return Err(HttpError::TooLarge);
         }
         if size == 0 {
-            // Trailers are read over up to the empty line that ends them.
-            while let Some(end) = line_end(&buf[at..])? {
-                at += end + 2;
-                if end == 0 {
-                    return Ok(Some((body, at)));
-                }
-            }
-            return Ok(None);
+            let consumed = skip_trailers(buffer, at)?;
+            return Ok(consumed.map(|consumed| ReadBody { body, consumed }));
         }
-        if buf.len() < at + size + 2 {
+        if buffer.len() < at + size + LINE_END.len() {
             return Ok(None);
         }
-        body.extend_from_slice(&buf[at..at + size]);
+        body.extend_from_slice(&buffer[at..at + size]);
         at += size;
-        if &buf[at..at + 2] != b"\r\n" {
+        if !buffer[at..].starts_with(LINE_END) {
             return Err(HttpError::Malformed);
         }
-        at += 2;
+        at += LINE_END.len();
+    }
+}
+
+/// Reads the line before a chunk. What follows a semicolon there has no meaning here.
+fn chunk_size(line: &[u8]) -> Result<usize, HttpError> {
+    let line = std::str::from_utf8(line).map_err(|_| HttpError::Malformed)?;
+    let digits = line.split(';').next().unwrap_or("").trim();
+    if digits.is_empty() || !digits.bytes().all(|byte| byte.is_ascii_hexdigit()) {
+        return Err(HttpError::Malformed);
+    }
+    usize::from_str_radix(digits, 16).map_err(|_| HttpError::TooLarge)
+}
+
+/// Where the trailers that begin at a place end, with the empty line after them; `None` while that
+/// hasn't come.
+fn skip_trailers(buffer: &[u8], from: usize) -> Result<Option<usize>, HttpError> {
+    let mut at = from;
+    while let Some(line_length) = find_line_end(&buffer[at..])? {
+        at += line_length + LINE_END.len();
+        if line_length == 0 {
+            return Ok(Some(at));
+        }
     }
+    Ok(None)
 }
 
-fn line_end(buf: &[u8]) -> Result<Option<usize>, HttpError> {
-    let found = buf
-        .windows(2)
+/// How long the first line is; `None` while its end hasn't come.
+fn find_line_end(buffer: &[u8]) -> Result<Option<usize>, HttpError> {
+    let found = buffer
+        .windows(LINE_END.len())
         .take(CHUNK_LINE_MAX)
-        .position(|w| w == b"\r\n");
-    if found.is_none() && buf.len() > CHUNK_LINE_MAX {
+        .position(|window| window == LINE_END);
+    if found.is_none() && buffer.len() > CHUNK_LINE_MAX {
         return Err(HttpError::Malformed);
     }
     Ok(found)
@@ -315,36 +396,36 @@
         503 => "Service Unavailable",
         _ => "Status",
     };
-    let mut out = format!(
+    let mut message = format!(
         "HTTP/1.1 {status} {reason}\r\nContent-Length: {}\r\n",
         body.len()
     );
     if !body.is_empty() {
-        out.push_str("Content-Type: application/cbor\r\n");
+        message.push_str("Content-Type: application/cbor\r\n");
     }
-    if let Some(s) = retry_after {
-        out.push_str(&format!("Retry-After: {s}\r\n"));
+    if let Some(seconds) = retry_after {
+        message.push_str(&format!("Retry-After: {seconds}\r\n"));
     }
     if close {
-        out.push_str("Connection: close\r\n");
+        message.push_str("Connection: close\r\n");
     }
-    out.push_str("\r\n");
-    let mut out = out.into_bytes();
-    out.extend_from_slice(body);
-    out
+    message.push_str("\r\n");
+    let mut message = message.into_bytes();
+    message.extend_from_slice(body);
+    message
 }
 
 /// Writes a request.
 pub fn request(method: &str, path: &str, host: &str, body: Option<&[u8]>) -> Vec<u8> {
-    let mut out = format!("{method} {path} HTTP/1.1\r\nHost: {host}\r\n");
+    let mut message = format!("{method} {path} HTTP/1.1\r\nHost: {host}\r\n");
     if let Some(body) = body {
-        out.push_str(&format!(
+        message.push_str(&format!(
             "Content-Type: application/cbor\r\nContent-Length: {}\r\n",
             body.len()
         ));
     }
-    out.push_str("\r\n");
-    let mut out = out.into_bytes();
-    out.extend_from_slice(body.unwrap_or(&[]));
-    out
+    message.push_str("\r\n");
+    let mut message = message.into_bytes();
+    message.extend_from_slice(body.unwrap_or(&[]));
+    message
 }
