--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,4 +1,6 @@
-//! Names and moments as types of their own, so that one can't be taken for another.
+//! Names and moments as types of their own, so that one can't be mistaken for another.
+
+#![warn(missing_docs)]
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -40,7 +42,7 @@
     MachineId
 );
 name_type!(
-    /// One controller of the service.
+    /// A controller of the service, as the platform named it.
     ControllerId
 );
 name_type!(
@@ -48,27 +50,29 @@
     Image
 );
 
-/// The longest job id that is taken.
+/// The longest job id that is accepted.
 const JOB_ID_MAX: usize = 64;
 
 impl JobId {
-    /// Takes a job id only in the users' form: lower-case letters, a hyphen, digits.
+    /// Accepts a job id only in the users' form: lower-case letters, a hyphen, digits.
     /// Anything else could break out of the key it becomes a part of.
     pub fn parse(text: &str) -> Option<Self> {
         let (word, digits) = text.split_once('-')?;
-        let good = !word.is_empty()
+        let is_valid = !word.is_empty()
             && !digits.is_empty()
             && text.len() <= JOB_ID_MAX
-            && word.bytes().all(|b| b.is_ascii_lowercase())
-            && digits.bytes().all(|b| b.is_ascii_digit());
-        good.then(|| Self(text.into()))
+            && word.bytes().all(|byte| byte.is_ascii_lowercase())
+            && digits.bytes().all(|byte| byte.is_ascii_digit());
+        is_valid.then(|| Self(text.into()))
     }
 }
 
 /// One task of a job.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
+    /// The job.
     pub job: JobId,
+    /// Which of its tasks, from 0.
     pub index: u32,
 }
 
@@ -89,39 +93,41 @@
     }
 }
 
-/// One placement of a task. Rises for good: its upper part is the number under
-/// which it was placed, and no two processes ever have the same number.
+/// An attempt to run a task. Later attempts are always greater: the upper part is the fencing token
+/// under which the task was placed, and no two processes ever have the same token.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Default,
 )]
 pub struct Attempt(pub u64);
 
-/// The number (token) under which commands are given to workers.
+/// The token of a shard's owner, under which it commands workers. It rises with every new owner, and
+/// no process uses one that an earlier process has used.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Default,
 )]
 pub struct FencingToken(pub u64);
 
 impl Attempt {
-    /// Bits left for the placements made under one number.
+    /// Bits for the attempts made under one token.
     const COUNT_BITS: u32 = 28;
+    const COUNT_MASK: u64 = (1 << Self::COUNT_BITS) - 1;
 
-    /// The `count`th placement under `token`.
+    /// The `count`th attempt under `token`.
     pub fn new(token: FencingToken, count: u64) -> Self {
-        Self((token.0 << Self::COUNT_BITS) | (count & ((1 << Self::COUNT_BITS) - 1)))
+        Self((token.0 << Self::COUNT_BITS) | (count & Self::COUNT_MASK))
     }
 
-    /// The number under which it was placed.
+    /// The token under which the task was placed.
     pub fn token(self) -> FencingToken {
         FencingToken(self.0 >> Self::COUNT_BITS)
     }
 }
 
-/// A request that waits for its answer.
+/// A user's, worker's or health check's request to this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// A call to the store or the cloud.
+/// A request of this process to the store or the cloud.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,5 +1,7 @@
 //! The program: arguments, logging, exit codes. Everything else is in the library.
 
+#![warn(missing_docs)]
+
 use clap::Parser;
 use log::warn;
 use salttrestle::settings::Settings;
@@ -27,23 +29,32 @@
     check: bool,
 }
 
-/// A flag that SIGTERM and SIGINT raise. Where signals can't be had, the process can only be killed.
-fn end_on_request() -> Arc<AtomicBool> {
+/// The exit code for bad arguments and settings.
+const EXIT_BAD_SETTINGS: u8 = 2;
+
+/// A flag that SIGTERM and SIGINT raise. Where handlers can't be registered, the process can only be
+/// killed.
+fn termination_flag() -> Arc<AtomicBool> {
     let flag = Arc::new(AtomicBool::new(false));
     for signal in [SIGTERM, SIGINT] {
         if let Err(error) = signal_hook::flag::register(signal, flag.clone()) {
-            warn!("signal {signal} isn't heard: {error}");
+            warn!("signal handler isn't registered: signal={signal} reason={error}");
         }
     }
     flag
 }
 
-fn main() -> ExitCode {
-    let args = Args::parse();
+/// Logs to standard error, at the level that `LOG_LEVEL` names.
+fn start_logging() {
     let filter = env_logger::Env::new().filter_or("LOG_LEVEL", "info");
     env_logger::Builder::from_env(filter)
         .format_target(false)
         .init();
+}
+
+fn main() -> ExitCode {
+    let args = Args::parse();
+    start_logging();
     let settings = match Settings::load(
         &args.config,
         args.properties.as_deref(),
@@ -52,15 +63,15 @@
         Ok(settings) => settings,
         Err(error) => {
             eprintln!("salttrestle: {error}");
-            return ExitCode::from(2);
+            return ExitCode::from(EXIT_BAD_SETTINGS);
         }
     };
     if args.check {
         println!("settings are good");
         return ExitCode::SUCCESS;
     }
-    let end = end_on_request();
-    match salttrestle::net::run(settings, rand::random(), end) {
+    let incarnation = rand::random();
+    match salttrestle::net::run(settings, incarnation, termination_flag()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("salttrestle: {error}");
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,77 +1,101 @@
-//! What the program measures of itself, and the line that tells an operator which limit
-//! is near.
+//! What the process measures of itself, and the log line that shows which limit is near.
+
+#![warn(missing_docs)]
 
 use crate::controller::events::Load;
 use crate::ids::Time;
 use hdrhistogram::Histogram;
 use std::time::{Duration, Instant};
 
-/// Pause between two lines.
-const EVERY_S: f64 = 30.0;
+/// Pause between two log lines, in seconds.
+const LOG_INTERVAL_S: f64 = 30.0;
 /// Longest time told apart, in microseconds; anything longer counts as this.
 const LONGEST_US: u64 = 60_000_000;
+/// Significant digits of the histograms.
 const DIGITS: u8 = 2;
 
-/// A timer that fires later than this finds the processor full, whatever the process itself did.
-const LATE: Duration = Duration::from_millis(100);
-/// How long the share of its time for which the process is busy is measured for.
-const BUSY_EVERY: Duration = Duration::from_secs(1);
+/// Timers that fire later than this, on average, mean that the processor is full, whatever the
+/// process itself did.
+const LATE_TIMER: Duration = Duration::from_millis(100);
+/// Over how long the processor's utilization is measured.
+const UTILIZATION_INTERVAL: Duration = Duration::from_secs(1);
 
 /// For which share of its time the process doesn't wait: it computes, or it waits for its share of
 /// the processor.
-struct Busy {
+struct ProcessorUtilization {
+    /// When the present measurement began.
     since: Instant,
     waited: Duration,
-    /// Timers that fired, and how late they did.
-    timers: u32,
+    timers: TimerDelays,
+    /// Measurements since the last log line.
+    measured: Measurements,
+}
+
+/// Timers that fired, and how late they did, in all.
+#[derive(Clone, Copy, Default)]
+struct TimerDelays {
+    count: u32,
     late: Duration,
-    /// Since the last line: the sum of the measurements, their number, and the largest.
+}
+
+impl TimerDelays {
+    fn show_full_processor(self) -> bool {
+        self.count > 0 && self.late / self.count > LATE_TIMER
+    }
+}
+
+/// Shares of the processor, measured one after the other.
+#[derive(Clone, Copy, Default)]
+struct Measurements {
     sum: f64,
     count: u32,
-    most: f64,
+    largest: f64,
 }
 
-impl Busy {
+impl Measurements {
+    fn add(&mut self, share: f64) {
+        self.sum += share;
+        self.count += 1;
+        self.largest = self.largest.max(share);
+    }
+
+    fn mean(self) -> f64 {
+        self.sum / f64::from(self.count.max(1))
+    }
+}
+
+impl ProcessorUtilization {
     fn new(since: Instant) -> Self {
         Self {
             since,
             waited: Duration::ZERO,
-            timers: 0,
-            late: Duration::ZERO,
-            sum: 0.0,
-            count: 0,
-            most: 0.0,
+            timers: TimerDelays::default(),
+            measured: Measurements::default(),
         }
     }
 
+    /// The share since the last measurement, if that is long enough ago.
     fn measure(&mut self, now: Instant) -> Option<f64> {
         let passed = now.duration_since(self.since);
-        if passed < BUSY_EVERY {
+        if passed < UTILIZATION_INTERVAL {
             return None;
         }
-        let full = self.timers > 0 && self.late / self.timers > LATE;
-        let share = match full {
+        let share = match self.timers.show_full_processor() {
             true => 1.0,
             false => 1.0 - self.waited.as_secs_f64() / passed.as_secs_f64(),
         };
-        *self = Self {
-            since: now,
-            waited: Duration::ZERO,
-            timers: 0,
-            late: Duration::ZERO,
-            ..*self
-        };
-        self.sum += share;
-        self.count += 1;
-        self.most = self.most.max(share);
+        self.since = now;
+        self.waited = Duration::ZERO;
+        self.timers = TimerDelays::default();
+        self.measured.add(share);
         Some(share)
     }
 
-    fn line(&mut self) -> String {
-        let mean = self.sum / f64::from(self.count.max(1));
-        let line = format!("{:.2} busy ({:.2} at most)", mean, self.most);
-        (self.sum, self.count, self.most) = (0.0, 0, 0.0);
-        line
+    /// The measurements since the last log line, as that shows them.
+    fn log_text(&mut self) -> String {
+        let measured = std::mem::take(&mut self.measured);
+        let (mean, largest) = (measured.mean(), measured.largest);
+        format!("{mean:.2} busy ({largest:.2} at most)")
     }
 }
 
@@ -88,72 +112,83 @@
         self.bytes += bytes as u64;
     }
 
-    fn line(self, passed_s: f64) -> String {
+    fn log_text(self, passed_s: f64) -> String {
         let messages = self.messages as f64 / passed_s;
         let kilobytes = self.bytes as f64 / 1000.0 / passed_s;
         format!("{messages:.1} messages and {kilobytes:.2} KB a second")
     }
 }
 
+/// The measurements of one process.
 pub struct Metrics {
     /// Time that one input took, in microseconds.
     steps: Histogram<u32>,
-    /// Time that the store took to answer a commit, in microseconds.
+    /// Time that the store took to answer a transaction, in microseconds.
     commits: Histogram<u32>,
-    /// Answers by which the store or the cloud refused a call.
+    /// Responses by which the store or the cloud refused a call.
     refused: u32,
+    /// Most writes that waited at once.
     queued: usize,
-    busy: Busy,
+    utilization: ProcessorUtilization,
     /// To other controllers of this cell, and to those of other cells.
     to_peers: Sent,
     to_cells: Sent,
-    before: Load,
+    /// What was counted up to the last log line, and when that was.
+    load_before: Load,
     since: Time,
 }
 
 fn histogram() -> Histogram<u32> {
-    Histogram::new_with_max(LONGEST_US, DIGITS).expect("bounds that hdrhistogram takes")
+    Histogram::new_with_max(LONGEST_US, DIGITS).expect("bounds that hdrhistogram accepts")
+}
+
+fn milliseconds(microseconds: u64) -> f64 {
+    microseconds as f64 / 1000.0
 }
 
 impl Metrics {
-    pub fn new(now: Time, began: Instant) -> Self {
+    /// Metrics of a process that starts now, by both of its clocks.
+    pub fn new(now: Time, started: Instant) -> Self {
         Self {
             steps: histogram(),
             commits: histogram(),
             refused: 0,
             queued: 0,
-            busy: Busy::new(began),
+            utilization: ProcessorUtilization::new(started),
             to_peers: Sent::default(),
             to_cells: Sent::default(),
-            before: Load::default(),
+            load_before: Load::default(),
             since: now,
         }
     }
 
+    /// The controller processed one input.
     pub fn step(&mut self, took: Duration) {
         self.steps.saturating_record(took.as_micros() as u64);
     }
 
     /// The process waited for sockets or for a timer.
     pub fn waited(&mut self, time: Duration) {
-        self.busy.waited += time;
+        self.utilization.waited += time;
     }
 
     /// A timer fired so much later than it was due.
-    pub fn timer(&mut self, late: Duration) {
-        self.busy.timers += 1;
-        self.busy.late += late;
+    pub fn timer_fired(&mut self, late: Duration) {
+        self.utilization.timers.count += 1;
+        self.utilization.timers.late += late;
     }
 
     /// The share of its time for which the process was busy, about once a second.
-    pub fn busy(&mut self, now: Instant) -> Option<f64> {
-        self.busy.measure(now)
+    pub fn processor_utilization(&mut self, now: Instant) -> Option<f64> {
+        self.utilization.measure(now)
     }
 
+    /// The store answered a transaction, or failed to.
     pub fn commit(&mut self, took_s: f64) {
         self.commits.saturating_record((took_s * 1e6) as u64);
     }
 
+    /// The store or the cloud refused a call.
     pub fn refused(&mut self) {
         self.refused += 1;
     }
@@ -168,46 +203,75 @@
         self.to_cells.add(bytes);
     }
 
-    /// The line for the time since the last one, when it is due.
-    pub fn line(&mut self, now: Time, load: &Load, sockets: usize, most: usize) -> Option<String> {
+    /// The log line for the time since the last one, when it is due. `sockets` of `sockets_max` are
+    /// open.
+    pub fn log_line(
+        &mut self,
+        now: Time,
+        load: &Load,
+        sockets: usize,
+        sockets_max: usize,
+    ) -> Option<String> {
         self.queued = self.queued.max(load.queued);
-        let passed = now.since(self.since);
-        if passed < EVERY_S {
+        let passed_s = now.since(self.since);
+        if passed_s < LOG_INTERVAL_S {
             return None;
         }
-        let rate = |now: f64, before: f64| (now - before) / passed;
-        let (steps, commits, b) = (&self.steps, &self.commits, &self.before);
-        let ms = |us: u64| us as f64 / 1000.0;
-        let busy = self.busy.line();
         let line = format!(
-            "load: {busy}; {:.0} steps/s of {:.2} ms ({:.2} at p99, {:.1} at most); commits {:.0} ms \
-             ({:.0} at p99); {:.1} of {:.0} requests, {:.1} of {:.0} changes, {:.2} of {:.1} cloud \
-             calls a second; {} refused; {} writes queued at most; {} machines looked at for {} tasks \
-             placed; {sockets} of {most} sockets; {} to siblings, {} to other cells",
-            steps.len() as f64 / passed,
+            "load: {}; {}; {}; {} writes queued at most; {} machines looked at for {} tasks placed; \
+             {sockets} of {sockets_max} sockets; {} to siblings, {} to other cells",
+            self.utilization.log_text(),
+            self.times_text(passed_s),
+            self.limits_text(load, passed_s),
+            self.queued,
+            load.machines_scanned - self.load_before.machines_scanned,
+            load.placed - self.load_before.placed,
+            self.to_peers.log_text(passed_s),
+            self.to_cells.log_text(passed_s),
+        );
+        self.begin_interval(now, load);
+        Some(line)
+    }
+
+    /// How long steps and commits took.
+    fn times_text(&self, passed_s: f64) -> String {
+        let (steps, commits) = (&self.steps, &self.commits);
+        format!(
+            "{:.0} steps/s of {:.2} ms ({:.2} at p99, {:.1} at most); commits {:.0} ms ({:.0} at p99)",
+            steps.len() as f64 / passed_s,
             steps.mean() / 1000.0,
-            ms(steps.value_at_quantile(0.99)),
-            ms(steps.max()),
+            milliseconds(steps.value_at_quantile(0.99)),
+            milliseconds(steps.max()),
             commits.mean() / 1000.0,
-            ms(commits.value_at_quantile(0.99)),
-            rate(load.requests, b.requests),
+            milliseconds(commits.value_at_quantile(0.99)),
+        )
+    }
+
+    /// What was used of this controller's shares of the limits.
+    fn limits_text(&self, load: &Load, passed_s: f64) -> String {
+        let before = &self.load_before;
+        let rate = |now: f64, before: f64| (now - before) / passed_s;
+        format!(
+            "{:.1} of {:.0} requests, {:.1} of {:.0} changes, {:.2} of {:.1} cloud calls a second; \
+             {} refused",
+            rate(load.requests, before.requests),
             load.requests_rate,
-            rate(load.changes, b.changes),
+            rate(load.changes, before.changes),
             load.changes_rate,
-            rate(load.cloud, b.cloud),
+            rate(load.cloud, before.cloud),
             load.cloud_rate,
             self.refused,
-            self.queued,
-            load.machines_scanned - b.machines_scanned,
-            load.placed - b.placed,
-            self.to_peers.line(passed),
-            self.to_cells.line(passed),
-        );
+        )
+    }
+
+    fn begin_interval(&mut self, now: Time, load: &Load) {
         self.steps.reset();
         self.commits.reset();
-        (self.refused, self.queued) = (0, 0);
-        (self.to_peers, self.to_cells) = (Sent::default(), Sent::default());
-        (self.before, self.since) = (load.clone(), now);
-        Some(line)
+        self.refused = 0;
+        self.queued = 0;
+        self.to_peers = Sent::default();
+        self.to_cells = Sent::default();
+        self.load_before = load.clone();
+        self.since = now;
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -181,7 +181,8 @@
     fn sweep(&mut self, now: Time) {
         if let Some(due) = self.next_sweep {
             let late_ms = now.0.saturating_sub(due.0);
-            self.context.metrics.timer(Duration::from_millis(late_ms));
+            let late = Duration::from_millis(late_ms);
+            self.context.metrics.timer_fired(late);
         }
         self.next_sweep = Some(now.next_multiple(SWEEP_MS));
         self.outgoing.end_overdue(&mut self.context, now);
@@ -189,7 +190,8 @@
         if self.termination.load(Ordering::Relaxed) {
             self.context.inputs.push_back(Input::Shutdown);
         }
-        if let Some(share) = self.context.metrics.busy(Instant::now()) {
+        let utilization = self.context.metrics.processor_utilization(Instant::now());
+        if let Some(share) = utilization {
             let input = Input::ProcessorUtilization(share);
             self.context.inputs.push_back(input);
         }
@@ -243,7 +245,7 @@
         let load = self.controller.load();
         let sockets = self.context.connections.count();
         let metrics = &mut self.context.metrics;
-        let Some(line) = metrics.line(now, &load, sockets, self.sockets_max) else {
+        let Some(line) = metrics.log_line(now, &load, sockets, self.sockets_max) else {
             return;
         };
         info!("{line}");
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -1,5 +1,9 @@
-//! What controllers tell each other: `postcard` behind a length and a version.
-//! Nothing a rule depends on travels here; it only makes the right thing come sooner.
+//! Messages between the controllers of a cell: `postcard` behind a length and a version.
+//! No rule depends on them; they only make the right thing come sooner.
+//!
+//! `postcard` writes fields and variants by their order: that stays, whatever their names become.
+
+#![warn(missing_docs)]
 
 use crate::ids::{Attempt, ControllerId, FencingToken, MachineId, RequestId};
 use crate::wire::{Cause, HeartbeatTask, Num, TaskStatus, WorkerHeartbeat};
@@ -15,15 +19,20 @@
 /// and a line for each pool, zone and team, of which there may be hundreds.
 pub const MESSAGE_MAX: usize = 256 * 1024;
 /// Bytes before a message: its length and the version.
-const HEAD: usize = 5;
+const HEADER_BYTES: usize = 5;
 
+/// A message to a peer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
+    /// The sender's state, about once a second.
     PeerHeartbeat(PeerHeartbeat),
+    /// What the owner of a shard counts for the leader.
     ShardCounts(Box<ShardCounts>),
+    /// A worker's heartbeat, forwarded to the owner of its shard.
     ForwardedHeartbeat(Box<ForwardedHeartbeat>),
+    /// The owner's response to one.
     ForwardedResponse(ForwardedResponse),
-    /// Travels in frames of a version of its own.
+    /// From package `standby`. Travels in frames of a version of its own.
     #[serde(skip)]
     Standby(Box<StandbyMessage>),
 }
@@ -37,48 +46,51 @@
     /// Not a message.
     #[error("malformed message")]
     Malformed,
-    /// A message of the standby that isn't taken.
+    /// A message of the standby that isn't accepted.
     #[error("{0}")]
     Standby(#[from] MessageError),
 }
 
-/// What a controller says of itself about once a second.
+/// A controller's state as it sees it, sent about once a second.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PeerHeartbeat {
+    /// The sender.
     pub from: ControllerId,
     /// Tells this process from earlier ones of the same controller.
     pub incarnation: u64,
     /// Who leads, as far as it knows.
     pub leader: Option<ControllerId>,
-    /// Who holds each shard, and under which number.
+    /// Each shard, with its fencing token and its owner.
     pub shards: Vec<(u32, FencingToken, ControllerId)>,
     /// Whether the store has answered it lately.
     pub is_fresh: bool,
-    /// How long ago it last knew all that stood at the store, in milliseconds.
+    /// How long ago it last knew all records of the store, in milliseconds.
     pub staleness_ms: u64,
-    /// Whether a worker has reported to it lately, wherever it was sent on to.
+    /// Whether a worker's heartbeat came to it lately, whichever shard is the worker's.
     pub hears_workers: bool,
-    /// Whether it holds a shard whose workers have stopped reporting to it.
+    /// Whether it owns a shard whose workers' heartbeats have stopped coming to it.
     pub workers_unreachable: bool,
-    /// Whether it can hand heartbeats on to the owner.
+    /// Whether it can forward heartbeats to the owner.
     pub can_forward: bool,
     /// The sender's clock, in milliseconds.
     pub at_ms: u64,
-    /// The clock and the process of the latest message like this one from each peer.
+    /// Each peer, with the clock and the incarnation in the latest heartbeat from it.
     pub echoes: Vec<(ControllerId, u64, u64)>,
-    /// How long ago it last answered a worker in an owner's place, in milliseconds.
+    /// How long ago it last kept a worker's lease alive in an owner's place, in milliseconds.
     pub since_keepalive_ms: u64,
     /// Machines of its shards that have tasks and don't heartbeat, within a bound: what is
     /// cancelled there can't be confirmed soon.
     pub overdue: Vec<MachineId>,
 }
 
-/// A worker's heartbeat, handed on to its shard's owner.
+/// A worker's heartbeat, forwarded to its shard's owner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ForwardedHeartbeat {
+    /// The controller that forwards it.
     pub from: ControllerId,
+    /// That controller's process.
     pub incarnation: u64,
-    /// The sender's request, for the answer.
+    /// That process's request, which the response names again.
     pub request_id: u64,
     machine: String,
     endpoint: String,
@@ -93,31 +105,33 @@
 }
 
 impl ForwardedHeartbeat {
+    /// Wraps a heartbeat for its way to the owner.
     pub fn new(
         from: &ControllerId,
         incarnation: u64,
         request_id: RequestId,
-        report: &WorkerHeartbeat,
+        heartbeat: &WorkerHeartbeat,
     ) -> Self {
-        let tasks = report.tasks.iter();
-        let tasks = tasks.map(|t| (t.task.clone(), t.attempt, t.status, t.cause));
+        let tasks = heartbeat.tasks.iter();
+        let tasks = tasks.map(|task| (task.task.clone(), task.attempt, task.status, task.cause));
         Self {
             from: from.clone(),
             incarnation,
             request_id: request_id.0,
-            machine: report.machine.clone(),
-            endpoint: report.endpoint.clone(),
-            class: report.class.clone(),
-            zone: report.zone.clone(),
-            spot: report.spot,
-            agent_epoch: report.agent_epoch,
-            sequence: report.sequence,
-            token: report.token,
-            notice_s: report.notice_s.map(|n| n.0),
+            machine: heartbeat.machine.clone(),
+            endpoint: heartbeat.endpoint.clone(),
+            class: heartbeat.class.clone(),
+            zone: heartbeat.zone.clone(),
+            spot: heartbeat.spot,
+            agent_epoch: heartbeat.agent_epoch,
+            sequence: heartbeat.sequence,
+            token: heartbeat.token,
+            notice_s: heartbeat.notice_s.map(|seconds| seconds.0),
             tasks: tasks.collect(),
         }
     }
 
+    /// The worker's heartbeat.
     pub fn report(self) -> WorkerHeartbeat {
         let tasks = self.tasks.into_iter();
         let tasks = tasks.map(|(task, attempt, status, cause)| HeartbeatTask {
@@ -141,32 +155,39 @@
     }
 }
 
-/// The answer to a heartbeat that was handed on.
+/// The owner's response to a forwarded heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ForwardedResponse {
-    /// The process that asked, and its request.
+    /// The process that forwarded the heartbeat.
     pub incarnation: u64,
+    /// That process's request.
     pub request_id: u64,
+    /// The HTTP status for the worker.
     pub status: u16,
+    /// The body for the worker.
     pub body: Vec<u8>,
+    /// `Retry-After` for the worker, in seconds.
     pub retry_after: Option<u32>,
 }
 
 /// What a shard's owner counts for the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShardCounts {
+    /// The shard's owner.
     pub from: ControllerId,
+    /// The shard.
     pub shard: u32,
+    /// The owner's fencing token.
     pub token: FencingToken,
     /// The revision of the shard's record under which this was counted.
     pub revision: u64,
-    /// Each pool by type and kind.
+    /// The count of each pool: its machine type, and whether it is a spot pool.
     pub pools: Vec<(String, bool, PoolCount)>,
-    /// Machines by type, kind and zone.
+    /// Machines by machine type, whether they are spot machines, and zone.
     pub zones: Vec<(String, bool, String, u32)>,
-    /// Machines lacking in a particular zone, where tasks may go nowhere else.
+    /// Machines that are lacking in a particular zone, where tasks may go nowhere else.
     pub pins: Vec<(String, bool, String, u32)>,
-    /// Empty machines, those that are missed least first.
+    /// Empty machines, in the order in which they are best given back.
     pub empty: Vec<(String, bool, MachineId)>,
     /// Machines deleted lately.
     pub gone: Vec<MachineId>,
@@ -174,33 +195,39 @@
     pub teams: Vec<(String, TeamCount)>,
 }
 
-/// What a tick counts for one pool.
+/// What a pass of the reconcile loop counts for one pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PoolCount {
-    /// Machines' worth of tasks that found no room.
+    /// Machines' worth of tasks that wait for room.
     pub queued: f64,
     /// Machines' worth of tasks that are placed.
     pub running: f64,
     /// Machines with at least one task.
     pub busy: u32,
+    /// Machines, with those that are still to come.
     pub provisioned: u32,
     /// Machines' worth of room that is free on machines in use.
     pub spare: f64,
     /// Machines' worth of room to be kept free for urgent starts.
     pub keep: f64,
-    /// Whether services run here: room is kept for the next ones.
+    /// Whether services run here, so that room is kept for the next ones.
     pub urgent: bool,
 }
 
+/// What a team uses of one shard, and what it would use if it could.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TeamCount {
+    /// CPUs in use.
     pub cpus: f64,
+    /// GPUs in use.
     pub gpus: f64,
+    /// CPUs that it would use.
     pub cpus_wanted: f64,
+    /// GPUs that it would use.
     pub gpus_wanted: f64,
 }
 
-/// Frames a message; `Err` with its size if no peer would take it.
+/// Frames a message; `Err` with its size if no peer would accept it.
 pub fn frame(message: &Message) -> Result<Vec<u8>, usize> {
     let (version, body) = match message {
         Message::Standby(message) => (STANDBY_VERSION, message.encode()),
@@ -209,26 +236,27 @@
     if body.is_empty() || body.len() > MESSAGE_MAX {
         return Err(body.len());
     }
-    let mut out = Vec::with_capacity(body.len() + HEAD);
-    out.extend_from_slice(&(body.len() as u32).to_be_bytes());
-    out.push(version);
-    out.extend_from_slice(&body);
-    Ok(out)
+    let mut frame = Vec::with_capacity(body.len() + HEADER_BYTES);
+    frame.extend_from_slice(&(body.len() as u32).to_be_bytes());
+    frame.push(version);
+    frame.extend_from_slice(&body);
+    Ok(frame)
 }
 
-/// Takes the next whole message off a buffer. `Err` when the peer must be dropped.
-pub fn unframe(buf: &mut Vec<u8>) -> Result<Option<Message>, FrameError> {
-    while buf.len() >= HEAD {
-        let size = u32::from_be_bytes([buf[0], buf[1], buf[2], buf[3]]) as usize;
+/// Removes the next whole message from a buffer; `Err` when the connection must be closed. Frames
+/// of unknown versions are passed over.
+pub fn unframe(buffer: &mut Vec<u8>) -> Result<Option<Message>, FrameError> {
+    while buffer.len() >= HEADER_BYTES {
+        let size = u32::from_be_bytes([buffer[0], buffer[1], buffer[2], buffer[3]]) as usize;
         if size > MESSAGE_MAX {
             return Err(FrameError::TooLarge);
         }
-        if buf.len() < size + HEAD {
+        if buffer.len() < size + HEADER_BYTES {
             return Ok(None);
         }
-        let version = buf[HEAD - 1];
-        let message = read_body(version, &buf[HEAD..size + HEAD]);
-        buf.drain(..size + HEAD);
+        let version = buffer[HEADER_BYTES - 1];
+        let message = read_body(version, &buffer[HEADER_BYTES..size + HEADER_BYTES]);
+        buffer.drain(..size + HEADER_BYTES);
         if let Some(message) = message? {
             return Ok(Some(message));
         }
