--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -40,22 +40,23 @@
 }
 
 fn program() -> Command {
-    let mut c = Command::new(env!("CARGO_BIN_EXE_salttrestle"));
-    c.stderr(Stdio::null()).stdout(Stdio::null());
-    c
+    let mut command = Command::new(env!("CARGO_BIN_EXE_salttrestle"));
+    command.stderr(Stdio::null()).stdout(Stdio::null());
+    command
 }
 
 /// Sends bytes on a connection of their own and reads one answer, or all until the
 /// other side closes.
 fn exchange(port: u16, bytes: &[u8]) -> String {
-    let mut s = TcpStream::connect(("127.0.0.1", port)).expect("a connection");
-    s.set_read_timeout(Some(Duration::from_secs(5)))
+    let mut stream = TcpStream::connect(("127.0.0.1", port)).expect("a connection");
+    stream
+        .set_read_timeout(Some(Duration::from_secs(5)))
         .expect("a timeout");
-    s.write_all(bytes).expect("sent");
-    let (mut all, mut buf) = (Vec::new(), [0; 4096]);
-    while let Ok(n) = s.read(&mut buf) {
-        all.extend_from_slice(&buf[..n]);
-        if n == 0 || all.windows(4).any(|w| w == b"\r\n\r\n") {
+    stream.write_all(bytes).expect("sent");
+    let (mut all, mut buffer) = (Vec::new(), [0; 4096]);
+    while let Ok(count) = stream.read(&mut buffer) {
+        all.extend_from_slice(&buffer[..count]);
+        if count == 0 || all.windows(4).any(|w| w == b"\r\n\r\n") {
             break;
         }
     }
@@ -74,7 +75,7 @@
 }
 
 #[test]
-fn answers_on_its_own() {
+fn answers_when_nothing_that_it_needs_is_there() {
     let port = free_port();
     let file = config("own.json", &platform(port));
     let child = program()
@@ -140,7 +141,7 @@
 }
 
 #[test]
-fn checks_settings() {
+fn settings_that_are_bad_end_the_start() {
     let good = config("good.json", &platform(free_port()));
     let bad = config("bad.json", "{\"member\": 1}");
     let off = config("off.properties", "no.such-key = 1\n");
--- a/tests/malformed.rs
+++ b/tests/malformed.rs
@@ -1,4 +1,4 @@
-//! Tables of malformed HTTP and CBOR: one row for every kind ever found.
+//! Malformed HTTP, CBOR and messages of peers: one row for every kind ever found.
 
 use ciborium::{Value, cbor};
 use salttrestle::http::{Decoder, HttpError, Side};
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn http_requests() {
+fn http_requests_are_read_or_refused() {
     use HttpError::{Malformed, TooLarge};
     let rows: &[(&str, Result<Option<usize>, HttpError>)] = &[
         ("GET /up HTTP/1.1\r\n\r\n", Ok(Some(0))),
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn http_byte_by_byte() {
+fn http_requests_byte_by_byte_are_read_whole() {
     let mut d = Decoder::new(Side::Request, 100);
     let bytes = b"POST /work HTTP/1.1\r\nContent-Length: 2\r\n\r\nabGET /up HTTP/1.1\r\n\r\n";
     let mut seen = Vec::new();
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn http_responses() {
+fn http_responses_are_read_or_refused() {
     let mut d = Decoder::new(Side::Response, 100);
     d.feed(b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 7\r\nContent-Length: 0\r\n\r\n");
     let m = d.next_message().expect("good").expect("whole");
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn submissions() {
+fn malformed_submissions_are_refused() {
     assert!(wire::submission(&wire::encode(&Value::Map(good()))).is_ok());
     for field in ["builds", "quarter", "curtainS"] {
         assert!(
@@ -265,7 +265,7 @@
 /// A known job's user is told its state however the repeated body is malformed, so that the
 /// id is read wherever that can be done.
 #[test]
-fn the_id_of_a_malformed_submission() {
+fn a_malformed_submission_still_gives_its_id() {
     let int = |n: i64| Value::Integer(n.into());
     let whole = wire::encode(&Value::Map(good()));
     let rows = [
@@ -287,7 +287,7 @@
 }
 
 #[test]
-fn bodies_that_are_no_map() {
+fn bodies_that_are_no_map_are_refused() {
     let whole = wire::encode(&Value::Map(good()));
     let rows: Vec<Vec<u8>> = vec![
         vec![],
@@ -311,7 +311,7 @@
 }
 
 #[test]
-fn reports() {
+fn malformed_heartbeats_are_refused() {
     let body = |attempt: Value, status: &str, baton: Value| {
         wire::encode(
             &cbor!({
@@ -339,7 +339,7 @@
 }
 
 #[test]
-fn peer_messages() {
+fn malformed_peer_messages_are_refused() {
     let heartbeat = peer::Message::PeerHeartbeat(peer::PeerHeartbeat {
         from: "node-1".into(),
         incarnation: 7,
@@ -372,7 +372,7 @@
     assert_eq!(peer::unframe(&mut other_version), Ok(None));
     assert!(other_version.is_empty(), "another version is passed over");
     standby_messages();
-    // A message that no peer would take is refused here, not partitioned.
+    // A message that no peer would accept is refused here, not split.
     let large = peer::Message::ForwardedResponse(peer::ForwardedResponse {
         incarnation: 1,
         request_id: 2,
@@ -437,7 +437,7 @@
 /// What is written of a shard's machines is read again, whatever they are called, and
 /// 1,200 of them fit into a value.
 #[test]
-fn a_list_of_machines_is_packed() {
+fn a_packed_list_of_machines_is_read_again_and_fits() {
     use salttrestle::controller::store::records::{Entry, ShardRecord};
     use salttrestle::ids::FencingToken;
     let entry = |id: &str, zone: &str| -> Entry { (id.into(), "g8".into(), zone.into(), true) };
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -93,7 +93,7 @@
 
 /// The figures that follow from the platform's settings, at sizes unlike each other.
 #[test]
-fn blocks_and_ceiling_follow_the_settings() {
+fn shards_and_ceiling_follow_the_settings() {
     let settings = |cpu: &str, sockets: &str| {
         let text = PLATFORM
             .replace("\"cpu\":0.1", &format!("\"cpu\":{cpu}"))
@@ -115,15 +115,15 @@
     assert_eq!(usual.ceiling(), 800, "two controllers' sockets");
     // All workers of a controller that has 4,000 sockets heartbeat as a new owner appears.
     let large = settings("1.0", "4000");
-    let report = peer::ForwardedHeartbeat::new(
+    let heartbeat = peer::ForwardedHeartbeat::new(
         &"n".into(),
         7,
         salttrestle::ids::RequestId(3),
-        &report_of(96),
+        &heartbeat_of(96),
     );
-    let report = peer::frame(&peer::Message::ForwardedHeartbeat(Box::new(report)));
-    let report = report.expect("short enough").len();
-    assert!(large.peer_out_bytes() >= 4000 * report, "{report} bytes");
+    let frame = peer::frame(&peer::Message::ForwardedHeartbeat(Box::new(heartbeat)));
+    let bytes = frame.expect("short enough").len();
+    assert!(large.peer_out_bytes() >= 4000 * bytes, "{bytes} bytes");
     assert_eq!(usual.peer_out_bytes(), 500 * 4096);
     let slow = settings("0.01", "500");
     assert_eq!((slow.shards_for(100), slow.shards_for(120)), (1, 2));
@@ -134,7 +134,7 @@
 }
 
 /// A heartbeat of a machine with so many tasks.
-fn report_of(tasks: usize) -> wire::WorkerHeartbeat {
+fn heartbeat_of(tasks: usize) -> wire::WorkerHeartbeat {
     let task = |index: usize| wire::HeartbeatTask {
         task: format!("wk-000398/{index}"),
         attempt: salttrestle::ids::Attempt::new(salttrestle::ids::FencingToken(90), index as u64),
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn properties() {
+fn properties_override_defaults_or_are_refused() {
     let defaults = Tuning::parse(None).expect("good defaults");
     let over = Tuning::parse(Some(("o", "scale.tick-s = 7.5\n# note\n"))).expect("good");
     assert_eq!(over.tick_s, 7.5);
--- a/tests/waiting.rs
+++ b/tests/waiting.rs
@@ -10,6 +10,7 @@
 const SOON: Duration = Duration::from_millis(20);
 const LONG: Duration = Duration::from_secs(5);
 
+/// Two ends of a connection.
 struct Pair {
     waiting: SocketPoller,
     /// Kept, since it is watched.
@@ -47,7 +48,7 @@
 }
 
 #[test]
-fn a_quiet_wait_lasts_as_long_as_it_was_told_to() {
+fn a_quiet_wait_lasts_until_its_timeout() {
     let mut pair = pair();
     let began = Instant::now();
     assert_eq!(pair.waiting.wait(SOON).expect("a wait"), []);
@@ -59,7 +60,7 @@
 fn bytes_and_the_end_make_a_connection_readable_each_time() {
     let mut pair = pair();
     pair.far.write_all(b"report").expect("sent");
-    // Level, not edge: what isn't read is told again.
+    // Level, not edge: what isn't read is reported again.
     for _ in 0..2 {
         assert_eq!(
             pair.waiting.wait(LONG).expect("a wait"),
@@ -72,7 +73,7 @@
 }
 
 #[test]
-fn writing_is_told_only_while_it_is_watched() {
+fn room_to_write_is_reported_only_while_it_is_watched() {
     let mut pair = pair();
     let watch = |pair: &Pair, writing| {
         let set = pair.waiting.watch_writing(&pair.near, ACCEPTED, writing);
@@ -95,7 +96,7 @@
 
 /// Each watched socket has a place of its own in one answer.
 #[test]
-fn many_connections_are_told_at_once() {
+fn many_ready_connections_are_reported_at_once() {
     let mut waiting = SocketPoller::new().expect("a poller");
     let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
     let address = listener.local_addr().expect("an address");
--- a/tests/wire_words.rs
+++ b/tests/wire_words.rs
@@ -1,5 +1,5 @@
 //! The words of the store's and the cloud's interfaces, as their pages write them. The
-//! stand-ins take typed calls, so only these tests see whether a rename here changed a body.
+//! fakes take typed calls, so only these tests see whether a rename here changed a body.
 
 use ciborium::{Value, cbor};
 use salttrestle::controller::store::records::{Ending, Key, Record, ScaleOutRecord};
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn state_requests() {
+fn store_requests_have_the_words_of_the_page() {
     let commit = StoreRequest::Transaction {
         preconditions: vec![(end(), 0)],
         writes: vec![
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn state_answers() {
+fn store_responses_are_read_by_the_words_of_the_page() {
     let found = body(cbor!({"path" => "s/end/wk-1", "data" => "Done", "mark" => 412, "hold" => 7}));
     let read = StoreResponse::Found {
         record: Record::End(Ending::Done),
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn cloud_calls() {
+fn cloud_requests_and_responses_have_the_words_of_the_page() {
     let rent = CloudOp::Rent(ScaleOutRecord {
         name: "r-17".into(),
         class: "g8".into(),
