--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -9,7 +9,7 @@
 
 /// Pause between two log lines, in seconds.
 const LOG_INTERVAL_S: f64 = 30.0;
-/// Longest time told apart, in microseconds; anything longer counts as this.
+/// Longest time that the histograms distinguish, in microseconds; anything longer counts as this.
 const LONGEST_US: u64 = 60_000_000;
 /// Significant digits of the histograms.
 const DIGITS: u8 = 2;
--- a/src/net/incoming.rs
+++ b/src/net/incoming.rs
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Closes a connection. The controller hears of the request that nobody waits for any more.
+    /// Closes a connection. The controller is notified of the request that was still pending.
     pub(super) fn close(&mut self, context: &mut Context, id: ConnectionId) {
         // The socket closes at the end of this function.
         let Some(_socket) = context.connections.remove(id) else {
@@ -187,7 +187,7 @@
     fn read_requests(&mut self, context: &mut Context, id: ConnectionId) -> Outcome {
         while let Some(connection) = self.connections.get_mut(&id) {
             if connection.pending.is_some() {
-                // Nobody pipelines here; what comes early waits, within a bound.
+                // Clients aren't expected to pipeline; what comes early waits, within a bound.
                 return match connection.decoder.overfull() {
                     true => Outcome::Close,
                     false => Outcome::KeepOpen,
--- a/src/net/outgoing.rs
+++ b/src/net/outgoing.rs
@@ -61,7 +61,7 @@
         }
     }
 
-    /// What the controller is told when no response came.
+    /// The controller's input when no response came.
     fn no_response(&self, call: CallId) -> Input {
         match self {
             Self::Store(_) => Input::Store(call, StoreResponse::NoAnswer),
@@ -69,7 +69,7 @@
         }
     }
 
-    /// What the controller is told of a response.
+    /// The controller's input for a response.
     fn response(&self, call: CallId, message: &Message) -> Input {
         let status = message.status().unwrap_or(0);
         match self {
@@ -157,7 +157,7 @@
         self.send_queued(context, service);
     }
 
-    /// Ends a call whose response nobody waits for any more.
+    /// Ends a call whose response the controller doesn't need any more.
     pub(super) fn cancel(&mut self, context: &mut Context, id: CallId) {
         let Some(call) = self.calls.remove(&id) else {
             return;
@@ -209,7 +209,7 @@
                 Outcome::KeepOpen
             }
             (Ok(None), _) => Outcome::KeepOpen,
-            // A response that nobody asked for, or none at all.
+            // A response without a request, or bytes that are no response.
             (Ok(Some(_)), None) | (Err(_), _) => Outcome::Close,
         }
     }
@@ -306,7 +306,7 @@
         self.send_queued(context, service);
     }
 
-    /// Hands the controller the response to a call, or word that there is none.
+    /// Passes the response to a call on to the controller, or the input for a missing one.
     fn finish(&mut self, context: &mut Context, id: CallId, message: Option<&Message>) {
         let Some(call) = self.calls.remove(&id) else {
             return;
--- a/src/net/peer_links.rs
+++ b/src/net/peer_links.rs
@@ -97,7 +97,7 @@
     ) {
         match peer::frame(message) {
             Ok(frame) => self.queue(context, to, &frame),
-            // Whoever waits for it does without, as if it had been lost.
+            // Peers do without it, as if it had been lost.
             Err(size) => warn!("message to peers isn't sent: bytes={size} reason=too large"),
         }
     }
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Closes a connection. The controller hears of it if this process had begun it.
+    /// Closes a connection. The controller is notified if this process had begun it.
     pub(super) fn close(&mut self, context: &mut Context, id: ConnectionId) {
         // The socket closes at the end of this function.
         let Some(_socket) = context.connections.remove(id) else {
--- a/src/net/routes.rs
+++ b/src/net/routes.rs
@@ -1,4 +1,4 @@
-//! Which request a method and a path stand for.
+//! Which request a method and a path mean.
 
 use crate::controller::events::Request;
 use crate::ids::JobId;
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -56,7 +56,7 @@
 pub struct PeerHeartbeat {
     /// The sender.
     pub from: ControllerId,
-    /// Tells this process from earlier ones of the same controller.
+    /// Distinguishes this process from earlier ones of the same controller.
     pub incarnation: u64,
     /// Who leads, as far as it knows.
     pub leader: Option<ControllerId>,
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// Stands in a setting's place where a file as a whole is meant.
+/// The key of errors that concern a file as a whole.
 const WHOLE_FILE: &str = "(file)";
 
 /// Messages of parsers may have several lines.
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -134,7 +134,7 @@
     /// The machine's type.
     #[serde(rename = "build")]
     pub class: String,
-    /// The zone in which it stands.
+    /// Its zone.
     #[serde(rename = "quarter")]
     pub zone: String,
     /// Whether the cloud may take it back.
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! The bodies of every interface, one module for each. The only place with the wire's own words:
-//! elsewhere the field's names stand, and serde renames them here.
+//! The bodies of every interface, one module for each. The only place with the protocol's themed
+//! words: types and fields have the field's terms, and serde renames them.
 
 #![warn(missing_docs)]
 
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -121,7 +121,7 @@
     pub id: Option<JobId>,
 }
 
-/// What a submission that is otherwise malformed may still tell.
+/// What may still be read of a submission that is otherwise malformed.
 #[derive(Deserialize)]
 struct IdBody {
     id: String,
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -15,13 +15,13 @@
     /// The machine's type.
     #[serde(rename = "build")]
     pub class: String,
-    /// The zone in which the machine stands.
+    /// The machine's zone.
     #[serde(rename = "quarter")]
     pub zone: String,
     /// Whether the cloud may take the machine back.
     #[serde(rename = "borrowed")]
     pub spot: bool,
-    /// Tells this process of the worker from earlier ones on the same machine.
+    /// Distinguishes this process of the worker from earlier ones on the same machine.
     #[serde(rename = "shift")]
     pub agent_epoch: u64,
     /// Rises with every heartbeat of one process.
@@ -63,7 +63,7 @@
     Fetching,
     /// The task runs.
     Running,
-    /// The task was told to stop and writes a checkpoint.
+    /// The task received a stop command and writes a checkpoint.
     #[serde(rename = "flushing")]
     Flushing,
     /// The task ended.
@@ -76,7 +76,7 @@
 pub enum Cause {
     /// It is complete.
     Done,
-    /// It was told to stop.
+    /// It received a stop command.
     #[serde(rename = "halted")]
     Halted,
     /// It failed.
