--- a/src/controller/scheduling/mod.rs
+++ b/src/controller/scheduling/mod.rs
@@ -326,7 +326,7 @@
 }
 
 fn same_demand(a: &JobRecord, b: &JobRecord) -> bool {
-    a.need == b.need
+    a.resources == b.resources
         && a.spot == b.spot
         && a.zone == b.zone
         && a.types == b.types
--- a/src/net/outgoing.rs
+++ b/src/net/outgoing.rs
@@ -6,7 +6,7 @@
 use crate::net::connections::{ConnectionId, Outcome, Protocol, UNSENT_MAX, begin_connect};
 use crate::net::context::Context;
 use crate::settings::Services;
-use crate::wire::{self, Call, CloudOp, CloudReply, StoreRequest, StoreResponse};
+use crate::wire::{self, Call, CloudRequest, CloudResponse, StoreRequest, StoreResponse};
 use log::debug;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddrV4;
@@ -34,7 +34,7 @@
     /// To the store.
     Store(StoreRequest),
     /// To the cloud.
-    Cloud(CloudOp),
+    Cloud(CloudRequest),
 }
 
 impl OutgoingRequest {
@@ -64,8 +64,8 @@
     /// The controller's input when no response came.
     fn no_response(&self, call: CallId) -> Input {
         match self {
-            Self::Store(_) => Input::Store(call, StoreResponse::NoAnswer),
-            Self::Cloud(_) => Input::Cloud(call, CloudReply::NoAnswer),
+            Self::Store(_) => Input::Store(call, StoreResponse::NoResponse),
+            Self::Cloud(_) => Input::Cloud(call, CloudResponse::NoResponse),
         }
     }
 
--- a/src/settings/derived.rs
+++ b/src/settings/derived.rs
@@ -60,7 +60,7 @@
     /// How long the answer to a quiet heartbeat may wait for a command, so that the worker
     /// still gets it in time; less where tasks may end meanwhile, whose users expect to
     /// hear of it within 3 s.
-    pub fn hold_s(&self, ends: bool) -> f64 {
+    pub fn long_poll_s(&self, ends: bool) -> f64 {
         let most = if ends {
             LONG_POLL_SHARE_WHERE_TASKS_END
         } else {
@@ -72,7 +72,7 @@
 
     /// How long a cancellation waits until its machines confirm that its tasks are gone: until
     /// each has sent a heartbeat, has received the command to stop and has confirmed that.
-    pub fn leave_s(&self) -> f64 {
+    pub fn cancellation_wait_s(&self) -> f64 {
         let heartbeat_s = self.platform.facts.workers.report_s * LATE_HEARTBEAT;
         (heartbeat_s + WORKER_RETRY_PAUSE_S * STOP_HEARTBEATS)
             .min(USER_TIMEOUT_S * CANCELLATION_WAIT_SHARE)
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -16,7 +16,7 @@
 
 /// A request to the cloud.
 #[derive(Clone, Debug, PartialEq)]
-pub enum CloudOp {
+pub enum CloudRequest {
     /// Which machine types there are.
     Catalog,
     /// Rent machines; repeated under the same name until it is answered.
@@ -32,26 +32,26 @@
 
 /// What the cloud answered.
 #[derive(Clone, Debug, PartialEq)]
-pub enum CloudReply {
+pub enum CloudResponse {
     /// The machine types.
     Catalog(Vec<MachineType>),
     /// The machines that a request rented.
     Rented(Vec<MachineId>),
     /// No capacity for this type, zone and kind.
-    Refused,
+    PoolExhausted,
     /// The machines were given back.
     Deleted,
     /// A page of the rented machines.
     Page {
         /// The machines on it.
-        machines: Vec<Listed>,
+        machines: Vec<ListedMachine>,
         /// Whether there is another page.
         more: bool,
     },
     /// 429, an outage, or an answer that makes no sense: ask again later.
-    Trouble,
+    Unavailable,
     /// No answer came in time.
-    NoAnswer,
+    NoResponse,
 }
 
 /// A machine type as the cloud describes it.
@@ -125,7 +125,7 @@
 
 /// A rented machine in the cloud's list.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-pub struct Listed {
+pub struct ListedMachine {
     /// The machine.
     pub id: String,
     /// Where its worker can be reached, once that is known.
@@ -147,7 +147,7 @@
     age: Num,
 }
 
-impl Listed {
+impl ListedMachine {
     /// For how many seconds the machine has been rented.
     pub fn age_s(&self) -> f64 {
         self.age.0
@@ -175,7 +175,7 @@
 #[derive(Deserialize)]
 struct ListBody {
     #[serde(rename = "rigs")]
-    machines: Vec<Listed>,
+    machines: Vec<ListedMachine>,
     #[serde(rename = "hasNext", default)]
     has_next: bool,
 }
@@ -217,7 +217,7 @@
     machines: &'a [MachineId],
 }
 
-impl CloudOp {
+impl CloudRequest {
     /// The request as it goes onto the wire.
     pub fn call(&self) -> Call {
         match self {
@@ -234,30 +234,30 @@
     }
 
     /// Makes sense of the answer to this request.
-    pub fn reply(&self, status: u16, body: &[u8]) -> CloudReply {
+    pub fn reply(&self, status: u16, body: &[u8]) -> CloudResponse {
         let reply = match (self, status) {
             (Self::Catalog, 200) => read_catalog(body),
             (Self::Rent(_), 200) => {
-                decode(body).map(|body: RentedBody| CloudReply::Rented(body.machines))
+                decode(body).map(|body: RentedBody| CloudResponse::Rented(body.machines))
             }
-            (Self::Rent(_), 503) if is_out_of_capacity(body) => Some(CloudReply::Refused),
-            (Self::Delete(_), 200) => Some(CloudReply::Deleted),
+            (Self::Rent(_), 503) if is_out_of_capacity(body) => Some(CloudResponse::PoolExhausted),
+            (Self::Delete(_), 200) => Some(CloudResponse::Deleted),
             (Self::List { .. }, 200) => read_page(body),
             _ => None,
         };
-        reply.unwrap_or(CloudReply::Trouble)
+        reply.unwrap_or(CloudResponse::Unavailable)
     }
 }
 
-fn read_catalog(body: &[u8]) -> Option<CloudReply> {
+fn read_catalog(body: &[u8]) -> Option<CloudResponse> {
     let body: CatalogBody = decode(body)?;
     let types = body.types.into_iter().map(MachineType::from);
-    Some(CloudReply::Catalog(types.collect()))
+    Some(CloudResponse::Catalog(types.collect()))
 }
 
-fn read_page(body: &[u8]) -> Option<CloudReply> {
+fn read_page(body: &[u8]) -> Option<CloudResponse> {
     let body: ListBody = decode(body)?;
-    Some(CloudReply::Page {
+    Some(CloudResponse::Page {
         machines: body.machines,
         more: body.has_next,
     })
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -12,9 +12,13 @@
 
 pub use crate::wire::call::Call;
 pub use crate::wire::cbor::{Num, decode, encode};
-pub use crate::wire::cloud::{CloudOp, CloudReply, Listed, MachineStatus, MachineType};
+pub use crate::wire::cloud::{
+    CloudRequest, CloudResponse, ListedMachine, MachineStatus, MachineType,
+};
 pub use crate::wire::state::{Change, StoreRequest, StoreResponse, WATCH_MS, Write, record_value};
-pub use crate::wire::user::{BadBody, JobStatus, error_body, job_status_body, submission};
+pub use crate::wire::user::{
+    InvalidSubmission, JobStatus, error_body, job_status_body, submission,
+};
 pub use crate::wire::worker::{
     Cause, Command, HeartbeatTask, TaskStatus, WorkerHeartbeat, commands_body, redirect_body,
 };
--- a/src/wire/state.rs
+++ b/src/wire/state.rs
@@ -130,7 +130,7 @@
     /// 429 or 503: not executed.
     Refused,
     /// No answer: may have been executed, or may be yet.
-    NoAnswer,
+    NoResponse,
     /// An answer that makes no sense.
     Malformed,
 }
@@ -192,7 +192,7 @@
         Record::Cell(record) => Value::serialized(record),
         Record::CellLink(record) => Value::serialized(record),
         Record::Job(record) => Value::serialized(record),
-        Record::Run(record) => Value::serialized(record),
+        Record::Placements(record) => Value::serialized(record),
         Record::End(record) => Value::serialized(record),
     };
     value.unwrap_or(Value::Null)
@@ -216,7 +216,7 @@
             .deserialized()
             .ok()
             .map(|record| Record::Job(Box::new(record))),
-        Key::Run(..) => data.deserialized().ok().map(Record::Run),
+        Key::Placements(..) => data.deserialized().ok().map(Record::Placements),
         Key::End(_) => data.deserialized().ok().map(Record::End),
     }
 }
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -114,7 +114,7 @@
 /// Why a submission is malformed: the field, or what the parser said. Its id, if that can
 /// be read: the job may be known, and then its state is the answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BadBody {
+pub struct InvalidSubmission {
     /// The reason, as users read it.
     pub why: String,
     /// The job's id, if that can be read.
@@ -128,10 +128,10 @@
 }
 
 /// Reads and checks a submission. Chunk size and shard are for the controller to set.
-pub fn submission(body: &[u8]) -> Result<(JobId, JobRecord), BadBody> {
+pub fn submission(body: &[u8]) -> Result<(JobId, JobRecord), InvalidSubmission> {
     read_submission(body).map_err(|error| {
         let named = ciborium::from_reader::<IdBody, _>(body).ok();
-        BadBody {
+        InvalidSubmission {
             why: error.to_string(),
             id: named.and_then(|named| JobId::parse(&named.id)),
         }
@@ -158,7 +158,7 @@
         kind: body.kind.into(),
         priority_class: body.priority_class.into(),
         count: body.tasks,
-        need: Resources {
+        resources: Resources {
             cpus: amount("cores", body.cpus)?,
             gpus: amount("accelerators", body.gpus)?,
             mem: amount("memGb", body.mem_gb)?,
@@ -177,7 +177,7 @@
         chunk: 1,
         shard: 0,
         cancelled: false,
-        needs: dependencies,
+        dependencies,
     };
     Ok((id, record))
 }
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -65,7 +65,7 @@
     Running,
     /// The task received a stop command and writes a checkpoint.
     #[serde(rename = "flushing")]
-    Flushing,
+    Checkpointing,
     /// The task ended.
     Ended,
 }
@@ -78,7 +78,7 @@
     Done,
     /// It received a stop command.
     #[serde(rename = "halted")]
-    Halted,
+    Stopped,
     /// It failed.
     Error,
     /// The machine has no room for it.
@@ -107,7 +107,7 @@
     },
     /// Stop an attempt of a task.
     #[serde(rename = "halt")]
-    Halt {
+    Stop {
         /// The task, as `job/index`.
         #[serde(rename = "verse")]
         task: String,
