--- a/benches/controller.rs
+++ b/benches/controller.rs
@@ -37,6 +37,10 @@
 static ALLOCATIONS: AtomicU64 = AtomicU64::new(0);
 
 // SAFETY: everything is left to the system's allocator.
+#[expect(
+    unsafe_code,
+    reason = "an allocator that counts is unsafe by its trait"
+)]
 unsafe impl GlobalAlloc for Counting {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         ALLOCATIONS.fetch_add(1, Ordering::Relaxed);
--- a/cells/tests/hard_cases.rs
+++ b/cells/tests/hard_cases.rs
@@ -44,7 +44,7 @@
 /// A cell's only shard may use the cell's whole share.
 fn allow_all(world: &mut World, at: usize) {
     world.step(at, |world, by| {
-        world.set_quota_share(by, BLUE, u64::MAX / 2000)
+        world.set_quota_share(by, BLUE, u64::MAX / 2000);
     });
 }
 
@@ -184,7 +184,7 @@
             for _ in 0..3 {
                 world.step(HOME, |world, by| world.change_limit(by, BLUE));
                 pass(world, HOME, EAST);
-                world.step(EAST, |world, by| world.share(by));
+                world.step(EAST, world::World::share);
                 world.check()?;
             }
             // No task is proven gone, so the old limit stays in force.
@@ -210,7 +210,7 @@
             world.step(HOME, |world, by| world.change_limit(by, BLUE));
             pass(world, HOME, EAST);
             // The room that is recalled is in transit when the limit is raised again.
-            world.step(EAST, |world, by| world.share(by));
+            world.step(EAST, world::World::share);
             world.want(BLUE, 9);
             world.step(HOME, |world, by| world.change_limit(by, BLUE));
             world.check()?;
--- a/cells/tests/world/mod.rs
+++ b/cells/tests/world/mod.rs
@@ -207,7 +207,7 @@
             self.step(cell, |world, by| world.act_on(by, other));
             self.step(cell, |world, by| world.act_on(by, other));
         }
-        self.step(cell, |world, by| world.share(by));
+        self.step(cell, World::share);
         for other in 0..self.names.len() {
             self.refresh(LeaderOf::first(cell));
             self.send_message(LeaderOf::first(cell), other);
--- a/fakes/tests/orders.rs
+++ b/fakes/tests/orders.rs
@@ -49,16 +49,16 @@
     type Violation = fn(&mut Orders);
     let rows: [(&str, Violation); 5] = [
         ("never held", |orders| {
-            orders.started(1, MACHINE, 5, &task(), attempt(5, 1))
+            orders.started(1, MACHINE, 5, &task(), attempt(5, 1));
         }),
         ("that knows 6", |orders| {
-            orders.started(1, MACHINE, 6, &task(), attempt(4, 1))
+            orders.started(1, MACHINE, 6, &task(), attempt(4, 1));
         }),
         ("committed for None", |orders| {
-            orders.started(1, MACHINE, 4, &task(), attempt(4, 2))
+            orders.started(1, MACHINE, 4, &task(), attempt(4, 2));
         }),
         ("committed for Some", |orders| {
-            orders.started(1, "i-2", 4, &task(), attempt(4, 1))
+            orders.started(1, "i-2", 4, &task(), attempt(4, 1));
         }),
         ("an earlier attempt", |orders| {
             orders.started(1, MACHINE, 6, &task(), attempt(6, 1));
--- a/scale/src/hollow/connections.rs
+++ b/scale/src/hollow/connections.rs
@@ -126,6 +126,10 @@
         self.add(socket.into(), role)
     }
 
+    #[expect(
+        unsafe_code,
+        reason = "the poller keeps the descriptor of a socket it doesn't own"
+    )]
     fn add(&mut self, stream: TcpStream, role: Role) -> io::Result<usize> {
         let _ = stream.set_nodelay(true);
         let key = self.next_key;
@@ -191,7 +195,7 @@
     }
 
     /// Stops reading a connection and leaves it open, as a failed machine does.
-    pub(super) fn silence(&mut self, key: usize) {
+    pub(super) fn silence(&self, key: usize) {
         if let Some(connection) = self.open.get(&key) {
             let _ = self.poller.delete(&connection.stream);
         }
@@ -311,6 +315,10 @@
         || error.kind() == ErrorKind::WouldBlock
 }
 
+#[expect(
+    unsafe_code,
+    reason = "the poller keeps the descriptor of a socket it doesn't own"
+)]
 fn listen(poller: &Poller, at: SocketAddrV4, key: usize) -> io::Result<TcpListener> {
     let listener = TcpListener::bind(at)?;
     listener.set_nonblocking(true)?;
--- a/scale/src/hollow/users/mod.rs
+++ b/scale/src/hollow/users/mod.rs
@@ -251,10 +251,10 @@
         self.shared.checker().said(now, &request.job, observation);
         match observation {
             JobAnswer::Done | JobAnswer::Cancelled | JobAnswer::Refused => {
-                self.job_ended(&request.job)
+                self.job_ended(&request.job);
             }
             JobAnswer::Queued | JobAnswer::Running | JobAnswer::Unknown => {
-                self.follow_up(now, request, rng)
+                self.follow_up(now, request, rng);
             }
         }
     }
--- a/src/controller/api/cancellations.rs
+++ b/src/controller/api/cancellations.rs
@@ -87,7 +87,7 @@
             match self.store.mirror.ending(&query.id) {
                 Some(ending) => self.answer_ending(query.request_id, &query.id, ending),
                 None if self.store.mirror.jobs.contains_key(&query.id) => {
-                    self.api.leaving.push_back(query)
+                    self.api.leaving.push_back(query);
                 }
                 None => self.api.unknown.push_back(query),
             }
--- a/src/controller/api/submissions.rs
+++ b/src/controller/api/submissions.rs
@@ -242,7 +242,7 @@
             match &reply {
                 // Its user may have asked elsewhere meanwhile, and been told more.
                 StoreResponse::Committed { .. } if late => {
-                    self.on_status_query(s.request_id, s.id, Intent::Again)
+                    self.on_status_query(s.request_id, s.id, Intent::Again);
                 }
                 // It is accepted, and cancelled with a job that it depends on.
                 StoreResponse::Committed { .. }
--- a/src/controller/machines/heartbeats.rs
+++ b/src/controller/machines/heartbeats.rs
@@ -188,7 +188,7 @@
                 Phase::Sent
                     if placement.stop_requested.is_none() && placement.sends < SENDS_MAX =>
                 {
-                    placement.phase = Phase::Ready
+                    placement.phase = Phase::Ready;
                 }
                 _ => gone.push(task.clone()),
             }
--- a/src/controller/machines/mod.rs
+++ b/src/controller/machines/mod.rs
@@ -9,7 +9,7 @@
 //!    unchanged at the store; or
 //! 3. the cloud said that its machine is deleted.
 //!
-//! `reports` takes heartbeats in, `commands` derives the answers, and `liveness` finds machines that
+//! `heartbeats` takes heartbeats in, `commands` derives the answers, and `liveness` finds machines that
 //! are silent, hear nothing, or must go.
 
 pub(crate) mod commands;
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -69,19 +69,19 @@
             Input::Cloud(call, reply) => self.on_cloud(call, reply),
             Input::Peer(Message::PeerHeartbeat(heartbeat)) => self.on_peer_heartbeat(heartbeat),
             Input::Peer(Message::ShardCounts(shard_counts)) => {
-                self.context.on_shard_counts(*shard_counts)
+                self.context.on_shard_counts(*shard_counts);
             }
             Input::Peer(Message::ForwardedHeartbeat(relayed)) => {
-                self.on_forwarded_heartbeat(*relayed)
+                self.on_forwarded_heartbeat(*relayed);
             }
             Input::Peer(Message::ForwardedResponse(answer)) => {
-                self.context.on_forwarded_response(answer)
+                self.context.on_forwarded_response(answer);
             }
             Input::Peer(Message::Standby(message)) => self.context.on_standby_message(*message),
             Input::Cell(message) => self.context.on_cell_message(message),
             Input::Link(controller_id, link) => self.context.on_link(controller_id, link),
             Input::ProcessorUtilization(share) => {
-                self.context.processor.note(self.context.now, share)
+                self.context.processor.note(self.context.now, share);
             }
             Input::Shutdown => self.on_shutdown(),
             Input::Tick => {}
@@ -104,7 +104,7 @@
         let held = self
             .shards
             .values()
-            .filter_map(|h| h.first_long_poll_deadline());
+            .filter_map(shard::ShardOwner::first_long_poll_deadline);
         let due = held.chain(self.context.api.first_delayed_ending());
         let due = due.chain(self.context.forwarding.batched_until()).min();
         due.map_or(self.context.housekeeping_at, |t| {
@@ -117,6 +117,7 @@
         self.shards.values().map(|h| h.token).max()
     }
 
+    /// What this controller has used of its limits, and what waits to be written.
     pub fn load(&self) -> Load {
         let owners = self.shards.values();
         let written = owners.map(|h| h.write_queue.len() + h.ready_to_end_jobs.len());
@@ -151,7 +152,7 @@
 
     /// Recounts what is kept up to date from change to change; says what is wrong.
     pub fn audit(&self) -> Result<(), String> {
-        self.shards.values().try_for_each(|h| h.audit())
+        self.shards.values().try_for_each(shard::ShardOwner::audit)
     }
 
     fn housekeeping(&mut self) {
--- a/src/controller/quota/cells.rs
+++ b/src/controller/quota/cells.rs
@@ -479,7 +479,7 @@
             let pending = self.cell_link(cell).pending.map_or(0, |t| t.amounts.len());
             match age.filter(|age| *age < CUT_OFF_S) {
                 Some(age) => {
-                    info!("cell heard, cell={cell} age_s={age:.1} teams_in_transit={pending}")
+                    info!("cell heard, cell={cell} age_s={age:.1} teams_in_transit={pending}");
                 }
                 None => warn!("cell unreachable, cell={cell} teams_in_transit={pending}"),
             }
--- a/src/controller/shard/commits.rs
+++ b/src/controller/shard/commits.rs
@@ -409,25 +409,76 @@
     strict_bytes: usize,
 }
 
-/// Builds the next transaction of chunks of one priority: urgent ones don't wait until there
-/// is budget for batch work as well.
+/// A transaction of chunks that is being put together.
+struct ChunkTransaction {
+    preconditions: Vec<(Key, u64)>,
+    writes: Vec<Write>,
+    items: Vec<PlacementWrite>,
+    /// About the bytes of the writes.
+    bytes: usize,
+}
+
+/// Bytes that a placed task, and a range of finished ones, take in a record.
+const PLACED_BYTES: usize = 60;
+const DONE_BYTES: usize = 12;
+
+impl ChunkTransaction {
+    /// Adds a chunk's present record, on the condition that the job's and the chunk's are
+    /// unchanged.
+    fn add(&mut self, job: &JobId, job_state: &JobState, chunk: u32, record: PlacementRecord) {
+        let key = Key::Placements(job.clone(), chunk);
+        let revision = job_state.chunks.get(&chunk).map_or(0, |c| c.revision);
+        self.preconditions
+            .push((Key::Job(job.clone()), job_state.revision));
+        self.preconditions.push((key.clone(), revision));
+        self.bytes += PLACED_BYTES * record.placed.len() + DONE_BYTES * record.done.len();
+        let placed = record.placed.iter();
+        self.items.push(PlacementWrite {
+            job: job.clone(),
+            chunk,
+            placed: placed
+                .map(|(index, attempt, ..)| (*index, *attempt))
+                .collect(),
+        });
+        self.writes
+            .push(Write::put(key, Record::Placements(record)));
+    }
+
+    /// The request, unless there is nothing to write.
+    fn finish(mut self) -> Option<(StoreRequest, Vec<PlacementWrite>)> {
+        // A job with several chunks in the transaction is compared once.
+        self.preconditions.sort();
+        self.preconditions.dedup();
+        let request = StoreRequest::Transaction {
+            preconditions: self.preconditions,
+            writes: self.writes,
+        };
+        (!self.items.is_empty()).then_some((request, self.items))
+    }
+}
+
+/// Builds the next transaction of chunks of one priority: urgent ones don't wait until there is
+/// budget for batch work as well.
 fn next_transaction(
     shard: &mut ShardOwner,
     limits: &TransactionLimits,
     priority: Priority,
 ) -> Option<(StoreRequest, Vec<PlacementWrite>)> {
-    let ops = limits.ops;
-    let mut preconditions = vec![(Key::Shard(shard.shard), shard.shard_revision)];
-    let (mut writes, mut items, mut bytes) = (Vec::new(), Vec::new(), 0);
+    let mut transaction = ChunkTransaction {
+        preconditions: vec![(Key::Shard(shard.shard), shard.shard_revision)],
+        writes: Vec::new(),
+        items: Vec::new(),
+        bytes: 0,
+    };
     let same = |(urgency, ..): &&(WriteUrgency, JobId, u32)| urgency.priority() == priority;
-    let candidates = shard.write_queue.iter().take_while(same).take(4 * ops);
-    let candidates: Vec<_> = candidates.cloned().collect();
+    let queue = shard.write_queue.iter().take_while(same);
+    let candidates: Vec<_> = queue.take(4 * limits.ops).cloned().collect();
     for entry in candidates {
-        if writes.len() >= ops || bytes > TRANSACTION_BYTES {
+        if transaction.writes.len() >= limits.ops || transaction.bytes > TRANSACTION_BYTES {
             break;
         }
-        // Cutting a job's chunk into parts takes its other chunks out of the queue as well. Written
-        // whole after that, one said that it was a part, and its tasks were spoken of twice.
+        // Splitting a job's chunk into parts takes its other chunks out of the queue as well.
+        // Written whole after that, one said that it was a part, and its tasks were recorded twice.
         if !shard.write_queue.contains(&entry) {
             continue;
         }
@@ -439,32 +490,15 @@
         if job_state.finishing || job_state.chunks.get(chunk).is_some_and(|c| c.busy) {
             continue;
         }
-        let revision = job_state.chunks.get(chunk).map_or(0, |c| c.revision);
         let record = shard.placement_record(job, job_state, *chunk);
         // Only chunks of jobs accepted under larger limits can have outgrown the present one.
-        let old =
-            job_state.layout.tasks_of(*chunk).len() > chunk_size(limits.strict_bytes) as usize;
+        let tasks = job_state.layout.tasks_of(*chunk).len();
+        let old = tasks > chunk_size(limits.strict_bytes) as usize;
         if old && json_bytes(&record) > limits.value_bytes {
             shard.split_into_parts(job, limits.strict_bytes);
             continue;
         }
-        bytes += 60 * record.placed.len() + 12 * record.done.len();
-        preconditions.push((Key::Job(job.clone()), job_state.revision));
-        preconditions.push((Key::Placements(job.clone(), *chunk), revision));
-        let placed = record
-            .placed
-            .iter()
-            .map(|placement| (placement.0, placement.1))
-            .collect();
-        writes.push(Write::put(
-            Key::Placements(job.clone(), *chunk),
-            Record::Placements(record),
-        ));
-        items.push(PlacementWrite {
-            job: job.clone(),
-            chunk: *chunk,
-            placed,
-        });
+        transaction.add(job, job_state, *chunk, record);
         // One commit carries all that is to be written of the chunk.
         for urgency in WriteUrgency::ALL {
             shard.write_queue.remove(&(urgency, job.clone(), *chunk));
@@ -473,14 +507,5 @@
             job_state.chunks.entry(*chunk).or_default().busy = true;
         }
     }
-    // A job with several chunks in the transaction is compared once.
-    preconditions.sort();
-    preconditions.dedup();
-    (!writes.is_empty()).then_some((
-        StoreRequest::Transaction {
-            preconditions,
-            writes,
-        },
-        items,
-    ))
+    transaction.finish()
 }
--- a/src/controller/shard/mod.rs
+++ b/src/controller/shard/mod.rs
@@ -1,8 +1,9 @@
 //! The owner of a shard: its jobs, machines and placements, and how they are written.
 //!
-//! A placement is committed, on the condition that the shard and the job are unchanged, before
-//! its start is sent to anyone (`commits`). [`job_state`] has what is known of a job, `intake`
-//! takes jobs in and lets them go, `image_demand` and `burst_estimate` remember what came.
+//! A placement is committed, on the condition that the shard and the job are unchanged, before its
+//! start is sent to anyone (`commits`). `job` has what is known of a job, `admission` takes jobs in and
+//! lets them go, `completion` writes their ends, `image_demand` and `burst_estimate` remember what
+//! came.
 
 pub(crate) mod admission;
 pub(crate) mod burst_estimate;
@@ -247,7 +248,7 @@
             let (job, index) = (job.clone(), *index);
             let task = TaskId { job, index };
             self.machines.edit(&placement.machine, |machine| {
-                machine.rebind(&task, &job_state.record)
+                machine.rebind(&task, &job_state.record);
             });
         }
         self.scheduling_wanted = true;
--- a/src/controller/store/mod.rs
+++ b/src/controller/store/mod.rs
@@ -1,7 +1,7 @@
 //! What this controller knows of the store, and its requests to it.
 //!
-//! [`StoreClient`] is a state machine of its own: it lists the store once, watches every change
-//! from then on and keeps a [`mirror`] of the records (`watch`); it reads the store's revision to
+//! `StoreClient` is a state machine of its own: it lists the store once, watches every change
+//! from then on and keeps a `mirror` of the records (`watch`); it reads the store's revision to
 //! know how old the mirror may be (`staleness`); and it keeps to the rate limits. It depends on no
 //! other duty of the controller: `P` is what a response is for, which only the caller understands.
 
--- a/src/net/waiting.rs
+++ b/src/net/waiting.rs
@@ -53,6 +53,10 @@
     }
 
     /// Watches a listener or a connection for something to read, until it is removed.
+    #[expect(
+        unsafe_code,
+        reason = "the poller keeps the descriptor of a socket it doesn't own"
+    )]
     pub fn add(&self, socket: impl AsRawSource, key: usize) -> io::Result<()> {
         // SAFETY: the caller keeps the socket for as long as it isn't removed.
         unsafe {
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -75,6 +75,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one table of cases")]
 fn answers_when_nothing_that_it_needs_is_there() {
     let port = free_port();
     let file = config("own.json", &platform(port));
--- a/tests/malformed.rs
+++ b/tests/malformed.rs
@@ -13,6 +13,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one table of cases")]
 fn http_requests_are_read_or_refused() {
     use HttpError::{Malformed, TooLarge};
     let rows: &[(&str, Result<Option<usize>, HttpError>)] = &[
@@ -168,6 +169,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one table of cases")]
 fn malformed_submissions_are_refused() {
     assert!(wire::submission(&wire::encode(&Value::Map(good()))).is_ok());
     for field in ["builds", "quarter", "curtainS"] {
@@ -281,7 +283,7 @@
     ];
     for (body, id) in rows {
         let bad = wire::submission(&body).expect_err("malformed");
-        let read = bad.id.as_ref().map(|id| id.as_str());
+        let read = bad.id.as_ref().map(salttrestle::ids::JobId::as_str);
         assert_eq!(read, id, "{}", bad.why);
     }
 }
--- a/tests/scenario_runs/work_per_change.rs
+++ b/tests/scenario_runs/work_per_change.rs
@@ -29,7 +29,9 @@
         let mut world = World::new(&Scenario::parse(scenario));
         world.run();
         let controllers = world.hosts.iter().filter_map(|h| h.controller.as_ref());
-        let loads: Vec<_> = controllers.map(|controller| controller.load()).collect();
+        let loads: Vec<_> = controllers
+            .map(salttrestle::controller::Controller::load)
+            .collect();
         Self {
             machines_scanned: loads.iter().map(|load| load.machines_scanned).sum(),
             placed: loads.iter().map(|load| load.placed).sum(),
--- a/tests/stored_forms.rs
+++ b/tests/stored_forms.rs
@@ -203,6 +203,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one table of cases")]
 fn messages() {
     let heartbeat = PeerHeartbeat {
         from: controller_id(),
--- a/tests/wire_words.rs
+++ b/tests/wire_words.rs
@@ -46,6 +46,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one table of cases")]
 fn store_responses_are_read_by_the_words_of_the_page() {
     let found = body(cbor!({"path" => "s/end/wk-1", "data" => "Done", "mark" => 412, "hold" => 7}));
     let read = StoreResponse::Found {
