--- a/src/controller/shard/mod.rs
+++ b/src/controller/shard/mod.rs
@@ -1,8 +1,9 @@
 //! The owner of a shard: its jobs, machines and placements, and how they are written.
 //!
-//! A placement is committed, on the condition that the shard and the job are unchanged, before
-//! its start is sent to anyone (`commits`). [`job_state`] has what is known of a job, `intake`
-//! takes jobs in and lets them go, `image_demand` and `burst_estimate` remember what came.
+//! A placement is committed, on the condition that the shard and the job are unchanged, before its
+//! start is sent to anyone (`commits`). `job` has what is known of a job, `admission` takes jobs in and
+//! lets them go, `completion` writes their ends, `image_demand` and `burst_estimate` remember what
+//! came.
 
 pub(crate) mod admission;
 pub(crate) mod burst_estimate;
@@ -223,7 +224,7 @@
         self.teams
             .entry(record.team.clone())
             .or_default()
-            .add(record.need, 1.0);
+            .add(record.resources, 1.0);
         job_state.placed.insert(index, placement);
     }
 
@@ -247,7 +248,7 @@
             let (job, index) = (job.clone(), *index);
             let task = TaskId { job, index };
             self.machines.edit(&placement.machine, |machine| {
-                machine.rebind(&task, &job_state.record)
+                machine.rebind(&task, &job_state.record);
             });
         }
         self.scheduling_wanted = true;
@@ -282,7 +283,7 @@
         let Some(placement) = job_state.placed.remove(&task.index) else {
             return;
         };
-        let need = job_state.record.need;
+        let need = job_state.record.resources;
         if let Some(used) = self.teams.get_mut(&job_state.record.team) {
             used.add(need, -1.0);
         }
@@ -335,7 +336,7 @@
                 teams
                     .entry(&job_state.record.team)
                     .or_default()
-                    .add(job_state.record.need, 1.0);
+                    .add(job_state.record.resources, 1.0);
                 if let Some(machine) = self.machines.get(&placement.machine) {
                     seats += 1;
                     let task = TaskId { job, index };
--- a/src/controller/store/mod.rs
+++ b/src/controller/store/mod.rs
@@ -1,7 +1,7 @@
 //! What this controller knows of the store, and its requests to it.
 //!
-//! [`StoreClient`] is a state machine of its own: it lists the store once, watches every change
-//! from then on and keeps a [`mirror`] of the records (`watch`); it reads the store's revision to
+//! `StoreClient` is a state machine of its own: it lists the store once, watches every change
+//! from then on and keeps a `mirror` of the records (`watch`); it reads the store's revision to
 //! know how old the mirror may be (`staleness`); and it keeps to the rate limits. It depends on no
 //! other duty of the controller: `P` is what a response is for, which only the caller understands.
 
@@ -53,7 +53,7 @@
     /// Nothing that it has to act on.
     None,
     /// The initial list is done, and these records differ from what was known.
-    Listed(Vec<MirrorEvent>),
+    ListedMachine(Vec<MirrorEvent>),
     /// The watch brought changes. It waits to be continued.
     Changed(Vec<MirrorEvent>),
     /// The watch fell behind: what was missed can't be told apart from what never was.
