--- a/src/controller/forwarding.rs
+++ b/src/controller/forwarding.rs
@@ -1,17 +1,16 @@
-//! How heartbeats come to the owner of their machine's shard, and what keeps workers
-//! alive when they can't.
+//! How a worker's heartbeat reaches the owner of its machine's shard, and what keeps workers alive
+//! when it can't.
 //!
-//! A worker heartbeats to a controller of its own zone, which forwards the heartbeat to the
-//! owner and the answer back. When the zone is partitioned, or the owner ends, the worker
-//! needn't look for another controller while its lease runs: its own one answers in
-//! the owner's place ("keeps alive" it) under the token it knows, without starts.
+//! A worker sends its heartbeats to a controller of its own zone, which forwards them to the owner, and
+//! the owner's responses back. When the zone is partitioned, or the owner has ended, the worker needn't
+//! look for another controller while its lease runs: its own controller answers in the owner's place
+//! ("keepalive"), under the token that it knows and without starts.
 //!
-//! Why that is safe. An answer under the owner's token gives a worker nothing but
-//! time, and stops what is cancelled. Time breaks two things only. A lease proves a
-//! task gone only once the zone's other controllers have said that they kept alive
-//! nobody while it ran out (`no_keepalive_by_peers`). And a cancellation is told to its user
-//! only once every task is proven gone (`front`), so no bound runs against a worker
-//! that nobody with a fresh mirror reaches.
+//! Why that is safe. Such a response gives a worker nothing but time, and stops what is cancelled.
+//! Time breaks two things only. A lease proves a task gone only once the zone's other controllers
+//! have said that they kept nobody alive while it ran out (`no_keepalive_by_peers`). And a user is
+//! told of a cancellation only once every task is proven gone (`api`), so no bound runs against a
+//! worker that nobody with a fresh mirror reaches.
 
 use crate::controller::context::{BATCH_MS, Context, RECENT_S};
 use crate::controller::events::{Output, Reply};
@@ -29,7 +28,7 @@
     request_id: RequestId,
     heartbeat: WorkerHeartbeat,
     since: Time,
-    /// The owner that it was handed to in vain.
+    /// The owner that it was forwarded to without a response.
     tried: Option<ControllerId>,
 }
 
@@ -38,17 +37,17 @@
 const OWNERLESS_MAX_S: f64 = 3.8;
 /// A heartbeat forwarded is answered here when no answer came this long after the time
 /// for which the owner may hold it.
-const RELAY_GRACE_S: f64 = 0.9;
+const FORWARD_GRACE_S: f64 = 0.9;
 /// Heartbeats with more tasks don't fit into a message to a peer; their workers go to
 /// the owner themselves.
-const RELAY_TASKS: usize = 200;
+const FORWARDED_TASKS_MAX: usize = 200;
 /// An owner that refuses connections for this much longer than a takeover takes isn't
 /// down: only the controllers can't reach it, and workers are sent there.
-pub(crate) const TAKEOVER_S: f64 = 1.5;
-/// Pause between two workers sent home to a controller that hears no worker yet.
-const TRIAL_PAUSE_S: f64 = 2.0;
+pub(crate) const TAKEOVER_MARGIN_S: f64 = 1.5;
+/// Pause between two workers redirected to a controller that hears no worker yet.
+const PROBE_PAUSE_S: f64 = 2.0;
 
-/// A heartbeat handed to its owner.
+/// A heartbeat that was forwarded to its owner.
 #[derive(Debug)]
 struct ForwardedOut {
     to: ControllerId,
@@ -76,25 +75,29 @@
     request_id: RequestId,
 }
 
+/// The heartbeats on their way between controllers.
 #[derive(Debug, Default)]
 pub(crate) struct Forwarding {
+    /// Heartbeats that were forwarded from here, by their request.
     out: BTreeMap<RequestId, ForwardedOut>,
-    guests: HashMap<RequestId, ForwardedIn>,
-    guest_count: u64,
+    /// Heartbeats that peers forwarded here, by the number that they were given here.
+    forwarded_in: HashMap<RequestId, ForwardedIn>,
+    forwarded_in_count: u64,
     /// Heartbeats to be forwarded together, and when.
     batched: Vec<(ControllerId, Box<ForwardedHeartbeat>)>,
     batched_until: Option<Time>,
-    /// Heartbeats that wait until there is somebody to send their workers to.
+    /// Heartbeats that wait until an owner is known.
     ownerless: VecDeque<OwnerlessHeartbeat>,
     /// When this process last answered in an owner's place; at first its start.
     pub(crate) last_keepalive: Option<Time>,
+    /// When a worker was last redirected to a controller that hears no worker yet.
     probes: BTreeMap<ControllerId, Time>,
     /// Workers sent to a safer controller of this zone, and when.
     redirected: BTreeMap<MachineId, Time>,
 }
 
 /// A worker that came back after it was sent to a safer controller is kept for so many leases.
-const KEPT_LEASES: f64 = 6.0;
+const REDIRECTED_KEPT_LEASES: f64 = 6.0;
 
 /// One of several controllers for a machine, the same each time.
 fn pick_by_name<'a>(
@@ -105,8 +108,8 @@
     controller_ids.get(at as usize).copied()
 }
 
-/// Requests of forwarded requests are numbered apart from those that come on connections.
-const GUESTS: u64 = 1 << 62;
+/// Forwarded requests are numbered apart from those that come on connections.
+const FORWARDED_REQUESTS: u64 = 1 << 62;
 
 impl Forwarding {
     /// When the heartbeats gathered so far are to be forwarded.
@@ -116,7 +119,7 @@
 
     /// The peer that forwarded a heartbeat.
     pub(crate) fn forwarder(&self, request_id: RequestId) -> Option<ControllerId> {
-        self.guests.get(&request_id).map(|g| g.from.clone())
+        self.forwarded_in.get(&request_id).map(|g| g.from.clone())
     }
 }
 
@@ -134,6 +137,7 @@
 }
 
 impl Controller {
+    /// A worker reports here: its heartbeat is answered, forwarded, or the worker is redirected.
     pub(crate) fn on_worker_heartbeat(
         &mut self,
         request_id: RequestId,
@@ -141,10 +145,10 @@
     ) {
         self.context.last_worker_heartbeat = self.context.now;
         let id = MachineId::from(heartbeat.machine.as_str());
-        if let Some(home) = self.context.preferred_controller(&id, &heartbeat) {
+        if let Some(preferred) = self.context.preferred_controller(&id, &heartbeat) {
             return self
                 .context
-                .answer(request_id, Reply::ok(421, redirect_body(Some(&home))));
+                .answer(request_id, Reply::ok(421, redirect_body(Some(&preferred))));
         }
         if let Some(shard) = owner_of_machine(&mut self.shards, &id) {
             return shard.on_heartbeat(&mut self.context, request_id, &id, heartbeat);
@@ -154,7 +158,7 @@
     }
 
     pub(crate) fn forwarding_housekeeping(&mut self) {
-        let kept_s = KEPT_LEASES * self.context.settings.platform.facts.workers.lease_s;
+        let kept_s = REDIRECTED_KEPT_LEASES * self.context.settings.platform.facts.workers.lease_s;
         let now = self.context.now;
         let redirected = &mut self.context.forwarding.redirected;
         redirected.retain(|_, at| now.since(*at) < kept_s);
@@ -168,7 +172,7 @@
                 self.context.without_owner(ownerless);
             }
         }
-        let patience = self.context.settings.long_poll_s(false) + RELAY_GRACE_S;
+        let patience = self.context.settings.long_poll_s(false) + FORWARD_GRACE_S;
         let late = self.context.forwarding.out.iter().filter(|(_, r)| {
             self.context.now.since(r.since) > patience
                 || !self.context.heartbeat_fresh(&r.to)
@@ -183,19 +187,22 @@
     }
 
     /// A peer forwards a heartbeat of one of its workers.
-    pub(crate) fn on_forwarded_heartbeat(&mut self, relayed: ForwardedHeartbeat) {
-        if !self.context.is_peer(&relayed.from) {
+    pub(crate) fn on_forwarded_heartbeat(&mut self, forwarded: ForwardedHeartbeat) {
+        if !self.context.is_peer(&forwarded.from) {
             return;
         }
-        self.context.forwarding.guest_count += 1;
-        let request_id = RequestId(GUESTS + self.context.forwarding.guest_count);
-        let guest = ForwardedIn {
-            from: relayed.from.clone(),
-            incarnation: relayed.incarnation,
-            request_id: RequestId(relayed.request_id),
+        self.context.forwarding.forwarded_in_count += 1;
+        let request_id = RequestId(FORWARDED_REQUESTS + self.context.forwarding.forwarded_in_count);
+        let pending = ForwardedIn {
+            from: forwarded.from.clone(),
+            incarnation: forwarded.incarnation,
+            request_id: RequestId(forwarded.request_id),
         };
-        self.context.forwarding.guests.insert(request_id, guest);
-        let heartbeat = relayed.report();
+        self.context
+            .forwarding
+            .forwarded_in
+            .insert(request_id, pending);
+        let heartbeat = forwarded.report();
         let id = MachineId::from(heartbeat.machine.as_str());
         match owner_of_machine(&mut self.shards, &id) {
             Some(shard) => shard.on_heartbeat(&mut self.context, request_id, &id, heartbeat),
@@ -215,7 +222,7 @@
         id: &MachineId,
         heartbeat: &WorkerHeartbeat,
     ) -> Option<ControllerId> {
-        if heartbeat.tasks.len() > RELAY_TASKS || self.unanswered(id, heartbeat) {
+        if heartbeat.tasks.len() > FORWARDED_TASKS_MAX || self.unanswered(id, heartbeat) {
             return None;
         }
         if heartbeat.zone == self.settings.platform.site {
@@ -224,18 +231,18 @@
         let local = self.forwarders_in(&heartbeat.zone);
         let safe: Vec<&ControllerId> = local.iter().filter(|m| self.has_next(m)).copied().collect();
         let local = if safe.is_empty() { local } else { safe };
-        let home = pick_by_name(id, &local)?.clone();
+        let preferred = pick_by_name(id, &local)?.clone();
         let heard = self
             .peers
             .heartbeats
-            .get(&home)
+            .get(&preferred)
             .is_some_and(|(h, _)| h.hears_workers);
-        let trial = self.forwarding.probes.get(&home);
-        if !heard && trial.is_some_and(|at| self.now.since(*at) < TRIAL_PAUSE_S) {
+        let trial = self.forwarding.probes.get(&preferred);
+        if !heard && trial.is_some_and(|at| self.now.since(*at) < PROBE_PAUSE_S) {
             return None;
         }
-        self.forwarding.probes.insert(home.clone(), self.now);
-        Some(home)
+        self.forwarding.probes.insert(preferred.clone(), self.now);
+        Some(preferred)
     }
 
     /// Whether a worker wasn't answered yet by the present owner of its shard: its lease counts
@@ -263,9 +270,9 @@
         }
         let local = self.forwarders_in(&platform.site);
         let safe: Vec<&ControllerId> = local.into_iter().filter(|m| self.has_next(m)).collect();
-        let home = pick_by_name(id, &safe)?.clone();
+        let preferred = pick_by_name(id, &safe)?.clone();
         self.forwarding.redirected.insert(id.clone(), self.now);
-        Some(home)
+        Some(preferred)
     }
 
     /// Controllers of a zone, besides this one, that can forward heartbeats.
@@ -300,14 +307,14 @@
         let owner = self.owner_of(&id);
         let reached = owner.filter(|h| self.reachable(h));
         match reached {
-            Some(to) if self.linked(&to) && heartbeat.tasks.len() <= RELAY_TASKS => {
-                let relayed = ForwardedHeartbeat::new(
+            Some(to) if self.linked(&to) && heartbeat.tasks.len() <= FORWARDED_TASKS_MAX => {
+                let forwarded = ForwardedHeartbeat::new(
                     &self.settings.platform.controller_id,
                     self.incarnation,
                     request_id,
                     &heartbeat,
                 );
-                let batched = (to.clone(), Box::new(relayed));
+                let batched = (to.clone(), Box::new(forwarded));
                 self.forwarding.batched.push(batched);
                 let until = self.now.next_multiple(BATCH_MS);
                 self.forwarding.batched_until.get_or_insert(until);
@@ -321,7 +328,7 @@
                     },
                 );
             }
-            Some(to) if heartbeat.tasks.len() > RELAY_TASKS => {
+            Some(to) if heartbeat.tasks.len() > FORWARDED_TASKS_MAX => {
                 self.answer(request_id, Reply::ok(421, redirect_body(Some(&to))));
             }
             _ => {
@@ -430,7 +437,7 @@
     /// longer than a takeover takes, its record stands all the same. Workers sent to one that
     /// is dead lose half of their lease.
     fn surely_runs(&self, owner: &ControllerId) -> bool {
-        let takeover_s = self.settings.tuning.leader_lease_s + TAKEOVER_S;
+        let takeover_s = self.settings.tuning.leader_lease_s + TAKEOVER_MARGIN_S;
         let heard = self.peers.heartbeats.get(owner).map(|(_, at)| *at);
         let peers_unreachable = heard.is_none_or(|at| self.now.since(at) > takeover_s);
         self.heartbeat_fresh(owner) || peers_unreachable && !self.is_stale()
@@ -442,12 +449,12 @@
         if answer.incarnation != self.incarnation {
             return;
         }
-        let Some(relayed) = self.forwarding.out.remove(&request_id) else {
+        let Some(forwarded) = self.forwarding.out.remove(&request_id) else {
             return;
         };
         if answer.status == 421 {
             // It doesn't hold the shard any more; who does is soon known here.
-            return self.without_owner(relayed.ownerless(request_id));
+            return self.without_owner(forwarded.ownerless(request_id));
         }
         let reply = Reply {
             status: answer.status,
@@ -458,18 +465,18 @@
     }
 
     pub(crate) fn answer(&mut self, request_id: RequestId, reply: Reply) {
-        let Some(guest) = self.forwarding.guests.remove(&request_id) else {
+        let Some(forwarded) = self.forwarding.forwarded_in.remove(&request_id) else {
             return self.outbox.push(Output::Answer(request_id, reply));
         };
         let answer = ForwardedResponse {
-            incarnation: guest.incarnation,
-            request_id: guest.request_id.0,
+            incarnation: forwarded.incarnation,
+            request_id: forwarded.request_id.0,
             status: reply.status,
             body: reply.body,
             retry_after: reply.retry_after,
         };
         let message = Message::ForwardedResponse(answer);
-        self.outbox.send_to_peer(Some(guest.from), message);
+        self.outbox.send_to_peer(Some(forwarded.from), message);
     }
 
     pub(crate) fn forget_heartbeat(&mut self, request_id: RequestId) {
--- a/src/controller/peers/links.rs
+++ b/src/controller/peers/links.rs
@@ -3,7 +3,7 @@
 
 use crate::controller::context::Context;
 use crate::controller::events::Link;
-use crate::controller::forwarding::TAKEOVER_S;
+use crate::controller::forwarding::TAKEOVER_MARGIN_S;
 use crate::ids::{ControllerId, Time};
 use crate::settings::Peer;
 
@@ -36,7 +36,7 @@
     /// Whether an owner runs, since its record stands, while it refuses connections
     /// from here: a filter between the controllers, which its workers may pass.
     pub(crate) fn refuses_connections(&self, owner: &ControllerId) -> bool {
-        let patience = self.settings.tuning.leader_lease_s + TAKEOVER_S;
+        let patience = self.settings.tuning.leader_lease_s + TAKEOVER_MARGIN_S;
         let refused = self.peers.links_down.get(owner).copied().flatten();
         !self.is_stale() && refused.is_some_and(|since| self.now.since(since) > patience)
     }
--- a/src/controller/shard/mod.rs
+++ b/src/controller/shard/mod.rs
@@ -31,7 +31,9 @@
 /// One ownership of one shard: a response to what was asked under it means nothing to another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ShardOwnership {
+    /// The shard.
     pub(crate) shard: u32,
+    /// The token of this ownership.
     pub(crate) token: FencingToken,
 }
 
@@ -40,15 +42,17 @@
     amount * 0.5f64.powf(passed_s / half_s)
 }
 
-/// One holding of a shard: all that its owner knows and decides.
+/// One ownership of a shard: all that its owner knows and decides.
 pub(crate) struct ShardOwner {
     pub shard: u32,
     pub token: FencingToken,
+    /// The revision of the shard's record that is known here; every write rests on it.
     pub shard_revision: u64,
+    /// When this ownership began.
     pub since: Time,
     /// Whether it is the only shard, with every machine there is in it.
     pub whole: bool,
-    /// Zones of which so many machines are silent that they must be partitioned.
+    /// Zones of which so many machines are silent that they are taken to be partitioned.
     pub(crate) partitioned_zones: BTreeSet<Rc<str>>,
     /// When there last was one.
     pub(crate) zones_partitioned_at: Option<Time>,
@@ -58,9 +62,13 @@
     pub(crate) quota_shares: Option<BTreeMap<String, (f64, f64)>>,
     /// Whether the limits are shared with other cells.
     pub(crate) shares_limits: bool,
+    /// Attempts made under this token.
     pub(crate) count: u64,
+    /// The shard's jobs that aren't over.
     pub jobs: BTreeMap<JobId, JobState>,
+    /// Its machines.
     pub machines: Inventory,
+    /// What each team uses here.
     pub(crate) teams: HashMap<String, Resources>,
     /// How services' demand for each pool comes.
     pub(crate) bursts: BTreeMap<Pool, BurstEstimate>,
@@ -72,21 +80,29 @@
     pub(crate) images: HashMap<Image, ImageDemand>,
     /// Jobs with queued tasks.
     pub(crate) waiting: BTreeSet<JobId>,
+    /// Something has changed that scheduling depends on.
     pub(crate) scheduling_wanted: bool,
+    /// No scheduling cycle before this.
     pub(crate) schedule_at: Time,
+    /// When machines are next emptied.
     pub(crate) consolidate_at: Time,
     /// Chunks to write, by urgency.
     pub(crate) write_queue: WriteQueue,
+    /// Transactions of placements without a response yet.
     pub(crate) writes_in_flight: usize,
     /// Jobs whose last record is to be written: all done, or cancelled and gone.
     pub(crate) ready_to_end_jobs: BTreeSet<JobId>,
+    /// Chunks of jobs that are over, to be deleted.
     pub(crate) leftover_placements: Vec<(JobId, u32)>,
+    /// Whether a deletion of such chunks is pending.
     pub(crate) deleting_placements: bool,
-    /// When held answers must go out.
+    /// When the long polls of machines have to be answered.
     pub(crate) long_poll_deadlines: BTreeSet<(Time, MachineId)>,
+    /// Machines that the cloud has deleted, and when: late copies of their heartbeats may come.
     pub(crate) deleted_machines: BTreeMap<MachineId, Time>,
+    /// When the latest heartbeat of any machine came.
     pub(crate) last_worker_heartbeat: Time,
-    /// So many machines are silent that they must be partitioned rather than down.
+    /// Whether so many machines are silent that they are partitioned rather than down.
     pub(crate) mass_partition: bool,
     /// When that was last so. Machines get time from then to come back.
     pub(crate) partitioned_at: Time,
