--- a/src/controller/machines/inventory.rs
+++ b/src/controller/machines/inventory.rs
@@ -6,6 +6,7 @@
 //! knows what its tasks mean for a placement. Every change goes through `edit`, which
 //! files the machine anew: there is no second place that could forget to.
 
+use crate::controller::audit::AuditError;
 use crate::controller::pool::Pool;
 use crate::controller::store::records::{JobRecord, PriorityClass, Resources};
 use crate::ids::{ControllerId, Image, MachineId, RequestId, TaskId, Time};
@@ -470,12 +471,12 @@
     }
 
     /// Recounts the indexes; says what is wrong with them.
-    pub(crate) fn audit(&self) -> Result<(), String> {
+    pub(crate) fn audit(&self) -> Result<(), AuditError> {
         let mut again = Index::default();
         for (id, machine) in &self.all {
             let indexed = machine.index_entry();
             if machine.indexed.as_ref() != Some(&indexed) {
-                return Err(format!("machine {id} isn't filed as it is: {indexed:?}"));
+                return Err(AuditError::IndexEntry(id.clone()));
             }
             again.add_entry(id, &indexed);
         }
@@ -487,7 +488,6 @@
             && again.free == free
             && again.leaving == self.index.leaving
             && again.booting == self.index.booting;
-        same.then_some(())
-            .ok_or_else(|| "the indexes differ from a recount".into())
+        same.then_some(()).ok_or(AuditError::Index)
     }
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -5,6 +5,7 @@
 //! should act; they are never what makes a wrong act harmless.
 
 pub(crate) mod api;
+pub mod audit;
 pub(crate) mod autoscaling;
 pub(crate) mod cloud;
 pub(crate) mod context;
@@ -26,6 +27,7 @@
 pub mod store;
 mod store_requests;
 
+use crate::controller::audit::AuditError;
 use crate::controller::context::Context;
 use crate::controller::events::{Input, Load, Output, Queue};
 use crate::controller::leadership::GiveUpReason;
@@ -151,7 +153,7 @@
     }
 
     /// Recounts what is kept up to date from change to change; says what is wrong.
-    pub fn audit(&self) -> Result<(), String> {
+    pub fn audit(&self) -> Result<(), AuditError> {
         self.shards.values().try_for_each(shard::ShardOwner::audit)
     }
 
--- a/src/controller/peers/heartbeats.rs
+++ b/src/controller/peers/heartbeats.rs
@@ -35,14 +35,7 @@
         PeerHeartbeat {
             from: self.context.settings.platform.controller_id.clone(),
             incarnation: self.context.incarnation,
-            leader: self
-                .context
-                .store
-                .mirror
-                .leader
-                .record
-                .as_ref()
-                .map(|l| l.controller_id.clone()),
+            leader: self.context.store.mirror.leader_id().cloned(),
             shards: shards.collect(),
             is_fresh: !self.context.is_stale(),
             staleness_ms: (self.context.staleness_s() * 1000.0) as u64,
@@ -139,13 +132,7 @@
         let me = &self.settings.platform.controller_id;
         let Some((shard, record)) = found else {
             // In no shard yet: the leader will see to it.
-            let leader = self
-                .store
-                .mirror
-                .leader
-                .record
-                .as_ref()
-                .map(|l| l.controller_id.clone());
+            let leader = self.store.mirror.leader_id().cloned();
             return leader.filter(|l| l != me);
         };
         let said = self.recent_heartbeats().filter(|h| h.is_fresh);
--- a/src/controller/peers/links.rs
+++ b/src/controller/peers/links.rs
@@ -43,13 +43,7 @@
 
     /// Whether this controller can forward heartbeats: to itself, or to who leads.
     pub(crate) fn can_forward(&self) -> bool {
-        let leader = self
-            .store
-            .mirror
-            .leader
-            .record
-            .as_ref()
-            .map(|l| l.controller_id.clone());
+        let leader = self.store.mirror.leader_id().cloned();
         let here = leader.as_ref() == Some(&self.settings.platform.controller_id);
         here || leader.is_some_and(|l| self.linked(&l))
     }
--- a/src/controller/shard/commits.rs
+++ b/src/controller/shard/commits.rs
@@ -4,11 +4,12 @@
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::shard::ShardOwner;
 use crate::controller::shard::job::{JobState, Phase, Placement};
+use crate::controller::shard::transaction::{TransactionLimits, next_transaction};
 use crate::controller::store::chunks::{ChunkLayout, chunk_size, ranges};
-use crate::controller::store::records::{Key, PlacementRecord, PriorityClass, Record, json_bytes};
+use crate::controller::store::records::{Key, PlacementRecord, PriorityClass, Record};
 use crate::controller::store_requests::{RequestPurpose, ShardRequest};
 use crate::ids::{Attempt, JobId, MachineId, TaskId, Time};
-use crate::wire::{StoreRequest, StoreResponse, Write};
+use crate::wire::{StoreRequest, StoreResponse};
 use log::{debug, info, warn};
 use std::collections::BTreeSet;
 
@@ -31,7 +32,7 @@
 
 impl WriteUrgency {
     /// Every urgency there is, the most urgent first.
-    const ALL: [Self; 5] = [
+    pub(crate) const ALL: [Self; 5] = [
         Self::placements(PriorityClass::Critical),
         Self::placements(PriorityClass::Urgent),
         Self::placements(PriorityClass::Normal),
@@ -47,7 +48,7 @@
     /// What the commit has to leave of the budgets. Batch work leaves enough for an urgent
     /// start to be committed at once: with a guest's array and swarm under way, urgent starts
     /// waited for seconds behind their commits.
-    fn priority(self) -> Priority {
+    pub(crate) fn priority(self) -> Priority {
         match self {
             Self::Placements(std::cmp::Reverse(priority_class)) => write_priority(priority_class),
             Self::Results => Priority::Last,
@@ -70,8 +71,6 @@
 /// Commits of chunks under way at once, and how many more there may be for urgent ones.
 const WRITES_IN_FLIGHT_MAX: usize = 4;
 const URGENT_WRITES_IN_FLIGHT_MAX: usize = 2;
-/// JSON bytes of chunks in one transaction, below the limit of 64 KiB.
-const TRANSACTION_BYTES: usize = 40 * 1024;
 
 impl Context {
     fn transaction_limits(&self) -> TransactionLimits {
@@ -295,7 +294,12 @@
 
 impl ShardOwner {
     /// The present content of a chunk's record.
-    fn placement_record(&self, job: &JobId, job_state: &JobState, chunk: u32) -> PlacementRecord {
+    pub(crate) fn placement_record(
+        &self,
+        job: &JobId,
+        job_state: &JobState,
+        chunk: u32,
+    ) -> PlacementRecord {
         let tasks = job_state.layout.tasks_of(chunk);
         let (failed_tries, failed_on) = self.failures.of_job(job);
         let done = tasks
@@ -337,7 +341,7 @@
 
     /// Turns to writing a job's chunks in parts that fit into values of so many bytes. What waits
     /// to be written of a chunk is written with its parts, results before they are cleared.
-    fn split_into_parts(&mut self, job: &JobId, value_bytes: usize) {
+    pub(crate) fn split_into_parts(&mut self, job: &JobId, value_bytes: usize) {
         let Some(job_state) = self.jobs.get_mut(job) else {
             return;
         };
@@ -399,113 +403,3 @@
         queue.insert((job_state.write_urgency(chunk), job.clone(), chunk));
     }
 }
-
-/// What a transaction of chunks may hold.
-struct TransactionLimits {
-    ops: usize,
-    /// Bytes that a value may have now, as far as is known.
-    value_bytes: usize,
-    /// Bytes that a value may have now and later.
-    strict_bytes: usize,
-}
-
-/// A transaction of chunks that is being put together.
-struct ChunkTransaction {
-    preconditions: Vec<(Key, u64)>,
-    writes: Vec<Write>,
-    items: Vec<PlacementWrite>,
-    /// About the bytes of the writes.
-    bytes: usize,
-}
-
-/// Bytes that a placed task, and a range of finished ones, take in a record.
-const PLACED_BYTES: usize = 60;
-const DONE_BYTES: usize = 12;
-
-impl ChunkTransaction {
-    /// Adds a chunk's present record, on the condition that the job's and the chunk's are
-    /// unchanged.
-    fn add(&mut self, job: &JobId, job_state: &JobState, chunk: u32, record: PlacementRecord) {
-        let key = Key::Placements(job.clone(), chunk);
-        let revision = job_state.chunks.get(&chunk).map_or(0, |c| c.revision);
-        self.preconditions
-            .push((Key::Job(job.clone()), job_state.revision));
-        self.preconditions.push((key.clone(), revision));
-        self.bytes += PLACED_BYTES * record.placed.len() + DONE_BYTES * record.done.len();
-        let placed = record.placed.iter();
-        self.items.push(PlacementWrite {
-            job: job.clone(),
-            chunk,
-            placed: placed
-                .map(|(index, attempt, ..)| (*index, *attempt))
-                .collect(),
-        });
-        self.writes
-            .push(Write::put(key, Record::Placements(record)));
-    }
-
-    /// The request, unless there is nothing to write.
-    fn finish(mut self) -> Option<(StoreRequest, Vec<PlacementWrite>)> {
-        // A job with several chunks in the transaction is compared once.
-        self.preconditions.sort();
-        self.preconditions.dedup();
-        let request = StoreRequest::Transaction {
-            preconditions: self.preconditions,
-            writes: self.writes,
-        };
-        (!self.items.is_empty()).then_some((request, self.items))
-    }
-}
-
-/// Builds the next transaction of chunks of one priority: urgent ones don't wait until there is
-/// budget for batch work as well.
-fn next_transaction(
-    shard: &mut ShardOwner,
-    limits: &TransactionLimits,
-    priority: Priority,
-) -> Option<(StoreRequest, Vec<PlacementWrite>)> {
-    let mut transaction = ChunkTransaction {
-        preconditions: vec![(Key::Shard(shard.shard), shard.shard_revision)],
-        writes: Vec::new(),
-        items: Vec::new(),
-        bytes: 0,
-    };
-    let same = |(urgency, ..): &&(WriteUrgency, JobId, u32)| urgency.priority() == priority;
-    let queue = shard.write_queue.iter().take_while(same);
-    let candidates: Vec<_> = queue.take(4 * limits.ops).cloned().collect();
-    for entry in candidates {
-        if transaction.writes.len() >= limits.ops || transaction.bytes > TRANSACTION_BYTES {
-            break;
-        }
-        // Splitting a job's chunk into parts takes its other chunks out of the queue as well.
-        // Written whole after that, one said that it was a part, and its tasks were recorded twice.
-        if !shard.write_queue.contains(&entry) {
-            continue;
-        }
-        let (_, job, chunk) = &entry;
-        let Some(job_state) = shard.jobs.get(job) else {
-            shard.write_queue.remove(&entry);
-            continue;
-        };
-        if job_state.finishing || job_state.chunks.get(chunk).is_some_and(|c| c.busy) {
-            continue;
-        }
-        let record = shard.placement_record(job, job_state, *chunk);
-        // Only chunks of jobs accepted under larger limits can have outgrown the present one.
-        let tasks = job_state.layout.tasks_of(*chunk).len();
-        let old = tasks > chunk_size(limits.strict_bytes) as usize;
-        if old && json_bytes(&record) > limits.value_bytes {
-            shard.split_into_parts(job, limits.strict_bytes);
-            continue;
-        }
-        transaction.add(job, job_state, *chunk, record);
-        // One commit carries all that is to be written of the chunk.
-        for urgency in WriteUrgency::ALL {
-            shard.write_queue.remove(&(urgency, job.clone(), *chunk));
-        }
-        if let Some(job_state) = shard.jobs.get_mut(job) {
-            job_state.chunks.entry(*chunk).or_default().busy = true;
-        }
-    }
-    transaction.finish()
-}
--- a/src/controller/shard/mod.rs
+++ b/src/controller/shard/mod.rs
@@ -11,7 +11,9 @@
 pub(crate) mod completion;
 pub(crate) mod image_demand;
 pub(crate) mod job;
+pub(crate) mod transaction;
 
+use crate::controller::audit::AuditError;
 use crate::controller::context::RECENT_S;
 use crate::controller::machines::failures::FailureLog;
 use crate::controller::machines::inventory::{Inventory, Machine};
@@ -344,40 +346,37 @@
     }
 
     /// Recounts what teams use and which tasks machines have, and checks the indexes.
-    pub(crate) fn audit(&self) -> Result<(), String> {
-        let (mut seats, mut teams) = (0, HashMap::<&str, Resources>::new());
+    pub(crate) fn audit(&self) -> Result<(), AuditError> {
+        let (mut bound, mut teams) = (0, HashMap::<&str, Resources>::new());
         for (job, job_state) in &self.jobs {
+            let record = &job_state.record;
             for (index, placement) in &job_state.placed {
+                let used = teams.entry(&record.team).or_default();
+                used.add(record.resources, 1.0);
+                let Some(machine) = self.machines.get(&placement.machine) else {
+                    continue;
+                };
+                bound += 1;
                 let (job, index) = (job.clone(), *index);
-                teams
-                    .entry(&job_state.record.team)
-                    .or_default()
-                    .add(job_state.record.resources, 1.0);
-                if let Some(machine) = self.machines.get(&placement.machine) {
-                    seats += 1;
-                    let task = TaskId { job, index };
-                    if !machine.tasks.contains_key(&task) {
-                        return Err(format!(
-                            "{task} isn't among the tasks of {}",
-                            placement.machine
-                        ));
-                    }
+                let task = TaskId { job, index };
+                if !machine.tasks.contains_key(&task) {
+                    let machine = placement.machine.clone();
+                    return Err(AuditError::NotBound { task, machine });
                 }
             }
         }
-        if seats
-            != self
-                .machines
-                .values()
-                .map(|machine| machine.tasks.len())
-                .sum::<usize>()
-        {
-            return Err("a machine has a task that isn't placed there".into());
+        let bindings = self.machines.values().map(|machine| machine.tasks.len());
+        if bound != bindings.sum::<usize>() {
+            return Err(AuditError::NotPlaced);
         }
         for (team, used) in &self.teams {
-            let again = teams.get(team.as_str()).copied().unwrap_or_default();
-            if !used.holds(again) || !again.holds(*used) {
-                return Err(format!("{team} uses {again:?}, not {used:?}"));
+            let recounted = teams.get(team.as_str()).copied().unwrap_or_default();
+            if !used.holds(recounted) || !recounted.holds(*used) {
+                return Err(AuditError::TeamUse {
+                    team: team.clone(),
+                    counted: *used,
+                    recounted,
+                });
             }
         }
         self.machines.audit()
--- a/src/controller/shards/counts.rs
+++ b/src/controller/shards/counts.rs
@@ -135,13 +135,7 @@
         if context.leadership.is_some() {
             return context.on_shard_counts(shard_counts);
         }
-        let leader = context
-            .store
-            .mirror
-            .leader
-            .record
-            .as_ref()
-            .map(|l| l.controller_id.clone());
+        let leader = context.store.mirror.leader_id().cloned();
         if leader.is_some() {
             let message = Message::ShardCounts(Box::new(shard_counts));
             context.outbox.send_to_peer(leader, message);
--- a/src/controller/store/mirror.rs
+++ b/src/controller/store/mirror.rs
@@ -6,7 +6,7 @@
     Ending, ExhaustedPool, FencingTokenRecord, JobRecord, Key, LeaderRecord, LimitsRecord,
     PlacementRecord, PriorityClass, Record, ScalingPlanRecord, ShardRecord,
 };
-use crate::ids::{FencingToken, JobId, Time};
+use crate::ids::{ControllerId, FencingToken, JobId, Time};
 use crate::wire::Change;
 use salttrestle_cells::Cell;
 use salttrestle_cells::ledger::{CellRecord, LinkRecord};
@@ -279,6 +279,12 @@
         })
     }
 
+    /// Who leads, as far as is known.
+    pub(crate) fn leader_id(&self) -> Option<&ControllerId> {
+        let leader = self.leader.record.as_ref();
+        leader.map(|leader| &leader.controller_id)
+    }
+
     /// The highest token that anything known here speaks of.
     pub(crate) fn highest(&self) -> FencingToken {
         let said = self.token.record.as_ref().map(|r| r.highest);
