--- /dev/null
+++ b/src/controller/quota/cells/status_log.rs
@@ -0,0 +1,58 @@
+//! Log lines on how the cell shares its limits.
+
+use crate::controller::context::Context;
+use crate::settings::CellsFile;
+use log::{debug, info, warn};
+
+/// Between two accounts in the log, in seconds.
+const LOG_S: f64 = 30.0;
+/// A cell without a message for so long is logged as unreachable, in seconds.
+const UNREACHABLE_S: f64 = 5.0;
+
+impl Context {
+    /// Logs, every [`LOG_S`], which cells are reachable and how the limits are shared.
+    pub(super) fn log_cell_sharing(&mut self, file: &CellsFile) {
+        if self.now < self.cells.next_log {
+            return;
+        }
+        self.cells.next_log = self.now.after(LOG_S);
+        let Some(record) = &self.store.mirror.cell.record else {
+            return;
+        };
+        for cell in file.others() {
+            let age = self
+                .cells
+                .received
+                .get(cell)
+                .map(|received| self.now.since(received.at));
+            let pending = self
+                .cell_link(cell)
+                .pending
+                .map_or(0, |transfer| transfer.amounts.len());
+            match age.filter(|age| *age < UNREACHABLE_S) {
+                Some(age) => {
+                    info!("cell heard, cell={cell} age_s={age:.1} teams_in_transit={pending}")
+                }
+                None => warn!("cell unreachable, cell={cell} teams_in_transit={pending}"),
+            }
+        }
+        let revision = self.store.mirror.cell.revision;
+        let dropped = self.cells.dropped;
+        info!(
+            "cell shares, cell={} revision={revision} messages_dropped={dropped}",
+            file.here
+        );
+        let views = self.team_views(record, file).unwrap_or_default();
+        for (team, view) in &views {
+            let ((cpus, gpus), used) = (view.share.to_pair(), view.used.to_pair());
+            debug!("team share, team={team} cpus={cpus} gpus={gpus} used={used:?}");
+        }
+        for (team, limit) in &record.limits {
+            let requested = self.requested_limit(record, team);
+            if requested != *limit {
+                let (limit, asked) = (limit.to_pair(), requested.to_pair());
+                warn!("team limit not lowered yet, team={team} in_force={limit:?} asked={asked:?}");
+            }
+        }
+    }
+}
