--- a/src/controller/quota/team_limits.rs
+++ b/src/controller/quota/team_limits.rs
@@ -1,10 +1,10 @@
 //! Team limits that change at run time.
 //!
 //! Operators write the limits of some teams to a record at the store, which replace those of the
-//! settings from then on. In force is what the shards' records allow, on whose revisions every start
-//! is conditional: the leader writes a change into them, and starts under earlier limits fail from
-//! that commit on. A limit lowered below what runs never counts as free: the quota share falls at
-//! once, and use falls as tasks are proven gone.
+//! settings from then on. In force is what the shards' records allow, on whose revisions every
+//! start is conditional: the leader writes a change into them, and starts under earlier limits fail
+//! from that commit on. A limit lowered below what runs never counts as free: the quota share falls
+//! at once, and use falls as tasks are proven gone.
 //!
 //! A record that can't be read, or that names an unknown team, changes nothing: the last good one
 //! stays in force, also under a leader that never saw it, since the shards' records keep it.
