--- a/src/controller/api/status_queries.rs
+++ b/src/controller/api/status_queries.rs
@@ -1,9 +1,9 @@
-//! Questions about jobs.
+//! Status queries of jobs.
 //!
-//! `done` and `cancelled` may be told from memory, for they are committed. Anything else another
-//! controller may know better, so it needs a read no older than the question.
+//! `done` and `cancelled` may be answered from memory, since they are committed. Any other status
+//! may have changed through another controller, so it needs a read no older than the query.
 
-use crate::controller::api::{Intent, StatusQuery};
+use crate::controller::api::{DelayedEnding, Intent, StatusQuery};
 use crate::controller::context::Context;
 use crate::controller::events::Reply;
 use crate::controller::rate_limits::token_bucket::Priority;
@@ -13,61 +13,68 @@
 use crate::wire::{JobStatus, StoreRequest, StoreResponse, error_body, job_status_body};
 use std::collections::VecDeque;
 
-/// What is told of a job that isn't over may be this old. With that, and since the end of a
-/// job isn't told before every older answer has become too old to be given, no node gives an
-/// answer that another one's has overtaken, however slowly the store answers.
-pub(crate) const PRESENT_S: f64 = 0.1;
-const ENDING_DELAY_S: f64 = 1.2 * PRESENT_S;
+/// The status of a job that isn't over is at most this old when it is sent, in seconds. The end of
+/// a job is sent only when every older status has become too old to be sent. So no controller sends
+/// a status after a newer one that another controller has sent, however slow the store is.
+pub(super) const STATUS_AGE_MAX_S: f64 = 0.1;
+/// The end of a job is kept back for this time, in seconds.
+const ENDING_DELAY_S: f64 = 1.2 * STATUS_AGE_MAX_S;
+/// Reason in the replies of a controller that can't read the store in time.
+const STATUS_UNKNOWN: &str = "present state isn't known";
 
 impl Context {
+    /// Answers a query of a job that is over, and has others wait for a linearizable read.
     pub(crate) fn on_status_query(&mut self, request_id: RequestId, id: JobId, intent: Intent) {
         if let Some(ending) = self.store.mirror.ending(&id) {
             return self.answer_ending(request_id, &id, ending);
         }
         if self.is_stale() || self.api.status_queries.len() >= self.waiting_max() {
-            return self.answer(
-                request_id,
-                Reply::later(503, 1, "present state isn't known"),
-            );
+            return self.answer(request_id, Reply::later(503, 1, STATUS_UNKNOWN));
         }
-        let after = self.last_call();
+        let preceding_call = self.last_call();
         if intent != Intent::Poll {
-            self.api.urgent = Some(after);
+            self.api.last_urgent = Some(preceding_call);
         }
-        let question = StatusQuery {
+        let query = StatusQuery {
             request_id,
             id,
             intent,
-            asked: self.now,
-            after,
+            received_at: self.now,
+            preceding_call,
         };
-        self.api.status_queries.push_back(question);
+        self.api.status_queries.push_back(query);
     }
 
-    /// Tells that a job is over, once nobody can give an older answer any more.
+    /// Replies that a job is over, once no controller can send an older status any more.
     pub(crate) fn answer_ending(
         &mut self,
         request_id: RequestId,
         id: &JobId,
-        (ending, known): (Ending, Time),
+        (ending, known_since): (Ending, Time),
     ) {
-        let due = known.after(ENDING_DELAY_S);
+        let due = known_since.after(ENDING_DELAY_S);
         if self.now < due {
-            let later = (due, request_id, id.clone(), ending);
-            self.api.delayed_endings.push_back(later);
+            self.api.delayed_endings.push_back(DelayedEnding {
+                due,
+                request_id,
+                id: id.clone(),
+                ending,
+            });
         } else {
             self.send_ending(request_id, id, ending);
         }
     }
 
+    /// Sends the delayed replies that are due.
     pub(crate) fn send_due_endings(&mut self) {
         let now = self.now;
         let delayed_endings = std::mem::take(&mut self.api.delayed_endings);
-        let (due, later): (VecDeque<_>, _) =
-            delayed_endings.into_iter().partition(|(at, ..)| *at <= now);
+        let (due, later): (VecDeque<_>, _) = delayed_endings
+            .into_iter()
+            .partition(|delayed| delayed.due <= now);
         self.api.delayed_endings = later;
-        for (_, request_id, id, ending) in due {
-            self.send_ending(request_id, &id, ending);
+        for delayed in due {
+            self.send_ending(delayed.request_id, &delayed.id, delayed.ending);
         }
     }
 
@@ -82,10 +89,11 @@
         );
     }
 
-    /// Answers what the latest fresh read allows. Questions stand in order of time.
+    /// Answers the queries that came before the latest linearizable read was sent. The queue is in
+    /// order of time.
     pub(crate) fn answer_status_queries(&mut self) {
         while let Some(query) = self.api.status_queries.front() {
-            if query.after >= self.store.linearized_call() {
+            if query.preceding_call >= self.store.linearized_call() {
                 break;
             }
             if let Some(query) = self.api.status_queries.pop_front() {
@@ -94,46 +102,38 @@
         }
     }
 
-    /// Whether what is known here is what stood at the store just now.
-    pub(crate) fn present(&self) -> bool {
-        self.now.since(self.store.changes_known_at()) <= PRESENT_S
+    /// Whether the mirror is recent enough for a status to be sent from it.
+    fn mirror_is_current(&self) -> bool {
+        self.now.since(self.store.changes_known_at()) <= STATUS_AGE_MAX_S
     }
 
     fn answer_status_query(&mut self, query: StatusQuery) {
         if let Some(ending) = self.store.mirror.ending(&query.id) {
             return self.answer_ending(query.request_id, &query.id, ending);
         }
-        if !self.present() {
-            // The read took long. Another node may have told more since.
-            let after = self.last_call();
-            self.api
-                .status_queries
-                .push_back(StatusQuery { after, ..query });
-            return;
+        if !self.mirror_is_current() {
+            // The read took long. Another controller may have sent a newer status since.
+            return self.repeat_status_query(query);
         }
         let Some(job) = self.store.mirror.jobs.get(&query.id) else {
-            self.api.unknown.push_back(query);
+            self.api.awaiting_end_read.push_back(query);
             return;
         };
         if self.store.mirror.is_cancelled_by_dependency(&query.id) {
-            // It has no task, and ends as soon as its owner has written so. Called queued for
-            // much longer, it would be taken for one that was left behind.
-            return self.api.leaving.push_back(query);
+            // It has no task, and is over once its owner has committed its end. Shown as queued for
+            // much longer, it would seem to be forgotten.
+            return self.api.awaiting_end.push_back(query);
         }
         if query.intent == Intent::Cancel {
             match job.cancelled {
                 None => self.api.cancellations.push_back(query),
-                Some(_) => self.api.leaving.push_back(query),
+                Some(_) => self.api.awaiting_end.push_back(query),
             }
             return;
         }
         if self.store.mirror.may_be_cancelled(&query.id) {
-            // Somebody may have been told so of a job that it depends on.
-            let after = self.last_call();
-            return self
-                .api
-                .status_queries
-                .push_back(StatusQuery { after, ..query });
+            // Another user may already know of the cancellation of a job that it depends on.
+            return self.repeat_status_query(query);
         }
         let (done, running) = self.store.mirror.counts(&query.id);
         let status = if running > 0 {
@@ -145,43 +145,48 @@
         self.answer(query.request_id, Reply::ok(200, body));
     }
 
-    pub(crate) fn read_unknown_ends(&mut self) {
-        while let Some(query) = self.api.unknown.pop_front() {
-            let op = StoreRequest::Get(Key::End(query.id.clone()));
+    /// Has a query wait for another read.
+    fn repeat_status_query(&mut self, query: StatusQuery) {
+        let preceding_call = self.last_call();
+        self.api.status_queries.push_back(StatusQuery {
+            preceding_call,
+            ..query
+        });
+    }
+
+    /// Reads the ends of jobs that are queried and not among the live ones.
+    pub(crate) fn read_missing_ends(&mut self) {
+        while let Some(query) = self.api.awaiting_end_read.pop_front() {
+            let request = StoreRequest::Get(Key::End(query.id.clone()));
             if let Err(RequestPurpose::ReadEnd(query)) =
-                self.send_store_request(op, RequestPurpose::ReadEnd(query), Priority::Usual)
+                self.send_store_request(request, RequestPurpose::ReadEnd(query), Priority::Usual)
             {
-                self.api.unknown.push_front(query);
+                self.api.awaiting_end_read.push_front(query);
                 break;
             }
         }
     }
 
-    pub(crate) fn on_end_read(&mut self, query: StatusQuery, reply: StoreResponse) {
-        if let Some(ending) = self.learn_ending(&query.id, &reply) {
+    /// The store answered the read of the end of a job that is queried.
+    pub(crate) fn on_end_read(&mut self, query: StatusQuery, response: StoreResponse) {
+        if let Some(ending) = self.learn_ending(&query.id, &response) {
             return self.answer_ending(query.request_id, &query.id, (ending, self.now));
         }
-        match (reply, &query.intent) {
-            // It came while the read was under way.
+        match (response, &query.intent) {
+            // The job was submitted while the read was under way.
             (StoreResponse::Missing { .. }, _)
                 if self.store.mirror.jobs.contains_key(&query.id) =>
             {
-                let after = self.last_call();
-                self.api
-                    .status_queries
-                    .push_back(StatusQuery { after, ..query });
+                self.repeat_status_query(query);
             }
-            (StoreResponse::Missing { .. }, Intent::Refuse(status, why)) => {
-                let body = error_body(why);
+            (StoreResponse::Missing { .. }, Intent::Refuse { status, reason }) => {
+                let body = error_body(reason);
                 self.answer(query.request_id, Reply::ok(*status, body));
             }
             (StoreResponse::Missing { .. }, Intent::Poll | Intent::Cancel) => {
                 self.answer(query.request_id, Reply::ok(404, error_body("no such job")));
             }
-            _ => self.answer(
-                query.request_id,
-                Reply::later(503, 1, "present state isn't known"),
-            ),
+            _ => self.answer(query.request_id, Reply::later(503, 1, STATUS_UNKNOWN)),
         }
     }
 }
--- a/src/controller/api/submissions.rs
+++ b/src/controller/api/submissions.rs
@@ -1,6 +1,6 @@
-//! Submissions: whether a job can be taken, the jobs that it names, and the commit.
+//! Submissions: whether a job can be accepted, the jobs that it depends on, and the commit.
 
-use crate::controller::api::status_queries::PRESENT_S;
+use crate::controller::api::status_queries::STATUS_AGE_MAX_S;
 use crate::controller::api::{DependentSubmission, Intent, Submission};
 use crate::controller::context::Context;
 use crate::controller::dependencies::graph::DependencyState;
@@ -17,24 +17,34 @@
 use std::collections::BTreeSet;
 
 /// Most submissions in one transaction.
-const SUBMISSIONS_MOST: usize = 8;
-/// Submissions that wait are at most what the change budget clears in this time.
-const SUBMIT_BACKLOG_S: f64 = 1.5;
+const TRANSACTION_SUBMISSIONS_MAX: usize = 8;
+/// Submissions wait up to the number that the write rate limit lets through in this time, in
+/// seconds.
+const BACKLOG_S: f64 = 1.5;
+/// And at least up to this number.
+const BACKLOG_MIN: usize = 8;
 
 impl Context {
-    /// A known job's user is told its state whatever the repeated body is like; being
-    /// refused, it would take the job for one that was never accepted.
-    pub(crate) fn on_malformed(&mut self, request_id: RequestId, bad: BadBody) {
-        info!("submission refused, reason={}", bad.why);
-        match bad.id {
-            Some(id) => self.on_status_query(request_id, id, Intent::Refuse(400, bad.why)),
-            None => self.answer(request_id, Reply::ok(400, error_body(&bad.why))),
+    /// Refuses a malformed submission. If it repeats one of a known job, the reply is the job's
+    /// status: a refusal would say that the job was never accepted.
+    pub(crate) fn on_malformed(&mut self, request_id: RequestId, error: BadBody) {
+        info!("submission refused, reason={}", error.why);
+        match error.id {
+            Some(id) => {
+                let intent = Intent::Refuse {
+                    status: 400,
+                    reason: error.why,
+                };
+                self.on_status_query(request_id, id, intent);
+            }
+            None => self.answer(request_id, Reply::ok(400, error_body(&error.why))),
         }
     }
 
+    /// Checks a submission, and has it wait for its commit if it can be accepted.
     pub(crate) fn on_submit(&mut self, request_id: RequestId, id: JobId, mut record: JobRecord) {
         if self.store.mirror.accepted(&id) {
-            return self.on_status_query(request_id, id, Intent::Again);
+            return self.on_status_query(request_id, id, Intent::Resubmission);
         }
         if self.is_stale() {
             return self.answer(
@@ -48,153 +58,159 @@
                 Reply::later(503, 2, "machine types aren't known yet"),
             );
         }
-        if let Some(why) = self.never_runs(&record) {
-            return self.on_status_query(request_id, id, Intent::Refuse(422, why));
+        if let Some(reason) = self.never_runs(&record) {
+            return self.refuse_submission(request_id, id, reason);
         }
         let limits = self.settings.state_limits();
         record.chunk = chunk_size(limits.value_bytes);
         record.shard = self.shard_for(&id);
-        if let Some(why) = self.too_large(&record) {
-            return self.on_status_query(request_id, id, Intent::Refuse(422, why));
+        if let Some(reason) = self.too_large(&record) {
+            return self.refuse_submission(request_id, id, reason);
         }
-        let resources = (limits.write_rps * SUBMIT_BACKLOG_S) as usize;
-        if self.api.submissions.len() + self.api.awaiting_dependencies.len()
-            >= resources.min(self.waiting_max()).max(8)
-        {
+        let backlog_max = (limits.write_rps * BACKLOG_S) as usize;
+        let waiting = self.api.submissions.len() + self.api.dependent_submissions.len();
+        if waiting >= backlog_max.min(self.waiting_max()).max(BACKLOG_MIN) {
             return self.answer(request_id, Reply::later(429, 2, "too many submissions"));
         }
-        let asked = self.now;
         let submission = Submission {
             request_id,
             id,
             record,
-            asked,
+            received_at: self.now,
         };
         if submission.record.needs.is_empty() {
             self.api.submissions.push_back(submission);
         } else {
-            self.check_needs(submission);
+            self.check_dependencies(submission);
         }
     }
 
-    /// Why a job's record can't be kept, if so.
+    /// Refuses a submission, unless its job turns out to be known.
+    fn refuse_submission(&mut self, request_id: RequestId, id: JobId, reason: String) {
+        let status = 422;
+        self.on_status_query(request_id, id, Intent::Refuse { status, reason });
+    }
+
+    /// Why a job's record is too large for the store, if so.
     pub(crate) fn too_large(&self, record: &JobRecord) -> Option<String> {
-        let most = self.settings.state_limits().value_bytes;
+        let bytes_max = self.settings.state_limits().value_bytes;
         let bytes = json_bytes(record);
-        let why = || format!("the job's description takes {bytes} bytes, of at most {most}");
-        (bytes > most).then(why)
+        let reason =
+            || format!("the job's description takes {bytes} bytes, of at most {bytes_max}");
+        (bytes > bytes_max).then(reason)
     }
 
     /// Why a job can never run, if so.
     fn never_runs(&self, record: &JobRecord) -> Option<String> {
         let facts = &self.settings.platform.facts;
-        let Some(team) = facts.teams.iter().find(|t| t.name == record.team) else {
+        let Some(team) = facts.teams.iter().find(|team| team.name == record.team) else {
             return Some("unknown team".into());
         };
-        let fits = self.cloud.catalog.iter().any(|c| {
-            let zoned = record.zone.as_ref().is_none_or(|z| c.zones.contains(z));
-            record.allows(&c.name) && zoned && c.resources.holds(record.need)
+        let fits = self.cloud.catalog.iter().any(|machine_type| {
+            let zone = record.zone.as_ref();
+            let in_zone = zone.is_none_or(|zone| machine_type.zones.contains(zone));
+            record.allows(&machine_type.name)
+                && in_zone
+                && machine_type.resources.holds(record.need)
         });
         if !fits {
             return Some("a task fits no allowed machine type".into());
         }
-        let times = match record.kind {
+        // A batch job may run its tasks one after the other; a service needs all at once.
+        let concurrent_tasks = match record.kind {
             JobKind::Batch => 1.0,
             JobKind::Service => f64::from(record.count),
         };
-        let over = |need: f64, max: f64| max > 0.0 && need * times > max + 1e-6;
+        let exceeds = |task: f64, max: f64| max > 0.0 && task * concurrent_tasks > max + 1e-6;
         let (cpus_max, gpus_max) = self.team_limit(team);
-        if over(record.need.cpus, cpus_max) || over(record.need.gpus, gpus_max) {
+        if exceeds(record.need.cpus, cpus_max) || exceeds(record.need.gpus, gpus_max) {
             return Some("the job needs more than its team's limit".into());
         }
         None
     }
 
-    /// Takes a submission whose dependencies are all known to be accepted, and looks the others up.
-    fn check_needs(&mut self, submission: Submission) {
-        let needs = &submission.record.needs;
-        let mut job_state = needs.iter().filter_map(|n| self.store.mirror.jobs.get(n));
-        let why = if needs.contains(&submission.id) {
+    /// Accepts a submission whose dependencies are all known to be accepted, or has it wait until
+    /// they are looked up.
+    fn check_dependencies(&mut self, submission: Submission) {
+        if let Some(reason) = self.impossible_dependency(&submission) {
+            return self.refuse_submission(submission.request_id, submission.id, reason.into());
+        }
+        let mut dependencies = submission.record.needs.iter();
+        if dependencies.all(|dependency| self.store.mirror.accepted(dependency)) {
+            return self.api.submissions.push_back(submission);
+        }
+        let preceding_call = self.last_call();
+        self.api.last_urgent = Some(preceding_call);
+        self.api
+            .dependent_submissions
+            .push_back(DependentSubmission {
+                submission,
+                preceding_call,
+            });
+    }
+
+    /// Why a dependency of a job can never be done, if so.
+    fn impossible_dependency(&self, submission: &Submission) -> Option<&'static str> {
+        let dependencies = &submission.record.needs;
+        let mut known_jobs = dependencies
+            .iter()
+            .filter_map(|dependency| self.store.mirror.jobs.get(dependency));
+        if dependencies.contains(&submission.id) {
             Some("a job can't need itself")
-        } else if job_state.any(|j| j.record.kind == JobKind::Service) {
+        } else if known_jobs.any(|job| job.record.kind == JobKind::Service) {
             Some("a service is never done, so no job can need one")
         } else {
             None
-        };
-        if let Some(why) = why {
-            let refuse = Intent::Refuse(422, why.into());
-            return self.on_status_query(submission.request_id, submission.id, refuse);
         }
-        if needs.iter().all(|need| self.store.mirror.accepted(need)) {
-            return self.api.submissions.push_back(submission);
-        }
-        let after = self.last_call();
-        self.api.urgent = Some(after);
-        let awaiting_dependencies = DependentSubmission { submission, after };
-        self.api
-            .awaiting_dependencies
-            .push_back(awaiting_dependencies);
     }
 
-    /// Goes on with submissions whose dependencies are known by now, or of which an end has to be
-    /// read.
-    pub(crate) fn check_named_dependencies(&mut self) {
-        let fresh = self.store.linearized_call();
-        for awaiting_dependencies in std::mem::take(&mut self.api.awaiting_dependencies) {
-            if awaiting_dependencies.after >= fresh {
-                self.api
-                    .awaiting_dependencies
-                    .push_back(awaiting_dependencies);
+    /// Checks again the submissions whose read has come back: their dependencies are known now, or
+    /// the end of one has to be read.
+    pub(crate) fn check_dependent_submissions(&mut self) {
+        let linearized_call = self.store.linearized_call();
+        for dependent in std::mem::take(&mut self.api.dependent_submissions) {
+            if dependent.preceding_call >= linearized_call {
+                self.api.dependent_submissions.push_back(dependent);
                 continue;
             }
-            let needs = &awaiting_dependencies.submission.record.needs;
-            let Some(need) = needs
-                .iter()
-                .find(|need| !self.store.mirror.accepted(need))
+            let mut dependencies = dependent.submission.record.needs.iter();
+            let Some(unknown) = dependencies
+                .find(|dependency| !self.store.mirror.accepted(dependency))
                 .cloned()
             else {
-                self.check_needs(awaiting_dependencies.submission);
+                self.check_dependencies(dependent.submission);
                 continue;
             };
-            let op = StoreRequest::Get(Key::End(need.clone()));
-            let purpose =
-                RequestPurpose::ReadSubmissionDependency(Box::new(awaiting_dependencies), need);
-            if let Err(RequestPurpose::ReadSubmissionDependency(awaiting_dependencies, _)) =
-                self.send_store_request(op, purpose, Priority::Usual)
+            let request = StoreRequest::Get(Key::End(unknown.clone()));
+            let purpose = RequestPurpose::ReadSubmissionDependency(Box::new(dependent), unknown);
+            if let Err(RequestPurpose::ReadSubmissionDependency(dependent, _)) =
+                self.send_store_request(request, purpose, Priority::Usual)
             {
-                self.api
-                    .awaiting_dependencies
-                    .push_back(*awaiting_dependencies);
+                self.api.dependent_submissions.push_back(*dependent);
             }
         }
     }
 
-    /// The end of a job that a submission names was read.
+    /// The store answered the read of the end of a job that a submission depends on.
     pub(crate) fn on_submission_dependency_read(
         &mut self,
-        awaiting_dependencies: DependentSubmission,
-        need: JobId,
-        reply: StoreResponse,
+        dependent: DependentSubmission,
+        dependency: JobId,
+        response: StoreResponse,
     ) {
-        let Submission { request_id, id, .. } = &awaiting_dependencies.submission;
-        let (request_id, id) = (*request_id, id.clone());
-        let ended = self.learn_ending(&need, &reply).is_some();
-        match reply {
-            _ if ended => self
-                .api
-                .awaiting_dependencies
-                .push_back(awaiting_dependencies),
-            StoreResponse::Missing { .. } if self.store.mirror.accepted(&need) => {
-                self.api
-                    .awaiting_dependencies
-                    .push_back(awaiting_dependencies);
+        let ended = self.learn_ending(&dependency, &response).is_some();
+        match response {
+            _ if ended => self.api.dependent_submissions.push_back(dependent),
+            StoreResponse::Missing { .. } if self.store.mirror.accepted(&dependency) => {
+                self.api.dependent_submissions.push_back(dependent);
             }
             StoreResponse::Missing { .. } => {
-                let why = format!("{need} was never accepted");
-                self.on_status_query(request_id, id, Intent::Refuse(422, why));
+                let Submission { request_id, id, .. } = dependent.submission;
+                let reason = format!("{dependency} was never accepted");
+                self.refuse_submission(request_id, id, reason);
             }
             _ => self.answer(
-                request_id,
+                dependent.submission.request_id,
                 Reply::later(503, 1, "the needed jobs aren't known"),
             ),
         }
@@ -202,85 +218,107 @@
 
     /// Commits waiting submissions, several to a transaction.
     pub(crate) fn write_submissions(&mut self) {
-        // What a commit of two jobs says of one applies to both, so a conflict
-        // makes its jobs ask one by one. Conflicts are rare: only retries make them.
-        let most = self.settings.state_limits().txn_ops;
-        let most = most.min(SUBMISSIONS_MOST);
+        // Whether a transaction of two jobs is committed says the same of both, so after a conflict
+        // the state of each is queried by itself. Conflicts are rare: only retries make them.
+        let operations_max = self.settings.state_limits().txn_ops;
+        let batch_max = operations_max.min(TRANSACTION_SUBMISSIONS_MAX);
         while !self.api.submissions.is_empty() {
             // A key can be written once in a transaction, and the second of two equal
             // submissions finds the first one's job.
             let mut ids = BTreeSet::new();
-            let waiting = self.api.submissions.iter().take(most);
-            let n = waiting.take_while(|s| ids.insert(&s.id)).count();
-            let list: Vec<Submission> = self.api.submissions.drain(..n).collect();
-            let mut preconditions = Vec::with_capacity(2 * n);
-            let mut writes = Vec::with_capacity(n);
-            for s in &list {
-                preconditions.push((Key::Job(s.id.clone()), 0));
-                preconditions.push((Key::End(s.id.clone()), 0));
-                let record = Record::Job(Box::new(s.record.clone()));
-                writes.push(Write::put(Key::Job(s.id.clone()), record));
-            }
-            let op = StoreRequest::Transaction {
-                preconditions,
-                writes,
-            };
-            if let Err(RequestPurpose::Submit(list)) =
-                self.send_store_request(op, RequestPurpose::Submit(list), Priority::Usual)
+            let candidates = self.api.submissions.iter().take(batch_max);
+            let batch_size = candidates
+                .take_while(|submission| ids.insert(&submission.id))
+                .count();
+            let batch: Vec<Submission> = self.api.submissions.drain(..batch_size).collect();
+            let request = submissions_transaction(&batch);
+            if let Err(RequestPurpose::Submit(batch)) =
+                self.send_store_request(request, RequestPurpose::Submit(batch), Priority::Usual)
             {
-                for s in list.into_iter().rev() {
-                    self.api.submissions.push_front(s);
+                for submission in batch.into_iter().rev() {
+                    self.api.submissions.push_front(submission);
                 }
                 break;
             }
         }
     }
 
-    pub(crate) fn on_submitted(&mut self, list: Vec<Submission>, reply: StoreResponse, sent: Time) {
-        let late = self.now.since(sent) > PRESENT_S;
-        for s in list {
-            match &reply {
-                // Its user may have asked elsewhere meanwhile, and been told more.
-                StoreResponse::Committed { .. } if late => {
-                    self.on_status_query(s.request_id, s.id, Intent::Again)
-                }
-                // It is accepted, and cancelled with a job that it depends on.
-                StoreResponse::Committed { .. }
-                    if self.store.mirror.dependency_state(&s.record)
-                        == DependencyState::Cancelled =>
-                {
-                    info!("job accepted and cancelled with a dependency, job={}", s.id);
-                    self.on_status_query(s.request_id, s.id, Intent::Again);
-                }
-                StoreResponse::Committed { .. } => {
-                    info!(
-                        "job accepted, job={} tasks={} class={}",
-                        s.id, s.record.count, s.record.class
-                    );
-                    let body = job_status_body(&s.id, JobStatus::Queued, 0, 0);
-                    self.answer(s.request_id, Reply::ok(201, body));
-                }
-                StoreResponse::Conflict { failed } => {
-                    let key =
-                        |k: &Key| *k == Key::Job(s.id.clone()) || *k == Key::End(s.id.clone());
-                    if failed.iter().any(key) || failed.is_empty() {
-                        self.on_status_query(s.request_id, s.id, Intent::Again);
-                    } else {
-                        self.api.submissions.push_back(s);
-                    }
-                }
+    /// The store answered the commit of these submissions.
+    pub(crate) fn on_submitted(
+        &mut self,
+        batch: Vec<Submission>,
+        response: StoreResponse,
+        sent: Time,
+    ) {
+        let took_long = self.now.since(sent) > STATUS_AGE_MAX_S;
+        for submission in batch {
+            match &response {
+                StoreResponse::Committed { .. } => self.on_accepted(submission, took_long),
+                StoreResponse::Conflict { failed } => self.on_conflict(submission, failed),
                 StoreResponse::Refused => {
                     self.answer(
-                        s.request_id,
+                        submission.request_id,
                         Reply::later(503, 1, "the state service refused"),
                     );
                 }
-                // It may stand or may yet come to stand: a retry finds out.
+                // It may be committed, now or later: a retry finds out.
                 _ => self.answer(
-                    s.request_id,
+                    submission.request_id,
                     Reply::later(503, 1, "the state service didn't answer"),
                 ),
             }
         }
     }
+
+    /// Replies that a job is accepted, or with a newer status if it may have one.
+    fn on_accepted(&mut self, submission: Submission, took_long: bool) {
+        let Submission {
+            request_id,
+            id,
+            record,
+            ..
+        } = submission;
+        if took_long {
+            // Its user may have queried another controller meanwhile and know a newer status.
+            return self.on_status_query(request_id, id, Intent::Resubmission);
+        }
+        if self.store.mirror.dependency_state(&record) == DependencyState::Cancelled {
+            info!("job accepted and cancelled with a dependency, job={id}");
+            return self.on_status_query(request_id, id, Intent::Resubmission);
+        }
+        info!(
+            "job accepted, job={id} tasks={} class={}",
+            record.count, record.class
+        );
+        let body = job_status_body(&id, JobStatus::Queued, 0, 0);
+        self.answer(request_id, Reply::ok(201, body));
+    }
+
+    /// Queries a job that exists already; one that only shared the transaction is tried again.
+    fn on_conflict(&mut self, submission: Submission, failed: &[Key]) {
+        let is_own = |key: &Key| {
+            *key == Key::Job(submission.id.clone()) || *key == Key::End(submission.id.clone())
+        };
+        if failed.iter().any(is_own) || failed.is_empty() {
+            self.on_status_query(submission.request_id, submission.id, Intent::Resubmission);
+        } else {
+            self.api.submissions.push_back(submission);
+        }
+    }
+}
+
+/// Creates the records of jobs of which neither a record nor an end exists.
+fn submissions_transaction(batch: &[Submission]) -> StoreRequest {
+    let mut preconditions = Vec::with_capacity(2 * batch.len());
+    let mut writes = Vec::with_capacity(batch.len());
+    for submission in batch {
+        preconditions.push((Key::Job(submission.id.clone()), 0));
+        preconditions.push((Key::End(submission.id.clone()), 0));
+        let record = Record::Job(Box::new(submission.record.clone()));
+        writes.push(Write::put(Key::Job(submission.id.clone()), record));
+    }
+    StoreRequest::Transaction {
+        preconditions,
+        writes,
+    }
 }
