--- a/src/controller/dependencies/graph.rs
+++ b/src/controller/dependencies/graph.rs
@@ -1,60 +1,60 @@
-//! Jobs that have to be done before others start, and what follows for those others.
+//! The graph of dependencies between jobs that aren't over.
 //!
-//! A job may start once each job that it depends on has ended as done, which a committed `end/ID` says
-//! and nothing else does. A job that needs a cancelled one is cancelled with it: from the moment
-//! at which the cancelled one can't end as done any more, that is, once its record is marked or
-//! its end is committed. All of this is derived from the records whenever they change, so nobody
-//! has to remember what is left to do when a controller ends.
+//! A job may start once each job that it depends on has ended as done, which only a committed
+//! `end/ID` proves. A job that depends on a cancelled one is cancelled with it, from the moment at
+//! which the cancelled one can't end as done any more: once its record is marked or its end is
+//! committed. All of this is derived from the records whenever they change, so nothing is lost when
+//! a controller terminates.
 
 use crate::controller::store::mirror::{MirroredJob, StoreMirror};
 use crate::controller::store::records::{Ending, JobRecord, PriorityClass};
 use crate::ids::JobId;
 use std::collections::{BTreeSet, HashMap, HashSet};
 
-/// What is known of the jobs that a job needs.
+/// What is known of a job's dependencies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DependencyState {
     /// All are done: the job may start.
     Met,
     /// Some aren't over yet.
     Open,
-    /// Of some it isn't known whether and how they ended.
+    /// Some may be over: neither a live record nor an end is known.
     Unknown,
     /// One is cancelled: the job is cancelled with it.
     Cancelled,
 }
 
-/// Who needs whom among the jobs that aren't over.
+/// The dependencies between jobs that aren't over, and what follows from them.
 #[derive(Debug, Default)]
 pub(crate) struct Dependencies {
-    /// For each job that is needed: those that depend on it.
+    /// For each dependency: the jobs that depend on it.
     dependents: HashMap<JobId, BTreeSet<JobId>>,
     /// Jobs that are cancelled with one that they depend on.
     cancelled: HashSet<JobId>,
     /// Dependencies of which neither a live record nor an end is known: their ends are to be read.
     unread: BTreeSet<JobId>,
-    /// Jobs for which something changed through a job that they depend on or that needs them.
+    /// Jobs whose state changed through a dependency or a dependent.
     affected: BTreeSet<JobId>,
 }
 
 impl StoreMirror {
-    /// What is known of the jobs that this one needs.
+    /// What is known of the dependencies of a job.
     pub(crate) fn dependency_state(&self, record: &JobRecord) -> DependencyState {
-        let mut needs = DependencyState::Met;
+        let mut state = DependencyState::Met;
         for id in &record.needs {
             match self.ending(id).map(|(ending, _)| ending) {
                 Some(Ending::Done) => {}
                 Some(Ending::Cancelled) => return DependencyState::Cancelled,
                 None if self.is_cancelled(id) => return DependencyState::Cancelled,
-                None if !self.jobs.contains_key(id) => needs = DependencyState::Unknown,
-                None if needs == DependencyState::Met => needs = DependencyState::Open,
+                None if !self.jobs.contains_key(id) => state = DependencyState::Unknown,
+                None if state == DependencyState::Met => state = DependencyState::Open,
                 None => {}
             }
         }
-        needs
+        state
     }
 
-    /// Whether a job that isn't over needs this one.
+    /// Whether a job that isn't over depends on this one.
     pub(crate) fn has_dependents(&self, id: &JobId) -> bool {
         self.dependencies.dependents.contains_key(id)
     }
@@ -65,9 +65,9 @@
     }
 
     /// Whether a job that isn't over can't end as done any more: it is cancelled, or one that it
-    /// needs is.
+    /// depends on is.
     pub(crate) fn is_cancelled(&self, id: &JobId) -> bool {
-        let marked = self.jobs.get(id).is_some_and(|j| j.cancelled.is_some());
+        let marked = self.jobs.get(id).is_some_and(|job| job.cancelled.is_some());
         marked || self.is_cancelled_by_dependency(id)
     }
 
@@ -76,19 +76,19 @@
         self.dependencies.cancelled.contains(id)
     }
 
-    /// Whether a job may be cancelled with one that it depends on, directly or through others, of which
-    /// too little is known here.
+    /// Whether a job may be cancelled with one that it depends on, directly or through others,
+    /// since the end of one of these is still to be read.
     pub(crate) fn may_be_cancelled(&self, id: &JobId) -> bool {
         if self.dependencies.unread.is_empty() {
             return false;
         }
-        let (mut left, mut seen) = (vec![id], HashSet::new());
-        while let Some(id) = left.pop() {
+        let (mut to_visit, mut visited) = (vec![id], HashSet::new());
+        while let Some(id) = to_visit.pop() {
             if self.dependencies.unread.contains(id) {
                 return true;
             }
-            if let Some(job) = self.jobs.get(id).filter(|_| seen.insert(id)) {
-                left.extend(&job.record.needs);
+            if let Some(job) = self.jobs.get(id).filter(|_| visited.insert(id)) {
+                to_visit.extend(&job.record.needs);
             }
         }
         false
@@ -99,50 +99,49 @@
         &self.dependencies.unread
     }
 
-    /// Jobs for which something changed, since this was last asked, through a job that they depend on
-    /// or that needs them.
+    /// Jobs whose state changed through a dependency or a dependent since the last call.
     pub(crate) fn take_affected(&mut self) -> BTreeSet<JobId> {
         std::mem::take(&mut self.dependencies.affected)
     }
 
-    /// Takes note of a job that is new here.
+    /// Adds a job that is new in the mirror.
     pub(crate) fn link(&mut self, id: &JobId) {
-        let Some(record) = self.jobs.get(id).map(|j| j.record.clone()) else {
+        let Some(record) = self.jobs.get(id).map(|job| job.record.clone()) else {
             return;
         };
         self.dependencies.unread.remove(id);
-        for need in &record.needs {
+        for dependency in &record.needs {
             let dependents = &mut self.dependencies.dependents;
             dependents
-                .entry(need.clone())
+                .entry(dependency.clone())
                 .or_default()
                 .insert(id.clone());
-            self.look_for_end(need);
+            self.look_for_end(dependency);
         }
         if self.dependency_state(&record) == DependencyState::Cancelled {
             self.cancel(id);
         }
-        let needs = record.needs.iter().cloned();
-        self.update_ranks(needs.chain([id.clone()]).collect());
+        let dependencies = record.needs.iter().cloned();
+        self.update_priority_classes(dependencies.chain([id.clone()]).collect());
     }
 
-    /// Takes note of a job that is over, of which an end may be known.
+    /// Removes a job that is over, of which an end may be known.
     pub(crate) fn unlink(&mut self, id: &JobId, job: &MirroredJob) {
         self.dependencies.cancelled.remove(id);
-        for need in &job.record.needs {
-            if let Some(dependents) = self.dependencies.dependents.get_mut(need) {
+        for dependency in &job.record.needs {
+            if let Some(dependents) = self.dependencies.dependents.get_mut(dependency) {
                 dependents.remove(id);
                 if dependents.is_empty() {
-                    self.dependencies.dependents.remove(need);
-                    self.dependencies.unread.remove(need);
+                    self.dependencies.dependents.remove(dependency);
+                    self.dependencies.unread.remove(dependency);
                 }
             }
         }
-        self.update_ranks(job.record.needs.clone());
+        self.update_priority_classes(job.record.needs.clone());
         self.look_for_end(id);
     }
 
-    /// Takes note of how a job ended.
+    /// Releases or cancels the dependents of a job that ended.
     pub(crate) fn note_end(&mut self, id: &JobId, ending: Ending) {
         self.dependencies.unread.remove(id);
         match ending {
@@ -154,10 +153,10 @@
         }
     }
 
-    /// Takes note that a job's record was marked as cancelled.
+    /// Cancels the dependents of a job whose record was marked as cancelled.
     pub(crate) fn note_mark(&mut self, id: &JobId) {
         self.cancel_dependents(id);
-        self.update_ranks(self.dependencies_of(id));
+        self.update_priority_classes(self.dependencies_of(id));
     }
 
     fn dependents(&self, id: &JobId) -> Vec<JobId> {
@@ -165,21 +164,21 @@
         dependents.into_iter().flatten().cloned().collect()
     }
 
-    /// Has the end of a job read that is needed and of which nothing is known.
+    /// Has the end of a dependency read of which neither a live record nor an end is known.
     pub(crate) fn look_for_end(&mut self, id: &JobId) {
-        let needed = self.dependencies.dependents.contains_key(id);
-        if needed && !self.jobs.contains_key(id) && self.ending(id).is_none() {
+        let is_dependency = self.dependencies.dependents.contains_key(id);
+        if is_dependency && !self.jobs.contains_key(id) && self.ending(id).is_none() {
             self.dependencies.unread.insert(id.clone());
         }
     }
 
     /// Cancels a job, and all that depend on it, directly or through others.
     fn cancel(&mut self, id: &JobId) {
-        let mut left = vec![id.clone()];
-        while let Some(id) = left.pop() {
+        let mut to_cancel = vec![id.clone()];
+        while let Some(id) = to_cancel.pop() {
             if self.jobs.contains_key(&id) && self.dependencies.cancelled.insert(id.clone()) {
-                left.extend(self.dependents(&id));
-                self.update_ranks(self.dependencies_of(&id));
+                to_cancel.extend(self.dependents(&id));
+                self.update_priority_classes(self.dependencies_of(&id));
                 self.dependencies.affected.insert(id);
             }
         }
@@ -193,23 +192,26 @@
 
     fn dependencies_of(&self, id: &JobId) -> Vec<JobId> {
         let job = self.jobs.get(id);
-        job.map_or(Vec::new(), |j| j.record.needs.clone())
+        job.map_or(Vec::new(), |job| job.record.needs.clone())
     }
 
-    /// Finds the highest rank of each of these jobs and of the open ones that depend on it, and tells
-    /// it on to those that they depend on themselves.
-    fn update_ranks(&mut self, mut left: Vec<JobId>) {
-        while let Some(id) = left.pop() {
+    /// Raises or lowers each of these jobs to the highest priority class of its own and of the jobs
+    /// that depend on it and aren't cancelled, and does the same for their dependencies.
+    fn update_priority_classes(&mut self, mut to_update: Vec<JobId>) {
+        while let Some(id) = to_update.pop() {
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
             let dependents = self.dependencies.dependents.get(&id);
-            let open = dependents.into_iter().flatten();
-            let open = open.filter(|d| !self.is_cancelled(d));
-            let ranks = open.filter_map(|d| self.jobs.get(d).map(|j| j.priority_class));
-            let priority_class = ranks.fold(job.record.priority_class, PriorityClass::max);
+            let priority_class = dependents
+                .into_iter()
+                .flatten()
+                .filter(|dependent| !self.is_cancelled(dependent))
+                .filter_map(|dependent| self.jobs.get(dependent))
+                .map(|dependent| dependent.priority_class)
+                .fold(job.record.priority_class, PriorityClass::max);
             if priority_class != job.priority_class {
-                left.extend(self.dependencies_of(&id));
+                to_update.extend(self.dependencies_of(&id));
                 if let Some(job) = self.jobs.get_mut(&id) {
                     job.priority_class = priority_class;
                 }
--- a/src/controller/dependencies/mod.rs
+++ b/src/controller/dependencies/mod.rs
@@ -1,4 +1,5 @@
-//! Jobs that wait for other jobs: the graph, and what follows when a job in it ends.
+//! Jobs that wait for other jobs: the [`graph`] of dependencies, and their [`resolution`] when a
+//! job in it changes.
 
 pub(crate) mod graph;
 pub(crate) mod resolution;
--- a/src/controller/dependencies/resolution.rs
+++ b/src/controller/dependencies/resolution.rs
@@ -1,5 +1,5 @@
-//! What changes in jobs that others need comes to those: ends are read where they aren't known,
-//! waiting jobs are released or cancelled, and priority classes rise and fall.
+//! Resolution of dependencies: ends that aren't known are read, and the owners of jobs learn which
+//! of these are released or cancelled, or have another priority class.
 
 use crate::controller::Controller;
 use crate::controller::context::Context;
@@ -10,71 +10,72 @@
 use crate::wire::{StoreRequest, StoreResponse};
 use std::collections::BTreeSet;
 
-/// Ends of dependencies that are read at once.
-const READS_MOST: usize = 4;
-/// Pause before an end that wasn't there is looked for again: the job's record may not have come
-/// here yet.
-const READ_AGAIN_S: f64 = 0.2;
+/// Most ends of dependencies that are read at once.
+const READS_MAX: usize = 4;
+/// Pause before an end that was missing is read again, in seconds: the job's record may not have
+/// come with the watch yet.
+const RETRY_S: f64 = 0.2;
 
-/// Reads of the ends of dependencies.
+/// State of the reads of dependencies' ends.
 #[derive(Debug, Default)]
 pub(crate) struct DependencyReads {
-    /// Under way.
-    reading: BTreeSet<JobId>,
-    /// No read before then.
+    /// Jobs whose ends are being read.
+    pending: BTreeSet<JobId>,
+    /// No read is sent before this time.
     not_before: Time,
 }
 
 impl Controller {
-    /// Tells the owners of jobs what changed for these through others.
+    /// Has the shards that are owned here handle the jobs whose state changed through others.
     pub(crate) fn on_affected(&mut self) {
         for id in self.context.store.mirror.take_affected() {
             let job = self.context.store.mirror.jobs.get(&id);
             let owned = job.and_then(|job| self.shards.get_mut(&job.record.shard));
-            if let Some(shard) = owned {
-                shard.on_dependencies_changed(&mut self.context, &id);
+            if let Some(owner) = owned {
+                owner.on_dependencies_changed(&mut self.context, &id);
             }
         }
     }
 }
 
 impl Context {
-    /// Reads the ends of dependencies of which nothing is known here.
+    /// Reads the ends of dependencies of which neither a live record nor an end is known.
     pub(crate) fn read_dependencies(&mut self) {
         if !self.store.initial_list_done() || self.now < self.dependency_reads.not_before {
             return;
         }
         let unread = self.store.mirror.unread_dependencies().iter();
-        let reading = &self.dependency_reads.reading;
-        let resources = READS_MOST.saturating_sub(reading.len());
-        let next = unread.filter(|id| !reading.contains(*id)).take(resources);
+        let pending = &self.dependency_reads.pending;
+        let reads_left = READS_MAX.saturating_sub(pending.len());
+        let next = unread.filter(|id| !pending.contains(*id)).take(reads_left);
         let next: Vec<JobId> = next.cloned().collect();
-        for need in next {
-            let op = StoreRequest::Get(Key::End(need.clone()));
-            let purpose = RequestPurpose::ReadDependency(need.clone());
+        for dependency in next {
+            let request = StoreRequest::Get(Key::End(dependency.clone()));
+            let purpose = RequestPurpose::ReadDependency(dependency.clone());
             if self
-                .send_store_request(op, purpose, Priority::Usual)
+                .send_store_request(request, purpose, Priority::Usual)
                 .is_err()
             {
                 return;
             }
-            self.dependency_reads.reading.insert(need);
+            self.dependency_reads.pending.insert(dependency);
         }
     }
 
-    pub(crate) fn on_dependency_read(&mut self, need: JobId, reply: StoreResponse) {
-        self.dependency_reads.reading.remove(&need);
-        if self.learn_ending(&need, &reply).is_none() {
-            self.dependency_reads.not_before = self.now.after(READ_AGAIN_S);
+    /// The store answered the read of a dependency's end.
+    pub(crate) fn on_dependency_read(&mut self, dependency: JobId, response: StoreResponse) {
+        self.dependency_reads.pending.remove(&dependency);
+        if self.learn_ending(&dependency, &response).is_none() {
+            self.dependency_reads.not_before = self.now.after(RETRY_S);
         }
     }
 
-    /// Remembers how a job ended, if the answer to a read of its end says so.
-    pub(crate) fn learn_ending(&mut self, id: &JobId, reply: &StoreResponse) -> Option<Ending> {
+    /// Records how a job ended, if the response to a read of its end says so.
+    pub(crate) fn learn_ending(&mut self, id: &JobId, response: &StoreResponse) -> Option<Ending> {
         let StoreResponse::Found {
             record: Record::End(ending),
             ..
-        } = reply
+        } = response
         else {
             return None;
         };
