--- a/src/controller/events.rs
+++ b/src/controller/events.rs
@@ -1,4 +1,4 @@
-//! What goes into the state machine and what comes out of it.
+//! The inputs and outputs of the state machine.
 
 use crate::controller::store::records::JobRecord;
 use crate::ids::{CallId, ControllerId, JobId, RequestId};
@@ -9,41 +9,41 @@
 use salttrestle_cells::Cell;
 use salttrestle_cells::message::LinkMessage;
 
-/// What a user or a worker asks.
+/// A request of a user, a worker or the balancer.
 #[derive(Debug)]
 pub enum Request {
     /// A user submits a job.
     Submit(Result<(JobId, JobRecord), BadBody>),
-    /// A user asks how a job stands.
+    /// A user asks for the status of a job.
     Poll(JobId),
     /// A user cancels a job.
     Cancel(JobId),
     /// The balancer asks whether this controller takes requests.
     Up,
-    /// A worker heartbeats.
+    /// A worker sends a heartbeat.
     Heartbeat(WorkerHeartbeat),
 }
 
-/// What the state machine is told.
+/// An event for the state machine.
 #[derive(Debug)]
 pub enum Input {
     /// A request came.
     Request(RequestId, Request),
-    /// Whoever asked has gone.
+    /// The sender of a request has disconnected.
     Disconnect(RequestId),
     /// The store answered a call.
     Store(CallId, StoreResponse),
     /// The cloud answered a call.
     Cloud(CallId, CloudReply),
-    /// A peer tells something.
+    /// A message came from a peer.
     Peer(Message),
-    /// Another cell's leader tells how things stand there.
+    /// A message came from the leader of another cell.
     Cell(LinkMessage),
-    /// What became of this controller's own connection to a peer.
+    /// The state of this controller's own connection to a peer changed.
     Link(ControllerId, Link),
-    /// The share of the time since the last such word for which this process didn't wait.
+    /// The share of the time since the last measurement for which this process didn't wait.
     ProcessorUtilization(f64),
-    /// The process is told to terminate, and hands over first.
+    /// The process has to terminate, and hands over its shards first.
     Shutdown,
     /// Time has passed.
     Tick,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// A refusal that says when to come back.
+    /// A refusal that says after how many seconds to retry.
     pub fn later(status: u16, seconds: u32, why: &str) -> Self {
         Self {
             status,
@@ -80,7 +80,7 @@
     }
 }
 
-/// A connection to a peer.
+/// What happened to a connection to a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Link {
     /// It was made.
@@ -91,53 +91,52 @@
     Refused,
 }
 
-/// What the state machine wants done.
+/// An effect that the state machine requests.
 #[derive(Debug)]
 pub enum Output {
     /// Answer a request.
     Answer(RequestId, Reply),
     /// Call the store.
     Store(CallId, StoreRequest),
-    /// Nobody waits for this call any more; its connection is closed.
+    /// Give up this call and close its connection: its response isn't needed any more.
     Forget(CallId),
     /// Call the cloud.
     Cloud(CallId, CloudOp),
-    /// To one peer, or to all.
+    /// Send a message to one peer, or to all.
     Peer(Option<ControllerId>, Message),
-    /// A peer runs: a connection to it is begun without the pause after one that failed.
+    /// Connect to a peer that is known to run, without the pause after a failed attempt.
     Reconnect(ControllerId),
-    /// To the leader of another cell.
+    /// Send a message to the leader of another cell.
     Cell(Cell, LinkMessage),
 }
 
-/// What this controller has used of its shares of the limits, in all, and what of it waits to be
-/// written.
+/// This controller's total use of its shares of the rate limits, and its backlog.
 #[derive(Clone, Debug, Default)]
 pub struct Load {
     /// Requests to the store.
     pub requests: f64,
-    /// Its share of them, a second.
+    /// Its share of them, per second.
     pub requests_rate: f64,
     /// Changes at the store.
     pub changes: f64,
-    /// Its share of them, a second.
+    /// Its share of them, per second.
     pub changes_rate: f64,
     /// Calls to the cloud.
     pub cloud: f64,
-    /// Its share of them, a second.
+    /// Its share of them, per second.
     pub cloud_rate: f64,
-    /// Writes that wait.
+    /// Number of writes that wait.
     pub queued: usize,
-    /// Machines looked at to place tasks.
+    /// Machines examined to place tasks.
     pub machines_scanned: u64,
     /// Tasks placed.
     pub placed: u64,
 }
 
-/// What waits in the shards that this controller holds.
+/// What waits in the shards that this controller owns.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Queue {
-    /// Jobs that wait until others are done.
+    /// Jobs that wait for their dependencies.
     pub waiting_for_others: usize,
     /// Jobs with tasks that wait for a machine.
     pub waiting_for_room: usize,
@@ -146,9 +145,9 @@
 }
 
 impl std::fmt::Display for Queue {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+    fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(
-            f,
+            formatter,
             "queue: {} jobs wait for others, {} tasks of {} jobs for a machine",
             self.waiting_for_others, self.tasks, self.waiting_for_room
         )
--- a/src/controller/processor.rs
+++ b/src/controller/processor.rs
@@ -1,35 +1,35 @@
-//! How busy this process is, and how many machines that lets one owner serve.
+//! The utilization of this process, and how many machines one owner can serve with it.
 //!
-//! Which part of its time a process doesn't wait is measured by the loop around the controller, so that it
-//! holds whatever the processor, its share of one and what runs beside it. Here it is smoothed: what
-//! a takeover or a burst of submissions costs passes by itself, and a fleet that has been cut stays
-//! cut.
+//! The loop around the controller measures the share of its time for which it doesn't wait, which
+//! accounts for the processor, this process's share of it and its other load. Here it is smoothed:
+//! the cost of a takeover or a burst of submissions is temporary, and a fleet that is split into
+//! shards stays split.
 
 use crate::ids::Time;
 
-/// Time over which measurements are averaged, in seconds: each counts for so much less than the
-/// next one.
-const SMOOTH_S: f64 = 10.0;
-/// Measurements older than this say nothing any more.
+/// Time constant of the exponential average over the measurements, in seconds.
+const SMOOTHING_S: f64 = 10.0;
+/// A measurement is used up to this age, in seconds.
 const STALE_S: f64 = 5.0;
-/// Below this share nothing can be told of what a machine costs: what runs besides is more.
-const LEAST_SHARE: f64 = 0.05;
+/// Below this share, other work costs more than the machines do, so that the cost of a machine
+/// can't be derived.
+const SHARE_MIN: f64 = 0.05;
 
-/// How busy this process has been lately.
+/// The smoothed utilization of this process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ProcessorUtilization {
     latest: Option<(Time, f64)>,
 }
 
 impl ProcessorUtilization {
-    /// Takes in the share of its time, from 0 to 1, for which the process didn't wait since the
-    /// measurement before this one.
+    /// Adds a measurement: the share of its time, from 0 to 1, for which the process didn't wait
+    /// since the measurement before this one.
     pub fn note(&mut self, now: Time, busy: f64) {
         let busy = busy.clamp(0.0, 1.0);
         let smoothed = match self.latest {
             None => busy,
             Some((at, before)) => {
-                let kept = (-now.since(at) / SMOOTH_S).exp();
+                let kept = (-now.since(at) / SMOOTHING_S).exp();
                 before * kept + busy * (1.0 - kept)
             }
         };
@@ -41,17 +41,17 @@
         self.latest.is_some()
     }
 
-    /// The share of its time for which this process has been busy lately; `None` where that
-    /// isn't measured.
+    /// The smoothed share of its time for which this process was busy; `None` without a recent
+    /// measurement.
     pub fn share(&self, now: Time) -> Option<f64> {
         let fresh = |(at, _): &(Time, f64)| now.since(*at) < STALE_S;
         self.latest.filter(fresh).map(|(_, share)| share)
     }
 
-    /// How many machines would take all of an owner's processor, when it holds so many; `None`
-    /// where that isn't measured, or it holds too few to tell.
-    pub fn machines_per_owner(&self, now: Time, held: usize) -> Option<f64> {
+    /// How many machines would take all of an owner's processor, derived from the number that it
+    /// owns now; `None` without a recent measurement, or if it owns too few for an estimate.
+    pub fn machines_per_owner(&self, now: Time, owned: usize) -> Option<f64> {
         let share = self.share(now)?;
-        (held > 0 && share > LEAST_SHARE).then(|| held as f64 / share)
+        (owned > 0 && share > SHARE_MIN).then(|| owned as f64 / share)
     }
 }
--- a/src/controller/rate_limits/token_bucket.rs
+++ b/src/controller/rate_limits/token_bucket.rs
@@ -2,19 +2,19 @@
 
 use crate::ids::Time;
 
-/// How much of a bucket a call must leave for those before it in rank.
+/// The priority of a call, which decides how many tokens it has to leave for more urgent ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Priority {
     /// Leases, stops, cancellations: may take the last token.
     First,
     /// Placements and submissions.
     Usual,
-    /// What can wait for a quieter moment.
+    /// Calls that can be deferred.
     Last,
 }
 
 impl Priority {
-    /// Share of the bucket kept back from calls of this priority.
+    /// Share of the bucket that is reserved for calls of higher priority.
     fn reserve(self) -> f64 {
         match self {
             Self::First => 0.0,
@@ -30,24 +30,25 @@
     rate: f64,
     burst: f64,
     tokens: f64,
-    at: Time,
-    /// All that was ever taken.
+    filled_at: Time,
+    /// All tokens taken so far.
     spent: f64,
 }
 
 impl TokenBucket {
+    /// A full bucket.
     pub(crate) fn new(rate: f64, burst: f64) -> Self {
         Self {
             rate,
             burst: burst.max(1.0),
             tokens: burst.max(1.0),
-            at: Time(0),
+            filled_at: Time(0),
             spent: 0.0,
         }
     }
 
     /// Changes the rate, as when this controller's share of a limit changes. What is
-    /// already in the bucket stays, so that a change can't mint tokens.
+    /// already in the bucket stays, so that a change creates no tokens.
     pub(crate) fn set(&mut self, now: Time, rate: f64, burst: f64) {
         self.fill(now);
         self.rate = rate;
@@ -56,16 +57,16 @@
     }
 
     fn fill(&mut self, now: Time) {
-        self.tokens = (self.tokens + self.rate * now.since(self.at)).min(self.burst);
-        self.at = self.at.max(now);
+        self.tokens = (self.tokens + self.rate * now.since(self.filled_at)).min(self.burst);
+        self.filled_at = self.filled_at.max(now);
     }
 
-    /// Whether `n` tokens are there for this priority. A bucket smaller than the
-    /// call lets it through once full, so that no call waits for ever.
-    pub(crate) fn has(&mut self, now: Time, n: f64, priority: Priority) -> bool {
+    /// Whether a call of this priority may take `tokens`. A bucket smaller than the call lets it
+    /// through once full, so that no call waits for ever.
+    pub(crate) fn has(&mut self, now: Time, tokens: f64, priority: Priority) -> bool {
         self.fill(now);
-        let need = (n + self.burst * priority.reserve()).min(self.burst);
-        self.tokens + 1e-9 >= need
+        let required = (tokens + self.burst * priority.reserve()).min(self.burst);
+        self.tokens + 1e-9 >= required
     }
 
     /// The largest call of this priority that leaves its reserve in a full bucket.
@@ -73,21 +74,23 @@
         (self.burst * (1.0 - priority.reserve())).max(1.0)
     }
 
-    /// Takes `n` tokens; the debt of a large call is paid by those after it.
-    pub(crate) fn take(&mut self, n: f64) {
-        self.tokens -= n;
-        self.spent += n;
+    /// Takes `tokens`; after a large call the bucket may be in debt, for which later calls wait.
+    pub(crate) fn take(&mut self, tokens: f64) {
+        self.tokens -= tokens;
+        self.spent += tokens;
     }
 
+    /// All tokens taken so far.
     pub(crate) fn spent(&self) -> f64 {
         self.spent
     }
 
+    /// The present rate, in tokens per second.
     pub(crate) fn rate(&self) -> f64 {
         self.rate
     }
 
-    /// Empties the bucket: the other side said that the limit is reached.
+    /// Empties the bucket, when the other side reports that the limit is reached.
     pub(crate) fn drain(&mut self) {
         self.tokens = self.tokens.min(0.0);
     }
