--- a/src/controller/api/status_queries.rs
+++ b/src/controller/api/status_queries.rs
@@ -78,6 +78,7 @@
         }
     }
 
+    /// Replies that a job is over.
     fn send_ending(&mut self, request_id: RequestId, id: &JobId, ending: Ending) {
         let status = match ending {
             Ending::Done => JobStatus::Done,
@@ -107,6 +108,7 @@
         self.now.since(self.store.changes_known_at()) <= STATUS_AGE_MAX_S
     }
 
+    /// Answers a query from the mirror, or has it wait for what the answer needs.
     fn answer_status_query(&mut self, query: StatusQuery) {
         if let Some(ending) = self.store.mirror.ending(&query.id) {
             return self.answer_ending(query.request_id, &query.id, ending);
--- a/src/controller/dependencies/graph.rs
+++ b/src/controller/dependencies/graph.rs
@@ -159,6 +159,7 @@
         self.update_priority_classes(self.dependencies_of(id));
     }
 
+    /// The jobs that depend on this one.
     fn dependents(&self, id: &JobId) -> Vec<JobId> {
         let dependents = self.dependencies.dependents.get(id);
         dependents.into_iter().flatten().cloned().collect()
@@ -184,12 +185,14 @@
         }
     }
 
+    /// Cancels the jobs that depend on this one.
     fn cancel_dependents(&mut self, id: &JobId) {
         for dependent in self.dependents(id) {
             self.cancel(&dependent);
         }
     }
 
+    /// The jobs that this one depends on.
     fn dependencies_of(&self, id: &JobId) -> Vec<JobId> {
         let job = self.jobs.get(id);
         job.map_or(Vec::new(), |job| job.record.needs.clone())
--- a/src/controller/quota/cells/messages.rs
+++ b/src/controller/quota/cells/messages.rs
@@ -24,8 +24,10 @@
 /// The last message of another cell.
 #[derive(Debug)]
 pub(super) struct ReceivedMessage {
+    /// The message itself.
     pub(super) message: LinkMessage,
-    pub(super) at: Time,
+    /// When it came.
+    pub(super) received_at: Time,
 }
 
 impl Context {
@@ -45,8 +47,10 @@
             return;
         }
         let from = message.from.clone();
-        let at = self.now;
-        let received = ReceivedMessage { message, at };
+        let received = ReceivedMessage {
+            message,
+            received_at: self.now,
+        };
         self.cells.received.insert(from, received);
     }
 
@@ -54,7 +58,7 @@
     pub(super) fn believed_messages(&self) -> impl Iterator<Item = &LinkMessage> {
         let received = self.cells.received.values();
         received
-            .filter(|received| self.now.since(received.at) < BELIEVED_S)
+            .filter(|received| self.now.since(received.received_at) < BELIEVED_S)
             .map(|received| &received.message)
     }
 
@@ -86,6 +90,7 @@
         }
     }
 
+    /// The message that shows another cell this cell's state and the transfers between the two.
     fn message_to(
         &self,
         to: &Cell,
--- a/src/controller/quota/cells/status_log.rs
+++ b/src/controller/quota/cells/status_log.rs
@@ -24,7 +24,7 @@
                 .cells
                 .received
                 .get(cell)
-                .map(|received| self.now.since(received.at));
+                .map(|received| self.now.since(received.received_at));
             let pending = self
                 .cell_link(cell)
                 .pending
--- a/src/controller/quota/mod.rs
+++ b/src/controller/quota/mod.rs
@@ -1,4 +1,5 @@
-//! Team limits: those that operators set, and those that several cells share.
+//! Quotas of teams: [`team_limits`] reads the limits that operators set, and [`cells`] shares them
+//! with other installations.
 
 pub(crate) mod cells;
 pub(crate) mod team_limits;
--- a/src/controller/quota/team_limits.rs
+++ b/src/controller/quota/team_limits.rs
@@ -64,7 +64,8 @@
             }
             Err(error) => {
                 warn!(
-                    "team limits refused, the last good ones stay, revision={revision} reason={error}"
+                    "team limits refused, the last good ones stay, \
+                     revision={revision} reason={error}"
                 );
                 self.team_limits.refused = true;
             }
--- a/src/controller/rate_limits/token_bucket.rs
+++ b/src/controller/rate_limits/token_bucket.rs
@@ -27,8 +27,11 @@
 /// A bucket that fills at a steady rate and holds `burst` at most.
 #[derive(Debug)]
 pub(crate) struct TokenBucket {
+    /// Tokens per second.
     rate: f64,
+    /// Most tokens that it holds.
     burst: f64,
+    /// Tokens in it at `filled_at`; below zero after a call larger than what was left.
     tokens: f64,
     filled_at: Time,
     /// All tokens taken so far.
@@ -56,6 +59,7 @@
         self.tokens = self.tokens.min(self.burst);
     }
 
+    /// Adds the tokens of the time since the last call.
     fn fill(&mut self, now: Time) {
         self.tokens = (self.tokens + self.rate * now.since(self.filled_at)).min(self.burst);
         self.filled_at = self.filled_at.max(now);
