--- a/src/controller/api/mod.rs
+++ b/src/controller/api/mod.rs
@@ -181,7 +181,7 @@
     /// Refuses at once the requests that can't be answered in time.
     pub(crate) fn api_housekeeping(&mut self) {
         let mut given_up = self.blocked_cancellations();
-        let cancellation_s = self.context.settings.leave_s();
+        let cancellation_s = self.context.settings.cancellation_wait_s();
         let now = self.context.now;
         let api = &mut self.context.api;
         api.awaiting_end
--- a/src/controller/api/submissions.rs
+++ b/src/controller/api/submissions.rs
@@ -11,7 +11,7 @@
 use crate::controller::store_requests::RequestPurpose;
 use crate::ids::{JobId, RequestId, Time};
 use crate::wire::{
-    BadBody, JobStatus, StoreRequest, StoreResponse, Write, error_body, job_status_body,
+    InvalidSubmission, JobStatus, StoreRequest, StoreResponse, Write, error_body, job_status_body,
 };
 use log::info;
 use std::collections::BTreeSet;
@@ -27,7 +27,7 @@
 impl Context {
     /// Refuses a malformed submission. If it repeats one of a known job, the reply is the job's
     /// status: a refusal would say that the job was never accepted.
-    pub(crate) fn on_malformed(&mut self, request_id: RequestId, error: BadBody) {
+    pub(crate) fn on_malformed(&mut self, request_id: RequestId, error: InvalidSubmission) {
         info!("submission refused, reason={}", error.why);
         match error.id {
             Some(id) => {
@@ -78,7 +78,7 @@
             record,
             received_at: self.now,
         };
-        if submission.record.needs.is_empty() {
+        if submission.record.dependencies.is_empty() {
             self.api.submissions.push_back(submission);
         } else {
             self.check_dependencies(submission);
@@ -111,7 +111,7 @@
             let in_zone = zone.is_none_or(|zone| machine_type.zones.contains(zone));
             record.allows(&machine_type.name)
                 && in_zone
-                && machine_type.resources.holds(record.need)
+                && machine_type.resources.holds(record.resources)
         });
         if !fits {
             return Some("a task fits no allowed machine type".into());
@@ -123,7 +123,7 @@
         };
         let exceeds = |task: f64, max: f64| max > 0.0 && task * concurrent_tasks > max + 1e-6;
         let (cpus_max, gpus_max) = self.team_limit(team);
-        if exceeds(record.need.cpus, cpus_max) || exceeds(record.need.gpus, gpus_max) {
+        if exceeds(record.resources.cpus, cpus_max) || exceeds(record.resources.gpus, gpus_max) {
             return Some("the job needs more than its team's limit".into());
         }
         None
@@ -135,7 +135,7 @@
         if let Some(reason) = self.impossible_dependency(&submission) {
             return self.refuse_submission(submission.request_id, submission.id, reason.into());
         }
-        let mut dependencies = submission.record.needs.iter();
+        let mut dependencies = submission.record.dependencies.iter();
         if dependencies.all(|dependency| self.store.mirror.accepted(dependency)) {
             return self.api.submissions.push_back(submission);
         }
@@ -151,7 +151,7 @@
 
     /// Why a dependency of a job can never be done, if so.
     fn impossible_dependency(&self, submission: &Submission) -> Option<&'static str> {
-        let dependencies = &submission.record.needs;
+        let dependencies = &submission.record.dependencies;
         let mut known_jobs = dependencies
             .iter()
             .filter_map(|dependency| self.store.mirror.jobs.get(dependency));
@@ -173,7 +173,7 @@
                 self.api.dependent_submissions.push_back(dependent);
                 continue;
             }
-            let mut dependencies = dependent.submission.record.needs.iter();
+            let mut dependencies = dependent.submission.record.dependencies.iter();
             let Some(unknown) = dependencies
                 .find(|dependency| !self.store.mirror.accepted(dependency))
                 .cloned()
--- a/src/controller/autoscaling/demand.rs
+++ b/src/controller/autoscaling/demand.rs
@@ -205,7 +205,7 @@
             if zones.is_empty() || zones.len() == class.zones.len() {
                 continue;
             }
-            let per = per_machine(class, job_state.record.need);
+            let per = per_machine(class, job_state.record.resources);
             let mut need = (f64::from(job_state.queued()) / per).ceil() as u32;
             for zone in &zones {
                 let have = ahead.entry((pool, zone.as_str())).or_default();
@@ -253,7 +253,7 @@
         for Binding { record, .. } in machine.tasks.values() {
             let saves = record.kind == JobKind::Batch && record.checkpoint_s > 0.0;
             if saves && record.priority_class <= PriorityClass::Normal {
-                c.spare += record.need.share_of(class.resources);
+                c.spare += record.resources.share_of(class.resources);
             }
             c.urgent |= record.kind == JobKind::Service;
         }
@@ -288,13 +288,14 @@
                 f64::MAX
             }
         };
-        let most = fit(resources.cpus, record.need.cpus).min(fit(resources.gpus, record.need.gpus));
+        let most = fit(resources.cpus, record.resources.cpus)
+            .min(fit(resources.gpus, record.resources.gpus));
         let tasks = f64::from(queued).min(most.max(0.0));
         if resources.cpus < f64::MAX {
-            resources.cpus -= tasks * record.need.cpus;
+            resources.cpus -= tasks * record.resources.cpus;
         }
         if resources.gpus < f64::MAX {
-            resources.gpus -= tasks * record.need.gpus;
+            resources.gpus -= tasks * record.resources.gpus;
         }
         tasks as u32
     }
@@ -319,7 +320,7 @@
         let Some(c) = counts.get_mut(&pool).filter(|_| left > 0.0) else {
             continue;
         };
-        let per = per_machine(&catalog[pool.machine_type], record.need);
+        let per = per_machine(&catalog[pool.machine_type], record.resources);
         let late = slow.late.get(&pool).filter(|_| urgent);
         let empty = f64::from(c.provisioned - c.busy) - c.queued;
         let coming = empty - f64::from(late.copied().unwrap_or(0));
@@ -390,7 +391,7 @@
 fn pools_for(catalog: &[MachineType], record: &JobRecord) -> Vec<Pool> {
     let mut pools: Vec<Pool> = Vec::new();
     for (class, info) in catalog.iter().enumerate() {
-        if record.allows(&info.name) && info.resources.holds(record.need) {
+        if record.allows(&info.name) && info.resources.holds(record.resources) {
             pools.push(Pool::of(class, false));
             if record.spot {
                 pools.push(Pool::of(class, true));
--- a/src/controller/autoscaling/machines.rs
+++ b/src/controller/autoscaling/machines.rs
@@ -11,7 +11,7 @@
 use crate::controller::shard::ShardOwner;
 use crate::controller::shard::job::Phase;
 use crate::ids::{MachineId, RequestId, TaskId, Time};
-use crate::wire::{CloudOp, CloudReply, Listed, MachineStatus, MachineType};
+use crate::wire::{CloudRequest, CloudResponse, ListedMachine, MachineStatus, MachineType};
 use log::info;
 use std::collections::BTreeSet;
 
@@ -25,9 +25,9 @@
 const ABANDONED_AFTER: f64 = 2.0;
 
 impl Controller {
-    pub(crate) fn on_machine_list(&mut self, mut so_far: Vec<Listed>, reply: CloudReply) {
+    pub(crate) fn on_machine_list(&mut self, mut so_far: Vec<ListedMachine>, reply: CloudResponse) {
         self.context.cloud.listing.under_way = false;
-        let CloudReply::Page { machines, more } = reply else {
+        let CloudResponse::Page { machines, more } = reply else {
             return;
         };
         so_far.extend(machines);
@@ -98,7 +98,7 @@
         {
             return;
         }
-        let op = CloudOp::List { after: None };
+        let op = CloudRequest::List { after: None };
         if self.cloud_call(op, CloudPurpose::List(Vec::new()), Priority::Usual) {
             self.cloud.listing.under_way = true;
             self.cloud.listing.next_at = self.now.after(pause);
@@ -107,9 +107,9 @@
 
     /// Asks for the next page, now or as soon as the budget allows. Begun anew instead, a list of
     /// more pages than the budget holds calls never came to its end, and nothing was scaled out.
-    fn list_on(&mut self, so_far: Vec<Listed>) {
+    fn list_on(&mut self, so_far: Vec<ListedMachine>) {
         let after = so_far.last().map(|l| MachineId::from(l.id.as_str()));
-        let op = CloudOp::List { after };
+        let op = CloudRequest::List { after };
         self.cloud.listing.under_way = true;
         if !self.cloud.rate_limit.has(self.now, 1.0, Priority::Usual) {
             self.cloud.listing.waiting_pages = Some(so_far);
@@ -157,7 +157,7 @@
         if ids.is_empty() {
             return;
         }
-        let op = CloudOp::Delete(ids.clone());
+        let op = CloudRequest::Delete(ids.clone());
         let purpose = CloudPurpose::Delete {
             shard: self.shard,
             machines: ids.clone(),
@@ -174,12 +174,12 @@
         &mut self,
         context: &mut Context,
         ids: Vec<MachineId>,
-        reply: CloudReply,
+        reply: CloudResponse,
     ) {
         let now = context.now;
         let mut held = Vec::new();
         for id in ids {
-            if reply != CloudReply::Deleted {
+            if reply != CloudResponse::Deleted {
                 self.machines.edit(&id, |machine| machine.deleting = false);
                 continue;
             }
@@ -201,7 +201,7 @@
     }
 
     /// Takes note of a listed machine.
-    fn observe_listed(&mut self, now: Time, catalog: &[MachineType], l: &Listed) {
+    fn observe_listed(&mut self, now: Time, catalog: &[MachineType], l: &ListedMachine) {
         let id = MachineId::from(l.id.as_str());
         if self.deleted_machines.contains_key(&id) {
             return;
--- a/src/controller/autoscaling/mod.rs
+++ b/src/controller/autoscaling/mod.rs
@@ -16,7 +16,7 @@
 use crate::controller::pool::Pool;
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::ids::{CallId, MachineId};
-use crate::wire::{CloudOp, CloudReply, Listed};
+use crate::wire::{CloudRequest, CloudResponse, ListedMachine};
 use std::collections::BTreeMap;
 
 /// Machines of a pool by zone.
@@ -30,7 +30,7 @@
         shard: u32,
         machines: Vec<MachineId>,
     },
-    List(Vec<Listed>),
+    List(Vec<ListedMachine>),
 }
 
 impl CloudPurpose {
@@ -70,7 +70,7 @@
         self.context.write_plan();
     }
 
-    pub(crate) fn on_cloud(&mut self, id: CallId, reply: CloudReply) {
+    pub(crate) fn on_cloud(&mut self, id: CallId, reply: CloudResponse) {
         let Some(purpose) = self.context.cloud.on_response(id, &reply) else {
             return;
         };
@@ -86,8 +86,8 @@
         }
     }
 
-    fn on_catalog(&mut self, reply: CloudReply) {
-        let CloudReply::Catalog(classes) = reply else {
+    fn on_catalog(&mut self, reply: CloudResponse) {
+        let CloudResponse::Catalog(classes) = reply else {
             return;
         };
         self.context.cloud.catalog = classes;
@@ -104,11 +104,15 @@
     pub(crate) fn catalog_housekeeping(&mut self) {
         if self.cloud.catalog.is_empty() && self.now >= self.cloud.catalog_retry {
             self.cloud.catalog_retry = self.now.after(REPEAT_S);
-            self.cloud_call(CloudOp::Catalog, CloudPurpose::Catalog, Priority::First);
+            self.cloud_call(
+                CloudRequest::Catalog,
+                CloudPurpose::Catalog,
+                Priority::First,
+            );
         }
     }
 
-    fn cloud_call(&mut self, op: CloudOp, purpose: CloudPurpose, priority: Priority) -> bool {
+    fn cloud_call(&mut self, op: CloudRequest, purpose: CloudPurpose, priority: Priority) -> bool {
         let outbox = &mut self.outbox;
         self.cloud.send(self.now, outbox, op, purpose, priority)
     }
--- a/src/controller/autoscaling/scale_out.rs
+++ b/src/controller/autoscaling/scale_out.rs
@@ -9,7 +9,7 @@
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::store::records::{ExhaustedPool, ScaleOutRecord};
 use crate::ids::{FencingToken, MachineId, Time};
-use crate::wire::{CloudOp, CloudReply, MachineType};
+use crate::wire::{CloudRequest, CloudResponse, MachineType};
 use log::{info, warn};
 use std::collections::BTreeMap;
 
@@ -39,7 +39,7 @@
 }
 
 impl Controller {
-    pub(crate) fn on_scaled_out(&mut self, name: &str, reply: CloudReply) {
+    pub(crate) fn on_scaled_out(&mut self, name: &str, reply: CloudResponse) {
         let now = self.context.now;
         let Some(leadership) = &mut self.context.leadership else {
             return;
@@ -64,7 +64,7 @@
         };
         let place = (Pool::of(class, record.spot), record.zone.clone());
         match reply {
-            CloudReply::Rented(machines) => {
+            CloudResponse::Rented(machines) => {
                 info!(
                     "scaled out, type={} zone={} spot={} machines={} asked={}",
                     record.class,
@@ -81,7 +81,7 @@
                 leadership.scale.step(name, ScaleOutStep::Answered, now);
                 self.add_machines(&record, machines);
             }
-            CloudReply::Refused => {
+            CloudResponse::PoolExhausted => {
                 warn!(
                     "pool exhausted, type={} zone={} spot={}",
                     record.class, record.zone, record.spot
@@ -146,7 +146,7 @@
         for record in due {
             let name = record.name.clone();
             let purpose = CloudPurpose::Rent(name.clone());
-            if !self.cloud_call(CloudOp::Rent(record), purpose, Priority::Usual) {
+            if !self.cloud_call(CloudRequest::Rent(record), purpose, Priority::Usual) {
                 return;
             }
             if let Some(leadership) = &mut self.leadership {
--- a/src/controller/dependencies/graph.rs
+++ b/src/controller/dependencies/graph.rs
@@ -41,7 +41,7 @@
     /// What is known of the dependencies of a job.
     pub(crate) fn dependency_state(&self, record: &JobRecord) -> DependencyState {
         let mut state = DependencyState::Met;
-        for id in &record.needs {
+        for id in &record.dependencies {
             match self.ending(id).map(|(ending, _)| ending) {
                 Some(Ending::Done) => {}
                 Some(Ending::Cancelled) => return DependencyState::Cancelled,
@@ -88,7 +88,7 @@
                 return true;
             }
             if let Some(job) = self.jobs.get(id).filter(|_| visited.insert(id)) {
-                to_visit.extend(&job.record.needs);
+                to_visit.extend(&job.record.dependencies);
             }
         }
         false
@@ -110,7 +110,7 @@
             return;
         };
         self.dependencies.unread.remove(id);
-        for dependency in &record.needs {
+        for dependency in &record.dependencies {
             let dependents = &mut self.dependencies.dependents;
             dependents
                 .entry(dependency.clone())
@@ -121,14 +121,14 @@
         if self.dependency_state(&record) == DependencyState::Cancelled {
             self.cancel(id);
         }
-        let dependencies = record.needs.iter().cloned();
+        let dependencies = record.dependencies.iter().cloned();
         self.update_priority_classes(dependencies.chain([id.clone()]).collect());
     }
 
     /// Removes a job that is over, of which an end may be known.
     pub(crate) fn unlink(&mut self, id: &JobId, job: &MirroredJob) {
         self.dependencies.cancelled.remove(id);
-        for dependency in &job.record.needs {
+        for dependency in &job.record.dependencies {
             if let Some(dependents) = self.dependencies.dependents.get_mut(dependency) {
                 dependents.remove(id);
                 if dependents.is_empty() {
@@ -137,7 +137,7 @@
                 }
             }
         }
-        self.update_priority_classes(job.record.needs.clone());
+        self.update_priority_classes(job.record.dependencies.clone());
         self.look_for_end(id);
     }
 
@@ -195,7 +195,7 @@
     /// The jobs that this one depends on.
     fn dependencies_of(&self, id: &JobId) -> Vec<JobId> {
         let job = self.jobs.get(id);
-        job.map_or(Vec::new(), |job| job.record.needs.clone())
+        job.map_or(Vec::new(), |job| job.record.dependencies.clone())
     }
 
     /// Raises or lowers each of these jobs to the highest priority class of its own and of the jobs
--- a/src/controller/events.rs
+++ b/src/controller/events.rs
@@ -4,7 +4,8 @@
 use crate::ids::{CallId, ControllerId, JobId, RequestId};
 use crate::peer::Message;
 use crate::wire::{
-    BadBody, CloudOp, CloudReply, StoreRequest, StoreResponse, WorkerHeartbeat, error_body,
+    CloudRequest, CloudResponse, InvalidSubmission, StoreRequest, StoreResponse, WorkerHeartbeat,
+    error_body,
 };
 use salttrestle_cells::Cell;
 use salttrestle_cells::message::LinkMessage;
@@ -13,7 +14,7 @@
 #[derive(Debug)]
 pub enum Request {
     /// A user submits a job.
-    Submit(Result<(JobId, JobRecord), BadBody>),
+    Submit(Result<(JobId, JobRecord), InvalidSubmission>),
     /// A user asks for the status of a job.
     Poll(JobId),
     /// A user cancels a job.
@@ -34,7 +35,7 @@
     /// The store answered a call.
     Store(CallId, StoreResponse),
     /// The cloud answered a call.
-    Cloud(CallId, CloudReply),
+    Cloud(CallId, CloudResponse),
     /// A message came from a peer.
     Peer(Message),
     /// A message came from the leader of another cell.
@@ -101,7 +102,7 @@
     /// Give up this call and close its connection: its response isn't needed any more.
     Forget(CallId),
     /// Call the cloud.
-    Cloud(CallId, CloudOp),
+    Cloud(CallId, CloudRequest),
     /// Send a message to one peer, or to all.
     Peer(Option<ControllerId>, Message),
     /// Connect to a peer that is known to run, without the pause after a failed attempt.
--- a/src/controller/scheduling/consolidation.rs
+++ b/src/controller/scheduling/consolidation.rs
@@ -175,7 +175,7 @@
         }
         let mut best: Option<(f64, &MachineId)> = None;
         let fits = |pool: Pool, _: &Rc<str>| suits(&job_state.record, catalog, pool);
-        for (id, machine) in shard.machines.roomy(job_state.record.need, fits) {
+        for (id, machine) in shard.machines.roomy(job_state.record.resources, fits) {
             let mut free = machine.free();
             free.add(taken.get(id).copied().unwrap_or_default(), -1.0);
             // In its own zone it takes its own place.
@@ -183,7 +183,7 @@
             let good = id != from
                 && !machine.tasks.is_empty()
                 && !machine.cordoned
-                && free.holds(job_state.record.need)
+                && free.holds(job_state.record.resources)
                 && machine.has_image(&job_state.record.image)
                 && usable(machine, settings, now)
                 && shard.failures.may_run_tasks(id, now)
@@ -197,7 +197,7 @@
         taken
             .entry(id.clone())
             .or_default()
-            .add(job_state.record.need, 1.0);
+            .add(job_state.record.resources, 1.0);
     }
     Some(taken)
 }
--- a/src/controller/scheduling/constraints.rs
+++ b/src/controller/scheduling/constraints.rs
@@ -17,7 +17,7 @@
     let used = shard.teams.get(&record.team).copied().unwrap_or_default();
     let (cpus, gpus) = shard.quota_share(team);
     let fits = |used: f64, need: f64, max: f64| used + need <= max + 1e-6;
-    fits(used.cpus, record.need.cpus, cpus) && fits(used.gpus, record.need.gpus, gpus)
+    fits(used.cpus, record.resources.cpus, cpus) && fits(used.gpus, record.resources.gpus, gpus)
 }
 
 impl ShardOwner {
@@ -54,7 +54,7 @@
         .get(&job_state.record.team)
         .copied()
         .unwrap_or_default();
-    let need = job_state.record.need;
+    let need = job_state.record.resources;
     let fits = |used: f64, need: f64, sure: f64| sure <= 0.0 || used + need <= sure + 1e-6;
     fits(used.cpus, need.cpus, team.cpus) && fits(used.gpus, need.gpus, team.gpus)
 }
--- a/src/controller/scheduling/preemption.rs
+++ b/src/controller/scheduling/preemption.rs
@@ -62,7 +62,7 @@
         }
         let placement = shard.jobs.get(&t.job)?.placed.get(&t.index)?;
         if placement.stop_requested.is_none() && shard.was_never_sent(t) {
-            lower.push((0.0, t, record.need));
+            lower.push((0.0, t, record.resources));
             continue;
         }
         let started = matches!(placement.phase, Phase::Fetching | Phase::Running);
@@ -70,20 +70,20 @@
             let ran = shard.last_worker_heartbeat.since(placement.since);
             let saved = record.checkpoint_s > 0.0;
             let loss = if saved { 3.0 } else { 5.0 + ran * 0.2 };
-            lower.push((loss, t, record.need));
+            lower.push((loss, t, record.resources));
         }
     }
     lower.sort_by(|a, b| a.0.total_cmp(&b.0));
     let (mut free, mut loss, mut out) = (machine.free(), 0.0, Vec::new());
     for (cost, task, need) in lower {
-        if free.holds(job_state.record.need) {
+        if free.holds(job_state.record.resources) {
             break;
         }
         free.add(need, 1.0);
         loss += cost;
         out.push(task.clone());
     }
-    (free.holds(job_state.record.need) && !out.is_empty()).then_some((loss, out))
+    (free.holds(job_state.record.resources) && !out.is_empty()).then_some((loss, out))
 }
 
 /// Whether work may be stopped for a job as far as it loses by it. For a rank that a job has only
--- a/src/controller/scheduling/scoring.rs
+++ b/src/controller/scheduling/scoring.rs
@@ -86,7 +86,7 @@
             open.contains(&&**zone) && suits(record, self.catalog, pool)
         };
         let mut machines_scanned = 0;
-        let machines = shard.machines.roomy(record.need, fits);
+        let machines = shard.machines.roomy(record.resources, fits);
         let candidates = machines.filter_map(|(id, m)| {
             machines_scanned += 1;
             let cost = self.cost_of(shard, (job, job_state), (id, m), cycle)?;
@@ -109,7 +109,7 @@
         let class = pool.type_in(self.catalog)?;
         let usable =
             usable(machine, self.settings, self.now) && shard.failures.may_run_tasks(id, self.now);
-        if !machine.free().holds(job_state.record.need) || !usable {
+        if !machine.free().holds(job_state.record.resources) || !usable {
             return None;
         }
         let young = self.now.since(job_state.since) < KEPT_S;
@@ -252,7 +252,7 @@
     }
     let before = machine.free();
     let mut after = before;
-    after.add(job_state.record.need, -1.0);
+    after.add(job_state.record.resources, -1.0);
     let images = machine
         .images
         .iter()
--- a/src/controller/shard/burst_estimate.rs
+++ b/src/controller/shard/burst_estimate.rs
@@ -69,7 +69,8 @@
         record: &JobRecord,
     ) -> Option<(Pool, f64)> {
         let pool = pool_for(catalog, record, closed).filter(|_| record.kind == JobKind::Service)?;
-        let size = f64::from(record.count) / per_machine(&catalog[pool.machine_type], record.need);
+        let size =
+            f64::from(record.count) / per_machine(&catalog[pool.machine_type], record.resources);
         Some((pool, size))
     }
 
