--- a/src/controller/autoscaling/demand.rs
+++ b/src/controller/autoscaling/demand.rs
@@ -1,10 +1,14 @@
-//! Counts of what waits and what runs, by pool.
+//! Counts of the machines that queued and running tasks need, by pool.
 
 use crate::controller::autoscaling::Zones;
+use crate::controller::autoscaling::pool_selection::{
+    all_pools, available_pool, is_exhausted, pool_for, pools_for, tasks_per_machine, tasks_within,
+};
 use crate::controller::machines::inventory::{Binding, Machine};
-use crate::controller::pool::{Market, Pool};
+use crate::controller::pool::Pool;
 use crate::controller::scheduling::constraints::{within_limit, zone_allowed};
 use crate::controller::shard::ShardOwner;
+use crate::controller::shard::job::JobState;
 use crate::controller::store::records::{
     ExhaustedPool, JobKind, JobRecord, PriorityClass, Resources,
 };
@@ -14,17 +18,17 @@
 use crate::wire::MachineType;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A machine this much free counts as room kept for urgent starts.
+/// A machine of which at least this share is free counts as room kept for urgent starts.
 const SPARE_SHARE: f64 = 0.5;
 
 /// A machine that has been booting for longer than so many times what its type's boots have
 /// taken lately is late: usual ones take up to one and a half times as long. Urgent work
 /// doesn't wait for it.
-const LATE_BOOTS: f64 = 1.75;
+const LATE_BOOT_FACTOR: f64 = 1.75;
 
-/// Pools of which at least half of the machines that boot are late or overdue. Work that may
-/// use others counts on these: an empty fleet whose smallest type didn't come up ran nothing,
-/// and scaled out and deleted that type's machines without end.
+/// Pools of which at least half of the booting machines are late or overdue. Work that may
+/// use other pools counts on those instead: an empty fleet whose smallest type didn't become ready
+/// ran nothing, and scaled out and deleted that type's machines without end.
 #[derive(Default)]
 struct SlowPools {
     /// Slow for urgent work: half are late.
@@ -34,11 +38,22 @@
     /// Late machines that aren't overdue yet.
     late: BTreeMap<Pool, u32>,
     /// Machines' worth of urgent work that counts on each pool. For these, as many others are
-    /// scaled out as are late, once each: late ones that come after all count again.
-    urgent_waiting: BTreeMap<Pool, f64>,
+    /// scaled out as are late, once each: late ones that become ready after all count again.
+    urgent_queued: BTreeMap<Pool, f64>,
+}
+
+impl SlowPools {
+    fn is_slow(&self, pool: &Pool, urgent: bool) -> bool {
+        let pools = if urgent {
+            &self.for_urgent
+        } else {
+            &self.for_all
+        };
+        pools.contains(pool)
+    }
 }
 
-/// A pool's machines that haven't come up yet.
+/// A pool's machines that aren't ready yet.
 #[derive(Default)]
 struct BootingCount {
     all: u32,
@@ -49,46 +64,35 @@
 
 impl BootingCount {
     /// Whether so many are at least half of them.
-    fn mostly(&self, some: u32) -> bool {
-        some > 0 && 2 * some >= self.all
-    }
-}
-
-impl SlowPools {
-    fn slow(&self, pool: &Pool, urgent: bool) -> bool {
-        let pools = if urgent {
-            &self.for_urgent
-        } else {
-            &self.for_all
-        };
-        pools.contains(pool)
+    fn is_half(&self, part: u32) -> bool {
+        part > 0 && 2 * part >= self.all
     }
 }
 
 impl PoolCount {
-    /// Makes the count ask for machines in place lately ones, as many as urgent work waits
-    /// for beyond those that come in time. The room that is kept stays on the late ones: they
-    /// may come, and count again then.
-    fn replace_late(&mut self, late: u32, waiting: u32) {
+    /// Makes the count ask for machines in place of late ones, as many as urgent work waits
+    /// for beyond those that come in time. The room kept for urgent starts stays on the late ones:
+    /// they may become ready, and count again then.
+    fn replace_late(&mut self, late: u32, urgent_queued: u32) {
         let in_time = self.provisioned.saturating_sub(self.busy + late);
-        let lacking = waiting.saturating_sub(in_time).min(late);
+        let lacking = urgent_queued.saturating_sub(in_time).min(late);
         let wanted = self.wanted(u32::MAX);
         self.provisioned = self.provisioned.min(wanted.saturating_sub(lacking));
     }
 
     /// The larger of the two counts, each rounded up, within the ceiling.
     ///
-    /// Tasks that wait found no room on the busy machines, so their count stands on
-    /// top of those: with the bare larger of the two, a full machine with as many
-    /// tasks waiting as running would never get a second one beside it.
+    /// Queued tasks found no room on the busy machines, so their count is added to
+    /// those: with just the larger of the two, a full machine with as many
+    /// tasks queued as running would never get a second one beside it.
     pub(crate) fn wanted(&self, ceiling: u32) -> u32 {
         let by_queue = self.busy + self.queued.ceil() as u32;
         let by_running = self.running.ceil() as u32;
-        let mut resources = 0.0;
+        let mut kept_machines = 0.0;
         if self.urgent {
-            resources = (self.keep - self.spare).max(0.0).ceil();
+            kept_machines = (self.keep - self.spare).max(0.0).ceil();
         }
-        (by_queue.max(by_running) + resources as u32).min(ceiling)
+        (by_queue.max(by_running) + kept_machines as u32).min(ceiling)
     }
 }
 
@@ -98,325 +102,271 @@
         &self,
         catalog: &[MachineType],
         settings: &Settings,
-        closed: &[ExhaustedPool],
+        exhausted: &[ExhaustedPool],
         now: Time,
     ) -> BTreeMap<Pool, PoolCount> {
-        let lease_s = settings.platform.facts.workers.lease_s;
-        let mut slow = self.slow_pools(catalog, settings.tuning.boot, now);
-        let mut counts: BTreeMap<Pool, PoolCount> = BTreeMap::new();
-        for pool in all_pools(catalog) {
-            let keep = self.keep(pool, catalog, settings.tuning.headroom, now);
+        let mut slow_pools = self.slow_pools(catalog, settings.tuning.boot, now);
+        let with_kept_room = |pool| {
             let count = PoolCount {
-                keep,
+                keep: self.kept_room(pool, catalog, settings.tuning.headroom, now),
                 ..PoolCount::default()
             };
-            counts.insert(pool, count);
-        }
+            (pool, count)
+        };
+        let mut counts: BTreeMap<Pool, PoolCount> =
+            all_pools(catalog).map(with_kept_room).collect();
         for machine in self.machines.values() {
-            let quiet = now.since(machine.last_heartbeat.max(self.since)) > lease_s;
-            let cut = self.mass_partition || self.partitioned_zones.contains(&machine.zone);
-            let silent =
-                machine.ready_since.is_some() && machine.long_poll.is_none() && quiet && !cut;
-            // An overdue machine is replaced. If it comes after all, it is used or returned.
-            let overdue = settings.tuning.boot;
-            let silent = silent || self.boots_longer_than(overdue, catalog, machine, now);
-            self.count_machine(catalog, machine, silent, &mut counts);
+            if !self.needs_replacement(catalog, settings, machine, now) {
+                count_machine(catalog, machine, &mut counts);
+            }
+        }
+        self.count_waiting_jobs(catalog, settings, exhausted, &mut slow_pools, &mut counts);
+        for (pool, urgent_queued) in slow_pools.urgent_queued {
+            let late = slow_pools.late.get(&pool).copied().unwrap_or(0);
+            if let Some(count) = counts.get_mut(&pool) {
+                count.replace_late(late, urgent_queued.ceil() as u32);
+            }
         }
-        let mut team_left = HashMap::new();
+        counts
+    }
+
+    /// Whether a machine is silent, outside a partition, or overdue. If it heartbeats after all, it
+    /// is used or scaled in.
+    fn needs_replacement(
+        &self,
+        catalog: &[MachineType],
+        settings: &Settings,
+        machine: &Machine,
+        now: Time,
+    ) -> bool {
+        let lease_s = settings.platform.facts.workers.lease_s;
+        let quiet = now.since(machine.last_heartbeat.max(self.since)) > lease_s;
+        let partitioned = self.mass_partition || self.partitioned_zones.contains(&machine.zone);
+        let silent =
+            machine.ready_since.is_some() && machine.long_poll.is_none() && quiet && !partitioned;
+        silent || self.boots_longer_than(settings.tuning.boot, catalog, machine, now)
+    }
+
+    /// Counts the queued tasks of the jobs that may start some.
+    fn count_waiting_jobs(
+        &self,
+        catalog: &[MachineType],
+        settings: &Settings,
+        exhausted: &[ExhaustedPool],
+        slow_pools: &mut SlowPools,
+        counts: &mut BTreeMap<Pool, PoolCount>,
+    ) {
+        let mut team_quota_left = HashMap::new();
         for id in &self.waiting {
             let Some(job_state) = self.jobs.get(id) else {
                 continue;
             };
-            if self.failures.unplaceable(id) || !within_limit(self, settings, &job_state.record) {
+            let record = &job_state.record;
+            if self.failures.unplaceable(id) || !within_limit(self, settings, record) {
                 continue;
             }
-            let tasks = self.within_team(
-                settings,
-                job_state.queued(),
-                &job_state.record,
-                &mut team_left,
-            );
-            count_queued(
-                catalog,
-                &job_state.record,
-                closed,
-                &mut slow,
-                tasks,
-                &mut counts,
-            );
+            let queued = job_state.queued();
+            let tasks = self.tasks_within_quota(settings, queued, record, &mut team_quota_left);
+            count_queued(catalog, record, exhausted, slow_pools, tasks, counts);
         }
-        for (pool, waiting) in slow.urgent_waiting {
-            let late = slow.late.get(&pool).copied().unwrap_or(0);
-            if let Some(count) = counts.get_mut(&pool) {
-                count.replace_late(late, waiting.ceil() as u32);
-            }
-        }
-        counts
     }
 
     /// The pools whose machines come late.
-    fn slow_pools(&self, catalog: &[MachineType], overdue: f64, now: Time) -> SlowPools {
+    fn slow_pools(&self, catalog: &[MachineType], overdue_factor: f64, now: Time) -> SlowPools {
         let mut booting: BTreeMap<Pool, BootingCount> = BTreeMap::new();
         for (_, machine) in self.machines.booting() {
             let Some(pool) = machine.pool() else {
                 continue;
             };
             let count = booting.entry(pool).or_default();
-            let late = self.boots_longer_than(LATE_BOOTS, catalog, machine, now);
-            let overdue = self.boots_longer_than(overdue, catalog, machine, now);
+            let late = self.boots_longer_than(LATE_BOOT_FACTOR, catalog, machine, now);
+            let overdue = self.boots_longer_than(overdue_factor, catalog, machine, now);
             count.all += 1;
             count.late += u32::from(late && !overdue);
             count.overdue += u32::from(overdue);
         }
-        let mut slow = SlowPools::default();
+        let mut slow_pools = SlowPools::default();
         for (pool, count) in booting {
-            slow.late.insert(pool, count.late);
-            if count.mostly(count.late + count.overdue) {
-                slow.for_urgent.insert(pool);
+            slow_pools.late.insert(pool, count.late);
+            if count.is_half(count.late + count.overdue) {
+                slow_pools.for_urgent.insert(pool);
             }
-            if count.mostly(count.overdue) {
-                slow.for_all.insert(pool);
+            if count.is_half(count.overdue) {
+                slow_pools.for_all.insert(pool);
             }
         }
-        slow
+        slow_pools
     }
 
     /// Machines lacking in particular zones: for tasks that may not go elsewhere, by
     /// their job's zone, by its other tasks' zone, or because the other zones hold as
     /// many of its tasks as they may.
-    pub(crate) fn pins(&self, catalog: &[MachineType], closed: &[ExhaustedPool]) -> Zones {
-        let mut pins = Zones::new();
-        let mut ahead: BTreeMap<(Pool, &str), u32> = BTreeMap::new();
-        for machine in self.machines.values() {
-            let stays = machine.decommission_at.is_none() && machine.notice.is_none();
-            if let Some(pool) = machine.pool().filter(|_| machine.tasks.is_empty() && stays) {
-                *ahead.entry((pool, &*machine.zone)).or_default() += 1;
-            }
-        }
+    pub(crate) fn pins(&self, catalog: &[MachineType], exhausted: &[ExhaustedPool]) -> Zones {
+        let mut lacking = Zones::new();
+        let mut empty_machines = self.empty_machines();
         let waiting = self.waiting.iter();
         let waiting = waiting.filter(|id| !self.failures.unplaceable(id));
         for job_state in waiting.filter_map(|id| self.jobs.get(id)) {
-            let Some(pool) = pool_for(catalog, &job_state.record, closed) else {
+            let Some(pool) = pool_for(catalog, &job_state.record, exhausted) else {
                 continue;
             };
-            let class = &catalog[pool.machine_type];
-            let zones = class.zones.iter().filter(|z| zone_allowed(job_state, z));
-            let zones: Vec<&String> = zones.collect();
-            if zones.is_empty() || zones.len() == class.zones.len() {
+            let machine_type = &catalog[pool.machine_type];
+            let Some(zones) = restricted_zones(job_state, machine_type) else {
                 continue;
-            }
-            let per = per_machine(class, job_state.record.need);
-            let mut need = (f64::from(job_state.queued()) / per).ceil() as u32;
+            };
+            let tasks_per_machine = tasks_per_machine(machine_type, job_state.record.need);
+            let mut needed = (f64::from(job_state.queued()) / tasks_per_machine).ceil() as u32;
             for zone in &zones {
-                let have = ahead.entry((pool, zone.as_str())).or_default();
-                let taken = need.min(*have);
-                *have -= taken;
-                need -= taken;
+                let empty = empty_machines.entry((pool, zone.as_str())).or_default();
+                let used = needed.min(*empty);
+                *empty -= used;
+                needed -= used;
             }
-            let shut = |z: &str| {
-                let same =
-                    |c: &ExhaustedPool| c.0 == class.name && c.1 == z && c.2 == pool.is_spot();
-                closed.iter().any(same)
-            };
-            if let Some(zone) = zones.iter().find(|z| !shut(z)).filter(|_| need > 0) {
-                *pins.entry((pool, zone.to_string())).or_default() += need;
+            let mut available = zones
+                .iter()
+                .filter(|zone| !is_exhausted(exhausted, &machine_type.name, zone, &pool));
+            if let Some(zone) = available.next().filter(|_| needed > 0) {
+                *lacking.entry((pool, zone.to_string())).or_default() += needed;
             }
         }
-        pins
+        lacking
     }
 
-    fn count_machine(
-        &self,
-        catalog: &[MachineType],
-        machine: &Machine,
-        silent: bool,
-        counts: &mut BTreeMap<Pool, PoolCount>,
-    ) {
-        let leaving = silent || machine.decommission_at.is_some() || machine.notice.is_some();
-        let Some(pool) = machine.pool().filter(|_| !leaving) else {
-            return;
-        };
-        let (Some(class), Some(c)) = (pool.type_in(catalog), counts.get_mut(&pool)) else {
-            return;
-        };
-        c.provisioned += 1;
-        if machine.tasks.is_empty() {
-            return;
-        }
-        c.busy += 1;
-        c.running += machine.used.share_of(class.resources);
-        let free = 1.0 - machine.used.share_of(class.resources);
-        if free >= SPARE_SHARE {
-            c.spare += free;
-        }
-        // Batch work that saves its progress makes room for urgent starts at hardly any cost.
-        for Binding { record, .. } in machine.tasks.values() {
-            let saves = record.kind == JobKind::Batch && record.checkpoint_s > 0.0;
-            if saves && record.priority_class <= PriorityClass::Normal {
-                c.spare += record.need.share_of(class.resources);
+    /// Machines without tasks that stay, booting ones included, by pool and zone.
+    fn empty_machines(&self) -> BTreeMap<(Pool, &str), u32> {
+        let mut empty_machines = BTreeMap::new();
+        for machine in self.machines.values() {
+            let stays = machine.decommission_at.is_none() && machine.notice.is_none();
+            if let Some(pool) = machine.pool().filter(|_| machine.tasks.is_empty() && stays) {
+                *empty_machines.entry((pool, &*machine.zone)).or_default() += 1;
             }
-            c.urgent |= record.kind == JobKind::Service;
         }
+        empty_machines
     }
 
-    /// How many queued tasks the team's limit still lets run.
-    fn within_team(
+    /// How many queued tasks the team's limit still lets run. `quota_left` has what the jobs that
+    /// were counted before leave of each team's limit.
+    fn tasks_within_quota(
         &self,
         settings: &Settings,
         queued: u32,
         record: &JobRecord,
-        left: &mut HashMap<String, Resources>,
+        quota_left: &mut HashMap<String, Resources>,
     ) -> u32 {
         let teams = &settings.platform.facts.teams;
-        let Some(team) = teams.iter().find(|t| t.name == record.team) else {
+        let Some(team) = teams.iter().find(|team| team.name == record.team) else {
             return 0;
         };
         let used = self.teams.get(&record.team).copied().unwrap_or_default();
-        let resources = left.entry(record.team.clone()).or_insert_with(|| {
+        let left = quota_left.entry(record.team.clone()).or_insert_with(|| {
             let (cpus, gpus) = self.quota_share(team);
-            let part = |max: f64, used: f64| if max < f64::MAX { max - used } else { max };
+            let unused = |limit: f64, used: f64| {
+                if limit < f64::MAX {
+                    limit - used
+                } else {
+                    limit
+                }
+            };
             Resources {
-                cpus: part(cpus, used.cpus),
-                gpus: part(gpus, used.gpus),
+                cpus: unused(cpus, used.cpus),
+                gpus: unused(gpus, used.gpus),
                 mem: f64::MAX,
             }
         });
-        let fit = |left: f64, need: f64| {
-            if need > 0.0 {
-                (left / need + 1e-6).floor()
-            } else {
-                f64::MAX
-            }
-        };
-        let most = fit(resources.cpus, record.need.cpus).min(fit(resources.gpus, record.need.gpus));
-        let tasks = f64::from(queued).min(most.max(0.0));
-        if resources.cpus < f64::MAX {
-            resources.cpus -= tasks * record.need.cpus;
+        let need = record.need;
+        let allowed = tasks_within(left.cpus, need.cpus).min(tasks_within(left.gpus, need.gpus));
+        let tasks = f64::from(queued).min(allowed.max(0.0));
+        if left.cpus < f64::MAX {
+            left.cpus -= tasks * need.cpus;
         }
-        if resources.gpus < f64::MAX {
-            resources.gpus -= tasks * record.need.gpus;
+        if left.gpus < f64::MAX {
+            left.gpus -= tasks * need.gpus;
         }
         tasks as u32
     }
 }
 
-/// Counts a job's queued tasks. Where the cloud has nothing left they count on the next
-/// pool, but only those that the machines on their way there don't hold: counting them
+/// The zones of a machine type to which a job's next task may go, if it may not go to all of them.
+fn restricted_zones<'a>(
+    job_state: &JobState,
+    machine_type: &'a MachineType,
+) -> Option<Vec<&'a String>> {
+    let all = &machine_type.zones;
+    let allowed = all.iter().filter(|zone| zone_allowed(job_state, zone));
+    let allowed: Vec<&String> = allowed.collect();
+    (!allowed.is_empty() && allowed.len() != all.len()).then_some(allowed)
+}
+
+/// Counts a machine that neither is to be replaced nor leaves.
+fn count_machine(
+    catalog: &[MachineType],
+    machine: &Machine,
+    counts: &mut BTreeMap<Pool, PoolCount>,
+) {
+    let leaving = machine.decommission_at.is_some() || machine.notice.is_some();
+    let Some(pool) = machine.pool().filter(|_| !leaving) else {
+        return;
+    };
+    let (Some(machine_type), Some(count)) = (pool.type_in(catalog), counts.get_mut(&pool)) else {
+        return;
+    };
+    count.provisioned += 1;
+    if machine.tasks.is_empty() {
+        return;
+    }
+    count.busy += 1;
+    count.running += machine.used.share_of(machine_type.resources);
+    let free = 1.0 - machine.used.share_of(machine_type.resources);
+    if free >= SPARE_SHARE {
+        count.spare += free;
+    }
+    // Batch work that checkpoints is preempted for urgent starts at hardly any cost.
+    for Binding { record, .. } in machine.tasks.values() {
+        let checkpoints = record.kind == JobKind::Batch && record.checkpoint_s > 0.0;
+        if checkpoints && record.priority_class <= PriorityClass::Normal {
+            count.spare += record.need.share_of(machine_type.resources);
+        }
+        count.urgent |= record.kind == JobKind::Service;
+    }
+}
+
+/// Counts a job's queued tasks. Where the cloud has no capacity left they count on the next
+/// pool, but only those for which the booting machines have no room: counting them
 /// all scaled out a second fleet beside the first, when an empty one's first pool was full.
 fn count_queued(
     catalog: &[MachineType],
     record: &JobRecord,
-    closed: &[ExhaustedPool],
-    slow: &mut SlowPools,
+    exhausted: &[ExhaustedPool],
+    slow_pools: &mut SlowPools,
     tasks: u32,
     counts: &mut BTreeMap<Pool, PoolCount>,
 ) {
     let mut left = f64::from(tasks);
     let urgent = record.priority_class > PriorityClass::Normal;
-    let in_time = |pool: &Pool| !slow.slow(pool, urgent);
-    let last = open_pool(catalog, record, closed, in_time).or(pool_for(catalog, record, closed));
+    let in_time = |pool: &Pool| !slow_pools.is_slow(pool, urgent);
+    let last_pool = available_pool(catalog, record, exhausted, in_time)
+        .or(pool_for(catalog, record, exhausted));
     for pool in pools_for(catalog, record) {
-        let Some(c) = counts.get_mut(&pool).filter(|_| left > 0.0) else {
+        let Some(count) = counts.get_mut(&pool).filter(|_| left > 0.0) else {
             continue;
         };
-        let per = per_machine(&catalog[pool.machine_type], record.need);
-        let late = slow.late.get(&pool).filter(|_| urgent);
-        let empty = f64::from(c.provisioned - c.busy) - c.queued;
-        let coming = empty - f64::from(late.copied().unwrap_or(0));
-        let here = if Some(pool) == last {
+        let tasks_per_machine = tasks_per_machine(&catalog[pool.machine_type], record.need);
+        let late = slow_pools.late.get(&pool).filter(|_| urgent);
+        let empty = f64::from(count.provisioned - count.busy) - count.queued;
+        let in_time = empty - f64::from(late.copied().unwrap_or(0));
+        let counted_here = if Some(pool) == last_pool {
             left
         } else {
-            left.min((coming.max(0.0) * per).floor())
+            left.min((in_time.max(0.0) * tasks_per_machine).floor())
         };
-        c.queued += here / per;
+        count.queued += counted_here / tasks_per_machine;
         if urgent {
-            *slow.urgent_waiting.entry(pool).or_default() += here / per;
+            *slow_pools.urgent_queued.entry(pool).or_default() += counted_here / tasks_per_machine;
         }
-        c.urgent |= here > 0.0 && record.kind == JobKind::Service;
-        left -= here;
-        if Some(pool) == last {
+        count.urgent |= counted_here > 0.0 && record.kind == JobKind::Service;
+        left -= counted_here;
+        if Some(pool) == last_pool {
             return;
         }
     }
 }
-
-/// The pool on which a task counts: the smallest type that fits, spot where the
-/// job may use it. Where the cloud has nothing left, the next one.
-pub(crate) fn pool_for(
-    catalog: &[MachineType],
-    record: &JobRecord,
-    closed: &[ExhaustedPool],
-) -> Option<Pool> {
-    let first = || pools_for(catalog, record).first().copied();
-    open_pool(catalog, record, closed, |_| true).or_else(first)
-}
-
-/// The first of a task's pools of which the cloud has machines left and that `passes` lets pass.
-fn open_pool(
-    catalog: &[MachineType],
-    record: &JobRecord,
-    closed: &[ExhaustedPool],
-    passes: impl Fn(&Pool) -> bool,
-) -> Option<Pool> {
-    let pools = pools_for(catalog, record);
-    let open = |pool: &&Pool| {
-        let name = &catalog[pool.machine_type].name;
-        let zones = &catalog[pool.machine_type].zones;
-        let mut zones = zones
-            .iter()
-            .filter(|z| record.zone.as_ref().is_none_or(|r| r == *z));
-        zones.any(|z| {
-            !closed
-                .iter()
-                .any(|c| c.0 == *name && c.1 == *z && c.2 == pool.is_spot())
-        })
-    };
-    let mut pools = pools.iter().filter(|pool| passes(pool));
-    pools.find(open).copied()
-}
-
-/// Each pool that there is.
-fn all_pools(catalog: &[MachineType]) -> impl Iterator<Item = Pool> {
-    let types = 0..catalog.len();
-    types.flat_map(|machine_type| {
-        Market::ALL.map(|market| Pool {
-            machine_type,
-            market,
-        })
-    })
-}
-
-/// The pools that a task may use, in the order in which it counts on them.
-fn pools_for(catalog: &[MachineType], record: &JobRecord) -> Vec<Pool> {
-    let mut pools: Vec<Pool> = Vec::new();
-    for (class, info) in catalog.iter().enumerate() {
-        if record.allows(&info.name) && info.resources.holds(record.need) {
-            pools.push(Pool::of(class, false));
-            if record.spot {
-                pools.push(Pool::of(class, true));
-            }
-        }
-    }
-    pools.sort_by(|a, b| {
-        let size = |p: &Pool| {
-            catalog[p.machine_type].resources.gpus + catalog[p.machine_type].resources.cpus / 1e3
-        };
-        b.market.cmp(&a.market).then(size(a).total_cmp(&size(b)))
-    });
-    pools
-}
-
-/// How many of a task one machine holds; at least one.
-pub(crate) fn per_machine(class: &MachineType, need: Resources) -> f64 {
-    let fit = |have: f64, need: f64| {
-        if need > 0.0 {
-            (have / need + 1e-6).floor()
-        } else {
-            f64::MAX
-        }
-    };
-    fit(class.resources.cpus, need.cpus)
-        .min(fit(class.resources.gpus, need.gpus))
-        .min(fit(class.resources.mem, need.mem))
-        .clamp(1.0, 1e6)
-}
--- a/src/controller/autoscaling/mod.rs
+++ b/src/controller/autoscaling/mod.rs
@@ -8,6 +8,7 @@
 pub(crate) mod demand;
 pub(crate) mod machines;
 pub(crate) mod plan;
+pub(crate) mod pool_selection;
 pub(crate) mod reconcile;
 pub(crate) mod scale_out;
 
--- a/src/controller/scheduling/consolidation.rs
+++ b/src/controller/scheduling/consolidation.rs
@@ -134,7 +134,7 @@
     let mut spare = BTreeSet::new();
     for (pool, mut machines) in pools {
         machines.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let keep = shard.keep(pool, catalog, headroom, now);
+        let keep = shard.kept_room(pool, catalog, headroom, now);
         let mut free: f64 = machines.iter().map(|(share, _)| 1.0 - share).sum();
         for (share, id) in machines {
             // Its own room goes, and its work needs room on the others.
--- a/src/controller/scheduling/mod.rs
+++ b/src/controller/scheduling/mod.rs
@@ -291,7 +291,8 @@
 /// Work that may use spot machines waits for one rather than take that room.
 fn full_pools(shard: &ShardOwner, catalog: &[MachineType], headroom: f64, now: Time) -> Vec<Pool> {
     let on_demand = (0..catalog.len()).map(|machine_type| Pool::of(machine_type, false));
-    let full = |pool: &Pool| shard.machines.free(*pool) < shard.keep(*pool, catalog, headroom, now);
+    let full =
+        |pool: &Pool| shard.machines.free(*pool) < shard.kept_room(*pool, catalog, headroom, now);
     on_demand.filter(full).collect()
 }
 
--- a/src/controller/scheduling/scoring.rs
+++ b/src/controller/scheduling/scoring.rs
@@ -211,7 +211,7 @@
     let most = shard
         .images
         .values()
-        .map(|w| w.asked(now))
+        .map(|w| w.recent_uses(now))
         .fold(1e-9, f64::max);
     let mut ready: BTreeMap<&Image, u32> = BTreeMap::new();
     let needs = shard.images.values().map(|w| w.need);
@@ -238,7 +238,7 @@
             catalog.first()?,
             w.gb / fetch_gb_s,
         );
-        let worth = cost * w.asked(now) / most / f64::from(n);
+        let worth = cost * w.recent_uses(now) / most / f64::from(n);
         Some((image.clone(), (w.need, worth)))
     };
     ready.into_iter().filter_map(worth).collect()
--- a/src/controller/shard/image_demand.rs
+++ b/src/controller/shard/image_demand.rs
@@ -1,4 +1,4 @@
-//! Which images services ask for, and how often.
+//! Which images services use, and how often jobs with them arrive.
 
 use crate::controller::shard::{ShardOwner, decayed};
 use crate::controller::store::records::{JobKind, JobRecord, Resources};
@@ -7,29 +7,31 @@
 /// What is known of an image that services use.
 #[derive(Debug)]
 pub(crate) struct ImageDemand {
+    /// The class of the job that used it last.
     pub(crate) class: String,
+    /// Its size.
     pub(crate) gb: f64,
-    /// What a task of the job that used it last takes.
+    /// What a task of the job that used it last needs.
     pub(crate) need: Resources,
-    /// Jobs that came with it, older ones counting less, and when that was reckoned.
+    /// Jobs that arrived with it, older ones decayed, as of `at`.
     uses: f64,
     at: Time,
 }
 
-/// Half of the jobs that came so long ago are forgotten.
-const USE_HALF_S: f64 = 300.0;
+/// Half-life of the use of an image.
+const USE_HALF_LIFE_S: f64 = 300.0;
 /// Most images remembered; the least used are forgotten first.
 const IMAGES_MAX: usize = 256;
 
 impl ImageDemand {
-    /// How much it is asked for now.
-    pub(crate) fn asked(&self, now: Time) -> f64 {
-        decayed(self.uses, now.since(self.at), USE_HALF_S)
+    /// How much it is used, decayed until now.
+    pub(crate) fn recent_uses(&self, now: Time) -> f64 {
+        decayed(self.uses, now.since(self.at), USE_HALF_LIFE_S)
     }
 }
 
 impl ShardOwner {
-    /// Takes note of the image that a service comes with.
+    /// Records the image of a service that arrived.
     pub(crate) fn record_image_use(&mut self, now: Time, record: &JobRecord) {
         if record.kind != JobKind::Service {
             return;
@@ -39,14 +41,17 @@
             class: record.class.clone(),
             gb: record.image_gb,
             need: record.need,
-            uses: 1.0 + known.map_or(0.0, |w| w.asked(now)),
+            uses: 1.0 + known.map_or(0.0, |known| known.recent_uses(now)),
             at: now,
         };
         self.images.insert(record.image.clone(), demand);
         if self.images.len() > IMAGES_MAX {
-            let all = self.images.iter();
-            let least = all.min_by(|a, b| a.1.asked(now).total_cmp(&b.1.asked(now)));
-            if let Some(image) = least.map(|(image, _)| image.clone()) {
+            let by_use = |demand: &ImageDemand| demand.recent_uses(now);
+            let least_used = self
+                .images
+                .iter()
+                .min_by(|(_, a), (_, b)| by_use(a).total_cmp(&by_use(b)));
+            if let Some(image) = least_used.map(|(image, _)| image.clone()) {
                 self.images.remove(&image);
             }
         }
