--- a/src/controller/autoscaling/mod.rs
+++ b/src/controller/autoscaling/mod.rs
@@ -1,9 +1,10 @@
-//! How many machines there are. Each type is a pool, ordinary and spot apart. Each
-//! reconcile turn compares the larger of two counts, what waits and what runs, with what is
+//! How many machines there are. Each machine type and market is a pool. Each turn of the reconcile
+//! loop compares the larger of two counts, what is queued and what runs, with what is
 //! provisioned, booting machines included.
 //!
-//! [`demand`] counts, `tick` decides, `plan` writes the decision down, `scale_out_requests` carries
-//! scale-out requests out, and `machines` follows what becomes of the machines, to their deletion.
+//! [`demand`] counts, with [`pool_selection`] for the pool of each task; [`reconcile`] decides,
+//! [`plan`] writes the decision down, [`scale_out`] sends the scale-out requests, and [`machines`]
+//! follows machines from the cloud's list to their deletion.
 
 pub(crate) mod demand;
 pub(crate) mod machines;
@@ -20,47 +21,53 @@
 use crate::wire::{CloudOp, CloudReply, Listed};
 use std::collections::BTreeMap;
 
-/// Machines of a pool by zone.
+/// Machines by pool and zone.
 pub(crate) type Zones = BTreeMap<(Pool, String), u32>;
 
+/// What a pending call to the cloud is for.
 #[derive(Debug)]
 pub(crate) enum CloudPurpose {
+    /// The machine types.
     Catalog,
-    Rent(String),
+    /// The scale-out request of this name.
+    ScaleOut(String),
+    /// A shard's decommissioned machines.
     Delete {
+        /// The shard.
         shard: u32,
+        /// The machines.
         machines: Vec<MachineId>,
     },
+    /// The next page of the list of machines, after these.
     List(Vec<Listed>),
 }
 
 impl CloudPurpose {
     /// Whether the call scales out or deletes machines.
     pub(crate) fn changes(&self) -> bool {
-        matches!(self, Self::Rent(_) | Self::Delete { .. })
+        matches!(self, Self::ScaleOut(_) | Self::Delete { .. })
     }
 }
 
 /// Pause before a scale-out request without an answer is repeated.
 const REPEAT_S: f64 = 2.0;
-/// Counts are told to the leader this often, as a share of its reconcile turn.
-const COUNTS_SHARE: f64 = 0.2;
+/// Interval of the counts sent to the leader, as a share of the reconcile loop's.
+const COUNTS_INTERVAL_SHARE: f64 = 0.2;
 
 impl Controller {
+    /// Sends counts, lists machines, and scales, as far as each is due.
     pub(crate) fn leadership_housekeeping(&mut self) {
         if self.context.now >= self.context.counts_at {
-            self.context.counts_at = self
-                .context
-                .now
-                .after(self.context.settings.tuning.tick_s * COUNTS_SHARE);
+            let tick_s = self.context.settings.tuning.tick_s;
+            self.context.counts_at = self.context.now.after(tick_s * COUNTS_INTERVAL_SHARE);
             self.send_counts();
             self.lease_housekeeping();
         }
         if self.context.cloud.catalog.is_empty() {
             return;
         }
-        let several = self.shards.values().any(|h| !h.whole);
-        if self.context.lease_valid() || several {
+        let several_shards = self.shards.values().any(|shard| !shard.whole);
+        if self.context.lease_valid() || several_shards {
             self.context.list_machines();
         }
         if !self.context.may_use_cloud() {
@@ -71,37 +78,40 @@
         self.context.write_plan();
     }
 
-    pub(crate) fn on_cloud(&mut self, id: CallId, reply: CloudReply) {
-        let Some(purpose) = self.context.cloud.on_response(id, &reply) else {
+    /// Passes a response of the cloud to what its call was for.
+    pub(crate) fn on_cloud(&mut self, call: CallId, response: CloudReply) {
+        let Some(purpose) = self.context.cloud.on_response(call, &response) else {
             return;
         };
         match purpose {
-            CloudPurpose::Catalog => self.on_catalog(reply),
-            CloudPurpose::Rent(name) => self.on_scaled_out(&name, reply),
+            CloudPurpose::Catalog => self.on_catalog(response),
+            CloudPurpose::ScaleOut(name) => self.on_scale_out_response(&name, response),
             CloudPurpose::Delete { shard, machines } => {
                 if let Some(shard) = self.shards.get_mut(&shard) {
-                    shard.on_deleted(&mut self.context, machines, reply);
+                    shard.on_deleted(&mut self.context, machines, response);
                 }
             }
-            CloudPurpose::List(so_far) => self.on_machine_list(so_far, reply),
+            CloudPurpose::List(earlier_pages) => self.on_machine_list(earlier_pages, response),
         }
     }
 
-    fn on_catalog(&mut self, reply: CloudReply) {
-        let CloudReply::Catalog(classes) = reply else {
+    fn on_catalog(&mut self, response: CloudReply) {
+        let CloudReply::Catalog(machine_types) = response else {
             return;
         };
-        self.context.cloud.catalog = classes;
+        self.context.cloud.catalog = machine_types;
         let catalog = &self.context.cloud.catalog;
-        for h in self.shards.values_mut() {
-            h.machines
+        for shard in self.shards.values_mut() {
+            shard
+                .machines
                 .edit_all(|machine| machine.resolve_machine_type(catalog));
-            h.scheduling_wanted = true;
+            shard.scheduling_wanted = true;
         }
     }
 }
 
 impl Context {
+    /// Asks for the machine types until they are known.
     pub(crate) fn catalog_housekeeping(&mut self) {
         if self.cloud.catalog.is_empty() && self.now >= self.cloud.catalog_retry {
             self.cloud.catalog_retry = self.now.after(REPEAT_S);
--- a/src/controller/autoscaling/plan.rs
+++ b/src/controller/autoscaling/plan.rs
@@ -1,19 +1,23 @@
-//! The leader's plan: what it wants, and the scale-out requests under way, written before they are sent.
+//! The leader's scaling plan: wanted counts and the scale-out requests under way, written before
+//! these are sent.
 
 use crate::controller::autoscaling::scale_out::{ScaleOutRequest, ScaleOutStep};
 use crate::controller::context::Context;
 use crate::controller::pool::Pool;
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::store::records::{
-    ExhaustedPool, Key, Record, ScaleOutRecord, ScalingPlanRecord, json_bytes,
+    ExhaustedPool, Key, Record, ScalingPlanRecord, json_bytes,
 };
 use crate::controller::store_requests::RequestPurpose;
 use crate::ids::{MachineId, Time};
-use crate::wire::{StoreRequest, StoreResponse, Write};
+use crate::wire::{MachineType, StoreRequest, StoreResponse, Write};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// Share of the value limit that the plan may fill.
-const PLAN_SHARE: f64 = 0.9;
+/// Share of the store's value limit that the plan may fill.
+const PLAN_VALUE_SHARE: f64 = 0.9;
+/// An answered scale-out request is kept for so many list lags, and so many seconds more.
+const ANSWERED_LIST_LAGS: f64 = 3.0;
+const ANSWERED_MARGIN_S: f64 = 5.0;
 
 /// How long a zone of a pool isn't asked again.
 #[derive(Clone, Copy, Debug)]
@@ -24,28 +28,45 @@
     pub(crate) refusals: u32,
 }
 
+/// What was wanted of a pool at one turn of the reconcile loop.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct WantedAt {
+    at: Time,
+    machines: u32,
+}
+
+/// What the leader knows and plans of scaling.
 #[derive(Debug, Default)]
 pub(crate) struct ScalingState {
-    /// Whether counts are rebuilt, so that scaling out may begin.
+    /// Since when counts are rebuilt, so that scaling out may begin.
     pub(crate) ready: Option<Time>,
+    /// Whether a whole list of the machines has come.
     pub(crate) listed: bool,
+    /// When the next turn of the reconcile loop is due.
     pub(crate) reconcile_at: Time,
-    pub(crate) wanted: BTreeMap<Pool, VecDeque<(Time, u32)>>,
+    /// Wanted counts within the stabilization window, the latest last.
+    pub(crate) wanted: BTreeMap<Pool, VecDeque<WantedAt>>,
+    /// Scale-out requests under way.
     pub(crate) scale_out_requests: Vec<ScaleOutRequest>,
+    /// How many were planned; part of their names.
     pub(crate) scale_out_count: u64,
     /// Zones of pools that had no capacity when they were last asked.
     pub(crate) exhausted: HashMap<(Pool, String), Exhausted>,
-    pub(crate) shares: Vec<(u32, u32)>,
-    pub(crate) closed: Vec<ExhaustedPool>,
-    /// Machines to return, for the next plan.
+    /// Shares of new jobs that the written plan gives each shard.
+    pub(crate) written_shares: Vec<(u32, u32)>,
+    /// Exhausted pools that the written plan names.
+    pub(crate) written_exhausted: Vec<ExhaustedPool>,
+    /// Machines to give back, for the next plan.
     pub(crate) scale_in: Vec<MachineId>,
+    /// Whether a plan is being written.
     pub(crate) plan_write_pending: bool,
+    /// Whether the written plan is out of date.
     pub(crate) plan_changed: bool,
 }
 
 impl Context {
-    /// A new leader first repeats the scale-out requests that the plan speaks of, under their
-    /// names, and lists: it scales out only once it knows what is there.
+    /// A new leader first repeats the scale-out requests in the plan, under their
+    /// names, and lists machines: it scales out only once it knows which there are.
     pub(crate) fn rebuild_scaling_state(&mut self) {
         let now = self.now;
         let plan = self.store.mirror.plan.record.clone().unwrap_or_default();
@@ -62,76 +83,72 @@
         leadership.scale.reconcile_at = now;
     }
 
-    /// Writes wanted counts and scale-out requests. A scale-out request is sent only once it stands here.
+    /// Writes the plan if it changed. A scale-out request is sent only once it is written.
     pub(crate) fn write_plan(&mut self) {
-        let lag = self.settings.platform.facts.cloud.list_lag_s;
+        let lag_s = self.settings.platform.facts.cloud.list_lag_s;
         let now = self.now;
         let shares = self.job_shares();
-        let preconditions = vec![(Key::Leader, self.store.mirror.leader.version())];
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        let s = &mut leadership.scale;
-        let before = s.scale_out_requests.len();
-        let kept_s = 3.0 * lag + 5.0;
-        s.scale_out_requests.retain(|request| {
-            request.step != ScaleOutStep::Answered || now.since(request.at) < kept_s
-        });
-        let closed = s.closed(&self.cloud.catalog, now);
-        s.plan_changed |=
-            s.scale_out_requests.len() != before || s.shares != shares || s.closed != closed;
-        if s.plan_write_pending || !s.plan_changed {
+        let catalog = &self.cloud.catalog;
+        let scale = &mut leadership.scale;
+        scale.remove_listed_requests(now, ANSWERED_LIST_LAGS * lag_s + ANSWERED_MARGIN_S);
+        let exhausted = scale.exhausted_pools(catalog, now);
+        scale.plan_changed |=
+            scale.written_shares != shares || scale.written_exhausted != exhausted;
+        if scale.plan_write_pending || !scale.plan_changed {
             return;
         }
-        let wanted = s.wanted.iter().filter_map(|(pool, w)| {
-            let name = pool.type_in(&self.cloud.catalog)?.name.clone();
-            Some((name, pool.is_spot(), w.back()?.1))
-        });
         let mut plan = ScalingPlanRecord {
             token: leadership.token,
-            wanted: wanted.collect(),
-            shares: shares.clone(),
-            closed: closed.clone(),
+            wanted: scale.wanted_by_type(catalog),
+            shares,
+            closed: exhausted,
             ..ScalingPlanRecord::default()
         };
         let value_bytes = self.settings.state_limits().value_bytes;
-        let most = (value_bytes as f64 * PLAN_SHARE) as usize;
-        let left = most.saturating_sub(json_bytes(&plan));
-        (plan.scale_out_requests, plan.scale_in) = s.fit(left);
-        if json_bytes(&plan) > value_bytes {
-            // An earlier leader's scale-out requests, from a time of larger values, wait for their answers.
-            // Once enough are answered, the rest fits.
-            return;
+        scale.fill_plan(&mut plan, (value_bytes as f64 * PLAN_VALUE_SHARE) as usize);
+        // An earlier leader's scale-out requests, from a time of a larger value limit, wait for
+        // their answers. Once enough are answered, the rest fits.
+        if json_bytes(&plan) <= value_bytes {
+            self.send_plan(plan);
         }
-        let op = StoreRequest::Transaction {
-            preconditions,
+    }
+
+    fn send_plan(&mut self, plan: ScalingPlanRecord) {
+        let (shares, exhausted) = (plan.shares.clone(), plan.closed.clone());
+        let request = StoreRequest::Transaction {
+            preconditions: vec![(Key::Leader, self.store.mirror.leader.version())],
             writes: vec![Write::put(Key::Plan, Record::Plan(plan))],
         };
         if self
-            .send_store_request(op, RequestPurpose::WritePlan, Priority::First)
+            .send_store_request(request, RequestPurpose::WritePlan, Priority::First)
             .is_ok()
             && let Some(leadership) = &mut self.leadership
         {
-            leadership.scale.plan_write_pending = true;
-            leadership.scale.plan_changed = false;
-            leadership.scale.shares = shares;
-            leadership.scale.closed = closed;
-            leadership.scale.scale_in.clear();
+            let scale = &mut leadership.scale;
+            scale.plan_write_pending = true;
+            scale.plan_changed = false;
+            scale.written_shares = shares;
+            scale.written_exhausted = exhausted;
+            scale.scale_in.clear();
         }
     }
 
-    pub(crate) fn on_plan_written(&mut self, reply: StoreResponse) {
+    /// Sends the scale-out requests of a plan that is written, or has it written again.
+    pub(crate) fn on_plan_written(&mut self, response: StoreResponse) {
         let now = self.now;
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        let s = &mut leadership.scale;
-        s.plan_write_pending = false;
-        if let StoreResponse::Committed { .. } = reply {
-            // Scale-out requests planned while the commit was under way made the plan dirty
-            // again, and wait for the next one.
-            if !s.plan_changed {
-                for request in &mut s.scale_out_requests {
+        let scale = &mut leadership.scale;
+        scale.plan_write_pending = false;
+        if let StoreResponse::Committed { .. } = response {
+            // Scale-out requests planned while the transaction was under way made the plan out of
+            // date again, and wait for the next one.
+            if !scale.plan_changed {
+                for request in &mut scale.scale_out_requests {
                     if request.step == ScaleOutStep::Planned {
                         (request.step, request.at) = (ScaleOutStep::Written, now);
                     }
@@ -139,17 +156,36 @@
             }
             self.send_scale_out_requests();
         } else {
-            s.plan_changed = true;
+            scale.plan_changed = true;
         }
     }
 }
 
 impl ScalingState {
-    /// The requests to scale out and the machines to return that fit into so many bytes. With
-    /// many pools and zones a plan outgrew its value, and then nothing was scaled out. Requests
-    /// that are answered go first: they only help a new leader before its list does; those
-    /// that nobody has sent are planned again.
-    fn fit(&mut self, bytes: usize) -> (Vec<ScaleOutRecord>, Vec<MachineId>) {
+    /// Removes the scale-out requests whose machines are surely listed by now.
+    fn remove_listed_requests(&mut self, now: Time, kept_s: f64) {
+        let before = self.scale_out_requests.len();
+        self.scale_out_requests.retain(|request| {
+            request.step != ScaleOutStep::Answered || now.since(request.at) < kept_s
+        });
+        self.plan_changed |= self.scale_out_requests.len() != before;
+    }
+
+    /// The latest wanted counts, in the plan's form.
+    fn wanted_by_type(&self, catalog: &[MachineType]) -> Vec<(String, bool, u32)> {
+        let wanted = self.wanted.iter().filter_map(|(pool, window)| {
+            let name = pool.type_in(catalog)?.name.clone();
+            Some((name, pool.is_spot(), window.back()?.machines))
+        });
+        wanted.collect()
+    }
+
+    /// Adds the scale-out requests and the machines to give back that fit into a plan of so many
+    /// bytes. With many pools and zones a plan outgrew its value, and then nothing was scaled out.
+    /// Answered requests are dropped first: they only help a new leader before its list is
+    /// complete; those that haven't been sent are planned again.
+    fn fill_plan(&mut self, plan: &mut ScalingPlanRecord, plan_bytes: usize) {
+        let bytes = plan_bytes.saturating_sub(json_bytes(plan));
         let mut used: usize = self
             .scale_out_requests
             .iter()
@@ -159,17 +195,15 @@
             let answered = |request: &ScaleOutRequest| request.step == ScaleOutStep::Answered;
             let planned = |request: &ScaleOutRequest| request.step == ScaleOutStep::Planned;
             let oldest = self.scale_out_requests.iter().position(answered);
-            let Some(at) = oldest.or_else(|| self.scale_out_requests.iter().rposition(planned))
+            let Some(dropped) =
+                oldest.or_else(|| self.scale_out_requests.iter().rposition(planned))
             else {
                 break;
             };
-            used -= json_bytes(&self.scale_out_requests.remove(at).record);
+            used -= json_bytes(&self.scale_out_requests.remove(dropped).record);
         }
-        let scale_out_requests = self
-            .scale_out_requests
-            .iter()
-            .map(|request| request.record.clone())
-            .collect();
+        let requests = self.scale_out_requests.iter();
+        plan.scale_out_requests = requests.map(|request| request.record.clone()).collect();
         let mut left = bytes.saturating_sub(used);
         let fits = |id: &&MachineId| {
             let size = json_bytes(*id);
@@ -177,28 +211,29 @@
             left = left.saturating_sub(size);
             fits
         };
-        (
-            scale_out_requests,
-            self.scale_in.iter().take_while(fits).cloned().collect(),
-        )
+        plan.scale_in = self.scale_in.iter().take_while(fits).cloned().collect();
     }
 
-    /// Keeps the counts of the stabilization window.
-    pub(crate) fn record_wanted(&mut self, pool: Pool, now: Time, wanted: u32, window_s: f64) {
-        let w = self.wanted.entry(pool).or_default();
-        if w.back().map(|(_, n)| *n) != Some(wanted) {
+    /// Records what is wanted of a pool, for as long as the stabilization window.
+    pub(crate) fn record_wanted(&mut self, pool: Pool, now: Time, machines: u32, window_s: f64) {
+        let window = self.wanted.entry(pool).or_default();
+        if window.back().map(|latest| latest.machines) != Some(machines) {
             self.plan_changed = true;
         }
-        w.push_back((now, wanted));
-        while w.front().is_some_and(|(at, _)| now.since(*at) > window_s) {
-            w.pop_front();
+        window.push_back(WantedAt { at: now, machines });
+        while window
+            .front()
+            .is_some_and(|oldest| now.since(oldest.at) > window_s)
+        {
+            window.pop_front();
         }
     }
 
-    pub(crate) fn highest(&self, pool: Pool) -> u32 {
+    /// The highest count wanted of a pool within the stabilization window.
+    pub(crate) fn highest_wanted(&self, pool: Pool) -> u32 {
         let window = self.wanted.get(&pool);
         window
-            .and_then(|w| w.iter().map(|(_, n)| *n).max())
+            .and_then(|window| window.iter().map(|wanted| wanted.machines).max())
             .unwrap_or(0)
     }
 }
--- a/src/controller/autoscaling/reconcile.rs
+++ b/src/controller/autoscaling/reconcile.rs
@@ -1,8 +1,8 @@
-//! The reconcile turn: from the shards' counts to scale-out requests and returns.
+//! The reconcile loop: from the shards' counts to scale-out requests and machines to give back.
 
 use crate::controller::Controller;
 use crate::controller::autoscaling::Zones;
-use crate::controller::autoscaling::scale_out::ScaleOutStep;
+use crate::controller::autoscaling::scale_out::{ScaleOutDemand, ScaleOutStep};
 use crate::controller::context::Context;
 use crate::controller::pool::Pool;
 use crate::ids::{MachineId, Time};
@@ -13,18 +13,24 @@
 /// What the shards' owners count, put together.
 #[derive(Default)]
 struct FleetCounts {
+    /// Each shard's count of each pool.
     counts: BTreeMap<Pool, BTreeMap<u32, PoolCount>>,
-    zones: Zones,
-    pins: Zones,
+    /// Machines that there are.
+    machines: Zones,
+    /// Machines lacking in particular zones.
+    lacking: Zones,
+    /// Machines without tasks, those that are missed least first.
     empty: BTreeMap<Pool, Vec<MachineId>>,
-    /// Machines asked for, without an answer yet.
-    asked: BTreeMap<Pool, u32>,
+    /// Machines in scale-out requests without an answer yet.
+    requested: BTreeMap<Pool, u32>,
 }
 
 /// What is wanted of one pool, over all shards.
 #[derive(Clone, Copy, Debug, Default)]
 struct PoolDemand {
+    /// Machines wanted.
     wanted: u32,
+    /// Machines that there are, booting ones included.
     provisioned: u32,
     /// Machines lacking. A machine serves its own shard only, so each shard's gap is its own.
     gap: u32,
@@ -49,7 +55,7 @@
 }
 
 impl Context {
-    /// Since when counts are rebuilt, if it is time for the next turn.
+    /// Since when counts are rebuilt, if the next turn is due.
     fn reconcile_due(&mut self) -> Option<Time> {
         let now = self.now;
         let shards = self.store.mirror.shards.len();
@@ -68,7 +74,7 @@
         Some(ready)
     }
 
-    /// Adds up what the shards want of a pool, and takes note of what each of them lacks.
+    /// Adds up what the shards want of a pool, and records what each of them lacks.
     fn count_demand(&mut self, pool: Pool, shards: &BTreeMap<u32, PoolCount>) -> PoolDemand {
         let ceiling = self.settings.ceiling();
         let mut demand = PoolDemand::default();
@@ -79,10 +85,10 @@
             demand.wanted += wanted;
             demand.provisioned += count.provisioned;
             demand.gap += gap;
-            if let (Some(leadership), Some(found)) =
+            if let (Some(leadership), Some(machine_type)) =
                 (&mut self.leadership, pool.type_in(&self.cloud.catalog))
             {
-                let key = (found.name.clone(), pool.is_spot(), *shard);
+                let key = (machine_type.name.clone(), pool.is_spot(), *shard);
                 leadership.lacking_machines.insert(key, gap);
             }
         }
@@ -95,7 +101,7 @@
         demand
     }
 
-    /// Plans what to scale out, and what to give back, of one pool.
+    /// Plans what to scale out and what to scale in of one pool.
     fn scale_pool(&mut self, fleet: &FleetCounts, pool: Pool, demand: PoolDemand, ready: Time) {
         let now = self.now;
         let (Some(leadership), Some(machine_type)) =
@@ -111,74 +117,77 @@
         } = demand;
         let window_s = self.settings.tuning.window * machine_type.ready_s;
         scale.record_wanted(pool, now, wanted, window_s);
-        let asked = fleet.asked.get(&pool).copied().unwrap_or(0);
+        let requested = fleet.requested.get(&pool).copied().unwrap_or(0);
         // A machine in the wrong zone is no help to tasks that may not go there.
-        let pins = fleet.pins.iter().filter(|((of, _), _)| *of == pool);
-        let pins: BTreeMap<&String, u32> = pins.map(|((_, zone), n)| (zone, *n)).collect();
+        let lacking = fleet.lacking.iter().filter(|((of, _), _)| *of == pool);
+        let by_zone: BTreeMap<&String, u32> =
+            lacking.map(|((_, zone), count)| (zone, *count)).collect();
         let below_ceiling = self.settings.ceiling().saturating_sub(provisioned);
-        let gap = gap.max(pins.values().sum());
-        let gap = gap.min(below_ceiling).saturating_sub(asked);
+        let gap = gap.max(by_zone.values().sum());
+        let gap = gap.min(below_ceiling).saturating_sub(requested);
         let gap = gap.min(self.settings.rise(gap));
         if gap > 0 {
-            let zones = (&fleet.zones, &pins);
-            scale.plan_scale_out(&self.cloud.catalog, pool, gap, zones, leadership.token, now);
+            let demand = ScaleOutDemand {
+                pool,
+                gap,
+                by_zone: &by_zone,
+                existing: &fleet.machines,
+            };
+            scale.plan_scale_out(&self.cloud.catalog, &demand, leadership.token, now);
         }
-        // A new leader hasn't seen how high the count stood before its time.
+        // A new leader doesn't know the highest count before it was elected.
         if now.since(ready) < window_s {
             return;
         }
-        let keep = scale.highest(pool).max(wanted);
-        let surplus = (provisioned + asked).saturating_sub(keep) as usize;
-        let idle = fleet.empty.get(&pool).into_iter().flatten();
+        let kept = scale.highest_wanted(pool).max(wanted);
+        let surplus = (provisioned + requested).saturating_sub(kept) as usize;
+        let empty = fleet.empty.get(&pool).into_iter().flatten();
         let before = scale.scale_in.len();
-        scale.scale_in.extend(idle.take(surplus).cloned());
+        scale.scale_in.extend(empty.take(surplus).cloned());
         scale.plan_changed |= scale.scale_in.len() > before;
     }
-}
 
-impl Context {
-    /// Adds up what the shards' owners count.
+    /// Adds up what the shards' owners count. Types that the catalog doesn't have are left out.
     fn count_fleet(&self) -> FleetCounts {
         let mut fleet = FleetCounts::default();
-        let class = |name: &str| self.cloud.catalog.iter().position(|c| c.name == name);
-        for t in self.believed() {
-            for (name, spot, c) in &t.pools {
-                if let Some(class) = class(name) {
-                    let pool = fleet.counts.entry(Pool::of(class, *spot)).or_default();
-                    pool.insert(t.shard, *c);
+        for shard_counts in self.believed() {
+            for (type_name, spot, count) in &shard_counts.pools {
+                if let Some(pool) = self.pool_named(type_name, *spot) {
+                    let by_shard = fleet.counts.entry(pool).or_default();
+                    by_shard.insert(shard_counts.shard, *count);
                 }
             }
-            for (name, spot, zone, n) in &t.zones {
-                if let Some(class) = class(name) {
-                    let key = (Pool::of(class, *spot), zone.clone());
-                    *fleet.zones.entry(key).or_default() += n;
+            for (type_name, spot, zone, count) in &shard_counts.zones {
+                if let Some(pool) = self.pool_named(type_name, *spot) {
+                    *fleet.machines.entry((pool, zone.clone())).or_default() += count;
                 }
             }
-            for (name, spot, zone, n) in &t.pins {
-                if let Some(class) = class(name) {
-                    let key = (Pool::of(class, *spot), zone.clone());
-                    *fleet.pins.entry(key).or_default() += n;
+            for (type_name, spot, zone, count) in &shard_counts.pins {
+                if let Some(pool) = self.pool_named(type_name, *spot) {
+                    *fleet.lacking.entry((pool, zone.clone())).or_default() += count;
                 }
             }
-            for (name, spot, id) in &t.empty {
-                if let Some(class) = class(name) {
-                    let pool = fleet.empty.entry(Pool::of(class, *spot)).or_default();
-                    pool.push(id.clone());
+            for (type_name, spot, id) in &shard_counts.empty {
+                if let Some(pool) = self.pool_named(type_name, *spot) {
+                    fleet.empty.entry(pool).or_default().push(id.clone());
                 }
             }
         }
-        let scale_out_requests = self
-            .leadership
-            .iter()
-            .flat_map(|l| &l.scale.scale_out_requests);
-        for request in scale_out_requests.filter(|request| request.step != ScaleOutStep::Answered) {
-            if let Some(class) = class(&request.record.class) {
-                *fleet
-                    .asked
-                    .entry(Pool::of(class, request.record.spot))
-                    .or_default() += request.record.count;
+        let leadership = self.leadership.iter();
+        let requests = leadership.flat_map(|leadership| &leadership.scale.scale_out_requests);
+        for request in requests.filter(|request| request.step != ScaleOutStep::Answered) {
+            let record = &request.record;
+            if let Some(pool) = self.pool_named(&record.class, record.spot) {
+                *fleet.requested.entry(pool).or_default() += record.count;
             }
         }
         fleet
     }
+
+    /// The pool of a type by its name, if the catalog has it.
+    fn pool_named(&self, type_name: &str, spot: bool) -> Option<Pool> {
+        let mut types = self.cloud.catalog.iter();
+        let index = types.position(|machine_type| machine_type.name == type_name)?;
+        Some(Pool::of(index, spot))
+    }
 }
--- a/src/controller/autoscaling/scale_out.rs
+++ b/src/controller/autoscaling/scale_out.rs
@@ -1,4 +1,5 @@
-//! Scale-out requests: planned, written, sent, and repeated under their names until they are answered.
+//! Scale-out requests: planned, written, sent, and repeated under their names until they are
+//! answered.
 
 use crate::controller::Controller;
 use crate::controller::autoscaling::plan::{Exhausted, ScalingState};
@@ -13,99 +14,97 @@
 use log::{info, warn};
 use std::collections::BTreeMap;
 
-/// Pauses after a refusal, in boot times of nothing: plain seconds.
-const REFUSED_S: f64 = 10.0;
-const REFUSED_MAX_S: f64 = 80.0;
+/// Pause before a zone that refused is asked again; doubled by each further refusal, up to the
+/// longest.
+const REFUSAL_PAUSE_S: f64 = 10.0;
+const REFUSAL_PAUSE_MAX_S: f64 = 80.0;
+/// Most refusals in a row that double the pause.
+const REFUSAL_DOUBLINGS_MAX: u32 = 6;
 /// Most machines that one scale-out request may ask for.
 const SCALE_OUT_MAX: u32 = 50;
 
 /// A request to scale out.
 #[derive(Debug)]
 pub(crate) struct ScaleOutRequest {
+    /// What it asks for, as it is written.
     pub(crate) record: ScaleOutRecord,
+    /// How far it has come.
     pub(crate) step: ScaleOutStep,
+    /// When it came to this step; for a repeated one, when it is due.
     pub(crate) at: Time,
 }
 
+/// How far a request to scale out has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ScaleOutStep {
     /// Not yet in the written plan.
     Planned,
     /// Written: may be sent.
     Written,
+    /// Sent, and not answered yet.
     Sent,
     /// Answered; kept in the plan until lists surely show its machines.
     Answered,
 }
 
+/// A zone of a pool, as the planning of a scale-out sees it.
+struct ZonePlan<'a> {
+    zone: &'a String,
+    /// Machines of the pool that are there.
+    existing: u32,
+    /// Machines to ask for.
+    added: u32,
+}
+
+/// What to scale out of one pool.
+pub(crate) struct ScaleOutDemand<'a> {
+    /// The pool.
+    pub(crate) pool: Pool,
+    /// How many machines are lacking.
+    pub(crate) gap: u32,
+    /// How many of them must be in particular zones.
+    pub(crate) by_zone: &'a BTreeMap<&'a String, u32>,
+    /// Machines that there are, of all pools.
+    pub(crate) existing: &'a Zones,
+}
+
 impl Controller {
-    pub(crate) fn on_scaled_out(&mut self, name: &str, reply: CloudReply) {
+    /// Takes the response to a scale-out request: new machines, a refusal, or none that says
+    /// anything, so that the request is repeated.
+    pub(crate) fn on_scale_out_response(&mut self, name: &str, response: CloudReply) {
         let now = self.context.now;
+        let catalog = &self.context.cloud.catalog;
         let Some(leadership) = &mut self.context.leadership else {
             return;
         };
-        let Some(record) = leadership
-            .scale
-            .scale_out_requests
-            .iter()
-            .find(|request| request.record.name == name)
-        else {
+        let scale = &mut leadership.scale;
+        let mut requests = scale.scale_out_requests.iter();
+        let Some(request) = requests.find(|request| request.record.name == name) else {
             return;
         };
-        let record = record.record.clone();
-        let class = self
-            .context
-            .cloud
-            .catalog
-            .iter()
-            .position(|c| c.name == record.class);
-        let Some(class) = class else {
+        let record = request.record.clone();
+        let mut types = catalog.iter();
+        let Some(index) = types.position(|machine_type| machine_type.name == record.class) else {
             return;
         };
-        let place = (Pool::of(class, record.spot), record.zone.clone());
-        match reply {
+        let pool = Pool::of(index, record.spot);
+        match response {
             CloudReply::Rented(machines) => {
-                info!(
-                    "scaled out, type={} zone={} spot={} machines={} asked={}",
-                    record.class,
-                    record.zone,
-                    record.spot,
-                    machines.len(),
-                    record.count
-                );
-                if (machines.len() as u32) < record.count {
-                    leadership.scale.mark_exhausted(place, now);
-                } else {
-                    leadership.scale.exhausted.remove(&place);
-                }
-                leadership.scale.step(name, ScaleOutStep::Answered, now);
+                scale.on_scaled_out(pool, &record, &machines, now);
                 self.add_machines(&record, machines);
             }
-            CloudReply::Refused => {
-                warn!(
-                    "pool exhausted, type={} zone={} spot={}",
-                    record.class, record.zone, record.spot
-                );
-                leadership.scale.mark_exhausted(place, now);
-                leadership
-                    .scale
-                    .scale_out_requests
-                    .retain(|request| request.record.name != name);
-                leadership.scale.plan_changed = true;
-            }
-            _ => leadership
-                .scale
-                .step(name, ScaleOutStep::Written, now.after(REPEAT_S)),
+            CloudReply::Refused => scale.on_refused(pool, &record, now),
+            _ => scale.set_step(name, ScaleOutStep::Written, now.after(REPEAT_S)),
         }
     }
 
-    /// New machines join the only shard at once, or a shard's list.
+    /// New machines join the only shard at once, or the machines to be assigned to one.
     fn add_machines(&mut self, record: &ScaleOutRecord, machines: Vec<MachineId>) {
         let now = self.context.now;
-        let whole = self.shards.values_mut().find(|h| h.whole);
-        if let Some(h) = whole {
+        let only_shard = self.shards.values_mut().find(|shard| shard.whole);
+        if let Some(shard) = only_shard {
             for id in machines {
-                if !h.machines.contains_key(&id) && !h.deleted_machines.contains_key(&id) {
+                if !shard.machines.contains_key(&id) && !shard.deleted_machines.contains_key(&id) {
                     let machine = Machine::new(
                         &self.context.cloud.catalog,
                         &record.class,
@@ -113,7 +112,7 @@
                         record.spot,
                         now,
                     );
-                    h.machines.insert(id, machine);
+                    shard.machines.insert(id, machine);
                 }
             }
             return;
@@ -131,6 +130,7 @@
 }
 
 impl Context {
+    /// Sends the scale-out requests that are written and due.
     pub(crate) fn send_scale_out_requests(&mut self) {
         let now = self.now;
         let Some(leadership) = self.leadership.as_ref().filter(|_| self.may_use_cloud()) else {
@@ -145,59 +145,41 @@
             .collect();
         for record in due {
             let name = record.name.clone();
-            let purpose = CloudPurpose::Rent(name.clone());
+            let purpose = CloudPurpose::ScaleOut(name.clone());
             if !self.cloud_call(CloudOp::Rent(record), purpose, Priority::Usual) {
                 return;
             }
             if let Some(leadership) = &mut self.leadership {
-                leadership.scale.step(&name, ScaleOutStep::Sent, now);
+                leadership.scale.set_step(&name, ScaleOutStep::Sent, now);
             }
         }
     }
 }
 
 impl ScalingState {
-    /// Plans scale-out requests, each machine to the open zone with fewest such machines.
+    /// Plans scale-out requests, each machine to the zone with capacity that has fewest such
+    /// machines.
     pub(crate) fn plan_scale_out(
         &mut self,
         catalog: &[MachineType],
-        pool: Pool,
-        gap: u32,
-        (there, pins): (&Zones, &BTreeMap<&String, u32>),
-        term: FencingToken,
+        demand: &ScaleOutDemand,
+        token: FencingToken,
         now: Time,
     ) {
-        let info = &catalog[pool.machine_type];
-        let mut zones: Vec<(u32, &String, u32)> = Vec::new();
-        for zone in &info.zones {
-            if self.has_capacity(pool, zone, now) {
-                let have = there.get(&(pool, zone.clone())).copied().unwrap_or(0);
-                zones.push((have, zone, 0));
-            }
-        }
-        let mut left = gap;
-        for (_, zone, new) in &mut zones {
-            *new = pins.get(*zone).copied().unwrap_or(0).min(left);
-            left -= *new;
-        }
-        for _ in 0..left {
-            let Some(least) = zones.iter_mut().min_by_key(|(have, _, new)| have + new) else {
-                return;
-            };
-            least.2 += 1;
-        }
-        for (_, zone, mut count) in zones {
-            // One request holds no more than the cloud takes.
-            while count > 0 {
-                let part = count.min(SCALE_OUT_MAX);
-                count -= part;
+        let machine_type = &catalog[demand.pool.machine_type];
+        for ZonePlan { zone, added, .. } in self.zone_plans(machine_type, demand, now) {
+            let mut left = added;
+            // One request asks for no more than the cloud accepts.
+            while left > 0 {
+                let count = left.min(SCALE_OUT_MAX);
+                left -= count;
                 self.scale_out_count += 1;
                 let record = ScaleOutRecord {
-                    name: format!("r-{}-{}", term.0, self.scale_out_count),
-                    class: info.name.clone(),
+                    name: format!("r-{}-{}", token.0, self.scale_out_count),
+                    class: machine_type.name.clone(),
                     zone: zone.clone(),
-                    spot: pool.is_spot(),
-                    count: part,
+                    spot: demand.pool.is_spot(),
+                    count,
                 };
                 self.scale_out_requests.push(ScaleOutRequest {
                     record,
@@ -209,16 +191,54 @@
         }
     }
 
-    /// What the cloud has nothing left of, for the plan.
-    pub(crate) fn closed(&self, catalog: &[MachineType], now: Time) -> Vec<ExhaustedPool> {
-        let pools = self.exhausted.iter().filter(|(_, e)| now < e.until);
-        let pools = pools.filter_map(|((pool, zone), _)| {
+    /// How many machines to ask for in each zone with capacity: first those that must be there,
+    /// then one by one where the fewest are.
+    fn zone_plans<'a>(
+        &self,
+        machine_type: &'a MachineType,
+        demand: &ScaleOutDemand,
+        now: Time,
+    ) -> Vec<ZonePlan<'a>> {
+        let pool = demand.pool;
+        let zones = machine_type.zones.iter();
+        let zones = zones.filter(|zone| self.has_capacity(pool, zone, now));
+        let mut plans: Vec<ZonePlan> = zones
+            .map(|zone| {
+                let existing = demand.existing.get(&(pool, zone.clone()));
+                ZonePlan {
+                    zone,
+                    existing: existing.copied().unwrap_or(0),
+                    added: 0,
+                }
+            })
+            .collect();
+        let mut left = demand.gap;
+        for plan in &mut plans {
+            let required = demand.by_zone.get(plan.zone).copied();
+            plan.added = required.unwrap_or(0).min(left);
+            left -= plan.added;
+        }
+        for _ in 0..left {
+            let fewest = plans.iter_mut();
+            let Some(fewest) = fewest.min_by_key(|plan| plan.existing + plan.added) else {
+                break;
+            };
+            fewest.added += 1;
+        }
+        plans
+    }
+
+    /// The exhausted zones of pools, in the plan's form.
+    pub(crate) fn exhausted_pools(&self, catalog: &[MachineType], now: Time) -> Vec<ExhaustedPool> {
+        let exhausted = self.exhausted.iter();
+        let exhausted = exhausted.filter(|(_, exhausted)| now < exhausted.until);
+        let exhausted = exhausted.filter_map(|((pool, zone), _)| {
             let machine_type = pool.type_in(catalog)?;
             Some((machine_type.name.clone(), zone.clone(), pool.is_spot()))
         });
-        let mut pools: Vec<ExhaustedPool> = pools.collect();
-        pools.sort();
-        pools
+        let mut exhausted: Vec<ExhaustedPool> = exhausted.collect();
+        exhausted.sort();
+        exhausted
     }
 
     /// Whether a zone of a pool may be asked.
@@ -227,10 +247,48 @@
         exhausted.is_none_or(|exhausted| now >= exhausted.until)
     }
 
+    /// A request was answered with machines. Fewer than it asked for mean that there are no more.
+    fn on_scaled_out(
+        &mut self,
+        pool: Pool,
+        record: &ScaleOutRecord,
+        machines: &[MachineId],
+        now: Time,
+    ) {
+        info!(
+            "scaled out, type={} zone={} spot={} machines={} asked={}",
+            record.class,
+            record.zone,
+            record.spot,
+            machines.len(),
+            record.count
+        );
+        let place = (pool, record.zone.clone());
+        if (machines.len() as u32) < record.count {
+            self.mark_exhausted(place, now);
+        } else {
+            self.exhausted.remove(&place);
+        }
+        self.set_step(&record.name, ScaleOutStep::Answered, now);
+    }
+
+    /// A request was refused for want of capacity.
+    fn on_refused(&mut self, pool: Pool, record: &ScaleOutRecord, now: Time) {
+        warn!(
+            "pool exhausted, type={} zone={} spot={}",
+            record.class, record.zone, record.spot
+        );
+        self.mark_exhausted((pool, record.zone.clone()), now);
+        self.scale_out_requests
+            .retain(|request| request.record.name != record.name);
+        self.plan_changed = true;
+    }
+
     fn mark_exhausted(&mut self, place: (Pool, String), now: Time) {
         let known = self.exhausted.get(&place);
         let refusals = known.map_or(0, |exhausted| exhausted.refusals);
-        let pause_s = (REFUSED_S * 2f64.powi(refusals.min(6) as i32)).min(REFUSED_MAX_S);
+        let doublings = refusals.min(REFUSAL_DOUBLINGS_MAX);
+        let pause_s = (REFUSAL_PAUSE_S * 2f64.powi(doublings as i32)).min(REFUSAL_PAUSE_MAX_S);
         let exhausted = Exhausted {
             until: now.after(pause_s),
             refusals: refusals + 1,
@@ -238,7 +296,7 @@
         self.exhausted.insert(place, exhausted);
     }
 
-    fn step(&mut self, name: &str, step: ScaleOutStep, at: Time) {
+    fn set_step(&mut self, name: &str, step: ScaleOutStep, at: Time) {
         for request in self
             .scale_out_requests
             .iter_mut()
--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -1,5 +1,4 @@
-//! The cloud as this controller uses it: the catalog of machine types, pending calls and the rate
-//! limit. `P` is what a call is for, which only the caller understands.
+//! The client of the cloud: the catalog of machine types, pending calls and the rate limit.
 
 use crate::controller::outbox::Outbox;
 use crate::controller::rate_limits::token_bucket::{Priority, TokenBucket};
@@ -7,32 +6,32 @@
 use crate::wire::{CloudOp, CloudReply, Listed, MachineType};
 use std::collections::HashMap;
 
-/// The cloud as one controller sees it.
+/// The client of the cloud. `P` is what a call is for, which only the caller interprets.
 pub(crate) struct CloudClient<P> {
     /// Machine types; empty until they are known.
     pub(crate) catalog: Vec<MachineType>,
-    /// When the catalog is asked for again, until it is known.
+    /// When the catalog is requested again, until it is known.
     pub(crate) catalog_retry: Time,
-    /// Calls a second.
+    /// Limits the calls per second.
     pub(crate) rate_limit: TokenBucket,
-    /// The list of machines.
+    /// Progress of the list of machines.
     pub(crate) listing: MachineListing,
     pending: HashMap<CallId, P>,
 }
 
-/// How far a list of the cloud's machines has come.
+/// Progress of a list of the cloud's machines.
 #[derive(Debug)]
 pub(crate) struct MachineListing {
-    /// Whether a page is asked for, or waits for the rate limit.
+    /// Whether a page is requested, or waits for the rate limit.
     pub(crate) under_way: bool,
-    /// The pages so far, of a list whose next page waits for the rate limit.
+    /// The earlier pages of a list whose next page waits for the rate limit.
     pub(crate) waiting_pages: Option<Vec<Listed>>,
     /// When the next list begins.
     pub(crate) next_at: Time,
 }
 
 impl<P> CloudClient<P> {
-    /// Nothing is known yet.
+    /// A client that knows neither catalog nor machines yet.
     pub(crate) fn new(rate_limit: TokenBucket) -> Self {
         Self {
             catalog: Vec::new(),
@@ -47,7 +46,7 @@
         }
     }
 
-    /// Calls the cloud, if the rate limit allows it.
+    /// Calls the cloud if the rate limit allows it; says whether it did.
     pub(crate) fn send(
         &mut self,
         now: Time,
@@ -65,7 +64,7 @@
         true
     }
 
-    /// Takes a response in: what its call was for, if the call is still pending.
+    /// Completes a call: returns what it was for, if it was still pending.
     pub(crate) fn on_response(&mut self, call: CallId, response: &CloudReply) -> Option<P> {
         let purpose = self.pending.remove(&call)?;
         if *response == CloudReply::Trouble {
@@ -74,7 +73,7 @@
         Some(purpose)
     }
 
-    /// Whether a call is pending that `matches` picks.
+    /// Whether a call is pending whose purpose `matches` accepts.
     pub(crate) fn is_pending(&self, matches: impl Fn(&P) -> bool) -> bool {
         self.pending.values().any(matches)
     }
