--- a/src/controller/scheduling/constraints.rs
+++ b/src/controller/scheduling/constraints.rs
@@ -1,4 +1,4 @@
-//! What teams, jobs and machine types allow: limits, guarantees, zones and kinds.
+//! Where a task may run: quota limits and guarantees of its team, machine types, markets and zones.
 
 use crate::controller::pool::Pool;
 use crate::controller::shard::ShardOwner;
@@ -7,43 +7,42 @@
 use crate::settings::{Settings, Team};
 use crate::wire::MachineType;
 
-/// Whether one more task stays within its team's limit. Every task that isn't proven
+/// Tolerance for rounding in sums of what tasks need.
+const ROUNDING: f64 = 1e-6;
+
+/// Whether one more task stays within its team's quota limit. Each task that isn't proven
 /// gone counts.
 pub(crate) fn within_limit(shard: &ShardOwner, settings: &Settings, record: &JobRecord) -> bool {
     let teams = &settings.platform.facts.teams;
-    let Some(team) = teams.iter().find(|t| t.name == record.team) else {
+    let Some(team) = teams.iter().find(|team| team.name == record.team) else {
         return false;
     };
     let used = shard.teams.get(&record.team).copied().unwrap_or_default();
     let (cpus, gpus) = shard.quota_share(team);
-    let fits = |used: f64, need: f64, max: f64| used + need <= max + 1e-6;
+    let fits = |used: f64, need: f64, limit: f64| used + need <= limit + ROUNDING;
     fits(used.cpus, record.need.cpus, cpus) && fits(used.gpus, record.need.gpus, gpus)
 }
 
 impl ShardOwner {
-    /// How many CPUs and GPUs a team may use in this shard.
+    /// How many CPUs and GPUs a team may use in this shard; `f64::MAX` without a limit.
     pub(crate) fn quota_share(&self, team: &Team) -> (f64, f64) {
-        let given = self
-            .quota_shares
-            .as_ref()
-            .map(|a| a.get(&team.name).copied());
-        let (cpus, gpus) = match given {
+        let (cpus, gpus) = match &self.quota_shares {
             None => (team.cpus_max, team.gpus_max),
-            Some(given) => given.unwrap_or((0.0, 0.0)),
+            Some(shares) => shares.get(&team.name).copied().unwrap_or((0.0, 0.0)),
         };
-        let limit = |max: f64, here: f64| if max > 0.0 { here } else { f64::MAX };
+        let limit = |team_limit: f64, share: f64| if team_limit > 0.0 { share } else { f64::MAX };
         (limit(team.cpus_max, cpus), limit(team.gpus_max, gpus))
     }
 }
 
-/// Whether a task fits into what its team is guaranteed.
+/// Whether one more task of a job stays within its team's guaranteed quota.
 pub(crate) fn within_guarantee(
     shard: &ShardOwner,
     settings: &Settings,
     job_state: &JobState,
 ) -> bool {
     let teams = &settings.platform.facts.teams;
-    let Some(team) = teams.iter().find(|t| t.name == job_state.record.team) else {
+    let Some(team) = teams.iter().find(|team| team.name == job_state.record.team) else {
         return false;
     };
     if team.gpus <= 0.0 && team.cpus <= 0.0 {
@@ -55,53 +54,56 @@
         .copied()
         .unwrap_or_default();
     let need = job_state.record.need;
-    let fits = |used: f64, need: f64, sure: f64| sure <= 0.0 || used + need <= sure + 1e-6;
+    let fits = |used: f64, need: f64, guaranteed: f64| {
+        guaranteed <= 0.0 || used + need <= guaranteed + ROUNDING
+    };
     fits(used.cpus, need.cpus, team.cpus) && fits(used.gpus, need.gpus, team.gpus)
 }
 
-/// The other teams that use more than they are guaranteed, while they do.
+/// The other teams that use more than their guaranteed quota now.
 pub(crate) fn teams_over_guarantee<'a>(
     shard: &ShardOwner,
     settings: &'a Settings,
     team: &str,
 ) -> Vec<&'a str> {
+    let above = |used: f64, guaranteed: f64| guaranteed > 0.0 && used > guaranteed + ROUNDING;
     let teams = settings.platform.facts.teams.iter();
-    let over = teams.filter(|t| {
-        let used = shard.teams.get(&t.name).copied().unwrap_or_default();
-        let guaranteed = t.cpus > 0.0 || t.gpus > 0.0;
-        let above = |used: f64, sure: f64| sure > 0.0 && used > sure + 1e-6;
-        t.name != team && (!guaranteed || above(used.cpus, t.cpus) || above(used.gpus, t.gpus))
+    let over = teams.filter(|other| {
+        let used = shard.teams.get(&other.name).copied().unwrap_or_default();
+        let guaranteed = other.cpus > 0.0 || other.gpus > 0.0;
+        let over = above(used.cpus, other.cpus) || above(used.gpus, other.gpus);
+        other.name != team && (!guaranteed || over)
     });
-    over.map(|t| t.name.as_str()).collect()
+    over.map(|other| other.name.as_str()).collect()
 }
 
-/// Whether a job's tasks may run on a type and kind of machine.
+/// Whether a job's tasks may run on a pool's machine type and market.
 pub(crate) fn suits(record: &JobRecord, catalog: &[MachineType], pool: Pool) -> bool {
-    let market = record.spot || !pool.is_spot();
-    market
-        && pool
-            .type_in(catalog)
-            .is_some_and(|c| record.allows(&c.name))
+    let market_allowed = record.spot || !pool.is_spot();
+    let type_allowed = |machine_type: &MachineType| record.allows(&machine_type.name);
+    market_allowed && pool.type_in(catalog).is_some_and(type_allowed)
 }
 
-/// Whether a zone may take this job's next task.
+/// Whether a job's next task may go to a zone.
 pub(crate) fn zone_allowed(job_state: &JobState, zone: &str) -> bool {
     let record = &job_state.record;
-    if record.zone.as_ref().is_some_and(|z| z != zone) {
+    if record
+        .zone
+        .as_ref()
+        .is_some_and(|required| required != zone)
+    {
         return false;
     }
-    // Tasks in doubt count: they may be there.
-    if record.zone_affinity && job_state.placed.values().any(|p| *p.zone != *zone) {
+    // Tasks that aren't proven gone count: they may still run there.
+    let mut placements = job_state.placed.values();
+    if record.zone_affinity && placements.any(|placement| *placement.zone != *zone) {
         return false;
     }
     if record.zone_spread {
-        let most = record.count.div_ceil(2) as usize;
-        let there = job_state
-            .placed
-            .values()
-            .filter(|p| *p.zone == *zone)
-            .count();
-        if there >= most {
+        let zone_max = record.count.div_ceil(2) as usize;
+        let placements = job_state.placed.values();
+        let in_zone = placements.filter(|placement| *placement.zone == *zone);
+        if in_zone.count() >= zone_max {
             return false;
         }
     }
--- a/src/controller/scheduling/mod.rs
+++ b/src/controller/scheduling/mod.rs
@@ -1,7 +1,8 @@
-//! Where tasks go: as soon as they come, wherever the shard has room for them.
+//! Scheduling: binds queued tasks to machines as soon as they are queued, where the shard has room.
 //!
-//! `scoring` says what a machine costs a task, `quota` whether its team and its job allow it there,
-//! `preemption` whom it displaces, and `consolidation` empties machines that are little used.
+//! [`scoring`] computes what a machine costs a task, [`constraints`] whether its team and its job
+//! allow it there, [`preemption`] which tasks are stopped for it, and [`consolidation`] empties
+//! machines that are little used.
 
 pub(crate) mod consolidation;
 pub(crate) mod constraints;
@@ -16,12 +17,12 @@
 };
 use crate::controller::scheduling::preemption::cheapest_victims;
 use crate::controller::scheduling::scoring::{
-    Candidate, ImageWorths, PlacementContext, best_candidate, expected_s, fetch_s, ready_images,
+    Candidate, ImageWorths, PlacementContext, best_candidate, expected_s, fetch_s, image_worths,
 };
 use crate::controller::shard::ShardOwner;
 use crate::controller::shard::job::{JobState, Placement};
 use crate::controller::store::records::{JobRecord, PriorityClass};
-use crate::ids::{JobId, TaskId, Time};
+use crate::ids::{JobId, MachineId, TaskId, Time};
 use crate::settings::Settings;
 use crate::wire::MachineType;
 use log::{debug, info};
@@ -29,36 +30,36 @@
 use std::collections::BinaryHeap;
 use std::rc::Rc;
 
-/// Shortest pause between two rounds of placing.
-const PLACE_GAP_MS: u64 = 15;
-/// Queued tasks are looked at least this often.
-const PLACE_EVERY_S: f64 = 0.5;
-/// A machine that hasn't reported for this many heartbeat intervals gets no tasks.
-const FRESH_REPORTS: f64 = 3.5;
-/// How long room made by stopping others is waited for before more is made.
-const PREEMPT_S: f64 = 6.0;
-/// Most tasks placed in one round, so that a swarm doesn't hold up everything else.
+/// Shortest interval between two scheduling cycles.
+const CYCLE_INTERVAL_MIN_MS: u64 = 15;
+/// Longest interval between two scheduling cycles while tasks are queued.
+const CYCLE_INTERVAL_MAX_S: f64 = 0.5;
+/// A machine without a heartbeat for this many heartbeat intervals gets no tasks.
+const FRESH_HEARTBEAT_INTERVALS: f64 = 3.5;
+/// How long a job waits for the room of tasks that were preempted for it before more are.
+const PREEMPTION_WAIT_S: f64 = 6.0;
+/// Most tasks bound in one cycle, so that a large array doesn't delay everything else.
 const CYCLE_TASKS_MAX: usize = 64;
 
-/// Most tasks stopped at once for one job.
+/// Most tasks preempted at once for one job.
 const VICTIMS_MAX: u32 = 8;
 /// Running tasks that count as one step in the order of jobs.
-const RUNNING_STEP: u32 = 8;
+const RUNNING_TASKS_PER_STEP: u32 = 8;
 
-/// Where a queued job stands. Lower comes first.
+/// A queued job's place in the queue. Lower comes first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct QueuePosition {
     priority_class: Reverse<PriorityClass>,
-    /// Whether its team would use more than it is guaranteed.
+    /// Whether its team would use more than its guaranteed quota.
     beyond_guarantee: bool,
-    /// Jobs with few tasks running go first: neither a swarm nor a large array keeps the others
-    /// waiting.
+    /// Jobs with few running tasks go first, so that neither a mass of tasks nor a large array
+    /// delays the others.
     running_steps: u32,
     arrival: u64,
     job: JobId,
 }
 
-/// What came of the try to bind a job's next task.
+/// The outcome of binding a job's next task.
 enum BindOutcome {
     Bound,
     /// No task of it is queued, or none may start now.
@@ -67,12 +68,13 @@
 }
 
 impl ShardOwner {
-    /// Binds queued tasks to machines. Those that find no room are counted by the autoscaler.
+    /// Runs a scheduling cycle if one is due: binds queued tasks to machines. Those that find no
+    /// room are counted by the autoscaler.
     pub(crate) fn schedule(&mut self, context: &mut Context) {
         if !self.scheduling_due(context) {
             return;
         }
-        self.schedule_at = Time(context.now.0 + PLACE_GAP_MS);
+        self.schedule_at = Time(context.now.0 + CYCLE_INTERVAL_MIN_MS);
         self.scheduling_wanted = false;
         let queue = self.queue_order(context);
         if queue.is_empty() {
@@ -95,10 +97,11 @@
         }
     }
 
+    /// Whether a cycle is wanted and possible now.
     fn scheduling_due(&self, context: &Context) -> bool {
         let now = context.now;
         // Pauses of failing jobs, of machines and of batch work end without any event.
-        let due = now.since(self.schedule_at) > PLACE_EVERY_S && !self.waiting.is_empty();
+        let due = now.since(self.schedule_at) > CYCLE_INTERVAL_MAX_S && !self.waiting.is_empty();
         let wanted = self.scheduling_wanted || due;
         wanted
             && !context.is_stale()
@@ -106,7 +109,7 @@
             && now >= self.schedule_at
     }
 
-    /// The jobs with queued tasks, those that are served first before the others.
+    /// The jobs with queued tasks, in the order in which they are served.
     fn queue_order(&mut self, context: &Context) -> Vec<QueuePosition> {
         let jobs = &self.jobs;
         self.waiting
@@ -118,7 +121,7 @@
                 queue.push(QueuePosition {
                     priority_class: Reverse(job_state.record.priority_class),
                     beyond_guarantee: !within_guarantee(self, &context.settings, job_state),
-                    running_steps: job_state.placed.len() as u32 / RUNNING_STEP,
+                    running_steps: job_state.placed.len() as u32 / RUNNING_TASKS_PER_STEP,
                     arrival: job_state.arrival,
                     job: id.clone(),
                 });
@@ -143,7 +146,7 @@
         let placement = PlacementContext {
             settings: &context.settings,
             catalog: &context.cloud.catalog,
-            expected: expected_s(&context.settings, &record.class),
+            expected_s: expected_s(&context.settings, &record.class),
             now: context.now,
         };
         let mut candidates = None;
@@ -172,31 +175,62 @@
         candidates: &mut Option<BinaryHeap<Candidate>>,
         cycle: &mut SchedulingCycle,
     ) -> BindOutcome {
-        if !within_limit(self, placement.settings, record) {
-            return BindOutcome::NothingToBind;
-        }
-        let next_queued = self.jobs.get_mut(id).and_then(JobState::next_queued);
-        let Some(index) = next_queued else {
+        let Some(index) = self.next_to_bind(placement, id, record) else {
             return BindOutcome::NothingToBind;
         };
-        let job_state = &self.jobs[id];
-        // All tasks of a crash-looping job at once took room on every machine at each try.
-        if self.failures.on_probation(id) && job_state.trying() {
-            return BindOutcome::NothingToBind;
-        }
         let candidates = candidates.get_or_insert_with(|| {
-            let (candidates, machines_scanned) = placement.candidates(self, id, cycle);
-            cycle.machines_scanned += machines_scanned;
-            candidates
+            let found = placement.candidates(self, id, cycle);
+            cycle.machines_scanned += found.machines_scanned;
+            found.heap
         });
-        let Some(machine_id) = best_candidate(self, job_state, candidates) else {
+        let Some(machine_id) = best_candidate(self, &self.jobs[id], candidates) else {
             return BindOutcome::NoMachine;
         };
         cycle.tasks_left -= 1;
         cycle.placed += 1;
-        let attempt = self.next_attempt();
-        let Some(machine) = self.machines.get(&machine_id) else {
+        if !self.bind(placement, id, index, record, &machine_id) {
             return BindOutcome::NoMachine;
+        }
+        // Only this machine's cost has changed.
+        let machine = self.machines.get(&machine_id);
+        let cost = machine.and_then(|machine| {
+            placement.cost_of(self, (id, &self.jobs[id]), (&machine_id, machine), cycle)
+        });
+        candidates.extend(cost.map(|cost| Candidate {
+            cost,
+            machine: machine_id,
+        }));
+        BindOutcome::Bound
+    }
+
+    /// The index of a job's next queued task, if it may start now.
+    fn next_to_bind(
+        &mut self,
+        placement: &PlacementContext<'_>,
+        id: &JobId,
+        record: &JobRecord,
+    ) -> Option<u32> {
+        if !within_limit(self, placement.settings, record) {
+            return None;
+        }
+        let index = self.jobs.get_mut(id).and_then(JobState::next_queued)?;
+        // All tasks of a crash-looping job at once took room on every machine at each attempt.
+        let held_back = self.failures.on_probation(id) && self.jobs[id].trying();
+        (!held_back).then_some(index)
+    }
+
+    /// Binds a task to a machine and has its placement written; false if there is no such machine.
+    fn bind(
+        &mut self,
+        placement: &PlacementContext<'_>,
+        id: &JobId,
+        index: u32,
+        record: &JobRecord,
+        machine_id: &MachineId,
+    ) -> bool {
+        let attempt = self.next_attempt();
+        let Some(machine) = self.machines.get(machine_id) else {
+            return false;
         };
         let machine_type = machine.type_in(placement.catalog);
         let image_fetch_s = machine_type.map_or(0.0, |found| fetch_s(record, found, machine));
@@ -204,28 +238,14 @@
             "task scheduled, task={id}/{index} machine={machine_id} \
              image_fetch_s={image_fetch_s:.1}"
         );
-        let bound = Placement::new(
-            machine_id.clone(),
-            machine.zone.clone(),
-            attempt,
-            placement.now,
-        );
+        let zone = machine.zone.clone();
+        let bound = Placement::new(machine_id.clone(), zone, attempt, placement.now);
         self.add_placement(id, index, bound);
         self.write_placement(id, index);
-        // Only this machine costs something else now.
-        let job_state = &self.jobs[id];
-        let machine = self.machines.get(&machine_id);
-        let cost = machine.and_then(|machine| {
-            placement.cost_of(self, (id, job_state), (&machine_id, machine), cycle)
-        });
-        candidates.extend(cost.map(|cost| Candidate {
-            cost,
-            machine: machine_id,
-        }));
-        BindOutcome::Bound
+        true
     }
 
-    /// Stops tasks of a lower priority class where that makes room for a job that found none.
+    /// Preempts tasks of a lower priority class where a job that found no machine fits then.
     fn preempt_for(&mut self, context: &mut Context, id: &JobId, cycle: &mut SchedulingCycle) {
         let now = context.now;
         let Some(job_state) = self.jobs.get(id) else {
@@ -243,22 +263,22 @@
         if !guaranteed && cycle.without_victims.iter().any(same) {
             return;
         }
-        // Teams beyond their guarantee make room for one that lacks its own.
-        let over = if guaranteed {
+        // Teams beyond their guaranteed quota yield to one that lacks its own.
+        let teams_over = if guaranteed {
             teams_over_guarantee(self, &context.settings, &record.team)
         } else {
             Vec::new()
         };
-        let most = job_state.queued().min(VICTIMS_MAX) as usize;
-        let (victims, machines_scanned) =
-            cheapest_victims(self, &context.cloud.catalog, job_state, now, most, &over);
-        context.machines_scanned += machines_scanned;
+        let tasks_max = job_state.queued().min(VICTIMS_MAX) as usize;
+        let catalog = &context.cloud.catalog;
+        let victims = cheapest_victims(self, catalog, job_state, now, tasks_max, &teams_over);
+        context.machines_scanned += victims.machines_scanned;
         let counts_for_all = !guaranteed && !job_state.inherits_priority_class();
         let anywhere = !record.zone_affinity && !record.zone_spread;
-        if victims.is_empty() && counts_for_all && anywhere {
+        if victims.tasks.is_empty() && counts_for_all && anywhere {
             cycle.without_victims.push(record.clone());
         }
-        self.preempt(context, id, &victims);
+        self.preempt(context, id, &victims.tasks);
     }
 
     /// Whether a job within its team's guarantee has waited for longer than machines take to boot.
@@ -270,12 +290,13 @@
         waited && within_guarantee(self, &context.settings, job_state)
     }
 
+    /// Stops tasks for a job, and lets it wait for their room.
     fn preempt(&mut self, context: &mut Context, id: &JobId, victims: &[TaskId]) {
         // Room of tasks that were never sent is free at once.
         let pause_s = if victims.iter().all(|task| self.was_never_sent(task)) {
-            PLACE_EVERY_S
+            CYCLE_INTERVAL_MAX_S
         } else {
-            PREEMPT_S
+            PREEMPTION_WAIT_S
         };
         if let Some(job_state) = self.jobs.get_mut(id) {
             job_state.preempting_until = context.now.after(pause_s);
@@ -287,8 +308,8 @@
     }
 }
 
-/// The types whose ordinary machines have no more room than is kept for urgent starts.
-/// Work that may use spot machines waits for one rather than take that room.
+/// The on-demand pools with no more room than is kept for urgent starts. Work that may use spot
+/// machines waits for one rather than use that room.
 fn full_pools(shard: &ShardOwner, catalog: &[MachineType], headroom: f64, now: Time) -> Vec<Pool> {
     let on_demand = (0..catalog.len()).map(|machine_type| Pool::of(machine_type, false));
     let full =
@@ -296,17 +317,21 @@
     on_demand.filter(full).collect()
 }
 
-/// What one cycle knows and has done so far.
+/// The state of one scheduling cycle.
 pub(crate) struct SchedulingCycle {
+    /// The worth of images, as of the cycle's begin.
     images: ImageWorths,
     /// Pools with no more room than is kept for urgent starts.
     full: Vec<Pool>,
+    /// Tasks that may still be bound.
     tasks_left: usize,
     /// Demands that found no machine: others like them won't either.
     failed: Vec<Rc<JobRecord>>,
     /// Demands for which nothing of a lower class could be stopped.
     without_victims: Vec<Rc<JobRecord>>,
+    /// Machines that were looked at.
     machines_scanned: u64,
+    /// Tasks that were bound.
     placed: u64,
 }
 
@@ -315,7 +340,7 @@
         let (catalog, now) = (&context.cloud.catalog, context.now);
         let headroom = context.settings.tuning.headroom;
         Self {
-            images: ready_images(shard, catalog, &context.settings, now),
+            images: image_worths(shard, catalog, &context.settings, now),
             full: full_pools(shard, catalog, headroom, now),
             tasks_left: CYCLE_TASKS_MAX,
             failed: Vec::new(),
@@ -326,6 +351,7 @@
     }
 }
 
+/// Whether two jobs' tasks find room on the same machines.
 fn same_demand(a: &JobRecord, b: &JobRecord) -> bool {
     a.need == b.need
         && a.spot == b.spot
@@ -335,13 +361,13 @@
         && !b.zone_spread
 }
 
-/// Whether a machine takes tasks at all now.
+/// Whether a machine may be given tasks at all now.
 fn usable(machine: &Machine, settings: &Settings, now: Time) -> bool {
-    let quiet = settings.platform.facts.workers.report_s * FRESH_REPORTS;
+    let fresh_s = settings.platform.facts.workers.report_s * FRESH_HEARTBEAT_INTERVALS;
     machine.ready_since.is_some()
         && machine.decommission_at.is_none()
         && machine.notice.is_none()
         && machine.agent_epoch > 0
-        && (machine.long_poll.is_some() || now.since(machine.last_heartbeat) < quiet)
+        && (machine.long_poll.is_some() || now.since(machine.last_heartbeat) < fresh_s)
         && now >= machine.full_until
 }
--- a/src/controller/scheduling/preemption.rs
+++ b/src/controller/scheduling/preemption.rs
@@ -1,4 +1,4 @@
-//! Which tasks of lower priority class are stopped to make room.
+//! Which tasks of a lower priority class are preempted for a job that found no room.
 
 use crate::controller::machines::inventory::Machine;
 use crate::controller::pool::Pool;
@@ -10,86 +10,143 @@
 use crate::ids::{TaskId, Time};
 use crate::wire::MachineType;
 
-/// The tasks to stop for up to `most` tasks of a job: the least work of lower priority class, one
-/// machine for each; and how many machines were looked at.
+/// Loss, in seconds of work, of preempting a task that checkpoints, and of one that doesn't,
+/// beside a share of the time that the latter has run.
+const CHECKPOINTED_LOSS_S: f64 = 3.0;
+const START_LOSS_S: f64 = 5.0;
+const RUN_LOSS_SHARE: f64 = 0.2;
+
+/// The tasks to preempt for a job.
+pub(crate) struct Victims {
+    /// The tasks.
+    pub(crate) tasks: Vec<TaskId>,
+    /// How many machines were looked at.
+    pub(crate) machines_scanned: u64,
+}
+
+/// The victims on one machine.
+struct MachineVictims {
+    /// What stopping them throws away.
+    loss_s: f64,
+    tasks: Vec<TaskId>,
+}
+
+/// A task that may be preempted.
+struct Preemptible<'a> {
+    loss_s: f64,
+    task: &'a TaskId,
+    need: Resources,
+}
+
+/// The tasks to stop for up to `tasks_max` tasks of a job: the least work of lower priority class,
+/// one machine for each. `teams_over` are those beyond their guaranteed quota, whose work of the
+/// same class may be stopped too.
 pub(crate) fn cheapest_victims(
     shard: &ShardOwner,
     catalog: &[MachineType],
     job_state: &JobState,
     now: Time,
-    most: usize,
-    over: &[&str],
-) -> (Vec<TaskId>, u64) {
+    tasks_max: usize,
+    teams_over: &[&str],
+) -> Victims {
     let priority_class = job_state.record.priority_class;
     let fits = |pool: Pool, lowest: PriorityClass| {
-        let yields = lowest < priority_class || (lowest == priority_class && !over.is_empty());
+        let yields =
+            lowest < priority_class || (lowest == priority_class && !teams_over.is_empty());
         yields && suits(&job_state.record, catalog, pool)
     };
     let (mut found, mut machines_scanned) = (Vec::new(), 0);
-    for (name, machine) in shard.machines.ranked(fits) {
+    for (id, machine) in shard.machines.ranked(fits) {
         machines_scanned += 1;
-        if !zone_allowed(job_state, &machine.zone) || !shard.failures.may_run_tasks(name, now) {
+        if !zone_allowed(job_state, &machine.zone) || !shard.failures.may_run_tasks(id, now) {
             continue;
         }
-        if let Some((loss, tasks)) = victims_on(shard, job_state, machine, over) {
-            let fetch_s = machine
-                .type_in(catalog)
-                .map_or(0.0, |t| fetch_s(&job_state.record, t, machine));
-            found.push((loss + fetch_s, name, tasks));
+        if let Some(victims) = victims_on(shard, job_state, machine, teams_over) {
+            let machine_type = machine.type_in(catalog);
+            let fetch_s = machine_type.map_or(0.0, |machine_type| {
+                fetch_s(&job_state.record, machine_type, machine)
+            });
+            let cost_s = victims.loss_s + fetch_s;
+            found.push((cost_s, (id, victims.tasks)));
         }
     }
-    found.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| a.1.cmp(b.1)));
-    let tasks = found.into_iter().take(most).flat_map(|(_, _, tasks)| tasks);
-    (tasks.collect(), machines_scanned)
+    found.sort_by(|(cost_a, (id_a, _)), (cost_b, (id_b, _))| {
+        cost_a.total_cmp(cost_b).then_with(|| id_a.cmp(id_b))
+    });
+    let cheapest = found.into_iter().take(tasks_max);
+    Victims {
+        tasks: cheapest.flat_map(|(_, (_, tasks))| tasks).collect(),
+        machines_scanned,
+    }
 }
 
-/// Which tasks to stop on one machine, and what that throws away.
+/// Which tasks to stop on one machine, those of the least loss first, until a task of the job fits.
 fn victims_on(
     shard: &ShardOwner,
     job_state: &JobState,
     machine: &Machine,
-    over: &[&str],
-) -> Option<(f64, Vec<TaskId>)> {
-    let mut lower: Vec<(f64, &TaskId, Resources)> = Vec::new();
-    for (t, bind) in &machine.tasks {
-        let record = &bind.record;
-        let below =
-            record.priority_class < job_state.record.priority_class && yields_to(record, job_state);
-        let owed = record.priority_class == job_state.record.priority_class
-            && over.contains(&record.team.as_str());
+    teams_over: &[&str],
+) -> Option<MachineVictims> {
+    let mut preemptible = preemptible_on(shard, job_state, machine, teams_over)?;
+    preemptible.sort_by(|a, b| a.loss_s.total_cmp(&b.loss_s));
+    let mut free = machine.free();
+    let mut victims = MachineVictims {
+        loss_s: 0.0,
+        tasks: Vec::new(),
+    };
+    for Preemptible { loss_s, task, need } in preemptible {
+        if free.holds(job_state.record.need) {
+            break;
+        }
+        free.add(need, 1.0);
+        victims.loss_s += loss_s;
+        victims.tasks.push(task.clone());
+    }
+    (free.holds(job_state.record.need) && !victims.tasks.is_empty()).then_some(victims)
+}
+
+/// The tasks on one machine that may be preempted for a job.
+fn preemptible_on<'a>(
+    shard: &ShardOwner,
+    job_state: &JobState,
+    machine: &'a Machine,
+    teams_over: &[&str],
+) -> Option<Vec<Preemptible<'a>>> {
+    let priority_class = job_state.record.priority_class;
+    let mut preemptible = Vec::new();
+    for (task, binding) in &machine.tasks {
+        let record = &binding.record;
+        let below = record.priority_class < priority_class && yields_to(record, job_state);
+        let owed =
+            record.priority_class == priority_class && teams_over.contains(&record.team.as_str());
         if !below && !owed {
             continue;
         }
-        let placement = shard.jobs.get(&t.job)?.placed.get(&t.index)?;
-        if placement.stop_requested.is_none() && shard.was_never_sent(t) {
-            lower.push((0.0, t, record.need));
+        let placement = shard.jobs.get(&task.job)?.placed.get(&task.index)?;
+        if placement.stop_requested.is_some() {
             continue;
         }
-        let started = matches!(placement.phase, Phase::Fetching | Phase::Running);
-        if placement.stop_requested.is_none() && started {
-            let ran = shard.last_worker_heartbeat.since(placement.since);
-            let saved = record.checkpoint_s > 0.0;
-            let loss = if saved { 3.0 } else { 5.0 + ran * 0.2 };
-            lower.push((loss, t, record.need));
-        }
-    }
-    lower.sort_by(|a, b| a.0.total_cmp(&b.0));
-    let (mut free, mut loss, mut out) = (machine.free(), 0.0, Vec::new());
-    for (cost, task, need) in lower {
-        if free.holds(job_state.record.need) {
-            break;
+        let need = record.need;
+        if shard.was_never_sent(task) {
+            let loss_s = 0.0;
+            preemptible.push(Preemptible { loss_s, task, need });
+        } else if matches!(placement.phase, Phase::Fetching | Phase::Running) {
+            let ran_s = shard.last_worker_heartbeat.since(placement.since);
+            let loss_s = if record.checkpoint_s > 0.0 {
+                CHECKPOINTED_LOSS_S
+            } else {
+                START_LOSS_S + ran_s * RUN_LOSS_SHARE
+            };
+            preemptible.push(Preemptible { loss_s, task, need });
         }
-        free.add(need, 1.0);
-        loss += cost;
-        out.push(task.clone());
     }
-    (free.holds(job_state.record.need) && !out.is_empty()).then_some((loss, out))
+    Some(preemptible)
 }
 
-/// Whether work may be stopped for a job as far as it loses by it. For a rank that a job has only
-/// from those that depend on it, just work that saves its progress is, beside what the job's own rank
-/// is above: arrays needed by pipelines stopped others of their class, which lost all they had
-/// done, and were needed or waited themselves soon after, again and again.
+/// Whether work may be stopped for a job as far as its loss allows it. For a priority class that a
+/// job inherits from those that depend on it, only work that checkpoints may be, beside what the
+/// job's own class is above: arrays needed by pipelines stopped others of their class, which lost
+/// all their work, and were needed or waited themselves soon after, again and again.
 fn yields_to(record: &JobRecord, job_state: &JobState) -> bool {
     !job_state.inherits_priority_class()
         || record.priority_class < job_state.own_priority_class
--- a/src/controller/scheduling/scoring.rs
+++ b/src/controller/scheduling/scoring.rs
@@ -1,4 +1,5 @@
-//! What a start costs on each machine: delay, spread, and what other starts would lose.
+//! Scores: what a start costs on each machine, by its delay, the spread of its job, and what other
+//! starts would lose by it.
 
 use crate::controller::machines::inventory::Machine;
 use crate::controller::pool::Pool;
@@ -14,24 +15,31 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
 use std::rc::Rc;
 
-/// Weights of a placement's cost. A start that is as late as its class allows costs the
-/// first of them.
+/// Cost of a start that is as late as its class allows.
 const DELAY_COST: f64 = 12.0;
+/// Cost of each task of the same service on the machine.
 const SPREAD_COST: f64 = 4.0;
-/// Services of up to so many tasks are spread as far as they can be.
-const SPREAD_SIZE: f64 = 8.0;
+/// Services of up to so many tasks are spread with the full weight.
+const SPREAD_TASKS_FULL: f64 = 8.0;
+/// Cost of a machine that is wholly free.
 const FREE_COST: f64 = 3.0;
+/// What a spot machine costs less.
 const SPOT_GAIN: f64 = 8.0;
-const CLOSING_COST: f64 = 10.0;
-/// A job that failed on a machine is tried elsewhere: that tells which of them is at fault.
+/// Cost of a cordoned machine.
+const CORDONED_COST: f64 = 10.0;
+/// A job that failed on a machine is tried elsewhere: that shows which of them is at fault.
 const FAILED_COST: f64 = 30.0;
-/// Batch work leaves the room kept for urgent starts alone for this long, in which a
-/// spot machine should have come up. Where none is to be had it mustn't wait for ever.
-const KEPT_S: f64 = 90.0;
+/// Batch work doesn't use the room kept for urgent starts for this long, in which a
+/// spot machine should have become ready. Where none is to be had it mustn't wait for ever.
+const SPOT_WAIT_S: f64 = 90.0;
+/// Least of the counts of use by which images are weighed: no division by zero.
+const USES_MIN: f64 = 1e-9;
 
-/// A machine for a job's next task. The cheapest one is the greatest, for the heap.
+/// A machine for a job's next task. The cheapest one orders as the greatest, for the heap.
 pub(crate) struct Candidate {
+    /// What the start costs there.
     pub(crate) cost: f64,
+    /// The machine.
     pub(crate) machine: MachineId,
 }
 
@@ -56,44 +64,57 @@
 
 impl Eq for Candidate {}
 
-/// What placing one job's tasks goes by.
+/// What the placement of one job's tasks depends on, beside the shard.
 pub(crate) struct PlacementContext<'a> {
+    /// The settings.
     pub(crate) settings: &'a Settings,
+    /// The machine types.
     pub(crate) catalog: &'a [MachineType],
-    /// Within which time they are expected to start.
-    pub(crate) expected: Option<f64>,
+    /// Within which time the tasks are expected to start.
+    pub(crate) expected_s: Option<f64>,
+    /// The time.
     pub(crate) now: Time,
 }
 
+/// The machines for a job's next task.
+pub(crate) struct Candidates {
+    /// The machines, the cheapest on top.
+    pub(crate) heap: BinaryHeap<Candidate>,
+    /// How many machines were looked at.
+    pub(crate) machines_scanned: u64,
+}
+
 impl PlacementContext<'_> {
-    /// What every machine with room for the job's next task costs, and how many were
-    /// looked at.
+    /// What each machine with room for the job's next task costs.
     pub(crate) fn candidates(
         &self,
         shard: &ShardOwner,
         job: &JobId,
         cycle: &SchedulingCycle,
-    ) -> (BinaryHeap<Candidate>, u64) {
+    ) -> Candidates {
         let job_state = &shard.jobs[job];
         let record = &job_state.record;
-        let zones = self.catalog.iter().flat_map(|c| &c.zones);
+        let zones = self.catalog.iter().flat_map(|found| &found.zones);
         let zones: BTreeSet<&str> = zones.map(String::as_str).collect();
-        let open: Vec<&str> = zones
-            .into_iter()
-            .filter(|z| zone_allowed(job_state, z))
+        let allowed_zones = zones.into_iter();
+        let allowed_zones: Vec<&str> = allowed_zones
+            .filter(|zone| zone_allowed(job_state, zone))
             .collect();
         let fits = |pool: Pool, zone: &Rc<str>| {
-            open.contains(&&**zone) && suits(record, self.catalog, pool)
+            allowed_zones.contains(&&**zone) && suits(record, self.catalog, pool)
         };
         let mut machines_scanned = 0;
         let machines = shard.machines.roomy(record.need, fits);
-        let candidates = machines.filter_map(|(id, m)| {
+        let candidates = machines.filter_map(|(id, machine)| {
             machines_scanned += 1;
-            let cost = self.cost_of(shard, (job, job_state), (id, m), cycle)?;
+            let cost = self.cost_of(shard, (job, job_state), (id, machine), cycle)?;
             let machine = id.clone();
             Some(Candidate { cost, machine })
         });
-        (candidates.collect(), machines_scanned)
+        Candidates {
+            heap: candidates.collect(),
+            machines_scanned,
+        }
     }
 
     /// What the job's next task costs on a machine that suits it; `None` if it can't go
@@ -106,115 +127,153 @@
         cycle: &SchedulingCycle,
     ) -> Option<f64> {
         let pool = machine.pool()?;
-        let class = pool.type_in(self.catalog)?;
+        let machine_type = pool.type_in(self.catalog)?;
         let usable =
             usable(machine, self.settings, self.now) && shard.failures.may_run_tasks(id, self.now);
         if !machine.free().holds(job_state.record.need) || !usable {
             return None;
         }
-        let young = self.now.since(job_state.since) < KEPT_S;
-        let loses = job_state.record.checkpoint_s <= 0.0;
-        let waits = young
-            && loses
-            && job_state.record.spot
-            && job_state.record.priority_class <= PriorityClass::Normal;
-        if waits && cycle.full.contains(&pool) {
+        if self.waits_for_spot(job_state) && cycle.full.contains(&pool) {
             return None;
         }
-        let mut cost = cost(self, job_state, class, machine)
+        let mut cost = self.start_cost(&job_state.record, machine_type, machine)
             + displacement_cost(&cycle.images, job_state, machine);
         if shard.failures.failed_on(job, id) {
             cost += FAILED_COST;
         }
         Some(cost)
     }
+
+    /// Whether a job waits for a spot machine rather than use the room kept for urgent starts.
+    fn waits_for_spot(&self, job_state: &JobState) -> bool {
+        let record = &job_state.record;
+        self.now.since(job_state.since) < SPOT_WAIT_S
+            && record.checkpoint_s <= 0.0
+            && record.spot
+            && record.priority_class <= PriorityClass::Normal
+    }
+
+    /// What a start costs by its delay, by what it leaves of the machine, and by the job's spread.
+    fn start_cost(
+        &self,
+        record: &Rc<JobRecord>,
+        machine_type: &MachineType,
+        machine: &Machine,
+    ) -> f64 {
+        let free_share = 1.0 - machine.used.share_of(machine_type.resources);
+        let delay_s = self.command_delay_s(machine) + fetch_s(record, machine_type, machine);
+        let mut cost = delay_cost(self.expected_s, machine_type, delay_s) + FREE_COST * free_share;
+        if record.kind == JobKind::Service {
+            cost += spread_cost(record, machine);
+        }
+        if machine.spot {
+            cost -= SPOT_GAIN;
+        }
+        if machine.cordoned {
+            cost += CORDONED_COST;
+        }
+        cost
+    }
+
+    /// Seconds until a command reaches a machine: it goes with the response to a heartbeat, and at
+    /// once where a long poll waits for it.
+    fn command_delay_s(&self, machine: &Machine) -> f64 {
+        let heartbeat_s = self.settings.platform.facts.workers.report_s;
+        match machine.long_poll {
+            Some(_) => 0.0,
+            None => (heartbeat_s - self.now.since(machine.last_heartbeat)).max(0.0),
+        }
+    }
 }
 
-/// Takes the cheapest offer whose zone may still have a task of the job.
+/// Takes the cheapest candidate whose zone may still have a task of the job.
 pub(crate) fn best_candidate(
     shard: &ShardOwner,
     job_state: &JobState,
     candidates: &mut BinaryHeap<Candidate>,
 ) -> Option<MachineId> {
     loop {
-        let machine = candidates.pop()?.machine;
-        let zone = shard.machines.get(&machine).map(|m| &m.zone);
+        let id = candidates.pop()?.machine;
+        let zone = shard.machines.get(&id).map(|machine| &machine.zone);
         if zone.is_some_and(|zone| zone_allowed(job_state, zone)) {
-            return Some(machine);
+            return Some(id);
         }
     }
 }
 
-fn cost(
-    context: &PlacementContext,
-    job_state: &JobState,
-    class: &MachineType,
-    machine: &Machine,
-) -> f64 {
-    let record = &job_state.record;
-    let free_share = 1.0 - machine.used.share_of(class.resources);
-    // A start goes with the answer to a heartbeat: at once, where one waits for it.
-    let report_s = context.settings.platform.facts.workers.report_s;
-    let answer_s = match machine.long_poll {
-        Some(_) => 0.0,
-        None => (report_s - context.now.since(machine.last_heartbeat)).max(0.0),
-    };
-    let delay = delay_cost(
-        context.expected,
-        class,
-        answer_s + fetch_s(record, class, machine),
-    );
-    let mut cost = delay + FREE_COST * free_share;
-    if record.kind == JobKind::Service {
-        // One machine's loss shall cost a job as little as can be.
-        let seats = machine.tasks.values();
-        let same = seats.filter(|s| Rc::ptr_eq(&s.record, record)).count();
-        // Of a large one it costs little anyway: weighed in full, its replicas went back to
-        // the machines that were being emptied of them, again and again.
-        let part = (SPREAD_SIZE / f64::from(record.count.max(1))).min(1.0);
-        cost += SPREAD_COST * part * same as f64;
-    }
-    if machine.spot {
-        cost -= SPOT_GAIN;
-    }
-    if machine.cordoned {
-        cost += CLOSING_COST;
-    }
-    cost
+/// What a service's tasks on the same machine cost: the loss of one machine shall cost a service as
+/// little as can be. A large one loses little anyway: with the full weight, its replicas went back
+/// to the machines that were being emptied of them, again and again.
+fn spread_cost(record: &Rc<JobRecord>, machine: &Machine) -> f64 {
+    let bindings = machine.tasks.values();
+    let same_job = bindings.filter(|binding| Rc::ptr_eq(&binding.record, record));
+    let weight = (SPREAD_TASKS_FULL / f64::from(record.count.max(1))).min(1.0);
+    SPREAD_COST * weight * same_job.count() as f64
 }
 
-/// Within which time the tasks of a class of jobs are expected to start, if that is said.
-pub(crate) fn expected_s(settings: &Settings, of: &str) -> Option<f64> {
-    let wanted = settings.platform.facts.objectives.iter();
-    let wanted = wanted.filter(|o| o.kind == "wait" && o.class.as_deref() == Some(of));
-    wanted.filter_map(|o| o.within_s).reduce(f64::min)
+/// Within which time the tasks of a class of jobs are expected to start, if the platform says so.
+pub(crate) fn expected_s(settings: &Settings, class: &str) -> Option<f64> {
+    let objectives = settings.platform.facts.objectives.iter();
+    let waits = objectives
+        .filter(|objective| objective.kind == "wait" && objective.class.as_deref() == Some(class));
+    waits
+        .filter_map(|objective| objective.within_s)
+        .reduce(f64::min)
 }
 
 /// What a start's delay costs: little while it is small against what is expected of the
-/// job's class, much once it comes near. Classes of which nothing is expected are
+/// job's class, much once it comes near. Classes without an expectation are
 /// measured by the time a machine takes to boot.
-fn delay_cost(expected: Option<f64>, class: &MachineType, delay_s: f64) -> f64 {
-    let within = expected.unwrap_or(class.ready_s);
-    DELAY_COST * (delay_s / within.max(1.0)).powi(2)
+fn delay_cost(expected_s: Option<f64>, machine_type: &MachineType, delay_s: f64) -> f64 {
+    let within_s = expected_s.unwrap_or(machine_type.ready_s);
+    DELAY_COST * (delay_s / within_s.max(1.0)).powi(2)
+}
+
+/// An image's worth on a machine that has it and has room for one of its tasks.
+pub(crate) struct ImageWorth {
+    /// What one of its tasks needs.
+    need: Resources,
+    /// What its next start would lose elsewhere, the less the more such machines there are.
+    worth: f64,
 }
 
-/// An image's worth on a machine that has it and has room for one of its tasks: what its
-/// next start would lose elsewhere, the less the more such machines there are.
-pub(crate) type ImageWorths = HashMap<Image, (Resources, f64)>;
+/// The worth of each image that a machine with room for it has.
+pub(crate) type ImageWorths = HashMap<Image, ImageWorth>;
 
-pub(crate) fn ready_images(
+/// Weighs the images of services by their use and by the machines that have them.
+pub(crate) fn image_worths(
     shard: &ShardOwner,
     catalog: &[MachineType],
     settings: &Settings,
     now: Time,
 ) -> ImageWorths {
-    let most = shard
-        .images
-        .values()
-        .map(|w| w.recent_uses(now))
-        .fold(1e-9, f64::max);
-    let mut ready: BTreeMap<&Image, u32> = BTreeMap::new();
-    let needs = shard.images.values().map(|w| w.need);
+    let uses = shard.images.values().map(|demand| demand.recent_uses(now));
+    let most_uses = uses.fold(USES_MIN, f64::max);
+    let rates = catalog.iter().map(|machine_type| machine_type.fetch_gb_s);
+    let slowest_gb_s = rates.fold(f64::MAX, f64::min);
+    let worth = |(image, machines): (&Image, u32)| {
+        let demand = shard.images.get(image)?;
+        let expected_s = expected_s(settings, &demand.class);
+        let fetch_s = demand.gb / slowest_gb_s;
+        let cost = delay_cost(expected_s, catalog.first()?, fetch_s);
+        let worth = ImageWorth {
+            need: demand.need,
+            worth: cost * demand.recent_uses(now) / most_uses / f64::from(machines),
+        };
+        Some((image.clone(), worth))
+    };
+    let machines = machines_by_image(shard, settings, now);
+    machines.into_iter().filter_map(worth).collect()
+}
+
+/// How many machines have each image of a service and room for one of its tasks.
+fn machines_by_image<'a>(
+    shard: &'a ShardOwner,
+    settings: &Settings,
+    now: Time,
+) -> BTreeMap<&'a Image, u32> {
+    let mut counts: BTreeMap<&Image, u32> = BTreeMap::new();
+    let needs = shard.images.values().map(|demand| demand.need);
     let least = needs.reduce(Resources::least).unwrap_or_default();
     for (id, machine) in shard.machines.roomy(least, |pool, _| !pool.is_spot()) {
         if !usable(machine, settings, now) || !shard.failures.may_run_tasks(id, now) {
@@ -222,30 +281,17 @@
         }
         let free = machine.free();
         for (image, _) in &machine.images {
-            if shard.images.get(image).is_some_and(|w| free.holds(w.need)) {
-                *ready.entry(image).or_default() += 1;
+            let demand = shard.images.get(image);
+            if demand.is_some_and(|demand| free.holds(demand.need)) {
+                *counts.entry(image).or_default() += 1;
             }
         }
     }
-    let fetch_gb_s = catalog
-        .iter()
-        .map(|c| c.fetch_gb_s)
-        .fold(f64::MAX, f64::min);
-    let worth = |(image, n): (&Image, u32)| {
-        let w = shard.images.get(image)?;
-        let cost = delay_cost(
-            expected_s(settings, &w.class),
-            catalog.first()?,
-            w.gb / fetch_gb_s,
-        );
-        let worth = cost * w.recent_uses(now) / most / f64::from(n);
-        Some((image.clone(), (w.need, worth)))
-    };
-    ready.into_iter().filter_map(worth).collect()
+    counts
 }
 
-/// What is lost when a task takes the room that a machine has for services whose images
-/// it holds.
+/// What is lost when a task uses the room that a machine has for services whose images
+/// it has.
 fn displacement_cost(worths: &ImageWorths, job_state: &JobState, machine: &Machine) -> f64 {
     if machine.spot {
         return 0.0;
@@ -257,26 +303,28 @@
         .images
         .iter()
         .filter(|(image, _)| *image != job_state.record.image);
-    let images = images.filter_map(|(image, _)| worths.get(image));
-    let lost = images.filter(|(need, _)| before.holds(*need) && !after.holds(*need));
-    lost.map(|(_, worth)| worth).sum()
+    let worths = images.filter_map(|(image, _)| worths.get(image));
+    let lost = worths.filter(|image| before.holds(image.need) && !after.holds(image.need));
+    lost.map(|image| image.worth).sum()
 }
 
-/// Seconds until the image would be there. Images fetched at once share the rate.
-pub(crate) fn fetch_s(record: &JobRecord, class: &MachineType, machine: &Machine) -> f64 {
+/// Seconds until a task's image would be there. Images fetched at the same time share the rate.
+pub(crate) fn fetch_s(record: &JobRecord, machine_type: &MachineType, machine: &Machine) -> f64 {
     if machine.has_image(&record.image) {
         return 0.0;
     }
-    let whole = record.image_gb / class.fetch_gb_s;
+    let alone_s = record.image_gb / machine_type.fetch_gb_s;
     let mut others: Vec<(&Image, f64)> = Vec::new();
-    for bind in machine.tasks.values().filter(|s| !s.image_cached) {
-        let image = &bind.record.image;
+    let bindings = machine.tasks.values();
+    for binding in bindings.filter(|binding| !binding.image_cached) {
+        let image = &binding.record.image;
         if *image == record.image {
-            return whole / 2.0;
+            return alone_s / 2.0;
         }
-        if !machine.has_image(image) && others.iter().all(|(i, _)| *i != image) {
-            others.push((image, bind.record.image_gb / class.fetch_gb_s));
+        if !machine.has_image(image) && others.iter().all(|(other, _)| *other != image) {
+            others.push((image, binding.record.image_gb / machine_type.fetch_gb_s));
         }
     }
-    whole + others.iter().map(|(_, s)| s.min(whole)).sum::<f64>()
+    let shared_s = others.iter().map(|(_, other_s)| other_s.min(alone_s));
+    alone_s + shared_s.sum::<f64>()
 }
