--- a/src/controller/autoscaling/demand.rs
+++ b/src/controller/autoscaling/demand.rs
@@ -43,6 +43,7 @@
 }
 
 impl SlowPools {
+    /// Whether work that may use other pools counts on those instead.
     fn is_slow(&self, pool: &Pool, urgent: bool) -> bool {
         let pools = if urgent {
             &self.for_urgent
@@ -56,9 +57,11 @@
 /// A pool's machines that aren't ready yet.
 #[derive(Default)]
 struct BootingCount {
+    /// All of them.
     all: u32,
     /// Late ones that aren't overdue yet.
     late: u32,
+    /// Overdue ones, which are replaced.
     overdue: u32,
 }
 
--- a/src/controller/autoscaling/mod.rs
+++ b/src/controller/autoscaling/mod.rs
@@ -95,6 +95,7 @@
         }
     }
 
+    /// Takes the machine types, and looks up those of the machines that are known by name.
     fn on_catalog(&mut self, response: CloudReply) {
         let CloudReply::Catalog(machine_types) = response else {
             return;
@@ -119,6 +120,7 @@
         }
     }
 
+    /// Calls the cloud if the rate limit allows it; says whether it did.
     fn cloud_call(&mut self, op: CloudOp, purpose: CloudPurpose, priority: Priority) -> bool {
         let outbox = &mut self.outbox;
         self.cloud.send(self.now, outbox, op, purpose, priority)
--- a/src/controller/autoscaling/plan.rs
+++ b/src/controller/autoscaling/plan.rs
@@ -1,12 +1,11 @@
 //! The leader's scaling plan: wanted counts and the scale-out requests under way, written before
 //! these are sent.
 
-use crate::controller::autoscaling::scale_out::{ScaleOutRequest, ScaleOutStep};
 use crate::controller::context::Context;
 use crate::controller::pool::Pool;
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::store::records::{
-    ExhaustedPool, Key, Record, ScalingPlanRecord, json_bytes,
+    ExhaustedPool, Key, Record, ScaleOutRecord, ScalingPlanRecord, json_bytes,
 };
 use crate::controller::store_requests::RequestPurpose;
 use crate::ids::{MachineId, Time};
@@ -17,8 +16,33 @@
 const PLAN_VALUE_SHARE: f64 = 0.9;
 /// An answered scale-out request is kept for so many list lags, and so many seconds more.
 const ANSWERED_LIST_LAGS: f64 = 3.0;
+/// Seconds beyond the list lags.
 const ANSWERED_MARGIN_S: f64 = 5.0;
 
+/// A request to scale out.
+#[derive(Debug)]
+pub(crate) struct ScaleOutRequest {
+    /// What it asks for, as it is written.
+    pub(crate) record: ScaleOutRecord,
+    /// How far it has come.
+    pub(crate) step: ScaleOutStep,
+    /// When it came to this step; for a repeated one, when it is due.
+    pub(crate) at: Time,
+}
+
+/// How far a request to scale out has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum ScaleOutStep {
+    /// Not yet in the written plan.
+    Planned,
+    /// Written: may be sent.
+    Written,
+    /// Sent, and not answered yet.
+    Sent,
+    /// Answered; kept in the plan until lists surely show its machines.
+    Answered,
+}
+
 /// How long a zone of a pool isn't asked again.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Exhausted {
@@ -31,7 +55,9 @@
 /// What was wanted of a pool at one turn of the reconcile loop.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WantedAt {
+    /// When.
     at: Time,
+    /// How many machines.
     machines: u32,
 }
 
@@ -116,6 +142,7 @@
         }
     }
 
+    /// Writes a plan under the leader's lease.
     fn send_plan(&mut self, plan: ScalingPlanRecord) {
         let (shares, exhausted) = (plan.shares.clone(), plan.closed.clone());
         let request = StoreRequest::Transaction {
--- a/src/controller/autoscaling/reconcile.rs
+++ b/src/controller/autoscaling/reconcile.rs
@@ -2,7 +2,8 @@
 
 use crate::controller::Controller;
 use crate::controller::autoscaling::Zones;
-use crate::controller::autoscaling::scale_out::{ScaleOutDemand, ScaleOutStep};
+use crate::controller::autoscaling::plan::ScaleOutStep;
+use crate::controller::autoscaling::scale_out::ScaleOutDemand;
 use crate::controller::context::Context;
 use crate::controller::pool::Pool;
 use crate::ids::{MachineId, Time};
--- a/src/controller/autoscaling/scale_out.rs
+++ b/src/controller/autoscaling/scale_out.rs
@@ -2,7 +2,9 @@
 //! answered.
 
 use crate::controller::Controller;
-use crate::controller::autoscaling::plan::{Exhausted, ScalingState};
+use crate::controller::autoscaling::plan::{
+    Exhausted, ScaleOutRequest, ScaleOutStep, ScalingState,
+};
 use crate::controller::autoscaling::{CloudPurpose, REPEAT_S, Zones};
 use crate::controller::context::Context;
 use crate::controller::machines::inventory::Machine;
@@ -17,38 +19,16 @@
 /// Pause before a zone that refused is asked again; doubled by each further refusal, up to the
 /// longest.
 const REFUSAL_PAUSE_S: f64 = 10.0;
+/// Longest pause before a zone that refused is asked again.
 const REFUSAL_PAUSE_MAX_S: f64 = 80.0;
 /// Most refusals in a row that double the pause.
 const REFUSAL_DOUBLINGS_MAX: u32 = 6;
 /// Most machines that one scale-out request may ask for.
 const SCALE_OUT_MAX: u32 = 50;
 
-/// A request to scale out.
-#[derive(Debug)]
-pub(crate) struct ScaleOutRequest {
-    /// What it asks for, as it is written.
-    pub(crate) record: ScaleOutRecord,
-    /// How far it has come.
-    pub(crate) step: ScaleOutStep,
-    /// When it came to this step; for a repeated one, when it is due.
-    pub(crate) at: Time,
-}
-
-/// How far a request to scale out has come.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum ScaleOutStep {
-    /// Not yet in the written plan.
-    Planned,
-    /// Written: may be sent.
-    Written,
-    /// Sent, and not answered yet.
-    Sent,
-    /// Answered; kept in the plan until lists surely show its machines.
-    Answered,
-}
-
 /// A zone of a pool, as the planning of a scale-out sees it.
 struct ZonePlan<'a> {
+    /// The zone.
     zone: &'a String,
     /// Machines of the pool that are there.
     existing: u32,
@@ -284,6 +264,7 @@
         self.plan_changed = true;
     }
 
+    /// Records that a zone of a pool has no capacity: it isn't asked again for a while.
     fn mark_exhausted(&mut self, place: (Pool, String), now: Time) {
         let known = self.exhausted.get(&place);
         let refusals = known.map_or(0, |exhausted| exhausted.refusals);
@@ -296,6 +277,7 @@
         self.exhausted.insert(place, exhausted);
     }
 
+    /// Records how far the request of a name has come.
     fn set_step(&mut self, name: &str, step: ScaleOutStep, at: Time) {
         for request in self
             .scale_out_requests
--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -16,6 +16,7 @@
     pub(crate) rate_limit: TokenBucket,
     /// Progress of the list of machines.
     pub(crate) listing: MachineListing,
+    /// What each pending call is for.
     pending: HashMap<CallId, P>,
 }
 
--- a/src/controller/scheduling/consolidation.rs
+++ b/src/controller/scheduling/consolidation.rs
@@ -4,8 +4,7 @@
 use crate::controller::context::Context;
 use crate::controller::machines::inventory::Machine;
 use crate::controller::pool::Pool;
-use crate::controller::scheduling::constraints::{suits, zone_allowed};
-use crate::controller::scheduling::usable;
+use crate::controller::scheduling::constraints::{suits, usable, zone_allowed};
 use crate::controller::shard::ShardOwner;
 use crate::controller::shard::job::{JobState, Phase, Placement};
 use crate::controller::store::records::{JobKind, PriorityClass, Resources};
@@ -24,7 +23,9 @@
 
 /// The replicas of one machine, to be stopped there.
 struct Move {
+    /// The machine.
     machine: MachineId,
+    /// Its tasks.
     tasks: Vec<TaskId>,
 }
 
--- a/src/controller/scheduling/constraints.rs
+++ b/src/controller/scheduling/constraints.rs
@@ -1,12 +1,17 @@
-//! Where a task may run: quota limits and guarantees of its team, machine types, markets and zones.
+//! Where a task may run: quota limits and guarantees of its team, machine types, markets and zones,
+//! and whether a machine takes tasks now.
 
+use crate::controller::machines::inventory::Machine;
 use crate::controller::pool::Pool;
 use crate::controller::shard::ShardOwner;
 use crate::controller::shard::job::JobState;
 use crate::controller::store::records::JobRecord;
+use crate::ids::Time;
 use crate::settings::{Settings, Team};
 use crate::wire::MachineType;
 
+/// A machine without a heartbeat for this many heartbeat intervals gets no tasks.
+const FRESH_HEARTBEAT_INTERVALS: f64 = 3.5;
 /// Tolerance for rounding in sums of what tasks need.
 const ROUNDING: f64 = 1e-6;
 
@@ -109,3 +114,14 @@
     }
     true
 }
+
+/// Whether a machine may be given tasks at all now.
+pub(crate) fn usable(machine: &Machine, settings: &Settings, now: Time) -> bool {
+    let fresh_s = settings.platform.facts.workers.report_s * FRESH_HEARTBEAT_INTERVALS;
+    machine.ready_since.is_some()
+        && machine.decommission_at.is_none()
+        && machine.notice.is_none()
+        && machine.agent_epoch > 0
+        && (machine.long_poll.is_some() || now.since(machine.last_heartbeat) < fresh_s)
+        && now >= machine.full_until
+}
--- a/src/controller/scheduling/mod.rs
+++ b/src/controller/scheduling/mod.rs
@@ -10,21 +10,17 @@
 pub(crate) mod scoring;
 
 use crate::controller::context::Context;
-use crate::controller::machines::inventory::Machine;
-use crate::controller::pool::Pool;
 use crate::controller::scheduling::constraints::{
     teams_over_guarantee, within_guarantee, within_limit,
 };
 use crate::controller::scheduling::preemption::cheapest_victims;
 use crate::controller::scheduling::scoring::{
-    Candidate, ImageWorths, PlacementContext, best_candidate, expected_s, fetch_s, image_worths,
+    Candidate, PlacementContext, ScoreInputs, best_candidate, expected_s, fetch_s,
 };
 use crate::controller::shard::ShardOwner;
 use crate::controller::shard::job::{JobState, Placement};
 use crate::controller::store::records::{JobRecord, PriorityClass};
 use crate::ids::{JobId, MachineId, TaskId, Time};
-use crate::settings::Settings;
-use crate::wire::MachineType;
 use log::{debug, info};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -34,8 +30,6 @@
 const CYCLE_INTERVAL_MIN_MS: u64 = 15;
 /// Longest interval between two scheduling cycles while tasks are queued.
 const CYCLE_INTERVAL_MAX_S: f64 = 0.5;
-/// A machine without a heartbeat for this many heartbeat intervals gets no tasks.
-const FRESH_HEARTBEAT_INTERVALS: f64 = 3.5;
 /// How long a job waits for the room of tasks that were preempted for it before more are.
 const PREEMPTION_WAIT_S: f64 = 6.0;
 /// Most tasks bound in one cycle, so that a large array doesn't delay everything else.
@@ -49,21 +43,26 @@
 /// A queued job's place in the queue. Lower comes first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct QueuePosition {
+    /// Higher classes first.
     priority_class: Reverse<PriorityClass>,
     /// Whether its team would use more than its guaranteed quota.
     beyond_guarantee: bool,
     /// Jobs with few running tasks go first, so that neither a mass of tasks nor a large array
     /// delays the others.
     running_steps: u32,
+    /// Earlier jobs first.
     arrival: u64,
+    /// The job.
     job: JobId,
 }
 
 /// The outcome of binding a job's next task.
 enum BindOutcome {
+    /// It is bound.
     Bound,
     /// No task of it is queued, or none may start now.
     NothingToBind,
+    /// No machine has room for it.
     NoMachine,
 }
 
@@ -179,7 +178,7 @@
             return BindOutcome::NothingToBind;
         };
         let candidates = candidates.get_or_insert_with(|| {
-            let found = placement.candidates(self, id, cycle);
+            let found = placement.candidates(self, id, &cycle.scores);
             cycle.machines_scanned += found.machines_scanned;
             found.heap
         });
@@ -194,7 +193,12 @@
         // Only this machine's cost has changed.
         let machine = self.machines.get(&machine_id);
         let cost = machine.and_then(|machine| {
-            placement.cost_of(self, (id, &self.jobs[id]), (&machine_id, machine), cycle)
+            placement.cost_of(
+                self,
+                (id, &self.jobs[id]),
+                (&machine_id, machine),
+                &cycle.scores,
+            )
         });
         candidates.extend(cost.map(|cost| Candidate {
             cost,
@@ -308,21 +312,10 @@
     }
 }
 
-/// The on-demand pools with no more room than is kept for urgent starts. Work that may use spot
-/// machines waits for one rather than use that room.
-fn full_pools(shard: &ShardOwner, catalog: &[MachineType], headroom: f64, now: Time) -> Vec<Pool> {
-    let on_demand = (0..catalog.len()).map(|machine_type| Pool::of(machine_type, false));
-    let full =
-        |pool: &Pool| shard.machines.free(*pool) < shard.kept_room(*pool, catalog, headroom, now);
-    on_demand.filter(full).collect()
-}
-
 /// The state of one scheduling cycle.
-pub(crate) struct SchedulingCycle {
-    /// The worth of images, as of the cycle's begin.
-    images: ImageWorths,
-    /// Pools with no more room than is kept for urgent starts.
-    full: Vec<Pool>,
+struct SchedulingCycle {
+    /// What scores depend on.
+    scores: ScoreInputs,
     /// Tasks that may still be bound.
     tasks_left: usize,
     /// Demands that found no machine: others like them won't either.
@@ -336,12 +329,11 @@
 }
 
 impl SchedulingCycle {
+    /// Begins a cycle.
     fn new(shard: &ShardOwner, context: &Context) -> Self {
-        let (catalog, now) = (&context.cloud.catalog, context.now);
-        let headroom = context.settings.tuning.headroom;
+        let catalog = &context.cloud.catalog;
         Self {
-            images: image_worths(shard, catalog, &context.settings, now),
-            full: full_pools(shard, catalog, headroom, now),
+            scores: ScoreInputs::new(shard, catalog, &context.settings, context.now),
             tasks_left: CYCLE_TASKS_MAX,
             failed: Vec::new(),
             without_victims: Vec::new(),
@@ -360,14 +352,3 @@
         && !b.zone_affinity
         && !b.zone_spread
 }
-
-/// Whether a machine may be given tasks at all now.
-fn usable(machine: &Machine, settings: &Settings, now: Time) -> bool {
-    let fresh_s = settings.platform.facts.workers.report_s * FRESH_HEARTBEAT_INTERVALS;
-    machine.ready_since.is_some()
-        && machine.decommission_at.is_none()
-        && machine.notice.is_none()
-        && machine.agent_epoch > 0
-        && (machine.long_poll.is_some() || now.since(machine.last_heartbeat) < fresh_s)
-        && now >= machine.full_until
-}
--- a/src/controller/scheduling/preemption.rs
+++ b/src/controller/scheduling/preemption.rs
@@ -10,10 +10,11 @@
 use crate::ids::{TaskId, Time};
 use crate::wire::MachineType;
 
-/// Loss, in seconds of work, of preempting a task that checkpoints, and of one that doesn't,
-/// beside a share of the time that the latter has run.
+/// Loss, in seconds of work, of preempting a task that checkpoints.
 const CHECKPOINTED_LOSS_S: f64 = 3.0;
+/// Loss of preempting one that doesn't, beside the share of the time that it has run.
 const START_LOSS_S: f64 = 5.0;
+/// Share of a task's running time that counts as lost if it doesn't checkpoint.
 const RUN_LOSS_SHARE: f64 = 0.2;
 
 /// The tasks to preempt for a job.
@@ -28,13 +29,17 @@
 struct MachineVictims {
     /// What stopping them throws away.
     loss_s: f64,
+    /// The tasks.
     tasks: Vec<TaskId>,
 }
 
 /// A task that may be preempted.
 struct Preemptible<'a> {
+    /// What stopping it throws away.
     loss_s: f64,
+    /// The task.
     task: &'a TaskId,
+    /// The room that it frees.
     need: Resources,
 }
 
--- a/src/controller/scheduling/scoring.rs
+++ b/src/controller/scheduling/scoring.rs
@@ -3,8 +3,7 @@
 
 use crate::controller::machines::inventory::Machine;
 use crate::controller::pool::Pool;
-use crate::controller::scheduling::constraints::{suits, zone_allowed};
-use crate::controller::scheduling::{SchedulingCycle, usable};
+use crate::controller::scheduling::constraints::{suits, usable, zone_allowed};
 use crate::controller::shard::ShardOwner;
 use crate::controller::shard::job::JobState;
 use crate::controller::store::records::{JobKind, JobRecord, PriorityClass, Resources};
@@ -76,6 +75,29 @@
     pub(crate) now: Time,
 }
 
+/// What scores depend on that is computed once for a scheduling cycle.
+pub(crate) struct ScoreInputs {
+    /// The worth of images.
+    images: ImageWorths,
+    /// Pools with no more room than is kept for urgent starts.
+    full_pools: Vec<Pool>,
+}
+
+impl ScoreInputs {
+    /// Computes them from the shard's state at the cycle's begin.
+    pub(crate) fn new(
+        shard: &ShardOwner,
+        catalog: &[MachineType],
+        settings: &Settings,
+        now: Time,
+    ) -> Self {
+        Self {
+            images: image_worths(shard, catalog, settings, now),
+            full_pools: full_pools(shard, catalog, settings.tuning.headroom, now),
+        }
+    }
+}
+
 /// The machines for a job's next task.
 pub(crate) struct Candidates {
     /// The machines, the cheapest on top.
@@ -90,7 +112,7 @@
         &self,
         shard: &ShardOwner,
         job: &JobId,
-        cycle: &SchedulingCycle,
+        scores: &ScoreInputs,
     ) -> Candidates {
         let job_state = &shard.jobs[job];
         let record = &job_state.record;
@@ -107,7 +129,7 @@
         let machines = shard.machines.roomy(record.need, fits);
         let candidates = machines.filter_map(|(id, machine)| {
             machines_scanned += 1;
-            let cost = self.cost_of(shard, (job, job_state), (id, machine), cycle)?;
+            let cost = self.cost_of(shard, (job, job_state), (id, machine), scores)?;
             let machine = id.clone();
             Some(Candidate { cost, machine })
         });
@@ -124,7 +146,7 @@
         shard: &ShardOwner,
         (job, job_state): (&JobId, &JobState),
         (id, machine): (&MachineId, &Machine),
-        cycle: &SchedulingCycle,
+        scores: &ScoreInputs,
     ) -> Option<f64> {
         let pool = machine.pool()?;
         let machine_type = pool.type_in(self.catalog)?;
@@ -133,11 +155,11 @@
         if !machine.free().holds(job_state.record.need) || !usable {
             return None;
         }
-        if self.waits_for_spot(job_state) && cycle.full.contains(&pool) {
+        if self.waits_for_spot(job_state) && scores.full_pools.contains(&pool) {
             return None;
         }
         let mut cost = self.start_cost(&job_state.record, machine_type, machine)
-            + displacement_cost(&cycle.images, job_state, machine);
+            + displacement_cost(&scores.images, job_state, machine);
         if shard.failures.failed_on(job, id) {
             cost += FAILED_COST;
         }
@@ -230,7 +252,7 @@
 }
 
 /// An image's worth on a machine that has it and has room for one of its tasks.
-pub(crate) struct ImageWorth {
+struct ImageWorth {
     /// What one of its tasks needs.
     need: Resources,
     /// What its next start would lose elsewhere, the less the more such machines there are.
@@ -238,10 +260,10 @@
 }
 
 /// The worth of each image that a machine with room for it has.
-pub(crate) type ImageWorths = HashMap<Image, ImageWorth>;
+type ImageWorths = HashMap<Image, ImageWorth>;
 
 /// Weighs the images of services by their use and by the machines that have them.
-pub(crate) fn image_worths(
+fn image_worths(
     shard: &ShardOwner,
     catalog: &[MachineType],
     settings: &Settings,
@@ -290,6 +312,15 @@
     counts
 }
 
+/// The on-demand pools with no more room than is kept for urgent starts. Work that may use spot
+/// machines waits for one rather than use that room.
+fn full_pools(shard: &ShardOwner, catalog: &[MachineType], headroom: f64, now: Time) -> Vec<Pool> {
+    let on_demand = (0..catalog.len()).map(|machine_type| Pool::of(machine_type, false));
+    let full =
+        |pool: &Pool| shard.machines.free(*pool) < shard.kept_room(*pool, catalog, headroom, now);
+    on_demand.filter(full).collect()
+}
+
 /// What is lost when a task uses the room that a machine has for services whose images
 /// it has.
 fn displacement_cost(worths: &ImageWorths, job_state: &JobState, machine: &Machine) -> f64 {
--- a/src/controller/shard/burst_estimate.rs
+++ b/src/controller/shard/burst_estimate.rs
@@ -14,6 +14,7 @@
 /// machines, with older ones decayed.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct BurstEstimate {
+    /// The sum.
     squares: f64,
     /// When the sum was last brought up to date.
     at: Time,
@@ -31,7 +32,9 @@
 
 /// A service's pool, and its size there in machines.
 struct ServiceSize {
+    /// The pool.
     pool: Pool,
+    /// How many of its machines the service fills.
     machines: f64,
 }
 
@@ -47,6 +50,7 @@
         decayed(self.squares, now.since(self.at), half_life_s)
     }
 
+    /// Adds a job of so many machines.
     fn add(&mut self, now: Time, boot_s: f64, machines: f64) {
         self.squares = self.decayed(now, boot_s) + machines * machines;
         self.at = now;
--- a/src/controller/shard/image_demand.rs
+++ b/src/controller/shard/image_demand.rs
@@ -15,6 +15,7 @@
     pub(crate) need: Resources,
     /// Jobs that arrived with it, older ones decayed, as of `at`.
     uses: f64,
+    /// When the use was last brought up to date.
     at: Time,
 }
 
