--- a/src/controller/autoscaling/plan.rs
+++ b/src/controller/autoscaling/plan.rs
@@ -241,6 +241,17 @@
         plan.scale_in = self.scale_in.iter().take_while(fits).cloned().collect();
     }
 
+    /// Plans to give back up to `surplus` of a pool's empty machines.
+    pub(crate) fn plan_scale_in<'a>(
+        &mut self,
+        empty: impl Iterator<Item = &'a MachineId>,
+        surplus: usize,
+    ) {
+        let before = self.scale_in.len();
+        self.scale_in.extend(empty.take(surplus).cloned());
+        self.plan_changed |= self.scale_in.len() > before;
+    }
+
     /// Records what is wanted of a pool, for as long as the stabilization window.
     pub(crate) fn record_wanted(&mut self, pool: Pool, now: Time, machines: u32, window_s: f64) {
         let window = self.wanted.entry(pool).or_default();
--- a/src/controller/autoscaling/reconcile.rs
+++ b/src/controller/autoscaling/reconcile.rs
@@ -111,20 +111,15 @@
             return;
         };
         let scale = &mut leadership.scale;
-        let PoolDemand {
-            wanted,
-            provisioned,
-            gap,
-        } = demand;
         let window_s = self.settings.tuning.window * machine_type.ready_s;
-        scale.record_wanted(pool, now, wanted, window_s);
-        let requested = fleet.requested.get(&pool).copied().unwrap_or(0);
+        scale.record_wanted(pool, now, demand.wanted, window_s);
         // A machine in the wrong zone is no help to tasks that may not go there.
         let lacking = fleet.lacking.iter().filter(|((of, _), _)| *of == pool);
         let by_zone: BTreeMap<&String, u32> =
             lacking.map(|((_, zone), count)| (zone, *count)).collect();
-        let below_ceiling = self.settings.ceiling().saturating_sub(provisioned);
-        let gap = gap.max(by_zone.values().sum());
+        let requested = fleet.requested.get(&pool).copied().unwrap_or(0);
+        let below_ceiling = self.settings.ceiling().saturating_sub(demand.provisioned);
+        let gap = demand.gap.max(by_zone.values().sum());
         let gap = gap.min(below_ceiling).saturating_sub(requested);
         let gap = gap.min(self.settings.rise(gap));
         if gap > 0 {
@@ -137,15 +132,12 @@
             scale.plan_scale_out(&self.cloud.catalog, &demand, leadership.token, now);
         }
         // A new leader doesn't know the highest count before it was elected.
-        if now.since(ready) < window_s {
-            return;
+        if now.since(ready) >= window_s {
+            let kept = scale.highest_wanted(pool).max(demand.wanted);
+            let surplus = (demand.provisioned + requested).saturating_sub(kept);
+            let empty = fleet.empty.get(&pool).into_iter().flatten();
+            scale.plan_scale_in(empty, surplus as usize);
         }
-        let kept = scale.highest_wanted(pool).max(wanted);
-        let surplus = (provisioned + requested).saturating_sub(kept) as usize;
-        let empty = fleet.empty.get(&pool).into_iter().flatten();
-        let before = scale.scale_in.len();
-        scale.scale_in.extend(empty.take(surplus).cloned());
-        scale.plan_changed |= scale.scale_in.len() > before;
     }
 
     /// Adds up what the shards' owners count. Types that the catalog doesn't have are left out.
