--- a/src/controller/api/cancellations.rs
+++ b/src/controller/api/cancellations.rs
@@ -88,7 +88,7 @@
             match self.store.mirror.ending(&query.id) {
                 Some(ending) => self.answer_ending(query.request_id, &query.id, ending),
                 None if self.store.mirror.jobs.contains_key(&query.id) => {
-                    self.api.awaiting_end.push_back(query)
+                    self.api.awaiting_end.push_back(query);
                 }
                 None => self.api.awaiting_end_read.push_back(query),
             }
--- a/src/controller/quota/cells/status_log.rs
+++ b/src/controller/quota/cells/status_log.rs
@@ -31,7 +31,7 @@
                 .map_or(0, |transfer| transfer.amounts.len());
             match age.filter(|age| *age < UNREACHABLE_S) {
                 Some(age) => {
-                    info!("cell heard, cell={cell} age_s={age:.1} teams_in_transit={pending}")
+                    info!("cell heard, cell={cell} age_s={age:.1} teams_in_transit={pending}");
                 }
                 None => warn!("cell unreachable, cell={cell} teams_in_transit={pending}"),
             }
