--- a/fakes/src/cloud.rs
+++ b/fakes/src/cloud.rs
@@ -121,7 +121,7 @@
         }
         match op {
             CloudRequest::Catalog => (CloudResponse::Catalog(self.catalog.clone()), Vec::new()),
-            CloudRequest::Rent(request) => (self.rent(now, request), Vec::new()),
+            CloudRequest::ScaleOut(request) => (self.rent(now, request), Vec::new()),
             CloudRequest::Delete(ids) => (CloudResponse::Deleted, self.delete(now, ids)),
             CloudRequest::List { after } => (self.list(now, after.as_ref()), Vec::new()),
         }
@@ -131,7 +131,7 @@
     /// under its name gets its first answer.
     fn rent(&mut self, now: u64, request: &ScaleOutRecord) -> CloudResponse {
         if let Some(machines) = self.answers.get(&request.name) {
-            return CloudResponse::Rented(machines.clone());
+            return CloudResponse::ScaledOut(machines.clone());
         }
         let pool = (request.class.clone(), request.zone.clone(), request.spot);
         let free = self.capacity.entry(pool).or_default();
@@ -149,7 +149,7 @@
         });
         let machines: Vec<MachineId> = machines.collect();
         self.answers.insert(request.name.clone(), machines.clone());
-        CloudResponse::Rented(machines)
+        CloudResponse::ScaledOut(machines)
     }
 
     /// How long a machine boots that is rented now.
--- a/scale/src/hollow/cell.rs
+++ b/scale/src/hollow/cell.rs
@@ -354,7 +354,11 @@
         let Some(operation) = decode_request(request) else {
             return self.send_at(now, key, &Response::error(400, "malformed"));
         };
-        if self.plan.single && matches!(operation, CloudRequest::Rent(_) | CloudRequest::Delete(_))
+        if self.plan.single
+            && matches!(
+                operation,
+                CloudRequest::ScaleOut(_) | CloudRequest::Delete(_)
+            )
         {
             let controller_id = &self.plan.controller_ids[controller];
             self.shared.takeovers().cloud_changed(now, controller_id);
@@ -364,7 +368,7 @@
             self.workers
                 .stop(&mut self.connections, &id, MachineStop::Deleted);
         }
-        if let CloudResponse::Rented(machines) = &reply {
+        if let CloudResponse::ScaledOut(machines) = &reply {
             for id in machines {
                 let rig = self.cloud.rigs.get(id.as_str());
                 if let Some(at_ms) = rig.and_then(|rig| rig.boots).filter(|at_ms| *at_ms > now) {
--- a/scale/src/hollow/cloud.rs
+++ b/scale/src/hollow/cloud.rs
@@ -136,7 +136,7 @@
         }
         ("POST", "/rentals") => {
             let body: ScaleOutBody = wire::decode(&request.body)?;
-            Some(CloudRequest::Rent(ScaleOutRecord {
+            Some(CloudRequest::ScaleOut(ScaleOutRecord {
                 name: body.name,
                 class: body.class,
                 zone: body.zone,
@@ -159,7 +159,7 @@
             let types = types.iter().map(type_body).collect();
             Response::ok(wire::encode(&CatalogBody { types }))
         }
-        CloudResponse::Rented(machines) => Response::ok(wire::encode(&CreatedBody { machines })),
+        CloudResponse::ScaledOut(machines) => Response::ok(wire::encode(&CreatedBody { machines })),
         CloudResponse::PoolExhausted => Response::error(503, "no capacity"),
         CloudResponse::Deleted => Response::ok(Vec::new()),
         CloudResponse::Page { machines, more } => Response::ok(wire::encode(&ListBody {
--- a/src/controller/api/mod.rs
+++ b/src/controller/api/mod.rs
@@ -221,7 +221,7 @@
 
     /// Sends the store requests that the waiting requests of users need, as far as the rate limits
     /// allow.
-    pub(crate) fn pump_api(&mut self) {
+    pub(crate) fn advance_api(&mut self) {
         self.check_dependent_submissions();
         self.write_cancellations();
         self.read_missing_ends();
--- a/src/controller/autoscaling/machines.rs
+++ b/src/controller/autoscaling/machines.rs
@@ -65,10 +65,10 @@
     /// Decommissions the machines that the leader's plan gives back, if they are still empty.
     pub(crate) fn apply_scale_in(&mut self) {
         let plan = &self.context.store.mirror.plan;
-        if plan.revision == self.context.plan_seen {
+        if plan.revision == self.context.applied_plan_revision {
             return;
         }
-        self.context.plan_seen = plan.revision;
+        self.context.applied_plan_revision = plan.revision;
         let now = self.context.now;
         let is_empty =
             |machine: &Machine| machine.ready_since.is_some() && machine.tasks.is_empty();
--- a/src/controller/autoscaling/mod.rs
+++ b/src/controller/autoscaling/mod.rs
@@ -57,9 +57,9 @@
 impl Controller {
     /// Sends counts, lists machines, and scales, as far as each is due.
     pub(crate) fn leadership_housekeeping(&mut self) {
-        if self.context.now >= self.context.counts_at {
+        if self.context.now >= self.context.next_counts_at {
             let tick_s = self.context.settings.tuning.tick_s;
-            self.context.counts_at = self.context.now.after(tick_s * COUNTS_INTERVAL_SHARE);
+            self.context.next_counts_at = self.context.now.after(tick_s * COUNTS_INTERVAL_SHARE);
             self.send_counts();
             self.lease_housekeeping();
         }
--- a/src/controller/autoscaling/scale_out.rs
+++ b/src/controller/autoscaling/scale_out.rs
@@ -69,7 +69,7 @@
         };
         let pool = Pool::of(index, record.spot);
         match response {
-            CloudResponse::Rented(machines) => {
+            CloudResponse::ScaledOut(machines) => {
                 scale.on_scaled_out(pool, &record, &machines, now);
                 self.add_machines(&record, machines);
             }
@@ -126,7 +126,7 @@
         for record in due {
             let name = record.name.clone();
             let purpose = CloudPurpose::ScaleOut(name.clone());
-            if !self.cloud_call(CloudRequest::Rent(record), purpose, Priority::Usual) {
+            if !self.cloud_call(CloudRequest::ScaleOut(record), purpose, Priority::Usual) {
                 return;
             }
             if let Some(leadership) = &mut self.leadership {
--- a/src/controller/context.rs
+++ b/src/controller/context.rs
@@ -65,9 +65,9 @@
     pub(crate) shutdown: Option<Shutdown>,
     pub(crate) peers: PeerTable,
     pub(crate) forwarding: Forwarding,
-    pub(crate) counts_at: Time,
+    pub(crate) next_counts_at: Time,
     /// The revision of the plan that was carried out here.
-    pub(crate) plan_seen: u64,
+    pub(crate) applied_plan_revision: u64,
     /// When a worker last reported here.
     pub(crate) last_worker_heartbeat: Time,
     pub(crate) housekeeping_at: Time,
@@ -105,8 +105,8 @@
             shutdown: None,
             peers: PeerTable::default(),
             forwarding: Forwarding::default(),
-            counts_at: Time(0),
-            plan_seen: 0,
+            next_counts_at: Time(0),
+            applied_plan_revision: 0,
             last_worker_heartbeat: Time(0),
             housekeeping_at: Time(0),
             machines_scanned: 0,
--- a/src/controller/dependencies/graph.rs
+++ b/src/controller/dependencies/graph.rs
@@ -116,7 +116,7 @@
                 .entry(dependency.clone())
                 .or_default()
                 .insert(id.clone());
-            self.look_for_end(dependency);
+            self.request_end_read(dependency);
         }
         if self.dependency_state(&record) == DependencyState::Cancelled {
             self.cancel(id);
@@ -138,11 +138,11 @@
             }
         }
         self.update_priority_classes(job.record.dependencies.clone());
-        self.look_for_end(id);
+        self.request_end_read(id);
     }
 
     /// Releases or cancels the dependents of a job that ended.
-    pub(crate) fn note_end(&mut self, id: &JobId, ending: Ending) {
+    pub(crate) fn on_job_ended(&mut self, id: &JobId, ending: Ending) {
         self.dependencies.unread.remove(id);
         match ending {
             Ending::Done => {
@@ -154,7 +154,7 @@
     }
 
     /// Cancels the dependents of a job whose record was marked as cancelled.
-    pub(crate) fn note_mark(&mut self, id: &JobId) {
+    pub(crate) fn on_marked_cancelled(&mut self, id: &JobId) {
         self.cancel_dependents(id);
         self.update_priority_classes(self.dependencies_of(id));
     }
@@ -166,7 +166,7 @@
     }
 
     /// Has the end of a dependency read of which neither a live record nor an end is known.
-    pub(crate) fn look_for_end(&mut self, id: &JobId) {
+    pub(crate) fn request_end_read(&mut self, id: &JobId) {
         let is_dependency = self.dependencies.dependents.contains_key(id);
         if is_dependency && !self.jobs.contains_key(id) && self.ending(id).is_none() {
             self.dependencies.unread.insert(id.clone());
--- a/src/controller/dependencies/resolution.rs
+++ b/src/controller/dependencies/resolution.rs
@@ -27,7 +27,7 @@
 
 impl Controller {
     /// Has the shards that are owned here handle the jobs whose state changed through others.
-    pub(crate) fn on_affected(&mut self) {
+    pub(crate) fn on_affected_jobs(&mut self) {
         for id in self.context.store.mirror.take_affected() {
             let job = self.context.store.mirror.jobs.get(&id);
             let owned = job.and_then(|job| self.shards.get_mut(&job.record.shard));
--- a/src/controller/machines/liveness.rs
+++ b/src/controller/machines/liveness.rs
@@ -153,7 +153,7 @@
         let partitioned_zones = self.find_partitioned_zones(context);
         let silent = self.find_silent(context, &unreachable, &partitioned_zones);
         let partitioned_before = self.partitioned_at;
-        self.note_partition(now, partitioned_zones, silent.len());
+        self.record_partition(now, partitioned_zones, silent.len());
         if context.is_stale() {
             return;
         }
@@ -211,7 +211,7 @@
     }
 
     /// Takes note of which zones, and whether so many machines, are taken to be partitioned.
-    fn note_partition(&mut self, now: Time, partitioned_zones: BTreeSet<Rc<str>>, silent: usize) {
+    fn record_partition(&mut self, now: Time, partitioned_zones: BTreeSet<Rc<str>>, silent: usize) {
         if !partitioned_zones.is_empty() {
             self.zones_partitioned_at = Some(now);
         }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -63,7 +63,7 @@
     /// Takes one input; `now` never goes back.
     pub fn step(&mut self, now: Time, input: Input) -> Vec<Output> {
         self.context.now = self.context.now.max(now);
-        self.context.note_start();
+        self.context.record_start();
         match input {
             Input::Request(request_id, ask) => self.on_request(request_id, ask),
             Input::Disconnect(request_id) => self.on_disconnect(request_id),
@@ -97,7 +97,7 @@
         }
         self.context.send_batched_forwards();
         self.context.send_due_endings();
-        self.pump();
+        self.advance();
         self.context.outbox.take()
     }
 
@@ -225,8 +225,8 @@
         }
     }
 
-    fn pump(&mut self) {
-        self.on_affected();
+    fn advance(&mut self) {
+        self.on_affected_jobs();
         for shard in self.shards.values_mut() {
             shard.schedule(&mut self.context);
         }
@@ -234,7 +234,7 @@
             shard.write_placements(&mut self.context);
         }
         self.context.read_dependencies();
-        self.context.pump_api();
+        self.context.advance_api();
         self.read_revision();
     }
 
--- a/src/controller/peers/links.rs
+++ b/src/controller/peers/links.rs
@@ -55,7 +55,7 @@
         self.now.0.saturating_sub(last.0)
     }
 
-    pub(crate) fn note_start(&mut self) {
+    pub(crate) fn record_start(&mut self) {
         let now = self.now;
         self.forwarding.last_keepalive.get_or_insert(now);
         self.began.get_or_insert(now);
--- a/src/controller/rate_limits/write_rate.rs
+++ b/src/controller/rate_limits/write_rate.rs
@@ -25,12 +25,12 @@
 
 impl WriteRateMeter {
     /// Counts changes that the watch brought.
-    pub(crate) fn note_seen(&mut self, changes: usize) {
+    pub(crate) fn count_seen(&mut self, changes: usize) {
         self.seen += changes as f64;
     }
 
     /// Counts changes made here.
-    pub(crate) fn note_own(&mut self, changes: f64) {
+    pub(crate) fn count_own(&mut self, changes: f64) {
         self.own += changes;
     }
 
--- a/src/controller/scheduling/mod.rs
+++ b/src/controller/scheduling/mod.rs
@@ -73,7 +73,7 @@
         if !self.scheduling_due(context) {
             return;
         }
-        self.schedule_at = Time(context.now.0 + CYCLE_INTERVAL_MIN_MS);
+        self.next_cycle_at = Time(context.now.0 + CYCLE_INTERVAL_MIN_MS);
         self.scheduling_wanted = false;
         let queue = self.queue_order(context);
         if queue.is_empty() {
@@ -100,12 +100,12 @@
     fn scheduling_due(&self, context: &Context) -> bool {
         let now = context.now;
         // Pauses of failing jobs, of machines and of batch work end without any event.
-        let due = now.since(self.schedule_at) > CYCLE_INTERVAL_MAX_S && !self.waiting.is_empty();
+        let due = now.since(self.next_cycle_at) > CYCLE_INTERVAL_MAX_S && !self.waiting.is_empty();
         let wanted = self.scheduling_wanted || due;
         wanted
             && !context.is_stale()
             && !context.cloud.catalog.is_empty()
-            && now >= self.schedule_at
+            && now >= self.next_cycle_at
     }
 
     /// The jobs with queued tasks, in the order in which they are served.
--- a/src/controller/shard/mod.rs
+++ b/src/controller/shard/mod.rs
@@ -85,7 +85,7 @@
     /// Something has changed that scheduling depends on.
     pub(crate) scheduling_wanted: bool,
     /// No scheduling cycle before this.
-    pub(crate) schedule_at: Time,
+    pub(crate) next_cycle_at: Time,
     /// When machines are next emptied.
     pub(crate) consolidate_at: Time,
     /// Chunks to write, by urgency.
@@ -133,7 +133,7 @@
             images: HashMap::new(),
             waiting: BTreeSet::new(),
             scheduling_wanted: true,
-            schedule_at: now,
+            next_cycle_at: now,
             consolidate_at: now,
             write_queue: BTreeSet::new(),
             writes_in_flight: 0,
--- a/src/controller/store/mirror.rs
+++ b/src/controller/store/mirror.rs
@@ -175,7 +175,7 @@
             self.link(&id);
         }
         if cancelled.is_some() {
-            self.note_mark(&id);
+            self.on_marked_cancelled(&id);
         }
         Some(MirrorEvent::JobChanged(id))
     }
@@ -226,13 +226,13 @@
     pub(crate) fn remember(&mut self, now: Time, id: JobId, ending: Ending) {
         if !self.endings.contains_key(&id) {
             self.endings.insert(id.clone(), (ending, now));
-            self.note_end(&id, ending);
+            self.on_job_ended(&id, ending);
             self.endings_order.push_back(id);
         }
         while self.endings_order.len() > ENDINGS_MAX {
             if let Some(old) = self.endings_order.pop_front() {
                 self.endings.remove(&old);
-                self.look_for_end(&old);
+                self.request_end_read(&old);
             }
         }
     }
--- a/src/controller/store/mod.rs
+++ b/src/controller/store/mod.rs
@@ -161,7 +161,7 @@
             changes,
         } = self.pending.remove(&call)?;
         if matches!(response, StoreResponse::Committed { .. }) {
-            self.write_rate.note_own(changes);
+            self.write_rate.count_own(changes);
         }
         if let StoreResponse::Missing { revision } | StoreResponse::Committed { revision } =
             &response
--- a/src/controller/store/watch.rs
+++ b/src/controller/store/watch.rs
@@ -169,7 +169,7 @@
     ) -> StoreEvent<P> {
         match response {
             StoreResponse::Changes { revision, news } => {
-                self.write_rate.note_seen(news.len());
+                self.write_rate.count_seen(news.len());
                 self.staleness.changes_known(sent);
                 let mirror = &mut self.mirror;
                 let changes = news.into_iter();
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -20,7 +20,7 @@
     /// Which machine types there are.
     Catalog,
     /// Rent machines; repeated under the same name until it is answered.
-    Rent(ScaleOutRecord),
+    ScaleOut(ScaleOutRecord),
     /// Give machines back.
     Delete(Vec<MachineId>),
     /// A page of the rented machines.
@@ -36,7 +36,7 @@
     /// The machine types.
     Catalog(Vec<MachineType>),
     /// The machines that a request rented.
-    Rented(Vec<MachineId>),
+    ScaledOut(Vec<MachineId>),
     /// No capacity for this type, zone and kind.
     PoolExhausted,
     /// The machines were given back.
@@ -222,7 +222,7 @@
     pub fn call(&self) -> Call {
         match self {
             Self::Catalog => Call::get("/catalog"),
-            Self::Rent(record) => Call::post("/rentals", encode(&RentBody::from(record))),
+            Self::ScaleOut(record) => Call::post("/rentals", encode(&RentBody::from(record))),
             Self::Delete(machines) => {
                 Call::post("/rentals/delete", encode(&DeleteBody { machines }))
             }
@@ -237,10 +237,12 @@
     pub fn reply(&self, status: u16, body: &[u8]) -> CloudResponse {
         let reply = match (self, status) {
             (Self::Catalog, 200) => read_catalog(body),
-            (Self::Rent(_), 200) => {
-                decode(body).map(|body: RentedBody| CloudResponse::Rented(body.machines))
+            (Self::ScaleOut(_), 200) => {
+                decode(body).map(|body: RentedBody| CloudResponse::ScaledOut(body.machines))
+            }
+            (Self::ScaleOut(_), 503) if is_out_of_capacity(body) => {
+                Some(CloudResponse::PoolExhausted)
             }
-            (Self::Rent(_), 503) if is_out_of_capacity(body) => Some(CloudResponse::PoolExhausted),
             (Self::Delete(_), 200) => Some(CloudResponse::Deleted),
             (Self::List { .. }, 200) => read_page(body),
             _ => None,
--- a/tests/sim/services.rs
+++ b/tests/sim/services.rs
@@ -168,7 +168,7 @@
     /// deletes machines of its own, and isn't judged.
     pub(super) fn note_cloud_call(&mut self, controller: usize, request: &CloudRequest) {
         let several = self.store.records.entries.contains_key("s/own/block/1");
-        if !several && matches!(request, CloudRequest::Rent(_) | CloudRequest::Delete(_)) {
+        if !several && matches!(request, CloudRequest::ScaleOut(_) | CloudRequest::Delete(_)) {
             let duties = &mut self.store.orders.duties;
             duties.cloud_changed(self.now, &self.controller_ids[controller]);
         }
--- a/tests/wire_words.rs
+++ b/tests/wire_words.rs
@@ -115,7 +115,7 @@
 
 #[test]
 fn cloud_requests_and_responses_have_the_words_of_the_page() {
-    let rent = CloudRequest::Rent(ScaleOutRecord {
+    let rent = CloudRequest::ScaleOut(ScaleOutRecord {
         name: "r-17".into(),
         class: "g8".into(),
         zone: "a".into(),
@@ -131,7 +131,7 @@
     let machines = vec![MachineId::from("i-000231")];
     assert_eq!(
         rent.reply(200, &rented),
-        CloudResponse::Rented(machines.clone())
+        CloudResponse::ScaledOut(machines.clone())
     );
     let delete = CloudRequest::Delete(machines);
     let sent: Value = wire::decode(&delete.call().body.expect("a body")).expect("CBOR");
