--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -5,6 +5,7 @@
 //! should act; they are never what makes a wrong act harmless.
 
 pub(crate) mod api;
+pub mod audit;
 pub(crate) mod autoscaling;
 pub(crate) mod cloud;
 pub(crate) mod context;
@@ -26,6 +27,7 @@
 pub mod store;
 mod store_requests;
 
+use crate::controller::audit::AuditError;
 use crate::controller::context::Context;
 use crate::controller::events::{Input, Load, Output, Queue};
 use crate::controller::leadership::GiveUpReason;
@@ -61,7 +63,7 @@
     /// Takes one input; `now` never goes back.
     pub fn step(&mut self, now: Time, input: Input) -> Vec<Output> {
         self.context.now = self.context.now.max(now);
-        self.context.note_start();
+        self.context.record_start();
         match input {
             Input::Request(request_id, ask) => self.on_request(request_id, ask),
             Input::Disconnect(request_id) => self.on_disconnect(request_id),
@@ -95,7 +97,7 @@
         }
         self.context.send_batched_forwards();
         self.context.send_due_endings();
-        self.pump();
+        self.advance();
         self.context.outbox.take()
     }
 
@@ -151,7 +153,7 @@
     }
 
     /// Recounts what is kept up to date from change to change; says what is wrong.
-    pub fn audit(&self) -> Result<(), String> {
+    pub fn audit(&self) -> Result<(), AuditError> {
         self.shards.values().try_for_each(shard::ShardOwner::audit)
     }
 
@@ -223,8 +225,8 @@
         }
     }
 
-    fn pump(&mut self) {
-        self.on_affected();
+    fn advance(&mut self) {
+        self.on_affected_jobs();
         for shard in self.shards.values_mut() {
             shard.schedule(&mut self.context);
         }
@@ -232,7 +234,7 @@
             shard.write_placements(&mut self.context);
         }
         self.context.read_dependencies();
-        self.context.pump_api();
+        self.context.advance_api();
         self.read_revision();
     }
 
--- a/src/controller/peers/links.rs
+++ b/src/controller/peers/links.rs
@@ -3,7 +3,7 @@
 
 use crate::controller::context::Context;
 use crate::controller::events::Link;
-use crate::controller::forwarding::TAKEOVER_S;
+use crate::controller::forwarding::TAKEOVER_MARGIN_S;
 use crate::ids::{ControllerId, Time};
 use crate::settings::Peer;
 
@@ -36,20 +36,14 @@
     /// Whether an owner runs, since its record stands, while it refuses connections
     /// from here: a filter between the controllers, which its workers may pass.
     pub(crate) fn refuses_connections(&self, owner: &ControllerId) -> bool {
-        let patience = self.settings.tuning.leader_lease_s + TAKEOVER_S;
+        let patience = self.settings.tuning.leader_lease_s + TAKEOVER_MARGIN_S;
         let refused = self.peers.links_down.get(owner).copied().flatten();
         !self.is_stale() && refused.is_some_and(|since| self.now.since(since) > patience)
     }
 
     /// Whether this controller can forward heartbeats: to itself, or to who leads.
     pub(crate) fn can_forward(&self) -> bool {
-        let leader = self
-            .store
-            .mirror
-            .leader
-            .record
-            .as_ref()
-            .map(|l| l.controller_id.clone());
+        let leader = self.store.mirror.leader_id().cloned();
         let here = leader.as_ref() == Some(&self.settings.platform.controller_id);
         here || leader.is_some_and(|l| self.linked(&l))
     }
@@ -61,7 +55,7 @@
         self.now.0.saturating_sub(last.0)
     }
 
-    pub(crate) fn note_start(&mut self) {
+    pub(crate) fn record_start(&mut self) {
         let now = self.now;
         self.forwarding.last_keepalive.get_or_insert(now);
         self.began.get_or_insert(now);
--- a/src/controller/shard/mod.rs
+++ b/src/controller/shard/mod.rs
@@ -11,7 +11,9 @@
 pub(crate) mod completion;
 pub(crate) mod image_demand;
 pub(crate) mod job;
+pub(crate) mod transaction;
 
+use crate::controller::audit::AuditError;
 use crate::controller::context::RECENT_S;
 use crate::controller::machines::failures::FailureLog;
 use crate::controller::machines::inventory::{Inventory, Machine};
@@ -31,7 +33,9 @@
 /// One ownership of one shard: a response to what was asked under it means nothing to another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ShardOwnership {
+    /// The shard.
     pub(crate) shard: u32,
+    /// The token of this ownership.
     pub(crate) token: FencingToken,
 }
 
@@ -40,15 +44,17 @@
     amount * 0.5f64.powf(passed_s / half_s)
 }
 
-/// One holding of a shard: all that its owner knows and decides.
+/// One ownership of a shard: all that its owner knows and decides.
 pub(crate) struct ShardOwner {
     pub shard: u32,
     pub token: FencingToken,
+    /// The revision of the shard's record that is known here; every write rests on it.
     pub shard_revision: u64,
+    /// When this ownership began.
     pub since: Time,
     /// Whether it is the only shard, with every machine there is in it.
     pub whole: bool,
-    /// Zones of which so many machines are silent that they must be partitioned.
+    /// Zones of which so many machines are silent that they are taken to be partitioned.
     pub(crate) partitioned_zones: BTreeSet<Rc<str>>,
     /// When there last was one.
     pub(crate) zones_partitioned_at: Option<Time>,
@@ -58,9 +64,13 @@
     pub(crate) quota_shares: Option<BTreeMap<String, (f64, f64)>>,
     /// Whether the limits are shared with other cells.
     pub(crate) shares_limits: bool,
+    /// Attempts made under this token.
     pub(crate) count: u64,
+    /// The shard's jobs that aren't over.
     pub jobs: BTreeMap<JobId, JobState>,
+    /// Its machines.
     pub machines: Inventory,
+    /// What each team uses here.
     pub(crate) teams: HashMap<String, Resources>,
     /// How services' demand for each pool comes.
     pub(crate) bursts: BTreeMap<Pool, BurstEstimate>,
@@ -72,21 +82,29 @@
     pub(crate) images: HashMap<Image, ImageDemand>,
     /// Jobs with queued tasks.
     pub(crate) waiting: BTreeSet<JobId>,
+    /// Something has changed that scheduling depends on.
     pub(crate) scheduling_wanted: bool,
-    pub(crate) schedule_at: Time,
+    /// No scheduling cycle before this.
+    pub(crate) next_cycle_at: Time,
+    /// When machines are next emptied.
     pub(crate) consolidate_at: Time,
     /// Chunks to write, by urgency.
     pub(crate) write_queue: WriteQueue,
+    /// Transactions of placements without a response yet.
     pub(crate) writes_in_flight: usize,
     /// Jobs whose last record is to be written: all done, or cancelled and gone.
     pub(crate) ready_to_end_jobs: BTreeSet<JobId>,
+    /// Chunks of jobs that are over, to be deleted.
     pub(crate) leftover_placements: Vec<(JobId, u32)>,
+    /// Whether a deletion of such chunks is pending.
     pub(crate) deleting_placements: bool,
-    /// When held answers must go out.
+    /// When the long polls of machines have to be answered.
     pub(crate) long_poll_deadlines: BTreeSet<(Time, MachineId)>,
+    /// Machines that the cloud has deleted, and when: late copies of their heartbeats may come.
     pub(crate) deleted_machines: BTreeMap<MachineId, Time>,
+    /// When the latest heartbeat of any machine came.
     pub(crate) last_worker_heartbeat: Time,
-    /// So many machines are silent that they must be partitioned rather than down.
+    /// Whether so many machines are silent that they are partitioned rather than down.
     pub(crate) mass_partition: bool,
     /// When that was last so. Machines get time from then to come back.
     pub(crate) partitioned_at: Time,
@@ -115,7 +133,7 @@
             images: HashMap::new(),
             waiting: BTreeSet::new(),
             scheduling_wanted: true,
-            schedule_at: now,
+            next_cycle_at: now,
             consolidate_at: now,
             write_queue: BTreeSet::new(),
             writes_in_flight: 0,
@@ -328,40 +346,37 @@
     }
 
     /// Recounts what teams use and which tasks machines have, and checks the indexes.
-    pub(crate) fn audit(&self) -> Result<(), String> {
-        let (mut seats, mut teams) = (0, HashMap::<&str, Resources>::new());
+    pub(crate) fn audit(&self) -> Result<(), AuditError> {
+        let (mut bound, mut teams) = (0, HashMap::<&str, Resources>::new());
         for (job, job_state) in &self.jobs {
+            let record = &job_state.record;
             for (index, placement) in &job_state.placed {
+                let used = teams.entry(&record.team).or_default();
+                used.add(record.resources, 1.0);
+                let Some(machine) = self.machines.get(&placement.machine) else {
+                    continue;
+                };
+                bound += 1;
                 let (job, index) = (job.clone(), *index);
-                teams
-                    .entry(&job_state.record.team)
-                    .or_default()
-                    .add(job_state.record.resources, 1.0);
-                if let Some(machine) = self.machines.get(&placement.machine) {
-                    seats += 1;
-                    let task = TaskId { job, index };
-                    if !machine.tasks.contains_key(&task) {
-                        return Err(format!(
-                            "{task} isn't among the tasks of {}",
-                            placement.machine
-                        ));
-                    }
+                let task = TaskId { job, index };
+                if !machine.tasks.contains_key(&task) {
+                    let machine = placement.machine.clone();
+                    return Err(AuditError::NotBound { task, machine });
                 }
             }
         }
-        if seats
-            != self
-                .machines
-                .values()
-                .map(|machine| machine.tasks.len())
-                .sum::<usize>()
-        {
-            return Err("a machine has a task that isn't placed there".into());
+        let bindings = self.machines.values().map(|machine| machine.tasks.len());
+        if bound != bindings.sum::<usize>() {
+            return Err(AuditError::NotPlaced);
         }
         for (team, used) in &self.teams {
-            let again = teams.get(team.as_str()).copied().unwrap_or_default();
-            if !used.holds(again) || !again.holds(*used) {
-                return Err(format!("{team} uses {again:?}, not {used:?}"));
+            let recounted = teams.get(team.as_str()).copied().unwrap_or_default();
+            if !used.holds(recounted) || !recounted.holds(*used) {
+                return Err(AuditError::TeamUse {
+                    team: team.clone(),
+                    counted: *used,
+                    recounted,
+                });
             }
         }
         self.machines.audit()
--- a/src/controller/shards/counts.rs
+++ b/src/controller/shards/counts.rs
@@ -39,7 +39,7 @@
     }
 
     /// Counts that are believed: of the present owner, and not too old.
-    pub(crate) fn believed(&self) -> Vec<&ShardCounts> {
+    pub(crate) fn believed_counts(&self) -> Vec<&ShardCounts> {
         let stale = self.settings.tuning.tick_s * STALE_TICKS;
         let Some(leadership) = &self.leadership else {
             return Vec::new();
@@ -135,13 +135,7 @@
         if context.leadership.is_some() {
             return context.on_shard_counts(shard_counts);
         }
-        let leader = context
-            .store
-            .mirror
-            .leader
-            .record
-            .as_ref()
-            .map(|l| l.controller_id.clone());
+        let leader = context.store.mirror.leader_id().cloned();
         if leader.is_some() {
             let message = Message::ShardCounts(Box::new(shard_counts));
             context.outbox.send_to_peer(leader, message);
--- a/src/controller/store/mirror.rs
+++ b/src/controller/store/mirror.rs
@@ -6,7 +6,7 @@
     Ending, ExhaustedPool, FencingTokenRecord, JobRecord, Key, LeaderRecord, LimitsRecord,
     PlacementRecord, PriorityClass, Record, ScalingPlanRecord, ShardRecord,
 };
-use crate::ids::{FencingToken, JobId, Time};
+use crate::ids::{ControllerId, FencingToken, JobId, Time};
 use crate::wire::Change;
 use salttrestle_cells::Cell;
 use salttrestle_cells::ledger::{CellRecord, LinkRecord};
@@ -175,7 +175,7 @@
             self.link(&id);
         }
         if cancelled.is_some() {
-            self.note_mark(&id);
+            self.on_marked_cancelled(&id);
         }
         Some(MirrorEvent::JobChanged(id))
     }
@@ -226,13 +226,13 @@
     pub(crate) fn remember(&mut self, now: Time, id: JobId, ending: Ending) {
         if !self.endings.contains_key(&id) {
             self.endings.insert(id.clone(), (ending, now));
-            self.note_end(&id, ending);
+            self.on_job_ended(&id, ending);
             self.endings_order.push_back(id);
         }
         while self.endings_order.len() > ENDINGS_MAX {
             if let Some(old) = self.endings_order.pop_front() {
                 self.endings.remove(&old);
-                self.look_for_end(&old);
+                self.request_end_read(&old);
             }
         }
     }
@@ -279,6 +279,12 @@
         })
     }
 
+    /// Who leads, as far as is known.
+    pub(crate) fn leader_id(&self) -> Option<&ControllerId> {
+        let leader = self.leader.record.as_ref();
+        leader.map(|leader| &leader.controller_id)
+    }
+
     /// The highest token that anything known here speaks of.
     pub(crate) fn highest(&self) -> FencingToken {
         let said = self.token.record.as_ref().map(|r| r.highest);
