--- a/src/net/cell_links.rs
+++ b/src/net/cell_links.rs
@@ -3,8 +3,9 @@
 
 use crate::controller::events::Input;
 use crate::ids::Time;
-use crate::net::connections::{ConnectionId, Outcome, Protocol, UNSENT_MAX, begin_connect};
+use crate::net::connections::{ConnectionId, Outcome, Protocol, begin_connect};
 use crate::net::context::Context;
+use crate::net::framed::FramedConnections;
 use crate::settings::CellsFile;
 use log::{debug, warn};
 use salttrestle_cells::Cell;
@@ -23,8 +24,7 @@
 pub(super) struct CellLinks {
     /// Where the controllers of each cell listen.
     addresses: BTreeMap<Cell, Vec<SocketAddrV4>>,
-    /// What has come of the next message on each connection from another cell.
-    incoming: HashMap<ConnectionId, Vec<u8>>,
+    incoming: FramedConnections,
     outgoing: HashMap<ConnectionId, SocketAddrV4>,
     by_address: HashMap<SocketAddrV4, ConnectionId>,
     /// When the next connection to a controller may be tried.
@@ -40,7 +40,7 @@
         });
         Self {
             addresses: addresses.collect(),
-            incoming: HashMap::new(),
+            incoming: FramedConnections::new(Protocol::FromCell),
             outgoing: HashMap::new(),
             by_address: HashMap::new(),
             retry_at: HashMap::new(),
@@ -49,14 +49,12 @@
 
     /// How many connections other cells have made.
     pub(super) fn incoming_count(&self) -> usize {
-        self.incoming.len()
+        self.incoming.count()
     }
 
     /// Takes over a connection that was accepted.
     pub(super) fn add_incoming(&mut self, context: &mut Context, stream: TcpStream) {
-        if let Some(id) = context.add(stream, Protocol::FromCell, UNSENT_MAX) {
-            self.incoming.insert(id, Vec::new());
-        }
+        self.incoming.add(context, stream);
     }
 
     /// Takes the bytes that came from another cell.
@@ -66,18 +64,17 @@
         id: ConnectionId,
         bytes: &[u8],
     ) -> Outcome {
-        let Some(received) = self.incoming.get_mut(&id) else {
-            return Outcome::KeepOpen;
-        };
-        received.extend_from_slice(bytes);
-        loop {
-            match message::unframe(received) {
-                Ok(Some(message)) => context.inputs.push_back(Input::Cell(message)),
-                Ok(None) => return Outcome::KeepOpen,
-                Err(error) => {
-                    warn!("another cell's link is closed: {error}");
-                    return Outcome::Close;
-                }
+        let inputs = &mut context.inputs;
+        let read = self
+            .incoming
+            .on_bytes(id, bytes, message::unframe, |message| {
+                inputs.push_back(Input::Cell(message));
+            });
+        match read {
+            Ok(()) => Outcome::KeepOpen,
+            Err(error) => {
+                warn!("another cell's link is closed: {error}");
+                Outcome::Close
             }
         }
     }
@@ -110,7 +107,7 @@
         let Some(_socket) = context.connections.remove(id) else {
             return;
         };
-        self.incoming.remove(&id);
+        self.incoming.remove(id);
         if let Some(address) = self.outgoing.remove(&id) {
             self.by_address.remove(&address);
         }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,7 +1,7 @@
 //! The event loop: sockets, timers, reconnects. It turns bytes into the controller's inputs and
 //! carries out its outputs. Each protocol has a module that owns its connections' state:
-//! `incoming`, `outgoing`, `peer_links` and `cell_links`. All of them use `connections`,
-//! which knows of sockets only.
+//! `incoming`, `outgoing`, `peer_links` and `cell_links`; the last two read frames by `framed`. All of
+//! them use `connections`, which knows of sockets only.
 
 #![warn(missing_docs)]
 
@@ -9,6 +9,7 @@
 mod clock;
 mod connections;
 mod context;
+mod framed;
 mod incoming;
 mod listeners;
 mod outgoing;
--- a/src/net/peer_links.rs
+++ b/src/net/peer_links.rs
@@ -3,10 +3,9 @@
 
 use crate::controller::events::{Input, Link};
 use crate::ids::{ControllerId, Time};
-use crate::net::connections::{
-    ConnectProgress, ConnectionId, Outcome, Protocol, UNSENT_MAX, begin_connect,
-};
+use crate::net::connections::{ConnectProgress, ConnectionId, Outcome, Protocol, begin_connect};
 use crate::net::context::Context;
+use crate::net::framed::FramedConnections;
 use crate::peer::{self, Message};
 use crate::settings::{Peer, Settings};
 use log::warn;
@@ -29,8 +28,7 @@
     peers: Vec<Peer>,
     /// Most bytes that wait to be written to one peer.
     unsent_max: usize,
-    /// What has come of the next message on each connection that a peer made.
-    incoming: HashMap<ConnectionId, Vec<u8>>,
+    incoming: FramedConnections,
     outgoing: HashMap<ConnectionId, OutgoingLink>,
     by_peer: HashMap<ControllerId, ConnectionId>,
     /// When the next connection to a peer may be tried.
@@ -44,7 +42,7 @@
         Self {
             peers: settings.platform.peers.clone(),
             unsent_max: settings.peer_out_bytes(),
-            incoming: HashMap::new(),
+            incoming: FramedConnections::new(Protocol::FromPeer),
             outgoing: HashMap::new(),
             by_peer: HashMap::new(),
             retry_at: HashMap::new(),
@@ -54,14 +52,12 @@
 
     /// How many connections peers have made.
     pub(super) fn incoming_count(&self) -> usize {
-        self.incoming.len()
+        self.incoming.count()
     }
 
     /// Takes over a connection that was accepted.
     pub(super) fn add_incoming(&mut self, context: &mut Context, stream: TcpStream) {
-        if let Some(id) = context.add(stream, Protocol::FromPeer, UNSENT_MAX) {
-            self.incoming.insert(id, Vec::new());
-        }
+        self.incoming.add(context, stream);
     }
 
     /// Takes the bytes that came from a peer.
@@ -71,18 +67,15 @@
         id: ConnectionId,
         bytes: &[u8],
     ) -> Outcome {
-        let Some(received) = self.incoming.get_mut(&id) else {
-            return Outcome::KeepOpen;
-        };
-        received.extend_from_slice(bytes);
-        loop {
-            match peer::unframe(received) {
-                Ok(Some(message)) => context.inputs.push_back(Input::Peer(message)),
-                Ok(None) => return Outcome::KeepOpen,
-                Err(error) => {
-                    warn!("peer connection closed: connection={} reason={error}", id.0);
-                    return Outcome::Close;
-                }
+        let inputs = &mut context.inputs;
+        let read = self.incoming.on_bytes(id, bytes, peer::unframe, |message| {
+            inputs.push_back(Input::Peer(message));
+        });
+        match read {
+            Ok(()) => Outcome::KeepOpen,
+            Err(error) => {
+                warn!("peer connection closed: connection={} reason={error}", id.0);
+                Outcome::Close
             }
         }
     }
@@ -164,7 +157,7 @@
         let Some(_socket) = context.connections.remove(id) else {
             return;
         };
-        self.incoming.remove(&id);
+        self.incoming.remove(id);
         let Some(link) = self.outgoing.remove(&id) else {
             return;
         };
