--- a/src/controller/leadership/election.rs
+++ b/src/controller/leadership/election.rs
@@ -218,7 +218,7 @@
             .map(|l| &l.controller_id);
         let heard = self.recent_heartbeats().map(|h| &h.from);
         heard
-            .filter(|machine| *machine < me && Some(*machine) != lost)
+            .filter(|candidate| *candidate < me && Some(*candidate) != lost)
             .count()
     }
 
@@ -295,7 +295,7 @@
                 .plan
                 .record
                 .as_ref()
-                .map_or(0, |placement| placement.token.0),
+                .map_or(0, |plan| plan.token.0),
         }
     }
 
--- a/src/controller/leadership/mod.rs
+++ b/src/controller/leadership/mod.rs
@@ -5,11 +5,12 @@
 pub(crate) mod shutdown;
 pub(crate) mod standby;
 
+use crate::controller::Controller;
 use crate::controller::autoscaling::plan::ScalingState;
 use crate::controller::store::records::Entry;
-use crate::controller::{BTreeMap, Controller};
 use crate::ids::{FencingToken, MachineId, Time};
 use crate::peer::ShardCounts;
+use std::collections::BTreeMap;
 use std::fmt;
 
 /// What a leader knows besides what it holds itself.
