--- a/src/controller/forwarding.rs
+++ b/src/controller/forwarding.rs
@@ -249,14 +249,8 @@
     /// from an answer of an earlier one, and may be about to end. It is answered first and sent
     /// elsewhere later.
     fn unanswered(&self, id: &MachineId, heartbeat: &WorkerHeartbeat) -> bool {
-        let mut records = self
-            .store
-            .mirror
-            .shards
-            .values()
-            .filter_map(|b| b.record.as_ref());
-        let token = records.find(|b| b.has(id)).map(|b| b.token.0);
-        token.is_some_and(|token| heartbeat.token < token)
+        let shard = self.store.mirror.shard_of_machine(id);
+        shard.is_some_and(|(_, record)| heartbeat.token < record.token.0)
     }
 
     /// Another controller of this zone for a worker that would find nobody if this one fell
@@ -395,9 +389,8 @@
             return None;
         }
         let is_stale = self.is_stale();
-        let records = self.store.mirror.shards.values();
-        let mut records = records.filter_map(|b| b.record.as_ref());
-        let record = records.find(|b| b.has(&id));
+        let shard = self.store.mirror.shard_of_machine(&id);
+        let record = shard.map(|(_, record)| record);
         if record.is_some_and(|b| self.refuses_connections(&b.owner)) {
             return None;
         }
--- a/src/controller/leadership/election.rs
+++ b/src/controller/leadership/election.rs
@@ -209,13 +209,7 @@
     /// those that weren't.
     fn candidates_before(&self) -> usize {
         let me = &self.settings.platform.controller_id;
-        let lost = self
-            .store
-            .mirror
-            .leader
-            .record
-            .as_ref()
-            .map(|l| &l.controller_id);
+        let lost = self.store.mirror.leader_id();
         let heard = self.recent_heartbeats().map(|h| &h.from);
         heard
             .filter(|candidate| *candidate < me && Some(*candidate) != lost)
--- a/src/controller/peers/heartbeats.rs
+++ b/src/controller/peers/heartbeats.rs
@@ -22,16 +22,8 @@
     }
 
     fn heartbeat(&self) -> PeerHeartbeat {
-        let shards = self
-            .context
-            .store
-            .mirror
-            .shards
-            .iter()
-            .filter_map(|(k, b)| {
-                let record = b.record.as_ref()?;
-                Some((*k, record.token, record.owner.clone()))
-            });
+        let shards = self.context.store.mirror.shard_records();
+        let shards = shards.map(|(shard, record)| (shard, record.token, record.owner.clone()));
         PeerHeartbeat {
             from: self.context.settings.platform.controller_id.clone(),
             incarnation: self.context.incarnation,
@@ -126,9 +118,7 @@
     /// Who holds the shard that a machine belongs to, as far as can be told: by the
     /// store or, when this controller is stale, by what peers said lately.
     pub(crate) fn owner_of(&self, machine: &MachineId) -> Option<ControllerId> {
-        let records = self.store.mirror.shards.iter();
-        let mut records = records.filter_map(|(k, b)| Some((*k, b.record.as_ref()?)));
-        let found = records.find(|(_, b)| b.has(machine));
+        let found = self.store.mirror.shard_of_machine(machine);
         let me = &self.settings.platform.controller_id;
         let Some((shard, record)) = found else {
             // In no shard yet: the leader will see to it.
--- a/src/controller/quota/cells/views.rs
+++ b/src/controller/quota/cells/views.rs
@@ -123,13 +123,9 @@
 
     /// What the shards' records allow a team now.
     fn allowed_by_shards(&self, team: &str) -> Amount {
-        let records = self
-            .store
-            .mirror
-            .shards
-            .values()
-            .filter_map(|slot| slot.record.as_ref());
-        let quota_shares = records.filter_map(|record| record.quota_shares.as_ref()?.get(team));
+        let records = self.store.mirror.shard_records();
+        let quota_shares =
+            records.filter_map(|(_, record)| record.quota_shares.as_ref()?.get(team));
         quota_shares.fold(Amount::ZERO, |sum, (cpus, gpus)| {
             sum.plus(Amount::rounded_down(*cpus, *gpus))
         })
--- a/src/controller/shards/assignment.rs
+++ b/src/controller/shards/assignment.rs
@@ -15,10 +15,7 @@
     /// The shards that a new leader takes for itself: the only one, and those whose
     /// owners aren't heard of.
     pub(crate) fn shards_to_take(&self) -> Vec<u32> {
-        let records = self.store.mirror.shards.iter();
-        let records: Vec<(u32, &ShardRecord)> = records
-            .filter_map(|(k, b)| Some((*k, b.record.as_ref()?)))
-            .collect();
+        let records: Vec<(u32, &ShardRecord)> = self.store.mirror.shard_records().collect();
         if records.len() <= 1 {
             return vec![0];
         }
--- a/src/controller/shards/machine_assignment.rs
+++ b/src/controller/shards/machine_assignment.rs
@@ -73,9 +73,7 @@
     }
 
     pub(crate) fn add_unassigned(&mut self, entry: Entry) {
-        let records = self.store.mirror.shards.values();
-        let mut lists = records.filter_map(|b| b.record.as_ref());
-        let known = lists.any(|b| b.has(&entry.0));
+        let known = self.store.mirror.shard_of_machine(&entry.0).is_some();
         if let Some(leadership) = self.leadership.as_mut().filter(|_| !known)
             && !leadership.deleted_machines.contains_key(&entry.0)
         {
--- a/src/controller/shards/splitting.rs
+++ b/src/controller/shards/splitting.rs
@@ -154,10 +154,10 @@
 
     /// The shares of new jobs, by machines.
     pub(crate) fn job_shares(&self) -> Vec<(u32, u32)> {
-        let records = self.store.mirror.shards.iter();
-        let shares = records.filter_map(|(k, b)| {
-            let machines = b.record.as_ref()?.machines.as_ref()?;
-            Some((*k, machines.len() as u32 + 1))
+        let records = self.store.mirror.shard_records();
+        let shares = records.filter_map(|(shard, record)| {
+            let machines = record.machines.as_ref()?;
+            Some((shard, machines.len() as u32 + 1))
         });
         shares.collect()
     }
--- a/src/controller/store/mirror.rs
+++ b/src/controller/store/mirror.rs
@@ -6,7 +6,7 @@
     Ending, ExhaustedPool, FencingTokenRecord, JobRecord, Key, LeaderRecord, LimitsRecord,
     PlacementRecord, PriorityClass, Record, ScalingPlanRecord, ShardRecord,
 };
-use crate::ids::{ControllerId, FencingToken, JobId, Time};
+use crate::ids::{ControllerId, FencingToken, JobId, MachineId, Time};
 use crate::wire::Change;
 use salttrestle_cells::Cell;
 use salttrestle_cells::ledger::{CellRecord, LinkRecord};
@@ -285,10 +285,21 @@
         leader.map(|leader| &leader.controller_id)
     }
 
+    /// The shards that have a record, in the order of their numbers.
+    pub(crate) fn shard_records(&self) -> impl Iterator<Item = (u32, &ShardRecord)> {
+        let shards = self.shards.iter();
+        shards.filter_map(|(shard, slot)| Some((*shard, slot.record.as_ref()?)))
+    }
+
+    /// The shard whose record lists a machine.
+    pub(crate) fn shard_of_machine(&self, machine: &MachineId) -> Option<(u32, &ShardRecord)> {
+        self.shard_records().find(|(_, record)| record.has(machine))
+    }
+
     /// The highest token that anything known here speaks of.
     pub(crate) fn highest(&self) -> FencingToken {
         let said = self.token.record.as_ref().map(|r| r.highest);
-        let held = self.shards.values().filter_map(|b| b.record.as_ref());
+        let held = self.shard_records().map(|(_, record)| record);
         held.map(|b| b.token).chain(said).max().unwrap_or_default()
     }
 }
