--- a/src/controller/api/cancellations.rs
+++ b/src/controller/api/cancellations.rs
@@ -113,7 +113,7 @@
             .iter()
             .flatten()
             .flat_map(|(_, _, record)| &record.placed);
-        !(owned_here || self.heartbeat_fresh(owner))
+        !(owned_here || self.has_recent_heartbeat(owner))
             || placed.any(|(_, _, machine, _)| overdue.contains(machine))
     }
 }
--- a/src/controller/api/mod.rs
+++ b/src/controller/api/mod.rs
@@ -202,7 +202,7 @@
     /// that neither sees the store nor hears any peer is partitioned: without this, users who
     /// reached it were refused for as long as that lasted.
     fn on_up(&mut self, request_id: RequestId) {
-        let isolated = self.isolated_from_store() || self.peers_unreachable();
+        let isolated = self.isolated_from_store() || self.all_peers_unreachable();
         let reply = if self.shutting_down() {
             Reply::later(503, 1, SHUTTING_DOWN)
         } else if self.is_stale() && (!self.store.initial_list_done() || isolated) {
--- a/src/controller/autoscaling/machines.rs
+++ b/src/controller/autoscaling/machines.rs
@@ -114,7 +114,11 @@
         let after = last.map(|machine| MachineId::from(machine.id.as_str()));
         let op = CloudRequest::List { after };
         self.cloud.listing.under_way = true;
-        if !self.cloud.rate_limit.has(self.now, 1.0, Priority::Usual) {
+        if !self
+            .cloud
+            .rate_limit
+            .can_take(self.now, 1.0, Priority::Usual)
+        {
             self.cloud.listing.waiting_pages = Some(listed);
             return;
         }
@@ -144,7 +148,7 @@
     /// another before its lease's end waits until that one deletes nothing.
     pub(crate) fn delete_decommissioned(&mut self, context: &mut Context) {
         let now = context.now;
-        if context.is_stale() || context.fenced() {
+        if context.is_stale() || context.predecessor_may_use_cloud() {
             return;
         }
         let mut ids = Vec::new();
--- a/src/controller/autoscaling/mod.rs
+++ b/src/controller/autoscaling/mod.rs
@@ -67,7 +67,7 @@
             return;
         }
         let several_shards = self.shards.values().any(|shard| !shard.whole);
-        if self.context.lease_valid() || several_shards {
+        if self.context.has_valid_lease() || several_shards {
             self.context.list_machines();
         }
         if !self.context.may_use_cloud() {
--- a/src/controller/autoscaling/reconcile.rs
+++ b/src/controller/autoscaling/reconcile.rs
@@ -46,7 +46,7 @@
         self.send_counts();
         let fleet = self.context.count_fleet();
         if let Some(leadership) = &mut self.context.leadership {
-            leadership.lacking_machines.clear();
+            leadership.machine_shortfall.clear();
         }
         for (pool, shards) in &fleet.counts {
             let demand = self.context.count_demand(*pool, shards);
@@ -90,7 +90,7 @@
                 (&mut self.leadership, pool.type_in(&self.cloud.catalog))
             {
                 let key = (machine_type.name.clone(), pool.is_spot(), *shard);
-                leadership.lacking_machines.insert(key, gap);
+                leadership.machine_shortfall.insert(key, gap);
             }
         }
         if demand.wanted >= ceiling {
--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -56,7 +56,7 @@
         purpose: P,
         priority: Priority,
     ) -> bool {
-        if !self.rate_limit.has(now, 1.0, priority) {
+        if !self.rate_limit.can_take(now, 1.0, priority) {
             return false;
         }
         self.rate_limit.take(1.0);
--- a/src/controller/forwarding.rs
+++ b/src/controller/forwarding.rs
@@ -166,7 +166,7 @@
             let id = MachineId::from(ownerless.heartbeat.machine.as_str());
             let held = owner_of_machine(&mut self.shards, &id).is_some();
             let owner = self.context.owner_for(&ownerless);
-            if held || owner.is_some_and(|h| self.context.reachable(&h)) {
+            if held || owner.is_some_and(|h| self.context.is_reachable_by_workers(&h)) {
                 self.on_worker_heartbeat(ownerless.request_id, ownerless.heartbeat);
             } else {
                 self.context.without_owner(ownerless);
@@ -175,8 +175,8 @@
         let patience = self.context.settings.long_poll_s(false) + FORWARD_GRACE_S;
         let late = self.context.forwarding.out.iter().filter(|(_, r)| {
             self.context.now.since(r.since) > patience
-                || !self.context.heartbeat_fresh(&r.to)
-                || !self.context.linked(&r.to)
+                || !self.context.has_recent_heartbeat(&r.to)
+                || !self.context.is_linked(&r.to)
         });
         let late: Vec<RequestId> = late.map(|(request_id, _)| *request_id).collect();
         for request_id in late {
@@ -273,9 +273,9 @@
     fn forwarders_in<'a>(&'a self, zone: &'a str) -> Vec<&'a ControllerId> {
         let relaying = |s: &&Peer| {
             let heartbeat = self.peers.heartbeats.get(&s.controller_id).map(|(h, _)| h);
-            self.linked(&s.controller_id) && heartbeat.is_some_and(|h| h.can_forward)
+            self.is_linked(&s.controller_id) && heartbeat.is_some_and(|h| h.can_forward)
         };
-        let local = self.peers_in(zone).filter(relaying);
+        let local = self.peers_in_zone(zone).filter(relaying);
         local.map(|s| &s.controller_id).collect()
     }
 
@@ -299,9 +299,9 @@
     fn forward(&mut self, request_id: RequestId, heartbeat: WorkerHeartbeat) {
         let id = MachineId::from(heartbeat.machine.as_str());
         let owner = self.owner_of(&id);
-        let reached = owner.filter(|h| self.reachable(h));
+        let reached = owner.filter(|h| self.is_reachable_by_workers(h));
         match reached {
-            Some(to) if self.linked(&to) && heartbeat.tasks.len() <= FORWARDED_TASKS_MAX => {
+            Some(to) if self.is_linked(&to) && heartbeat.tasks.len() <= FORWARDED_TASKS_MAX => {
                 let forwarded = ForwardedHeartbeat::new(
                     &self.settings.platform.controller_id,
                     self.incarnation,
@@ -363,7 +363,7 @@
         let full = self.forwarding.ownerless.len() >= sockets;
         // An owner that takes over says so here only if somebody is heard here: a worker whose
         // heartbeat waited at a controller that was partitioned from the others lost its lease.
-        let alone = self.peers_unreachable() && self.age_s() > RECENT_S;
+        let alone = self.all_peers_unreachable() && self.process_age_s() > RECENT_S;
         if known || waited || full || alone || (self.is_stale() && !starting) {
             return self.redirect(ownerless.request_id, &id);
         }
@@ -377,7 +377,7 @@
     /// were sent there waited for 5 s, and then for another 5 s where it had sent them before.
     fn owner_for(&self, ownerless: &OwnerlessHeartbeat) -> Option<ControllerId> {
         let owner = self.owner_of(&MachineId::from(ownerless.heartbeat.machine.as_str()))?;
-        let runs = self.reachable(&owner) && ownerless.tried.as_ref() != Some(&owner);
+        let runs = self.is_reachable_by_workers(&owner) && ownerless.tried.as_ref() != Some(&owner);
         (runs || self.refuses_connections(&owner)).then_some(owner)
     }
 
@@ -433,7 +433,7 @@
         let takeover_s = self.settings.tuning.leader_lease_s + TAKEOVER_MARGIN_S;
         let heard = self.peers.heartbeats.get(owner).map(|(_, at)| *at);
         let peers_unreachable = heard.is_none_or(|at| self.now.since(at) > takeover_s);
-        self.heartbeat_fresh(owner) || peers_unreachable && !self.is_stale()
+        self.has_recent_heartbeat(owner) || peers_unreachable && !self.is_stale()
     }
 
     /// The owner's answer to a heartbeat that was forwarded to it.
--- a/src/controller/leadership/election.rs
+++ b/src/controller/leadership/election.rs
@@ -60,7 +60,7 @@
     }
 
     /// Acquires nothing for some lives of a lease. Returns the leader's lease, if it has one.
-    pub(crate) fn rest(&mut self, now: Time, lease_s: f64) -> Option<u64> {
+    pub(crate) fn back_off(&mut self, now: Time, lease_s: f64) -> Option<u64> {
         self.not_before = now.after(lease_s * REST_LEASES);
         self.lease_id
     }
@@ -110,7 +110,7 @@
 
     /// Whether the leader's lease surely lives, and it has read its own record as lately: whoever
     /// replaced that record counts on both.
-    pub(crate) fn lease_valid(&self) -> bool {
+    pub(crate) fn has_valid_lease(&self) -> bool {
         let ttl = self.settings.tuning.leader_lease_s;
         let renewed = self.now.since(self.election.renewed) < ttl;
         self.leadership.is_some() && renewed && self.staleness_s() < ttl
@@ -119,11 +119,11 @@
     /// Whether this leader may scale out and delete. Calls to the cloud have no condition that an
     /// outdated leader would fail.
     pub(crate) fn may_use_cloud(&self) -> bool {
-        self.lease_valid() && !self.fenced()
+        self.has_valid_lease() && !self.predecessor_may_use_cloud()
     }
 
     /// Whether a leader before this one may still call the cloud.
-    pub(crate) fn fenced(&self) -> bool {
+    pub(crate) fn predecessor_may_use_cloud(&self) -> bool {
         let leadership = self.leadership.as_ref();
         leadership.is_some_and(|leadership| self.now < leadership.cloud_from)
     }
@@ -352,7 +352,7 @@
     }
 
     /// Whether this controller has won, and only the watch doesn't show it yet.
-    pub(crate) fn has_won(&self) -> bool {
+    pub(crate) fn has_won_election(&self) -> bool {
         self.store.mirror.revision < self.election.won_revision
     }
 
--- a/src/controller/leadership/mod.rs
+++ b/src/controller/leadership/mod.rs
@@ -20,7 +20,7 @@
     /// The latest counts of each shard, and when they came.
     pub(crate) shard_counts: BTreeMap<u32, (ShardCounts, Time)>,
     /// Machines that each shard lacks, by type and kind.
-    pub(crate) lacking_machines: BTreeMap<(String, bool, u32), u32>,
+    pub(crate) machine_shortfall: BTreeMap<(String, bool, u32), u32>,
     /// Machines that belong to no shard yet.
     pub(crate) unassigned: BTreeMap<MachineId, Entry>,
     /// Machines that owners deleted, and when that was heard: lists show them still.
@@ -28,9 +28,9 @@
     /// Since when more shards are needed than there are.
     pub(crate) short_of_shards_since: Option<Time>,
     /// A change of leases is being committed.
-    pub(crate) busy: bool,
+    pub(crate) lease_change_pending: bool,
     /// There are machines that no shard's record has room for.
-    pub(crate) crowded: bool,
+    pub(crate) shard_records_full: bool,
     pub(crate) since: Time,
     /// This leadership's own token: no other one has it.
     pub(crate) token: FencingToken,
--- a/src/controller/leadership/shutdown.rs
+++ b/src/controller/leadership/shutdown.rs
@@ -82,7 +82,7 @@
 
     /// A lease is to be given up. The successor may call the cloud as soon as it is over, so it
     /// stands until the last call of this controller was answered or is given up as in doubt.
-    pub(crate) fn revoke_when_quiet(&mut self, lease_id: u64) {
+    pub(crate) fn revoke_after_cloud_calls(&mut self, lease_id: u64) {
         self.lease_revocation = Some(LeaseRevocation {
             lease_id,
             since: self.now,
--- a/src/controller/leadership/standby.rs
+++ b/src/controller/leadership/standby.rs
@@ -146,7 +146,7 @@
     }
 
     /// The leader's record may have changed.
-    pub(crate) fn tell_standby_of_leader(&mut self) {
+    pub(crate) fn update_standby_term(&mut self) {
         let term = self.store.mirror.leader.record.as_ref().map(|leader| Term {
             leader: leader.controller_id.to_string(),
             incarnation: leader.incarnation,
--- a/src/controller/machines/liveness.rs
+++ b/src/controller/machines/liveness.rs
@@ -72,7 +72,7 @@
             up >= 2 && settled && context.now.since(self.last_worker_heartbeat) > patience;
         workers_unreachable
             && !context.is_stale()
-            && (context.peer_hears_workers() || context.peers_unreachable())
+            && (context.any_peer_hears_workers() || context.all_peers_unreachable())
     }
 
     /// Proof 2: leases that must be over.
@@ -301,7 +301,7 @@
         let cut_off = zones.into_iter().filter(|(_, count)| cut(*count));
         let cut_off = cut_off.map(|(zone, _)| zone.clone());
         cut_off
-            .filter(|zone| !context.zone_hears_workers(zone))
+            .filter(|zone| !context.zone_peers_hear_workers(zone))
             .collect()
     }
 
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -203,10 +203,10 @@
         let shares = RateShares::of(&context.settings, role);
         let (now, store) = (context.now, &mut context.store);
         let (requests, changes, cloud) = (shares.requests, shares.changes, shares.cloud);
-        store.request_limit.set(now, requests, requests);
-        store.change_limit.set(now, changes, changes);
+        store.request_limit.set_rate(now, requests, requests);
+        store.change_limit.set_rate(now, changes, changes);
         let cloud_burst = cloud * CLOUD_BURST_S;
-        context.cloud.rate_limit.set(now, cloud, cloud_burst);
+        context.cloud.rate_limit.set_rate(now, cloud, cloud_burst);
     }
 
     fn shards_housekeeping(&mut self) {
--- a/src/controller/peers/heartbeats.rs
+++ b/src/controller/peers/heartbeats.rs
@@ -148,29 +148,29 @@
     /// Whether workers can be sent to a peer: it runs and hasn't lost its workers. A
     /// owner that they can't reach says heartbeat all the same, and a worker sent back to
     /// it loses 5 s of its lease. A new owner has none to lose yet.
-    pub(crate) fn reachable(&self, controller_id: &ControllerId) -> bool {
+    pub(crate) fn is_reachable_by_workers(&self, controller_id: &ControllerId) -> bool {
         let workers_unreachable = self
             .peers
             .heartbeats
             .get(controller_id)
             .is_some_and(|(h, _)| h.workers_unreachable);
-        !workers_unreachable && self.heartbeat_fresh(controller_id)
+        !workers_unreachable && self.has_recent_heartbeat(controller_id)
     }
 
     /// Whether a peer was heard of so lately that it surely runs.
-    pub(crate) fn heartbeat_fresh(&self, controller_id: &ControllerId) -> bool {
+    pub(crate) fn has_recent_heartbeat(&self, controller_id: &ControllerId) -> bool {
         let heard = self.peers.heartbeats.get(controller_id).map(|(_, at)| *at);
         heard.is_some_and(|at| self.now.since(at) < HEARTBEAT_LOST_S)
     }
 
     /// Whether workers heartbeat to a peer that could lead.
-    pub(crate) fn peer_hears_workers(&self) -> bool {
+    pub(crate) fn any_peer_hears_workers(&self) -> bool {
         self.recent_heartbeats()
             .any(|h| h.is_fresh && h.hears_workers)
     }
 
     /// Whether there are peers and none is heard.
-    pub(crate) fn peers_unreachable(&self) -> bool {
+    pub(crate) fn all_peers_unreachable(&self) -> bool {
         !self.settings.platform.peers.is_empty() && self.recent_heartbeats().next().is_none()
     }
 
--- a/src/controller/peers/links.rs
+++ b/src/controller/peers/links.rs
@@ -29,8 +29,9 @@
     }
 
     /// Whether messages reach a peer, as far as is known.
-    pub(crate) fn linked(&self, controller_id: &ControllerId) -> bool {
-        self.heartbeat_fresh(controller_id) && !self.peers.links_down.contains_key(controller_id)
+    pub(crate) fn is_linked(&self, controller_id: &ControllerId) -> bool {
+        self.has_recent_heartbeat(controller_id)
+            && !self.peers.links_down.contains_key(controller_id)
     }
 
     /// Whether an owner runs, since its record stands, while it refuses connections
@@ -45,7 +46,7 @@
     pub(crate) fn can_forward(&self) -> bool {
         let leader = self.store.mirror.leader_id().cloned();
         let here = leader.as_ref() == Some(&self.settings.platform.controller_id);
-        here || leader.is_some_and(|l| self.linked(&l))
+        here || leader.is_some_and(|l| self.is_linked(&l))
     }
 
     /// How long ago this process last answered in an owner's place or, if it never
@@ -62,7 +63,7 @@
     }
 
     /// How long this process has run, in seconds.
-    pub(crate) fn age_s(&self) -> f64 {
+    pub(crate) fn process_age_s(&self) -> f64 {
         self.began.map_or(0.0, |began| self.now.since(began))
     }
 
@@ -90,21 +91,21 @@
     /// Whether a peer is heard of, and hears workers.
     pub(crate) fn hears_workers(&self, controller_id: &ControllerId) -> bool {
         let heartbeat = self.peers.heartbeats.get(controller_id).map(|(h, _)| h);
-        self.linked(controller_id) && heartbeat.is_some_and(|h| h.hears_workers)
+        self.is_linked(controller_id) && heartbeat.is_some_and(|h| h.hears_workers)
     }
 
     /// Whether a zone's controllers besides this one are all heard of, and hear workers.
-    pub(crate) fn zone_hears_workers(&self, zone: &str) -> bool {
-        let mut local = self.peers_in(zone).peekable();
+    pub(crate) fn zone_peers_hear_workers(&self, zone: &str) -> bool {
+        let mut local = self.peers_in_zone(zone).peekable();
         local.peek().is_some() && local.all(|s| self.hears_workers(&s.controller_id))
     }
 
     /// Whether a zone has a controller besides this one, which may keep alive its workers.
     pub(crate) fn zone_has_peer(&self, zone: &str) -> bool {
-        self.peers_in(zone).next().is_some()
+        self.peers_in_zone(zone).next().is_some()
     }
 
-    pub(crate) fn peers_in<'a>(&'a self, zone: &'a str) -> impl Iterator<Item = &'a Peer> {
+    pub(crate) fn peers_in_zone<'a>(&'a self, zone: &'a str) -> impl Iterator<Item = &'a Peer> {
         let peers = self.settings.platform.peers.iter();
         peers.filter(move |s| s.site == zone)
     }
--- a/src/controller/quota/cells/mod.rs
+++ b/src/controller/quota/cells/mod.rs
@@ -52,7 +52,7 @@
             return;
         };
         if self.context.leadership.is_none()
-            || !self.context.lease_valid()
+            || !self.context.has_valid_lease()
             || self.context.is_stale()
         {
             return;
--- a/src/controller/quota/cells/views.rs
+++ b/src/controller/quota/cells/views.rs
@@ -1,7 +1,7 @@
 //! The state of each team in this cell, and the limits that the cell's shards together get from it.
 
 use crate::controller::context::Context;
-use crate::controller::quota::team_limits::LimitsWanted;
+use crate::controller::quota::team_limits::TargetLimits;
 use crate::controller::store::records::LimitsByTeam;
 use crate::peer::TeamCount;
 use crate::settings::CellsFile;
@@ -93,9 +93,9 @@
     /// The limits that the shards of this cell together get: its share of each team, less what is
     /// called back, and of the remainder no more than the cell wants, so that the rest can be given
     /// away.
-    pub(crate) fn cell_limits(&self, file: &CellsFile) -> LimitsWanted {
+    pub(crate) fn cell_limits(&self, file: &CellsFile) -> TargetLimits {
         let Some(record) = &self.store.mirror.cell.record else {
-            return LimitsWanted::Set(LimitsByTeam::new());
+            return TargetLimits::Set(LimitsByTeam::new());
         };
         let views = self.team_views(record, file);
         let limits = record.shares.iter().map(|(team, share)| {
@@ -107,7 +107,7 @@
             };
             (team.clone(), allowed.to_pair())
         });
-        LimitsWanted::Set(limits.collect())
+        TargetLimits::Set(limits.collect())
     }
 
     /// A team's share without what other cells need more and the shards here don't want.
--- a/src/controller/quota/team_limits.rs
+++ b/src/controller/quota/team_limits.rs
@@ -28,13 +28,13 @@
 
 /// The limits that the shards together are to get.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum LimitsWanted {
+pub(crate) enum TargetLimits {
     /// The limits of the settings.
-    OfSettings,
+    FromSettings,
     /// Those set at run time, with the settings' for all other teams.
     Set(LimitsByTeam),
     /// The limits in the shards' records now: those set last aren't known here.
-    AsTheyAre,
+    Unchanged,
 }
 
 impl Context {
@@ -73,7 +73,7 @@
     }
 
     /// The limits of the settings, of every team that has one.
-    pub(crate) fn limits_of_settings(&self) -> LimitsByTeam {
+    pub(crate) fn settings_limits(&self) -> LimitsByTeam {
         let teams = self.settings.platform.facts.teams.iter();
         let limited = teams.filter(|team| team.cpus_max > 0.0 || team.gpus_max > 0.0);
         limited
@@ -82,18 +82,18 @@
     }
 
     /// The limits that the shards together are to get.
-    pub(crate) fn limits_wanted(&self) -> LimitsWanted {
+    pub(crate) fn target_limits(&self) -> TargetLimits {
         if let Some(file) = &self.settings.cells {
             return self.cell_limits(file);
         }
         match &self.team_limits.accepted {
             Some(set) => {
-                let mut limits = self.limits_of_settings();
+                let mut limits = self.settings_limits();
                 limits.extend(set.clone());
-                LimitsWanted::Set(limits)
+                TargetLimits::Set(limits)
             }
-            None if self.team_limits.refused => LimitsWanted::AsTheyAre,
-            None => LimitsWanted::OfSettings,
+            None if self.team_limits.refused => TargetLimits::Unchanged,
+            None => TargetLimits::FromSettings,
         }
     }
 
--- a/src/controller/rate_limits/token_bucket.rs
+++ b/src/controller/rate_limits/token_bucket.rs
@@ -52,7 +52,7 @@
 
     /// Changes the rate, as when this controller's share of a limit changes. What is
     /// already in the bucket stays, so that a change creates no tokens.
-    pub(crate) fn set(&mut self, now: Time, rate: f64, burst: f64) {
+    pub(crate) fn set_rate(&mut self, now: Time, rate: f64, burst: f64) {
         self.fill(now);
         self.rate = rate;
         self.burst = burst.max(1.0);
@@ -67,7 +67,7 @@
 
     /// Whether a call of this priority may take `tokens`. A bucket smaller than the call lets it
     /// through once full, so that no call waits for ever.
-    pub(crate) fn has(&mut self, now: Time, tokens: f64, priority: Priority) -> bool {
+    pub(crate) fn can_take(&mut self, now: Time, tokens: f64, priority: Priority) -> bool {
         self.fill(now);
         let required = (tokens + self.burst * priority.reserve()).min(self.burst);
         self.tokens + 1e-9 >= required
--- a/src/controller/shard/commits.rs
+++ b/src/controller/shard/commits.rs
@@ -107,8 +107,8 @@
                 _ => WRITES_IN_FLIGHT_MAX + URGENT_WRITES_IN_FLIGHT_MAX,
             };
             if self.writes_in_flight >= most
-                || !context.store.request_limit.has(now, 1.0, priority)
-                || !context.store.change_limit.has(now, 1.0, priority)
+                || !context.store.request_limit.can_take(now, 1.0, priority)
+                || !context.store.change_limit.can_take(now, 1.0, priority)
             {
                 return;
             }
--- a/src/controller/shards/leases.rs
+++ b/src/controller/shards/leases.rs
@@ -20,7 +20,10 @@
         let Some(leadership) = &self.context.leadership else {
             return;
         };
-        if leadership.busy || !self.context.lease_valid() || self.context.is_stale() {
+        if leadership.lease_change_pending
+            || !self.context.has_valid_lease()
+            || self.context.is_stale()
+        {
             return;
         }
         let before: BTreeMap<u32, (u64, ShardRecord)> = self
@@ -90,14 +93,14 @@
             .is_ok()
             && let Some(leadership) = &mut self.leadership
         {
-            leadership.busy = true;
+            leadership.lease_change_pending = true;
         }
     }
 
     /// Whatever came of it, the watch shows it, and the next look goes on from there.
     pub(crate) fn on_leased(&mut self, _reply: StoreResponse) {
         if let Some(leadership) = &mut self.leadership {
-            leadership.busy = false;
+            leadership.lease_change_pending = false;
         }
     }
 
--- a/src/controller/shards/machine_assignment.rs
+++ b/src/controller/shards/machine_assignment.rs
@@ -26,7 +26,7 @@
         let lists = records.values().filter_map(|b| b.machines.as_ref());
         let listed: BTreeSet<MachineId> = lists.flatten().map(|e| e.0.clone()).collect();
         leadership.unassigned.retain(|id, _| !listed.contains(id));
-        leadership.crowded = false;
+        leadership.shard_records_full = false;
         let lists = records.iter().filter(|(_, b)| b.machines.is_some());
         let mut bytes: BTreeMap<u32, usize> = if leadership.unassigned.is_empty() {
             BTreeMap::new()
@@ -42,19 +42,19 @@
             let key = |shard: u32| (entry.1.clone(), entry.3, shard);
             let lack = |shard: u32| {
                 leadership
-                    .lacking_machines
+                    .machine_shortfall
                     .get(&key(shard))
                     .copied()
                     .unwrap_or(0)
             };
             let best = open.max_by_key(|(k, list)| (lack(*k), std::cmp::Reverse(list.len())));
             let Some((shard, list)) = best else {
-                leadership.crowded = !bytes.is_empty();
+                leadership.shard_records_full = !bytes.is_empty();
                 return;
             };
             list.push(entry.clone());
             *bytes.entry(shard).or_default() += entry.0.as_str().len() + 1;
-            if let Some(n) = leadership.lacking_machines.get_mut(&key(shard)) {
+            if let Some(n) = leadership.machine_shortfall.get_mut(&key(shard)) {
                 *n = n.saturating_sub(1);
             }
         }
--- a/src/controller/shards/ownership.rs
+++ b/src/controller/shards/ownership.rs
@@ -13,7 +13,7 @@
     /// The leader's, a shard's, the token's or the plan's record changed.
     pub(crate) fn on_control_records_changed(&mut self) {
         self.context.read_limits();
-        self.context.tell_standby_of_leader();
+        self.context.update_standby_term();
         let me = &self.context.settings.platform.controller_id;
         let may_acquire = self.context.election.may_acquire(self.context.now);
         let leader = self.context.store.mirror.leader.record.as_ref();
@@ -127,11 +127,11 @@
     /// Gives up everything and rests, when this controller can't do the work.
     pub(crate) fn resign(&mut self, reason: GiveUpReason) {
         let lease_s = self.context.settings.tuning.leader_lease_s;
-        let lease_id = self.context.election.rest(self.context.now, lease_s);
+        let lease_id = self.context.election.back_off(self.context.now, lease_s);
         self.give_up(reason);
         // Its key goes with the lease, so that nobody waits for its end.
         if let Some(lease_id) = lease_id {
-            self.context.revoke_when_quiet(lease_id);
+            self.context.revoke_after_cloud_calls(lease_id);
         }
     }
 }
--- a/src/controller/shards/quota_shares.rs
+++ b/src/controller/shards/quota_shares.rs
@@ -1,7 +1,7 @@
 //! How a team's quota limit is shared among the shards.
 
 use crate::controller::context::Context;
-use crate::controller::quota::team_limits::LimitsWanted;
+use crate::controller::quota::team_limits::TargetLimits;
 use crate::controller::store::records::{ShardRecord, json_bytes};
 use crate::ids::Time;
 use crate::peer::{ShardCounts, TeamCount};
@@ -112,10 +112,10 @@
 impl Context {
     /// Lets the only shard use what the limits allow, once that has changed.
     pub(crate) fn limit_only_shard(&self, records: &mut BTreeMap<u32, ShardRecord>) {
-        let wanted = match self.limits_wanted() {
-            LimitsWanted::OfSettings => None,
-            LimitsWanted::Set(limits) => Some(limits),
-            LimitsWanted::AsTheyAre => return,
+        let wanted = match self.target_limits() {
+            TargetLimits::FromSettings => None,
+            TargetLimits::Set(limits) => Some(limits),
+            TargetLimits::Unchanged => return,
         };
         let Some(record) = records.get_mut(&0) else {
             return;
@@ -143,10 +143,10 @@
         if records.len() < 2 {
             return self.limit_only_shard(records);
         }
-        let limits = match self.limits_wanted() {
-            LimitsWanted::OfSettings => self.limits_of_settings(),
-            LimitsWanted::Set(limits) => limits,
-            LimitsWanted::AsTheyAre => return,
+        let limits = match self.target_limits() {
+            TargetLimits::FromSettings => self.settings_limits(),
+            TargetLimits::Set(limits) => limits,
+            TargetLimits::Unchanged => return,
         };
         let marks = self.store.mirror.shards.iter();
         let marks: BTreeMap<u32, u64> = marks.map(|(k, b)| (*k, b.revision)).collect();
--- a/src/controller/shards/splitting.rs
+++ b/src/controller/shards/splitting.rs
@@ -23,7 +23,7 @@
         let now = self.context.now;
         if !self.context.processor.measured() {
             // A process that has just begun will be.
-            let never = self.context.age_s() > UNMEASURED_S;
+            let never = self.context.process_age_s() > UNMEASURED_S;
             return if never {
                 self.context.settings.shards_for(machines)
             } else {
@@ -71,7 +71,11 @@
             .filter(|h| h.is_fresh)
             .count();
         let by_size = self.shards_needed(machines, records.len());
-        let crowded = self.context.leadership.as_ref().is_some_and(|l| l.crowded);
+        let crowded = self
+            .context
+            .leadership
+            .as_ref()
+            .is_some_and(|l| l.shard_records_full);
         if records.is_empty() || (records.len() >= by_size.min(controllers) && !crowded) {
             return;
         }
@@ -84,7 +88,7 @@
             listed.machines = Some(h.entries());
             // As they are, if they were set at run time: what is in force changes elsewhere.
             let whole = || match self.context.settings.cells {
-                None => self.context.limits_of_settings(),
+                None => self.context.settings_limits(),
                 Some(_) => LimitsByTeam::new(),
             };
             listed.quota_shares.get_or_insert_with(whole);
--- a/src/controller/store/mod.rs
+++ b/src/controller/store/mod.rs
@@ -130,8 +130,8 @@
         priority: Priority,
     ) -> Result<CallId, Purpose<P>> {
         let changes = change_count(&request);
-        if !self.request_limit.has(now, 1.0, priority)
-            || (changes > 0.0 && !self.change_limit.has(now, changes, priority))
+        if !self.request_limit.can_take(now, 1.0, priority)
+            || (changes > 0.0 && !self.change_limit.can_take(now, changes, priority))
         {
             return Err(purpose);
         }
