--- a/src/controller/api/cancellations.rs
+++ b/src/controller/api/cancellations.rs
@@ -23,7 +23,8 @@
             .context
             .recent_heartbeats()
             .flat_map(|heartbeat| heartbeat.overdue.iter().cloned());
-        let overdue: BTreeSet<MachineId> = overdue_at_peers.chain(self.overdue()).collect();
+        let overdue: BTreeSet<MachineId> =
+            overdue_at_peers.chain(self.overdue_machines()).collect();
         let blocked = awaiting_end.filter(|query| {
             self.context.is_stale() || self.context.end_is_blocked(&query.id, &overdue)
         });
--- a/src/controller/api/mod.rs
+++ b/src/controller/api/mod.rs
@@ -159,7 +159,7 @@
         match request {
             Request::Up => self.context.on_up(request_id),
             Request::Heartbeat(report) => self.on_worker_heartbeat(request_id, report),
-            Request::Submit(_) if self.context.shutting_down() => {
+            Request::Submit(_) if self.context.is_shutting_down() => {
                 self.context
                     .answer(request_id, Reply::later(503, 1, SHUTTING_DOWN));
             }
@@ -202,8 +202,8 @@
     /// that neither sees the store nor hears any peer is partitioned: without this, users who
     /// reached it were refused for as long as that lasted.
     fn on_up(&mut self, request_id: RequestId) {
-        let isolated = self.isolated_from_store() || self.all_peers_unreachable();
-        let reply = if self.shutting_down() {
+        let isolated = self.is_isolated_from_store() || self.all_peers_unreachable();
+        let reply = if self.is_shutting_down() {
             Reply::later(503, 1, SHUTTING_DOWN)
         } else if self.is_stale() && (!self.store.initial_list_done() || isolated) {
             Reply::later(503, 1, "the state service doesn't answer")
--- a/src/controller/leadership/election.rs
+++ b/src/controller/leadership/election.rs
@@ -1,11 +1,14 @@
-//! Who leads. The leader's key hangs on a lease of a few seconds; whoever commits it
-//! next leads from then on, and takes over the shards of those who are gone under
-//! higher tokens in the same commit.
+//! Leader election.
 //!
-//! A leader that a majority has lost is replaced before its lease's end (package `standby`). The
-//! commit is conditional on its record, as any other; only calls to the cloud, which carry no
-//! condition, rest on the lease, and wait for as long as the old leader's may go out
-//! (`may_use_cloud`).
+//! The leader's record is attached to a lease of a few seconds, and the store deletes the record
+//! when the lease expires. The controller that commits the next leader's record leads from then on.
+//! The same commit takes over, under higher fencing tokens, the shards of owners that are down.
+//!
+//! When a majority of the controllers suspects the leader, its record is replaced before the lease
+//! expires (package `standby`). That is safe for commits, since each is conditional on the records
+//! that it rests on. Calls to the cloud have no preconditions: a leader makes them only while its
+//! lease is valid, and a new leader waits until its predecessor can't make any more
+//! ([`Context::may_use_cloud`]).
 
 use crate::controller::Controller;
 use crate::controller::context::{CLOCK_DRIFT, Context};
@@ -20,123 +23,137 @@
 use salttrestle_standby::fence::Predecessors;
 use std::collections::VecDeque;
 
-/// A lease granted to a candidate.
+/// A lease granted to this controller as a candidate.
 #[derive(Clone, Copy, Debug)]
 struct CandidateLease {
     lease_id: u64,
-    /// When it was asked for.
-    asked: Time,
+    /// When the lease was requested.
+    requested_at: Time,
 }
 
-/// How far this controller has come with being elected, or with staying so.
+/// The state of this controller as a candidate and, once elected, as the holder of the leader's
+/// lease.
 #[derive(Debug, Default)]
 pub(crate) struct Election {
-    /// The lease that the leader's key hangs on, while this controller leads.
+    /// The lease to which the leader's record is attached, while this controller leads.
     lease_id: Option<u64>,
-    /// Leases granted to this candidate, the latest last.
-    leases: VecDeque<CandidateLease>,
-    /// The revision at which this controller won. Until the watch shows it, standing
-    /// again would only lose to itself.
+    /// Leases granted to this controller as a candidate, the latest last.
+    candidate_leases: VecDeque<CandidateLease>,
+    /// The revision at which this controller won its latest election. Until the watch has
+    /// delivered it, another candidacy would compete with this controller's own record.
     won_revision: u64,
-    /// When the latest request that renewed the lease was sent.
-    renewed: Time,
-    busy: bool,
+    /// When the latest successful request to grant or renew the lease was sent.
+    renewal_sent_at: Time,
+    /// A lease request or an election commit is pending at the store.
+    request_pending: bool,
+    /// When the next renewal is due.
     renew_at: Time,
-    /// Since when there has been no leader, or it may be replaced.
+    /// Since when there has been no leader, or a leader that may be replaced.
     vacant_since: Option<Time>,
-    /// It is no candidate, and owns no shard, before this.
-    not_before: Time,
+    /// Until this time the controller neither stands for election nor acquires shards.
+    back_off_until: Time,
 }
 
 impl Election {
-    /// Whether leadership and shards may be acquired.
+    /// Whether this controller may acquire leadership and shards: it isn't backing off.
     pub(crate) fn may_acquire(&self, now: Time) -> bool {
-        now >= self.not_before
+        now >= self.back_off_until
     }
 
-    /// Renews the lease from now on.
+    /// Makes the next renewal of the lease due at once.
     pub(crate) fn begin_renewing(&mut self, now: Time) {
         self.renew_at = now;
     }
 
-    /// Acquires nothing for some lives of a lease. Returns the leader's lease, if it has one.
+    /// Backs off from leadership and shards for [`BACK_OFF_LEASES`] lease durations. Returns the
+    /// leader's lease if this controller holds it, so that the caller can revoke it.
     pub(crate) fn back_off(&mut self, now: Time, lease_s: f64) -> Option<u64> {
-        self.not_before = now.after(lease_s * REST_LEASES);
+        self.back_off_until = now.after(lease_s * BACK_OFF_LEASES);
         self.lease_id
     }
 }
 
-/// Pause between two candidates, so that one is usually enough.
-const CANDIDATE_GAP_S: f64 = 0.1;
-/// Share of a lease's life after which it is renewed.
-const RENEW_SHARE: f64 = 0.3;
-/// A lease that was granted beforehand is used within this share of its life.
-const PREPARED_SHARE: f64 = 0.3;
-/// Leases remembered: attempts that may still turn out to have won.
-const LEASES_MAX: usize = 8;
-/// Rest after giving up leadership, in lives of a lease.
-const REST_LEASES: f64 = 4.0;
-/// For late timers, on top of the time for which a predecessor may call the cloud, in seconds.
+/// Delay between the candidacies of successive controllers, so that usually only one of them
+/// commits.
+const CANDIDATE_STAGGER_S: f64 = 0.1;
+/// Interval between renewals of the leader's lease, as a fraction of its duration.
+const RENEWAL_INTERVAL_FRACTION: f64 = 0.3;
+/// Maximum age of a lease that was requested in advance, as a fraction of its duration. An older one
+/// isn't used for a candidacy.
+const PREPARED_LEASE_AGE_MAX_FRACTION: f64 = 0.3;
+/// Maximum number of candidate leases kept: an earlier election commit may still turn out to have
+/// succeeded.
+const CANDIDATE_LEASES_MAX: usize = 8;
+/// Back-off after this controller gives up what it holds, in durations of the leader's lease.
+const BACK_OFF_LEASES: f64 = 4.0;
+/// Margin for late timers, added to the time for which a predecessor may still call the cloud, in
+/// seconds.
 const FENCE_MARGIN_S: f64 = 0.2;
 
 impl Controller {
+    /// Handles the response to a renewal of the leader's lease that was sent at `sent`.
     pub(crate) fn on_lease_renewed(&mut self, reply: StoreResponse, sent: Time) {
-        self.context.election.busy = false;
+        self.context.election.request_pending = false;
         match reply {
-            StoreResponse::LeaseRenewed => self.context.election.renewed = sent,
+            StoreResponse::LeaseRenewed => self.context.election.renewal_sent_at = sent,
             StoreResponse::LeaseNotFound => self.step_down(GiveUpReason::LeaseExpired),
             _ => {}
         }
     }
 
+    /// Stops leading. The shards that this controller owns stay with it.
     pub(crate) fn step_down(&mut self, reason: GiveUpReason) {
         if self.context.leadership.take().is_some() {
             warn!("stepped down, reason={reason}");
         }
         self.context.election.lease_id = None;
-        self.context.election.busy = false;
+        self.context.election.request_pending = false;
         self.update_rate_limits();
     }
 }
 
 impl Context {
+    /// Renews the lease of the leader; other controllers stand for election if there is a vacancy.
     pub(crate) fn election_housekeeping(&mut self) {
         if self.leadership.is_some() {
             self.renew_lease();
-        } else if !self.shutting_down() {
+        } else if !self.is_shutting_down() {
             self.stand_for_election();
         }
     }
 
-    /// Whether the leader's lease surely lives, and it has read its own record as lately: whoever
-    /// replaced that record counts on both.
+    /// Whether this controller leads, its lease can't have expired, and it has read its own record
+    /// within one lease duration. A successor that replaces the record early relies on both.
     pub(crate) fn has_valid_lease(&self) -> bool {
-        let ttl = self.settings.tuning.leader_lease_s;
-        let renewed = self.now.since(self.election.renewed) < ttl;
-        self.leadership.is_some() && renewed && self.staleness_s() < ttl
+        let ttl_s = self.settings.tuning.leader_lease_s;
+        let is_renewed = self.now.since(self.election.renewal_sent_at) < ttl_s;
+        self.leadership.is_some() && is_renewed && self.staleness_s() < ttl_s
     }
 
-    /// Whether this leader may scale out and delete. Calls to the cloud have no condition that an
-    /// outdated leader would fail.
+    /// Whether this leader may rent and delete machines at the cloud. Calls to the cloud have no
+    /// precondition that would fail for an outdated leader.
     pub(crate) fn may_use_cloud(&self) -> bool {
         self.has_valid_lease() && !self.predecessor_may_use_cloud()
     }
 
-    /// Whether a leader before this one may still call the cloud.
+    /// Whether a predecessor of this leader may still call the cloud.
     pub(crate) fn predecessor_may_use_cloud(&self) -> bool {
         let leadership = self.leadership.as_ref();
-        leadership.is_some_and(|leadership| self.now < leadership.cloud_from)
+        leadership.is_some_and(|leadership| self.now < leadership.cloud_allowed_from)
     }
 
-    /// Within how long after a read of its own record a leader of this release calls the cloud.
+    /// For how long after a read of its own record a leader of this release may call the cloud, in
+    /// milliseconds.
     fn fenced_ms(&self) -> u64 {
         (self.settings.tuning.leader_lease_s.max(STALENESS_BOUND_S) * 1000.0) as u64
     }
 
-    /// From when a leader that has just been elected may call the cloud.
-    pub(crate) fn cloud_from(&self, token: FencingToken) -> Time {
+    /// When the leader that was just elected under `token` may first call the cloud.
+    pub(crate) fn cloud_allowed_from(&self, token: FencingToken) -> Time {
         let record = self.store.mirror.token.record.as_ref();
-        let fence = record.and_then(|n| n.fence).filter(|f| f.token == token.0);
+        let fence = record
+            .and_then(|record| record.fence)
+            .filter(|fence| fence.token == token.0);
         match fence {
             None => self.now,
             Some(fence) => {
@@ -151,26 +168,29 @@
         let Some(lease_id) = self.election.lease_id else {
             return;
         };
-        if self.election.busy || self.now < self.election.renew_at {
+        if self.election.request_pending || self.now < self.election.renew_at {
             return;
         }
-        let op = StoreRequest::RenewLease(lease_id);
+        let request = StoreRequest::RenewLease(lease_id);
         if self
-            .send_store_request(op, RequestPurpose::RenewLease, Priority::First)
+            .send_store_request(request, RequestPurpose::RenewLease, Priority::First)
             .is_ok()
         {
-            self.election.busy = true;
-            let ttl = self.settings.tuning.leader_lease_s;
-            self.election.renew_at = self.now.after(ttl * RENEW_SHARE);
+            self.election.request_pending = true;
+            let ttl_s = self.settings.tuning.leader_lease_s;
+            self.election.renew_at = self.now.after(ttl_s * RENEWAL_INTERVAL_FRACTION);
         }
     }
 
-    /// Whether somebody leads, as far as is known.
+    /// Whether the mirror has a leader's record that isn't from an earlier process of this
+    /// controller.
     fn has_leader(&self) -> bool {
         let me = &self.settings.platform.controller_id;
-        // Our own name under another boot is an earlier process of ours: gone.
-        let is_leader =
-            |l: &LeaderRecord| l.controller_id != *me || l.incarnation == self.incarnation;
+        // This controller's own ID with another incarnation belongs to an earlier process, which
+        // has ended.
+        let is_leader = |leader: &LeaderRecord| {
+            leader.controller_id != *me || leader.incarnation == self.incarnation
+        };
         self.store
             .mirror
             .leader
@@ -179,23 +199,25 @@
             .is_some_and(is_leader)
     }
 
-    /// Whether the leader's record may be written: there is none, or its leader is lost.
+    /// Whether this controller may write the leader's record: there is no leader, or a majority
+    /// suspects it.
     fn may_be_elected(&self) -> bool {
         !self.has_leader() || self.may_replace_leader()
     }
 
+    /// Commits the leader's record if there is a vacancy and it is this controller's turn.
     fn stand_for_election(&mut self) {
-        if !self.may_be_elected() || self.is_stale() || self.election.busy {
+        if !self.may_be_elected() || self.is_stale() || self.election.request_pending {
             self.election.vacant_since = None;
             return self.prepare_candidacy();
         }
-        if self.now < self.election.not_before
+        if self.now < self.election.back_off_until
             || self.store.mirror.revision < self.election.won_revision
         {
             return;
         }
         let vacant_since = *self.election.vacant_since.get_or_insert(self.now);
-        if self.now.since(vacant_since) < CANDIDATE_GAP_S * self.candidates_before() as f64 {
+        if self.now.since(vacant_since) < CANDIDATE_STAGGER_S * self.candidates_before() as f64 {
             return;
         }
         match self.prepared_lease() {
@@ -204,51 +226,58 @@
         }
     }
 
-    /// How many others stand before this controller. A lost leader doesn't stand, nor does, as
-    /// far as can be told, one that isn't heard: after an outage the first one back waited for
-    /// those that weren't.
+    /// Number of candidates that stand before this controller: the peers with lower IDs that sent a
+    /// heartbeat lately. The suspected leader isn't a candidate. Peers that aren't heard don't
+    /// count either: when they did, the first controller back after an outage waited for those that
+    /// were still down.
     fn candidates_before(&self) -> usize {
         let me = &self.settings.platform.controller_id;
-        let lost = self.store.mirror.leader_id();
-        let heard = self.recent_heartbeats().map(|h| &h.from);
-        heard
-            .filter(|candidate| *candidate < me && Some(*candidate) != lost)
+        let leader = self.store.mirror.leader_id();
+        let heard_peers = self.recent_heartbeats().map(|heartbeat| &heartbeat.from);
+        heard_peers
+            .filter(|candidate| *candidate < me && Some(*candidate) != leader)
             .count()
     }
 
-    /// Gets a lease as soon as the leader is suspected, so that only the commit is left when a
-    /// majority has lost it. One that isn't used runs out.
+    /// Requests a lease as soon as this controller suspects the leader, so that only the commit
+    /// remains to be made once a majority does. A lease that isn't used expires.
     fn prepare_candidacy(&mut self) {
         let suspects = self.suspects_leader().is_some() && !self.is_stale();
-        if suspects && !self.election.busy && self.prepared_lease().is_none() {
+        if suspects && !self.election.request_pending && self.prepared_lease().is_none() {
             self.request_lease();
         }
     }
 
+    /// The latest candidate lease, if it is recent enough for a candidacy.
     fn prepared_lease(&self) -> Option<CandidateLease> {
-        let most_s = self.settings.tuning.leader_lease_s * PREPARED_SHARE;
-        let young = |lease: &CandidateLease| self.now.since(lease.asked) < most_s;
-        self.election.leases.back().copied().filter(young)
+        let age_max_s = self.settings.tuning.leader_lease_s * PREPARED_LEASE_AGE_MAX_FRACTION;
+        let is_recent = |lease: &CandidateLease| self.now.since(lease.requested_at) < age_max_s;
+        self.election
+            .candidate_leases
+            .back()
+            .copied()
+            .filter(is_recent)
     }
 
     fn request_lease(&mut self) {
         let ttl_ms = (self.settings.tuning.leader_lease_s * 1000.0) as u64;
-        let op = StoreRequest::GrantLease { ttl_ms };
+        let request = StoreRequest::GrantLease { ttl_ms };
         if self
-            .send_store_request(op, RequestPurpose::GrantLease, Priority::First)
+            .send_store_request(request, RequestPurpose::GrantLease, Priority::First)
             .is_ok()
         {
-            self.election.busy = true;
+            self.election.request_pending = true;
         }
     }
 
+    /// Handles the response to a request for a candidate lease that was sent at `sent`.
     pub(crate) fn on_lease_granted(&mut self, reply: StoreResponse, sent: Time) {
-        self.election.busy = false;
+        self.election.request_pending = false;
         let StoreResponse::LeaseGranted(lease_id) = reply else {
             return;
         };
-        // Somebody else won while the lease was asked for. The commit would be on condition
-        // of that record, and take the leadership away again, with a second takeover.
+        // Another candidate won while the lease was being requested. The commit would be
+        // conditional on the winner's record, so it would succeed and cause a second takeover.
         if !self.may_be_elected() && self.suspects_leader().is_none() {
             let _ = self.send_store_request(
                 StoreRequest::RevokeLease(lease_id),
@@ -257,32 +286,33 @@
             );
             return;
         }
-        self.election.leases.push_back(CandidateLease {
+        self.election.candidate_leases.push_back(CandidateLease {
             lease_id,
-            asked: sent,
+            requested_at: sent,
         });
-        if self.election.leases.len() > LEASES_MAX {
-            self.election.leases.pop_front();
+        if self.election.candidate_leases.len() > CANDIDATE_LEASES_MAX {
+            self.election.candidate_leases.pop_front();
         }
         if self.election.vacant_since.is_some() && self.may_be_elected() {
             self.commit_leadership(lease_id);
         }
     }
 
-    /// What the records say of earlier leaders. The commit is conditional on the records of the
-    /// leader and of the highest token; an older plan only makes the wait longer.
+    /// What the records show of earlier leaders. The election's commit is conditional on the
+    /// records of the leader and of the highest token. The scaling plan isn't a precondition: an
+    /// outdated one only makes the new leader wait longer before it calls the cloud.
     fn predecessors(&self) -> Predecessors {
         let leader = self.store.mirror.leader.record.as_ref();
         let replaced = leader.filter(|_| self.has_leader());
         Predecessors {
-            replaced_grant_ms: replaced.and_then(|l| l.fenced_ms),
+            replaced_grant_ms: replaced.and_then(|leader| leader.fenced_ms),
             fence: self
                 .store
                 .mirror
                 .token
                 .record
                 .as_ref()
-                .and_then(|n| n.fence),
+                .and_then(|record| record.fence),
             plan_token: self
                 .store
                 .mirror
@@ -293,8 +323,11 @@
         }
     }
 
+    /// Sends the commit that makes this controller the leader and takes over the shards of owners
+    /// that are down.
     fn commit_leadership(&mut self, lease_id: u64) {
-        // The leadership's own token comes first: scale-out requests are named after it.
+        // The leadership gets a token of its own, below those of the shards: scale-out requests are
+        // named after it.
         let token = FencingToken(self.store.mirror.highest().0 + 1);
         let mut highest = token;
         let mut preconditions = vec![
@@ -302,21 +335,22 @@
             (Key::FencingToken, self.store.mirror.token.version()),
         ];
         let mut writes = Vec::new();
-        // Two changes are kept for the leader's and the token's records.
-        let most = self.settings.state_limits().txn_ops - 2;
-        for shard in self.shards_to_take().into_iter().take(most) {
+        // Two operations of the transaction are reserved for the records of the leader and of the
+        // highest token.
+        let shards_max = self.settings.state_limits().txn_ops - 2;
+        for shard in self.shards_to_take().into_iter().take(shards_max) {
             highest.0 += 1;
             let (version, record) = self.lease_to_self(shard, highest);
             preconditions.push((Key::Shard(shard), version));
             writes.push(Write::put(Key::Shard(shard), Record::Shard(record)));
         }
-        let heartbeats = self.settings.standby().enabled();
+        let standby_enabled = self.settings.standby().enabled();
         let leader = LeaderRecord {
             controller_id: self.settings.platform.controller_id.clone(),
             incarnation: self.incarnation,
             token,
             lease_id,
-            fenced_ms: heartbeats.then_some(self.fenced_ms()),
+            fenced_ms: standby_enabled.then_some(self.fenced_ms()),
         };
         writes.push(Write::Put {
             key: Key::Leader,
@@ -328,22 +362,23 @@
             Key::FencingToken,
             Record::FencingToken(FencingTokenRecord { highest, fence }),
         ));
-        let op = StoreRequest::Transaction {
+        let request = StoreRequest::Transaction {
             preconditions,
             writes,
         };
         if self
-            .send_store_request(op, RequestPurpose::Elect, Priority::First)
+            .send_store_request(request, RequestPurpose::Elect, Priority::First)
             .is_ok()
         {
-            self.election.busy = true;
+            self.election.request_pending = true;
         }
     }
 
-    /// Whatever the answer is, only the watch makes a leader: by then everything
-    /// that the one before committed is known here as well.
+    /// Handles the response to the election's commit. A successful commit alone doesn't make this
+    /// controller act as the leader: it waits until the watch delivers the record, since the mirror
+    /// then has everything that the previous leader committed as well.
     pub(crate) fn on_elected(&mut self, reply: StoreResponse) {
-        self.election.busy = false;
+        self.election.request_pending = false;
         self.election.vacant_since = None;
         if let StoreResponse::Committed { revision } = reply {
             self.election.won_revision = revision;
@@ -351,20 +386,21 @@
         }
     }
 
-    /// Whether this controller has won, and only the watch doesn't show it yet.
+    /// Whether this controller has won an election whose record the watch hasn't delivered yet.
     pub(crate) fn has_won_election(&self) -> bool {
         self.store.mirror.revision < self.election.won_revision
     }
 
-    /// Takes the lease that the leader's record names. A later attempt's lease stood in its
-    /// place: the one that counted ran out unrenewed, and with it the leadership, after 3 s.
+    /// Adopts the candidate lease that the leader's record names, which needn't be the latest one.
+    /// When the lease of a later attempt was renewed instead, the lease of the record expired, and
+    /// the leadership ended after 3 s.
     pub(crate) fn adopt_lease(&mut self) {
         let record = self.store.mirror.leader.record.as_ref();
-        let named = record.map_or(0, |l| l.lease_id);
-        let mut leases = self.election.leases.drain(..);
-        let found = leases.find(|lease| lease.lease_id == named);
-        drop(leases);
+        let record_lease_id = record.map_or(0, |leader| leader.lease_id);
+        let mut candidate_leases = self.election.candidate_leases.drain(..);
+        let found = candidate_leases.find(|lease| lease.lease_id == record_lease_id);
+        drop(candidate_leases);
         self.election.lease_id = found.map(|lease| lease.lease_id);
-        self.election.renewed = found.map_or(Time(0), |lease| lease.asked);
+        self.election.renewal_sent_at = found.map_or(Time(0), |lease| lease.requested_at);
     }
 }
--- a/src/controller/leadership/mod.rs
+++ b/src/controller/leadership/mod.rs
@@ -1,5 +1,5 @@
-//! Who leads: the election, the standby that shortens a takeover, and the hand-over of a controller
-//! that shuts down.
+//! Leadership: the [`election`], the [`standby`] that shortens a takeover, and the [`shutdown`] of a
+//! controller, which hands its duties over first.
 
 pub(crate) mod election;
 pub(crate) mod shutdown;
@@ -13,39 +13,43 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// What a leader knows besides what it holds itself.
+/// The state that a controller keeps only while it leads.
 #[derive(Debug, Default)]
 pub(crate) struct Leadership {
     pub(crate) scale: ScalingState,
-    /// The latest counts of each shard, and when they came.
+    /// The latest counts of each shard, and when they arrived.
     pub(crate) shard_counts: BTreeMap<u32, (ShardCounts, Time)>,
-    /// Machines that each shard lacks, by type and kind.
+    /// Number of machines that a shard needs and doesn't have, by machine type, whether they are
+    /// spot, and shard.
     pub(crate) machine_shortfall: BTreeMap<(String, bool, u32), u32>,
-    /// Machines that belong to no shard yet.
+    /// Machines that aren't assigned to a shard yet.
     pub(crate) unassigned: BTreeMap<MachineId, Entry>,
-    /// Machines that owners deleted, and when that was heard: lists show them still.
+    /// Machines that shard owners have deleted, and when this leader learned of it. Lists of the
+    /// cloud and of the shards' records may still contain them.
     pub(crate) deleted_machines: BTreeMap<MachineId, Time>,
-    /// Since when more shards are needed than there are.
+    /// Since when the fleet has needed more shards than exist.
     pub(crate) short_of_shards_since: Option<Time>,
-    /// A change of leases is being committed.
+    /// A change of the shards' leases is being committed.
     pub(crate) lease_change_pending: bool,
-    /// There are machines that no shard's record has room for.
+    /// Whether there is an unassigned machine for which no shard's record has space.
     pub(crate) shard_records_full: bool,
     pub(crate) since: Time,
-    /// This leadership's own token: no other one has it.
+    /// The fencing token of this leadership, which no other one has.
     pub(crate) token: FencingToken,
-    /// From when it may scale out and delete: before, a leader that it replaced might.
-    pub(crate) cloud_from: Time,
+    /// When this leader may first rent and delete machines at the cloud. Before that, the leader
+    /// that it replaced may still do so.
+    pub(crate) cloud_allowed_from: Time,
 }
 
 impl Controller {
+    /// Begins to lead, under the token in the leader's record.
     pub(crate) fn become_leader(&mut self) {
         let record = self.context.store.mirror.leader.record.as_ref();
-        let token = record.map_or(FencingToken(0), |l| l.token);
+        let token = record.map_or(FencingToken(0), |leader| leader.token);
         self.context.leadership = Some(Leadership {
             since: self.context.now,
             token,
-            cloud_from: self.context.cloud_from(token),
+            cloud_allowed_from: self.context.cloud_allowed_from(token),
             ..Leadership::default()
         });
         self.update_rate_limits();
@@ -64,9 +68,9 @@
     OwnedByAnother,
     /// A peer knows a higher token for the shard.
     HigherTokenKnown,
-    /// No worker reaches this controller, while workers may reach others.
+    /// No worker's heartbeat reaches this controller, while workers may reach others.
     WorkersUnreachable,
-    /// The store forgot changes that weren't seen yet.
+    /// The store has discarded changes that the watch hadn't delivered yet.
     WatchFellBehind,
     /// The process was told to terminate.
     ShuttingDown,
--- a/src/controller/leadership/shutdown.rs
+++ b/src/controller/leadership/shutdown.rs
@@ -1,5 +1,8 @@
-//! A controller that is told to terminate hands over first: it takes no new work and, if it leads, gives
-//! its lease up once its last call to the cloud is over, so that nobody waits for the lease's end.
+//! Graceful shutdown.
+//!
+//! A controller that is told to terminate hands over first. It accepts no new work and, if it leads,
+//! revokes its lease once its last call to the cloud is over, so that no successor has to wait until
+//! the lease expires.
 
 use crate::controller::Controller;
 use crate::controller::autoscaling::CloudPurpose;
@@ -11,23 +14,25 @@
 use crate::wire::StoreRequest;
 use log::info;
 
-/// Calls to the cloud are given up as in doubt after so long.
-const CLOUD_REQUESTS_S: f64 = 1.0;
-/// After its leadership is over a controller forwards heartbeats for so long, until its workers'
-/// answers are out and the others know the next leader.
-const LAST_HEARTBEATS_S: f64 = 0.5;
-/// It ends at the latest after so many lives of a lease: by then a successor needs no word of it.
-const LONGEST_LEASES: f64 = 1.5;
+/// Maximum wait for pending calls to the cloud before the lease is revoked, in seconds. The outcome
+/// of a call that is still pending then is unknown.
+const CLOUD_CALLS_WAIT_MAX_S: f64 = 1.0;
+/// Time for which a controller goes on forwarding heartbeats after it has handed over, in seconds.
+/// By then the responses to its workers are sent, and its peers know the next leader.
+const FINAL_FORWARDING_S: f64 = 0.5;
+/// Maximum duration of a shutdown, in durations of the leader's lease. By then the lease has expired,
+/// and a successor doesn't depend on its revocation.
+const SHUTDOWN_MAX_LEASES: f64 = 1.5;
 
-/// What is left to be done before the end.
+/// The state of a shutdown.
 #[derive(Debug)]
 pub(crate) struct Shutdown {
     since: Time,
-    /// When this controller was first seen to have nothing left to hand over.
+    /// When this controller first had nothing left to hand over.
     idle_since: Option<Time>,
 }
 
-/// A lease that is to be given up once no call to the cloud rests on it.
+/// A lease to be revoked once no call to the cloud that depends on it is pending.
 #[derive(Debug)]
 pub(crate) struct LeaseRevocation {
     lease_id: u64,
@@ -35,7 +40,7 @@
 }
 
 impl Controller {
-    /// Begins to hand over; nothing is taken back.
+    /// Begins the shutdown, which can't be cancelled.
     pub(crate) fn on_shutdown(&mut self) {
         if self.context.shutdown.is_some() {
             return;
@@ -50,62 +55,69 @@
 }
 
 impl Context {
-    /// Whether this controller is about to end.
-    pub(crate) fn shutting_down(&self) -> bool {
+    /// Whether this controller has been told to terminate.
+    pub(crate) fn is_shutting_down(&self) -> bool {
         self.shutdown.is_some()
     }
 
-    /// Whether there is nothing left to hand over.
+    /// Whether the process may end: it handed over [`FINAL_FORWARDING_S`] ago, or
+    /// [`SHUTDOWN_MAX_LEASES`] are over.
     pub(crate) fn shutdown_complete(&self) -> bool {
         let Some(shutdown) = &self.shutdown else {
             return false;
         };
-        let most_s = LONGEST_LEASES * self.settings.tuning.leader_lease_s;
-        let quiet = |at: Time| self.now.since(at) > LAST_HEARTBEATS_S;
-        shutdown.idle_since.is_some_and(quiet) || self.now.since(shutdown.since) > most_s
+        let duration_max_s = SHUTDOWN_MAX_LEASES * self.settings.tuning.leader_lease_s;
+        let is_forwarding_over = |idle_since: Time| self.now.since(idle_since) > FINAL_FORWARDING_S;
+        shutdown.idle_since.is_some_and(is_forwarding_over)
+            || self.now.since(shutdown.since) > duration_max_s
     }
 
+    /// Revokes the lease when that is due, and records when there is nothing left to hand over.
     pub(crate) fn shutdown_housekeeping(&mut self) {
-        self.release_lease();
-        let releasing = self.lease_revocation.is_some() || self.store.is_pending(is_revocation);
+        self.revoke_lease_if_due();
+        let is_revoking = self.lease_revocation.is_some() || self.store.is_pending(is_revocation);
         let me = &self.settings.platform.controller_id;
         let leader = self.store.mirror.leader.record.as_ref();
-        let led_by_another = leader.is_some_and(|l| l.controller_id != *me);
-        let alone = self.settings.platform.peers.is_empty();
-        let (now, idle) = (self.now, !releasing && (led_by_another || alone));
+        let is_led_by_another = leader.is_some_and(|leader| leader.controller_id != *me);
+        let has_no_peers = self.settings.platform.peers.is_empty();
+        let (now, is_idle) = (
+            self.now,
+            !is_revoking && (is_led_by_another || has_no_peers),
+        );
         if let Some(shutdown) = &mut self.shutdown
-            && idle
+            && is_idle
         {
             shutdown.idle_since.get_or_insert(now);
         }
     }
 
-    /// A lease is to be given up. The successor may call the cloud as soon as it is over, so it
-    /// stands until the last call of this controller was answered or is given up as in doubt.
+    /// Revokes a lease once this controller's pending calls to the cloud are answered, or after
+    /// [`CLOUD_CALLS_WAIT_MAX_S`]. A successor may call the cloud as soon as the lease is gone.
     pub(crate) fn revoke_after_cloud_calls(&mut self, lease_id: u64) {
         self.lease_revocation = Some(LeaseRevocation {
             lease_id,
             since: self.now,
         });
-        self.release_lease();
+        self.revoke_lease_if_due();
     }
 
-    fn release_lease(&mut self) {
-        let Some(lease_revocation) = &self.lease_revocation else {
+    fn revoke_lease_if_due(&mut self) {
+        let Some(revocation) = &self.lease_revocation else {
             return;
         };
-        let under_way = self.cloud.is_pending(CloudPurpose::changes);
-        if under_way && self.now.since(lease_revocation.since) < CLOUD_REQUESTS_S {
+        let has_pending_calls = self.cloud.is_pending(CloudPurpose::changes);
+        if has_pending_calls && self.now.since(revocation.since) < CLOUD_CALLS_WAIT_MAX_S {
             return;
         }
-        let op = StoreRequest::RevokeLease(lease_revocation.lease_id);
-        let sent = self.send_store_request(op, RequestPurpose::RevokeLease, Priority::First);
+        let request = StoreRequest::RevokeLease(revocation.lease_id);
+        let sent = self.send_store_request(request, RequestPurpose::RevokeLease, Priority::First);
         if sent.is_ok() {
             self.lease_revocation = None;
         }
     }
 }
-/// Whether a request gives the leader's lease up.
+
+/// Whether a request revokes the leader's lease.
 fn is_revocation(purpose: &RequestPurpose) -> bool {
     matches!(purpose, RequestPurpose::RevokeLease)
 }
--- a/src/controller/leadership/standby.rs
+++ b/src/controller/leadership/standby.rs
@@ -1,5 +1,8 @@
-//! The standby in this controller: what its state machine is told, and what follows from it. The
-//! state machine itself is package `standby`.
+//! Connects this controller to the standby of package `standby`, which detects failures of the
+//! leader and holds the hints that it sends.
+//!
+//! This module passes the standby its inputs, sends its heartbeats and the leader's hints to the
+//! peers, and applies hints in a new shard owner.
 
 use crate::controller::Controller;
 use crate::controller::context::Context;
@@ -18,31 +21,33 @@
 use salttrestle_standby::{Config, Standby};
 use std::fmt;
 
-/// The hints that the leader sends.
+/// When the leader sends its next hints, and which machines they cover.
 #[derive(Debug, Default)]
 pub(crate) struct HintSender {
-    due: Time,
+    due_at: Time,
     rotation: Rotation,
 }
 
-/// How the standby of one controller stands.
+/// The state of one controller's standby, for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StandbyStatus {
-    /// Milliseconds since the leader was heard; `None` if it wasn't, or is this controller.
+    /// Time since the leader's last heartbeat, in milliseconds; `None` if none has arrived, or if
+    /// this controller leads.
     pub leader_silent_ms: Option<u64>,
-    /// Milliseconds since the latest hints came.
+    /// Time since the latest hints arrived, in milliseconds; `None` if none have.
     pub hints_age_ms: Option<u64>,
-    /// Machines that hints have told of.
+    /// Number of machines whose images are known from hints.
     pub hinted_machines: usize,
-    /// Hints that were dropped, since another controller than the leader sent them.
+    /// Number of messages with hints that were dropped because their sender isn't the present
+    /// leader.
     pub stale_hints: u64,
-    /// Changes of leadership within the last minute.
-    pub changes_lately: usize,
+    /// Number of changes of leadership within the last minute.
+    pub leadership_changes: usize,
 }
 
 impl fmt::Display for StandbyStatus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let told = |ms: Option<u64>| match ms {
+        let format_age = |ms: Option<u64>| match ms {
             Some(ms) => format!("{ms} ms ago"),
             None => "never".to_string(),
         };
@@ -50,19 +55,22 @@
             f,
             "standby: leader heard {}, hints {} of {} machines, {} stale; {} changes of leadership \
              in a minute",
-            told(self.leader_silent_ms),
-            told(self.hints_age_ms),
+            format_age(self.leader_silent_ms),
+            format_age(self.hints_age_ms),
             self.hinted_machines,
             self.stale_hints,
-            self.changes_lately
+            self.leadership_changes
         )
     }
 }
 
-/// The standby of a process that begins.
+/// Creates the standby of a process that starts.
 pub(crate) fn new_standby(settings: &Settings, incarnation: u64) -> Standby {
     let platform = &settings.platform;
-    let peers = platform.peers.iter().map(|s| s.controller_id.to_string());
+    let peers = platform
+        .peers
+        .iter()
+        .map(|peer| peer.controller_id.to_string());
     Standby::new(
         settings.standby(),
         platform.controller_id.as_str(),
@@ -72,21 +80,22 @@
 }
 
 impl Controller {
-    /// Tells the peers that this controller runs and, if it leads, what it knows.
+    /// Sends the standby's heartbeat and the leader's hints when they are due, and logs when the
+    /// suspicion of the leader changes.
     pub(crate) fn standby_housekeeping(&mut self) {
-        let before = self.context.suspects_leader();
+        let suspicion = self.context.suspects_leader();
         if let Some(heartbeat) = self.context.standby.tick(self.context.now.0) {
             let message = StandbyMessage::Heartbeat(heartbeat);
             let message = Message::Standby(Box::new(message));
             self.context.outbox.send_to_peer(None, message);
         }
-        if before.is_some() != self.context.leader_suspected {
-            self.context.leader_suspected = before.is_some();
-            match before {
-                Some(why) => match self.context.standby.may_replace(self.context.now.0) {
-                    Ok(()) => info!("leader suspected, reason={why:?}"),
-                    Err(hold) => info!(
-                        "leader suspected, not replaced yet, reason={why:?} waits_for={hold:?}"
+        if suspicion.is_some() != self.context.leader_suspected {
+            self.context.leader_suspected = suspicion.is_some();
+            match suspicion {
+                Some(reason) => match self.context.standby.may_replace(self.context.now.0) {
+                    Ok(()) => info!("leader suspected, reason={reason:?}"),
+                    Err(obstacle) => info!(
+                        "leader suspected, not replaced yet, reason={reason:?} waits_for={obstacle:?}"
                     ),
                 },
                 None => info!("leader no longer suspected"),
@@ -95,9 +104,10 @@
         self.send_hints();
     }
 
+    /// Sends hints to all peers when they are due, if this controller leads and owns the only shard.
     fn send_hints(&mut self) {
-        let pause_ms = self.context.standby_config().hints_ms;
-        if pause_ms == 0 || self.context.now < self.context.hint_sender.due {
+        let interval_ms = self.context.standby_config().hints_ms;
+        if interval_ms == 0 || self.context.now < self.context.hint_sender.due_at {
             return;
         }
         let (Some(leadership), Some(owner)) = (&self.context.leadership, self.shards.get(&0))
@@ -107,12 +117,15 @@
         if !owner.whole {
             return;
         }
-        self.context.hint_sender.due = Time(self.context.now.0 + pause_ms);
+        self.context.hint_sender.due_at = Time(self.context.now.0 + interval_ms);
         let rotation = &mut self.context.hint_sender.rotation;
         let after = rotation.after().map(MachineId::from);
         let machines = owner.machines.iter_after(after.as_ref());
         let machines = machines.map(|(id, machine)| {
-            let images = machine.images.iter().map(|(i, gb)| (i.as_str(), *gb));
+            let images = machine
+                .images
+                .iter()
+                .map(|(image, gb)| (image.as_str(), *gb));
             (id.as_str(), images.collect())
         });
         let (images, machines) = rotation.next(machines);
@@ -133,19 +146,19 @@
         self.settings.standby()
     }
 
-    /// Whether this controller has lost the leader, and why.
+    /// Why this controller suspects that the leader has failed, if it does.
     pub(crate) fn suspects_leader(&self) -> Option<Suspicion> {
         self.standby.suspicion(self.now.0)
     }
 
-    /// Whether the leader's record may be replaced before its lease's end. With several shards
-    /// each owner calls the cloud for its own machines without leading: there the lease is
-    /// waited for.
+    /// Whether the leader's record may be replaced before its lease expires. With several shards it
+    /// may not: each owner then calls the cloud for its own machines without leading, so a candidate
+    /// waits until the lease expires.
     pub(crate) fn may_replace_leader(&self) -> bool {
         self.store.mirror.shards.len() <= 1 && self.standby.may_replace(self.now.0).is_ok()
     }
 
-    /// The leader's record may have changed.
+    /// Passes the leader's record to the standby. Called whenever the record may have changed.
     pub(crate) fn update_standby_term(&mut self) {
         let term = self.store.mirror.leader.record.as_ref().map(|leader| Term {
             leader: leader.controller_id.to_string(),
@@ -156,6 +169,7 @@
         self.standby.set_term(self.now.0, term);
     }
 
+    /// Passes a peer's heartbeat or hints to the standby.
     pub(crate) fn on_standby_message(&mut self, message: StandbyMessage) {
         let now = self.now.0;
         match message {
@@ -164,7 +178,7 @@
         }
     }
 
-    /// How the standby stands, if it is switched on.
+    /// The state of the standby, if it is enabled.
     pub(crate) fn standby_status(&self) -> Option<StandbyStatus> {
         let now = self.now.0;
         self.standby_config().enabled().then(|| StandbyStatus {
@@ -172,13 +186,14 @@
             hints_age_ms: self.standby.hints().age_ms(now),
             hinted_machines: self.standby.hints().machines(),
             stale_hints: self.standby.stale_hints,
-            changes_lately: self.standby.changes_lately(now),
+            leadership_changes: self.standby.changes_lately(now),
         })
     }
 }
 
 impl ShardOwner {
-    /// A new owner begins with what the one before it estimated.
+    /// Starts a new owner of the only shard with the estimates of its predecessor, if recent hints
+    /// contain them.
     pub(crate) fn adopt_hinted_estimates(&mut self, context: &Context) {
         let Some((age_ms, estimates)) = context.standby.hints().estimates(context.now.0) else {
             return;
@@ -190,10 +205,15 @@
         self.apply_hinted_estimates(context.now, age_ms, estimates, &context.cloud.catalog);
     }
 
+    /// The estimates that this owner sends in hints.
     fn estimates_for_peers(&self, now: Time, catalog: &[MachineType]) -> Estimates {
-        let named = |class: usize| catalog.get(class).map(|c| c.name.clone());
+        let type_name = |class: usize| {
+            catalog
+                .get(class)
+                .map(|machine_type| machine_type.name.clone())
+        };
         let boots = self.boots.iter();
-        let boots = boots.filter_map(|(class, boot_s)| Some((named(*class)?, *boot_s)));
+        let boots = boots.filter_map(|(class, boot_s)| Some((type_name(*class)?, *boot_s)));
         let bursts = self.bursts.iter().filter_map(|(pool, burst)| {
             let machine_type = pool.type_in(catalog)?;
             let squares = burst.decayed(now, machine_type.ready_s);
@@ -205,6 +225,7 @@
         }
     }
 
+    /// Replaces this owner's estimates by those in hints that are `age_ms` old.
     fn apply_hinted_estimates(
         &mut self,
         now: Time,
@@ -212,24 +233,28 @@
         estimates: &Estimates,
         catalog: &[MachineType],
     ) {
-        let class_of = |name: &str| catalog.iter().position(|c| c.name == name);
+        let type_index = |name: &str| {
+            catalog
+                .iter()
+                .position(|machine_type| machine_type.name == name)
+        };
         for (name, boot_s) in &estimates.boots {
-            if let Some(class) = class_of(name) {
+            if let Some(class) = type_index(name) {
                 self.boots.insert(class, *boot_s);
             }
         }
-        let told_at = Time(now.0.saturating_sub(age_ms));
+        let estimated_at = Time(now.0.saturating_sub(age_ms));
         for (name, spot, squares) in &estimates.bursts {
-            if let Some(class) = class_of(name) {
+            if let Some(class) = type_index(name) {
                 let pool = Pool::of(class, *spot);
                 self.bursts
-                    .insert(pool, BurstEstimate::observed(told_at, *squares));
+                    .insert(pool, BurstEstimate::observed(estimated_at, *squares));
             }
         }
     }
 
-    /// Which images a machine has isn't in its heartbeats: what the leader before this owner told
-    /// of it is where starts are tried first.
+    /// Marks the images that hints name as cached on a machine. A machine's heartbeats don't say
+    /// which images it has, and tasks are started first where their images are cached.
     pub(crate) fn apply_hinted_images(
         &mut self,
         id: &MachineId,
@@ -241,7 +266,9 @@
             return;
         }
         self.machines.edit(id, |machine| {
-            let cache_gb = machine.type_in(catalog).map_or(f64::MAX, |c| c.cache_gb);
+            let cache_gb = machine
+                .type_in(catalog)
+                .map_or(f64::MAX, |machine_type| machine_type.cache_gb);
             for image in images {
                 machine.use_image(&Image::from(image.name.as_str()), image.gb, cache_gb);
             }
--- a/src/controller/peers/heartbeats.rs
+++ b/src/controller/peers/heartbeats.rs
@@ -1,4 +1,5 @@
-//! Heartbeats between controllers, and what they tell of who runs and who holds what.
+//! Heartbeats between controllers, and what follows from them: which peers run, which controller owns
+//! a shard, and whether this controller is partitioned.
 
 use crate::controller::Controller;
 use crate::controller::context::{Context, RECENT_S};
@@ -8,14 +9,15 @@
 use crate::ids::{ControllerId, MachineId, Time};
 use crate::peer::{Message, PeerHeartbeat};
 
-/// Peers send heartbeats every second; one that has missed two is taken to be down.
-const HEARTBEAT_LOST_S: f64 = 2.2;
-/// Most overdue machines named in one message. With more of them silent, cancellations
-/// merely wait for their full time.
-const OVERDUE_MAX: usize = 256;
+/// A peer without a heartbeat for this long is assumed to be down, in seconds. Peers send a heartbeat
+/// every second, so that two are missing by then.
+const HEARTBEAT_TIMEOUT_S: f64 = 2.2;
+/// Maximum number of overdue machines named in one message. If more machines are silent,
+/// cancellations that depend on the others aren't refused early but wait for their full timeout.
+const OVERDUE_MACHINES_MAX: usize = 256;
 
 impl Controller {
-    /// Tells all peers how this controller stands.
+    /// Sends this controller's state to all peers.
     pub(crate) fn send_heartbeat(&mut self) {
         let heartbeat = Message::PeerHeartbeat(self.heartbeat());
         self.context.outbox.send_to_peer(None, heartbeat);
@@ -35,19 +37,20 @@
             workers_unreachable: self
                 .shards
                 .values()
-                .any(|h| h.workers_unreachable(self.context.now)),
+                .any(|owner| owner.workers_unreachable(self.context.now)),
             can_forward: self.context.can_forward(),
             at_ms: self.context.now.0,
             echoes: self.context.echoes(),
             since_keepalive_ms: self.context.since_keepalive_ms(),
-            overdue: self.overdue(),
+            overdue: self.overdue_machines(),
         }
     }
 
-    /// Answers a peer that has just begun at once. It forwards no heartbeat to an owner that it
-    /// hasn't heard: after an outage of all controllers that kept heartbeats waiting for up to a
-    /// second each time one came back, and their workers' leases ran out.
-    fn greet(&mut self, peer: &ControllerId) {
+    /// Sends a heartbeat at once to a peer whose process has just started. A controller forwards no
+    /// workers' heartbeats to an owner that it hasn't heard. When the peer had to wait for the next
+    /// regular heartbeat, after an outage of all controllers, workers' heartbeats were held for up
+    /// to a second each time a controller came back, and the workers' leases expired.
+    fn send_heartbeat_to_new_process(&mut self, peer: &ControllerId) {
         let heartbeat = Message::PeerHeartbeat(self.heartbeat());
         self.context.outbox.push(Output::Reconnect(peer.clone()));
         self.context
@@ -55,128 +58,159 @@
             .push(Output::Peer(Some(peer.clone()), heartbeat));
     }
 
-    /// Machines of this controller's shards that can't be counted on to confirm anything.
-    pub(crate) fn overdue(&self) -> Vec<MachineId> {
-        let patience = self.context.settings.overdue_s();
-        let held = self.shards.values();
-        let late = held.flat_map(|h| {
-            h.machines
+    /// Machines of this controller's shards that have tasks and whose heartbeat is overdue, up to
+    /// [`OVERDUE_MACHINES_MAX`]. They aren't expected to confirm soon that a task has ended.
+    pub(crate) fn overdue_machines(&self) -> Vec<MachineId> {
+        let overdue_s = self.context.settings.overdue_s();
+        let owners = self.shards.values();
+        let machines = owners.flat_map(|owner| {
+            owner
+                .machines
                 .iter()
-                .map(move |(id, machine)| (h.since, id, machine))
+                .map(move |(id, machine)| (owner.since, id, machine))
         });
-        let late = late.filter(|(since, _, machine)| {
+        let overdue = machines.filter(|(since, _, machine)| {
             !machine.tasks.is_empty()
                 && machine.long_poll.is_none()
-                && self.context.now.since(machine.last_heartbeat.max(*since)) > patience
+                && self.context.now.since(machine.last_heartbeat.max(*since)) > overdue_s
         });
-        late.map(|(_, id, _)| id.clone())
-            .take(OVERDUE_MAX)
+        overdue
+            .map(|(_, id, _)| id.clone())
+            .take(OVERDUE_MACHINES_MAX)
             .collect()
     }
 
+    /// Stores a peer's heartbeat, and releases the shards for which it shows a higher token.
     pub(crate) fn on_peer_heartbeat(&mut self, heartbeat: PeerHeartbeat) {
         if !self.context.is_peer(&heartbeat.from) {
             return;
         }
-        // Partitioned from the store, an owner learns here that it has been
-        // replaced, and stops answering for its workers.
+        // An owner that is partitioned from the store learns from peers that it has been replaced,
+        // and stops responding to its workers.
         for (shard, token, _) in &heartbeat.shards {
-            let replaced = self.shards.get(shard).is_some_and(|h| *token > h.token);
-            if replaced {
+            let is_replaced = self
+                .shards
+                .get(shard)
+                .is_some_and(|owner| *token > owner.token);
+            if is_replaced {
                 self.release_shard(*shard, GiveUpReason::HigherTokenKnown);
             }
         }
-        let (from, incarnation, at) = (
+        let (from, incarnation, received_at) = (
             heartbeat.from.clone(),
             heartbeat.incarnation,
             self.context.now,
         );
-        let before = self
+        let previous = self
             .context
             .peers
             .heartbeats
-            .insert(from.clone(), (heartbeat, at));
-        if before.is_none_or(|(h, _)| h.incarnation != incarnation) {
-            self.greet(&from);
+            .insert(from.clone(), (heartbeat, received_at));
+        if previous.is_none_or(|(previous, _)| previous.incarnation != incarnation) {
+            self.send_heartbeat_to_new_process(&from);
         }
     }
 }
 
 impl Context {
-    /// Which message of each peer came last, for `no_keepalive_by_peers` there.
+    /// The sender, incarnation and send time of the latest heartbeat from each peer. The peer checks
+    /// by them, in [`Self::no_keepalive_by_peers`], which of its heartbeats this controller had
+    /// received.
     pub(crate) fn echoes(&self) -> Vec<(ControllerId, u64, u64)> {
-        let all = self.peers.heartbeats.values();
-        all.map(|(h, _)| (h.from.clone(), h.incarnation, h.at_ms))
+        let heartbeats = self.peers.heartbeats.values();
+        heartbeats
+            .map(|(heartbeat, _)| {
+                (
+                    heartbeat.from.clone(),
+                    heartbeat.incarnation,
+                    heartbeat.at_ms,
+                )
+            })
             .collect()
     }
 
     pub(crate) fn is_peer(&self, controller_id: &ControllerId) -> bool {
         let mut peers = self.settings.platform.peers.iter();
-        peers.any(|s| s.controller_id == *controller_id)
+        peers.any(|peer| peer.controller_id == *controller_id)
     }
 
-    /// Who holds the shard that a machine belongs to, as far as can be told: by the
-    /// store or, when this controller is stale, by what peers said lately.
+    /// The owner of the shard that a machine belongs to, as far as this controller knows: the owner
+    /// in the mirror or, if a peer with a fresh mirror has lately named one under a higher token,
+    /// that one. For a machine in no shard it is the leader. `None` if it is this controller, or
+    /// unknown.
     pub(crate) fn owner_of(&self, machine: &MachineId) -> Option<ControllerId> {
         let found = self.store.mirror.shard_of_machine(machine);
         let me = &self.settings.platform.controller_id;
         let Some((shard, record)) = found else {
-            // In no shard yet: the leader will see to it.
+            // The leader assigns the machine to a shard.
             let leader = self.store.mirror.leader_id().cloned();
-            return leader.filter(|l| l != me);
+            return leader.filter(|leader| leader != me);
         };
-        let said = self.recent_heartbeats().filter(|h| h.is_fresh);
-        let said = said
-            .flat_map(|h| &h.shards)
-            .filter(|(k, n, _)| *k == shard && *n > record.token);
-        let newest = said
-            .max_by_key(|(_, n, _)| *n)
+        let fresh_heartbeats = self
+            .recent_heartbeats()
+            .filter(|heartbeat| heartbeat.is_fresh);
+        let newer_owners = fresh_heartbeats
+            .flat_map(|heartbeat| &heartbeat.shards)
+            .filter(|(number, token, _)| *number == shard && *token > record.token);
+        let newest = newer_owners
+            .max_by_key(|(_, token, _)| *token)
             .map(|(_, _, owner)| owner.clone());
         Some(newest.unwrap_or(record.owner.clone())).filter(|owner| owner != me)
     }
 
-    /// Whether a peer has seen the store for clearly longer than this
-    /// controller: the trouble is then here, and not an outage that all share.
-    pub(crate) fn isolated_from_store(&self) -> bool {
-        let behind = |(h, at): &&(PeerHeartbeat, Time)| {
-            let theirs = h.staleness_ms as f64 / 1000.0 + self.now.since(*at);
-            theirs + STALENESS_BOUND_S < self.staleness_s()
+    /// Whether a peer's mirror is more recent than this controller's by over [`STALENESS_BOUND_S`].
+    /// In that case this controller is partitioned from the store, rather than the store down for
+    /// all.
+    pub(crate) fn is_isolated_from_store(&self) -> bool {
+        let is_more_recent = |(heartbeat, received_at): &&(PeerHeartbeat, Time)| {
+            let peer_staleness_s =
+                heartbeat.staleness_ms as f64 / 1000.0 + self.now.since(*received_at);
+            peer_staleness_s + STALENESS_BOUND_S < self.staleness_s()
         };
-        self.peers.heartbeats.values().any(|s| behind(&s))
+        self.peers
+            .heartbeats
+            .values()
+            .any(|entry| is_more_recent(&entry))
     }
 
-    /// Whether workers can be sent to a peer: it runs and hasn't lost its workers. A
-    /// owner that they can't reach says heartbeat all the same, and a worker sent back to
-    /// it loses 5 s of its lease. A new owner has none to lose yet.
+    /// Whether workers may be redirected to a peer: it sends heartbeats, and doesn't report that its
+    /// workers' heartbeats have stopped. An owner that its workers can't reach still sends
+    /// heartbeats to its peers, and a worker redirected to it loses 5 s of its lease. A new owner
+    /// has no workers yet whose heartbeats could have stopped, so it counts as reachable.
     pub(crate) fn is_reachable_by_workers(&self, controller_id: &ControllerId) -> bool {
         let workers_unreachable = self
             .peers
             .heartbeats
             .get(controller_id)
-            .is_some_and(|(h, _)| h.workers_unreachable);
+            .is_some_and(|(heartbeat, _)| heartbeat.workers_unreachable);
         !workers_unreachable && self.has_recent_heartbeat(controller_id)
     }
 
-    /// Whether a peer was heard of so lately that it surely runs.
+    /// Whether a peer's last heartbeat arrived within [`HEARTBEAT_TIMEOUT_S`], so that it is assumed
+    /// to run.
     pub(crate) fn has_recent_heartbeat(&self, controller_id: &ControllerId) -> bool {
-        let heard = self.peers.heartbeats.get(controller_id).map(|(_, at)| *at);
-        heard.is_some_and(|at| self.now.since(at) < HEARTBEAT_LOST_S)
+        let received_at = self.peers.heartbeats.get(controller_id).map(|(_, at)| *at);
+        received_at.is_some_and(|at| self.now.since(at) < HEARTBEAT_TIMEOUT_S)
     }
 
-    /// Whether workers heartbeat to a peer that could lead.
+    /// Whether a peer with a fresh mirror, which could therefore lead, receives heartbeats of
+    /// workers.
     pub(crate) fn any_peer_hears_workers(&self) -> bool {
         self.recent_heartbeats()
-            .any(|h| h.is_fresh && h.hears_workers)
+            .any(|heartbeat| heartbeat.is_fresh && heartbeat.hears_workers)
     }
 
-    /// Whether there are peers and none is heard.
+    /// Whether there are peers and none of them has sent a heartbeat lately.
     pub(crate) fn all_peers_unreachable(&self) -> bool {
         !self.settings.platform.peers.is_empty() && self.recent_heartbeats().next().is_none()
     }
 
+    /// The peers' heartbeats that arrived within [`RECENT_S`].
     pub(crate) fn recent_heartbeats(&self) -> impl Iterator<Item = &PeerHeartbeat> {
-        let recent = |at: &Time| self.now.since(*at) < RECENT_S;
-        let all = self.peers.heartbeats.values();
-        all.filter(move |(_, at)| recent(at)).map(|(h, _)| h)
+        let is_recent = |received_at: &Time| self.now.since(*received_at) < RECENT_S;
+        let heartbeats = self.peers.heartbeats.values();
+        heartbeats
+            .filter(move |(_, received_at)| is_recent(received_at))
+            .map(|(heartbeat, _)| heartbeat)
     }
 }
--- a/src/controller/peers/links.rs
+++ b/src/controller/peers/links.rs
@@ -1,5 +1,5 @@
-//! Links to peers: which of them can be reached, which hear workers, and who has kept workers
-//! alive in an owner's place.
+//! Links to peers: which peers are connected, which of them receive heartbeats of workers, and which
+//! have sent keepalives to workers on an owner's behalf.
 
 use crate::controller::context::Context;
 use crate::controller::events::Link;
@@ -8,7 +8,7 @@
 use crate::settings::Peer;
 
 impl Context {
-    /// Whether a connection to a peer could be made, or was refused.
+    /// Records that the connection to a peer was made, lost or refused.
     pub(crate) fn on_link(&mut self, controller_id: ControllerId, link: Link) {
         if link != Link::Up {
             self.standby
@@ -28,85 +28,102 @@
         }
     }
 
-    /// Whether messages reach a peer, as far as is known.
+    /// Whether messages reach a peer, as far as this controller knows: the peer sends heartbeats,
+    /// and the connection to it isn't down.
     pub(crate) fn is_linked(&self, controller_id: &ControllerId) -> bool {
         self.has_recent_heartbeat(controller_id)
             && !self.peers.links_down.contains_key(controller_id)
     }
 
-    /// Whether an owner runs, since its record stands, while it refuses connections
-    /// from here: a filter between the controllers, which its workers may pass.
+    /// Whether an owner has refused this controller's connections for longer than a takeover takes
+    /// and still is the owner. It then runs, and something between the controllers, such as a
+    /// firewall, rejects the connections; workers may still be able to reach it.
     pub(crate) fn refuses_connections(&self, owner: &ControllerId) -> bool {
-        let patience = self.settings.tuning.leader_lease_s + TAKEOVER_MARGIN_S;
-        let refused = self.peers.links_down.get(owner).copied().flatten();
-        !self.is_stale() && refused.is_some_and(|since| self.now.since(since) > patience)
+        let takeover_s = self.settings.tuning.leader_lease_s + TAKEOVER_MARGIN_S;
+        let refused_since = self.peers.links_down.get(owner).copied().flatten();
+        !self.is_stale() && refused_since.is_some_and(|since| self.now.since(since) > takeover_s)
     }
 
-    /// Whether this controller can forward heartbeats: to itself, or to who leads.
+    /// Whether this controller can forward workers' heartbeats: it leads, or messages reach the
+    /// leader.
     pub(crate) fn can_forward(&self) -> bool {
         let leader = self.store.mirror.leader_id().cloned();
-        let here = leader.as_ref() == Some(&self.settings.platform.controller_id);
-        here || leader.is_some_and(|l| self.is_linked(&l))
+        let is_leader = leader.as_ref() == Some(&self.settings.platform.controller_id);
+        is_leader || leader.is_some_and(|leader| self.is_linked(&leader))
     }
 
-    /// How long ago this process last answered in an owner's place or, if it never
-    /// did, began: an earlier process may have.
+    /// Time since this process last sent a keepalive on an owner's behalf, in milliseconds. If it
+    /// has sent none, the time since it started: an earlier process of this controller may have sent
+    /// one until then.
     pub(crate) fn since_keepalive_ms(&self) -> u64 {
         let last = self.forwarding.last_keepalive.unwrap_or(self.now);
         self.now.0.saturating_sub(last.0)
     }
 
+    /// Records the time of the first input, at which this process counts as started. Until it sends
+    /// a keepalive, [`Self::since_keepalive_ms`] counts from then as well.
     pub(crate) fn record_start(&mut self) {
         let now = self.now;
         self.forwarding.last_keepalive.get_or_insert(now);
         self.began.get_or_insert(now);
     }
 
-    /// How long this process has run, in seconds.
+    /// Time since this process started, in seconds.
     pub(crate) fn process_age_s(&self) -> f64 {
         self.began.map_or(0.0, |began| self.now.since(began))
     }
 
-    /// Whether every other controller of a zone has said, after `over`, that it had
-    /// kept no worker alive for a whole lease. What it did since doesn't matter: by
-    /// then the lease that ended at `over` had ended, and nothing revives it.
-    pub(crate) fn no_keepalive_by_peers(&self, zone: &str, over: Time, lease_s: f64) -> bool {
+    /// Whether every other controller of a zone has reported that it sent no keepalive to a worker
+    /// for a whole lease, in a heartbeat that it sent after `expires_at`, when the lease in question
+    /// expired. Later keepalives don't matter, since they can't revive an expired lease.
+    ///
+    /// A peer's heartbeat is known to be sent after `expires_at` if it echoes a heartbeat that this
+    /// process sent no earlier than that.
+    pub(crate) fn no_keepalive_by_peers(&self, zone: &str, expires_at: Time, lease_s: f64) -> bool {
         let peers = self.settings.platform.peers.iter();
-        // One whose zone isn't known may be of any.
-        let mut local = peers.filter(|s| s.site == zone || s.site.is_empty());
-        local.all(|s| {
-            let Some((heartbeat, _)) = self.peers.heartbeats.get(&s.controller_id) else {
+        // A peer whose zone is unknown may belong to any zone.
+        let mut zone_peers = peers.filter(|peer| peer.site == zone || peer.site.is_empty());
+        zone_peers.all(|peer| {
+            let Some((heartbeat, _)) = self.peers.heartbeats.get(&peer.controller_id) else {
                 return false;
             };
             let me = &self.settings.platform.controller_id;
             let mut echoes = heartbeat.echoes.iter();
-            let echo = echoes.find(|(machine, incarnation, _)| {
-                machine == me && *incarnation == self.incarnation
+            let echo = echoes.find(|(controller_id, incarnation, _)| {
+                controller_id == me && *incarnation == self.incarnation
             });
-            let after = echo.is_some_and(|(_, _, at)| Time(*at) >= over);
-            after && heartbeat.since_keepalive_ms as f64 / 1000.0 >= lease_s
+            let is_after_expiry = echo.is_some_and(|(_, _, at_ms)| Time(*at_ms) >= expires_at);
+            is_after_expiry && heartbeat.since_keepalive_ms as f64 / 1000.0 >= lease_s
         })
     }
 
-    /// Whether a peer is heard of, and hears workers.
+    /// Whether messages reach a peer, and it receives heartbeats of workers.
     pub(crate) fn hears_workers(&self, controller_id: &ControllerId) -> bool {
-        let heartbeat = self.peers.heartbeats.get(controller_id).map(|(h, _)| h);
-        self.is_linked(controller_id) && heartbeat.is_some_and(|h| h.hears_workers)
+        let latest = self
+            .peers
+            .heartbeats
+            .get(controller_id)
+            .map(|(heartbeat, _)| heartbeat);
+        self.is_linked(controller_id) && latest.is_some_and(|heartbeat| heartbeat.hears_workers)
     }
 
-    /// Whether a zone's controllers besides this one are all heard of, and hear workers.
+    /// Whether a zone has controllers besides this one, messages reach all of them, and each receives
+    /// heartbeats of workers.
     pub(crate) fn zone_peers_hear_workers(&self, zone: &str) -> bool {
-        let mut local = self.peers_in_zone(zone).peekable();
-        local.peek().is_some() && local.all(|s| self.hears_workers(&s.controller_id))
+        let mut zone_peers = self.peers_in_zone(zone).peekable();
+        zone_peers.peek().is_some()
+            && zone_peers.all(|peer| self.hears_workers(&peer.controller_id))
     }
 
-    /// Whether a zone has a controller besides this one, which may keep alive its workers.
+    /// Whether a zone has a controller besides this one, which may send keepalives to the zone's
+    /// workers.
     pub(crate) fn zone_has_peer(&self, zone: &str) -> bool {
         self.peers_in_zone(zone).next().is_some()
     }
 
+    /// The controllers of a zone besides this one.
     pub(crate) fn peers_in_zone<'a>(&'a self, zone: &'a str) -> impl Iterator<Item = &'a Peer> {
         let peers = self.settings.platform.peers.iter();
-        peers.filter(move |s| s.site == zone)
+        peers.filter(move |peer| peer.site == zone)
     }
 }
