--- a/src/controller/quota/cells/changes.rs
+++ b/src/controller/quota/cells/changes.rs
@@ -1,7 +1,8 @@
-//! Changes of the cell's records and links, and the transactions that commit them.
+//! Changes of the cell's record and of its links to other cells, and the transactions that commit
+//! them.
 //!
-//! The leader makes one change at a time. Each is conditional on the leader's record, the cell's,
-//! the link's and, where it gives quota away, every shard's.
+//! The leader makes one change at a time. Each change is conditional on the records of the leader,
+//! the cell and the link and, where it gives quota away, on the record of every shard.
 
 use crate::controller::context::Context;
 use crate::controller::rate_limits::token_bucket::Priority;
@@ -15,13 +16,16 @@
 use salttrestle_cells::sharing::gifts;
 use salttrestle_cells::{Amount, Cell};
 
-/// One change of the cell's records.
+/// One change of the cell's record, of a link's, or of both.
 #[derive(Debug)]
 pub(super) struct CellChange {
+    /// The new record of the cell, if it changes.
     cell: Option<CellRecord>,
+    /// The new record of a link and the cell at its other end, if one changes.
     link: Option<(Cell, LinkRecord)>,
     /// Whether the commit is conditional on every shard's record.
     shards_unchanged: bool,
+    /// Why the change is made, for the log.
     reason: String,
 }
 
@@ -37,16 +41,12 @@
 }
 
 impl Context {
-    /// The next change to make: the first record, a newer cells file, a transfer, a limit or a
-    /// gift, in this order.
+    /// The next change to make. In order of precedence: the cell's first record, the adoption of a
+    /// newer cells file, an incoming transfer, a limit, an outgoing transfer.
     pub(super) fn next_cell_change(&mut self, file: &CellsFile) -> Option<CellChange> {
         let Some(record) = self.store.mirror.cell.record.clone() else {
             let record = CellRecord::found(&file.here, file.generation, &file.teams);
-            return Some(CellChange::of_cell(
-                record,
-                false,
-                "the first record".into(),
-            ));
+            return Some(CellChange::of_cell(record, false, "first record".into()));
         };
         match record.adopt(&file.here, file.generation, &file.teams) {
             Ok(adopted) => {
@@ -60,14 +60,15 @@
             }
             Err(_) => {}
         }
-        let transfer = self.transfer_change(&record);
-        transfer
+        let incoming = self.incoming_transfer_change(&record);
+        incoming
             .or_else(|| self.limit_change(&record, file))
-            .or_else(|| self.gift(&record, file))
+            .or_else(|| self.outgoing_transfer_change(&record, file))
     }
 
-    /// Takes a transfer that another cell announces, or forgets one that it has taken.
-    fn transfer_change(&self, record: &CellRecord) -> Option<CellChange> {
+    /// Takes a transfer that another cell announces, or deletes a pending transfer to a cell that
+    /// reports that it has taken it.
+    fn incoming_transfer_change(&self, record: &CellRecord) -> Option<CellChange> {
         for (from, received) in &self.cells.received {
             let message = &received.message;
             let link = self.cell_link(from);
@@ -94,15 +95,15 @@
         None
     }
 
-    /// Moves the limit of a team at home here towards what the operators ask for.
+    /// Moves the limit of a team whose home is here towards the one that operators request.
     fn limit_change(&self, record: &CellRecord, file: &CellsFile) -> Option<CellChange> {
         let views = self.team_views(record, file);
         for team in record.limits.keys() {
-            let wanted = self.requested_limit(record, team);
+            let requested = self.requested_limit(record, team);
             let view = views.as_ref().and_then(|views| views.get(team));
-            // Until every shard is counted, all of the share may be in use.
+            // Without current counts of every shard, all of the share may be in use.
             let held = view.map_or(record.share(team), |view| view.held);
-            if let Ok(changed) = record.change_limit(team, wanted, held) {
+            if let Ok(changed) = record.change_limit(team, requested, held) {
                 let limit = changed.limits.get(team).copied().unwrap_or_default();
                 let reason = format!("the limit of {team} is {:?}", limit.to_pair());
                 return Some(CellChange::of_cell(changed, true, reason));
@@ -111,17 +112,22 @@
         None
     }
 
-    /// Gives quota to a cell that needs it more, or to a home that calls it back.
-    fn gift(&self, record: &CellRecord, file: &CellsFile) -> Option<CellChange> {
+    /// Transfers quota to a cell that needs it more, or back to a team's home that recalls it.
+    fn outgoing_transfer_change(
+        &self,
+        record: &CellRecord,
+        file: &CellsFile,
+    ) -> Option<CellChange> {
         let mut views = self.team_views(record, file)?;
-        // A home doesn't give away what it calls back itself.
+        // A home gives away no quota of a team whose limit is being lowered, since it recalls that
+        // quota itself.
         let is_lowered = |team: &str| {
             let limit = record.limits.get(team);
             limit.is_some_and(|limit| !limit.beyond(self.requested_limit(record, team)).is_zero())
         };
         views.retain(|team, _| !is_lowered(team));
         let messages = self
-            .believed_messages()
+            .recent_messages()
             .map(|message| (message.from.clone(), message))
             .collect();
         for (to, amounts) in gifts(&views, &messages, file.cells.len()) {
@@ -130,7 +136,7 @@
             if let Ok((cell, link)) = record.give(&self.cell_link(&to), amounts, held) {
                 return Some(CellChange {
                     cell: Some(cell),
-                    reason: format!("gives room of {teams} teams to {to}"),
+                    reason: format!("gives quota of {teams} teams to {to}"),
                     link: Some((to, link)),
                     shards_unchanged: true,
                 });
@@ -139,7 +145,7 @@
         None
     }
 
-    /// Sends the transaction of a change.
+    /// Sends the transaction that commits a change.
     pub(super) fn commit_cell_change(&mut self, change: CellChange) {
         let mut preconditions = vec![(Key::Leader, self.store.mirror.leader.version())];
         let mut writes = Vec::new();
@@ -167,11 +173,12 @@
             .is_ok();
     }
 
-    /// The next change is decided from the mirror, which shows the outcome in any case.
+    /// Handles the response to the commit of a change. Only the revision matters: the next change is
+    /// decided from the mirror, which shows whether this one was committed.
     pub(crate) fn on_cell_changed(&mut self, response: StoreResponse) {
         self.cells.change_pending = false;
         if let StoreResponse::Committed { revision } = response {
-            self.cells.next_change_after = revision;
+            self.cells.next_change_revision = revision;
         }
     }
 }
--- a/src/controller/quota/cells/messages.rs
+++ b/src/controller/quota/cells/messages.rs
@@ -1,6 +1,7 @@
 //! Messages between the leaders of the cells.
 //!
-//! A message from another cell is only a reason to try a change: no rule rests on it.
+//! A message from another cell only triggers an attempt at a change. Whether the change is allowed is
+//! decided from this cell's records, so no invariant depends on a message.
 
 use crate::controller::context::Context;
 use crate::controller::events::Output;
@@ -13,33 +14,32 @@
 use salttrestle_cells::sharing::{TeamView, needs};
 use std::collections::BTreeMap;
 
-/// Between two messages to another cell while nothing changes, in seconds.
-const SEND_S: f64 = 0.5;
-/// Between two messages to another cell while something changes, in seconds.
-const SEND_CHANGED_S: f64 = 0.1;
-/// The needs and recalls in a message are believed for so long, in seconds: later no quota is given
-/// for a need that may be met, and no shard is held back for a recall that may be over.
-const BELIEVED_S: f64 = 10.0;
+/// Interval between messages to another cell while their content doesn't change, in seconds.
+const SEND_INTERVAL_S: f64 = 0.5;
+/// Interval between messages to another cell while their content changes, in seconds.
+const CHANGED_SEND_INTERVAL_S: f64 = 0.1;
+/// Maximum age of a message whose needs and recalls are acted on, in seconds. By then the need may be
+/// met, so no quota is given for it, and the recall may be over, so no shard is limited by it.
+const MESSAGE_AGE_MAX_S: f64 = 10.0;
 
 /// The last message of another cell.
 #[derive(Debug)]
 pub(super) struct ReceivedMessage {
-    /// The message itself.
     pub(super) message: LinkMessage,
-    /// When it came.
     pub(super) received_at: Time,
 }
 
 impl Context {
-    /// Keeps a message of another cell's leader, unless it is from or for a cell that the cells
-    /// file doesn't name.
+    /// Stores a message of another cell's leader. A message is dropped if it is addressed to another
+    /// cell or its sender isn't in the cells file.
     pub(crate) fn on_cell_message(&mut self, message: LinkMessage) {
         let Some(file) = &self.settings.cells else {
             return;
         };
-        let expected = message.to == file.here && file.others().any(|cell| *cell == message.from);
-        if !expected {
-            self.cells.dropped += 1;
+        let is_expected =
+            message.to == file.here && file.others().any(|cell| *cell == message.from);
+        if !is_expected {
+            self.cells.dropped_messages += 1;
             debug!(
                 "cell message dropped, from={} to={}",
                 message.from, message.to
@@ -55,14 +55,14 @@
     }
 
     /// The messages that are recent enough to act on.
-    pub(super) fn believed_messages(&self) -> impl Iterator<Item = &LinkMessage> {
+    pub(super) fn recent_messages(&self) -> impl Iterator<Item = &LinkMessage> {
         let received = self.cells.received.values();
         received
-            .filter(|received| self.now.since(received.received_at) < BELIEVED_S)
+            .filter(|received| self.now.since(received.received_at) < MESSAGE_AGE_MAX_S)
             .map(|received| &received.message)
     }
 
-    /// Sends the state of this cell to all others, more often while it changes.
+    /// Sends the state of this cell to all other cells when that is due, more often while it changes.
     pub(super) fn send_to_cells(&mut self, file: &CellsFile) {
         let Some(record) = self
             .store
@@ -70,27 +70,32 @@
             .cell
             .record
             .as_ref()
-            .filter(|_| self.now >= self.cells.next_send)
+            .filter(|_| self.now >= self.cells.next_send_at)
         else {
             return;
         };
         let views = self.team_views(record, file);
-        let mut changed = false;
+        let mut has_changed = false;
         let mut messages = Vec::new();
         for to in file.others() {
             let message = self.message_to(to, record, views.as_ref(), file);
-            changed |= self.cells.sent.get(to) != Some(&message);
+            has_changed |= self.cells.sent.get(to) != Some(&message);
             messages.push((to.clone(), message));
         }
-        let pause = if changed { SEND_CHANGED_S } else { SEND_S };
-        self.cells.next_send = self.now.after(pause);
+        let interval_s = if has_changed {
+            CHANGED_SEND_INTERVAL_S
+        } else {
+            SEND_INTERVAL_S
+        };
+        self.cells.next_send_at = self.now.after(interval_s);
         for (to, message) in messages {
             self.outbox.push(Output::Cell(to.clone(), message.clone()));
             self.cells.sent.insert(to, message);
         }
     }
 
-    /// The message that shows another cell this cell's state and the transfers between the two.
+    /// The message to another cell: this cell's needs and recalls, and the transfers between the two
+    /// cells.
     fn message_to(
         &self,
         to: &Cell,
--- a/src/controller/quota/cells/mod.rs
+++ b/src/controller/quota/cells/mod.rs
@@ -1,16 +1,17 @@
-//! What the leader does for the limits that its cell shares with others.
+//! Sharing of team limits between cells, done by the leader of each cell.
 //!
-//! The cell's record and one for each other cell are kept at this cell's own store. The leader
-//! makes one change of them at a time, as `salttrestle_cells::ledger` allows it, on the condition
-//! that the leader's record, the cell's, the link's and, where quota is given away, every shard's
-//! are unchanged. Messages of other cells are only ever a reason to try; no rule rests on them.
-//! Shards are allowed what the cell's record says, in commits that are conditional on it.
+//! This cell's own store holds the record of the cell, and one record for the link to each other
+//! cell. The leader makes one change of these records at a time, within the rules of
+//! [`salttrestle_cells::ledger`]. A change is committed on the condition that the records of the
+//! leader, the cell and the link and, where quota is given away, of every shard are unchanged.
+//! Messages of other cells only trigger an attempt at a change; no invariant depends on them. What
+//! the shards may use follows from the cell's record, in commits that are conditional on it.
 //!
-//! `views` says what each team uses and wants here, `changes` decides and commits, `messages`
-//! exchanges needs and recalls with the other cells, `status_log` reports to operators.
+//! [`views`] computes what each team uses and wants in this cell, [`changes`] decides on changes and
+//! commits them, [`messages`] exchanges needs and recalls with the other cells, and [`status_log`]
+//! reports to operators.
 
 mod changes;
-
 mod messages;
 mod status_log;
 mod views;
@@ -25,28 +26,29 @@
 use salttrestle_cells::message::LinkMessage;
 use std::collections::BTreeMap;
 
-/// This controller's state of the sharing between cells.
+/// The state that this controller keeps for the sharing of limits between cells.
 #[derive(Debug, Default)]
 pub(crate) struct CellSharing {
-    /// The last message of each cell.
+    /// The last message from each other cell.
     received: BTreeMap<Cell, ReceivedMessage>,
-    /// A change is being committed.
+    /// A change is being committed at the store.
     change_pending: bool,
-    /// The next change is made once the mirror has this revision.
-    next_change_after: u64,
-    /// The last message to each cell.
+    /// The next change is made once the mirror has reached this revision.
+    next_change_revision: u64,
+    /// The last message to each other cell.
     sent: BTreeMap<Cell, LinkMessage>,
-    next_send: Time,
-    next_log: Time,
-    /// Messages that were dropped, since they are from or for an unknown cell.
-    dropped: u64,
-    /// Whether the log has said that the cells file is an old one.
+    next_send_at: Time,
+    next_log_at: Time,
+    /// Number of messages dropped because they were addressed to another cell or their sender isn't
+    /// in the cells file.
+    dropped_messages: u64,
+    /// Whether it has been logged that the cells file is older than the one adopted before.
     old_file_logged: bool,
 }
 
 impl Controller {
-    /// Sends and logs the state of this cell, and makes the next change of its records. Only the
-    /// leader does so, while its lease is valid and the mirror isn't stale.
+    /// Sends and logs the state of this cell, and commits the next change of its records. Only the
+    /// leader does so, while its lease is valid and its mirror isn't stale.
     pub(crate) fn cells_housekeeping(&mut self) {
         let Some(file) = self.context.settings.cells.clone() else {
             return;
@@ -61,22 +63,23 @@
         self.context.send_to_cells(&file);
         self.context.log_cell_sharing(&file);
         let cells = &self.context.cells;
-        if cells.change_pending || self.context.store.mirror.revision < cells.next_change_after {
+        if cells.change_pending || self.context.store.mirror.revision < cells.next_change_revision {
             return;
         }
         if let Some(change) = self.context.next_cell_change(&file) {
             self.context.commit_cell_change(change);
         }
-        // The shards may use a share that has just come, and have to leave one that another cell
-        // needs: their records change at once.
+        // The shards' records follow the cell's shares at once: shards may use a share that has just
+        // arrived, and have to free one that another cell needs.
         self.lease_housekeeping();
     }
 
-    /// Counts the shards owned here again if their records have changed since. Counted only every
-    /// half second, they were out of date whenever quota shares had just changed, and while demand
-    /// moved that was always: no quota was given, and starts waited for 10 s.
+    /// Sends new counts of the shards owned here if a shard's record has changed since its last
+    /// count. When they were counted only every half second, the counts were out of date after each
+    /// change of quota shares. With changing demand that was all the time, so no quota was given,
+    /// and task starts waited for 10 s.
     fn refresh_counts(&mut self) {
-        let current = |shard: &u32, owner: &ShardOwner| {
+        let is_current = |shard: &u32, owner: &ShardOwner| {
             let counts = self
                 .context
                 .leadership
@@ -87,7 +90,7 @@
         if !self
             .shards
             .iter()
-            .all(|(shard, owner)| current(shard, owner))
+            .all(|(shard, owner)| is_current(shard, owner))
         {
             self.send_counts();
         }
@@ -95,7 +98,7 @@
 }
 
 impl Context {
-    /// The record of what passes between this cell and another one.
+    /// The record of the transfers between this cell and another one, empty if there is none yet.
     fn cell_link(&self, other: &Cell) -> LinkRecord {
         let slot = self.store.mirror.cell_links.get(other);
         slot.and_then(|slot| slot.record.clone())
--- a/src/controller/quota/cells/status_log.rs
+++ b/src/controller/quota/cells/status_log.rs
@@ -1,21 +1,21 @@
-//! Log lines on how the cell shares its limits.
+//! Periodic log lines about the links to other cells and the shared limits.
 
 use crate::controller::context::Context;
 use crate::settings::CellsFile;
 use log::{debug, info, warn};
 
-/// Between two accounts in the log, in seconds.
-const LOG_S: f64 = 30.0;
-/// A cell without a message for so long is logged as unreachable, in seconds.
-const UNREACHABLE_S: f64 = 5.0;
+/// Interval between two reports in the log, in seconds.
+const LOG_INTERVAL_S: f64 = 30.0;
+/// A cell whose last message is older than this is logged as unreachable, in seconds.
+const UNREACHABLE_AFTER_S: f64 = 5.0;
 
 impl Context {
-    /// Logs, every [`LOG_S`], which cells are reachable and how the limits are shared.
+    /// Logs, every [`LOG_INTERVAL_S`], which cells are reachable and how the limits are shared.
     pub(super) fn log_cell_sharing(&mut self, file: &CellsFile) {
-        if self.now < self.cells.next_log {
+        if self.now < self.cells.next_log_at {
             return;
         }
-        self.cells.next_log = self.now.after(LOG_S);
+        self.cells.next_log_at = self.now.after(LOG_INTERVAL_S);
         let Some(record) = &self.store.mirror.cell.record else {
             return;
         };
@@ -29,7 +29,7 @@
                 .cell_link(cell)
                 .pending
                 .map_or(0, |transfer| transfer.amounts.len());
-            match age.filter(|age| *age < UNREACHABLE_S) {
+            match age.filter(|age| *age < UNREACHABLE_AFTER_S) {
                 Some(age) => {
                     info!("cell heard, cell={cell} age_s={age:.1} teams_in_transit={pending}");
                 }
@@ -37,9 +37,9 @@
             }
         }
         let revision = self.store.mirror.cell.revision;
-        let dropped = self.cells.dropped;
+        let dropped = self.cells.dropped_messages;
         info!(
-            "cell shares, cell={} revision={revision} messages_dropped={dropped}",
+            "cell quota status, cell={} revision={revision} messages_dropped={dropped}",
             file.here
         );
         let views = self.team_views(record, file).unwrap_or_default();
--- a/src/controller/quota/cells/views.rs
+++ b/src/controller/quota/cells/views.rs
@@ -1,4 +1,4 @@
-//! The state of each team in this cell, and the limits that the cell's shards together get from it.
+//! The quota state of each team in this cell, and the limits of the cell's shards that follow from it.
 
 use crate::controller::context::Context;
 use crate::controller::quota::team_limits::TargetLimits;
@@ -11,27 +11,29 @@
 use salttrestle_cells::sharing::{TeamView, called_back};
 use std::collections::BTreeMap;
 
-/// A shard with its owner's counts under its present record.
+/// A shard's quota shares, and its owner's counts of the teams under these shares.
 struct CountedShard<'a> {
     quota_shares: &'a LimitsByTeam,
     teams: &'a [(String, TeamCount)],
 }
 
 impl Context {
-    /// The limit that operators ask for, of a team at home here.
+    /// The limit that operators request for a team whose home is here. Without a limit set at run
+    /// time it is the one in force.
     pub(super) fn requested_limit(&self, record: &CellRecord, team: &str) -> Amount {
         let requested = self
-            .limit_set(team)
+            .runtime_limit(team)
             .map(|(cpus, gpus)| Amount::rounded_down(cpus, gpus));
         requested.unwrap_or_else(|| record.limits.get(team).copied().unwrap_or_default())
     }
 
-    /// How much of a team's share here is called back: by its home or, at home, by the operators.
-    /// A home leaves at once what it doesn't need itself.
-    fn called_back_here(&self, record: &CellRecord, team: &str, view: Option<&TeamView>) -> Amount {
+    /// How much of a team's share here is recalled: by the team's home or, if the home is here,
+    /// because operators lower the limit. The home frees at once all that it doesn't need itself, up
+    /// to the amount recalled.
+    fn recalled_here(&self, record: &CellRecord, team: &str, view: Option<&TeamView>) -> Amount {
         let share = record.share(team);
         let Some(limit) = record.limits.get(team) else {
-            return called_back(team, share, self.believed_messages());
+            return called_back(team, share, self.recent_messages());
         };
         let recall = Recall {
             team: team.into(),
@@ -42,8 +44,8 @@
         recall.part_of(share).most(recall.amount.least(unneeded))
     }
 
-    /// The state of each team in this cell, if every shard's owner has counted under its present
-    /// record. What a shard may use counts as held, and what it still uses beyond that.
+    /// The state of each team in this cell; `None` unless every shard's owner has sent counts under
+    /// the shard's present record. A shard holds what it may use or what it uses, whichever is more.
     pub(super) fn team_views(
         &self,
         record: &CellRecord,
@@ -73,7 +75,7 @@
         Some(views)
     }
 
-    /// Each shard's quota shares with its owner's counts under them.
+    /// Each shard's quota shares with its owner's counts under them; `None` if any are missing.
     fn current_counts(&self) -> Option<Vec<CountedShard<'_>>> {
         let latest_counts = self.believed_counts();
         let shards = self.store.mirror.shards.iter();
@@ -90,9 +92,10 @@
         counts.collect()
     }
 
-    /// The limits that the shards of this cell together get: its share of each team, less what is
-    /// called back, and of the remainder no more than the cell wants, so that the rest can be given
-    /// away.
+    /// The limits that the shards of this cell get together. For each team that is the cell's share
+    /// without what is recalled, and without what other cells need and the shards here don't, so
+    /// that it can be given away. While counts are missing, it is no more than the shards' records
+    /// allow already.
     pub(crate) fn cell_limits(&self, file: &CellsFile) -> TargetLimits {
         let Some(record) = &self.store.mirror.cell.record else {
             return TargetLimits::Set(LimitsByTeam::new());
@@ -100,19 +103,19 @@
         let views = self.team_views(record, file);
         let limits = record.shares.iter().map(|(team, share)| {
             let view = views.as_ref().and_then(|views| views.get(team));
-            let kept = share.beyond(self.called_back_here(record, team, view));
+            let remaining = share.beyond(self.recalled_here(record, team, view));
             let allowed = match view {
-                Some(view) => kept.least(self.promised_to_shards(team, view)),
-                None => kept.least(self.allowed_by_shards(team)),
+                Some(view) => remaining.least(self.share_for_shards(team, view)),
+                None => remaining.least(self.allowed_by_shard_records(team)),
             };
             (team.clone(), allowed.to_pair())
         });
         TargetLimits::Set(limits.collect())
     }
 
-    /// A team's share without what other cells need more and the shards here don't want.
-    fn promised_to_shards(&self, team: &str, view: &TeamView) -> Amount {
-        let needs = self.believed_messages().flat_map(|message| &message.needs);
+    /// A team's share without what other cells need and the shards here don't.
+    fn share_for_shards(&self, team: &str, view: &TeamView) -> Amount {
+        let needs = self.recent_messages().flat_map(|message| &message.needs);
         let team_needs = needs.filter(|need| need.team == team);
         let (more, lacking) = team_needs
             .fold((Amount::ZERO, Amount::ZERO), |(more, lacking), need| {
@@ -121,8 +124,8 @@
         view.share.beyond(view.to_leave(more, lacking))
     }
 
-    /// What the shards' records allow a team now.
-    fn allowed_by_shards(&self, team: &str) -> Amount {
+    /// What the shards' records together allow a team at present.
+    fn allowed_by_shard_records(&self, team: &str) -> Amount {
         let records = self.store.mirror.shard_records();
         let quota_shares =
             records.filter_map(|(_, record)| record.quota_shares.as_ref()?.get(team));
--- a/src/controller/quota/mod.rs
+++ b/src/controller/quota/mod.rs
@@ -1,5 +1,5 @@
-//! Quotas of teams: [`team_limits`] reads the limits that operators set, and [`cells`] shares them
-//! with other installations.
+//! Quotas of teams: [`team_limits`] reads the limits that operators set at run time, and [`cells`]
+//! shares limits with other cells.
 
 pub(crate) mod cells;
 pub(crate) mod team_limits;
--- a/src/controller/rate_limits/mod.rs
+++ b/src/controller/rate_limits/mod.rs
@@ -1,35 +1,38 @@
-//! How this controller keeps to the rate limits of the store and the cloud.
+//! This controller's shares of the rate limits of the store and the cloud.
 //!
-//! The limits hold for all controllers together, and shares aren't assigned: each controller takes
-//! the share that follows from its role. [`token_bucket`] keeps to a share, [`write_rate`] measures
-//! what the others leave of theirs.
+//! The limits apply to all controllers together. No component assigns the shares: each controller
+//! derives its own from its role. [`token_bucket`] enforces a share, and [`write_rate`] measures how
+//! much the other controllers write, so that the sole owner can use what they leave of theirs.
 
 pub(crate) mod token_bucket;
 pub(crate) mod write_rate;
 
 use crate::settings::Settings;
 
-/// Share of what the other controllers may write that a sole owner leaves to them at least.
-const OTHERS_SHARE_MIN: f64 = 0.35;
-/// Factor by which the others may write more than was measured before the owner's share falls.
-const OTHERS_USE_MARGIN: f64 = 1.5;
-/// The leader's share of the cloud's limit, with several shards.
-const CLOUD_SHARE_LEADER: f64 = 0.6;
-/// The share of all others together.
-const CLOUD_SHARE_OTHERS: f64 = 0.4;
-/// The burst of calls to the cloud: what the rate lets through in this time, in seconds.
+/// Minimum fraction of the other controllers' share of the write rate that the owner of the only
+/// shard leaves to them.
+const OTHERS_WRITE_FRACTION_MIN: f64 = 0.35;
+/// The owner of the only shard leaves the other controllers this multiple of their measured write
+/// rate, so that they can write more before the owner's share is reduced.
+const OTHERS_WRITE_MARGIN_FACTOR: f64 = 1.5;
+/// The leader's fraction of the cloud's rate limit if there are several shards.
+const LEADER_CLOUD_FRACTION: f64 = 0.6;
+/// The fraction of the cloud's rate limit that all other controllers have together if there are
+/// several shards.
+const OTHERS_CLOUD_FRACTION: f64 = 0.4;
+/// Burst size for calls to the cloud, as the time in which the rate allows as many, in seconds.
 pub(crate) const CLOUD_BURST_S: f64 = 1.5;
 
-/// What decides a controller's shares of the limits.
+/// The inputs that determine a controller's shares of the limits.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Role {
-    /// Number of shards.
+    /// Number of shards of the whole fleet.
     pub(crate) shards: usize,
-    /// Whether it owns a shard.
+    /// Whether the controller owns a shard.
     pub(crate) owns_shard: bool,
-    /// Whether it is the leader.
+    /// Whether the controller is the leader.
     pub(crate) is_leader: bool,
-    /// Puts and deletes a second by the others, as measured.
+    /// Measured puts and deletes per second by the other controllers.
     pub(crate) others_write_rate: f64,
 }
 
@@ -45,41 +48,44 @@
 }
 
 impl RateShares {
-    /// The shares of a controller. The owner of the only shard schedules for all and gets more, and
-    /// the others share the rest; with several shards the shares are even.
+    /// Computes the shares of a controller. With a single shard, its owner schedules all tasks and
+    /// gets the larger share, and the others divide the rest evenly. With several shards all shares
+    /// of the store are equal.
     pub(crate) fn of(settings: &Settings, role: Role) -> Self {
         let facts = &settings.platform.facts;
         let tuning = &settings.tuning;
         let others = facts.count.saturating_sub(1);
-        let single = role.shards <= 1;
-        let sole_owner = others > 0 && single && role.owns_shard;
-        let part = match others {
+        let is_single_shard = role.shards <= 1;
+        let is_sole_owner = others > 0 && is_single_shard && role.owns_shard;
+        let fraction = match others {
             0 => 1.0,
-            _ if !single => 1.0 / f64::from(others + 1),
-            _ if sole_owner => tuning.budget_owner,
+            _ if !is_single_shard => 1.0 / f64::from(others + 1),
+            _ if is_sole_owner => tuning.budget_owner,
             _ => (1.0 - tuning.budget_owner) / f64::from(others),
         };
         let limits = settings.state_limits();
         let all_changes = limits.write_rps * tuning.budget_share;
-        let mut changes = all_changes * part;
-        if sole_owner {
-            // Placements, results and ends are written here alone, and the others seldom use all
-            // of their share: with many short tasks that kept ends waiting for seconds.
+        let mut changes = all_changes * fraction;
+        if is_sole_owner {
+            // Only this controller writes placements, results and ends, and the others seldom use
+            // all of their share. With a fixed share and many short tasks, ends waited for seconds.
             let others_share = all_changes - changes;
-            let used = role.others_write_rate * OTHERS_USE_MARGIN;
-            changes = all_changes - used.clamp(others_share * OTHERS_SHARE_MIN, others_share);
+            let reserved = role.others_write_rate * OTHERS_WRITE_MARGIN_FACTOR;
+            changes = all_changes
+                - reserved.clamp(others_share * OTHERS_WRITE_FRACTION_MIN, others_share);
         }
-        // Controllers that don't lead still read the cloud's catalog and delete machines.
+        // Controllers that don't lead still read the cloud's catalog and delete machines, so they
+        // get a share of the cloud's limit.
         let all_calls = facts.cloud.rps * tuning.budget_share;
-        let cloud = if others == 0 || single {
+        let cloud = if others == 0 || is_single_shard {
             all_calls
         } else if role.is_leader {
-            all_calls * CLOUD_SHARE_LEADER
+            all_calls * LEADER_CLOUD_FRACTION
         } else {
-            all_calls * CLOUD_SHARE_OTHERS / f64::from(others)
+            all_calls * OTHERS_CLOUD_FRACTION / f64::from(others)
         };
         Self {
-            requests: limits.rps * part * tuning.budget_share,
+            requests: limits.rps * fraction * tuning.budget_share,
             changes,
             cloud,
         }
--- a/src/controller/rate_limits/token_bucket.rs
+++ b/src/controller/rate_limits/token_bucket.rs
@@ -1,11 +1,11 @@
-//! Token buckets for calls to the store and the cloud.
+//! Token buckets that limit the rate of calls to the store and the cloud.
 
 use crate::ids::Time;
 
-/// The priority of a call, which decides how many tokens it has to leave for more urgent ones.
+/// The priority of a call, which determines how many tokens it must leave for more urgent calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Priority {
-    /// Leases, stops, cancellations: may take the last token.
+    /// Leases, stops of tasks and cancellations. They may take the last token.
     First,
     /// Placements and submissions.
     Usual,
@@ -14,8 +14,8 @@
 }
 
 impl Priority {
-    /// Share of the bucket that is reserved for calls of higher priority.
-    fn reserve(self) -> f64 {
+    /// Fraction of the bucket that a call of this priority leaves for calls of higher priority.
+    fn reserved_fraction(self) -> f64 {
         match self {
             Self::First => 0.0,
             Self::Usual => 0.15,
@@ -24,22 +24,22 @@
     }
 }
 
-/// A bucket that fills at a steady rate and holds `burst` at most.
+/// A token bucket that fills at a constant rate up to `burst` tokens.
 #[derive(Debug)]
 pub(crate) struct TokenBucket {
     /// Tokens per second.
     rate: f64,
-    /// Most tokens that it holds.
+    /// Maximum number of tokens in the bucket.
     burst: f64,
-    /// Tokens in it at `filled_at`; below zero after a call larger than what was left.
+    /// Tokens in the bucket at `filled_at`. Negative after a call that took more than were left.
     tokens: f64,
     filled_at: Time,
-    /// All tokens taken so far.
+    /// Total number of tokens taken so far.
     spent: f64,
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket with `rate` tokens per second.
     pub(crate) fn new(rate: f64, burst: f64) -> Self {
         Self {
             rate,
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Changes the rate, as when this controller's share of a limit changes. What is
-    /// already in the bucket stays, so that a change creates no tokens.
+    /// Changes the rate and the burst, for instance when this controller's share of a limit changes.
+    /// Tokens already in the bucket stay, as far as they fit, and none are added.
     pub(crate) fn set_rate(&mut self, now: Time, rate: f64, burst: f64) {
         self.fill(now);
         self.rate = rate;
@@ -59,32 +59,35 @@
         self.tokens = self.tokens.min(self.burst);
     }
 
-    /// Adds the tokens of the time since the last call.
+    /// Adds the tokens for the time since the bucket was last filled.
     fn fill(&mut self, now: Time) {
         self.tokens = (self.tokens + self.rate * now.since(self.filled_at)).min(self.burst);
         self.filled_at = self.filled_at.max(now);
     }
 
-    /// Whether a call of this priority may take `tokens`. A bucket smaller than the call lets it
-    /// through once full, so that no call waits for ever.
+    /// Whether a call of this priority may take `tokens` now. A call that needs more than the bucket
+    /// can hold is allowed once the bucket is full, so that no call waits forever.
     pub(crate) fn can_take(&mut self, now: Time, tokens: f64, priority: Priority) -> bool {
         self.fill(now);
-        let required = (tokens + self.burst * priority.reserve()).min(self.burst);
+        let required = (tokens + self.burst * priority.reserved_fraction()).min(self.burst);
+        // The tolerance absorbs rounding errors of the refill.
         self.tokens + 1e-9 >= required
     }
 
-    /// The largest call of this priority that leaves its reserve in a full bucket.
+    /// The most tokens that a call of this priority can take from a full bucket and still leave the
+    /// reserve for calls of higher priority.
     pub(crate) fn largest_call(&self, priority: Priority) -> f64 {
-        (self.burst * (1.0 - priority.reserve())).max(1.0)
+        (self.burst * (1.0 - priority.reserved_fraction())).max(1.0)
     }
 
-    /// Takes `tokens`; after a large call the bucket may be in debt, for which later calls wait.
+    /// Takes `tokens`. After a large call the number of tokens may be negative, and later calls wait
+    /// until the bucket has filled again.
     pub(crate) fn take(&mut self, tokens: f64) {
         self.tokens -= tokens;
         self.spent += tokens;
     }
 
-    /// All tokens taken so far.
+    /// Total number of tokens taken so far.
     pub(crate) fn spent(&self) -> f64 {
         self.spent
     }
@@ -94,7 +97,7 @@
         self.rate
     }
 
-    /// Empties the bucket, when the other side reports that the limit is reached.
+    /// Removes all tokens. Called when the server reports that its rate limit is reached.
     pub(crate) fn drain(&mut self) {
         self.tokens = self.tokens.min(0.0);
     }
--- a/src/controller/rate_limits/write_rate.rs
+++ b/src/controller/rate_limits/write_rate.rs
@@ -1,54 +1,54 @@
-//! Meter of the changes per second that the other controllers make at the store.
+//! Measures how many changes per second the other controllers make at the store.
 //!
-//! Every change comes back through the watch. Those that a controller didn't write itself come from
-//! others, so the owner of the only shard can use what they leave of the common limit.
+//! The watch delivers every change, and those that this controller didn't make itself come from the
+//! others. The owner of the only shard uses what they leave of the common rate limit.
 
 use crate::ids::Time;
 
-/// Changes are counted over this time, in seconds.
+/// Minimum length of the window over which changes are counted, in seconds.
 const WINDOW_S: f64 = 1.0;
-/// Weight of the latest count in the average when it is lower than before. A higher count replaces
+/// Weight of the latest rate in the moving average when the rate has fallen. A higher rate replaces
 /// the average at once.
-const FALLING_WEIGHT: f64 = 0.25;
+const DECREASE_WEIGHT: f64 = 0.25;
 
-/// Counts the changes seen and those made here.
+/// Counts the changes at the store that the watch delivers and those that this controller makes.
 #[derive(Debug, Default)]
 pub(crate) struct WriteRateMeter {
-    /// Changes seen through the watch in this window.
+    /// Changes that the watch delivered in this window.
     seen: f64,
-    /// Changes made here in this window.
+    /// Changes that this controller made in this window.
     own: f64,
     window_start: Time,
-    /// Averaged changes per second of the others.
+    /// Moving average of the other controllers' changes per second.
     others: f64,
 }
 
 impl WriteRateMeter {
-    /// Counts changes that the watch brought.
+    /// Counts changes that the watch delivered.
     pub(crate) fn count_seen(&mut self, changes: usize) {
         self.seen += changes as f64;
     }
 
-    /// Counts changes made here.
+    /// Counts changes that this controller made.
     pub(crate) fn count_own(&mut self, changes: f64) {
         self.own += changes;
     }
 
-    /// Ends the window if it is over; true if it was.
+    /// Ends the window and updates the average if [`WINDOW_S`] has passed. Returns whether it has.
     pub(crate) fn advance(&mut self, now: Time) -> bool {
         let elapsed = now.since(self.window_start);
         if elapsed < WINDOW_S {
             return false;
         }
         let rate = (self.seen - self.own).max(0.0) / elapsed;
-        self.others = rate.max(self.others + (rate - self.others) * FALLING_WEIGHT);
+        self.others = rate.max(self.others + (rate - self.others) * DECREASE_WEIGHT);
         self.seen = 0.0;
         self.own = 0.0;
         self.window_start = now;
         true
     }
 
-    /// Changes per second that the other controllers make.
+    /// Moving average of the changes per second that the other controllers make.
     pub(crate) fn others(&self) -> f64 {
         self.others
     }
