--- a/src/controller/api/cancellations.rs
+++ b/src/controller/api/cancellations.rs
@@ -1,4 +1,5 @@
-//! Cancellations: the mark in a job's record, and the reply once no task of the job is left.
+//! Cancellations: they are written to the job's record, and confirmed to the user once no task of the
+//! job is left.
 
 use crate::controller::Controller;
 use crate::controller::api::StatusQuery;
@@ -12,8 +13,8 @@
 use std::collections::BTreeSet;
 
 impl Controller {
-    /// Cancellations that nobody can confirm at present. Their users are asked to retry at once
-    /// rather than after the whole timeout.
+    /// Cancellations that no controller can confirm at present. Their users are asked to retry
+    /// without having to wait for the full timeout.
     pub(crate) fn blocked_cancellations(&self) -> Vec<RequestId> {
         let mut awaiting_end = self.context.api.awaiting_end.iter().peekable();
         if awaiting_end.peek().is_none() {
@@ -33,7 +34,7 @@
 }
 
 impl Context {
-    /// Marks the records of jobs that are to be cancelled.
+    /// Marks jobs as cancelled in their records.
     pub(crate) fn write_cancellations(&mut self) {
         while let Some(query) = self.api.cancellations.pop_front() {
             let Some(job) = self.store.mirror.jobs.get(&query.id) else {
@@ -42,9 +43,9 @@
             };
             let mut record = (*job.record).clone();
             record.cancelled = true;
-            if self.too_large(&record).is_some() {
-                // Accepted under a larger limit. A cancelled job starts nothing, so the machine
-                // types on which it may run aren't needed any more.
+            if self.oversize_reason(&record).is_some() {
+                // The job was accepted when the store's size limit was larger. The machine types on
+                // which it may run can be dropped, since a cancelled job starts no more tasks.
                 record.types = None;
             }
             let key = Key::Job(query.id.clone());
@@ -61,7 +62,7 @@
         }
     }
 
-    /// The store answered the write of a cancellation.
+    /// Handles the response to the write of a cancellation.
     pub(crate) fn on_cancelled(&mut self, query: StatusQuery, response: StoreResponse) {
         match response {
             StoreResponse::Committed { .. } => {
@@ -70,7 +71,8 @@
                 self.answer_cancelled();
             }
             StoreResponse::Refused => self.api.cancellations.push_back(query),
-            // The job has changed, or the commit may have happened: its state is read again.
+            // The job has changed, or the outcome of the commit is unknown, so its state is read
+            // again.
             _ => {
                 let retry = StatusQuery {
                     received_at: self.now,
@@ -82,8 +84,9 @@
         }
     }
 
-    /// Replies to queries whose jobs have ended. A cancellation is confirmed only now, when every
-    /// task is proven gone: no later failure can let one run on past the bound.
+    /// Answers the queries whose jobs have ended. A cancellation is confirmed only when every task of
+    /// the job is proven gone, so that no later failure can let a task run past the time limit for
+    /// cancellations.
     pub(crate) fn answer_cancelled(&mut self) {
         for query in std::mem::take(&mut self.api.awaiting_end) {
             match self.store.mirror.ending(&query.id) {
@@ -96,8 +99,8 @@
         }
     }
 
-    /// Whether the owner of a job's shard is unreachable, so that no one can confirm that the job's
-    /// tasks are gone, or one of them is on a machine whose heartbeat is overdue.
+    /// Whether the end of a job can't be confirmed at present: the owner of its shard is down or
+    /// unreachable, or one of its tasks is on a machine whose heartbeat is overdue.
     fn end_is_blocked(&self, id: &JobId, overdue: &BTreeSet<MachineId>) -> bool {
         let job = self.store.mirror.jobs.get(id);
         let shard = job.and_then(|job| self.store.mirror.shards.get(&job.record.shard));
@@ -105,7 +108,7 @@
         let Some(owner) = shard_record.map(|record| &record.owner) else {
             return false;
         };
-        let owned_here = *owner == self.settings.platform.controller_id;
+        let is_owned_here = *owner == self.settings.platform.controller_id;
         let placements = job.map(|job| {
             let (placements, _) = self.store.mirror.effective_placements(id, &job.record);
             placements
@@ -114,7 +117,7 @@
             .iter()
             .flatten()
             .flat_map(|(_, _, record)| &record.placed);
-        !(owned_here || self.has_recent_heartbeat(owner))
+        !(is_owned_here || self.has_recent_heartbeat(owner))
             || placed.any(|(_, _, machine, _)| overdue.contains(machine))
     }
 }
--- a/src/controller/api/mod.rs
+++ b/src/controller/api/mod.rs
@@ -1,7 +1,8 @@
-//! Requests of users: submissions, status queries, cancellations, and whether the controller is up.
+//! Requests of users (submissions, status queries and cancellations) and the balancer's health check.
 //!
 //! [`submissions`] checks and commits jobs, [`status_queries`] reports their status, and
-//! [`cancellations`] marks them and notifies their users once no task of them is left.
+//! [`cancellations`] marks jobs as cancelled and confirms that to their users once no task of the job
+//! is left.
 
 mod cancellations;
 mod status_queries;
@@ -15,7 +16,7 @@
 use crate::ids::{CallId, JobId, RequestId, Time};
 use std::collections::VecDeque;
 
-/// A submission that waits for its commit.
+/// A submission that waits to be committed.
 #[derive(Debug)]
 pub(crate) struct Submission {
     request_id: RequestId,
@@ -24,25 +25,25 @@
     received_at: Time,
 }
 
-/// A submission with dependencies that aren't all known to be accepted. A dependency that was
-/// accepted before the submission came is known once the mirror has caught up with a read that was
-/// sent after it, or its end is read.
+/// A submission with a dependency that isn't known to be accepted. A dependency that was accepted
+/// before the submission arrived is known once the mirror has caught up with a read that was sent
+/// after the arrival, or once the record of the dependency's end has been read.
 #[derive(Debug)]
 pub(crate) struct DependentSubmission {
     submission: Submission,
-    /// The last call sent before it came.
+    /// The last call to the store that was sent before the submission arrived.
     preceding_call: CallId,
 }
 
-/// What a status query leads to.
+/// What is done when the status of a job is known.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Intent {
-    /// The job's status is returned.
+    /// The reply is the job's status.
     Poll,
-    /// The same for a job that seems to have been submitted before; if it wasn't, the user is
-    /// asked to retry.
+    /// The reply is the job's status. The job seems to have been submitted before; if it wasn't, the
+    /// user is asked to retry.
     Resubmission,
-    /// The request is refused with this status, 400 or 422, unless the job is known.
+    /// The request is refused with this HTTP status, 400 or 422, unless the job is known.
     Refuse { status: u16, reason: String },
     /// The job is cancelled.
     Cancel,
@@ -55,12 +56,13 @@
     id: JobId,
     intent: Intent,
     received_at: Time,
-    /// The last call sent before the query came. Only the response to a later one shows a state
-    /// after that moment; clocks can't tell, since a millisecond holds both.
+    /// The last call to the store that was sent before the query arrived. Only the response to a
+    /// later call shows a state after the arrival. Times can't tell which came first, since both
+    /// may fall into the same millisecond.
     preceding_call: CallId,
 }
 
-/// The reply that a job is over, kept back until no controller can send an older status.
+/// A reply that a job has ended, delayed until no controller can send an older status.
 #[derive(Debug)]
 struct DelayedEnding {
     due: Time,
@@ -69,38 +71,39 @@
     ending: Ending,
 }
 
-/// The users' requests that wait for something.
+/// The requests of users that can't be answered yet.
 #[derive(Debug, Default)]
 pub(crate) struct Api {
     submissions: VecDeque<Submission>,
     status_queries: VecDeque<StatusQuery>,
-    /// Queries whose job isn't among the live ones: its end is still to be read.
+    /// Queries of jobs that aren't live in the mirror. The record of the job's end is still to be
+    /// read.
     awaiting_end_read: VecDeque<StatusQuery>,
     /// Cancellations that are still to be written.
     cancellations: VecDeque<StatusQuery>,
-    /// Submissions with dependencies that aren't known here to be accepted.
+    /// Submissions with a dependency that this controller doesn't know to be accepted.
     dependent_submissions: VecDeque<DependentSubmission>,
     /// Queries that are answered once the end of their job is committed: cancellations that are
-    /// written, and queries on jobs that are cancelled with one that they depend on.
+    /// written, and queries of jobs that are cancelled with one of their dependencies.
     awaiting_end: VecDeque<StatusQuery>,
-    /// The last call sent before the newest request that is more than a poll: a cancellation, or a
+    /// The last call that was sent before the newest urgent request arrived: a cancellation, or a
     /// submission that needs a read.
-    last_urgent: Option<CallId>,
+    urgent_preceding_call: Option<CallId>,
     delayed_endings: VecDeque<DelayedEnding>,
 }
 
-/// A query is given up after this time, in seconds: users wait 2 s for its answer.
+/// Timeout of a query, in seconds. Users wait 2 s for the answer.
 const QUERY_TIMEOUT_S: f64 = 1.5;
-/// A submission is given up after this time, in seconds: users wait 5 s for its answer.
+/// Timeout of a submission, in seconds. Users wait 5 s for the answer.
 const SUBMISSION_TIMEOUT_S: f64 = 3.0;
 /// Reason in the replies of a controller that shuts down.
 const SHUTTING_DOWN: &str = "this controller is about to end";
-/// Most requests of a kind that wait at once, as a share of the sockets. Further ones get a time
-/// after which to retry.
-const WAITING_SHARE: f64 = 0.8;
+/// Maximum number of requests of one kind that wait at the same time, as a fraction of the sockets.
+/// Further requests are refused with a time after which to retry.
+const WAITING_REQUESTS_MAX_FRACTION: f64 = 0.8;
 
 impl Api {
-    /// Number of requests that wait to be written.
+    /// Number of submissions and cancellations that wait to be written.
     pub(crate) fn backlog(&self) -> usize {
         self.submissions.len() + self.dependent_submissions.len() + self.cancellations.len()
     }
@@ -110,45 +113,46 @@
         self.delayed_endings.iter().map(|delayed| delayed.due).min()
     }
 
-    /// The requests that wait for a read of the store's revision sent after them.
+    /// The newest requests that need a read of the store's revision sent after their arrival.
     pub(crate) fn revision_demand(&self) -> RevisionDemand {
         RevisionDemand {
             status_query: self.status_queries.back().map(|query| query.preceding_call),
-            urgent: self.last_urgent,
+            urgent: self.urgent_preceding_call,
         }
     }
 
-    /// Removes the requests that have waited too long, cancellations after `cancellation_s`.
-    fn remove_timed_out(&mut self, now: Time, cancellation_s: f64) -> Vec<RequestId> {
+    /// Removes and returns the requests that have timed out. `cancellation_timeout_s` applies to
+    /// cancellations that are written and wait for their job's end.
+    fn remove_timed_out(&mut self, now: Time, cancellation_timeout_s: f64) -> Vec<RequestId> {
         let mut timed_out = Vec::new();
         for (queue, timeout_s) in [
             (&mut self.status_queries, QUERY_TIMEOUT_S),
             (&mut self.awaiting_end_read, QUERY_TIMEOUT_S),
             (&mut self.cancellations, QUERY_TIMEOUT_S),
-            (&mut self.awaiting_end, cancellation_s),
+            (&mut self.awaiting_end, cancellation_timeout_s),
         ] {
             queue.retain(|query| {
                 let timeout_s = match query.intent {
                     Intent::Poll => QUERY_TIMEOUT_S.min(timeout_s),
                     _ => timeout_s,
                 };
-                let keep = now.since(query.received_at) < timeout_s;
-                if !keep {
+                let is_in_time = now.since(query.received_at) < timeout_s;
+                if !is_in_time {
                     timed_out.push(query.request_id);
                 }
-                keep
+                is_in_time
             });
         }
-        let mut in_time = |submission: &Submission| {
-            let keep = now.since(submission.received_at) < SUBMISSION_TIMEOUT_S;
-            if !keep {
+        let mut check_timeout = |submission: &Submission| {
+            let is_in_time = now.since(submission.received_at) < SUBMISSION_TIMEOUT_S;
+            if !is_in_time {
                 timed_out.push(submission.request_id);
             }
-            keep
+            is_in_time
         };
-        self.submissions.retain(&mut in_time);
+        self.submissions.retain(&mut check_timeout);
         self.dependent_submissions
-            .retain(|dependent| in_time(&dependent.submission));
+            .retain(|dependent| check_timeout(&dependent.submission));
         timed_out
     }
 }
@@ -157,7 +161,7 @@
     /// Routes a request of a user, a worker or the balancer.
     pub(crate) fn on_request(&mut self, request_id: RequestId, request: Request) {
         match request {
-            Request::Up => self.context.on_up(request_id),
+            Request::Up => self.context.on_health_check(request_id),
             Request::Heartbeat(report) => self.on_worker_heartbeat(request_id, report),
             Request::Submit(_) if self.context.is_shutting_down() => {
                 self.context
@@ -170,7 +174,7 @@
         }
     }
 
-    /// Drops what waits to answer a request whose sender has disconnected.
+    /// Drops the state kept for a worker's request whose sender has disconnected.
     pub(crate) fn on_disconnect(&mut self, request_id: RequestId) {
         self.context.forget_heartbeat(request_id);
         for owner in self.shards.values_mut() {
@@ -178,16 +182,17 @@
         }
     }
 
-    /// Refuses at once the requests that can't be answered in time.
+    /// Refuses the requests that have timed out, and the cancellations that can't be confirmed at
+    /// present.
     pub(crate) fn api_housekeeping(&mut self) {
-        let mut given_up = self.blocked_cancellations();
-        let cancellation_s = self.context.settings.cancellation_wait_s();
+        let mut refused = self.blocked_cancellations();
+        let cancellation_timeout_s = self.context.settings.cancellation_wait_s();
         let now = self.context.now;
         let api = &mut self.context.api;
         api.awaiting_end
-            .retain(|query| !given_up.contains(&query.request_id));
-        given_up.extend(api.remove_timed_out(now, cancellation_s));
-        for request_id in given_up {
+            .retain(|query| !refused.contains(&query.request_id));
+        refused.extend(api.remove_timed_out(now, cancellation_timeout_s));
+        for request_id in refused {
             self.context.answer(
                 request_id,
                 Reply::later(503, 2, "the state service is slow"),
@@ -197,15 +202,18 @@
 }
 
 impl Context {
-    /// Answers the balancer. A controller whose view of the store is stale is unhealthy only while
-    /// a peer does better: if none sees the store, taking all out would only slow the return. One
-    /// that neither sees the store nor hears any peer is partitioned: without this, users who
-    /// reached it were refused for as long as that lasted.
-    fn on_up(&mut self, request_id: RequestId) {
-        let isolated = self.is_isolated_from_store() || self.all_peers_unreachable();
+    /// Answers the balancer's health check.
+    ///
+    /// A controller whose mirror is stale reports itself unhealthy only while a peer's mirror is more
+    /// recent. During an outage of the store for all controllers, taking all of them out of service
+    /// would only delay the recovery. A controller that reaches neither the store nor any peer is
+    /// partitioned and reports itself unhealthy too: when it didn't, users whose requests reached it
+    /// were refused for as long as the partition lasted.
+    fn on_health_check(&mut self, request_id: RequestId) {
+        let is_isolated = self.is_isolated_from_store() || self.all_peers_unreachable();
         let reply = if self.is_shutting_down() {
             Reply::later(503, 1, SHUTTING_DOWN)
-        } else if self.is_stale() && (!self.store.initial_list_done() || isolated) {
+        } else if self.is_stale() && (!self.store.initial_list_done() || is_isolated) {
             Reply::later(503, 1, "the state service doesn't answer")
         } else {
             Reply::ok(200, Vec::new())
@@ -213,13 +221,13 @@
         self.answer(request_id, reply);
     }
 
-    /// Most requests of a kind that wait at once.
-    fn waiting_max(&self) -> usize {
+    /// Maximum number of requests of one kind that wait at the same time.
+    fn waiting_requests_max(&self) -> usize {
         let sockets = self.settings.platform.facts.resources.max_sockets;
-        (sockets as f64 * WAITING_SHARE) as usize
+        (sockets as f64 * WAITING_REQUESTS_MAX_FRACTION) as usize
     }
 
-    /// Sends the store requests that the waiting requests of users need, as far as the rate limits
+    /// Sends the requests to the store that waiting users' requests need, as far as the rate limits
     /// allow.
     pub(crate) fn advance_api(&mut self) {
         self.check_dependent_submissions();
--- a/src/controller/api/status_queries.rs
+++ b/src/controller/api/status_queries.rs
@@ -1,7 +1,8 @@
 //! Status queries of jobs.
 //!
-//! `done` and `cancelled` may be answered from memory, since they are committed. Any other status
-//! may have changed through another controller, so it needs a read no older than the query.
+//! The statuses `done` and `cancelled` are final once committed, so they are answered from memory.
+//! Any other status may have been changed by another controller, so that its answer needs a read of
+//! the store that is no older than the query.
 
 use crate::controller::api::{DelayedEnding, Intent, StatusQuery};
 use crate::controller::context::Context;
@@ -13,27 +14,28 @@
 use crate::wire::{JobStatus, StoreRequest, StoreResponse, error_body, job_status_body};
 use std::collections::VecDeque;
 
-/// The status of a job that isn't over is at most this old when it is sent, in seconds. The end of
-/// a job is sent only when every older status has become too old to be sent. So no controller sends
-/// a status after a newer one that another controller has sent, however slow the store is.
+/// Maximum age of the status of a live job when it is sent, in seconds. The end of a job is sent only
+/// once every earlier status has become too old to be sent. So no controller sends a status after
+/// another controller has sent a newer one, however slow the store is.
 pub(super) const STATUS_AGE_MAX_S: f64 = 0.1;
-/// The end of a job is kept back for this time, in seconds.
+/// Delay before the end of a job is sent, counted from when this controller learned of it, in
+/// seconds.
 const ENDING_DELAY_S: f64 = 1.2 * STATUS_AGE_MAX_S;
 /// Reason in the replies of a controller that can't read the store in time.
 const STATUS_UNKNOWN: &str = "present state isn't known";
 
 impl Context {
-    /// Answers a query of a job that is over, and has others wait for a linearizable read.
+    /// Answers a query of a job that has ended, and queues any other for a linearizable read.
     pub(crate) fn on_status_query(&mut self, request_id: RequestId, id: JobId, intent: Intent) {
         if let Some(ending) = self.store.mirror.ending(&id) {
             return self.answer_ending(request_id, &id, ending);
         }
-        if self.is_stale() || self.api.status_queries.len() >= self.waiting_max() {
+        if self.is_stale() || self.api.status_queries.len() >= self.waiting_requests_max() {
             return self.answer(request_id, Reply::later(503, 1, STATUS_UNKNOWN));
         }
         let preceding_call = self.last_call();
         if intent != Intent::Poll {
-            self.api.last_urgent = Some(preceding_call);
+            self.api.urgent_preceding_call = Some(preceding_call);
         }
         let query = StatusQuery {
             request_id,
@@ -45,7 +47,7 @@
         self.api.status_queries.push_back(query);
     }
 
-    /// Replies that a job is over, once no controller can send an older status any more.
+    /// Replies that a job has ended, once no controller can send an older status any more.
     pub(crate) fn answer_ending(
         &mut self,
         request_id: RequestId,
@@ -78,7 +80,7 @@
         }
     }
 
-    /// Replies that a job is over.
+    /// Replies that a job has ended.
     fn send_ending(&mut self, request_id: RequestId, id: &JobId, ending: Ending) {
         let status = match ending {
             Ending::Done => JobStatus::Done,
@@ -90,8 +92,8 @@
         );
     }
 
-    /// Answers the queries that came before the latest linearizable read was sent. The queue is in
-    /// order of time.
+    /// Answers the queries that arrived before the latest linearizable read was sent. The queue is
+    /// ordered by arrival.
     pub(crate) fn answer_status_queries(&mut self) {
         while let Some(query) = self.api.status_queries.front() {
             if query.preceding_call >= self.store.linearized_call() {
@@ -103,18 +105,18 @@
         }
     }
 
-    /// Whether the mirror is recent enough for a status to be sent from it.
+    /// Whether the mirror is recent enough for a status to be answered from it.
     fn mirror_is_current(&self) -> bool {
         self.now.since(self.store.changes_known_at()) <= STATUS_AGE_MAX_S
     }
 
-    /// Answers a query from the mirror, or has it wait for what the answer needs.
+    /// Answers a query from the mirror, or queues it for what the answer still needs.
     fn answer_status_query(&mut self, query: StatusQuery) {
         if let Some(ending) = self.store.mirror.ending(&query.id) {
             return self.answer_ending(query.request_id, &query.id, ending);
         }
         if !self.mirror_is_current() {
-            // The read took long. Another controller may have sent a newer status since.
+            // The read took so long that another controller may have sent a newer status since.
             return self.repeat_status_query(query);
         }
         let Some(job) = self.store.mirror.jobs.get(&query.id) else {
@@ -122,8 +124,8 @@
             return;
         };
         if self.store.mirror.is_cancelled_by_dependency(&query.id) {
-            // It has no task, and is over once its owner has committed its end. Shown as queued for
-            // much longer, it would seem to be forgotten.
+            // The job has no tasks and ends as soon as the owner of its shard has committed that.
+            // If it were still reported as queued, it would seem to be forgotten.
             return self.api.awaiting_end.push_back(query);
         }
         if query.intent == Intent::Cancel {
@@ -134,7 +136,7 @@
             return;
         }
         if self.store.mirror.may_be_cancelled(&query.id) {
-            // Another user may already know of the cancellation of a job that it depends on.
+            // Another user may already have been told that a dependency of the job is cancelled.
             return self.repeat_status_query(query);
         }
         let (done, running) = self.store.mirror.counts(&query.id);
@@ -147,7 +149,7 @@
         self.answer(query.request_id, Reply::ok(200, body));
     }
 
-    /// Has a query wait for another read.
+    /// Queues a query for another read.
     fn repeat_status_query(&mut self, query: StatusQuery) {
         let preceding_call = self.last_call();
         self.api.status_queries.push_back(StatusQuery {
@@ -156,7 +158,7 @@
         });
     }
 
-    /// Reads the ends of jobs that are queried and not among the live ones.
+    /// Requests the end records of queried jobs that aren't live in the mirror.
     pub(crate) fn read_missing_ends(&mut self) {
         while let Some(query) = self.api.awaiting_end_read.pop_front() {
             let request = StoreRequest::Get(Key::End(query.id.clone()));
@@ -169,13 +171,13 @@
         }
     }
 
-    /// The store answered the read of the end of a job that is queried.
+    /// Handles the response to the read of a queried job's end record.
     pub(crate) fn on_end_read(&mut self, query: StatusQuery, response: StoreResponse) {
         if let Some(ending) = self.learn_ending(&query.id, &response) {
             return self.answer_ending(query.request_id, &query.id, (ending, self.now));
         }
         match (response, &query.intent) {
-            // The job was submitted while the read was under way.
+            // The job was submitted while the read was pending.
             (StoreResponse::Missing { .. }, _)
                 if self.store.mirror.jobs.contains_key(&query.id) =>
             {
--- a/src/controller/api/submissions.rs
+++ b/src/controller/api/submissions.rs
@@ -1,4 +1,5 @@
-//! Submissions: whether a job can be accepted, the jobs that it depends on, and the commit.
+//! Submissions: the checks whether a job can be accepted, the lookup of its dependencies, and the
+//! commit.
 
 use crate::controller::api::status_queries::STATUS_AGE_MAX_S;
 use crate::controller::api::{DependentSubmission, Intent, Submission};
@@ -16,17 +17,17 @@
 use log::info;
 use std::collections::BTreeSet;
 
-/// Most submissions in one transaction.
+/// Maximum number of submissions in one transaction.
 const TRANSACTION_SUBMISSIONS_MAX: usize = 8;
-/// Submissions wait up to the number that the write rate limit lets through in this time, in
-/// seconds.
-const BACKLOG_S: f64 = 1.5;
-/// And at least up to this number.
-const BACKLOG_MIN: usize = 8;
+/// Maximum number of waiting submissions, as the time in which the write rate limit allows as many,
+/// in seconds.
+const BACKLOG_MAX_S: f64 = 1.5;
+/// Lower bound of the maximum number of waiting submissions, whatever the rate limit is.
+const BACKLOG_MAX_LOWER_BOUND: usize = 8;
 
 impl Context {
-    /// Refuses a malformed submission. If it repeats one of a known job, the reply is the job's
-    /// status: a refusal would say that the job was never accepted.
+    /// Refuses a malformed submission. If it names a known job, the reply is the job's status, since
+    /// a refusal would say that the job was never accepted.
     pub(crate) fn on_malformed(&mut self, request_id: RequestId, error: InvalidSubmission) {
         info!("submission refused, reason={}", error.why);
         match error.id {
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Checks a submission, and has it wait for its commit if it can be accepted.
+    /// Checks a submission, and queues it for its commit if the job can be accepted.
     pub(crate) fn on_submit(&mut self, request_id: RequestId, id: JobId, mut record: JobRecord) {
         if self.store.mirror.accepted(&id) {
             return self.on_status_query(request_id, id, Intent::Resubmission);
@@ -58,18 +59,22 @@
                 Reply::later(503, 2, "machine types aren't known yet"),
             );
         }
-        if let Some(reason) = self.never_runs(&record) {
+        if let Some(reason) = self.unschedulable_reason(&record) {
             return self.refuse_submission(request_id, id, reason);
         }
         let limits = self.settings.state_limits();
         record.chunk = chunk_size(limits.value_bytes);
         record.shard = self.shard_for(&id);
-        if let Some(reason) = self.too_large(&record) {
+        if let Some(reason) = self.oversize_reason(&record) {
             return self.refuse_submission(request_id, id, reason);
         }
-        let backlog_max = (limits.write_rps * BACKLOG_S) as usize;
+        let backlog_max = (limits.write_rps * BACKLOG_MAX_S) as usize;
         let waiting = self.api.submissions.len() + self.api.dependent_submissions.len();
-        if waiting >= backlog_max.min(self.waiting_max()).max(BACKLOG_MIN) {
+        if waiting
+            >= backlog_max
+                .min(self.waiting_requests_max())
+                .max(BACKLOG_MAX_LOWER_BOUND)
+        {
             return self.answer(request_id, Reply::later(429, 2, "too many submissions"));
         }
         let submission = Submission {
@@ -91,8 +96,8 @@
         self.on_status_query(request_id, id, Intent::Refuse { status, reason });
     }
 
-    /// Why a job's record is too large for the store, if so.
-    pub(crate) fn too_large(&self, record: &JobRecord) -> Option<String> {
+    /// Why a job's record is too large for the store; `None` if it isn't.
+    pub(crate) fn oversize_reason(&self, record: &JobRecord) -> Option<String> {
         let bytes_max = self.settings.state_limits().value_bytes;
         let bytes = json_bytes(record);
         let reason =
@@ -100,8 +105,8 @@
         (bytes > bytes_max).then(reason)
     }
 
-    /// Why a job can never run, if so.
-    fn never_runs(&self, record: &JobRecord) -> Option<String> {
+    /// Why a job can never run; `None` if it can.
+    fn unschedulable_reason(&self, record: &JobRecord) -> Option<String> {
         let facts = &self.settings.platform.facts;
         let Some(team) = facts.teams.iter().find(|team| team.name == record.team) else {
             return Some("unknown team".into());
@@ -116,7 +121,8 @@
         if !fits {
             return Some("a task fits no allowed machine type".into());
         }
-        // A batch job may run its tasks one after the other; a service needs all at once.
+        // A batch job may run its tasks one after another, while a service needs all its tasks at the
+        // same time.
         let concurrent_tasks = match record.kind {
             JobKind::Batch => 1.0,
             JobKind::Service => f64::from(record.count),
@@ -129,10 +135,10 @@
         None
     }
 
-    /// Accepts a submission whose dependencies are all known to be accepted, or has it wait until
-    /// they are looked up.
+    /// Queues a submission for its commit if all its dependencies are known to be accepted, and
+    /// otherwise until they are looked up.
     fn check_dependencies(&mut self, submission: Submission) {
-        if let Some(reason) = self.impossible_dependency(&submission) {
+        if let Some(reason) = self.invalid_dependency_reason(&submission) {
             return self.refuse_submission(submission.request_id, submission.id, reason.into());
         }
         let mut dependencies = submission.record.dependencies.iter();
@@ -140,7 +146,7 @@
             return self.api.submissions.push_back(submission);
         }
         let preceding_call = self.last_call();
-        self.api.last_urgent = Some(preceding_call);
+        self.api.urgent_preceding_call = Some(preceding_call);
         self.api
             .dependent_submissions
             .push_back(DependentSubmission {
@@ -149,8 +155,8 @@
             });
     }
 
-    /// Why a dependency of a job can never be done, if so.
-    fn impossible_dependency(&self, submission: &Submission) -> Option<&'static str> {
+    /// Why a dependency of a job can never be done; `None` if no such reason is known.
+    fn invalid_dependency_reason(&self, submission: &Submission) -> Option<&'static str> {
         let dependencies = &submission.record.dependencies;
         let mut known_jobs = dependencies
             .iter()
@@ -164,8 +170,8 @@
         }
     }
 
-    /// Checks again the submissions whose read has come back: their dependencies are known now, or
-    /// the end of one has to be read.
+    /// Checks the submissions again for which the read of the store has been answered. By now their
+    /// dependencies are known, or the end record of one has to be read.
     pub(crate) fn check_dependent_submissions(&mut self) {
         let linearized_call = self.store.linearized_call();
         for dependent in std::mem::take(&mut self.api.dependent_submissions) {
@@ -191,7 +197,7 @@
         }
     }
 
-    /// The store answered the read of the end of a job that a submission depends on.
+    /// Handles the response to the read of the end record of a dependency.
     pub(crate) fn on_submission_dependency_read(
         &mut self,
         dependent: DependentSubmission,
@@ -218,13 +224,13 @@
 
     /// Commits waiting submissions, several to a transaction.
     pub(crate) fn write_submissions(&mut self) {
-        // Whether a transaction of two jobs is committed says the same of both, so after a conflict
-        // the state of each is queried by itself. Conflicts are rare: only retries make them.
+        // A transaction commits or fails for all its jobs together, so after a conflict the state of
+        // each job is queried separately. Conflicts are rare, since only retries cause them.
         let operations_max = self.settings.state_limits().txn_ops;
         let batch_max = operations_max.min(TRANSACTION_SUBMISSIONS_MAX);
         while !self.api.submissions.is_empty() {
-            // A key can be written once in a transaction, and the second of two equal
-            // submissions finds the first one's job.
+            // A transaction can write a key only once, so a job ID that is submitted twice starts
+            // another batch, in which the second submission conflicts with the first one's job.
             let mut ids = BTreeSet::new();
             let candidates = self.api.submissions.iter().take(batch_max);
             let batch_size = candidates
@@ -243,17 +249,17 @@
         }
     }
 
-    /// The store answered the commit of these submissions.
+    /// Handles the response to the commit of a batch of submissions that was sent at `sent`.
     pub(crate) fn on_submitted(
         &mut self,
         batch: Vec<Submission>,
         response: StoreResponse,
         sent: Time,
     ) {
-        let took_long = self.now.since(sent) > STATUS_AGE_MAX_S;
+        let is_slow = self.now.since(sent) > STATUS_AGE_MAX_S;
         for submission in batch {
             match &response {
-                StoreResponse::Committed { .. } => self.on_accepted(submission, took_long),
+                StoreResponse::Committed { .. } => self.on_accepted(submission, is_slow),
                 StoreResponse::Conflict { failed } => self.on_conflict(submission, failed),
                 StoreResponse::Refused => {
                     self.answer(
@@ -261,7 +267,8 @@
                         Reply::later(503, 1, "the state service refused"),
                     );
                 }
-                // It may be committed, now or later: a retry finds out.
+                // The outcome is unknown: the job may be committed now or later. The user's retry
+                // finds out.
                 _ => self.answer(
                     submission.request_id,
                     Reply::later(503, 1, "the state service didn't answer"),
@@ -270,16 +277,17 @@
         }
     }
 
-    /// Replies that a job is accepted, or with a newer status if it may have one.
-    fn on_accepted(&mut self, submission: Submission, took_long: bool) {
+    /// Replies that a job is accepted, or queries its status if that may have changed since: when
+    /// the commit `is_slow`, or the job is cancelled with a dependency.
+    fn on_accepted(&mut self, submission: Submission, is_slow: bool) {
         let Submission {
             request_id,
             id,
             record,
             ..
         } = submission;
-        if took_long {
-            // Its user may have queried another controller meanwhile and know a newer status.
+        if is_slow {
+            // The user may meanwhile have queried another controller and received a newer status.
             return self.on_status_query(request_id, id, Intent::Resubmission);
         }
         if self.store.mirror.dependency_state(&record) == DependencyState::Cancelled {
@@ -294,7 +302,8 @@
         self.answer(request_id, Reply::ok(201, body));
     }
 
-    /// Queries a job that exists already; one that only shared the transaction is tried again.
+    /// Queries the status of a job that exists already. A submission that failed only because another
+    /// one in its transaction did is queued again.
     fn on_conflict(&mut self, submission: Submission, failed: &[Key]) {
         let is_own = |key: &Key| {
             *key == Key::Job(submission.id.clone()) || *key == Key::End(submission.id.clone())
@@ -307,7 +316,8 @@
     }
 }
 
-/// Creates the records of jobs of which neither a record nor an end exists.
+/// The transaction that creates the records of jobs, on the condition that none of them has a record
+/// or an end record.
 fn submissions_transaction(batch: &[Submission]) -> StoreRequest {
     let mut preconditions = Vec::with_capacity(2 * batch.len());
     let mut writes = Vec::with_capacity(batch.len());
