--- a/src/controller/api/mod.rs
+++ b/src/controller/api/mod.rs
@@ -204,8 +204,8 @@
 impl Context {
     /// Answers the balancer's health check.
     ///
-    /// A controller whose mirror is stale reports itself unhealthy only while a peer's mirror is more
-    /// recent. During an outage of the store for all controllers, taking all of them out of service
+    /// A controller whose mirror is stale reports itself unhealthy until its initial list of the
+    /// store is done, and after that only while a peer's mirror is more recent. During an outage of the store for all controllers, taking all of them out of service
     /// would only delay the recovery. A controller that reaches neither the store nor any peer is
     /// partitioned and reports itself unhealthy too: when it didn't, users whose requests reached it
     /// were refused for as long as the partition lasted.
--- a/src/controller/api/submissions.rs
+++ b/src/controller/api/submissions.rs
@@ -224,8 +224,8 @@
 
     /// Commits waiting submissions, several to a transaction.
     pub(crate) fn write_submissions(&mut self) {
-        // A transaction commits or fails for all its jobs together, so after a conflict the state of
-        // each job is queried separately. Conflicts are rare, since only retries cause them.
+        // A transaction commits or fails for all its jobs together, so after a conflict each job is
+        // handled separately. Conflicts are rare, since only retries cause them.
         let operations_max = self.settings.state_limits().txn_ops;
         let batch_max = operations_max.min(TRANSACTION_SUBMISSIONS_MAX);
         while !self.api.submissions.is_empty() {
--- a/src/controller/leadership/standby.rs
+++ b/src/controller/leadership/standby.rs
@@ -158,7 +158,8 @@
         self.store.mirror.shards.len() <= 1 && self.standby.may_replace(self.now.0).is_ok()
     }
 
-    /// Passes the leader's record to the standby. Called whenever the record may have changed.
+    /// Passes the leader's record to the standby. The caller does so whenever the record may have
+    /// changed.
     pub(crate) fn update_standby_term(&mut self) {
         let term = self.store.mirror.leader.record.as_ref().map(|leader| Term {
             leader: leader.controller_id.to_string(),
