--- a/src/controller/leadership/election.rs
+++ b/src/controller/leadership/election.rs
@@ -242,7 +242,7 @@
     /// Requests a lease as soon as this controller suspects the leader, so that only the commit
     /// remains to be made once a majority does. A lease that isn't used expires.
     fn prepare_candidacy(&mut self) {
-        let suspects = self.suspects_leader().is_some() && !self.is_stale();
+        let suspects = self.leader_suspicion().is_some() && !self.is_stale();
         if suspects && !self.election.request_pending && self.prepared_lease().is_none() {
             self.request_lease();
         }
@@ -278,7 +278,7 @@
         };
         // Another candidate won while the lease was being requested. The commit would be
         // conditional on the winner's record, so it would succeed and cause a second takeover.
-        if !self.may_be_elected() && self.suspects_leader().is_none() {
+        if !self.may_be_elected() && self.leader_suspicion().is_none() {
             let _ = self.send_store_request(
                 StoreRequest::RevokeLease(lease_id),
                 RequestPurpose::RevokeLease,
--- a/src/controller/leadership/standby.rs
+++ b/src/controller/leadership/standby.rs
@@ -83,7 +83,7 @@
     /// Sends the standby's heartbeat and the leader's hints when they are due, and logs when the
     /// suspicion of the leader changes.
     pub(crate) fn standby_housekeeping(&mut self) {
-        let suspicion = self.context.suspects_leader();
+        let suspicion = self.context.leader_suspicion();
         if let Some(heartbeat) = self.context.standby.tick(self.context.now.0) {
             let message = StandbyMessage::Heartbeat(heartbeat);
             let message = Message::Standby(Box::new(message));
@@ -147,7 +147,7 @@
     }
 
     /// Why this controller suspects that the leader has failed, if it does.
-    pub(crate) fn suspects_leader(&self) -> Option<Suspicion> {
+    pub(crate) fn leader_suspicion(&self) -> Option<Suspicion> {
         self.standby.suspicion(self.now.0)
     }
 
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -178,7 +178,7 @@
     }
 
     fn watch_store(&mut self) {
-        let eager = self.context.suspects_leader().is_some();
+        let eager = self.context.leader_suspicion().is_some();
         let context = &mut self.context;
         let (now, outbox) = (context.now, &mut context.outbox);
         context.store.keep_watching(now, outbox, eager);
--- a/src/controller/store_requests.rs
+++ b/src/controller/store_requests.rs
@@ -86,7 +86,7 @@
     /// Opens the next watch, at once where tasks are scheduled or this controller takes over.
     fn continue_watch(&mut self) {
         let takes_over =
-            self.context.suspects_leader().is_some() || self.context.has_won_election();
+            self.context.leader_suspicion().is_some() || self.context.has_won_election();
         let acts = !self.shards.is_empty() || self.context.is_leader();
         let Context {
             store, outbox, now, ..
