--- a/src/controller/api/cancellations.rs
+++ b/src/controller/api/cancellations.rs
@@ -1,5 +1,5 @@
-//! Cancellations: they are written to the job's record, and confirmed to the user once no task of the
-//! job is left.
+//! Cancellations: they are written to the job's record, and confirmed to the user once no task of
+//! the job is left.
 
 use crate::controller::Controller;
 use crate::controller::api::StatusQuery;
@@ -84,9 +84,9 @@
         }
     }
 
-    /// Answers the queries whose jobs have ended. A cancellation is confirmed only when every task of
-    /// the job is proven gone, so that no later failure can let a task run past the time limit for
-    /// cancellations.
+    /// Answers the queries whose jobs have ended. A cancellation is confirmed only when every task
+    /// of the job is proven gone, so that no later failure can let a task run past the time limit
+    /// for cancellations.
     pub(crate) fn answer_cancelled(&mut self) {
         for query in std::mem::take(&mut self.api.awaiting_end) {
             match self.store.mirror.ending(&query.id) {
--- a/src/controller/api/mod.rs
+++ b/src/controller/api/mod.rs
@@ -1,8 +1,9 @@
-//! Requests of users (submissions, status queries and cancellations) and the balancer's health check.
+//! Requests of users (submissions, status queries and cancellations) and the balancer's health
+//! check.
 //!
 //! [`submissions`] checks and commits jobs, [`status_queries`] reports their status, and
-//! [`cancellations`] marks jobs as cancelled and confirms that to their users once no task of the job
-//! is left.
+//! [`cancellations`] marks jobs as cancelled and confirms that to their users once no task of the
+//! job is left.
 
 mod cancellations;
 mod status_queries;
@@ -40,8 +41,8 @@
 pub(crate) enum Intent {
     /// The reply is the job's status.
     Poll,
-    /// The reply is the job's status. The job seems to have been submitted before; if it wasn't, the
-    /// user is asked to retry.
+    /// The reply is the job's status. The job seems to have been submitted before; if it wasn't,
+    /// the user is asked to retry.
     Resubmission,
     /// The request is refused with this HTTP status, 400 or 422, unless the job is known.
     Refuse { status: u16, reason: String },
@@ -205,10 +206,11 @@
     /// Answers the balancer's health check.
     ///
     /// A controller whose mirror is stale reports itself unhealthy until its initial list of the
-    /// store is done, and after that only while a peer's mirror is more recent. During an outage of the store for all controllers, taking all of them out of service
-    /// would only delay the recovery. A controller that reaches neither the store nor any peer is
-    /// partitioned and reports itself unhealthy too: when it didn't, users whose requests reached it
-    /// were refused for as long as the partition lasted.
+    /// store is done, and after that only while a peer's mirror is more recent. During an outage of
+    /// the store for all controllers, taking all of them out of service would only delay the
+    /// recovery. A controller that reaches neither the store nor any peer is partitioned and
+    /// reports itself unhealthy too: when it didn't, users whose requests reached it were refused
+    /// for as long as the partition lasted.
     fn on_health_check(&mut self, request_id: RequestId) {
         let is_isolated = self.is_isolated_from_store() || self.all_peers_unreachable();
         let reply = if self.is_shutting_down() {
--- a/src/controller/api/status_queries.rs
+++ b/src/controller/api/status_queries.rs
@@ -14,9 +14,9 @@
 use crate::wire::{JobStatus, StoreRequest, StoreResponse, error_body, job_status_body};
 use std::collections::VecDeque;
 
-/// Maximum age of the status of a live job when it is sent, in seconds. The end of a job is sent only
-/// once every earlier status has become too old to be sent. So no controller sends a status after
-/// another controller has sent a newer one, however slow the store is.
+/// Maximum age of the status of a live job when it is sent, in seconds. The end of a job is sent
+/// only once every earlier status has become too old to be sent. So no controller sends a status
+/// after another controller has sent a newer one, however slow the store is.
 pub(super) const STATUS_AGE_MAX_S: f64 = 0.1;
 /// Delay before the end of a job is sent, counted from when this controller learned of it, in
 /// seconds.
--- a/src/controller/api/submissions.rs
+++ b/src/controller/api/submissions.rs
@@ -26,8 +26,8 @@
 const BACKLOG_MAX_LOWER_BOUND: usize = 8;
 
 impl Context {
-    /// Refuses a malformed submission. If it names a known job, the reply is the job's status, since
-    /// a refusal would say that the job was never accepted.
+    /// Refuses a malformed submission. If it names a known job, the reply is the job's status,
+    /// since a refusal would say that the job was never accepted.
     pub(crate) fn on_malformed(&mut self, request_id: RequestId, error: InvalidSubmission) {
         info!("submission refused, reason={}", error.why);
         match error.id {
@@ -121,8 +121,8 @@
         if !fits {
             return Some("a task fits no allowed machine type".into());
         }
-        // A batch job may run its tasks one after another, while a service needs all its tasks at the
-        // same time.
+        // A batch job may run its tasks one after another, while a service needs all its tasks at
+        // the same time.
         let concurrent_tasks = match record.kind {
             JobKind::Batch => 1.0,
             JobKind::Service => f64::from(record.count),
@@ -302,8 +302,8 @@
         self.answer(request_id, Reply::ok(201, body));
     }
 
-    /// Queries the status of a job that exists already. A submission that failed only because another
-    /// one in its transaction did is queued again.
+    /// Queries the status of a job that exists already. A submission that failed only because
+    /// another one in its transaction did is queued again.
     fn on_conflict(&mut self, submission: Submission, failed: &[Key]) {
         let is_own = |key: &Key| {
             *key == Key::Job(submission.id.clone()) || *key == Key::End(submission.id.clone())
@@ -316,8 +316,8 @@
     }
 }
 
-/// The transaction that creates the records of jobs, on the condition that none of them has a record
-/// or an end record.
+/// The transaction that creates the records of jobs, on the condition that none of them has a
+/// record or an end record.
 fn submissions_transaction(batch: &[Submission]) -> StoreRequest {
     let mut preconditions = Vec::with_capacity(2 * batch.len());
     let mut writes = Vec::with_capacity(batch.len());
--- a/src/controller/leadership/election.rs
+++ b/src/controller/leadership/election.rs
@@ -78,8 +78,8 @@
 const CANDIDATE_STAGGER_S: f64 = 0.1;
 /// Interval between renewals of the leader's lease, as a fraction of its duration.
 const RENEWAL_INTERVAL_FRACTION: f64 = 0.3;
-/// Maximum age of a lease that was requested in advance, as a fraction of its duration. An older one
-/// isn't used for a candidacy.
+/// Maximum age of a lease that was requested in advance, as a fraction of its duration. An older
+/// one isn't used for a candidacy.
 const PREPARED_LEASE_AGE_MAX_FRACTION: f64 = 0.3;
 /// Maximum number of candidate leases kept: an earlier election commit may still turn out to have
 /// succeeded.
--- a/src/controller/leadership/mod.rs
+++ b/src/controller/leadership/mod.rs
@@ -1,5 +1,5 @@
-//! Leadership: the [`election`], the [`standby`] that shortens a takeover, and the [`shutdown`] of a
-//! controller, which hands its duties over first.
+//! Leadership: the [`election`], the [`standby`] that shortens a takeover, and the [`shutdown`] of
+//! a controller, which hands its duties over first.
 
 pub(crate) mod election;
 pub(crate) mod shutdown;
--- a/src/controller/leadership/shutdown.rs
+++ b/src/controller/leadership/shutdown.rs
@@ -1,8 +1,8 @@
 //! Graceful shutdown.
 //!
-//! A controller that is told to terminate hands over first. It accepts no new work and, if it leads,
-//! revokes its lease once its last call to the cloud is over, so that no successor has to wait until
-//! the lease expires.
+//! A controller that is told to terminate hands over first. It accepts no new work and, if it
+//! leads, revokes its lease once its last call to the cloud is over, so that no successor has to
+//! wait until the lease expires.
 
 use crate::controller::Controller;
 use crate::controller::autoscaling::CloudPurpose;
@@ -20,8 +20,8 @@
 /// Time for which a controller goes on forwarding heartbeats after it has handed over, in seconds.
 /// By then the responses to its workers are sent, and its peers know the next leader.
 const FINAL_FORWARDING_S: f64 = 0.5;
-/// Maximum duration of a shutdown, in durations of the leader's lease. By then the lease has expired,
-/// and a successor doesn't depend on its revocation.
+/// Maximum duration of a shutdown, in durations of the leader's lease. By then the lease has
+/// expired, and a successor doesn't depend on its revocation.
 const SHUTDOWN_MAX_LEASES: f64 = 1.5;
 
 /// The state of a shutdown.
--- a/src/controller/leadership/standby.rs
+++ b/src/controller/leadership/standby.rs
@@ -95,7 +95,8 @@
                 Some(reason) => match self.context.standby.may_replace(self.context.now.0) {
                     Ok(()) => info!("leader suspected, reason={reason:?}"),
                     Err(obstacle) => info!(
-                        "leader suspected, not replaced yet, reason={reason:?} waits_for={obstacle:?}"
+                        "leader suspected, not replaced yet, \
+                         reason={reason:?} waits_for={obstacle:?}"
                     ),
                 },
                 None => info!("leader no longer suspected"),
@@ -104,7 +105,8 @@
         self.send_hints();
     }
 
-    /// Sends hints to all peers when they are due, if this controller leads and owns the only shard.
+    /// Sends hints to all peers when they are due, if this controller leads and owns the only
+    /// shard.
     fn send_hints(&mut self) {
         let interval_ms = self.context.standby_config().hints_ms;
         if interval_ms == 0 || self.context.now < self.context.hint_sender.due_at {
@@ -152,8 +154,8 @@
     }
 
     /// Whether the leader's record may be replaced before its lease expires. With several shards it
-    /// may not: each owner then calls the cloud for its own machines without leading, so a candidate
-    /// waits until the lease expires.
+    /// may not: each owner then calls the cloud for its own machines without leading, so a
+    /// candidate waits until the lease expires.
     pub(crate) fn may_replace_leader(&self) -> bool {
         self.store.mirror.shards.len() <= 1 && self.standby.may_replace(self.now.0).is_ok()
     }
--- a/src/controller/peers/heartbeats.rs
+++ b/src/controller/peers/heartbeats.rs
@@ -1,5 +1,5 @@
-//! Heartbeats between controllers, and what follows from them: which peers run, which controller owns
-//! a shard, and whether this controller is partitioned.
+//! Heartbeats between controllers, and what follows from them: which peers run, which controller
+//! owns a shard, and whether this controller is partitioned.
 
 use crate::controller::Controller;
 use crate::controller::context::{Context, RECENT_S};
@@ -9,8 +9,8 @@
 use crate::ids::{ControllerId, MachineId, Time};
 use crate::peer::{Message, PeerHeartbeat};
 
-/// A peer without a heartbeat for this long is assumed to be down, in seconds. Peers send a heartbeat
-/// every second, so that two are missing by then.
+/// A peer without a heartbeat for this long is assumed to be down, in seconds. Peers send a
+/// heartbeat every second, so that two are missing by then.
 const HEARTBEAT_TIMEOUT_S: f64 = 2.2;
 /// Maximum number of overdue machines named in one message. If more machines are silent,
 /// cancellations that depend on the others aren't refused early but wait for their full timeout.
@@ -113,9 +113,9 @@
 }
 
 impl Context {
-    /// The sender, incarnation and send time of the latest heartbeat from each peer. The peer checks
-    /// by them, in [`Self::no_keepalive_by_peers`], which of its heartbeats this controller had
-    /// received.
+    /// The sender, incarnation and send time of the latest heartbeat from each peer. The peer
+    /// checks by them, in [`Self::no_keepalive_by_peers`], which of its heartbeats this controller
+    /// had received.
     pub(crate) fn echoes(&self) -> Vec<(ControllerId, u64, u64)> {
         let heartbeats = self.peers.heartbeats.values();
         heartbeats
@@ -173,8 +173,8 @@
             .any(|entry| is_more_recent(&entry))
     }
 
-    /// Whether workers may be redirected to a peer: it sends heartbeats, and doesn't report that its
-    /// workers' heartbeats have stopped. An owner that its workers can't reach still sends
+    /// Whether workers may be redirected to a peer: it sends heartbeats, and doesn't report that
+    /// its workers' heartbeats have stopped. An owner that its workers can't reach still sends
     /// heartbeats to its peers, and a worker redirected to it loses 5 s of its lease. A new owner
     /// has no workers yet whose heartbeats could have stopped, so it counts as reachable.
     pub(crate) fn is_reachable_by_workers(&self, controller_id: &ControllerId) -> bool {
@@ -186,8 +186,8 @@
         !workers_unreachable && self.has_recent_heartbeat(controller_id)
     }
 
-    /// Whether a peer's last heartbeat arrived within [`HEARTBEAT_TIMEOUT_S`], so that it is assumed
-    /// to run.
+    /// Whether a peer's last heartbeat arrived within [`HEARTBEAT_TIMEOUT_S`], so that it is
+    /// assumed to run.
     pub(crate) fn has_recent_heartbeat(&self, controller_id: &ControllerId) -> bool {
         let received_at = self.peers.heartbeats.get(controller_id).map(|(_, at)| *at);
         received_at.is_some_and(|at| self.now.since(at) < HEARTBEAT_TIMEOUT_S)
--- a/src/controller/peers/links.rs
+++ b/src/controller/peers/links.rs
@@ -1,5 +1,5 @@
-//! Links to peers: which peers are connected, which of them receive heartbeats of workers, and which
-//! have sent keepalives to workers on an owner's behalf.
+//! Links to peers: which peers are connected, which of them receive heartbeats of workers, and
+//! which have sent keepalives to workers on an owner's behalf.
 
 use crate::controller::context::Context;
 use crate::controller::events::Link;
@@ -53,8 +53,8 @@
     }
 
     /// Time since this process last sent a keepalive on an owner's behalf, in milliseconds. If it
-    /// has sent none, the time since it started: an earlier process of this controller may have sent
-    /// one until then.
+    /// has sent none, the time since it started: an earlier process of this controller may have
+    /// sent one until then.
     pub(crate) fn since_keepalive_ms(&self) -> u64 {
         let last = self.forwarding.last_keepalive.unwrap_or(self.now);
         self.now.0.saturating_sub(last.0)
@@ -74,8 +74,8 @@
     }
 
     /// Whether every other controller of a zone has reported that it sent no keepalive to a worker
-    /// for a whole lease, in a heartbeat that it sent after `expires_at`, when the lease in question
-    /// expired. Later keepalives don't matter, since they can't revive an expired lease.
+    /// for a whole lease, in a heartbeat that it sent after `expires_at`, when the lease in
+    /// question expired. Later keepalives don't matter, since they can't revive an expired lease.
     ///
     /// A peer's heartbeat is known to be sent after `expires_at` if it echoes a heartbeat that this
     /// process sent no earlier than that.
@@ -107,8 +107,8 @@
         self.is_linked(controller_id) && latest.is_some_and(|heartbeat| heartbeat.hears_workers)
     }
 
-    /// Whether a zone has controllers besides this one, messages reach all of them, and each receives
-    /// heartbeats of workers.
+    /// Whether a zone has controllers besides this one, messages reach all of them, and each
+    /// receives heartbeats of workers.
     pub(crate) fn zone_peers_hear_workers(&self, zone: &str) -> bool {
         let mut zone_peers = self.peers_in_zone(zone).peekable();
         zone_peers.peek().is_some()
--- a/src/controller/quota/cells/changes.rs
+++ b/src/controller/quota/cells/changes.rs
@@ -173,8 +173,8 @@
             .is_ok();
     }
 
-    /// Handles the response to the commit of a change. Only the revision matters: the next change is
-    /// decided from the mirror, which shows whether this one was committed.
+    /// Handles the response to the commit of a change. Only the revision matters: the next change
+    /// is decided from the mirror, which shows whether this one was committed.
     pub(crate) fn on_cell_changed(&mut self, response: StoreResponse) {
         self.cells.change_pending = false;
         if let StoreResponse::Committed { revision } = response {
--- a/src/controller/quota/cells/messages.rs
+++ b/src/controller/quota/cells/messages.rs
@@ -1,7 +1,7 @@
 //! Messages between the leaders of the cells.
 //!
-//! A message from another cell only triggers an attempt at a change. Whether the change is allowed is
-//! decided from this cell's records, so no invariant depends on a message.
+//! A message from another cell only triggers an attempt at a change. Whether the change is allowed
+//! is decided from this cell's records, so no invariant depends on a message.
 
 use crate::controller::context::Context;
 use crate::controller::events::Output;
@@ -18,8 +18,8 @@
 const SEND_INTERVAL_S: f64 = 0.5;
 /// Interval between messages to another cell while their content changes, in seconds.
 const CHANGED_SEND_INTERVAL_S: f64 = 0.1;
-/// Maximum age of a message whose needs and recalls are acted on, in seconds. By then the need may be
-/// met, so no quota is given for it, and the recall may be over, so no shard is limited by it.
+/// Maximum age of a message whose needs and recalls are acted on, in seconds. By then the need may
+/// be met, so no quota is given for it, and the recall may be over, so no shard is limited by it.
 const MESSAGE_AGE_MAX_S: f64 = 10.0;
 
 /// The last message of another cell.
@@ -30,8 +30,8 @@
 }
 
 impl Context {
-    /// Stores a message of another cell's leader. A message is dropped if it is addressed to another
-    /// cell or its sender isn't in the cells file.
+    /// Stores a message of another cell's leader. A message is dropped if it is addressed to
+    /// another cell or its sender isn't in the cells file.
     pub(crate) fn on_cell_message(&mut self, message: LinkMessage) {
         let Some(file) = &self.settings.cells else {
             return;
@@ -62,7 +62,8 @@
             .map(|received| &received.message)
     }
 
-    /// Sends the state of this cell to all other cells when that is due, more often while it changes.
+    /// Sends the state of this cell to all other cells when that is due, more often while it
+    /// changes.
     pub(super) fn send_to_cells(&mut self, file: &CellsFile) {
         let Some(record) = self
             .store
@@ -94,8 +95,8 @@
         }
     }
 
-    /// The message to another cell: this cell's needs and recalls, and the transfers between the two
-    /// cells.
+    /// The message to another cell: this cell's needs and recalls, and the transfers between the
+    /// two cells.
     fn message_to(
         &self,
         to: &Cell,
--- a/src/controller/quota/cells/mod.rs
+++ b/src/controller/quota/cells/mod.rs
@@ -7,9 +7,9 @@
 //! Messages of other cells only trigger an attempt at a change; no invariant depends on them. What
 //! the shards may use follows from the cell's record, in commits that are conditional on it.
 //!
-//! [`views`] computes what each team uses and wants in this cell, [`changes`] decides on changes and
-//! commits them, [`messages`] exchanges needs and recalls with the other cells, and [`status_log`]
-//! reports to operators.
+//! [`views`] computes what each team uses and wants in this cell, [`changes`] decides on changes
+//! and commits them, [`messages`] exchanges needs and recalls with the other cells, and
+//! [`status_log`] reports to operators.
 
 mod changes;
 mod messages;
@@ -69,8 +69,8 @@
         if let Some(change) = self.context.next_cell_change(&file) {
             self.context.commit_cell_change(change);
         }
-        // The shards' records follow the cell's shares at once: shards may use a share that has just
-        // arrived, and have to free one that another cell needs.
+        // The shards' records follow the cell's shares at once: shards may use a share that has
+        // just arrived, and have to free one that another cell needs.
         self.lease_housekeeping();
     }
 
--- a/src/controller/quota/cells/views.rs
+++ b/src/controller/quota/cells/views.rs
@@ -1,4 +1,5 @@
-//! The quota state of each team in this cell, and the limits of the cell's shards that follow from it.
+//! The quota state of each team in this cell, and the limits of the cell's shards that follow from
+//! it.
 
 use crate::controller::context::Context;
 use crate::controller::quota::team_limits::TargetLimits;
@@ -28,8 +29,8 @@
     }
 
     /// How much of a team's share here is recalled: by the team's home or, if the home is here,
-    /// because operators lower the limit. The home frees at once all that it doesn't need itself, up
-    /// to the amount recalled.
+    /// because operators lower the limit. The home frees at once all that it doesn't need itself,
+    /// up to the amount recalled.
     fn recalled_here(&self, record: &CellRecord, team: &str, view: Option<&TeamView>) -> Amount {
         let share = record.share(team);
         let Some(limit) = record.limits.get(team) else {
@@ -45,7 +46,8 @@
     }
 
     /// The state of each team in this cell; `None` unless every shard's owner has sent counts under
-    /// the shard's present record. A shard holds what it may use or what it uses, whichever is more.
+    /// the shard's present record. A shard holds what it may use or what it uses, whichever is
+    /// more.
     pub(super) fn team_views(
         &self,
         record: &CellRecord,
--- a/src/controller/quota/team_limits.rs
+++ b/src/controller/quota/team_limits.rs
@@ -1,15 +1,15 @@
 //! Team limits that operators change at run time.
 //!
-//! Operators write the limits of some teams to a record at the store. From then on these replace the
-//! limits in the settings. The limits in force are those in the shards' records: the leader writes
-//! each change into them, and every task start is conditional on their revisions, so that a start
-//! under earlier limits fails from that commit on. If a limit is lowered below what its team uses,
-//! the quota share falls at once, and use falls as tasks are proven gone. Until then the team has no
-//! free quota.
+//! Operators write the limits of some teams to a record at the store. From then on these replace
+//! the limits in the settings. The limits in force are those in the shards' records: the leader
+//! writes each change into them, and every task start is conditional on their revisions, so that a
+//! start under earlier limits fails from that commit on. If a limit is lowered below what its team
+//! uses, the quota share falls at once, and use falls as tasks are proven gone. Until then the team
+//! has no free quota.
 //!
 //! A record that can't be read, names an unknown team or has an invalid amount changes nothing. The
-//! last valid limits stay in force even under a leader that never saw them, since the shards' records
-//! hold them.
+//! last valid limits stay in force even under a leader that never saw them, since the shards'
+//! records hold them.
 
 use crate::controller::context::Context;
 use crate::controller::store::records::{LimitsByTeam, LimitsRecord};
--- a/src/controller/rate_limits/mod.rs
+++ b/src/controller/rate_limits/mod.rs
@@ -1,8 +1,8 @@
 //! This controller's shares of the rate limits of the store and the cloud.
 //!
 //! The limits apply to all controllers together. No component assigns the shares: each controller
-//! derives its own from its role. [`token_bucket`] enforces a share, and [`write_rate`] measures how
-//! much the other controllers write, so that the sole owner can use what they leave of theirs.
+//! derives its own from its role. [`token_bucket`] enforces a share, and [`write_rate`] measures
+//! how much the other controllers write, so that the sole owner can use what they leave of theirs.
 
 pub(crate) mod token_bucket;
 pub(crate) mod write_rate;
--- a/src/controller/rate_limits/token_bucket.rs
+++ b/src/controller/rate_limits/token_bucket.rs
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Changes the rate and the burst, for instance when this controller's share of a limit changes.
-    /// Tokens already in the bucket stay, as far as they fit, and none are added.
+    /// Changes the rate and the burst, for instance when this controller's share of a limit
+    /// changes. Tokens already in the bucket stay, as far as they fit, and none are added.
     pub(crate) fn set_rate(&mut self, now: Time, rate: f64, burst: f64) {
         self.fill(now);
         self.rate = rate;
@@ -65,8 +65,8 @@
         self.filled_at = self.filled_at.max(now);
     }
 
-    /// Whether a call of this priority may take `tokens` now. A call that needs more than the bucket
-    /// can hold is allowed once the bucket is full, so that no call waits forever.
+    /// Whether a call of this priority may take `tokens` now. A call that needs more than the
+    /// bucket can hold is allowed once the bucket is full, so that no call waits forever.
     pub(crate) fn can_take(&mut self, now: Time, tokens: f64, priority: Priority) -> bool {
         self.fill(now);
         let required = (tokens + self.burst * priority.reserved_fraction()).min(self.burst);
@@ -80,8 +80,8 @@
         (self.burst * (1.0 - priority.reserved_fraction())).max(1.0)
     }
 
-    /// Takes `tokens`. After a large call the number of tokens may be negative, and later calls wait
-    /// until the bucket has filled again.
+    /// Takes `tokens`. After a large call the number of tokens may be negative, and later calls
+    /// wait until the bucket has filled again.
     pub(crate) fn take(&mut self, tokens: f64) {
         self.tokens -= tokens;
         self.spent += tokens;
