--- a/benches/controller.rs
+++ b/benches/controller.rs
@@ -115,7 +115,7 @@
         checkpoint_s: 0.0,
         save_s: 0.0,
         deadline_s: None,
-        chunk: 50,
+        chunk_size: 50,
         shard: 0,
         cancelled: false,
         dependencies: Vec::new(),
@@ -320,7 +320,11 @@
 fn events(c: &mut Criterion) {
     for machines in FLEETS {
         let mut owner = Driven::new(HOLDER, machines);
-        assert_eq!(owner.controller.holds(), Some(NUMBER), "it holds the block");
+        assert_eq!(
+            owner.controller.highest_shard_token(),
+            Some(NUMBER),
+            "it holds the block"
+        );
         bench(c, &format!("make a report, {machines} machines"), || {
             black_box(report(1, 1));
         });
--- a/src/controller/api/mod.rs
+++ b/src/controller/api/mod.rs
@@ -205,7 +205,7 @@
         let isolated = self.isolated_from_store() || self.peers_unreachable();
         let reply = if self.shutting_down() {
             Reply::later(503, 1, SHUTTING_DOWN)
-        } else if self.is_stale() && (!self.store.initial_list_done() || isolated) {
+        } else if self.is_stale() && (!self.store.is_initial_list_done() || isolated) {
             Reply::later(503, 1, "the state service doesn't answer")
         } else {
             Reply::ok(200, Vec::new())
--- a/src/controller/api/status_queries.rs
+++ b/src/controller/api/status_queries.rs
@@ -127,7 +127,7 @@
             return self.api.awaiting_end.push_back(query);
         }
         if query.intent == Intent::Cancel {
-            match job.cancelled {
+            match job.cancelled_at {
                 None => self.api.cancellations.push_back(query),
                 Some(_) => self.api.awaiting_end.push_back(query),
             }
--- a/src/controller/api/submissions.rs
+++ b/src/controller/api/submissions.rs
@@ -43,7 +43,7 @@
 
     /// Checks a submission, and has it wait for its commit if it can be accepted.
     pub(crate) fn on_submit(&mut self, request_id: RequestId, id: JobId, mut record: JobRecord) {
-        if self.store.mirror.accepted(&id) {
+        if self.store.mirror.is_accepted(&id) {
             return self.on_status_query(request_id, id, Intent::Resubmission);
         }
         if self.is_stale() {
@@ -62,7 +62,7 @@
             return self.refuse_submission(request_id, id, reason);
         }
         let limits = self.settings.state_limits();
-        record.chunk = chunk_size(limits.value_bytes);
+        record.chunk_size = chunk_size(limits.value_bytes);
         record.shard = self.shard_for(&id);
         if let Some(reason) = self.too_large(&record) {
             return self.refuse_submission(request_id, id, reason);
@@ -136,7 +136,7 @@
             return self.refuse_submission(submission.request_id, submission.id, reason.into());
         }
         let mut dependencies = submission.record.dependencies.iter();
-        if dependencies.all(|dependency| self.store.mirror.accepted(dependency)) {
+        if dependencies.all(|dependency| self.store.mirror.is_accepted(dependency)) {
             return self.api.submissions.push_back(submission);
         }
         let preceding_call = self.last_call();
@@ -175,7 +175,7 @@
             }
             let mut dependencies = dependent.submission.record.dependencies.iter();
             let Some(unknown) = dependencies
-                .find(|dependency| !self.store.mirror.accepted(dependency))
+                .find(|dependency| !self.store.mirror.is_accepted(dependency))
                 .cloned()
             else {
                 self.check_dependencies(dependent.submission);
@@ -201,7 +201,7 @@
         let ended = self.learn_ending(&dependency, &response).is_some();
         match response {
             _ if ended => self.api.dependent_submissions.push_back(dependent),
-            StoreResponse::Missing { .. } if self.store.mirror.accepted(&dependency) => {
+            StoreResponse::Missing { .. } if self.store.mirror.is_accepted(&dependency) => {
                 self.api.dependent_submissions.push_back(dependent);
             }
             StoreResponse::Missing { .. } => {
--- a/src/controller/autoscaling/mod.rs
+++ b/src/controller/autoscaling/mod.rs
@@ -114,8 +114,8 @@
 impl Context {
     /// Asks for the machine types until they are known.
     pub(crate) fn catalog_housekeeping(&mut self) {
-        if self.cloud.catalog.is_empty() && self.now >= self.cloud.catalog_retry {
-            self.cloud.catalog_retry = self.now.after(REPEAT_S);
+        if self.cloud.catalog.is_empty() && self.now >= self.cloud.catalog_retry_at {
+            self.cloud.catalog_retry_at = self.now.after(REPEAT_S);
             self.cloud_call(
                 CloudRequest::Catalog,
                 CloudPurpose::Catalog,
--- a/src/controller/autoscaling/plan.rs
+++ b/src/controller/autoscaling/plan.rs
@@ -130,7 +130,7 @@
             token: leadership.token,
             wanted: scale.wanted_by_type(catalog),
             shares,
-            closed: exhausted,
+            exhausted_pools: exhausted,
             ..ScalingPlanRecord::default()
         };
         let value_bytes = self.settings.state_limits().value_bytes;
@@ -144,9 +144,9 @@
 
     /// Writes a plan under the leader's lease.
     fn send_plan(&mut self, plan: ScalingPlanRecord) {
-        let (shares, exhausted) = (plan.shares.clone(), plan.closed.clone());
+        let (shares, exhausted) = (plan.shares.clone(), plan.exhausted_pools.clone());
         let request = StoreRequest::Transaction {
-            preconditions: vec![(Key::Leader, self.store.mirror.leader.version())],
+            preconditions: vec![(Key::Leader, self.store.mirror.leader.expected_revision())],
             writes: vec![Write::put(Key::Plan, Record::Plan(plan))],
         };
         if self
--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -11,7 +11,7 @@
     /// Machine types; empty until they are known.
     pub(crate) catalog: Vec<MachineType>,
     /// When the catalog is requested again, until it is known.
-    pub(crate) catalog_retry: Time,
+    pub(crate) catalog_retry_at: Time,
     /// Limits the calls per second.
     pub(crate) rate_limit: TokenBucket,
     /// Progress of the list of machines.
@@ -36,7 +36,7 @@
     pub(crate) fn new(rate_limit: TokenBucket) -> Self {
         Self {
             catalog: Vec::new(),
-            catalog_retry: Time(0),
+            catalog_retry_at: Time(0),
             rate_limit,
             listing: MachineListing {
                 under_way: false,
--- a/src/controller/context.rs
+++ b/src/controller/context.rs
@@ -29,11 +29,11 @@
 /// of this, so that one turn and one packet carry several of them.
 pub(crate) const BATCH_MS: u64 = HOUSEKEEPING_MS / 2;
 /// A controller has heard workers lately if one reported within this time.
-pub(crate) const RECENT_S: f64 = 3.0;
+pub(crate) const RECENT_HEARTBEAT_S: f64 = 3.0;
 /// Margin for the time a message takes and for late timers.
-pub(crate) const MARGIN_S: f64 = 2.0;
+pub(crate) const LEASE_MARGIN_S: f64 = 2.0;
 /// Steady clocks drift apart by at most this share.
-pub(crate) const CLOCK_DRIFT: f64 = 0.001;
+pub(crate) const CLOCK_DRIFT_FRACTION: f64 = 0.001;
 
 /// The state of a controller outside the shards that it owns.
 pub(crate) struct Context {
@@ -41,7 +41,7 @@
     pub(crate) incarnation: u64,
     pub(crate) now: Time,
     /// When this process took its first input.
-    pub(crate) began: Option<Time>,
+    pub(crate) started_at: Option<Time>,
     /// What the present step sends.
     pub(crate) outbox: Outbox,
     pub(crate) store: StoreClient<RequestPurpose>,
@@ -70,7 +70,7 @@
     pub(crate) applied_plan_revision: u64,
     /// When a worker last reported here.
     pub(crate) last_worker_heartbeat: Time,
-    pub(crate) housekeeping_at: Time,
+    pub(crate) next_housekeeping_at: Time,
     /// Machines looked at to place tasks, in all, and tasks placed.
     pub(crate) machines_scanned: u64,
     pub(crate) placed: u64,
@@ -87,7 +87,7 @@
             settings,
             incarnation,
             now: Time(0),
-            began: None,
+            started_at: None,
             outbox: Outbox::default(),
             store: StoreClient::default(),
             dependency_reads: DependencyReads::default(),
@@ -108,7 +108,7 @@
             next_counts_at: Time(0),
             applied_plan_revision: 0,
             last_worker_heartbeat: Time(0),
-            housekeeping_at: Time(0),
+            next_housekeeping_at: Time(0),
             machines_scanned: 0,
             placed: 0,
         }
--- a/src/controller/dependencies/graph.rs
+++ b/src/controller/dependencies/graph.rs
@@ -60,14 +60,17 @@
     }
 
     /// Whether a job is known to have been accepted.
-    pub(crate) fn accepted(&self, id: &JobId) -> bool {
+    pub(crate) fn is_accepted(&self, id: &JobId) -> bool {
         self.jobs.contains_key(id) || self.ending(id).is_some()
     }
 
     /// Whether a job that isn't over can't end as done any more: it is cancelled, or one that it
     /// depends on is.
     pub(crate) fn is_cancelled(&self, id: &JobId) -> bool {
-        let marked = self.jobs.get(id).is_some_and(|job| job.cancelled.is_some());
+        let marked = self
+            .jobs
+            .get(id)
+            .is_some_and(|job| job.cancelled_at.is_some());
         marked || self.is_cancelled_by_dependency(id)
     }
 
--- a/src/controller/dependencies/resolution.rs
+++ b/src/controller/dependencies/resolution.rs
@@ -41,7 +41,7 @@
 impl Context {
     /// Reads the ends of dependencies of which neither a live record nor an end is known.
     pub(crate) fn read_dependencies(&mut self) {
-        if !self.store.initial_list_done() || self.now < self.dependency_reads.not_before {
+        if !self.store.is_initial_list_done() || self.now < self.dependency_reads.not_before {
             return;
         }
         let unread = self.store.mirror.unread_dependencies().iter();
--- a/src/controller/events.rs
+++ b/src/controller/events.rs
@@ -41,7 +41,7 @@
     /// A message came from the leader of another cell.
     Cell(LinkMessage),
     /// The state of this controller's own connection to a peer changed.
-    Link(ControllerId, Link),
+    Link(ControllerId, LinkEvent),
     /// The share of the time since the last measurement for which this process didn't wait.
     ProcessorUtilization(f64),
     /// The process has to terminate, and hands over its shards first.
@@ -83,7 +83,7 @@
 
 /// What happened to a connection to a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Link {
+pub enum LinkEvent {
     /// It was made.
     Up,
     /// It broke, or couldn't be made.
@@ -100,7 +100,7 @@
     /// Call the store.
     Store(CallId, StoreRequest),
     /// Give up this call and close its connection: its response isn't needed any more.
-    Forget(CallId),
+    CancelCall(CallId),
     /// Call the cloud.
     Cloud(CallId, CloudRequest),
     /// Send a message to one peer, or to all.
@@ -138,9 +138,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Queue {
     /// Jobs that wait for their dependencies.
-    pub waiting_for_others: usize,
+    pub waiting_for_dependencies: usize,
     /// Jobs with tasks that wait for a machine.
-    pub waiting_for_room: usize,
+    pub waiting_for_machines: usize,
     /// Tasks that wait for a machine.
     pub tasks: usize,
 }
@@ -150,7 +150,7 @@
         write!(
             formatter,
             "queue: {} jobs wait for others, {} tasks of {} jobs for a machine",
-            self.waiting_for_others, self.tasks, self.waiting_for_room
+            self.waiting_for_dependencies, self.tasks, self.waiting_for_machines
         )
     }
 }
--- a/src/controller/forwarding.rs
+++ b/src/controller/forwarding.rs
@@ -12,7 +12,7 @@
 //! told of a cancellation only once every task is proven gone (`api`), so no bound runs against a
 //! worker that nobody with a fresh mirror reaches.
 
-use crate::controller::context::{BATCH_MS, Context, RECENT_S};
+use crate::controller::context::{BATCH_MS, Context, RECENT_HEARTBEAT_S};
 use crate::controller::events::{Output, Reply};
 use crate::controller::stable_hash::stable_hash;
 use crate::controller::{Controller, ShardOwner};
@@ -358,12 +358,12 @@
         let id = MachineId::from(ownerless.heartbeat.machine.as_str());
         let known = self.owner_for(&ownerless).is_some();
         let waited = self.now.since(ownerless.since) >= OWNERLESS_MAX_S;
-        let starting = !self.store.initial_list_done();
+        let starting = !self.store.is_initial_list_done();
         let sockets = self.settings.platform.facts.resources.max_sockets;
         let full = self.forwarding.ownerless.len() >= sockets;
         // An owner that takes over says so here only if somebody is heard here: a worker whose
         // heartbeat waited at a controller that was partitioned from the others lost its lease.
-        let alone = self.peers_unreachable() && self.age_s() > RECENT_S;
+        let alone = self.peers_unreachable() && self.age_s() > RECENT_HEARTBEAT_S;
         if known || waited || full || alone || (self.is_stale() && !starting) {
             return self.redirect(ownerless.request_id, &id);
         }
@@ -403,7 +403,7 @@
         // over. Tasks that the owner had started just before it ended were stopped here, since the
         // follow hadn't brought their jobs yet, and started again by its successor.
         let over = |task: &TaskId| match self.store.mirror.jobs.get(&task.job) {
-            Some(job) => job.cancelled.is_some(),
+            Some(job) => job.cancelled_at.is_some(),
             None => self.store.mirror.ending(&task.job).is_some(),
         };
         let halts = heartbeat.tasks.iter().filter_map(|t| {
--- a/src/controller/leadership/election.rs
+++ b/src/controller/leadership/election.rs
@@ -8,7 +8,7 @@
 //! (`may_use_cloud`).
 
 use crate::controller::Controller;
-use crate::controller::context::{CLOCK_DRIFT, Context};
+use crate::controller::context::{CLOCK_DRIFT_FRACTION, Context};
 use crate::controller::leadership::GiveUpReason;
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::store::records::{FencingTokenRecord, Key, LeaderRecord, Record};
@@ -142,7 +142,7 @@
             Some(fence) => {
                 let wait_s = fence.ms as f64 / 1000.0;
                 self.now
-                    .after(wait_s * (1.0 + CLOCK_DRIFT) + FENCE_MARGIN_S)
+                    .after(wait_s * (1.0 + CLOCK_DRIFT_FRACTION) + FENCE_MARGIN_S)
             }
         }
     }
@@ -295,11 +295,14 @@
 
     fn commit_leadership(&mut self, lease_id: u64) {
         // The leadership's own token comes first: scale-out requests are named after it.
-        let token = FencingToken(self.store.mirror.highest().0 + 1);
+        let token = FencingToken(self.store.mirror.highest_token().0 + 1);
         let mut highest = token;
         let mut preconditions = vec![
-            (Key::Leader, self.store.mirror.leader.version()),
-            (Key::FencingToken, self.store.mirror.token.version()),
+            (Key::Leader, self.store.mirror.leader.expected_revision()),
+            (
+                Key::FencingToken,
+                self.store.mirror.token.expected_revision(),
+            ),
         ];
         let mut writes = Vec::new();
         // Two changes are kept for the leader's and the token's records.
@@ -347,7 +350,7 @@
         self.election.vacant_since = None;
         if let StoreResponse::Committed { revision } = reply {
             self.election.won_revision = revision;
-            self.store.end_pause(self.now, &mut self.outbox);
+            self.store.resume_watch(self.now, &mut self.outbox);
         }
     }
 
--- a/src/controller/leadership/mod.rs
+++ b/src/controller/leadership/mod.rs
@@ -7,7 +7,7 @@
 
 use crate::controller::Controller;
 use crate::controller::autoscaling::plan::ScalingState;
-use crate::controller::store::records::Entry;
+use crate::controller::store::records::MachineEntry;
 use crate::ids::{FencingToken, MachineId, Time};
 use crate::peer::ShardCounts;
 use std::collections::BTreeMap;
@@ -22,7 +22,7 @@
     /// Machines that each shard lacks, by type and kind.
     pub(crate) lacking_machines: BTreeMap<(String, bool, u32), u32>,
     /// Machines that belong to no shard yet.
-    pub(crate) unassigned: BTreeMap<MachineId, Entry>,
+    pub(crate) unassigned: BTreeMap<MachineId, MachineEntry>,
     /// Machines that owners deleted, and when that was heard: lists show them still.
     pub(crate) deleted_machines: BTreeMap<MachineId, Time>,
     /// Since when more shards are needed than there are.
--- a/src/controller/machines/liveness.rs
+++ b/src/controller/machines/liveness.rs
@@ -1,7 +1,9 @@
 //! Machines that are silent, partitioned, or hear nothing, and leases that are over.
 
 use crate::controller::ShardOwner;
-use crate::controller::context::{CLOCK_DRIFT, Context, MARGIN_S, RECENT_S};
+use crate::controller::context::{
+    CLOCK_DRIFT_FRACTION, Context, LEASE_MARGIN_S, RECENT_HEARTBEAT_S,
+};
 use crate::controller::machines::DecommissionReason;
 use crate::controller::machines::inventory::Machine;
 use crate::controller::shard::job::Phase;
@@ -77,8 +79,8 @@
 
     /// Proof 2: leases that must be over.
     pub(crate) fn check_leases(&mut self, context: &Context) {
-        let lease =
-            context.settings.platform.facts.workers.lease_s * (1.0 + CLOCK_DRIFT) + MARGIN_S;
+        let lease = context.settings.platform.facts.workers.lease_s * (1.0 + CLOCK_DRIFT_FRACTION)
+            + LEASE_MARGIN_S;
         let (now, fresh) = (context.now, context.store.linearized_at());
         let mut lost = Vec::new();
         for (id, machine) in self.machines.iter() {
@@ -262,7 +264,7 @@
         let now = context.now;
         let lease_s = context.settings.platform.facts.workers.lease_s;
         let mut unreachable_controllers = Vec::new();
-        if now.since(context.last_worker_heartbeat) > RECENT_S {
+        if now.since(context.last_worker_heartbeat) > RECENT_HEARTBEAT_S {
             unreachable_controllers.push(None);
         }
         let peers = context.settings.platform.peers.iter();
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -83,13 +83,13 @@
             Input::Cell(message) => self.context.on_cell_message(message),
             Input::Link(controller_id, link) => self.context.on_link(controller_id, link),
             Input::ProcessorUtilization(share) => {
-                self.context.processor.note(self.context.now, share);
+                self.context.processor.record(self.context.now, share);
             }
             Input::Shutdown => self.on_shutdown(),
             Input::Tick => {}
         }
-        if self.context.now >= self.context.housekeeping_at {
-            self.context.housekeeping_at = self.context.now.next_multiple(HOUSEKEEPING_MS);
+        if self.context.now >= self.context.next_housekeeping_at {
+            self.context.next_housekeeping_at = self.context.now.next_multiple(HOUSEKEEPING_MS);
             self.housekeeping();
         }
         for shard in self.shards.values_mut() {
@@ -109,13 +109,13 @@
             .filter_map(shard::ShardOwner::first_long_poll_deadline);
         let due = held.chain(self.context.api.first_delayed_ending());
         let due = due.chain(self.context.forwarding.batched_until()).min();
-        due.map_or(self.context.housekeeping_at, |t| {
-            t.min(self.context.housekeeping_at)
+        due.map_or(self.context.next_housekeeping_at, |t| {
+            t.min(self.context.next_housekeeping_at)
         })
     }
 
     /// The highest token under which this controller holds a shard.
-    pub fn holds(&self) -> Option<FencingToken> {
+    pub fn highest_shard_token(&self) -> Option<FencingToken> {
         self.shards.values().map(|h| h.token).max()
     }
 
@@ -144,9 +144,9 @@
         let mut queue = Queue::default();
         for job_state in self.shards.values().flat_map(|h| h.jobs.values()) {
             let tasks = job_state.queued() as usize;
-            queue.waiting_for_others +=
+            queue.waiting_for_dependencies +=
                 usize::from(job_state.cancelled.is_none() && !job_state.released);
-            queue.waiting_for_room += usize::from(tasks > 0);
+            queue.waiting_for_machines += usize::from(tasks > 0);
             queue.tasks += tasks;
         }
         Some(queue)
--- a/src/controller/peers/heartbeats.rs
+++ b/src/controller/peers/heartbeats.rs
@@ -1,7 +1,7 @@
 //! Heartbeats between controllers, and what they tell of who runs and who holds what.
 
 use crate::controller::Controller;
-use crate::controller::context::{Context, RECENT_S};
+use crate::controller::context::{Context, RECENT_HEARTBEAT_S};
 use crate::controller::events::Output;
 use crate::controller::leadership::GiveUpReason;
 use crate::controller::store::staleness::STALENESS_BOUND_S;
@@ -31,7 +31,8 @@
             shards: shards.collect(),
             is_fresh: !self.context.is_stale(),
             staleness_ms: (self.context.staleness_s() * 1000.0) as u64,
-            hears_workers: self.context.now.since(self.context.last_worker_heartbeat) < RECENT_S,
+            hears_workers: self.context.now.since(self.context.last_worker_heartbeat)
+                < RECENT_HEARTBEAT_S,
             workers_unreachable: self
                 .shards
                 .values()
@@ -175,7 +176,7 @@
     }
 
     pub(crate) fn recent_heartbeats(&self) -> impl Iterator<Item = &PeerHeartbeat> {
-        let recent = |at: &Time| self.now.since(*at) < RECENT_S;
+        let recent = |at: &Time| self.now.since(*at) < RECENT_HEARTBEAT_S;
         let all = self.peers.heartbeats.values();
         all.filter(move |(_, at)| recent(at)).map(|(h, _)| h)
     }
--- a/src/controller/peers/links.rs
+++ b/src/controller/peers/links.rs
@@ -2,26 +2,26 @@
 //! alive in an owner's place.
 
 use crate::controller::context::Context;
-use crate::controller::events::Link;
+use crate::controller::events::LinkEvent;
 use crate::controller::forwarding::TAKEOVER_MARGIN_S;
 use crate::ids::{ControllerId, Time};
 use crate::settings::Peer;
 
 impl Context {
     /// Whether a connection to a peer could be made, or was refused.
-    pub(crate) fn on_link(&mut self, controller_id: ControllerId, link: Link) {
-        if link != Link::Up {
+    pub(crate) fn on_link(&mut self, controller_id: ControllerId, link: LinkEvent) {
+        if link != LinkEvent::Up {
             self.standby
                 .on_disconnected(self.now.0, controller_id.as_str());
         }
         match link {
-            Link::Up => {
+            LinkEvent::Up => {
                 self.peers.links_down.remove(&controller_id);
             }
-            Link::Lost => {
+            LinkEvent::Lost => {
                 self.peers.links_down.entry(controller_id).or_insert(None);
             }
-            Link::Refused => {
+            LinkEvent::Refused => {
                 let since = self.peers.links_down.entry(controller_id).or_insert(None);
                 since.get_or_insert(self.now);
             }
@@ -58,12 +58,12 @@
     pub(crate) fn record_start(&mut self) {
         let now = self.now;
         self.forwarding.last_keepalive.get_or_insert(now);
-        self.began.get_or_insert(now);
+        self.started_at.get_or_insert(now);
     }
 
     /// How long this process has run, in seconds.
     pub(crate) fn age_s(&self) -> f64 {
-        self.began.map_or(0.0, |began| self.now.since(began))
+        self.started_at.map_or(0.0, |began| self.now.since(began))
     }
 
     /// Whether every other controller of a zone has said, after `over`, that it had
--- a/src/controller/processor.rs
+++ b/src/controller/processor.rs
@@ -24,7 +24,7 @@
 impl ProcessorUtilization {
     /// Adds a measurement: the share of its time, from 0 to 1, for which the process didn't wait
     /// since the measurement before this one.
-    pub fn note(&mut self, now: Time, busy: f64) {
+    pub fn record(&mut self, now: Time, busy: f64) {
         let busy = busy.clamp(0.0, 1.0);
         let smoothed = match self.latest {
             None => busy,
@@ -37,7 +37,7 @@
     }
 
     /// Whether there ever was a measurement.
-    pub fn measured(&self) -> bool {
+    pub fn has_measurement(&self) -> bool {
         self.latest.is_some()
     }
 
--- a/src/controller/quota/cells/changes.rs
+++ b/src/controller/quota/cells/changes.rs
@@ -141,21 +141,22 @@
 
     /// Sends the transaction of a change.
     pub(super) fn commit_cell_change(&mut self, change: CellChange) {
-        let mut preconditions = vec![(Key::Leader, self.store.mirror.leader.version())];
+        let mut preconditions = vec![(Key::Leader, self.store.mirror.leader.expected_revision())];
         let mut writes = Vec::new();
-        preconditions.push((Key::Cell, self.store.mirror.cell.version()));
+        preconditions.push((Key::Cell, self.store.mirror.cell.expected_revision()));
         if let Some(cell) = change.cell {
             writes.push(Write::put(Key::Cell, Record::Cell(Box::new(cell))));
         }
         if let Some((other, link)) = change.link {
             let key = Key::CellLink(other.clone());
             let slot = self.store.mirror.cell_links.get(&other);
-            preconditions.push((key.clone(), slot.map_or(0, Mirrored::version)));
+            preconditions.push((key.clone(), slot.map_or(0, Mirrored::expected_revision)));
             writes.push(Write::put(key, Record::CellLink(link)));
         }
         if change.shards_unchanged {
             let shards = self.store.mirror.shards.iter();
-            preconditions.extend(shards.map(|(shard, slot)| (Key::Shard(*shard), slot.version())));
+            preconditions
+                .extend(shards.map(|(shard, slot)| (Key::Shard(*shard), slot.expected_revision())));
         }
         debug!("cell records change, reason={}", change.reason);
         let request = StoreRequest::Transaction {
--- a/src/controller/shard/admission.rs
+++ b/src/controller/shard/admission.rs
@@ -6,7 +6,7 @@
 use crate::controller::shard::ShardOwner;
 use crate::controller::shard::job::{JobState, Phase, Placement};
 use crate::controller::store::mirror::MirroredJob;
-use crate::controller::store::records::Placed;
+use crate::controller::store::records::PlacedTask;
 use crate::ids::{JobId, TaskId, Time};
 use log::info;
 use std::collections::BTreeSet;
@@ -61,8 +61,8 @@
             return self.admit(context, id);
         };
         job_state.revision = job.revision;
-        if job.cancelled.is_some() && job_state.cancelled.is_none() {
-            job_state.cancelled = job.cancelled;
+        if job.cancelled_at.is_some() && job_state.cancelled.is_none() {
+            job_state.cancelled = job.cancelled_at;
             self.stop_cancelled(context, id);
         }
     }
@@ -210,7 +210,7 @@
         &mut self,
         now: Time,
         job: &JobId,
-        (index, attempt, machine, zone): Placed,
+        (index, attempt, machine, zone): PlacedTask,
     ) {
         if !self.machines.contains_key(&machine) && !self.deleted_machines.contains_key(&machine) {
             // Known by name only until it heartbeats. If it never does, it is
--- a/src/controller/shard/commits.rs
+++ b/src/controller/shard/commits.rs
@@ -5,7 +5,7 @@
 use crate::controller::shard::ShardOwner;
 use crate::controller::shard::job::{JobState, Phase, Placement};
 use crate::controller::shard::transaction::{TransactionLimits, next_transaction};
-use crate::controller::store::chunks::{ChunkLayout, chunk_size, ranges};
+use crate::controller::store::chunks::{ChunkLayout, chunk_size, to_ranges};
 use crate::controller::store::records::{Key, PlacementRecord, PriorityClass, Record};
 use crate::controller::store_requests::{RequestPurpose, ShardRequest};
 use crate::ids::{Attempt, JobId, MachineId, TaskId, Time};
@@ -75,7 +75,7 @@
 impl Context {
     fn transaction_limits(&self) -> TransactionLimits {
         let strict = self.settings.state_limits();
-        let value_bytes = if self.store.values_shrunk {
+        let value_bytes = if self.store.announced_limits_in_force {
             strict.value_bytes
         } else {
             self.settings.platform.facts.state.value_bytes_now()
@@ -141,7 +141,7 @@
     ) {
         if reply == StoreResponse::Rejected {
             warn!("store refuses values of this size, the announced limits are in force");
-            context.store.values_shrunk = true;
+            context.store.announced_limits_in_force = true;
         }
         self.writes_in_flight = self.writes_in_flight.saturating_sub(1);
         if !matches!(reply, StoreResponse::Committed { .. }) {
@@ -311,11 +311,11 @@
             (*index, placement.attempt, placement.machine.clone(), zone)
         });
         PlacementRecord {
-            done: ranges(done),
+            done: to_ranges(done),
             placed: placed.collect(),
             failed_tries,
             failed_on,
-            part: job_state.layout.part_size(chunk),
+            part_size: job_state.layout.part_size(chunk),
         }
     }
 
--- a/src/controller/shard/job.rs
+++ b/src/controller/shard/job.rs
@@ -102,7 +102,7 @@
             revision: job.revision,
             arrival: job.revision,
             since: now,
-            cancelled: job.cancelled,
+            cancelled: job.cancelled_at,
             released: false,
             done: vec![false; job.record.count as usize],
             done_count: 0,
--- a/src/controller/shard/mod.rs
+++ b/src/controller/shard/mod.rs
@@ -14,7 +14,7 @@
 pub(crate) mod transaction;
 
 use crate::controller::audit::AuditError;
-use crate::controller::context::RECENT_S;
+use crate::controller::context::RECENT_HEARTBEAT_S;
 use crate::controller::machines::failures::FailureLog;
 use crate::controller::machines::inventory::{Inventory, Machine};
 use crate::controller::pool::Pool;
@@ -219,7 +219,7 @@
             .machines
             .values()
             .any(|machine| machine.agent_epoch > 0);
-        had && now.since(self.last_worker_heartbeat) > RECENT_S
+        had && now.since(self.last_worker_heartbeat) > RECENT_HEARTBEAT_S
     }
 
     pub(crate) fn next_attempt(&mut self) -> Attempt {
--- a/src/controller/shards/assignment.rs
+++ b/src/controller/shards/assignment.rs
@@ -43,7 +43,7 @@
             .get(&shard)
             .cloned()
             .unwrap_or_default();
-        let version = slot.version();
+        let version = slot.expected_revision();
         let old = slot.record;
         let record = ShardRecord {
             owner: self.settings.platform.controller_id.clone(),
--- a/src/controller/shards/leases.rs
+++ b/src/controller/shards/leases.rs
@@ -33,7 +33,7 @@
             .collect();
         let mut after: BTreeMap<u32, ShardRecord> =
             before.iter().map(|(k, (_, b))| (*k, b.clone())).collect();
-        let mut highest = self.context.store.mirror.highest();
+        let mut highest = self.context.store.mirror.highest_token();
         self.replace_owners(&mut after, &mut highest);
         self.split(&mut after, &mut highest);
         self.context.assign_machines(&mut after);
@@ -49,10 +49,10 @@
         after: BTreeMap<u32, ShardRecord>,
         highest: FencingToken,
     ) {
-        let mut preconditions = vec![(Key::Leader, self.store.mirror.leader.version())];
+        let mut preconditions = vec![(Key::Leader, self.store.mirror.leader.expected_revision())];
         if self.settings.cells.is_some() {
             // What the shards may use was taken from this record.
-            preconditions.push((Key::Cell, self.store.mirror.cell.version()));
+            preconditions.push((Key::Cell, self.store.mirror.cell.expected_revision()));
         }
         let (mut writes, mut bytes) = (Vec::new(), 0);
         let most = self.settings.state_limits().txn_ops - 1;
@@ -69,8 +69,11 @@
         if writes.is_empty() {
             return;
         }
-        if highest > self.store.mirror.highest() {
-            preconditions.push((Key::FencingToken, self.store.mirror.token.version()));
+        if highest > self.store.mirror.highest_token() {
+            preconditions.push((
+                Key::FencingToken,
+                self.store.mirror.token.expected_revision(),
+            ));
             let fence = self
                 .store
                 .mirror
--- a/src/controller/shards/machine_assignment.rs
+++ b/src/controller/shards/machine_assignment.rs
@@ -1,7 +1,7 @@
 //! Which shard a machine belongs to: machines of no shard yet are assigned, deleted ones leave.
 
 use crate::controller::context::Context;
-use crate::controller::store::records::{Entry, ShardRecord, json_bytes};
+use crate::controller::store::records::{MachineEntry, ShardRecord, json_bytes};
 use crate::ids::MachineId;
 use crate::wire::WorkerHeartbeat;
 use std::collections::{BTreeMap, BTreeSet};
@@ -72,7 +72,7 @@
         self.add_unassigned(entry);
     }
 
-    pub(crate) fn add_unassigned(&mut self, entry: Entry) {
+    pub(crate) fn add_unassigned(&mut self, entry: MachineEntry) {
         let known = self.store.mirror.shard_of_machine(&entry.0).is_some();
         if let Some(leadership) = self.leadership.as_mut().filter(|_| !known)
             && !leadership.deleted_machines.contains_key(&entry.0)
--- a/src/controller/shards/splitting.rs
+++ b/src/controller/shards/splitting.rs
@@ -4,7 +4,7 @@
 use crate::controller::context::Context;
 use crate::controller::shard::ShardOwner;
 use crate::controller::stable_hash::stable_hash;
-use crate::controller::store::records::{Entry, LimitsByTeam, ShardRecord, json_bytes};
+use crate::controller::store::records::{LimitsByTeam, MachineEntry, ShardRecord, json_bytes};
 use crate::ids::{ControllerId, FencingToken, JobId};
 use log::info;
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
     /// some seconds, and isn't undone.
     pub(crate) fn shards_needed(&mut self, machines: u32, shards: usize) -> usize {
         let now = self.context.now;
-        if !self.context.processor.measured() {
+        if !self.context.processor.has_measurement() {
             // A process that has just begun will be.
             let never = self.context.age_s() > UNMEASURED_S;
             return if never {
@@ -116,7 +116,7 @@
 
 impl ShardOwner {
     /// The shard's machines as its record lists them.
-    pub(crate) fn entries(&self) -> Vec<Entry> {
+    pub(crate) fn entries(&self) -> Vec<MachineEntry> {
         let all = self.machines.iter();
         let all = all.map(|(id, machine)| {
             let (class, zone) = (machine.type_name.to_string(), machine.zone.to_string());
--- a/src/controller/store/chunks.rs
+++ b/src/controller/store/chunks.rs
@@ -42,7 +42,7 @@
     pub fn new(record: &JobRecord, part: Option<u32>) -> Self {
         Self {
             count: record.count,
-            chunk: record.chunk.max(1),
+            chunk: record.chunk_size.max(1),
             part: part.filter(|size| *size > 0),
         }
     }
@@ -88,7 +88,7 @@
 }
 
 /// Rising indexes as ranges of neighbours, each with the index behind its last.
-pub fn ranges(indexes: impl Iterator<Item = u32>) -> Vec<(u32, u32)> {
+pub fn to_ranges(indexes: impl Iterator<Item = u32>) -> Vec<(u32, u32)> {
     let mut ranges: Vec<(u32, u32)> = Vec::new();
     for index in indexes {
         match ranges.last_mut() {
@@ -108,7 +108,7 @@
     runs: impl Iterator<Item = (u32, &'a (u64, PlacementRecord))>,
 ) -> (Vec<EffectivePlacements<'a>>, ChunkLayout) {
     let runs: Vec<_> = runs.collect();
-    let part = runs.iter().find_map(|(_, (_, run))| run.part);
+    let part = runs.iter().find_map(|(_, (_, run))| run.part_size);
     let layout = ChunkLayout::new(record, part);
     let parts = runs.iter().map(|(chunk, _)| *chunk);
     let parts = parts.filter(|chunk| ChunkLayout::is_part(*chunk));
--- a/src/controller/store/mirror.rs
+++ b/src/controller/store/mirror.rs
@@ -21,7 +21,7 @@
     pub record: Rc<JobRecord>,
     pub revision: u64,
     /// When this process learnt that the job is cancelled.
-    pub cancelled: Option<Time>,
+    pub cancelled_at: Option<Time>,
     /// The highest rank of the job and of the open ones that depend on it.
     pub priority_class: PriorityClass,
 }
@@ -56,7 +56,7 @@
     }
 
     /// The revision to compare with in a commit.
-    pub(crate) fn version(&self) -> u64 {
+    pub(crate) fn expected_revision(&self) -> u64 {
         if self.record.is_some() {
             self.revision
         } else {
@@ -161,11 +161,11 @@
             return None;
         }
         let before = self.jobs.get(&id);
-        let since = before.and_then(|j| j.cancelled).unwrap_or(now);
-        let cancelled = record.cancelled.then_some(since);
+        let since = before.and_then(|j| j.cancelled_at).unwrap_or(now);
+        let cancelled_at = record.cancelled.then_some(since);
         let job = MirroredJob {
             revision,
-            cancelled,
+            cancelled_at,
             priority_class: before.map_or(record.priority_class, |j| j.priority_class),
             record: Rc::new(record),
         };
@@ -174,7 +174,7 @@
         if new {
             self.link(&id);
         }
-        if cancelled.is_some() {
+        if cancelled_at.is_some() {
             self.on_marked_cancelled(&id);
         }
         Some(MirrorEvent::JobChanged(id))
@@ -245,7 +245,7 @@
     /// What the cloud has nothing left of, as the plan says.
     pub(crate) fn exhausted_pools(&self) -> &[ExhaustedPool] {
         let plan = self.plan.record.as_ref();
-        plan.map_or(&[], |placement| &placement.closed)
+        plan.map_or(&[], |placement| &placement.exhausted_pools)
     }
 
     /// The chunks written for a job.
@@ -297,7 +297,7 @@
     }
 
     /// The highest token that anything known here speaks of.
-    pub(crate) fn highest(&self) -> FencingToken {
+    pub(crate) fn highest_token(&self) -> FencingToken {
         let said = self.token.record.as_ref().map(|r| r.highest);
         let held = self.shard_records().map(|(_, record)| record);
         held.map(|b| b.token).chain(said).max().unwrap_or_default()
--- a/src/controller/store/mod.rs
+++ b/src/controller/store/mod.rs
@@ -81,7 +81,7 @@
     pub(crate) write_rate: WriteRateMeter,
     /// Whether the store has refused a value for its size: the limits that were announced are in
     /// force.
-    pub(crate) values_shrunk: bool,
+    pub(crate) announced_limits_in_force: bool,
     watch: WatchState,
     initial_list_done: bool,
     staleness: Staleness,
@@ -95,7 +95,7 @@
             request_limit: TokenBucket::new(1.0, 1.0),
             change_limit: TokenBucket::new(1.0, 1.0),
             write_rate: WriteRateMeter::default(),
-            values_shrunk: false,
+            announced_limits_in_force: false,
             watch: WatchState::default(),
             initial_list_done: false,
             staleness: Staleness::default(),
--- a/src/controller/store/records.rs
+++ b/src/controller/store/records.rs
@@ -1,7 +1,7 @@
 //! What the controllers keep at the store. All keys share one prefix, so
 //! that one follow sees every change.
 
-use crate::controller::store::chunks::ranges;
+use crate::controller::store::chunks::to_ranges;
 use crate::ids::{Attempt, ControllerId, FencingToken, Image, JobId, MachineId};
 use salttrestle_cells::Cell;
 use salttrestle_cells::ledger::{CellRecord, LinkRecord};
@@ -115,7 +115,7 @@
 }
 
 /// A machine as a shard's record names it: type, zone, and whether it is spot.
-pub type Entry = (MachineId, String, String, bool);
+pub type MachineEntry = (MachineId, String, String, bool);
 
 /// A shard: who holds it and under which number. Starts are committed on the
 /// condition that this record is unchanged.
@@ -132,7 +132,7 @@
     pub token: FencingToken,
     /// The shard's machines; `None` for all there are, while it is the only shard.
     #[serde(default, with = "packed")]
-    pub machines: Option<Vec<Entry>>,
+    pub machines: Option<Vec<MachineEntry>>,
     /// CPUs and GPUs that each team with a limit may use here; `None` for the whole
     /// limit, while this is the only shard.
     #[serde(rename = "allowances", default)]
@@ -142,7 +142,7 @@
 /// How a shard's list of machines is written: by type, zone and kind, and of the names
 /// only what they don't share. Written one by one, a list outgrew its value at 71 machines.
 mod packed {
-    use super::{Entry, MachineId};
+    use super::{MachineEntry, MachineId};
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
     use std::collections::BTreeMap;
 
@@ -167,7 +167,7 @@
     }
 
     pub(super) fn serialize<S: Serializer>(
-        list: &Option<Vec<Entry>>,
+        list: &Option<Vec<MachineEntry>>,
         out: S,
     ) -> Result<S::Ok, S::Error> {
         let groups = list.as_ref().map(|list| {
@@ -189,12 +189,12 @@
 
     pub(super) fn deserialize<'de, D: Deserializer<'de>>(
         from: D,
-    ) -> Result<Option<Vec<Entry>>, D::Error> {
+    ) -> Result<Option<Vec<MachineEntry>>, D::Error> {
         let groups: Option<Vec<Group>> = Option::deserialize(from)?;
         let entries = |(class, zone, spot, begin, rests): Group| {
             let ids = rests.split(GAP).map(|rest| format!("{begin}{rest}"));
             let entry = |id: String| (MachineId::from(&*id), class.clone(), zone.clone(), spot);
-            ids.map(entry).collect::<Vec<Entry>>()
+            ids.map(entry).collect::<Vec<MachineEntry>>()
         };
         Ok(groups.map(|all| all.into_iter().flat_map(entries).collect()))
     }
@@ -244,7 +244,7 @@
     pub shares: Vec<(u32, u32)>,
     /// What isn't to be had for now; tasks count on other pools meanwhile.
     #[serde(rename = "closed", default)]
-    pub closed: Vec<ExhaustedPool>,
+    pub exhausted_pools: Vec<ExhaustedPool>,
     /// Machines to return, if they are empty.
     #[serde(rename = "returns", default)]
     pub scale_in: Vec<MachineId>,
@@ -362,7 +362,8 @@
     /// When it should be done, measured from its submission.
     pub deadline_s: Option<f64>,
     /// Tasks per `run` record. Kept here, since settings may change.
-    pub chunk: u32,
+    #[serde(rename = "chunk")]
+    pub chunk_size: u32,
     /// The shard whose owner runs it.
     #[serde(rename = "block")]
     pub shard: u32,
@@ -383,7 +384,7 @@
 }
 
 /// One placed task: its index, attempt, machine, and that machine's zone.
-pub type Placed = (u32, Attempt, MachineId, String);
+pub type PlacedTask = (u32, Attempt, MachineId, String);
 
 /// One chunk of a job's tasks: ranges of finished ones, and those placed.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -391,7 +392,7 @@
     /// Ranges of finished tasks, each with the index behind its last.
     pub done: Vec<(u32, u32)>,
     /// Placed tasks.
-    pub placed: Vec<Placed>,
+    pub placed: Vec<PlacedTask>,
     /// Failed tries of the job since a task of it last succeeded, when this was written. The
     /// next owner blames neither the machines nor the job anew.
     #[serde(default, skip_serializing_if = "is_zero")]
@@ -401,8 +402,8 @@
     pub failed_on: Vec<MachineId>,
     /// Tasks of a part, if this is one. It alone speaks of its tasks then; the record of its
     /// chunk, which couldn't be written any more, is passed over for them.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub part: Option<u32>,
+    #[serde(rename = "part", default, skip_serializing_if = "Option::is_none")]
+    pub part_size: Option<u32>,
 }
 
 impl PlacementRecord {
@@ -412,7 +413,7 @@
         let mut record = self.clone();
         record.placed.retain(|(index, ..)| spoken_of(index));
         let done = self.done.iter().flat_map(|(from, to)| *from..*to);
-        record.done = ranges(done.filter(spoken_of));
+        record.done = to_ranges(done.filter(spoken_of));
         record
     }
 }
--- a/src/controller/store/watch.rs
+++ b/src/controller/store/watch.rs
@@ -68,7 +68,7 @@
                 if self.staleness.waits_longer_than(now, WATCH_STUCK_S) =>
             {
                 self.pending.remove(&call);
-                outbox.push(Output::Forget(call));
+                outbox.push(Output::CancelCall(call));
                 self.staleness.forget_reads();
                 self.open_watch(now, outbox);
             }
@@ -155,7 +155,7 @@
     }
 
     /// Opens the next watch without a pause: something is known to have changed.
-    pub(crate) fn end_pause(&mut self, now: Time, outbox: &mut Outbox) {
+    pub(crate) fn resume_watch(&mut self, now: Time, outbox: &mut Outbox) {
         if matches!(self.watch, WatchState::Paused { .. }) {
             self.open_watch(now, outbox);
         }
@@ -194,7 +194,7 @@
     }
 
     /// Whether the store's records were listed, and are watched since.
-    pub(crate) fn initial_list_done(&self) -> bool {
+    pub(crate) fn is_initial_list_done(&self) -> bool {
         self.initial_list_done
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -234,7 +234,7 @@
                 let request = OutgoingRequest::Cloud(request);
                 self.outgoing.start(context, call, request);
             }
-            Output::Forget(call) => self.outgoing.cancel(context, call),
+            Output::CancelCall(call) => self.outgoing.cancel(context, call),
             Output::Reconnect(peer) => self.peers.skip_pause(&peer),
             Output::Cell(to, message) => self.cells.send(context, &to, &message),
             Output::Peer(to, message) => self.peers.send(context, to.as_ref(), &message),
--- a/src/net/peer_links.rs
+++ b/src/net/peer_links.rs
@@ -1,7 +1,7 @@
 //! Messages between the controllers of this cell. Each keeps one connection to every peer for
 //! what it sends, and reads what comes on those that the peers made.
 
-use crate::controller::events::{Input, Link};
+use crate::controller::events::{Input, LinkEvent};
 use crate::ids::{ControllerId, Time};
 use crate::net::connections::{ConnectProgress, ConnectionId, Outcome, Protocol, begin_connect};
 use crate::net::context::Context;
@@ -142,7 +142,7 @@
         match context.connections.connect_progress(id) {
             ConnectProgress::Established => {
                 link.is_established = true;
-                let input = Input::Link(link.peer.clone(), Link::Up);
+                let input = Input::Link(link.peer.clone(), LinkEvent::Up);
                 context.inputs.push_back(input);
             }
             ConnectProgress::Refused => link.is_refused = true,
@@ -200,9 +200,9 @@
     }
 }
 
-fn lost_or_refused(is_refused: bool) -> Link {
+fn lost_or_refused(is_refused: bool) -> LinkEvent {
     match is_refused {
-        true => Link::Refused,
-        false => Link::Lost,
+        true => LinkEvent::Refused,
+        false => LinkEvent::Lost,
     }
 }
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -174,7 +174,7 @@
         checkpoint_s: amount("bookmarkS", body.checkpoint_s)?,
         save_s: amount("stashS", body.save_s)?,
         deadline_s: body.deadline_s.map(deadline_s).transpose()?,
-        chunk: 1,
+        chunk_size: 1,
         shard: 0,
         cancelled: false,
         dependencies,
--- a/tests/malformed.rs
+++ b/tests/malformed.rs
@@ -440,9 +440,10 @@
 /// 1,200 of them fit into a value.
 #[test]
 fn a_packed_list_of_machines_is_read_again_and_fits() {
-    use salttrestle::controller::store::records::{Entry, ShardRecord};
+    use salttrestle::controller::store::records::{MachineEntry, ShardRecord};
     use salttrestle::ids::FencingToken;
-    let entry = |id: &str, zone: &str| -> Entry { (id.into(), "g8".into(), zone.into(), true) };
+    let entry =
+        |id: &str, zone: &str| -> MachineEntry { (id.into(), "g8".into(), zone.into(), true) };
     let record = |machines| ShardRecord {
         owner: "n0".into(),
         incarnation: 1,
@@ -451,12 +452,12 @@
         quota_shares: None,
     };
     let odd = ["i-1", "i-12", "", "a b", "ärger", "änder", "i-1 2"];
-    let mut list: Vec<Entry> = odd.iter().map(|id| entry(id, "a")).collect();
+    let mut list: Vec<MachineEntry> = odd.iter().map(|id| entry(id, "a")).collect();
     list.push(entry("i-1", "b"));
     for machines in [None, Some(Vec::new()), Some(list)] {
         let json = serde_json::to_vec(&record(machines.clone())).expect("JSON");
         let back: ShardRecord = serde_json::from_slice(&json).expect("a block's record");
-        let sorted = |m: Option<Vec<Entry>>| {
+        let sorted = |m: Option<Vec<MachineEntry>>| {
             m.map(|mut m| {
                 m.sort();
                 m
--- a/tests/processor.rs
+++ b/tests/processor.rs
@@ -11,7 +11,7 @@
     let mut now = Time(SECOND);
     for share in shares {
         now = Time(now.0 + SECOND);
-        utilization.note(now, share);
+        utilization.record(now, share);
     }
     (utilization, now)
 }
@@ -20,12 +20,12 @@
 fn share_without_recent_measurements_is_unknown() {
     let (utilization, now) = measured([]);
     assert_eq!(utilization.share(now), None);
-    assert!(!utilization.measured());
+    assert!(!utilization.has_measurement());
     assert_eq!(utilization.machines_per_owner(now, 100), None);
     let (utilization, now) = measured([0.5; 30]);
     assert!(utilization.share(now).is_some());
     assert_eq!(utilization.share(now.after(6.0)), None);
-    assert!(utilization.measured(), "an old measurement is one");
+    assert!(utilization.has_measurement(), "an old measurement is one");
 }
 
 #[test]
--- a/tests/sim/checks.rs
+++ b/tests/sim/checks.rs
@@ -37,7 +37,7 @@
     fn note_waiting_for_dependencies(&mut self) {
         let queues = self.hosts.iter();
         let queues = queues.filter_map(|host| host.controller.as_ref()?.queue());
-        let waiting = queues.map(|queue| queue.waiting_for_others).max();
+        let waiting = queues.map(|queue| queue.waiting_for_dependencies).max();
         let most = &mut self.observed.waiting_for_dependencies;
         *most = waiting.unwrap_or(0).max(*most);
     }
--- a/tests/sim/controllers.rs
+++ b/tests/sim/controllers.rs
@@ -4,7 +4,7 @@
 use super::links::PeerConnection;
 use super::world::World;
 use salttrestle::controller::Controller;
-use salttrestle::controller::events::{Input, Link};
+use salttrestle::controller::events::{Input, LinkEvent};
 use salttrestle::ids::Time;
 use salttrestle::settings::{Platform, Settings, Tuning};
 
@@ -48,7 +48,7 @@
     pub(crate) fn leader(&self) -> Option<usize> {
         let token = |controller: usize| {
             let controller = self.hosts[controller].controller.as_ref();
-            controller.and_then(Controller::holds)
+            controller.and_then(Controller::highest_shard_token)
         };
         let leaders = (0..self.hosts.len()).filter(|controller| token(*controller).is_some());
         // Of equal ones the last, as `max_by_key` has it.
@@ -116,7 +116,7 @@
         self.hosts[controller].incarnation += 1;
         // Its host closes its connections.
         for peer in (0..self.hosts.len()).filter(|peer| *peer != controller) {
-            self.set_link(peer, controller, Link::Lost);
+            self.set_link(peer, controller, LinkEvent::Lost);
             let to = controller;
             self.refused_links.insert(PeerConnection { from: peer, to });
         }
@@ -166,7 +166,7 @@
         let outputs = state.step(Time(local), input);
         let wake_ms = state.wake_at().0.saturating_sub(local).max(1);
         let takes_over = state
-            .holds()
+            .highest_shard_token()
             .is_some_and(|token| self.tokens.insert(token.0));
         self.schedule_wake(process, self.now + wake_ms);
         for output in outputs {
--- a/tests/sim/digest.rs
+++ b/tests/sim/digest.rs
@@ -34,7 +34,7 @@
             }
             Output::Store(call, request) => self.call(1, call.0, &request.call()),
             Output::Cloud(call, request) => self.call(2, call.0, &request.call()),
-            Output::Forget(call) => {
+            Output::CancelCall(call) => {
                 self.number(3);
                 self.number(call.0);
             }
--- a/tests/sim/links.rs
+++ b/tests/sim/links.rs
@@ -2,7 +2,7 @@
 
 use super::event::{Event, Process};
 use super::world::World;
-use salttrestle::controller::events::{Input, Link};
+use salttrestle::controller::events::{Input, LinkEvent};
 
 /// What is at the other end of a controller's link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -118,7 +118,7 @@
     }
 
     /// A controller learns the state of its connection to a peer.
-    pub(super) fn set_link(&mut self, controller: usize, peer: usize, link: Link) {
+    pub(super) fn set_link(&mut self, controller: usize, peer: usize, link: LinkEvent) {
         let input = Input::Link(self.controller_ids[peer].as_str().into(), link);
         let process = self.process(controller);
         self.after(1, Event::Input { process, input });
--- a/tests/sim/observed.rs
+++ b/tests/sim/observed.rs
@@ -147,7 +147,7 @@
     fn jobs_in_parts(&self) -> usize {
         let changes = self.store.records.history.iter();
         let parts = changes.filter_map(|change| match (Key::parse(&change.path)?, &change.value) {
-            (Key::Placements(id, _), Some(Record::Placements(run))) if run.part.is_some() => {
+            (Key::Placements(id, _), Some(Record::Placements(run))) if run.part_size.is_some() => {
                 Some(id)
             }
             _ => None,
--- a/tests/sim/outputs.rs
+++ b/tests/sim/outputs.rs
@@ -3,7 +3,7 @@
 use super::event::{Event, Process};
 use super::links::{LinkEnd, PeerConnection};
 use super::world::World;
-use salttrestle::controller::events::{Input, Link, Output};
+use salttrestle::controller::events::{Input, LinkEvent, Output};
 use salttrestle::ids::{CallId, ControllerId};
 use salttrestle::peer::Message;
 use salttrestle::wire::{CloudRequest, CloudResponse, StoreRequest, StoreResponse};
@@ -29,7 +29,7 @@
             Output::Peer(to, message) => self.send_to_peers(process.controller, to, &message),
             // Links here need no connection.
             Output::Reconnect(_) => {}
-            Output::Forget(call) => {
+            Output::CancelCall(call) => {
                 self.store.watches.retain(|watch| {
                     watch.call != call || watch.process.controller != process.controller
                 });
@@ -89,13 +89,13 @@
         let ended = self.hosts[to].controller.is_none();
         if ended || self.now < self.peers_refuse_until {
             self.refused_links.insert(connection);
-            return self.set_link(from, to, Link::Refused);
+            return self.set_link(from, to, LinkEvent::Refused);
         }
         if self.partition_of(to, LinkEnd::Peers).is_some() {
             return;
         }
         if self.refused_links.remove(&connection) {
-            self.set_link(from, to, Link::Up);
+            self.set_link(from, to, LinkEvent::Up);
         }
         let process = self.process(to);
         let input = Input::Peer(message.clone());
--- a/tests/sim/store_conditions.rs
+++ b/tests/sim/store_conditions.rs
@@ -12,9 +12,10 @@
             key: Key::Placements(id, chunk),
             record: Record::Placements(run),
             ..
-        } if run.part.is_some() != ChunkLayout::is_part(*chunk) => {
-            Some(format!("chunk {chunk} of {id} has part {:?}", run.part))
-        }
+        } if run.part_size.is_some() != ChunkLayout::is_part(*chunk) => Some(format!(
+            "chunk {chunk} of {id} has part {:?}",
+            run.part_size
+        )),
         _ => None,
     });
     misnamed.collect()
--- a/tests/stored_forms.rs
+++ b/tests/stored_forms.rs
@@ -70,7 +70,7 @@
         checkpoint_s: 30.0,
         save_s: 4.0,
         deadline_s: Some(900.0),
-        chunk: 68,
+        chunk_size: 68,
         shard: 0,
         cancelled: false,
         dependencies: Vec::new(),
@@ -124,7 +124,7 @@
             count: 3,
         }],
         shares: vec![(0, 1)],
-        closed: vec![("g8".into(), "b".into(), true)],
+        exhausted_pools: vec![("g8".into(), "b".into(), true)],
         scale_in: vec![machine()],
     };
     check_record(&plan, PLAN);
@@ -145,7 +145,7 @@
     run.failed_tries = 2;
     run.failed_on = vec![machine()];
     check_record(&run, FAILED_RUN);
-    run.part = Some(17);
+    run.part_size = Some(17);
     check_record(&run, RUN_PART);
 }
 
@@ -155,7 +155,7 @@
     let record = JobRecord { count: 70, ..job() };
     let placed = |indexes: std::ops::Range<u32>, attempt| {
         let task = |index| (index, Attempt(attempt), machine(), String::from("a"));
-        indexes.map(task).collect::<Vec<Placed>>()
+        indexes.map(task).collect::<Vec<PlacedTask>>()
     };
     let chunk = PlacementRecord {
         done: vec![(0, 4)],
@@ -165,11 +165,11 @@
     let part = PlacementRecord {
         done: vec![(20, 30)],
         placed: placed(30..34, 2),
-        part: Some(17),
+        part_size: Some(17),
         ..PlacementRecord::default()
     };
     let last = PlacementRecord {
-        part: Some(17),
+        part_size: Some(17),
         ..PlacementRecord::default()
     };
     let runs = [
