--- a/src/controller/dependencies/graph.rs
+++ b/src/controller/dependencies/graph.rs
@@ -1,44 +1,45 @@
-//! The graph of dependencies between jobs that aren't over.
+//! The graph of dependencies between jobs that haven't ended.
 //!
-//! A job may start once each job that it depends on has ended as done, which only a committed
-//! `end/ID` proves. A job that depends on a cancelled one is cancelled with it, from the moment at
-//! which the cancelled one can't end as done any more: once its record is marked or its end is
-//! committed. All of this is derived from the records whenever they change, so nothing is lost when
-//! a controller terminates.
+//! A job may start once all its dependencies have ended as done. Only a committed `end/ID` record
+//! proves this. A job that depends on a cancelled job is cancelled too, as soon as the cancelled
+//! job can't end as done any more: once its record is marked as cancelled, or once its end is
+//! committed as cancelled. The graph is derived from the store's records whenever they change, so
+//! that no state is lost when a controller terminates.
 
 use crate::controller::store::mirror::{MirroredJob, StoreMirror};
 use crate::controller::store::records::{Ending, JobRecord, PriorityClass};
 use crate::ids::JobId;
 use std::collections::{BTreeSet, HashMap, HashSet};
 
-/// What is known of a job's dependencies.
+/// The combined state of a job's dependencies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DependencyState {
-    /// All are done: the job may start.
+    /// All dependencies are done: the job may start.
     Met,
-    /// Some aren't over yet.
+    /// Some dependencies haven't ended yet.
     Open,
-    /// Some may be over: neither a live record nor an end is known.
+    /// Some dependencies may have ended: neither their job record nor their end is known.
     Unknown,
-    /// One is cancelled: the job is cancelled with it.
+    /// A dependency is cancelled: the job is cancelled too.
     Cancelled,
 }
 
-/// The dependencies between jobs that aren't over, and what follows from them.
+/// The dependencies between jobs that haven't ended, and the state that is derived from them.
 #[derive(Debug, Default)]
 pub(crate) struct Dependencies {
-    /// For each dependency: the jobs that depend on it.
+    /// The jobs that depend on each dependency.
     dependents: HashMap<JobId, BTreeSet<JobId>>,
-    /// Jobs that are cancelled with one that they depend on.
+    /// Jobs that are cancelled because a job that they depend on is cancelled.
     cancelled: HashSet<JobId>,
-    /// Dependencies of which neither a live record nor an end is known: their ends are to be read.
+    /// Dependencies of which neither the job record nor the end is known. Their ends have to be
+    /// read from the store.
     unread: BTreeSet<JobId>,
-    /// Jobs whose state changed through a dependency or a dependent.
+    /// Jobs whose state or priority class changed because of a dependency or a dependent.
     affected: BTreeSet<JobId>,
 }
 
 impl StoreMirror {
-    /// What is known of the dependencies of a job.
+    /// Returns the combined state of a job's dependencies.
     pub(crate) fn dependency_state(&self, record: &JobRecord) -> DependencyState {
         let mut state = DependencyState::Met;
         for id in &record.dependencies {
@@ -54,33 +55,33 @@
         state
     }
 
-    /// Whether a job that isn't over depends on this one.
+    /// Whether a job that hasn't ended depends on this job.
     pub(crate) fn has_dependents(&self, id: &JobId) -> bool {
         self.dependencies.dependents.contains_key(id)
     }
 
-    /// Whether a job is known to have been accepted.
+    /// Whether the mirror shows that a job was accepted.
     pub(crate) fn is_accepted(&self, id: &JobId) -> bool {
         self.jobs.contains_key(id) || self.ending(id).is_some()
     }
 
-    /// Whether a job that isn't over can't end as done any more: it is cancelled, or one that it
-    /// depends on is.
+    /// Whether a job that hasn't ended can't end as done any more, since it is cancelled or depends
+    /// on a cancelled job.
     pub(crate) fn is_cancelled(&self, id: &JobId) -> bool {
-        let marked = self
+        let is_marked = self
             .jobs
             .get(id)
             .is_some_and(|job| job.cancelled_at.is_some());
-        marked || self.is_cancelled_by_dependency(id)
+        is_marked || self.is_cancelled_by_dependency(id)
     }
 
-    /// Whether a job that isn't over is cancelled with one that it depends on.
+    /// Whether a job that hasn't ended is cancelled because a job that it depends on is cancelled.
     pub(crate) fn is_cancelled_by_dependency(&self, id: &JobId) -> bool {
         self.dependencies.cancelled.contains(id)
     }
 
-    /// Whether a job may be cancelled with one that it depends on, directly or through others,
-    /// since the end of one of these is still to be read.
+    /// Whether a direct or transitive dependency of a job may have been cancelled, since its end
+    /// hasn't been read yet.
     pub(crate) fn may_be_cancelled(&self, id: &JobId) -> bool {
         if self.dependencies.unread.is_empty() {
             return false;
@@ -97,18 +98,19 @@
         false
     }
 
-    /// Dependencies whose ends are to be read.
+    /// Returns the dependencies whose ends have to be read from the store.
     pub(crate) fn unread_dependencies(&self) -> &BTreeSet<JobId> {
         &self.dependencies.unread
     }
 
-    /// Jobs whose state changed through a dependency or a dependent since the last call.
+    /// Returns the jobs whose state or priority class changed because of a dependency or a
+    /// dependent since the last call.
     pub(crate) fn take_affected(&mut self) -> BTreeSet<JobId> {
         std::mem::take(&mut self.dependencies.affected)
     }
 
-    /// Adds a job that is new in the mirror.
-    pub(crate) fn link(&mut self, id: &JobId) {
+    /// Adds a job that is new in the mirror to the graph.
+    pub(crate) fn link_job(&mut self, id: &JobId) {
         let Some(record) = self.jobs.get(id).map(|job| job.record.clone()) else {
             return;
         };
@@ -122,14 +124,15 @@
             self.request_end_read(dependency);
         }
         if self.dependency_state(&record) == DependencyState::Cancelled {
-            self.cancel(id);
+            self.cancel_with_dependents(id);
         }
         let dependencies = record.dependencies.iter().cloned();
         self.update_priority_classes(dependencies.chain([id.clone()]).collect());
     }
 
-    /// Removes a job that is over, of which an end may be known.
-    pub(crate) fn unlink(&mut self, id: &JobId, job: &MirroredJob) {
+    /// Removes a job that has ended from the graph. If other jobs depend on it and its end isn't
+    /// known, its end is read.
+    pub(crate) fn unlink_job(&mut self, id: &JobId, job: &MirroredJob) {
         self.dependencies.cancelled.remove(id);
         for dependency in &job.record.dependencies {
             if let Some(dependents) = self.dependencies.dependents.get_mut(dependency) {
@@ -144,7 +147,7 @@
         self.request_end_read(id);
     }
 
-    /// Releases or cancels the dependents of a job that ended.
+    /// Marks the dependents of a job that is done as affected, or cancels those of a cancelled job.
     pub(crate) fn on_job_ended(&mut self, id: &JobId, ending: Ending) {
         self.dependencies.unread.remove(id);
         match ending {
@@ -156,19 +159,21 @@
         }
     }
 
-    /// Cancels the dependents of a job whose record was marked as cancelled.
+    /// Cancels the dependents of a job whose record was marked as cancelled, and updates the
+    /// priority classes of its dependencies.
     pub(crate) fn on_marked_cancelled(&mut self, id: &JobId) {
         self.cancel_dependents(id);
         self.update_priority_classes(self.dependencies_of(id));
     }
 
-    /// The jobs that depend on this one.
+    /// Returns the jobs that depend directly on a job.
     fn dependents(&self, id: &JobId) -> Vec<JobId> {
         let dependents = self.dependencies.dependents.get(id);
         dependents.into_iter().flatten().cloned().collect()
     }
 
-    /// Has the end of a dependency read of which neither a live record nor an end is known.
+    /// Requests a read of a job's end if other jobs depend on it and neither its job record nor its
+    /// end is known.
     pub(crate) fn request_end_read(&mut self, id: &JobId) {
         let is_dependency = self.dependencies.dependents.contains_key(id);
         if is_dependency && !self.jobs.contains_key(id) && self.ending(id).is_none() {
@@ -176,8 +181,8 @@
         }
     }
 
-    /// Cancels a job, and all that depend on it, directly or through others.
-    fn cancel(&mut self, id: &JobId) {
+    /// Cancels a job and all its direct and transitive dependents.
+    fn cancel_with_dependents(&mut self, id: &JobId) {
         let mut to_cancel = vec![id.clone()];
         while let Some(id) = to_cancel.pop() {
             if self.jobs.contains_key(&id) && self.dependencies.cancelled.insert(id.clone()) {
@@ -188,21 +193,22 @@
         }
     }
 
-    /// Cancels the jobs that depend on this one.
+    /// Cancels all direct and transitive dependents of a job.
     fn cancel_dependents(&mut self, id: &JobId) {
         for dependent in self.dependents(id) {
-            self.cancel(&dependent);
+            self.cancel_with_dependents(&dependent);
         }
     }
 
-    /// The jobs that this one depends on.
+    /// Returns the jobs that a job depends on directly.
     fn dependencies_of(&self, id: &JobId) -> Vec<JobId> {
         let job = self.jobs.get(id);
         job.map_or(Vec::new(), |job| job.record.dependencies.clone())
     }
 
-    /// Raises or lowers each of these jobs to the highest priority class of its own and of the jobs
-    /// that depend on it and aren't cancelled, and does the same for their dependencies.
+    /// Sets the priority class of each job in `to_update` to the highest of its own class and the
+    /// classes of its dependents that aren't cancelled. Continues with the dependencies of each job
+    /// whose class changed.
     fn update_priority_classes(&mut self, mut to_update: Vec<JobId>) {
         while let Some(id) = to_update.pop() {
             let Some(job) = self.jobs.get(&id) else {
--- a/src/controller/dependencies/mod.rs
+++ b/src/controller/dependencies/mod.rs
@@ -1,5 +1,5 @@
-//! Jobs that wait for other jobs: the [`graph`] of dependencies, and their [`resolution`] when a
-//! job in it changes.
+//! Dependencies between jobs: their [`graph`], and their [`resolution`] when a job in the graph
+//! changes.
 
 pub(crate) mod graph;
 pub(crate) mod resolution;
--- a/src/controller/dependencies/resolution.rs
+++ b/src/controller/dependencies/resolution.rs
@@ -1,5 +1,5 @@
-//! Resolution of dependencies: ends that aren't known are read, and the owners of jobs learn which
-//! of these are released or cancelled, or have another priority class.
+//! Resolution of dependencies: reads unknown ends of jobs from the store, and notifies the owners
+//! of jobs that are released or cancelled, or whose priority class changed.
 
 use crate::controller::Controller;
 use crate::controller::context::Context;
@@ -10,23 +10,24 @@
 use crate::wire::{StoreRequest, StoreResponse};
 use std::collections::BTreeSet;
 
-/// Most ends of dependencies that are read at once.
-const READS_MAX: usize = 4;
-/// Pause before an end that was missing is read again, in seconds: the job's record may not have
-/// come with the watch yet.
-const RETRY_S: f64 = 0.2;
+/// Upper bound on the concurrent reads of ends of dependencies.
+const PENDING_READS_MAX: usize = 4;
+/// Pause before the next reads of ends after a read has found none, in seconds. The job may still
+/// be running, and the watch may not have delivered its record yet.
+const MISSING_END_RETRY_S: f64 = 0.2;
 
-/// State of the reads of dependencies' ends.
+/// The state of the reads of dependencies' ends.
 #[derive(Debug, Default)]
 pub(crate) struct DependencyReads {
     /// Jobs whose ends are being read.
     pending: BTreeSet<JobId>,
-    /// No read is sent before this time.
+    /// Time before which no read is sent.
     not_before: Time,
 }
 
 impl Controller {
-    /// Has the shards that are owned here handle the jobs whose state changed through others.
+    /// Notifies the owned shards of jobs whose state or priority class changed because of other
+    /// jobs.
     pub(crate) fn on_affected_jobs(&mut self) {
         for id in self.context.store.mirror.take_affected() {
             let job = self.context.store.mirror.jobs.get(&id);
@@ -39,14 +40,14 @@
 }
 
 impl Context {
-    /// Reads the ends of dependencies of which neither a live record nor an end is known.
+    /// Reads the ends of dependencies of which neither the job record nor the end is known.
     pub(crate) fn read_dependencies(&mut self) {
         if !self.store.is_initial_list_done() || self.now < self.dependency_reads.not_before {
             return;
         }
         let unread = self.store.mirror.unread_dependencies().iter();
         let pending = &self.dependency_reads.pending;
-        let reads_left = READS_MAX.saturating_sub(pending.len());
+        let reads_left = PENDING_READS_MAX.saturating_sub(pending.len());
         let next = unread.filter(|id| !pending.contains(*id)).take(reads_left);
         let next: Vec<JobId> = next.cloned().collect();
         for dependency in next {
@@ -62,15 +63,16 @@
         }
     }
 
-    /// The store answered the read of a dependency's end.
+    /// Handles the response to a read of a dependency's end.
     pub(crate) fn on_dependency_read(&mut self, dependency: JobId, response: StoreResponse) {
         self.dependency_reads.pending.remove(&dependency);
         if self.learn_ending(&dependency, &response).is_none() {
-            self.dependency_reads.not_before = self.now.after(RETRY_S);
+            self.dependency_reads.not_before = self.now.after(MISSING_END_RETRY_S);
         }
     }
 
-    /// Records how a job ended, if the response to a read of its end says so.
+    /// Records how a job ended if the response to a read of its end contains the end. Returns the
+    /// end, or `None` if there is none or the read failed.
     pub(crate) fn learn_ending(&mut self, id: &JobId, response: &StoreResponse) -> Option<Ending> {
         let StoreResponse::Found {
             record: Record::End(ending),
@@ -79,7 +81,9 @@
         else {
             return None;
         };
-        self.store.mirror.remember(self.now, id.clone(), *ending);
+        self.store
+            .mirror
+            .record_ending(self.now, id.clone(), *ending);
         Some(*ending)
     }
 }
--- a/src/controller/store/chunks.rs
+++ b/src/controller/store/chunks.rs
@@ -1,84 +1,89 @@
-//! Which record of a job each of its tasks is in.
+//! Maps each task of a job to the store record that holds its placement.
 //!
-//! A job's tasks are recorded in chunks, whose size is fixed when the job is accepted. When the
-//! store lowers its limit on values, a chunk may stay readable and yet be too large to be
-//! written again. It is then written in parts: the records of parts stand before the chunk's own
-//! for the tasks that they cover, so each part can be written by itself, and the chunk is left as
-//! it is until the job ends.
+//! The placements of a job are stored in chunks. The chunk size is fixed when the job is accepted.
+//! When the store lowers its limit on the size of values, a chunk may stay readable and yet be too
+//! large to be written again. Such a chunk is written in parts from then on: for the tasks that a
+//! part covers, the part's record overrides the chunk's record. Each part can be written
+//! independently, and the chunk's record stays unchanged until the job ends.
 
 use crate::controller::store::records::{JobRecord, PlacementRecord};
 use std::borrow::Cow;
 use std::ops::Range;
 
-/// Bytes of a `run` record for each of its tasks: a placed one takes about 60 as JSON, and as
-/// much again is left for the rest.
-const TASK_BYTES: usize = 120;
-/// Most tasks of one `run` record, however large values may be.
-const CHUNK_MAX: usize = 256;
+/// Bytes of a `run` record that are budgeted for each task. A placed task takes about 60 bytes as
+/// JSON; the other half is left for the rest of the record.
+const RECORD_BYTES_PER_TASK: usize = 120;
+/// Upper bound on the tasks of one `run` record, however large values may be.
+const CHUNK_TASKS_MAX: usize = 256;
 
-/// Tasks per `run` record where values have so many bytes at most.
+/// Returns the number of tasks per `run` record if a value may have at most `value_bytes` bytes.
 pub fn chunk_size(value_bytes: usize) -> u32 {
-    (value_bytes / TASK_BYTES).clamp(1, CHUNK_MAX) as u32
+    (value_bytes / RECORD_BYTES_PER_TASK).clamp(1, CHUNK_TASKS_MAX) as u32
 }
 
-/// Where the tasks of a job are recorded. Each chunk has a record of its own; a chunk that has
-/// outgrown the limit on values is written in parts from then on. A part's number is
-/// [`ChunkLayout::PART_BASE`] plus its first task, and its record alone speaks of its tasks.
+/// The division of a job's tasks into chunks and parts.
+///
+/// Each chunk has its own record. A chunk that exceeds the limit on the size of values is written
+/// in parts from then on. The number of a part is [`ChunkLayout::PART_BASE`] plus the index of its
+/// first task; for the tasks of a part, only the part's record is valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ChunkLayout {
     /// Tasks of the job.
-    count: u32,
-    /// Tasks of a chunk.
-    chunk: u32,
-    /// Tasks of a part, once the job's chunks are written in parts.
-    part: Option<u32>,
+    task_count: u32,
+    /// Tasks per chunk.
+    chunk_size: u32,
+    /// Tasks per part; `None` until the job's chunks are written in parts.
+    part_size: Option<u32>,
 }
 
 impl ChunkLayout {
-    /// Above the number of every chunk: no job has as many tasks.
+    /// The lowest number of a part. It exceeds every chunk number, since no job has this many
+    /// tasks.
     pub const PART_BASE: u32 = 1 << 20;
 
-    /// The layout of a job whose records have parts of this size, if they have any.
-    pub fn new(record: &JobRecord, part: Option<u32>) -> Self {
+    /// Returns the layout of a job. `part_size` is the number of tasks per part, or `None` if the
+    /// job has no parts; 0 counts as `None`.
+    pub fn new(record: &JobRecord, part_size: Option<u32>) -> Self {
         Self {
-            count: record.count,
-            chunk: record.chunk_size.max(1),
-            part: part.filter(|size| *size > 0),
+            task_count: record.count,
+            chunk_size: record.chunk_size.max(1),
+            part_size: part_size.filter(|size| *size > 0),
         }
     }
 
-    /// Whether this is the number of a part, not of a chunk.
+    /// Whether `chunk` is the number of a part rather than of a chunk.
     pub fn is_part(chunk: u32) -> bool {
         chunk >= Self::PART_BASE
     }
 
-    /// Tasks of a part, if this is the number of one.
+    /// Returns the number of tasks per part if `chunk` is the number of a part.
     pub fn part_size(&self, chunk: u32) -> Option<u32> {
-        self.part.filter(|_| Self::is_part(chunk))
+        self.part_size.filter(|_| Self::is_part(chunk))
     }
 
-    /// The chunk or part in which a task is to be recorded.
+    /// Returns the number of the chunk or part in which new placements of a task are recorded.
     pub fn chunk_of(&self, index: u32) -> u32 {
-        let chunk = index / self.chunk;
-        let Some(size) = self.part else {
+        let chunk = index / self.chunk_size;
+        let Some(size) = self.part_size else {
             return chunk;
         };
-        let first = chunk * self.chunk;
+        let first = chunk * self.chunk_size;
         Self::PART_BASE + first + (index - first) / size * size
     }
 
-    /// The tasks of a chunk or part.
+    /// Returns the task indexes of a chunk or part. A part ends at the latest with its chunk.
     pub fn tasks_of(&self, chunk: u32) -> Range<u32> {
         let Some(first) = chunk.checked_sub(Self::PART_BASE) else {
-            let first = chunk.saturating_mul(self.chunk).min(self.count);
-            return first..first.saturating_add(self.chunk).min(self.count);
+            let first = chunk.saturating_mul(self.chunk_size).min(self.task_count);
+            return first..first.saturating_add(self.chunk_size).min(self.task_count);
         };
-        let whole = self.tasks_of(first / self.chunk);
-        let size = self.part.unwrap_or(self.chunk);
+        let whole = self.tasks_of(first / self.chunk_size);
+        let size = self.part_size.unwrap_or(self.chunk_size);
         first.min(whole.end)..first.saturating_add(size).min(whole.end)
     }
 
-    /// The chunks or parts in which the tasks of one of either are to be recorded.
+    /// Returns the chunks or parts in which new placements of the tasks of `chunk` are recorded.
+    /// `chunk` may be a chunk or a part; several parts may cover one chunk.
     pub fn chunks_for(&self, chunk: u32) -> Vec<u32> {
         let tasks = self.tasks_of(chunk);
         let mut chunks: Vec<u32> = tasks.map(|index| self.chunk_of(index)).collect();
@@ -87,7 +92,7 @@
     }
 }
 
-/// Rising indexes as ranges of neighbours, each with the index behind its last.
+/// Merges ascending indexes into ranges of consecutive indexes. The end of a range is exclusive.
 pub fn to_ranges(indexes: impl Iterator<Item = u32>) -> Vec<(u32, u32)> {
     let mut ranges: Vec<(u32, u32)> = Vec::new();
     for index in indexes {
@@ -99,28 +104,30 @@
     ranges
 }
 
-/// One record of a job as far as it counts: its token, its revision, and what it says.
-pub type EffectivePlacements<'a> = (u32, u64, Cow<'a, PlacementRecord>);
+/// The valid content of one placement record: the number of its chunk or part, the record's
+/// revision, and its content without the tasks that a part overrides.
+pub type EffectiveRecord<'a> = (u32, u64, Cow<'a, PlacementRecord>);
 
-/// What a job's records say together, each task spoken of once, and how they are laid out.
+/// Returns the valid content of a job's placement records, in which each task occurs in only one
+/// record, and the layout of the records.
 pub fn effective_placements<'a>(
     record: &JobRecord,
     runs: impl Iterator<Item = (u32, &'a (u64, PlacementRecord))>,
-) -> (Vec<EffectivePlacements<'a>>, ChunkLayout) {
+) -> (Vec<EffectiveRecord<'a>>, ChunkLayout) {
     let runs: Vec<_> = runs.collect();
-    let part = runs.iter().find_map(|(_, (_, run))| run.part_size);
-    let layout = ChunkLayout::new(record, part);
+    let part_size = runs.iter().find_map(|(_, (_, run))| run.part_size);
+    let layout = ChunkLayout::new(record, part_size);
     let parts = runs.iter().map(|(chunk, _)| *chunk);
     let parts = parts.filter(|chunk| ChunkLayout::is_part(*chunk));
-    let replaced: Vec<Range<u32>> = parts.map(|chunk| layout.tasks_of(chunk)).collect();
+    let overridden: Vec<Range<u32>> = parts.map(|chunk| layout.tasks_of(chunk)).collect();
     let effective = runs.into_iter().map(|(chunk, (revision, run))| {
-        let whole = ChunkLayout::is_part(chunk) || replaced.is_empty();
-        let counts = if whole {
+        let is_whole = ChunkLayout::is_part(chunk) || overridden.is_empty();
+        let valid = if is_whole {
             Cow::Borrowed(run)
         } else {
-            Cow::Owned(run.without(&replaced))
+            Cow::Owned(run.without(&overridden))
         };
-        (chunk, *revision, counts)
+        (chunk, *revision, valid)
     });
     (effective.collect(), layout)
 }
--- a/src/controller/store/mirror.rs
+++ b/src/controller/store/mirror.rs
@@ -1,7 +1,7 @@
-//! What this controller knows of the store's content, by following it.
+//! The local copy of the store's records, which the initial list fills and the watch keeps current.
 
 use crate::controller::dependencies::graph::Dependencies;
-use crate::controller::store::chunks::{ChunkLayout, EffectivePlacements, effective_placements};
+use crate::controller::store::chunks::{ChunkLayout, EffectiveRecord, effective_placements};
 use crate::controller::store::records::{
     Ending, ExhaustedPool, FencingTokenRecord, JobRecord, Key, LeaderRecord, LimitsRecord,
     PlacementRecord, PriorityClass, Record, ScalingPlanRecord, ShardRecord,
@@ -13,20 +13,24 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::rc::Rc;
 
-/// Most final statuses kept in memory; older ones are read again when asked for.
+/// Upper bound on the final statuses kept in memory. Older ones are read from the store again when
+/// they are needed.
 const ENDINGS_MAX: usize = 20_000;
 
+/// A job's record with its revision, and the state that is derived from it.
 #[derive(Clone, Debug)]
 pub(crate) struct MirroredJob {
     pub record: Rc<JobRecord>,
     pub revision: u64,
-    /// When this process learnt that the job is cancelled.
+    /// When this process learnt that the job's record is marked as cancelled.
     pub cancelled_at: Option<Time>,
-    /// The highest rank of the job and of the open ones that depend on it.
+    /// The highest priority class of the job itself and of the jobs that depend on it and are
+    /// neither over nor cancelled.
     pub priority_class: PriorityClass,
 }
 
-/// A record with its revision; revision 0 stands for one that doesn't exist.
+/// A record with its revision, or the revision at which its key was deleted. Revision 0 means that
+/// the key is not known to exist.
 #[derive(Clone, Debug)]
 pub(crate) struct Mirrored<T> {
     pub revision: u64,
@@ -43,19 +47,19 @@
 }
 
 impl<T> Mirrored<T> {
-    /// Takes a change unless a newer one is known. True if something changed.
+    /// Applies a change unless a newer one is known; returns whether it was applied.
     fn set(&mut self, revision: u64, record: Option<T>) -> bool {
         if revision <= self.revision {
             return false;
         }
-        // A deleted key compares as revision 0 at the store, but its
-        // deletion must still outrank older changes that come late.
+        // The store treats a deleted key as revision 0, but the mirror keeps the revision of the
+        // deletion, so that older changes which arrive later are ignored.
         self.revision = revision;
         self.record = record;
         true
     }
 
-    /// The revision to compare with in a commit.
+    /// Returns the revision that a transaction's precondition names: 0 if the key doesn't exist.
     pub(crate) fn expected_revision(&self) -> u64 {
         if self.record.is_some() {
             self.revision
@@ -65,20 +69,22 @@
     }
 }
 
-/// What a change means to the rest of the controller.
+/// A change of the mirror that other components of the controller react to.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum MirrorEvent {
-    /// A job is new, or its status changed.
+    /// A job's record was created or changed.
     JobChanged(JobId),
-    /// A job's record is gone: it ended.
+    /// A job's record was deleted, since the job ended.
     JobRemoved(JobId),
-    /// The record of the leader, the fencing token, a shard, the plan or limits changed.
+    /// The record of the leader, the fencing token, a shard, the scaling plan, the team limits, the
+    /// cell's shares or a link to another cell changed.
     ControlRecordsChanged,
 }
 
+/// The store's records as this controller knows them.
 #[derive(Debug, Default)]
 pub(crate) struct StoreMirror {
-    /// The revision up to which everything is known.
+    /// The store revision up to which all changes are applied.
     pub revision: u64,
     pub leader: Mirrored<LeaderRecord>,
     pub token: Mirrored<FencingTokenRecord>,
@@ -88,62 +94,76 @@
     pub cell_links: BTreeMap<Cell, Mirrored<LinkRecord>>,
     pub shards: BTreeMap<u32, Mirrored<ShardRecord>>,
     pub jobs: BTreeMap<JobId, MirroredJob>,
+    /// Revision and content of the placement records, by job and number of the chunk or part.
     pub placements: BTreeMap<(JobId, u32), (u64, PlacementRecord)>,
-    /// How jobs ended, and when this process learnt it.
+    /// How jobs ended, and when this process learnt of it.
     endings: HashMap<JobId, (Ending, Time)>,
+    /// The keys of `endings`, oldest first.
     endings_order: VecDeque<JobId>,
+    /// The dependencies between the jobs in the mirror.
     pub(crate) dependencies: Dependencies,
 }
 
 impl StoreMirror {
-    /// Takes one change. Changes come again and late, and are then ignored.
+    /// Applies one change. Changes that arrive repeatedly or out of order are ignored.
     pub(crate) fn apply(
         &mut self,
         now: Time,
         (key, revision, record): Change,
     ) -> Option<MirrorEvent> {
         match (key, record) {
-            (Key::Leader, Some(Record::Leader(r))) => control(self.leader.set(revision, Some(r))),
-            (Key::Leader, None) => control(self.leader.set(revision, None)),
+            (Key::Leader, Some(Record::Leader(r))) => {
+                control_event(self.leader.set(revision, Some(r)))
+            }
+            (Key::Leader, None) => control_event(self.leader.set(revision, None)),
             (Key::FencingToken, Some(Record::FencingToken(r))) => {
-                control(self.token.set(revision, Some(r)))
+                control_event(self.token.set(revision, Some(r)))
+            }
+            (Key::Plan, Some(Record::Plan(r))) => control_event(self.plan.set(revision, Some(r))),
+            (Key::Limits, Some(Record::Limits(r))) => {
+                control_event(self.limits.set(revision, Some(r)))
             }
-            (Key::Plan, Some(Record::Plan(r))) => control(self.plan.set(revision, Some(r))),
-            (Key::Limits, Some(Record::Limits(r))) => control(self.limits.set(revision, Some(r))),
-            (Key::Cell, Some(Record::Cell(r))) => control(self.cell.set(revision, Some(*r))),
+            (Key::Cell, Some(Record::Cell(r))) => control_event(self.cell.set(revision, Some(*r))),
             (Key::CellLink(other), Some(Record::CellLink(r))) => {
                 let slot = self.cell_links.entry(other).or_default();
-                control(slot.set(revision, Some(r)))
+                control_event(slot.set(revision, Some(r)))
             }
-            (Key::Limits, None) => control(self.limits.set(revision, None)),
-            (Key::Shard(k), Some(Record::Shard(r))) => {
-                control(self.shards.entry(k).or_default().set(revision, Some(r)))
+            (Key::Limits, None) => control_event(self.limits.set(revision, None)),
+            (Key::Shard(shard), Some(Record::Shard(r))) => {
+                control_event(self.shards.entry(shard).or_default().set(revision, Some(r)))
             }
             (Key::Job(id), Some(Record::Job(r))) => self.set_job(now, id, revision, *r),
             (Key::Job(id), None) => {
-                let old = self.jobs.get(&id).is_some_and(|j| j.revision < revision);
-                if !old {
+                let is_older = self
+                    .jobs
+                    .get(&id)
+                    .is_some_and(|job| job.revision < revision);
+                if !is_older {
                     return None;
                 }
                 self.remove_job(&id);
                 Some(MirrorEvent::JobRemoved(id))
             }
             (Key::Placements(id, chunk), Some(Record::Placements(r))) => {
-                let at = self.placements.entry((id, chunk)).or_default();
-                if revision > at.0 {
-                    *at = (revision, r);
+                let slot = self.placements.entry((id, chunk)).or_default();
+                if revision > slot.0 {
+                    *slot = (revision, r);
                 }
                 None
             }
             (Key::Placements(id, chunk), None) => {
                 let key = (id, chunk);
-                if self.placements.get(&key).is_some_and(|r| r.0 < revision) {
+                if self
+                    .placements
+                    .get(&key)
+                    .is_some_and(|slot| slot.0 < revision)
+                {
                     self.placements.remove(&key);
                 }
                 None
             }
-            (Key::End(id), Some(Record::End(e))) => {
-                self.remember(now, id, e);
+            (Key::End(id), Some(Record::End(ending))) => {
+                self.record_ending(now, id, ending);
                 None
             }
             _ => None,
@@ -157,22 +177,26 @@
         revision: u64,
         record: JobRecord,
     ) -> Option<MirrorEvent> {
-        if self.jobs.get(&id).is_some_and(|j| j.revision >= revision) {
+        if self
+            .jobs
+            .get(&id)
+            .is_some_and(|job| job.revision >= revision)
+        {
             return None;
         }
         let before = self.jobs.get(&id);
-        let since = before.and_then(|j| j.cancelled_at).unwrap_or(now);
+        let since = before.and_then(|job| job.cancelled_at).unwrap_or(now);
         let cancelled_at = record.cancelled.then_some(since);
         let job = MirroredJob {
             revision,
             cancelled_at,
-            priority_class: before.map_or(record.priority_class, |j| j.priority_class),
+            priority_class: before.map_or(record.priority_class, |job| job.priority_class),
             record: Rc::new(record),
         };
-        let new = before.is_none();
+        let is_new = before.is_none();
         self.jobs.insert(id.clone(), job);
-        if new {
-            self.link(&id);
+        if is_new {
+            self.link_job(&id);
         }
         if cancelled_at.is_some() {
             self.on_marked_cancelled(&id);
@@ -182,11 +206,12 @@
 
     fn remove_job(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.remove(id) {
-            self.unlink(id, &job);
+            self.unlink_job(id, &job);
         }
     }
 
-    /// Takes a full listing that began at revision `listed_at`: what it doesn't hold is gone.
+    /// Replaces the content by a complete list that began at revision `listed_at`. Records that the
+    /// list doesn't contain are removed, unless their known revision is newer than `listed_at`.
     pub(crate) fn replace(
         &mut self,
         now: Time,
@@ -196,13 +221,15 @@
         let mut events = Vec::new();
         let listed: std::collections::HashSet<Key> =
             entries.iter().map(|(k, _, _)| k.clone()).collect();
-        let lost: Vec<JobId> = self
+        let removed: Vec<JobId> = self
             .jobs
             .iter()
-            .filter(|(id, j)| j.revision <= listed_at && !listed.contains(&Key::Job((*id).clone())))
+            .filter(|(id, job)| {
+                job.revision <= listed_at && !listed.contains(&Key::Job((*id).clone()))
+            })
             .map(|(id, _)| id.clone())
             .collect();
-        for id in lost {
+        for id in removed {
             self.remove_job(&id);
             events.push(MirrorEvent::JobRemoved(id));
         }
@@ -222,33 +249,33 @@
         events
     }
 
-    /// Remembers how a job ended, within a bound.
-    pub(crate) fn remember(&mut self, now: Time, id: JobId, ending: Ending) {
+    /// Records how a job ended. The oldest endings are dropped above a bound.
+    pub(crate) fn record_ending(&mut self, now: Time, id: JobId, ending: Ending) {
         if !self.endings.contains_key(&id) {
             self.endings.insert(id.clone(), (ending, now));
             self.on_job_ended(&id, ending);
             self.endings_order.push_back(id);
         }
         while self.endings_order.len() > ENDINGS_MAX {
-            if let Some(old) = self.endings_order.pop_front() {
-                self.endings.remove(&old);
-                self.request_end_read(&old);
+            if let Some(oldest) = self.endings_order.pop_front() {
+                self.endings.remove(&oldest);
+                self.request_end_read(&oldest);
             }
         }
     }
 
-    /// How a job ended, and since when that is known here.
+    /// Returns how a job ended and when this process learnt of it, if both are in memory.
     pub(crate) fn ending(&self, id: &JobId) -> Option<(Ending, Time)> {
         self.endings.get(id).copied()
     }
 
-    /// What the cloud has nothing left of, as the plan says.
+    /// Returns the pools of which the cloud has no machines left, according to the scaling plan.
     pub(crate) fn exhausted_pools(&self) -> &[ExhaustedPool] {
         let plan = self.plan.record.as_ref();
-        plan.map_or(&[], |placement| &placement.exhausted_pools)
+        plan.map_or(&[], |plan| &plan.exhausted_pools)
     }
 
-    /// The chunks written for a job.
+    /// Returns the placement records of a job, each with the number of its chunk or part.
     pub(crate) fn chunks(
         &self,
         id: &JobId,
@@ -258,52 +285,61 @@
             .map(|((_, chunk), run)| (*chunk, run))
     }
 
-    /// What a job's records say together, and how they are laid out.
+    /// Returns the valid content of a job's placement records and their layout; see
+    /// [`effective_placements`].
     pub(crate) fn effective_placements(
         &self,
         id: &JobId,
         record: &JobRecord,
-    ) -> (Vec<EffectivePlacements<'_>>, ChunkLayout) {
+    ) -> (Vec<EffectiveRecord<'_>>, ChunkLayout) {
         effective_placements(record, self.chunks(id))
     }
 
-    /// Finished and placed tasks as far as they are written.
+    /// Returns the numbers of finished and of placed tasks according to a job's placement records.
     pub(crate) fn counts(&self, id: &JobId) -> (u32, u32) {
         let Some(job) = self.jobs.get(id) else {
             return (0, 0);
         };
         let (runs, _) = self.effective_placements(id, &job.record);
         runs.iter().fold((0, 0), |(done, placed), (_, _, run)| {
-            let ended: u32 = run.done.iter().map(|(a, b)| b.saturating_sub(*a)).sum();
+            let ended: u32 = run
+                .done
+                .iter()
+                .map(|(start, end)| end.saturating_sub(*start))
+                .sum();
             (done + ended, placed + run.placed.len() as u32)
         })
     }
 
-    /// Who leads, as far as is known.
+    /// Returns the leader according to the leader record.
     pub(crate) fn leader_id(&self) -> Option<&ControllerId> {
         let leader = self.leader.record.as_ref();
         leader.map(|leader| &leader.controller_id)
     }
 
-    /// The shards that have a record, in the order of their numbers.
+    /// Returns the shards that have a record, by ascending number.
     pub(crate) fn shard_records(&self) -> impl Iterator<Item = (u32, &ShardRecord)> {
         let shards = self.shards.iter();
         shards.filter_map(|(shard, slot)| Some((*shard, slot.record.as_ref()?)))
     }
 
-    /// The shard whose record lists a machine.
+    /// Returns the shard whose record contains a machine.
     pub(crate) fn shard_of_machine(&self, machine: &MachineId) -> Option<(u32, &ShardRecord)> {
-        self.shard_records().find(|(_, record)| record.has(machine))
+        self.shard_records()
+            .find(|(_, record)| record.has_machine(machine))
     }
 
-    /// The highest token that anything known here speaks of.
+    /// Returns the highest fencing token in the records of the mirror.
     pub(crate) fn highest_token(&self) -> FencingToken {
-        let said = self.token.record.as_ref().map(|r| r.highest);
+        let recorded = self.token.record.as_ref().map(|record| record.highest);
         let held = self.shard_records().map(|(_, record)| record);
-        held.map(|b| b.token).chain(said).max().unwrap_or_default()
+        held.map(|shard| shard.token)
+            .chain(recorded)
+            .max()
+            .unwrap_or_default()
     }
 }
 
-fn control(changed: bool) -> Option<MirrorEvent> {
+fn control_event(changed: bool) -> Option<MirrorEvent> {
     changed.then_some(MirrorEvent::ControlRecordsChanged)
 }
--- a/src/controller/store/mod.rs
+++ b/src/controller/store/mod.rs
@@ -1,9 +1,10 @@
-//! What this controller knows of the store, and its requests to it.
+//! The client of the store: a local mirror of the records, and requests within the rate limits.
 //!
-//! `StoreClient` is a state machine of its own: it lists the store once, watches every change
-//! from then on and keeps a `mirror` of the records (`watch`); it reads the store's revision to
-//! know how old the mirror may be (`staleness`); and it keeps to the rate limits. It depends on no
-//! other duty of the controller: `P` is what a response is for, which only the caller understands.
+//! `StoreClient` is a self-contained state machine. It lists the store once, watches all changes
+//! after that, and applies them to a `mirror` of the records (`watch`). It reads the store's
+//! current revision to bound the age of the mirror (`staleness`). It sends requests only as far as
+//! the rate limits allow. It depends on no other component of the controller: the type parameter
+//! `P` is the purpose of a request, which only the caller interprets.
 
 pub mod chunks;
 pub(crate) mod mirror;
@@ -22,45 +23,46 @@
 use crate::wire::{StoreRequest, StoreResponse};
 use std::collections::HashMap;
 
-/// Pause before a refused or failed list, watch or read of the revision is tried again.
+/// Pause before a refused or failed list, watch or read of the revision is retried, in seconds.
 const RETRY_S: f64 = 0.3;
 
 /// What a pending request is for.
 #[derive(Debug)]
 enum Purpose<P> {
-    /// A page of the initial list.
+    /// Reads a page of the initial list.
     List,
-    /// The changes behind the mirror's revision.
+    /// Waits for changes after the mirror's revision.
     Watch,
-    /// The present revision.
+    /// Reads the store's current revision.
     ReadRevision,
-    /// Something of the caller's.
+    /// A purpose that the caller named.
     Caller(P),
 }
 
-/// A request whose response hasn't come yet.
+/// A request without a response so far.
 #[derive(Debug)]
 struct PendingRequest<P> {
     purpose: Purpose<P>,
     sent: Time,
-    /// Puts and deletes that it makes, if it is carried out.
+    /// Number of puts and deletes that the request makes if the store commits it.
     changes: f64,
 }
 
-/// What a response means to the rest of the controller.
+/// The effect of a response that other components of the controller react to.
 #[derive(Debug)]
 pub(crate) enum StoreEvent<P> {
-    /// Nothing that it has to act on.
+    /// No reaction is needed.
     None,
-    /// The initial list is done, and these records differ from what was known.
-    ListedMachine(Vec<MirrorEvent>),
-    /// The watch brought changes. It waits to be continued.
+    /// The initial list is complete, and these records differ from the previous mirror.
+    Listed(Vec<MirrorEvent>),
+    /// The watch delivered these changes. The caller has to call `continue_watch`.
     Changed(Vec<MirrorEvent>),
-    /// The watch fell behind: what was missed can't be told apart from what never was.
+    /// The store has compacted changes that the watch had not delivered yet, so that deletions may
+    /// have been missed. The records are listed again.
     FellBehind,
-    /// The response to a request of the caller's.
+    /// The store answered a request that the caller had sent.
     Response {
-        /// What the request was for.
+        /// The purpose of the request.
         purpose: P,
         /// The response.
         response: StoreResponse,
@@ -69,21 +71,22 @@
     },
 }
 
-/// The store as one controller sees and uses it.
+/// The client of the store. `P` is the purpose of a request, which only the caller interprets.
 pub(crate) struct StoreClient<P> {
-    /// The records as far as they are known.
+    /// The store's records as this controller knows them.
     pub(crate) mirror: StoreMirror,
-    /// Requests a second.
+    /// Limits the requests per second.
     pub(crate) request_limit: TokenBucket,
-    /// Puts and deletes a second.
+    /// Limits the puts and deletes per second.
     pub(crate) change_limit: TokenBucket,
-    /// How many changes the other controllers make.
+    /// Measures the rate of changes that other controllers make.
     pub(crate) write_rate: WriteRateMeter,
-    /// Whether the store has refused a value for its size: the limits that were announced are in
-    /// force.
+    /// Whether the store has refused a value because of its size, which shows that the lower limits
+    /// announced in the settings are in force.
     pub(crate) announced_limits_in_force: bool,
+    /// Progress of the initial list and the watch.
     watch: WatchState,
-    initial_list_done: bool,
+    is_initial_list_done: bool,
     staleness: Staleness,
     pending: HashMap<CallId, PendingRequest<P>>,
 }
@@ -97,7 +100,7 @@
             write_rate: WriteRateMeter::default(),
             announced_limits_in_force: false,
             watch: WatchState::default(),
-            initial_list_done: false,
+            is_initial_list_done: false,
             staleness: Staleness::default(),
             pending: HashMap::new(),
         }
@@ -105,7 +108,7 @@
 }
 
 impl<P> StoreClient<P> {
-    /// Sends a request if the rate limits allow it; hands the purpose back if they don't.
+    /// Sends a request if the rate limits allow it; returns the purpose as the error otherwise.
     pub(crate) fn send(
         &mut self,
         now: Time,
@@ -117,7 +120,7 @@
         let sent = self.send_for(now, outbox, request, Purpose::Caller(purpose), priority);
         sent.map_err(|purpose| match purpose {
             Purpose::Caller(purpose) => purpose,
-            _ => unreachable!("the purpose that was given comes back"),
+            _ => unreachable!("`send_for` returns the purpose it was given"),
         })
     }
 
@@ -147,7 +150,7 @@
         Ok(call)
     }
 
-    /// Takes a response in. Calls that aren't pending any more are passed over.
+    /// Handles a response. Returns `None` for calls that aren't pending any more.
     pub(crate) fn on_response(
         &mut self,
         now: Time,
@@ -172,8 +175,8 @@
             Purpose::List => self.on_list(now, outbox, response),
             Purpose::Watch => self.on_watch(now, response, sent),
             Purpose::ReadRevision => {
-                let read = matches!(response, StoreResponse::Missing { .. });
-                self.staleness.on_revision_read(now, read);
+                let succeeded = matches!(response, StoreResponse::Missing { .. });
+                self.staleness.on_revision_read(now, succeeded);
                 StoreEvent::None
             }
             Purpose::Caller(purpose) => StoreEvent::Response {
@@ -184,7 +187,7 @@
         })
     }
 
-    /// Whether a request of the caller's is pending that `matches` picks.
+    /// Whether a request of the caller is pending whose purpose `matches` accepts.
     pub(crate) fn is_pending(&self, matches: impl Fn(&P) -> bool) -> bool {
         self.pending.values().any(|request| match &request.purpose {
             Purpose::Caller(purpose) => matches(purpose),
@@ -193,7 +196,7 @@
     }
 }
 
-/// Puts and deletes that a request makes.
+/// Returns the number of puts and deletes that a request makes.
 fn change_count(request: &StoreRequest) -> f64 {
     match request {
         StoreRequest::Transaction { writes, .. } => writes.len() as f64,
--- a/src/controller/store/records.rs
+++ b/src/controller/store/records.rs
@@ -1,5 +1,5 @@
-//! What the controllers keep at the store. All keys share one prefix, so
-//! that one follow sees every change.
+//! The records that the controllers keep in the store, and their keys. All keys share one prefix,
+//! so that a single watch delivers every change.
 
 use crate::controller::store::chunks::to_ranges;
 use crate::ids::{Attempt, ControllerId, FencingToken, Image, JobId, MachineId};
@@ -12,16 +12,16 @@
 
 /// The prefix of every key.
 pub const PREFIX: &str = "s/";
-/// Listing starts behind this key: final statuses are read by name when asked for,
-/// since they are kept for good and grow without bound.
+/// The key after which the initial list starts. The list skips the final statuses of jobs, which
+/// are kept forever and grow without bound; each of them is read by its key when it is needed.
 pub const LIST_AFTER: &str = "s/end/~";
 
-/// The name of a record.
+/// The key of a record.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Key {
-    /// Who leads.
+    /// The current leader.
     Leader,
-    /// The highest token ever given.
+    /// The highest fencing token issued so far.
     FencingToken,
     /// The leader's scaling plan.
     Plan,
@@ -29,20 +29,20 @@
     Shard(u32),
     /// Team limits that operators set at run time.
     Limits,
-    /// What this cell may use of limits that it shares with others.
+    /// This cell's shares of the limits that it shares with other cells.
     Cell,
-    /// What passes between this cell and another one.
+    /// The transfers between this cell and another cell.
     CellLink(Cell),
-    /// A job that is not over.
+    /// A job that has not ended.
     Job(JobId),
-    /// The placements of a chunk of a job.
+    /// The placements of a job's chunk or part, by its number.
     Placements(JobId, u32),
     /// How a job ended.
     End(JobId),
 }
 
 impl Key {
-    /// Reads a key's path; `None` for paths that aren't ours.
+    /// Parses the path of a key. Returns `None` for paths that no controller writes.
     pub fn parse(path: &str) -> Option<Self> {
         let (kind, rest) = path.strip_prefix(PREFIX)?.split_once('/')?;
         match (kind, rest) {
@@ -83,87 +83,93 @@
     }
 }
 
-/// Who leads, and which of its processes: a restarted one has another `incarnation`.
+/// The current leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// The controller that leads.
+    /// The leading controller.
     #[serde(rename = "member")]
     pub controller_id: ControllerId,
-    /// Which of its processes.
+    /// The process of that controller; each restart has another incarnation.
     #[serde(rename = "boot")]
     pub incarnation: u64,
-    /// The token of this leadership.
+    /// The fencing token of this leadership.
     #[serde(rename = "number")]
     pub token: FencingToken,
-    /// The lease that the record hangs on.
+    /// The store lease to which the record is attached.
     #[serde(rename = "hold", default)]
     pub lease_id: u64,
-    /// The leader calls the cloud only within so many milliseconds of a read of this record, so
-    /// that a successor that replaces it knows for how long to wait.
+    /// The leader calls the cloud only within this many milliseconds after a read of this record. A
+    /// successor that replaces the leader waits that long before it calls the cloud itself.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub fenced_ms: Option<u64>,
 }
 
-/// The highest token ever given.
+/// The highest fencing token issued so far.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FencingTokenRecord {
-    /// The token.
+    /// The highest fencing token.
     pub highest: FencingToken,
-    /// How long the leader that was elected last leaves the cloud alone.
+    /// How long the most recently elected leader waits before it calls the cloud.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub fence: Option<Fence>,
 }
 
-/// A machine as a shard's record names it: type, zone, and whether it is spot.
+/// A machine in a shard's record: its id, type, zone, and whether it is a spot machine.
 pub type MachineEntry = (MachineId, String, String, bool);
 
-/// A shard: who holds it and under which number. Starts are committed on the
-/// condition that this record is unchanged.
+/// A shard: its owner, the owner's fencing token, its machines and quota shares. Placements are
+/// committed with the precondition that this record is unchanged.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShardRecord {
-    /// The controller that owns it.
+    /// The controller that owns the shard.
     #[serde(rename = "holder")]
     pub owner: ControllerId,
-    /// Which of its processes.
+    /// The process of the owner; each restart has another incarnation.
     #[serde(rename = "boot")]
     pub incarnation: u64,
-    /// The token under which it commands the workers.
+    /// The fencing token that the owner sends with commands to workers.
     #[serde(rename = "number")]
     pub token: FencingToken,
-    /// The shard's machines; `None` for all there are, while it is the only shard.
+    /// The shard's machines; `None` for all machines, while this is the only shard.
     #[serde(default, with = "packed")]
     pub machines: Option<Vec<MachineEntry>>,
-    /// CPUs and GPUs that each team with a limit may use here; `None` for the whole
-    /// limit, while this is the only shard.
+    /// CPUs and GPUs that each team with a limit may use in this shard; `None` for the whole
+    /// limits, while this is the only shard.
     #[serde(rename = "allowances", default)]
     pub quota_shares: Option<BTreeMap<String, (f64, f64)>>,
 }
 
-/// How a shard's list of machines is written: by type, zone and kind, and of the names
-/// only what they don't share. Written one by one, a list outgrew its value at 71 machines.
+/// The compact encoding of a shard's list of machines. Machines are grouped by type, zone and
+/// market (spot or not), and the common prefix of their ids is stored once per group. With one
+/// entry per machine, a list exceeded the limit on the size of values at 71 machines.
 mod packed {
     use super::{MachineEntry, MachineId};
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
     use std::collections::BTreeMap;
 
-    /// Type, zone, kind, what the names begin with, and the rest of each.
+    /// Type, zone, whether the machines are spot machines, common prefix of the ids, and their
+    /// suffixes, joined by [`SUFFIX_SEPARATOR`].
     type Group = (String, String, bool, String, String);
 
-    /// Stands between the rests of names. A name that has one stands alone.
-    const GAP: char = ' ';
+    /// Separates the suffixes of ids. An id that contains this character has a group of its own.
+    const SUFFIX_SEPARATOR: char = ' ';
 
     fn group(place: (&str, &str, bool), ids: &[&str]) -> Group {
         let first = ids.first().copied().unwrap_or("");
-        let shared = |a: &str, b: &str| -> usize {
+        let shared_bytes = |a: &str, b: &str| -> usize {
             let same = a.chars().zip(b.chars()).take_while(|(x, y)| x == y);
             same.map(|(c, _)| c.len_utf8()).sum()
         };
-        let common = ids.iter().map(|id| shared(first, id)).min().unwrap_or(0);
-        let rests: Vec<&str> = ids.iter().map(|id| &id[common..]).collect();
-        let (class, zone, spot) = place;
-        let rests = rests.join(&GAP.to_string());
-        let begin = first[..common].to_string();
-        (class.into(), zone.into(), spot, begin, rests)
+        let common = ids
+            .iter()
+            .map(|id| shared_bytes(first, id))
+            .min()
+            .unwrap_or(0);
+        let suffixes: Vec<&str> = ids.iter().map(|id| &id[common..]).collect();
+        let (machine_type, zone, spot) = place;
+        let suffixes = suffixes.join(&SUFFIX_SEPARATOR.to_string());
+        let prefix = first[..common].to_string();
+        (machine_type.into(), zone.into(), spot, prefix, suffixes)
     }
 
     pub(super) fn serialize<S: Serializer>(
@@ -173,9 +179,9 @@
         let groups = list.as_ref().map(|list| {
             let mut places: BTreeMap<(&str, &str, bool), Vec<&str>> = BTreeMap::new();
             let mut groups = Vec::new();
-            for (id, class, zone, spot) in list {
-                let place = (class.as_str(), zone.as_str(), *spot);
-                if id.as_str().contains(GAP) {
+            for (id, machine_type, zone, spot) in list {
+                let place = (machine_type.as_str(), zone.as_str(), *spot);
+                if id.as_str().contains(SUFFIX_SEPARATOR) {
                     groups.push(group(place, &[id.as_str()]));
                 } else {
                     places.entry(place).or_default().push(id.as_str());
@@ -191,28 +197,38 @@
         from: D,
     ) -> Result<Option<Vec<MachineEntry>>, D::Error> {
         let groups: Option<Vec<Group>> = Option::deserialize(from)?;
-        let entries = |(class, zone, spot, begin, rests): Group| {
-            let ids = rests.split(GAP).map(|rest| format!("{begin}{rest}"));
-            let entry = |id: String| (MachineId::from(&*id), class.clone(), zone.clone(), spot);
+        let entries = |(machine_type, zone, spot, prefix, suffixes): Group| {
+            let ids = suffixes
+                .split(SUFFIX_SEPARATOR)
+                .map(|suffix| format!("{prefix}{suffix}"));
+            let entry = |id: String| {
+                (
+                    MachineId::from(&*id),
+                    machine_type.clone(),
+                    zone.clone(),
+                    spot,
+                )
+            };
             ids.map(entry).collect::<Vec<MachineEntry>>()
         };
-        Ok(groups.map(|all| all.into_iter().flat_map(entries).collect()))
+        Ok(groups.map(|groups| groups.into_iter().flat_map(entries).collect()))
     }
 }
 
 impl ShardRecord {
     /// Whether a machine belongs to this shard.
-    pub fn has(&self, machine: &MachineId) -> bool {
+    pub fn has_machine(&self, machine: &MachineId) -> bool {
         let list = self.machines.as_ref();
-        list.is_none_or(|list| list.iter().any(|e| e.0 == *machine))
+        list.is_none_or(|list| list.iter().any(|entry| entry.0 == *machine))
     }
 }
 
-/// One request to scale out, written before it is sent, so that a new leader can repeat
-/// it under the same name and learn its machines instead of scaling out again.
+/// One request to the cloud for more machines. It is written before it is sent, so that a new
+/// leader can repeat it under the same name: the cloud then returns the machines of the first
+/// request and starts no others.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ScaleOutRecord {
-    /// Names the request: the same name again asks for nothing new.
+    /// The idempotency key of the request.
     pub name: String,
     /// The machine type.
     #[serde(rename = "class")]
@@ -221,36 +237,38 @@
     pub zone: String,
     /// Whether spot machines are asked for.
     pub spot: bool,
-    /// How many machines.
+    /// Number of machines.
     pub count: u32,
 }
 
-/// A type, zone and kind (spot or not) of which the cloud has nothing left.
+/// A machine type, a zone, and whether spot machines are meant, of which the cloud has no machines
+/// left.
 pub type ExhaustedPool = (String, String, bool);
 
-/// The leader's plan of a reconcile turn: wanted counts and the requests to scale out under way.
+/// The leader's scaling plan: the desired numbers of machines and the pending scale-out requests.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ScalingPlanRecord {
-    /// The token of the leadership that wrote it.
+    /// The fencing token of the leadership that wrote the plan.
     #[serde(rename = "number")]
     pub token: FencingToken,
-    /// Machines wanted of each type, ordinary and spot (`true`) apart.
+    /// Desired machines: type, whether spot machines are meant, and number.
     pub wanted: Vec<(String, bool, u32)>,
-    /// Scale-out requests under way.
+    /// Pending scale-out requests.
     #[serde(rename = "hires")]
     pub scale_out_requests: Vec<ScaleOutRecord>,
-    /// Shards that take new jobs, each with its share.
+    /// Shards that accept new jobs, each with its relative share of them.
     #[serde(default)]
     pub shares: Vec<(u32, u32)>,
-    /// What isn't to be had for now; tasks count on other pools meanwhile.
+    /// Pools of which the cloud has no machines left for now. The demand of tasks is planned on
+    /// other pools meanwhile.
     #[serde(rename = "closed", default)]
     pub exhausted_pools: Vec<ExhaustedPool>,
-    /// Machines to return, if they are empty.
+    /// Machines to delete if they have no tasks.
     #[serde(rename = "returns", default)]
     pub scale_in: Vec<MachineId>,
 }
 
-/// What becomes of the tasks of a job.
+/// How the tasks of a job run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
     /// Independent tasks that each run to completion.
@@ -262,13 +280,13 @@
 /// The priority of a job. Higher classes compare as greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum PriorityClass {
-    /// Runs on what nothing else wants.
+    /// Runs on capacity that no other class needs.
     Idle,
     /// The usual class of batch work.
     Normal,
-    /// Starts are waited for.
+    /// Work whose start somebody is waiting for.
     Urgent,
-    /// Preempts all others.
+    /// Preempts all other classes.
     Critical,
 }
 
@@ -283,25 +301,25 @@
     pub mem: f64,
 }
 
-/// Room for rounding when amounts are added and taken away many times.
-const SLACK: f64 = 1e-6;
+/// Absolute tolerance for the rounding errors of amounts that are added and subtracted many times.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 impl Resources {
-    /// Adds so many times another amount.
+    /// Adds another amount, multiplied by `times`; a negative factor subtracts it.
     pub fn add(&mut self, other: Resources, times: f64) {
         self.cpus += other.cpus * times;
         self.gpus += other.gpus * times;
         self.mem += other.mem * times;
     }
 
-    /// Whether `need` fits into this much free room.
+    /// Whether these free resources suffice for `need`, within a rounding tolerance.
     pub fn holds(&self, need: Resources) -> bool {
-        need.cpus <= self.cpus + SLACK
-            && need.gpus <= self.gpus + SLACK
-            && need.mem <= self.mem + SLACK
+        need.cpus <= self.cpus + ROUNDING_TOLERANCE
+            && need.gpus <= self.gpus + ROUNDING_TOLERANCE
+            && need.mem <= self.mem + ROUNDING_TOLERANCE
     }
 
-    /// The smaller amount of each.
+    /// Returns the smaller amount of each resource.
     pub fn least(self, other: Resources) -> Resources {
         Resources {
             cpus: self.cpus.min(other.cpus),
@@ -310,40 +328,42 @@
         }
     }
 
-    /// The largest share that this takes of a whole.
+    /// Returns the largest fraction, over all resources, that this amount is of `whole`. A resource
+    /// that `whole` lacks counts as 0.
     pub fn share_of(&self, whole: Resources) -> f64 {
-        let part = |a: f64, b: f64| if b > 0.0 { a / b } else { 0.0 };
-        part(self.cpus, whole.cpus)
-            .max(part(self.gpus, whole.gpus))
-            .max(part(self.mem, whole.mem))
+        let fraction = |part: f64, whole: f64| if whole > 0.0 { part / whole } else { 0.0 };
+        fraction(self.cpus, whole.cpus)
+            .max(fraction(self.gpus, whole.gpus))
+            .max(fraction(self.mem, whole.mem))
     }
 }
 
-/// A job as its user submitted it, and what became of it since.
+/// A job as its user submitted it, with the chunk size, shard and cancellation mark that the
+/// controllers add.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// The workload class, for which objectives are set.
+    /// The workload class, to which service level objectives refer.
     pub class: String,
-    /// The team whose quota counts.
+    /// The team whose quota the job uses.
     pub team: String,
-    /// Batch or service.
+    /// Whether the job is a batch job or a service.
     #[serde(rename = "form")]
     pub kind: JobKind,
-    /// Whom it may preempt.
+    /// The priority of the job, which decides what it may preempt.
     #[serde(rename = "rank")]
     pub priority_class: PriorityClass,
-    /// Tasks.
+    /// Number of tasks.
     pub count: u32,
-    /// What each task takes of its machine.
+    /// Resources that each task needs.
     #[serde(rename = "need")]
     pub resources: Resources,
-    /// The image that a machine fetches before a task runs.
+    /// The container image that a machine fetches before it runs a task.
     pub image: Image,
-    /// The image's size.
+    /// The size of the image, in GB.
     pub image_gb: f64,
-    /// Machine types that it may run on; `None` for all.
+    /// Machine types that the tasks may run on; `None` for all types.
     pub types: Option<Vec<String>>,
-    /// The only zone that it may run in.
+    /// The only zone that the tasks may run in; `None` for all zones.
     pub zone: Option<String>,
     /// Whether all tasks must be in one zone.
     #[serde(rename = "one_zone")]
@@ -351,69 +371,71 @@
     /// Whether at most half of the tasks, rounded up, may be in one zone.
     #[serde(rename = "scatter")]
     pub zone_spread: bool,
-    /// Whether it may use spot machines.
+    /// Whether the tasks may run on spot machines.
     pub spot: bool,
-    /// The user's estimate of a task's run time.
+    /// The user's estimate of the run time of a task, in seconds.
     pub estimate_s: f64,
-    /// Progress after which a task saves by itself; 0 if it never does.
+    /// Seconds of progress after which a task saves a checkpoint by itself; 0 if it never does.
     pub checkpoint_s: f64,
-    /// Time that a stopped task takes to save.
+    /// Seconds that a stopped task takes to save a checkpoint.
     pub save_s: f64,
-    /// When it should be done, measured from its submission.
+    /// Seconds from the submission within which the job should be done.
     pub deadline_s: Option<f64>,
-    /// Tasks per `run` record. Kept here, since settings may change.
+    /// Tasks per `run` record. It is fixed when the job is accepted, since the settings that it
+    /// derives from may change.
     #[serde(rename = "chunk")]
     pub chunk_size: u32,
-    /// The shard whose owner runs it.
+    /// The shard whose owner schedules the job.
     #[serde(rename = "block")]
     pub shard: u32,
-    /// Whether its user has cancelled it.
+    /// Whether the user has cancelled the job.
     #[serde(rename = "withdrawn", default)]
     pub cancelled: bool,
-    /// Jobs that have to be done before any task of this one starts, each named once.
+    /// Jobs that have to be done before any task of this job starts, without duplicates.
     #[serde(rename = "needs", default, skip_serializing_if = "Vec::is_empty")]
     pub dependencies: Vec<JobId>,
 }
 
 impl JobRecord {
-    /// Whether its tasks may run on a type of machine.
-    pub fn allows(&self, class: &str) -> bool {
+    /// Whether the job's tasks may run on a machine type.
+    pub fn allows(&self, machine_type: &str) -> bool {
         let types = self.types.as_ref();
-        types.is_none_or(|types| types.iter().any(|t| t == class))
+        types.is_none_or(|types| types.iter().any(|allowed| allowed == machine_type))
     }
 }
 
-/// One placed task: its index, attempt, machine, and that machine's zone.
+/// A placed task: its index, its attempt, its machine, and the zone of the machine.
 pub type PlacedTask = (u32, Attempt, MachineId, String);
 
-/// One chunk of a job's tasks: ranges of finished ones, and those placed.
+/// The finished and the placed tasks of one chunk or part of a job.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PlacementRecord {
-    /// Ranges of finished tasks, each with the index behind its last.
+    /// Ranges of indexes of finished tasks; the end of a range is exclusive.
     pub done: Vec<(u32, u32)>,
     /// Placed tasks.
     pub placed: Vec<PlacedTask>,
-    /// Failed tries of the job since a task of it last succeeded, when this was written. The
-    /// next owner blames neither the machines nor the job anew.
+    /// Failed attempts of the job's tasks since one of them last succeeded, as of this write. The
+    /// next owner of the shard starts from this count, so that it doesn't attribute the same
+    /// failures to machines or to the job again.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub failed_tries: u32,
-    /// Machines on which the job's tasks failed, within a bound.
+    /// Machines on which the job's tasks failed, up to a maximum number.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub failed_on: Vec<MachineId>,
-    /// Tasks of a part, if this is one. It alone speaks of its tasks then; the record of its
-    /// chunk, which couldn't be written any more, is passed over for them.
+    /// Tasks per part if this record is a part; `None` for a chunk. For its tasks, a part overrides
+    /// the record of its chunk, which has become too large to be written.
     #[serde(rename = "part", default, skip_serializing_if = "Option::is_none")]
     pub part_size: Option<u32>,
 }
 
 impl PlacementRecord {
-    /// What is left when these tasks are passed over.
-    pub fn without(&self, passed: &[std::ops::Range<u32>]) -> Self {
-        let spoken_of = |index: &u32| !passed.iter().any(|tasks| tasks.contains(index));
+    /// Returns the record without the tasks in the given ranges.
+    pub fn without(&self, omitted: &[std::ops::Range<u32>]) -> Self {
+        let is_kept = |index: &u32| !omitted.iter().any(|tasks| tasks.contains(index));
         let mut record = self.clone();
-        record.placed.retain(|(index, ..)| spoken_of(index));
+        record.placed.retain(|(index, ..)| is_kept(index));
         let done = self.done.iter().flat_map(|(from, to)| *from..*to);
-        record.done = to_ranges(done.filter(spoken_of));
+        record.done = to_ranges(done.filter(is_kept));
         record
     }
 }
@@ -422,30 +444,31 @@
     *count == 0
 }
 
-/// Bytes of a value as JSON, in which the limits on values are counted.
+/// Returns the size of a value as JSON, in bytes. The store's limits on the size of values apply to
+/// this encoding.
 pub fn json_bytes(value: &impl Serialize) -> usize {
     serde_json::to_vec(value).map_or(0, |json| json.len() + 1)
 }
 
-/// CPUs and GPUs that each of some teams may use at most.
+/// The upper limits on the CPUs and GPUs that teams may use, by team.
 pub type LimitsByTeam = BTreeMap<String, (f64, f64)>;
 
-/// Team limits that operators set at run time, in place of those of the settings. Written by
-/// operators alone, so that anything may stand there.
+/// Team limits that operators set at run time, in place of the limits in the settings. Only
+/// operators write this record, so that its content may be malformed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LimitsRecord {
-    /// The limits, not yet checked against the teams that there are.
+    /// The limits, not yet checked against the teams in the settings.
     Teams(LimitsByTeam),
-    /// What stands there can't be read, and why.
+    /// The record can't be parsed, for the given reason.
     Unreadable(String),
 }
 
-/// How a job ended, for good.
+/// The final status of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Ending {
-    /// All its tasks are done.
+    /// All tasks of the job are done.
     Done,
-    /// Its user cancelled it, or a job that it depends on.
+    /// The user cancelled the job or a job that it depends on.
     #[serde(rename = "Withdrawn")]
     Cancelled,
 }
@@ -453,9 +476,9 @@
 /// The content of a key.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
-    /// Who leads.
+    /// The current leader.
     Leader(LeaderRecord),
-    /// The highest token.
+    /// The highest fencing token issued so far.
     FencingToken(FencingTokenRecord),
     /// The scaling plan.
     Plan(ScalingPlanRecord),
@@ -465,12 +488,12 @@
     Limits(LimitsRecord),
     /// This cell's shares of limits.
     Cell(Box<CellRecord>),
-    /// What passes between this cell and another one.
+    /// The transfers between this cell and another cell.
     CellLink(LinkRecord),
     /// A job.
     Job(Box<JobRecord>),
-    /// Placements.
+    /// The placements of a chunk or part of a job.
     Placements(PlacementRecord),
-    /// The end of a job.
+    /// The final status of a job.
     End(Ending),
 }
--- a/src/controller/store/staleness.rs
+++ b/src/controller/store/staleness.rs
@@ -1,8 +1,8 @@
-//! How old the mirror may be: reads of the store's present revision, and from when on a controller
-//! counts as stale.
+//! The bound on the age of the mirror: reads of the store's current revision, and the age above
+//! which a controller counts as stale.
 //!
-//! A read proves that the mirror is linearizable up to the moment at which the read was *sent*, as
-//! soon as the mirror has reached the revision that the read named.
+//! Once the mirror has reached the revision that a read returned, it contains every change that the
+//! store had committed before that read was *sent*.
 
 use crate::controller::outbox::Outbox;
 use crate::controller::rate_limits::token_bucket::Priority;
@@ -11,51 +11,55 @@
 use crate::wire::StoreRequest;
 use std::collections::VecDeque;
 
-/// A controller whose mirror may be older than this starts nothing and takes nothing.
+/// Upper bound on the age of a usable mirror, in seconds. A controller whose mirror may be older
+/// starts no tasks and takes on no new work, such as submissions or leadership.
 pub(crate) const STALENESS_BOUND_S: f64 = 2.5;
-/// Shortest pause between two reads of the present revision.
+/// Shortest pause between two reads of the current revision, in seconds.
 const REVISION_READ_GAP_S: f64 = 0.06;
-/// Share of its requests that a controller reads the revision with for status queries. With that
-/// and the watch's share, some are left for submissions and cancellations however often users ask.
+/// Upper bound on the share of a controller's requests that read the revision for status queries.
+/// Together with the share of the watch, it leaves requests for submissions and cancellations
+/// however often users query the status of jobs.
 const STATUS_QUERY_SHARE: f64 = 0.35;
-/// A controller reads the present revision at least this often.
+/// Longest interval between two reads of the current revision, in seconds.
 const REVISION_READ_INTERVAL_S: f64 = 1.0;
 
-/// A read whose response named a revision that the mirror hasn't reached yet.
+/// A completed read or commit whose revision the mirror hasn't reached yet.
 #[derive(Debug)]
 struct RevisionRead {
     call: CallId,
     sent: Time,
     revision: u64,
-    answered: Time,
+    answered_at: Time,
 }
 
-/// Requests of users that wait for a read sent after them, each named by the last call that was
-/// sent before it.
+/// The newest user requests that wait for a read of the revision sent after they arrived. Each is
+/// identified by the last call that was sent before it arrived.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RevisionDemand {
-    /// The newest status query.
+    /// Call before the newest status query.
     pub(crate) status_query: Option<CallId>,
-    /// The newest cancellation, or submission whose dependencies have to be looked up.
+    /// Call before the newest cancellation, or the newest submission whose dependencies have to be
+    /// looked up.
     pub(crate) urgent: Option<CallId>,
 }
 
-/// What is known of the mirror's age.
+/// What this controller knows about the age of the mirror.
 #[derive(Debug)]
 pub(super) struct Staleness {
-    /// When the latest read was sent whose revision the mirror has reached.
+    /// Time at which the latest read was sent whose revision the mirror has reached.
     linearized_at: Time,
-    /// That read.
+    /// The call of the latest read whose revision the mirror has reached.
     linearized_call: CallId,
-    /// When the latest read or watch was sent whose changes are known.
+    /// Time at which the latest read or watch was sent whose changes the mirror contains.
     changes_known_at: Time,
-    /// Whether a read of the present revision is pending.
-    reading: bool,
-    /// When the latest such read was sent; later than now, if it failed.
-    last_read: Time,
-    /// The latest such read.
+    /// Whether a read of the current revision is pending.
+    is_reading: bool,
+    /// Time at which the latest read of the current revision was sent. After a failed read, this is
+    /// a time in the future, which delays the retry.
+    last_read_at: Time,
+    /// The call of the latest read of the current revision.
     last_read_call: CallId,
-    /// Reads that were answered, while the mirror hasn't come as far yet.
+    /// Completed reads whose revision the mirror hasn't reached yet, oldest first.
     reads: VecDeque<RevisionRead>,
 }
 
@@ -65,8 +69,8 @@
             linearized_at: Time(0),
             linearized_call: CallId(0),
             changes_known_at: Time(0),
-            reading: false,
-            last_read: Time(0),
+            is_reading: false,
+            last_read_at: Time(0),
             last_read_call: CallId(0),
             reads: VecDeque::new(),
         }
@@ -79,39 +83,41 @@
             call,
             sent,
             revision,
-            answered: now,
+            answered_at: now,
         });
     }
 
-    /// Whether the mirror has failed to reach a read's revision for so long.
-    pub(super) fn waits_longer_than(&self, now: Time, most_s: f64) -> bool {
+    /// Whether the mirror has not reached the revision of a completed read for more than `max_s`
+    /// seconds.
+    pub(super) fn has_waited_longer_than(&self, now: Time, max_s: f64) -> bool {
         let oldest = self.reads.front();
-        oldest.is_some_and(|read| now.since(read.answered) > most_s)
+        oldest.is_some_and(|read| now.since(read.answered_at) > max_s)
     }
 
-    pub(super) fn forget_reads(&mut self) {
+    pub(super) fn clear_reads(&mut self) {
         self.reads.clear();
     }
 
-    pub(super) fn changes_known(&mut self, sent: Time) {
+    pub(super) fn record_changes_known(&mut self, sent: Time) {
         self.changes_known_at = self.changes_known_at.max(sent);
     }
 
     pub(super) fn on_revision_read(&mut self, now: Time, succeeded: bool) {
-        self.reading = false;
+        self.is_reading = false;
         if !succeeded {
-            self.last_read = now.after(RETRY_S);
+            self.last_read_at = now.after(RETRY_S);
         }
     }
 
-    /// The mirror has reached a revision: reads of it and of earlier ones prove what they can.
-    fn reached(&mut self, revision: u64) {
+    /// Advances the known age of the mirror by all completed reads up to the revision that the
+    /// mirror has reached.
+    fn advance_to(&mut self, revision: u64) {
         let (linearized_at, call) = (&mut self.linearized_at, &mut self.linearized_call);
-        let known = &mut self.changes_known_at;
+        let changes_known_at = &mut self.changes_known_at;
         self.reads.retain(|read| {
             if read.revision <= revision {
                 *linearized_at = (*linearized_at).max(read.sent);
-                *known = (*known).max(read.sent);
+                *changes_known_at = (*changes_known_at).max(read.sent);
                 *call = (*call).max(read.call);
             }
             read.revision > revision
@@ -120,65 +126,68 @@
 }
 
 impl<P> StoreClient<P> {
-    /// Reads the present revision when a request waits for it, or when it was last read too long
-    /// ago.
+    /// Reads the current revision if a user request waits for it, or if the last read is
+    /// [`REVISION_READ_INTERVAL_S`] old.
     pub(crate) fn read_revision(&mut self, now: Time, outbox: &mut Outbox, demand: RevisionDemand) {
-        if self.staleness.reading || !self.initial_list_done {
+        if self.staleness.is_reading || !self.is_initial_list_done {
             return;
         }
-        let since_s = now.since(self.staleness.last_read);
+        let since_last_read_s = now.since(self.staleness.last_read_at);
         let last_call = self.staleness.last_read_call;
-        let waits = |after: Option<CallId>| after.is_some_and(|after| after >= last_call);
-        let urgent = waits(demand.urgent) && since_s >= REVISION_READ_GAP_S;
-        let due = urgent || since_s >= REVISION_READ_INTERVAL_S;
-        let gap_s = 1.0 / (self.request_limit.rate() * STATUS_QUERY_SHARE).max(1.0);
-        let queried = waits(demand.status_query) && since_s >= gap_s.max(REVISION_READ_GAP_S);
-        if !(due || queried) {
+        let is_waiting = |after: Option<CallId>| after.is_some_and(|after| after >= last_call);
+        let is_urgent = is_waiting(demand.urgent) && since_last_read_s >= REVISION_READ_GAP_S;
+        let is_due = is_urgent || since_last_read_s >= REVISION_READ_INTERVAL_S;
+        let status_query_gap_s = 1.0 / (self.request_limit.rate() * STATUS_QUERY_SHARE).max(1.0);
+        let is_queried = is_waiting(demand.status_query)
+            && since_last_read_s >= status_query_gap_s.max(REVISION_READ_GAP_S);
+        if !(is_due || is_queried) {
             return;
         }
-        // What it has to know to act, to cancel and to accept goes first, status queries behind
-        // that.
-        let priority = if due {
+        // Reads that scheduling, cancellations and submissions depend on have priority over reads
+        // for status queries.
+        let priority = if is_due {
             Priority::First
         } else {
             Priority::Usual
         };
         let request = StoreRequest::ReadRevision;
         if let Ok(call) = self.send_for(now, outbox, request, Purpose::ReadRevision, priority) {
-            self.staleness.reading = true;
-            self.staleness.last_read = now;
+            self.staleness.is_reading = true;
+            self.staleness.last_read_at = now;
             self.staleness.last_read_call = call;
         }
     }
 
-    /// Takes note of how far the mirror has come.
+    /// Advances the known age of the mirror after its revision has changed.
     pub(crate) fn advance_linearization(&mut self) {
-        self.staleness.reached(self.mirror.revision);
+        self.staleness.advance_to(self.mirror.revision);
     }
 
-    /// When the latest read was sent whose revision is known here: whatever stood at the store
-    /// then is known.
+    /// Returns the time at which the latest read was sent whose revision the mirror has reached.
+    /// The mirror contains everything that the store had committed before that time.
     pub(crate) fn linearized_at(&self) -> Time {
         self.staleness.linearized_at
     }
 
-    /// The latest such read. What came before it was sent is older than what is known.
+    /// Returns the call of the latest read whose revision the mirror has reached. The mirror is
+    /// newer than any request that arrived before this call was sent.
     pub(crate) fn linearized_call(&self) -> CallId {
         self.staleness.linearized_call
     }
 
-    /// When the latest read or watch was sent whose changes are known here.
+    /// Returns the time at which the latest read or watch was sent whose changes the mirror
+    /// contains.
     pub(crate) fn changes_known_at(&self) -> Time {
         self.staleness.changes_known_at
     }
 
-    /// Seconds since this controller last knew all that stood at the store.
+    /// Returns the upper bound on the age of the mirror, in seconds.
     pub(crate) fn staleness_s(&self, now: Time) -> f64 {
         now.since(self.staleness.linearized_at)
     }
 
-    /// Whether it can't know what the store holds now.
+    /// Whether the mirror is incomplete or may be older than [`STALENESS_BOUND_S`].
     pub(crate) fn is_stale(&self, now: Time) -> bool {
-        !self.initial_list_done || self.staleness_s(now) > STALENESS_BOUND_S
+        !self.is_initial_list_done || self.staleness_s(now) > STALENESS_BOUND_S
     }
 }
--- a/src/controller/store/watch.rs
+++ b/src/controller/store/watch.rs
@@ -1,4 +1,4 @@
-//! The initial list of the store's records, and the watch that brings every change after it.
+//! The initial list of the store's records, and the watch that delivers every later change.
 
 use crate::controller::events::Output;
 use crate::controller::outbox::Outbox;
@@ -9,34 +9,36 @@
 use crate::ids::{CallId, Time};
 use crate::wire::{Change, StoreRequest, StoreResponse};
 
-/// A watch that hasn't brought a revision known to exist for this long hangs.
+/// A watch counts as stuck if it hasn't delivered a revision that is known to exist for longer than
+/// this, in seconds.
 const WATCH_STUCK_S: f64 = 1.5;
-/// Share of its requests that a controller which schedules nothing watches with.
+/// Upper bound on the share of a controller's requests that open watches, while the controller
+/// schedules no tasks.
 const WATCH_SHARE: f64 = 0.4;
 
-/// How far the list and the watch have come.
+/// The progress of the initial list and the watch.
 #[derive(Debug)]
 pub(super) enum WatchState {
-    /// Neither is under way.
+    /// Neither a list nor a watch is in progress.
     Idle {
-        /// When the list begins anew.
+        /// Time at which the list starts again.
         retry_at: Time,
     },
-    /// The initial list is under way.
+    /// The initial list is in progress.
     Listing {
-        /// The revision of the first page, from which the watch begins.
+        /// The revision of the first page, after which the watch starts.
         first_revision: Option<u64>,
         /// The records of the pages so far.
         entries: Vec<Change>,
     },
     /// A watch is open.
     Watching {
-        /// Its call.
+        /// The call of the open watch.
         call: CallId,
     },
-    /// The list is done, and no watch is open.
+    /// The list is complete, and no watch is open.
     Paused {
-        /// When the next one is opened.
+        /// Time at which the next watch is opened.
         retry_at: Time,
     },
 }
@@ -48,43 +50,43 @@
 }
 
 impl<P> StoreClient<P> {
-    /// Begins the list, opens the watch, or opens it anew if it hangs. An `eager` controller
-    /// doesn't wait until a pause is over.
-    pub(crate) fn keep_watching(&mut self, now: Time, outbox: &mut Outbox, eager: bool) {
+    /// Starts the list, opens the watch, or reopens a watch that is stuck. An eager controller
+    /// opens the watch without waiting for the end of a pause.
+    pub(crate) fn keep_watching(&mut self, now: Time, outbox: &mut Outbox, is_eager: bool) {
         match self.watch {
             WatchState::Idle { retry_at } if now >= retry_at => {
                 self.watch = WatchState::Listing {
                     first_revision: None,
                     entries: Vec::new(),
                 };
-                self.list_from(now, outbox, LIST_AFTER.into());
+                self.request_list_page(now, outbox, LIST_AFTER.into());
             }
-            WatchState::Paused { retry_at } if now >= retry_at || eager => {
+            WatchState::Paused { retry_at } if now >= retry_at || is_eager => {
                 self.open_watch(now, outbox);
             }
-            // A partition can leave the watch's connection open and dead: a revision that is known to
-            // exist doesn't come through it.
+            // A network partition can leave the watch's connection open although it delivers
+            // nothing. A revision that is known to exist but doesn't arrive shows this.
             WatchState::Watching { call }
-                if self.staleness.waits_longer_than(now, WATCH_STUCK_S) =>
+                if self.staleness.has_waited_longer_than(now, WATCH_STUCK_S) =>
             {
                 self.pending.remove(&call);
                 outbox.push(Output::CancelCall(call));
-                self.staleness.forget_reads();
+                self.staleness.clear_reads();
                 self.open_watch(now, outbox);
             }
             _ => {}
         }
     }
 
-    fn list_from(&mut self, now: Time, outbox: &mut Outbox, after: String) {
+    fn request_list_page(&mut self, now: Time, outbox: &mut Outbox, after: String) {
         let request = StoreRequest::List { after };
         let sent = self.send_for(now, outbox, request, Purpose::List, Priority::First);
         if sent.is_err() {
-            self.list_later(now);
+            self.schedule_list_retry(now);
         }
     }
 
-    fn list_later(&mut self, now: Time) {
+    fn schedule_list_retry(&mut self, now: Time) {
         self.watch = WatchState::Idle {
             retry_at: now.after(RETRY_S),
         };
@@ -103,7 +105,7 @@
             revision,
         } = response
         else {
-            self.list_later(now);
+            self.schedule_list_retry(now);
             return StoreEvent::None;
         };
         let WatchState::Listing {
@@ -113,19 +115,19 @@
         else {
             return StoreEvent::None;
         };
-        // Later pages may show later changes; the watch starts at the first page's revision and
-        // brings what the pages missed.
-        let began = *first_revision.get_or_insert(revision);
+        // Later pages may contain newer changes than the first one. The watch starts at the first
+        // page's revision and delivers the changes that the pages missed.
+        let listed_at = *first_revision.get_or_insert(revision);
         entries.extend(page);
         if let (true, Some(last)) = (more, last) {
-            self.list_from(now, outbox, last);
+            self.request_list_page(now, outbox, last);
             return StoreEvent::None;
         }
         let entries = std::mem::take(entries);
-        let events = self.mirror.replace(now, began, entries);
-        self.initial_list_done = true;
+        let events = self.mirror.replace(now, listed_at, entries);
+        self.is_initial_list_done = true;
         self.open_watch(now, outbox);
-        StoreEvent::ListedMachine(events)
+        StoreEvent::Listed(events)
     }
 
     fn open_watch(&mut self, now: Time, outbox: &mut Outbox) {
@@ -141,11 +143,12 @@
         };
     }
 
-    /// Opens the next watch: at once for an `eager` controller. The others let changes gather, so
-    /// that opening the watch for each of them doesn't use up their requests: with five
-    /// controllers that kept submissions waiting for a second.
-    pub(crate) fn continue_watch(&mut self, now: Time, outbox: &mut Outbox, eager: bool) {
-        if eager {
+    /// Opens the next watch after one has delivered changes. An eager controller opens it
+    /// immediately. Other controllers pause first, so that one watch delivers several changes: with
+    /// five controllers, one watch per change used up the request limit and delayed submissions by
+    /// a second.
+    pub(crate) fn continue_watch(&mut self, now: Time, outbox: &mut Outbox, is_eager: bool) {
+        if is_eager {
             return self.open_watch(now, outbox);
         }
         let gap_s = 1.0 / (self.request_limit.rate() * WATCH_SHARE).max(1.0);
@@ -154,7 +157,7 @@
         };
     }
 
-    /// Opens the next watch without a pause: something is known to have changed.
+    /// Ends the pause and opens the next watch, because the store is known to have changed.
     pub(crate) fn resume_watch(&mut self, now: Time, outbox: &mut Outbox) {
         if matches!(self.watch, WatchState::Paused { .. }) {
             self.open_watch(now, outbox);
@@ -170,7 +173,7 @@
         match response {
             StoreResponse::Changes { revision, news } => {
                 self.write_rate.count_seen(news.len());
-                self.staleness.changes_known(sent);
+                self.staleness.record_changes_known(sent);
                 let mirror = &mut self.mirror;
                 let changes = news.into_iter();
                 let events: Vec<MirrorEvent> = changes
@@ -180,7 +183,7 @@
                 StoreEvent::Changed(events)
             }
             StoreResponse::Compacted => {
-                self.initial_list_done = false;
+                self.is_initial_list_done = false;
                 self.watch = WatchState::Idle { retry_at: now };
                 StoreEvent::FellBehind
             }
@@ -193,8 +196,8 @@
         }
     }
 
-    /// Whether the store's records were listed, and are watched since.
+    /// Whether the records have been listed completely, and the watch has missed no change since.
     pub(crate) fn is_initial_list_done(&self) -> bool {
-        self.initial_list_done
+        self.is_initial_list_done
     }
 }
--- a/src/controller/store_requests.rs
+++ b/src/controller/store_requests.rs
@@ -1,4 +1,4 @@
-//! What requests to the store are for, and which duty takes the response to each.
+//! The purposes of requests to the store, and the dispatch of responses by purpose.
 
 use crate::controller::Controller;
 use crate::controller::api::{DependentSubmission, StatusQuery, Submission};
@@ -12,52 +12,52 @@
 use crate::ids::{CallId, JobId, Time};
 use crate::wire::{StoreRequest, StoreResponse};
 
-/// What a request to the store is for.
+/// The purpose of a request to the store.
 #[derive(Debug)]
 pub(crate) enum RequestPurpose {
-    /// A lease to be elected with.
+    /// Grants the lease with which this controller stands for election.
     GrantLease,
-    /// The transaction that makes this controller the leader.
+    /// Commits the transaction that makes this controller the leader.
     Elect,
-    /// The leader's lease is kept alive.
+    /// Renews the leader's lease.
     RenewLease,
-    /// The leader's lease is given up.
+    /// Revokes a lease that this controller doesn't need any more.
     RevokeLease,
-    /// Jobs are accepted.
+    /// Commits the records of new jobs.
     Submit(Vec<Submission>),
-    /// A job's record is marked as cancelled.
+    /// Marks a job's record as cancelled.
     Cancel(StatusQuery),
-    /// The end of a job that a user asks about.
+    /// Reads the end of a job whose status a user requested.
     ReadEnd(StatusQuery),
-    /// The end of a job that a submission names.
+    /// Reads the end of a job that a submission names as a dependency.
     ReadSubmissionDependency(Box<DependentSubmission>, JobId),
-    /// The end of a job that one in the mirror depends on.
+    /// Reads the end of a job that a job in the mirror depends on.
     ReadDependency(JobId),
-    /// What the owner of a shard asks for it.
+    /// A request of a shard's owner, valid for this ownership only.
     Shard(ShardOwnership, ShardRequest),
-    /// The leader's scaling plan.
+    /// Writes the leader's scaling plan.
     WritePlan,
-    /// Owners, machines or quota shares of shards change.
+    /// Changes owners, machines or quota shares of shards.
     UpdateShards,
-    /// Limits shared with other cells change.
+    /// Changes the records of limits that are shared with other cells.
     CellChange,
 }
 
-/// What a shard's owner asks of the store.
+/// The purpose of a request that the owner of a shard sends.
 #[derive(Debug)]
 pub(crate) enum ShardRequest {
-    /// Chunks of placements are written.
+    /// Writes placement records.
     WritePlacements(Vec<PlacementWrite>),
-    /// A chunk is read whose revision isn't the expected one.
+    /// Reads a placement record again after a write conflict: its revision wasn't the expected one.
     RereadPlacements(JobId, u32),
-    /// The end of a job is written.
+    /// Writes the end of a job.
     WriteEnd(JobId),
-    /// Chunks of jobs that are over are deleted.
+    /// Deletes placement records of jobs that have ended.
     DeletePlacements(Vec<(JobId, u32)>),
 }
 
 impl Controller {
-    /// The store answered a request.
+    /// Handles a response of the store.
     pub(crate) fn on_store_response(&mut self, call: CallId, response: StoreResponse) {
         let context = &mut self.context;
         let store = &mut context.store;
@@ -67,7 +67,7 @@
         };
         match event {
             StoreEvent::None => {}
-            StoreEvent::ListedMachine(events) => self.on_mirror_events(events),
+            StoreEvent::Listed(events) => self.on_mirror_events(events),
             StoreEvent::Changed(events) => {
                 self.continue_watch();
                 self.on_mirror_events(events);
@@ -83,14 +83,15 @@
         self.context.answer_status_queries();
     }
 
-    /// Opens the next watch, at once where tasks are scheduled or this controller takes over.
+    /// Opens the next watch: without a pause if this controller owns shards, leads, suspects the
+    /// leader or has won an election.
     fn continue_watch(&mut self) {
-        let takes_over = self.context.suspects_leader().is_some() || self.context.has_won();
-        let acts = !self.shards.is_empty() || self.context.is_leader();
+        let is_taking_over = self.context.suspects_leader().is_some() || self.context.has_won();
+        let is_active = !self.shards.is_empty() || self.context.is_leader();
         let Context {
             store, outbox, now, ..
         } = &mut self.context;
-        store.continue_watch(*now, outbox, acts || takes_over);
+        store.continue_watch(*now, outbox, is_active || is_taking_over);
     }
 
     fn on_response_for(&mut self, purpose: RequestPurpose, response: StoreResponse, sent: Time) {
@@ -120,7 +121,8 @@
         }
     }
 
-    /// The response to what the owner of a shard asked, if the same ownership still lasts.
+    /// Handles the response to a request of a shard's owner. The response is ignored if the
+    /// ownership under which the request was sent has ended.
     fn on_shard_response(
         &mut self,
         ownership: ShardOwnership,
@@ -146,7 +148,7 @@
         }
     }
 
-    /// Records of the store changed.
+    /// Handles changes of the mirror.
     fn on_mirror_events(&mut self, events: Vec<MirrorEvent>) {
         let mut control_records_changed = false;
         for event in events {
@@ -175,7 +177,7 @@
 }
 
 impl Context {
-    /// Sends a request if the rate limits allow it; hands the purpose back if they don't.
+    /// Sends a request if the rate limits allow it; returns the purpose as the error otherwise.
     pub(crate) fn send_store_request(
         &mut self,
         request: StoreRequest,
@@ -187,17 +189,17 @@
             .send(self.now, outbox, request, purpose, priority)
     }
 
-    /// The latest call that was made.
+    /// Returns the latest call to the store or the cloud.
     pub(crate) fn last_call(&self) -> CallId {
         self.outbox.last_call()
     }
 
-    /// Whether this controller can't know what the store holds now.
+    /// Whether the mirror is incomplete or too old to act on.
     pub(crate) fn is_stale(&self) -> bool {
         self.store.is_stale(self.now)
     }
 
-    /// Seconds since it last knew all that stood at the store.
+    /// Returns the upper bound on the age of the mirror, in seconds.
     pub(crate) fn staleness_s(&self) -> f64 {
         self.store.staleness_s(self.now)
     }
