--- a/src/controller/audit.rs
+++ b/src/controller/audit.rs
@@ -1,38 +1,38 @@
-//! What a recount may find wrong: sums and indexes are kept up to date from change to change, and
-//! simulated runs recount them.
+//! The errors that an audit finds. Sums and indexes are updated incrementally with each change;
+//! simulated runs compare them with values computed from scratch.
 
 use crate::controller::store::records::Resources;
 use crate::ids::{MachineId, TaskId};
 use thiserror::Error;
 
-/// A sum or an index that differs from a recount.
+/// A sum or an index that differs from the value computed from scratch.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum AuditError {
-    /// A placed task isn't bound to its machine.
-    #[error("{task} isn't among the tasks of {machine}")]
+    /// A task has a placement on a machine, but that machine has no binding for it.
+    #[error("placed task has no binding on its machine: task={task} machine={machine}")]
     NotBound {
         /// The task.
         task: TaskId,
-        /// The machine that it is placed on.
+        /// The machine on which the task is placed.
         machine: MachineId,
     },
-    /// A machine has a binding without a placement.
-    #[error("a machine has a task that isn't placed there")]
+    /// A machine has a binding for a task that isn't placed on it.
+    #[error("a machine has a binding for a task that isn't placed on it")]
     NotPlaced,
-    /// A team's use differs.
-    #[error("{team} uses {recounted:?}, not {counted:?}")]
+    /// The resource usage of a team differs.
+    #[error("team usage differs: team={team} recorded={counted:?} recomputed={recounted:?}")]
     TeamUse {
         /// The team.
         team: String,
-        /// What is kept.
+        /// The usage that is updated incrementally.
         counted: Resources,
-        /// What a recount gives.
+        /// The usage computed from scratch.
         recounted: Resources,
     },
-    /// A machine isn't indexed as it is.
-    #[error("machine {0} isn't indexed as it is")]
+    /// The index entry of a machine differs from the state of the machine.
+    #[error("index entry differs from the machine's state: machine={0}")]
     IndexEntry(MachineId),
-    /// The indexes differ as a whole.
-    #[error("the indexes differ from a recount")]
+    /// The indexes differ from indexes built from scratch.
+    #[error("indexes differ from indexes built from scratch")]
     Index,
 }
--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -1,4 +1,5 @@
-//! The client of the cloud: the catalog of machine types, pending calls and the rate limit.
+//! The client of the cloud provider: the catalog of machine types, pending calls and the rate
+//! limit.
 
 use crate::controller::outbox::Outbox;
 use crate::controller::rate_limits::token_bucket::{Priority, TokenBucket};
@@ -6,33 +7,34 @@
 use crate::wire::{CloudRequest, CloudResponse, ListedMachine, MachineType};
 use std::collections::HashMap;
 
-/// The client of the cloud. `P` is what a call is for, which only the caller interprets.
+/// The client of the cloud provider. `P` is the purpose of a call, which only the caller
+/// interprets.
 pub(crate) struct CloudClient<P> {
-    /// Machine types; empty until they are known.
+    /// Machine types; empty until the catalog has been received.
     pub(crate) catalog: Vec<MachineType>,
-    /// When the catalog is requested again, until it is known.
+    /// Time at which the catalog is requested again while it is empty.
     pub(crate) catalog_retry_at: Time,
     /// Limits the calls per second.
     pub(crate) rate_limit: TokenBucket,
-    /// Progress of the list of machines.
+    /// Progress of the periodic list of all machines.
     pub(crate) listing: MachineListing,
-    /// What each pending call is for.
+    /// The purpose of each pending call.
     pending: HashMap<CallId, P>,
 }
 
-/// Progress of a list of the cloud's machines.
+/// Progress of the periodic list of all machines.
 #[derive(Debug)]
 pub(crate) struct MachineListing {
-    /// Whether a page is requested, or waits for the rate limit.
+    /// Whether a list is in progress: a page is requested or waits for the rate limit.
     pub(crate) under_way: bool,
-    /// The earlier pages of a list whose next page waits for the rate limit.
+    /// Machines of the pages received so far, if the next page waits for the rate limit.
     pub(crate) waiting_pages: Option<Vec<ListedMachine>>,
-    /// When the next list begins.
+    /// Time at which the next list starts.
     pub(crate) next_at: Time,
 }
 
 impl<P> CloudClient<P> {
-    /// A client that knows neither catalog nor machines yet.
+    /// Creates a client without a catalog.
     pub(crate) fn new(rate_limit: TokenBucket) -> Self {
         Self {
             catalog: Vec::new(),
@@ -47,7 +49,7 @@
         }
     }
 
-    /// Calls the cloud if the rate limit allows it; says whether it did.
+    /// Sends a call if the rate limit allows it; returns whether it was sent.
     pub(crate) fn send(
         &mut self,
         now: Time,
@@ -65,7 +67,8 @@
         true
     }
 
-    /// Completes a call: returns what it was for, if it was still pending.
+    /// Completes a call and returns its purpose, or `None` if it wasn't pending. An `Unavailable`
+    /// response drains the rate limit, which delays further calls.
     pub(crate) fn on_response(&mut self, call: CallId, response: &CloudResponse) -> Option<P> {
         let purpose = self.pending.remove(&call)?;
         if *response == CloudResponse::Unavailable {
--- a/src/controller/context.rs
+++ b/src/controller/context.rs
@@ -1,6 +1,8 @@
-//! What all duties of a controller share: its settings and clock, what it knows of the store, the
-//! cloud and its peers, and the outputs of the present step. The shards that it owns aren't part of
-//! it, so that their methods take it as an argument.
+//! The state that all components of a controller share: settings, clock, the clients of the store
+//! and the cloud, the state of peers, and the outputs of the current step.
+//!
+//! The owned shards aren't part of the context, so that their methods can borrow it mutably as an
+//! argument.
 
 use crate::controller::api::Api;
 use crate::controller::autoscaling::CloudPurpose;
@@ -25,24 +27,27 @@
 use salttrestle_standby::Standby;
 use std::collections::BTreeMap;
 
-/// Heartbeats that are forwarded and answers that needn't go out at once wait for a whole multiple
-/// of this, so that one turn and one packet carry several of them.
+/// Forwarded heartbeats and responses that aren't urgent are sent at multiples of this interval, in
+/// milliseconds, so that one step and one packet carry several of them.
 pub(crate) const BATCH_MS: u64 = HOUSEKEEPING_MS / 2;
-/// A controller has heard workers lately if one reported within this time.
+/// A controller counts as connected to workers if one of them sent a heartbeat within this time, in
+/// seconds.
 pub(crate) const RECENT_HEARTBEAT_S: f64 = 3.0;
-/// Margin for the time a message takes and for late timers.
+/// Margin that is added to the lease of a worker for message delays and late timers, in seconds.
 pub(crate) const LEASE_MARGIN_S: f64 = 2.0;
-/// Steady clocks drift apart by at most this share.
+/// Upper bound on the relative drift between the monotonic clocks of two machines.
 pub(crate) const CLOCK_DRIFT_FRACTION: f64 = 0.001;
 
-/// The state of a controller outside the shards that it owns.
+/// The state of a controller, apart from the shards that it owns.
 pub(crate) struct Context {
     pub(crate) settings: Settings,
+    /// Distinguishes this process from earlier processes of the same controller.
     pub(crate) incarnation: u64,
+    /// Time of the current step.
     pub(crate) now: Time,
-    /// When this process took its first input.
+    /// Time of the first input of this process.
     pub(crate) started_at: Option<Time>,
-    /// What the present step sends.
+    /// Outputs of the current step.
     pub(crate) outbox: Outbox,
     pub(crate) store: StoreClient<RequestPurpose>,
     pub(crate) cloud: CloudClient<CloudPurpose>,
@@ -51,33 +56,38 @@
     pub(crate) cells: CellSharing,
     pub(crate) api: Api,
     pub(crate) election: Election,
-    /// The token under which each shard was last held and given up.
+    /// The fencing token under which each shard was last owned and released here.
     pub(crate) released_tokens: BTreeMap<u32, FencingToken>,
+    /// The state of the leader; `None` while this controller doesn't lead.
     pub(crate) leadership: Option<Leadership>,
     pub(crate) standby: Standby,
-    /// How busy this process is.
+    /// CPU utilization of this process.
     pub(crate) processor: ProcessorUtilization,
-    /// Whether the log says that the leader is suspected.
+    /// Whether the latest log line on the leader says that it is suspected.
     pub(crate) leader_suspected: bool,
     pub(crate) hint_sender: HintSender,
-    /// A lease that is to be given up.
+    /// A lease that has to be revoked.
     pub(crate) lease_revocation: Option<LeaseRevocation>,
+    /// The state of the shutdown; `None` until it is requested.
     pub(crate) shutdown: Option<Shutdown>,
     pub(crate) peers: PeerTable,
     pub(crate) forwarding: Forwarding,
+    /// Time at which the counts of the owned shards are sent next.
     pub(crate) next_counts_at: Time,
-    /// The revision of the plan that was carried out here.
+    /// Revision of the scaling plan that this controller applied last.
     pub(crate) applied_plan_revision: u64,
-    /// When a worker last reported here.
+    /// Time of the latest heartbeat that a worker sent to this controller.
     pub(crate) last_worker_heartbeat: Time,
+    /// Time of the next housekeeping.
     pub(crate) next_housekeeping_at: Time,
-    /// Machines looked at to place tasks, in all, and tasks placed.
+    /// Total machines examined in order to place tasks.
     pub(crate) machines_scanned: u64,
+    /// Total tasks placed.
     pub(crate) placed: u64,
 }
 
 impl Context {
-    /// The state of a process that begins.
+    /// Creates the state of a process that starts.
     pub(crate) fn new(settings: Settings, incarnation: u64) -> Self {
         let cloud_rps = settings.platform.facts.cloud.rps * settings.tuning.budget_share;
         let cloud_limit = TokenBucket::new(cloud_rps, cloud_rps * CLOUD_BURST_S);
--- a/src/controller/events.rs
+++ b/src/controller/events.rs
@@ -1,4 +1,4 @@
-//! The inputs and outputs of the state machine.
+//! The inputs and outputs of the controller's state machine.
 
 use crate::controller::store::records::JobRecord;
 use crate::ids::{CallId, ControllerId, JobId, RequestId};
@@ -10,7 +10,7 @@
 use salttrestle_cells::Cell;
 use salttrestle_cells::message::LinkMessage;
 
-/// A request of a user, a worker or the balancer.
+/// A request of a user, a worker or the load balancer.
 #[derive(Debug)]
 pub enum Request {
     /// A user submits a job.
@@ -19,16 +19,16 @@
     Poll(JobId),
     /// A user cancels a job.
     Cancel(JobId),
-    /// The balancer asks whether this controller takes requests.
+    /// The load balancer checks whether this controller accepts requests.
     Up,
     /// A worker sends a heartbeat.
     Heartbeat(WorkerHeartbeat),
 }
 
-/// An event for the state machine.
+/// An event that the state machine handles.
 #[derive(Debug)]
 pub enum Input {
-    /// A request came.
+    /// A request arrived.
     Request(RequestId, Request),
     /// The sender of a request has disconnected.
     Disconnect(RequestId),
@@ -36,33 +36,33 @@
     Store(CallId, StoreResponse),
     /// The cloud answered a call.
     Cloud(CallId, CloudResponse),
-    /// A message came from a peer.
+    /// A message arrived from a peer.
     Peer(Message),
-    /// A message came from the leader of another cell.
+    /// A message arrived from the leader of another cell.
     Cell(LinkMessage),
     /// The state of this controller's own connection to a peer changed.
     Link(ControllerId, LinkEvent),
-    /// The share of the time since the last measurement for which this process didn't wait.
+    /// The fraction of the time since the last measurement during which this process was busy.
     ProcessorUtilization(f64),
-    /// The process has to terminate, and hands over its shards first.
+    /// The process has to terminate and hands over its shards before that.
     Shutdown,
-    /// Time has passed.
+    /// No event occurred; only time has passed.
     Tick,
 }
 
-/// The answer to a request.
+/// The response to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reply {
     /// The HTTP status.
     pub status: u16,
     /// The body, as CBOR.
     pub body: Vec<u8>,
-    /// After how many seconds the request may be repeated.
+    /// Seconds after which the request may be retried.
     pub retry_after: Option<u32>,
 }
 
 impl Reply {
-    /// An answer with a body.
+    /// Returns a response without a retry interval.
     pub fn ok(status: u16, body: Vec<u8>) -> Self {
         Self {
             status,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// A refusal that says after how many seconds to retry.
+    /// Returns an error response with a retry interval in seconds.
     pub fn later(status: u16, seconds: u32, why: &str) -> Self {
         Self {
             status,
@@ -81,65 +81,66 @@
     }
 }
 
-/// What happened to a connection to a peer.
+/// A change of the connection to a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkEvent {
-    /// It was made.
+    /// The connection was established.
     Up,
-    /// It broke, or couldn't be made.
+    /// The connection was lost or couldn't be established.
     Lost,
-    /// It was refused.
+    /// The peer's host refused the connection.
     Refused,
 }
 
 /// An effect that the state machine requests.
 #[derive(Debug)]
 pub enum Output {
-    /// Answer a request.
+    /// Respond to a request.
     Answer(RequestId, Reply),
     /// Call the store.
     Store(CallId, StoreRequest),
-    /// Give up this call and close its connection: its response isn't needed any more.
+    /// Cancel a call and close its connection, since its response isn't needed any more.
     CancelCall(CallId),
     /// Call the cloud.
     Cloud(CallId, CloudRequest),
-    /// Send a message to one peer, or to all.
+    /// Send a message to one peer, or to all peers if none is given.
     Peer(Option<ControllerId>, Message),
-    /// Connect to a peer that is known to run, without the pause after a failed attempt.
+    /// Connect to a peer that is known to run, skipping the pause after a failed attempt.
     Reconnect(ControllerId),
     /// Send a message to the leader of another cell.
     Cell(Cell, LinkMessage),
 }
 
-/// This controller's total use of its shares of the rate limits, and its backlog.
+/// Counters of this controller's calls since its start, its shares of the rate limits, and its
+/// backlog.
 #[derive(Clone, Debug, Default)]
 pub struct Load {
-    /// Requests to the store.
+    /// Total requests to the store.
     pub requests: f64,
-    /// Its share of them, per second.
+    /// This controller's share of the limit on requests to the store, per second.
     pub requests_rate: f64,
-    /// Changes at the store.
+    /// Total puts and deletes sent to the store.
     pub changes: f64,
-    /// Its share of them, per second.
+    /// This controller's share of the limit on puts and deletes, per second.
     pub changes_rate: f64,
-    /// Calls to the cloud.
+    /// Total calls to the cloud.
     pub cloud: f64,
-    /// Its share of them, per second.
+    /// This controller's share of the limit on calls to the cloud, per second.
     pub cloud_rate: f64,
-    /// Number of writes that wait.
+    /// Writes that are queued now.
     pub queued: usize,
-    /// Machines examined to place tasks.
+    /// Total machines examined in order to place tasks.
     pub machines_scanned: u64,
-    /// Tasks placed.
+    /// Total tasks placed.
     pub placed: u64,
 }
 
-/// What waits in the shards that this controller owns.
+/// Jobs and tasks that are waiting in the shards that this controller owns.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Queue {
     /// Jobs that wait for their dependencies.
     pub waiting_for_dependencies: usize,
-    /// Jobs with tasks that wait for a machine.
+    /// Jobs with at least one task that waits for a machine.
     pub waiting_for_machines: usize,
     /// Tasks that wait for a machine.
     pub tasks: usize,
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,8 +1,8 @@
-//! The state machine: takes inputs, returns what to send, write and answer.
+//! The controller: a state machine that handles inputs and returns outputs, without any I/O.
 //!
-//! Every decision that a rule depends on is a compare-and-set commit at the state
-//! service before anyone is told or any command is sent. Leases only decide who
-//! should act; they are never what makes a wrong act harmless.
+//! Every decision that affects correctness is committed to the store with a compare-and-set
+//! transaction before a response or a command that depends on it is sent. Leases only decide which
+//! controller should act; safety never depends on them.
 
 pub(crate) mod api;
 pub mod audit;
@@ -39,10 +39,10 @@
 use crate::settings::Settings;
 use std::collections::BTreeMap;
 
-/// How often work that nothing else triggers is looked at.
+/// Interval of housekeeping, the work that no input triggers, in milliseconds.
 pub(crate) const HOUSEKEEPING_MS: u64 = 100;
 
-/// A controller: takes events, returns what to send, and holds the state of all duties.
+/// A controller: a state machine that handles inputs and returns outputs.
 pub struct Controller {
     pub(crate) context: Context,
     /// The shards that this controller owns.
@@ -50,7 +50,8 @@
 }
 
 impl Controller {
-    /// `incarnation` tells this process from earlier ones of the same controller.
+    /// Creates a controller that owns no shards. `incarnation` distinguishes this process from
+    /// earlier processes of the same controller.
     pub fn new(settings: Settings, incarnation: u64) -> Self {
         let mut controller = Self {
             context: Context::new(settings, incarnation),
@@ -60,24 +61,25 @@
         controller
     }
 
-    /// Takes one input; `now` never goes back.
+    /// Handles one input and returns the resulting outputs. A `now` before that of an earlier step
+    /// is replaced by the latest time.
     pub fn step(&mut self, now: Time, input: Input) -> Vec<Output> {
         self.context.now = self.context.now.max(now);
         self.context.record_start();
         match input {
-            Input::Request(request_id, ask) => self.on_request(request_id, ask),
+            Input::Request(request_id, request) => self.on_request(request_id, request),
             Input::Disconnect(request_id) => self.on_disconnect(request_id),
-            Input::Store(call, reply) => self.on_store_response(call, reply),
-            Input::Cloud(call, reply) => self.on_cloud(call, reply),
+            Input::Store(call, response) => self.on_store_response(call, response),
+            Input::Cloud(call, response) => self.on_cloud(call, response),
             Input::Peer(Message::PeerHeartbeat(heartbeat)) => self.on_peer_heartbeat(heartbeat),
             Input::Peer(Message::ShardCounts(shard_counts)) => {
                 self.context.on_shard_counts(*shard_counts);
             }
-            Input::Peer(Message::ForwardedHeartbeat(relayed)) => {
-                self.on_forwarded_heartbeat(*relayed);
+            Input::Peer(Message::ForwardedHeartbeat(heartbeat)) => {
+                self.on_forwarded_heartbeat(*heartbeat);
             }
-            Input::Peer(Message::ForwardedResponse(answer)) => {
-                self.context.on_forwarded_response(answer);
+            Input::Peer(Message::ForwardedResponse(response)) => {
+                self.context.on_forwarded_response(response);
             }
             Input::Peer(Message::Standby(message)) => self.context.on_standby_message(*message),
             Input::Cell(message) => self.context.on_cell_message(message),
@@ -101,28 +103,29 @@
         self.context.outbox.take()
     }
 
-    /// When `step` wants to be called again at the latest.
+    /// Returns the time at which [`Controller::step`] has to be called next at the latest.
     pub fn wake_at(&self) -> Time {
-        let held = self
+        let long_polls = self
             .shards
             .values()
             .filter_map(shard::ShardOwner::first_long_poll_deadline);
-        let due = held.chain(self.context.api.first_delayed_ending());
+        let due = long_polls.chain(self.context.api.first_delayed_ending());
         let due = due.chain(self.context.forwarding.batched_until()).min();
-        due.map_or(self.context.next_housekeeping_at, |t| {
-            t.min(self.context.next_housekeeping_at)
+        due.map_or(self.context.next_housekeeping_at, |deadline| {
+            deadline.min(self.context.next_housekeeping_at)
         })
     }
 
-    /// The highest token under which this controller holds a shard.
+    /// Returns the highest fencing token under which this controller owns a shard.
     pub fn highest_shard_token(&self) -> Option<FencingToken> {
-        self.shards.values().map(|h| h.token).max()
+        self.shards.values().map(|shard| shard.token).max()
     }
 
-    /// What this controller has used of its limits, and what waits to be written.
+    /// Returns this controller's use of the rate limits and its backlog of writes.
     pub fn load(&self) -> Load {
-        let owners = self.shards.values();
-        let written = owners.map(|h| h.write_queue.len() + h.ready_to_end_jobs.len());
+        let shards = self.shards.values();
+        let queued_writes =
+            shards.map(|shard| shard.write_queue.len() + shard.ready_to_end_jobs.len());
         Load {
             requests: self.context.store.request_limit.spent(),
             requests_rate: self.context.store.request_limit.rate(),
@@ -130,19 +133,19 @@
             changes_rate: self.context.store.change_limit.rate(),
             cloud: self.context.cloud.rate_limit.spent(),
             cloud_rate: self.context.cloud.rate_limit.rate(),
-            queued: self.context.api.backlog() + written.sum::<usize>(),
+            queued: self.context.api.backlog() + queued_writes.sum::<usize>(),
             machines_scanned: self.context.machines_scanned,
             placed: self.context.placed,
         }
     }
 
-    /// What waits here, if this controller holds a shard.
+    /// Returns the waiting jobs and tasks, or `None` if this controller owns no shard.
     pub fn queue(&self) -> Option<Queue> {
         if self.shards.is_empty() {
             return None;
         }
         let mut queue = Queue::default();
-        for job_state in self.shards.values().flat_map(|h| h.jobs.values()) {
+        for job_state in self.shards.values().flat_map(|shard| shard.jobs.values()) {
             let tasks = job_state.queued() as usize;
             queue.waiting_for_dependencies +=
                 usize::from(job_state.cancelled.is_none() && !job_state.released);
@@ -152,7 +155,8 @@
         Some(queue)
     }
 
-    /// Recounts what is kept up to date from change to change; says what is wrong.
+    /// Compares sums and indexes that are updated incrementally with values computed from scratch.
+    /// Returns the first difference as an error.
     pub fn audit(&self) -> Result<(), AuditError> {
         self.shards.values().try_for_each(shard::ShardOwner::audit)
     }
@@ -191,7 +195,8 @@
         context.store.read_revision(now, outbox, demand);
     }
 
-    /// Takes the shares of the rate limits that follow from what this controller does.
+    /// Sets the rate limits to this controller's shares, which depend on its role: whether it
+    /// leads, whether it owns shards, and how many changes other controllers make.
     pub(crate) fn update_rate_limits(&mut self) {
         let context = &mut self.context;
         let role = Role {
@@ -212,7 +217,7 @@
     fn shards_housekeeping(&mut self) {
         let owned: Vec<u32> = self.shards.keys().copied().collect();
         for id in owned {
-            // Giving up one of them gives up all.
+            // The shard may have been released meanwhile: giving up one shard gives up all of them.
             let Some(shard) = self.shards.get_mut(&id) else {
                 return;
             };
@@ -238,17 +243,18 @@
         self.read_revision();
     }
 
-    /// Whether this controller leads.
+    /// Whether this controller is the leader.
     pub fn is_leader(&self) -> bool {
         self.context.is_leader()
     }
 
-    /// Whether a controller that shuts down has nothing left to hand over.
+    /// Whether a requested shutdown is complete: everything is handed over, or the time limit for
+    /// it has passed.
     pub fn shutdown_complete(&self) -> bool {
         self.context.shutdown_complete()
     }
 
-    /// How the standby stands, if it is switched on.
+    /// Returns the state of the standby, or `None` if it is disabled.
     pub fn standby_status(&self) -> Option<StandbyStatus> {
         self.context.standby_status()
     }
--- a/src/controller/outbox.rs
+++ b/src/controller/outbox.rs
@@ -1,4 +1,4 @@
-//! What the present step sends: outputs in the order in which they were made, and the numbers of
+//! The outputs of the current step, in the order in which they are produced, and the numbering of
 //! calls to the store and the cloud.
 
 use crate::controller::events::Output;
@@ -6,7 +6,7 @@
 use crate::peer::Message;
 use crate::wire::{CloudRequest, StoreRequest};
 
-/// The outputs of one step, and the number of the latest call.
+/// The outputs of the current step, and the number of the latest call.
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
     outputs: Vec<Output>,
@@ -19,32 +19,32 @@
         self.outputs.push(output);
     }
 
-    /// Adds a message to one peer, or to all.
+    /// Adds a message to one peer, or to all peers if `to` is `None`.
     pub(crate) fn send_to_peer(&mut self, to: Option<ControllerId>, message: Message) {
         self.push(Output::Peer(to, message));
     }
 
-    /// Adds a request to the store; returns the call that its response will name.
+    /// Adds a request to the store. Returns the call by which its response is identified.
     pub(crate) fn call_store(&mut self, request: StoreRequest) -> CallId {
         let call = self.next_call();
         self.push(Output::Store(call, request));
         call
     }
 
-    /// Adds a request to the cloud; returns the call that its response will name.
+    /// Adds a request to the cloud. Returns the call by which its response is identified.
     pub(crate) fn call_cloud(&mut self, request: CloudRequest) -> CallId {
         let call = self.next_call();
         self.push(Output::Cloud(call, request));
         call
     }
 
-    /// The latest call. Calls are numbered in the order in which they are made, so that whatever
-    /// comes now is older than every later one.
+    /// Returns the latest call. Calls are numbered in ascending order, so that an event which
+    /// arrives now precedes every call with a higher number.
     pub(crate) fn last_call(&self) -> CallId {
         CallId(self.last_call)
     }
 
-    /// Ends the step.
+    /// Removes and returns all outputs, at the end of a step.
     pub(crate) fn take(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
--- a/src/controller/pool.rs
+++ b/src/controller/pool.rs
@@ -1,13 +1,13 @@
-//! Pools: machines of one type on one market, which are counted and scaled together.
+//! Pools: the machines of one type and one market, which are counted and scaled together.
 
 use crate::wire::MachineType;
 
-/// How a machine is paid for, and whether it may be taken back.
+/// The market in which a machine is rented: its price, and whether the cloud may reclaim it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) enum Market {
-    /// At the full price, until it is deleted.
+    /// Full price; the machine runs until it is deleted.
     OnDemand,
-    /// At a lower price; the cloud may take it back.
+    /// Lower price; the cloud may reclaim the machine at any time.
     Spot,
 }
 
@@ -15,23 +15,24 @@
     /// All markets.
     pub(crate) const ALL: [Self; 2] = [Self::OnDemand, Self::Spot];
 
-    /// The market of a machine that is spot or not, as records and messages say.
+    /// Returns the market for the `spot` flag of records and messages.
     pub(crate) fn of(spot: bool) -> Self {
         if spot { Self::Spot } else { Self::OnDemand }
     }
 }
 
-/// A machine type, by its index in the catalog, and a market.
+/// A pool: a machine type and a market.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct Pool {
-    /// The type's index in the catalog.
+    /// Index of the machine type in the catalog.
     pub(crate) machine_type: usize,
-    /// The market.
+    /// Market of the machines.
     pub(crate) market: Market,
 }
 
 impl Pool {
-    /// The pool of a type's spot machines, or of its others.
+    /// Returns the pool of a machine type's spot machines or on-demand machines. `machine_type` is
+    /// the index in the catalog.
     pub(crate) fn of(machine_type: usize, spot: bool) -> Self {
         Self {
             machine_type,
@@ -39,12 +40,12 @@
         }
     }
 
-    /// Whether its machines are spot machines.
+    /// Whether the pool consists of spot machines.
     pub(crate) fn is_spot(&self) -> bool {
         self.market == Market::Spot
     }
 
-    /// Its type in the catalog.
+    /// Returns the catalog entry of the machine type, or `None` if the index is out of range.
     pub(crate) fn type_in<'a>(&self, catalog: &'a [MachineType]) -> Option<&'a MachineType> {
         catalog.get(self.machine_type)
     }
