--- a/src/controller/api/status_queries.rs
+++ b/src/controller/api/status_queries.rs
@@ -137,7 +137,7 @@
             // Another user may already know of the cancellation of a job that it depends on.
             return self.repeat_status_query(query);
         }
-        let (done, running) = self.store.mirror.counts(&query.id);
+        let (done, running) = self.store.mirror.count_done_and_placed(&query.id);
         let status = if running > 0 {
             JobStatus::Running
         } else {
--- a/src/controller/forwarding.rs
+++ b/src/controller/forwarding.rs
@@ -12,7 +12,7 @@
 //! told of a cancellation only once every task is proven gone (`api`), so no bound runs against a
 //! worker that nobody with a fresh mirror reaches.
 
-use crate::controller::context::{BATCH_MS, Context, RECENT_HEARTBEAT_S};
+use crate::controller::context::{BATCH_INTERVAL_MS, Context, RECENT_HEARTBEAT_S};
 use crate::controller::events::{Output, Reply};
 use crate::controller::stable_hash::stable_hash;
 use crate::controller::{Controller, ShardOwner};
@@ -310,7 +310,7 @@
                 );
                 let batched = (to.clone(), Box::new(forwarded));
                 self.forwarding.batched.push(batched);
-                let until = self.now.next_multiple(BATCH_MS);
+                let until = self.now.next_multiple(BATCH_INTERVAL_MS);
                 self.forwarding.batched_until.get_or_insert(until);
                 let since = self.now;
                 self.forwarding.out.insert(
--- a/src/controller/machines/heartbeats.rs
+++ b/src/controller/machines/heartbeats.rs
@@ -1,6 +1,6 @@
 //! What heartbeats tell of machines and tasks.
 
-use crate::controller::context::{BATCH_MS, Context};
+use crate::controller::context::{BATCH_INTERVAL_MS, Context};
 use crate::controller::events::Reply;
 use crate::controller::machines::inventory::Machine;
 use crate::controller::shard::ShardOwner;
@@ -134,7 +134,7 @@
         }
         let until = match machine.is_full() {
             // No start comes for it, and its lease counts from its last answered heartbeat.
-            true => context.now.next_multiple(BATCH_MS),
+            true => context.now.next_multiple(BATCH_INTERVAL_MS),
             false => answer_at(context.now, poll_s),
         };
         self.machines
@@ -311,7 +311,7 @@
 /// there is a moment for it meanwhile.
 fn answer_at(now: Time, long_poll_s: f64) -> Time {
     let most = now.after(long_poll_s);
-    let together = most.round_down(BATCH_MS);
+    let together = most.round_down(BATCH_INTERVAL_MS);
     if together > now { together } else { most }
 }
 
--- a/src/controller/shard/admission.rs
+++ b/src/controller/shard/admission.rs
@@ -148,7 +148,7 @@
         let leftover: Vec<_> = context
             .store
             .mirror
-            .chunks(id)
+            .placement_records(id)
             .map(|(c, _)| (id.clone(), c))
             .collect();
         let now = context.now;
--- a/src/controller/store/mirror.rs
+++ b/src/controller/store/mirror.rs
@@ -276,7 +276,7 @@
     }
 
     /// Returns the placement records of a job, each with the number of its chunk or part.
-    pub(crate) fn chunks(
+    pub(crate) fn placement_records(
         &self,
         id: &JobId,
     ) -> impl Iterator<Item = (u32, &(u64, PlacementRecord))> {
@@ -292,11 +292,11 @@
         id: &JobId,
         record: &JobRecord,
     ) -> (Vec<EffectiveRecord<'_>>, ChunkLayout) {
-        effective_placements(record, self.chunks(id))
+        effective_placements(record, self.placement_records(id))
     }
 
     /// Returns the numbers of finished and of placed tasks according to a job's placement records.
-    pub(crate) fn counts(&self, id: &JobId) -> (u32, u32) {
+    pub(crate) fn count_done_and_placed(&self, id: &JobId) -> (u32, u32) {
         let Some(job) = self.jobs.get(id) else {
             return (0, 0);
         };
