--- a/src/controller/context.rs
+++ b/src/controller/context.rs
@@ -21,7 +21,7 @@
 use crate::controller::rate_limits::token_bucket::TokenBucket;
 use crate::controller::store::StoreClient;
 use crate::controller::store_requests::RequestPurpose;
-use crate::controller::{CLOUD_BURST_S, HOUSEKEEPING_MS};
+use crate::controller::{CLOUD_BURST_S, HOUSEKEEPING_INTERVAL_MS};
 use crate::ids::{FencingToken, Time};
 use crate::settings::Settings;
 use salttrestle_standby::Standby;
@@ -29,7 +29,7 @@
 
 /// Forwarded heartbeats and responses that aren't urgent are sent at multiples of this interval, in
 /// milliseconds, so that one step and one packet carry several of them.
-pub(crate) const BATCH_INTERVAL_MS: u64 = HOUSEKEEPING_MS / 2;
+pub(crate) const BATCH_INTERVAL_MS: u64 = HOUSEKEEPING_INTERVAL_MS / 2;
 /// A controller counts as connected to workers if one of them sent a heartbeat within this time, in
 /// seconds.
 pub(crate) const RECENT_HEARTBEAT_S: f64 = 3.0;
--- a/src/controller/events.rs
+++ b/src/controller/events.rs
@@ -72,10 +72,10 @@
     }
 
     /// Returns an error response with a retry interval in seconds.
-    pub fn later(status: u16, seconds: u32, why: &str) -> Self {
+    pub fn later(status: u16, seconds: u32, reason: &str) -> Self {
         Self {
             status,
-            body: error_body(why),
+            body: error_body(reason),
             retry_after: Some(seconds),
         }
     }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -40,7 +40,7 @@
 use std::collections::BTreeMap;
 
 /// Interval of housekeeping, the work that no input triggers, in milliseconds.
-pub(crate) const HOUSEKEEPING_MS: u64 = 100;
+pub(crate) const HOUSEKEEPING_INTERVAL_MS: u64 = 100;
 
 /// A controller: a state machine that handles inputs and returns outputs.
 pub struct Controller {
@@ -91,7 +91,8 @@
             Input::Tick => {}
         }
         if self.context.now >= self.context.next_housekeeping_at {
-            self.context.next_housekeeping_at = self.context.now.next_multiple(HOUSEKEEPING_MS);
+            self.context.next_housekeeping_at =
+                self.context.now.next_multiple(HOUSEKEEPING_INTERVAL_MS);
             self.housekeeping();
         }
         for shard in self.shards.values_mut() {
--- a/src/controller/store/mod.rs
+++ b/src/controller/store/mod.rs
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 struct PendingRequest<P> {
     purpose: Purpose<P>,
-    sent: Time,
+    sent_at: Time,
     /// Number of puts and deletes that the request makes if the store commits it.
     changes: f64,
 }
@@ -66,8 +66,8 @@
         purpose: P,
         /// The response.
         response: StoreResponse,
-        /// When the request was sent.
-        sent: Time,
+        /// Time at which the request was sent.
+        sent_at: Time,
     },
 }
 
@@ -117,8 +117,8 @@
         purpose: P,
         priority: Priority,
     ) -> Result<CallId, P> {
-        let sent = self.send_for(now, outbox, request, Purpose::Caller(purpose), priority);
-        sent.map_err(|purpose| match purpose {
+        let result = self.send_for(now, outbox, request, Purpose::Caller(purpose), priority);
+        result.map_err(|purpose| match purpose {
             Purpose::Caller(purpose) => purpose,
             _ => unreachable!("`send_for` returns the purpose it was given"),
         })
@@ -143,7 +143,7 @@
         let call = outbox.call_store(request);
         let pending = PendingRequest {
             purpose,
-            sent: now,
+            sent_at: now,
             changes,
         };
         self.pending.insert(call, pending);
@@ -160,7 +160,7 @@
     ) -> Option<StoreEvent<P>> {
         let PendingRequest {
             purpose,
-            sent,
+            sent_at,
             changes,
         } = self.pending.remove(&call)?;
         if matches!(response, StoreResponse::Committed { .. }) {
@@ -169,11 +169,11 @@
         if let StoreResponse::Missing { revision } | StoreResponse::Committed { revision } =
             &response
         {
-            self.staleness.add_read(call, sent, *revision, now);
+            self.staleness.add_read(call, sent_at, *revision, now);
         }
         Some(match purpose {
             Purpose::List => self.on_list(now, outbox, response),
-            Purpose::Watch => self.on_watch(now, response, sent),
+            Purpose::Watch => self.on_watch(now, response, sent_at),
             Purpose::ReadRevision => {
                 let succeeded = matches!(response, StoreResponse::Missing { .. });
                 self.staleness.on_revision_read(now, succeeded);
@@ -182,7 +182,7 @@
             Purpose::Caller(purpose) => StoreEvent::Response {
                 purpose,
                 response,
-                sent,
+                sent_at,
             },
         })
     }
--- a/src/controller/store/records.rs
+++ b/src/controller/store/records.rs
@@ -14,7 +14,7 @@
 pub const PREFIX: &str = "s/";
 /// The key after which the initial list starts. The list skips the final statuses of jobs, which
 /// are kept forever and grow without bound; each of them is read by its key when it is needed.
-pub const LIST_AFTER: &str = "s/end/~";
+pub const LIST_AFTER_KEY: &str = "s/end/~";
 
 /// The key of a record.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/src/controller/store/staleness.rs
+++ b/src/controller/store/staleness.rs
@@ -19,7 +19,7 @@
 /// Upper bound on the share of a controller's requests that read the revision for status queries.
 /// Together with the share of the watch, it leaves requests for submissions and cancellations
 /// however often users query the status of jobs.
-const STATUS_QUERY_SHARE: f64 = 0.35;
+const STATUS_QUERY_REQUEST_FRACTION: f64 = 0.35;
 /// Longest interval between two reads of the current revision, in seconds.
 const REVISION_READ_INTERVAL_S: f64 = 1.0;
 
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 struct RevisionRead {
     call: CallId,
-    sent: Time,
+    sent_at: Time,
     revision: u64,
     answered_at: Time,
 }
@@ -78,10 +78,10 @@
 }
 
 impl Staleness {
-    pub(super) fn add_read(&mut self, call: CallId, sent: Time, revision: u64, now: Time) {
+    pub(super) fn add_read(&mut self, call: CallId, sent_at: Time, revision: u64, now: Time) {
         self.reads.push_back(RevisionRead {
             call,
-            sent,
+            sent_at,
             revision,
             answered_at: now,
         });
@@ -98,8 +98,8 @@
         self.reads.clear();
     }
 
-    pub(super) fn record_changes_known(&mut self, sent: Time) {
-        self.changes_known_at = self.changes_known_at.max(sent);
+    pub(super) fn record_changes_known(&mut self, sent_at: Time) {
+        self.changes_known_at = self.changes_known_at.max(sent_at);
     }
 
     pub(super) fn on_revision_read(&mut self, now: Time, succeeded: bool) {
@@ -116,8 +116,8 @@
         let changes_known_at = &mut self.changes_known_at;
         self.reads.retain(|read| {
             if read.revision <= revision {
-                *linearized_at = (*linearized_at).max(read.sent);
-                *changes_known_at = (*changes_known_at).max(read.sent);
+                *linearized_at = (*linearized_at).max(read.sent_at);
+                *changes_known_at = (*changes_known_at).max(read.sent_at);
                 *call = (*call).max(read.call);
             }
             read.revision > revision
@@ -137,7 +137,8 @@
         let is_waiting = |after: Option<CallId>| after.is_some_and(|after| after >= last_call);
         let is_urgent = is_waiting(demand.urgent) && since_last_read_s >= REVISION_READ_GAP_S;
         let is_due = is_urgent || since_last_read_s >= REVISION_READ_INTERVAL_S;
-        let status_query_gap_s = 1.0 / (self.request_limit.rate() * STATUS_QUERY_SHARE).max(1.0);
+        let status_query_gap_s =
+            1.0 / (self.request_limit.rate() * STATUS_QUERY_REQUEST_FRACTION).max(1.0);
         let is_queried = is_waiting(demand.status_query)
             && since_last_read_s >= status_query_gap_s.max(REVISION_READ_GAP_S);
         if !(is_due || is_queried) {
--- a/src/controller/store/watch.rs
+++ b/src/controller/store/watch.rs
@@ -4,7 +4,7 @@
 use crate::controller::outbox::Outbox;
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::store::mirror::MirrorEvent;
-use crate::controller::store::records::LIST_AFTER;
+use crate::controller::store::records::LIST_AFTER_KEY;
 use crate::controller::store::{Purpose, RETRY_S, StoreClient, StoreEvent};
 use crate::ids::{CallId, Time};
 use crate::wire::{Change, StoreRequest, StoreResponse};
@@ -14,7 +14,7 @@
 const WATCH_STUCK_S: f64 = 1.5;
 /// Upper bound on the share of a controller's requests that open watches, while the controller
 /// schedules no tasks.
-const WATCH_SHARE: f64 = 0.4;
+const WATCH_REQUEST_FRACTION: f64 = 0.4;
 
 /// The progress of the initial list and the watch.
 #[derive(Debug)]
@@ -59,7 +59,7 @@
                     first_revision: None,
                     entries: Vec::new(),
                 };
-                self.request_list_page(now, outbox, LIST_AFTER.into());
+                self.request_list_page(now, outbox, LIST_AFTER_KEY.into());
             }
             WatchState::Paused { retry_at } if now >= retry_at || is_eager => {
                 self.open_watch(now, outbox);
@@ -80,8 +80,8 @@
 
     fn request_list_page(&mut self, now: Time, outbox: &mut Outbox, after: String) {
         let request = StoreRequest::List { after };
-        let sent = self.send_for(now, outbox, request, Purpose::List, Priority::First);
-        if sent.is_err() {
+        let result = self.send_for(now, outbox, request, Purpose::List, Priority::First);
+        if result.is_err() {
             self.schedule_list_retry(now);
         }
     }
@@ -134,8 +134,8 @@
         let request = StoreRequest::Watch {
             after: self.mirror.revision,
         };
-        let sent = self.send_for(now, outbox, request, Purpose::Watch, Priority::First);
-        self.watch = match sent {
+        let result = self.send_for(now, outbox, request, Purpose::Watch, Priority::First);
+        self.watch = match result {
             Ok(call) => WatchState::Watching { call },
             Err(_) => WatchState::Paused {
                 retry_at: now.after(RETRY_S),
@@ -151,7 +151,7 @@
         if is_eager {
             return self.open_watch(now, outbox);
         }
-        let gap_s = 1.0 / (self.request_limit.rate() * WATCH_SHARE).max(1.0);
+        let gap_s = 1.0 / (self.request_limit.rate() * WATCH_REQUEST_FRACTION).max(1.0);
         self.watch = WatchState::Paused {
             retry_at: now.after(gap_s),
         };
@@ -168,12 +168,12 @@
         &mut self,
         now: Time,
         response: StoreResponse,
-        sent: Time,
+        sent_at: Time,
     ) -> StoreEvent<P> {
         match response {
             StoreResponse::Changes { revision, news } => {
                 self.write_rate.count_seen(news.len());
-                self.staleness.record_changes_known(sent);
+                self.staleness.record_changes_known(sent_at);
                 let mirror = &mut self.mirror;
                 let changes = news.into_iter();
                 let events: Vec<MirrorEvent> = changes
--- a/src/controller/store_requests.rs
+++ b/src/controller/store_requests.rs
@@ -76,8 +76,8 @@
             StoreEvent::Response {
                 purpose,
                 response,
-                sent,
-            } => self.on_response_for(purpose, response, sent),
+                sent_at,
+            } => self.on_response_for(purpose, response, sent_at),
         }
         self.context.store.advance_linearization();
         self.context.answer_status_queries();
@@ -94,15 +94,15 @@
         store.continue_watch(*now, outbox, is_active || is_taking_over);
     }
 
-    fn on_response_for(&mut self, purpose: RequestPurpose, response: StoreResponse, sent: Time) {
+    fn on_response_for(&mut self, purpose: RequestPurpose, response: StoreResponse, sent_at: Time) {
         let context = &mut self.context;
         match purpose {
-            RequestPurpose::GrantLease => context.on_lease_granted(response, sent),
+            RequestPurpose::GrantLease => context.on_lease_granted(response, sent_at),
             RequestPurpose::Elect => context.on_elected(response),
-            RequestPurpose::RenewLease => self.on_lease_renewed(response, sent),
+            RequestPurpose::RenewLease => self.on_lease_renewed(response, sent_at),
             RequestPurpose::RevokeLease => {}
             RequestPurpose::Submit(submissions) => {
-                context.on_submitted(submissions, response, sent);
+                context.on_submitted(submissions, response, sent_at);
             }
             RequestPurpose::Cancel(query) => context.on_cancelled(query, response),
             RequestPurpose::ReadEnd(query) => context.on_end_read(query, response),
