--- a/src/controller/autoscaling/demand.rs
+++ b/src/controller/autoscaling/demand.rs
@@ -165,7 +165,7 @@
                 continue;
             };
             let record = &job_state.record;
-            if self.failures.unplaceable(id) || !within_limit(self, settings, record) {
+            if self.failures.blocks_scale_out(id) || !within_limit(self, settings, record) {
                 continue;
             }
             let queued = job_state.queued();
@@ -208,7 +208,7 @@
         let mut lacking = Zones::new();
         let mut empty_machines = self.empty_machines();
         let waiting = self.waiting.iter();
-        let waiting = waiting.filter(|id| !self.failures.unplaceable(id));
+        let waiting = waiting.filter(|id| !self.failures.blocks_scale_out(id));
         for job_state in waiting.filter_map(|id| self.jobs.get(id)) {
             let Some(pool) = pool_for(catalog, &job_state.record, exhausted) else {
                 continue;
@@ -239,7 +239,7 @@
     fn empty_machines(&self) -> BTreeMap<(Pool, &str), u32> {
         let mut empty_machines = BTreeMap::new();
         for machine in self.machines.values() {
-            let stays = machine.decommission_at.is_none() && machine.notice.is_none();
+            let stays = machine.decommission_at.is_none() && machine.preemption_at.is_none();
             if let Some(pool) = machine.pool().filter(|_| machine.tasks.is_empty() && stays) {
                 *empty_machines.entry((pool, &*machine.zone)).or_default() += 1;
             }
@@ -306,7 +306,7 @@
     machine: &Machine,
     counts: &mut BTreeMap<Pool, PoolCount>,
 ) {
-    let leaving = machine.decommission_at.is_some() || machine.notice.is_some();
+    let leaving = machine.decommission_at.is_some() || machine.preemption_at.is_some();
     let Some(pool) = machine.pool().filter(|_| !leaving) else {
         return;
     };
--- a/src/controller/autoscaling/machines.rs
+++ b/src/controller/autoscaling/machines.rs
@@ -152,7 +152,8 @@
             let due = machine
                 .decommission_at
                 .is_some_and(|at| now >= at || machine.tasks.is_empty());
-            if due && !machine.deleting && ids.len() < DELETE_MAX && !self.committing_on(machine) {
+            if due && !machine.is_deleting && ids.len() < DELETE_MAX && !self.committing_on(machine)
+            {
                 ids.push(id.clone());
             }
         }
@@ -166,7 +167,7 @@
         };
         if context.cloud_call(op, purpose, Priority::First) {
             for id in &ids {
-                self.machines.edit(id, |machine| machine.deleting = true);
+                self.machines.edit(id, |machine| machine.is_deleting = true);
             }
         }
     }
@@ -182,7 +183,8 @@
         let mut long_polls = Vec::new();
         for id in ids {
             if response != CloudResponse::Deleted {
-                self.machines.edit(&id, |machine| machine.deleting = false);
+                self.machines
+                    .edit(&id, |machine| machine.is_deleting = false);
                 continue;
             }
             info!("machine deleted, machine={id}");
@@ -213,7 +215,7 @@
         if self.whole && !self.machines.contains_key(&id) {
             let mut machine = Machine::new(catalog, &listed.class, &listed.zone, listed.spot, now);
             let age_ms = (listed.age_s().max(0.0) * 1000.0) as u64;
-            machine.since = Time(now.0.saturating_sub(age_ms));
+            machine.known_since = Time(now.0.saturating_sub(age_ms));
             self.machines.insert(id.clone(), machine);
         }
         let known = self.machines.get(&id);
@@ -238,7 +240,7 @@
     /// gone or were never created. Absence proves nothing, so they are deleted.
     fn decommission_unlisted(&mut self, now: Time, settled_s: f64, listed: &BTreeSet<&str>) {
         let since = self.since;
-        let settled = |machine: &Machine| now.since(machine.since.max(since)) > settled_s;
+        let settled = |machine: &Machine| now.since(machine.known_since.max(since)) > settled_s;
         let booting = self.machines.booting();
         let missing =
             booting.filter(|(id, machine)| settled(machine) && !listed.contains(id.as_str()));
@@ -260,7 +262,7 @@
         let machine_type = machine.type_in(catalog);
         let ready_s = machine_type.map_or(UNKNOWN_TYPE_BOOT_S, |found| found.ready_s);
         let limit_s = factor * self.usual_boot_s(machine.machine_type, ready_s);
-        machine.ready_since.is_none() && now.since(machine.since) > limit_s
+        machine.ready_since.is_none() && now.since(machine.known_since) > limit_s
     }
 
     /// Forgets a deleted machine; its tasks are proven gone. Returns the request
--- a/src/controller/machines/failures.rs
+++ b/src/controller/machines/failures.rs
@@ -155,7 +155,7 @@
 
     /// What the next owner has to know of a job: its failed tries in a row, and where they
     /// were.
-    pub(crate) fn of_job(&self, job: &JobId) -> (u32, Vec<MachineId>) {
+    pub(crate) fn failures_of_job(&self, job: &JobId) -> (u32, Vec<MachineId>) {
         let Some(failures) = self.jobs.get(job) else {
             return (0, Vec::new());
         };
@@ -170,13 +170,13 @@
     }
 
     /// Whether a job has failed so often that it is tried one task at a time.
-    pub(crate) fn on_probation(&self, job: &JobId) -> bool {
+    pub(crate) fn runs_one_task_at_a_time(&self, job: &JobId) -> bool {
         let failures = self.jobs.get(job);
         failures.is_some_and(|f| f.tries >= PROMPT_TRIES)
     }
 
     /// Whether a job has failed so often that no machine is scaled out for it.
-    pub(crate) fn unplaceable(&self, job: &JobId) -> bool {
+    pub(crate) fn blocks_scale_out(&self, job: &JobId) -> bool {
         let failures = self.jobs.get(job);
         failures.is_some_and(|f| f.tries >= UNPLACEABLE_TRIES)
     }
--- a/src/controller/machines/heartbeats.rs
+++ b/src/controller/machines/heartbeats.rs
@@ -232,7 +232,7 @@
         let catalog = &context.cloud.catalog;
         self.machines.edit(id, |machine| {
             if let Some(bind) = machine.tasks.get_mut(task) {
-                bind.image_cached = true;
+                bind.is_image_cached = true;
             }
             if phase == Phase::Running {
                 let cache_gb = machine.type_in(catalog).map_or(f64::MAX, |c| c.cache_gb);
@@ -353,14 +353,14 @@
         self.token_acknowledged |= proof;
         if first_ever {
             self.ready_since = Some(now);
-            self.empty.get_or_insert(now);
-            let boot = now.since(self.since);
+            self.empty_since.get_or_insert(now);
+            let boot = now.since(self.known_since);
             info!(
                 "machine ready, machine={} type={} zone={} boot_s={boot:.0}",
                 heartbeat.machine, self.type_name, self.zone
             );
         }
-        self.notice = heartbeat.notice_s.map(|s| now.after(s.0));
+        self.preemption_at = heartbeat.notice_s.map(|s| now.after(s.0));
         let waiting = self.long_poll.take();
         if waiting.is_some() {
             self.last_acknowledged = now;
@@ -380,7 +380,7 @@
         let Some(machine) = self.machines.get(id) else {
             return;
         };
-        let took_s = now.since(machine.since);
+        let took_s = now.since(machine.known_since);
         let ready_s = machine.type_in(catalog).map(|found| found.ready_s);
         if let (Some(machine_type), Some(ready_s)) = (machine.machine_type, ready_s)
             && took_s > ready_s * LEAST_BOOT
--- a/src/controller/machines/inventory.rs
+++ b/src/controller/machines/inventory.rs
@@ -19,7 +19,7 @@
 pub(crate) struct Binding {
     pub record: Rc<JobRecord>,
     /// Its image is there.
-    pub image_cached: bool,
+    pub is_image_cached: bool,
 }
 
 /// A machine of the shard.
@@ -33,7 +33,7 @@
     pub zone: Rc<str>,
     pub spot: bool,
     /// When it was scaled out or first heard of.
-    pub since: Time,
+    pub known_since: Time,
     /// When its first heartbeat came; `None` while it boots.
     pub ready_since: Option<Time>,
     pub agent_epoch: u64,
@@ -47,21 +47,21 @@
     pub forwarded_by: Option<ControllerId>,
     /// When this process last answered one of its heartbeats with 200.
     pub last_acknowledged: Time,
-    pub notice: Option<Time>,
+    pub preemption_at: Option<Time>,
     pub tasks: BTreeMap<TaskId, Binding>,
     pub used: Resources,
     /// To be deleted, at this moment even if tasks are left on it. Nothing is placed
     /// on it any more.
     pub decommission_at: Option<Time>,
-    pub deleting: bool,
+    pub is_deleting: bool,
     /// The request that waits for a command, and until when.
     pub long_poll: Option<(RequestId, Time)>,
     /// Images it should have, latest use last.
     pub images: Vec<(Image, f64)>,
     /// Since when it has had no task.
-    pub empty: Option<Time>,
+    pub empty_since: Option<Time>,
     /// Its work would fit elsewhere: it gets nothing new while there is another place.
-    pub cordoned: bool,
+    pub is_cordoned: bool,
     /// A start was refused for want of room.
     pub full_until: Time,
     /// Where the indexes have it.
@@ -82,7 +82,7 @@
             resources: Resources::default(),
             zone: zone.into(),
             spot,
-            since: now,
+            known_since: now,
             ready_since: None,
             agent_epoch: 0,
             sequence: 0,
@@ -91,15 +91,15 @@
             first_heartbeat: None,
             forwarded_by: None,
             last_acknowledged: now,
-            notice: None,
+            preemption_at: None,
             tasks: BTreeMap::new(),
             used: Resources::default(),
             decommission_at: None,
-            deleting: false,
+            is_deleting: false,
             long_poll: None,
             images: Vec::new(),
-            empty: Some(now),
-            cordoned: false,
+            empty_since: Some(now),
+            is_cordoned: false,
             full_until: Time(0),
             indexed: None,
         };
@@ -169,13 +169,13 @@
     /// Enters a task: its room counts from now on.
     pub(crate) fn bind(&mut self, task: TaskId, record: &Rc<JobRecord>) {
         self.used.add(record.resources, 1.0);
-        self.empty = None;
+        self.empty_since = None;
         let record = record.clone();
         self.tasks.insert(
             task,
             Binding {
                 record,
-                image_cached: false,
+                is_image_cached: false,
             },
         );
     }
@@ -193,13 +193,13 @@
         }
         if self.tasks.is_empty() {
             self.used = Resources::default();
-            self.empty = Some(now);
+            self.empty_since = Some(now);
         }
     }
 
     /// Its pool, if it can be given tasks, but for what passes by itself.
     fn schedulable_pool(&self) -> Option<Pool> {
-        let staying = self.decommission_at.is_none() && self.notice.is_none();
+        let staying = self.decommission_at.is_none() && self.preemption_at.is_none();
         let reports = self.ready_since.is_some() && self.agent_epoch > 0;
         self.pool().filter(|_| staying && reports)
     }
@@ -209,7 +209,7 @@
             schedulable: self
                 .schedulable_pool()
                 .map(|pool| self.capacity_bucket(pool)),
-            leaving: self.decommission_at.is_some() || self.notice.is_some(),
+            leaving: self.decommission_at.is_some() || self.preemption_at.is_some(),
             booting: self.ready_since.is_none() && self.decommission_at.is_none(),
         }
     }
@@ -277,7 +277,7 @@
 struct Index {
     buckets: BTreeMap<CapacityBucket, BTreeSet<MachineId>>,
     /// Open machines with tasks, by the lowest rank among these.
-    ranked: BTreeMap<(Pool, PriorityClass), BTreeSet<MachineId>>,
+    by_lowest_priority: BTreeMap<(Pool, PriorityClass), BTreeSet<MachineId>>,
     /// Free parts of open machines, by type and kind.
     free: BTreeMap<Pool, u64>,
     leaving: BTreeSet<MachineId>,
@@ -300,7 +300,10 @@
             *self.free.entry(capacity_bucket.pool).or_default() += free;
             if let Some(priority_class) = lowest {
                 let key = (capacity_bucket.pool, *priority_class);
-                self.ranked.entry(key).or_default().insert(id.clone());
+                self.by_lowest_priority
+                    .entry(key)
+                    .or_default()
+                    .insert(id.clone());
             }
             let machines = self.buckets.entry(capacity_bucket.clone()).or_default();
             machines.insert(id.clone());
@@ -321,7 +324,7 @@
             *self.free.entry(capacity_bucket.pool).or_default() -= free;
             if let Some(priority_class) = lowest {
                 drop_from(
-                    &mut self.ranked,
+                    &mut self.by_lowest_priority,
                     &(capacity_bucket.pool, *priority_class),
                     id,
                 );
@@ -420,7 +423,7 @@
 
     /// Open machines that may have room for a task, of those types, kinds and zones that
     /// `fits` lets pass.
-    pub(crate) fn roomy(
+    pub(crate) fn with_free_capacity(
         &self,
         need: Resources,
         fits: impl Fn(Pool, &Rc<str>) -> bool,
@@ -442,11 +445,11 @@
 
     /// Open machines with tasks, of those types, kinds and lowest priority classes that `fits` lets
     /// pass.
-    pub(crate) fn ranked(
+    pub(crate) fn by_lowest_priority(
         &self,
         fits: impl Fn(Pool, PriorityClass) -> bool,
     ) -> impl Iterator<Item = (&MachineId, &Machine)> {
-        let sets = self.index.ranked.iter();
+        let sets = self.index.by_lowest_priority.iter();
         let sets = sets.filter(move |((pool, priority_class), _)| fits(*pool, *priority_class));
         let ids = sets.flat_map(|(_, ids)| ids);
         ids.filter_map(|id| Some((id, self.all.get(id)?)))
@@ -484,7 +487,7 @@
         let mut free = self.index.free.clone();
         free.retain(|_, n| *n > 0);
         let same = again.buckets == self.index.buckets
-            && again.ranked == self.index.ranked
+            && again.by_lowest_priority == self.index.by_lowest_priority
             && again.free == free
             && again.leaving == self.index.leaving
             && again.booting == self.index.booting;
--- a/src/controller/machines/liveness.rs
+++ b/src/controller/machines/liveness.rs
@@ -59,7 +59,7 @@
     /// peer either, is partitioned from them and lets another controller try. When peers
     /// hear none of them it is they who are gone, and giving up would only put off their
     /// replacement.
-    pub(crate) fn workers_lost(&self, context: &Context) -> bool {
+    pub(crate) fn is_partitioned_from_workers(&self, context: &Context) -> bool {
         let workers = &context.settings.platform.facts.workers;
         let patience = workers.report_s * UNREACHABLE_HEARTBEATS;
         let up = self
@@ -284,7 +284,7 @@
         let mut zones: BTreeMap<&Rc<str>, (usize, usize)> = BTreeMap::new();
         let staying = |machine: &&Machine| {
             machine.ready_since.is_some()
-                && machine.notice.is_none()
+                && machine.preemption_at.is_none()
                 && machine.decommission_at.is_none()
         };
         for machine in self.machines.values().filter(staying) {
@@ -312,7 +312,7 @@
         let mut stop = Vec::new();
         for (_, machine) in self.machines.leaving() {
             let sick = machine.decommission_at.is_some();
-            if !sick && machine.notice.is_none_or(|at| at <= now) {
+            if !sick && machine.preemption_at.is_none_or(|at| at <= now) {
                 continue;
             }
             for (task, bind) in &machine.tasks {
@@ -330,7 +330,7 @@
             }
         }
         for task in stop {
-            self.stop(context, &task);
+            self.stop_task(context, &task);
         }
     }
 }
--- a/src/controller/machines/mod.rs
+++ b/src/controller/machines/mod.rs
@@ -79,7 +79,7 @@
     }
 
     /// Tells a task to stop, as soon as its machine can hear it.
-    pub(crate) fn stop(&mut self, context: &mut Context, task: &TaskId) {
+    pub(crate) fn stop_task(&mut self, context: &mut Context, task: &TaskId) {
         let now = context.now;
         let Some(placement) = self.placement_mut(task) else {
             return;
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -216,7 +216,7 @@
             let Some(shard) = self.shards.get_mut(&id) else {
                 return;
             };
-            if shard.workers_lost(&self.context) {
+            if shard.is_partitioned_from_workers(&self.context) {
                 self.release_shard(id, GiveUpReason::WorkersUnreachable);
                 self.resign(GiveUpReason::WorkersUnreachable);
                 return;
--- a/src/controller/scheduling/consolidation.rs
+++ b/src/controller/scheduling/consolidation.rs
@@ -46,7 +46,7 @@
                 tasks.len()
             );
             for task in tasks {
-                self.stop(context, &task);
+                self.stop_task(context, &task);
             }
         }
     }
@@ -69,14 +69,14 @@
         // One that has been emptied stays cordoned: uncordoned, it drew the replicas of the next
         // one to be emptied, which then drew them back, without end.
         let emptied =
-            |machine: &Machine| room_to_spare && machine.cordoned && machine.tasks.is_empty();
+            |machine: &Machine| room_to_spare && machine.is_cordoned && machine.tasks.is_empty();
         let changes = |(id, machine): &(&MachineId, &Machine)| {
-            machine.cordoned != (spare.contains(*id) || emptied(machine))
+            machine.is_cordoned != (spare.contains(*id) || emptied(machine))
         };
         let changed = self.machines.iter().filter(changes);
         let changed: Vec<MachineId> = changed.map(|(id, _)| id.clone()).collect();
         for id in changed {
-            let toggle = |machine: &mut Machine| machine.cordoned = !machine.cordoned;
+            let toggle = |machine: &mut Machine| machine.is_cordoned = !machine.is_cordoned;
             self.machines.edit(&id, toggle);
         }
         spare
@@ -125,7 +125,7 @@
     for (id, machine) in shard.machines.iter() {
         let stays = machine.ready_since.is_some()
             && machine.decommission_at.is_none()
-            && machine.notice.is_none();
+            && machine.preemption_at.is_none();
         if let Some(pool) = machine
             .pool()
             .filter(|_| stays && !machine.tasks.is_empty())
@@ -196,14 +196,14 @@
     let record = &job_state.record;
     let mut fullest: Option<(f64, &MachineId)> = None;
     let fits = |pool: Pool, _: &Rc<str>| suits(record, &context.cloud.catalog, pool);
-    for (id, machine) in shard.machines.roomy(record.resources, fits) {
+    for (id, machine) in shard.machines.with_free_capacity(record.resources, fits) {
         let mut free = machine.free();
         free.add(reserved.get(id).copied().unwrap_or_default(), -1.0);
         // Within its zone it takes the place of itself.
         let zone_fits = machine.zone == placement.zone || zone_allowed(job_state, &machine.zone);
         let possible = id != from
             && !machine.tasks.is_empty()
-            && !machine.cordoned
+            && !machine.is_cordoned
             && free.holds(record.resources)
             && machine.has_image(&record.image)
             && usable(machine, &context.settings, context.now)
--- a/src/controller/scheduling/constraints.rs
+++ b/src/controller/scheduling/constraints.rs
@@ -120,7 +120,7 @@
     let fresh_s = settings.platform.facts.workers.report_s * FRESH_HEARTBEAT_INTERVALS;
     machine.ready_since.is_some()
         && machine.decommission_at.is_none()
-        && machine.notice.is_none()
+        && machine.preemption_at.is_none()
         && machine.agent_epoch > 0
         && (machine.long_poll.is_some() || now.since(machine.last_heartbeat) < fresh_s)
         && now >= machine.full_until
--- a/src/controller/scheduling/mod.rs
+++ b/src/controller/scheduling/mod.rs
@@ -219,7 +219,7 @@
         }
         let index = self.jobs.get_mut(id).and_then(JobState::next_queued)?;
         // All tasks of a crash-looping job at once took room on every machine at each attempt.
-        let held_back = self.failures.on_probation(id) && self.jobs[id].trying();
+        let held_back = self.failures.runs_one_task_at_a_time(id) && self.jobs[id].trying();
         (!held_back).then_some(index)
     }
 
@@ -307,7 +307,7 @@
         }
         for task in victims {
             info!("task preempted, task={task} for_job={id}");
-            self.stop(context, task);
+            self.stop_task(context, task);
         }
     }
 }
--- a/src/controller/scheduling/preemption.rs
+++ b/src/controller/scheduling/preemption.rs
@@ -61,7 +61,7 @@
         yields && suits(&job_state.record, catalog, pool)
     };
     let (mut found, mut machines_scanned) = (Vec::new(), 0);
-    for (id, machine) in shard.machines.ranked(fits) {
+    for (id, machine) in shard.machines.by_lowest_priority(fits) {
         machines_scanned += 1;
         if !zone_allowed(job_state, &machine.zone) || !shard.failures.may_run_tasks(id, now) {
             continue;
--- a/src/controller/scheduling/scoring.rs
+++ b/src/controller/scheduling/scoring.rs
@@ -126,7 +126,7 @@
             allowed_zones.contains(&&**zone) && suits(record, self.catalog, pool)
         };
         let mut machines_scanned = 0;
-        let machines = shard.machines.roomy(record.resources, fits);
+        let machines = shard.machines.with_free_capacity(record.resources, fits);
         let candidates = machines.filter_map(|(id, machine)| {
             machines_scanned += 1;
             let cost = self.cost_of(shard, (job, job_state), (id, machine), scores)?;
@@ -191,7 +191,7 @@
         if machine.spot {
             cost -= SPOT_GAIN;
         }
-        if machine.cordoned {
+        if machine.is_cordoned {
             cost += CORDONED_COST;
         }
         cost
@@ -297,7 +297,10 @@
     let mut counts: BTreeMap<&Image, u32> = BTreeMap::new();
     let needs = shard.images.values().map(|demand| demand.need);
     let least = needs.reduce(Resources::least).unwrap_or_default();
-    for (id, machine) in shard.machines.roomy(least, |pool, _| !pool.is_spot()) {
+    for (id, machine) in shard
+        .machines
+        .with_free_capacity(least, |pool, _| !pool.is_spot())
+    {
         if !usable(machine, settings, now) || !shard.failures.may_run_tasks(id, now) {
             continue;
         }
@@ -347,7 +350,7 @@
     let alone_s = record.image_gb / machine_type.fetch_gb_s;
     let mut others: Vec<(&Image, f64)> = Vec::new();
     let bindings = machine.tasks.values();
-    for binding in bindings.filter(|binding| !binding.image_cached) {
+    for binding in bindings.filter(|binding| !binding.is_image_cached) {
         let image = &binding.record.image;
         if *image == record.image {
             return alone_s / 2.0;
--- a/src/controller/shard/commits.rs
+++ b/src/controller/shard/commits.rs
@@ -301,7 +301,7 @@
         chunk: u32,
     ) -> PlacementRecord {
         let tasks = job_state.layout.tasks_of(chunk);
-        let (failed_tries, failed_on) = self.failures.of_job(job);
+        let (failed_tries, failed_on) = self.failures.failures_of_job(job);
         let done = tasks
             .clone()
             .filter(|index| job_state.done[*index as usize]);
