--- a/src/controller/machines/commands.rs
+++ b/src/controller/machines/commands.rs
@@ -1,4 +1,5 @@
-//! Commands: what a machine is to do now, and the answers that carry them.
+//! Commands to workers: their derivation from a shard's state, and the heartbeat answers that carry
+//! them.
 
 use crate::controller::context::Context;
 use crate::controller::events::Reply;
@@ -8,30 +9,31 @@
 use crate::ids::{MachineId, RequestId, TaskId};
 use crate::wire::{Cause, Command, HeartbeatTask, TaskStatus, commands_body};
 
-/// Repeated saving stops turn into plain ones after the grace and this long.
-const GRACE_S: f64 = 1.0;
+/// Margin in seconds beyond a job's time to save a checkpoint. A stop that is repeated after both
+/// have passed no longer lets the task save.
+const CHECKPOINT_MARGIN_S: f64 = 1.0;
 
 impl ShardOwner {
-    /// Answers a waiting heartbeat now, if there is one and a command for it.
+    /// Answers the waiting heartbeat of a machine at once if there is a command for the machine.
     pub(crate) fn answer_long_poll(&mut self, context: &mut Context, id: &MachineId) {
-        let held = self.machines.get(id).and_then(|machine| machine.long_poll);
-        let Some((request_id, until)) = held else {
+        let long_poll = self.machines.get(id).and_then(|machine| machine.long_poll);
+        let Some((request_id, deadline)) = long_poll else {
             return;
         };
-        let commands = self.commands(context, id, &[]);
+        let commands = self.commands_for(context, id, &[]);
         if commands.is_empty() {
             return;
         }
-        self.long_poll_deadlines.remove(&(until, id.clone()));
+        self.long_poll_deadlines.remove(&(deadline, id.clone()));
         self.send_commands(context, id, request_id, &commands);
     }
 
-    /// Answers the heartbeats whose time to wait is over.
+    /// Answers the waiting heartbeats whose deadline has passed.
     pub(crate) fn answer_due_long_polls(&mut self, context: &mut Context) {
         loop {
             let now = context.now;
             match self.long_poll_deadlines.first() {
-                Some((until, _)) if *until <= now => {}
+                Some((deadline, _)) if *deadline <= now => {}
                 _ => return,
             }
             let Some((_, id)) = self.long_poll_deadlines.pop_first() else {
@@ -42,11 +44,12 @@
             else {
                 continue;
             };
-            let commands = self.commands(context, &id, &[]);
+            let commands = self.commands_for(context, &id, &[]);
             self.send_commands(context, &id, request_id, &commands);
         }
     }
 
+    /// Answers a heartbeat with commands, which renews the worker's lease.
     pub(crate) fn send_commands(
         &mut self,
         context: &mut Context,
@@ -55,100 +58,113 @@
         commands: &[Command],
     ) {
         let now = context.now;
-        self.machines.touch(id, |machine| {
-            machine.last_acknowledged = now;
+        self.machines.edit_unindexed(id, |machine| {
+            machine.last_answered_at = now;
             machine.long_poll = None;
         });
         let body = commands_body(self.token, commands);
         context.answer(request_id, Reply::ok(200, body));
     }
 
-    /// What a machine is to do now. Derived from what is known, not from what was
-    /// sent: a lost answer is made good by the next one.
-    pub(crate) fn commands(
+    /// Returns the commands that a machine needs now, and marks the starts among them as sent. Stop
+    /// and clear commands are derived from the present state and not from what was sent, so that
+    /// the next answer repeats those of a lost one. A lost start is sent again only after a
+    /// heartbeat that doesn't list its task.
+    pub(crate) fn commands_for(
         &mut self,
         context: &Context,
         id: &MachineId,
         listed: &[ListedTask<'_>],
     ) -> Vec<Command> {
         let now = context.now;
-        // A start needs a fresh mirror: a cancellation may stand there.
+        // Starts need a fresh mirror, since a stale one may lack a cancellation.
         let is_stale = context.is_stale();
-        let unassigned = listed.iter();
-        let unassigned =
-            unassigned.filter_map(|l| unplaced_command(self, id, &l.task, l.heartbeat));
-        let mut out: Vec<Command> = unassigned.collect();
+        let unplaced = listed.iter();
+        let unplaced = unplaced
+            .filter_map(|entry| unplaced_attempt_command(self, id, &entry.task, entry.heartbeat));
+        let mut commands: Vec<Command> = unplaced.collect();
         let ShardOwner { machines, jobs, .. } = self;
         let Some(machine) = machines.get(id) else {
-            return out;
+            return commands;
         };
-        let starts = !is_stale && machine.decommission_at.is_none();
+        let may_start = !is_stale && machine.decommission_at.is_none();
         for task in machine.tasks.keys() {
             let Some(job_state) = jobs.get_mut(&task.job) else {
                 continue;
             };
             let save_s = job_state.record.save_s;
-            let grace = job_state.cancelled.is_none() && job_state.record.checkpoint_s > 0.0;
+            let may_checkpoint =
+                job_state.cancelled.is_none() && job_state.record.checkpoint_s > 0.0;
             let Some(placement) = job_state.placed.get_mut(&task.index) else {
                 continue;
             };
             match (placement.stop_requested, placement.phase) {
-                (None, Phase::Ready) if starts => {
+                (None, Phase::Ready) if may_start => {
                     (placement.phase, placement.since) = (Phase::Sent, now);
                     placement.sends += 1;
-                    out.push(Command::Start {
+                    commands.push(Command::Start {
                         task: task.to_string(),
                         attempt: placement.attempt,
                     });
                 }
                 (Some(_), Phase::Committing | Phase::Ready) | (None, _) => {}
-                (Some(at), phase) => {
-                    let waited = now.since(at);
-                    let saves = grace && waited < save_s + GRACE_S;
-                    if phase == Phase::Checkpointing && saves {
+                (Some(stop_requested_at), phase) => {
+                    let waited_s = now.since(stop_requested_at);
+                    let with_checkpoint = may_checkpoint && waited_s < save_s + CHECKPOINT_MARGIN_S;
+                    if phase == Phase::Checkpointing && with_checkpoint {
                         continue;
                     }
-                    out.push(Command::Stop {
+                    commands.push(Command::Stop {
                         task: task.to_string(),
                         attempt: placement.attempt,
-                        grace_s: if saves { save_s + GRACE_S } else { 0.0 },
+                        grace_s: if with_checkpoint {
+                            save_s + CHECKPOINT_MARGIN_S
+                        } else {
+                            0.0
+                        },
                     });
                 }
             }
         }
-        out
+        commands
     }
 }
 
-/// What to do about a listed attempt that isn't a present placement.
-fn unplaced_command(
+/// Returns the command for an attempt that a heartbeat lists and that isn't placed on this machine:
+/// a stop if it still runs, a clear if it has ended, or none.
+fn unplaced_attempt_command(
     shard: &ShardOwner,
     id: &MachineId,
     task: &TaskId,
-    t: &HeartbeatTask,
+    listed: &HeartbeatTask,
 ) -> Option<Command> {
     let job_state = shard.jobs.get(&task.job);
-    let placed = job_state.and_then(|l| l.placed.get(&task.index));
-    if placed.is_some_and(|placement| placement.machine == *id && placement.attempt == t.attempt) {
+    let placed = job_state.and_then(|job_state| job_state.placed.get(&task.index));
+    if placed
+        .is_some_and(|placement| placement.machine == *id && placement.attempt == listed.attempt)
+    {
         return None;
     }
-    let (name, attempt) = (task.to_string(), t.attempt);
-    if t.status != TaskStatus::Ended {
+    let (name, attempt) = (task.to_string(), listed.attempt);
+    if listed.status != TaskStatus::Ended {
         return Some(Command::Stop {
             task: name,
             attempt,
             grace_s: 0.0,
         });
     }
-    // A result is cleared only once it is written: after a clear, nothing else
-    // tells that the task is done.
-    let unwritten = job_state.is_some_and(|l| {
-        let chunk = l.layout.chunk_of(task.index);
-        t.cause == Some(Cause::Done)
-            && l.cancelled.is_none()
-            && l.chunks.get(&chunk).is_some_and(|c| c.unwritten)
+    // A result is cleared only once it is written to the store: after the clear, the worker no
+    // longer lists it, and nothing else shows that the task is done.
+    let is_unwritten = job_state.is_some_and(|job_state| {
+        let chunk = job_state.layout.chunk_of(task.index);
+        listed.cause == Some(Cause::Done)
+            && job_state.cancelled.is_none()
+            && job_state
+                .chunks
+                .get(&chunk)
+                .is_some_and(|chunk| chunk.unwritten)
     });
-    (!unwritten).then_some(Command::Clear {
+    (!is_unwritten).then_some(Command::Clear {
         task: name,
         attempt,
     })
--- a/src/controller/machines/failures.rs
+++ b/src/controller/machines/failures.rs
@@ -1,54 +1,65 @@
-//! Which machines are quarantined, and which jobs fail wherever they run.
+//! Attribution of task failures to faulty machines or to crash-looping jobs.
 //!
-//! A task that fails speaks against its machine or against its job, and one failure doesn't
-//! tell which. What does is where the job fails and where it doesn't: a job that failed on
-//! several machines is crash-looping, and its failures no longer count against them; a machine is
-//! quarantined once jobs that failed there have succeeded elsewhere. Counting failures alone gave
-//! up healthy machines that a swarm of crash-looping jobs had been tried on.
+//! The cause of a task failure is its machine or its job, and a single failure doesn't show which.
+//! The places where a job fails and succeeds do:
+//! - A job that failed on several machines without a success in between is crash-looping. Its
+//!   failures no longer count against these machines.
+//! - A machine is faulty once jobs that failed there have succeeded elsewhere.
+//!
+//! After a failure, a machine is quarantined for a while: it gets no new tasks. Counting failures
+//! alone decommissioned healthy machines on which many crash-looping jobs had been tried.
 
 use crate::ids::{JobId, MachineId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Jobs that failed on a machine and succeeded elsewhere, of which two prove it quarantined.
-const FAULTY_PROVEN: usize = 2;
-/// Jobs that failed on a machine, of which one succeeded elsewhere, that prove it as well.
-const FAULTY_SUSPECTED: usize = 3;
-/// How long a machine rests after a failure, in seconds; doubles with each job that failed.
+/// A machine is faulty when this many jobs failed on it and succeeded elsewhere.
+const FAULTY_PROVEN_JOBS: usize = 2;
+/// A machine is also faulty when this many jobs failed on it and at least one of them succeeded
+/// elsewhere.
+const FAULTY_SUSPECTING_JOBS: usize = 3;
+/// Quarantine of a machine after a failure, in seconds. It doubles with each further job that fails
+/// there.
 const QUARANTINE_S: f64 = 5.0;
-/// Longest rest while no job that failed there has succeeded elsewhere, and once one has.
+/// Longest quarantine while no job that failed on the machine has succeeded elsewhere, in seconds.
 const QUARANTINE_SUSPECTED_MAX_S: f64 = 20.0;
+/// Longest quarantine once a job that failed on the machine has succeeded elsewhere, in seconds.
 const QUARANTINE_PROVEN_MAX_S: f64 = 120.0;
-/// A job that failed on this many machines without any success between is crash-looping.
+/// A job with this many failed tries in a row that has failed on this many machines is
+/// crash-looping.
 const CRASH_LOOP_MACHINES: usize = 3;
-/// Machines remembered of each job's failures.
-const MACHINES_MAX: usize = 8;
-/// Failures of one job on one machine within this time are one failed try: the tasks of an
-/// array that were started there together.
+/// Maximum number of machines that are remembered for the failures of one job.
+const FAILED_MACHINES_MAX: usize = 8;
+/// Consecutive failures of one job on the same machine, each within this many seconds of the
+/// previous one, count as one failed try: these are the tasks of an array that were started there
+/// together.
 const SAME_TRY_S: f64 = 2.0;
-/// After so many failed tries in a row a job doesn't make the fleet grow.
-const UNPLACEABLE_TRIES: u32 = 6;
-/// So many failed tries in a row are followed by the next at once, with all tasks: mostly they
-/// are the machine's fault.
+/// After this many failed tries in a row, no machines are added for a job.
+const NO_SCALE_OUT_TRIES: u32 = 6;
+/// A job with fewer failed tries in a row than this may start all its tasks at once. Up to this
+/// many, it is retried without a delay, since the machine is mostly at fault.
 const PROMPT_TRIES: u32 = 2;
-/// Longest pause before a failing job is tried again, in seconds.
-const PAUSE_MAX_S: f64 = 30.0;
+/// Longest delay before a failing job is retried, in seconds.
+const RETRY_DELAY_MAX_S: f64 = 30.0;
 
 /// The failures of one job.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct JobFailures {
-    /// Failed tries since a task of it last succeeded.
+    /// Failed tries since a task of the job last succeeded.
     tries: u32,
-    /// The latest one.
+    /// Machine and time of the latest failure.
     last: Option<(MachineId, Time)>,
+    /// Machines on which the job has failed, up to `FAILED_MACHINES_MAX`.
     machines: BTreeSet<MachineId>,
 }
 
 impl JobFailures {
-    fn note(&mut self, now: Time, machine: &MachineId) {
+    fn record(&mut self, now: Time, machine: &MachineId) {
         let last = self.last.replace((machine.clone(), now));
-        let same = last.is_some_and(|(on, at)| on == *machine && now.since(at) < SAME_TRY_S);
-        self.tries += u32::from(!same);
-        if self.machines.len() < MACHINES_MAX {
+        let is_same_try = last.is_some_and(|(last_machine, at)| {
+            last_machine == *machine && now.since(at) < SAME_TRY_S
+        });
+        self.tries += u32::from(!is_same_try);
+        if self.machines.len() < FAILED_MACHINES_MAX {
             self.machines.insert(machine.clone());
         }
     }
@@ -61,29 +72,31 @@
 /// The failures on one machine since a task last succeeded there.
 #[derive(Debug, Default)]
 struct MachineFailures {
-    /// Jobs that failed there and aren't known to be crash-looping.
+    /// Jobs that failed on the machine and aren't known to be crash-looping.
     suspected_by: BTreeSet<JobId>,
-    /// Those of them that have succeeded elsewhere.
+    /// The jobs of `suspected_by` that have succeeded elsewhere.
     proven_by: BTreeSet<JobId>,
+    /// Until when the machine gets no new tasks.
     quarantined_until: Time,
 }
 
 impl MachineFailures {
     fn is_faulty(&self) -> bool {
         let proven = self.proven_by.len();
-        proven >= FAULTY_PROVEN || proven > 0 && self.suspected_by.len() >= FAULTY_SUSPECTED
+        proven >= FAULTY_PROVEN_JOBS
+            || proven > 0 && self.suspected_by.len() >= FAULTY_SUSPECTING_JOBS
     }
 
     fn attribute_failure(&mut self, now: Time, job: &JobId) {
         self.suspected_by.insert(job.clone());
         let doublings = self.suspected_by.len() - 1;
-        let rest_s = QUARANTINE_S * 2f64.powi(doublings.min(16) as i32);
-        let most_s = if self.proven_by.is_empty() {
+        let quarantine_s = QUARANTINE_S * 2f64.powi(doublings.min(16) as i32);
+        let max_s = if self.proven_by.is_empty() {
             QUARANTINE_SUSPECTED_MAX_S
         } else {
             QUARANTINE_PROVEN_MAX_S
         };
-        self.quarantined_until = now.after(rest_s.min(most_s));
+        self.quarantined_until = now.after(quarantine_s.min(max_s));
     }
 
     fn clear_failures(&mut self, job: &JobId) {
@@ -95,7 +108,7 @@
     }
 }
 
-/// What the failures in a shard say of its jobs and machines.
+/// The task failures in a shard, by job and by machine.
 #[derive(Debug, Default)]
 pub(crate) struct FailureLog {
     jobs: BTreeMap<JobId, JobFailures>,
@@ -103,22 +116,23 @@
 }
 
 impl FailureLog {
-    /// Notes that a task failed; returns the job's failed tries in a row.
-    pub(crate) fn task_failed(&mut self, now: Time, job: &JobId, machine: &MachineId) -> u32 {
+    /// Records that a task of a job failed on a machine. Returns the job's failed tries in a row.
+    pub(crate) fn record_failure(&mut self, now: Time, job: &JobId, machine: &MachineId) -> u32 {
         let failures = self.jobs.entry(job.clone()).or_default();
-        failures.note(now, machine);
+        failures.record(now, machine);
         let tries = failures.tries;
         if failures.is_crash_looping() {
             self.clear_machine_failures(job);
         } else {
-            let on = self.machines.entry(machine.clone()).or_default();
-            on.attribute_failure(now, job);
+            let machine_failures = self.machines.entry(machine.clone()).or_default();
+            machine_failures.attribute_failure(now, job);
         }
         tries
     }
 
-    /// Notes that a task completed, or runs well; returns machines that this proves quarantined.
-    pub(crate) fn task_succeeded(&mut self, job: &JobId, machine: &MachineId) -> Vec<MachineId> {
+    /// Records that a task of a job completed or runs well on a machine. Returns the other machines
+    /// that this proves faulty.
+    pub(crate) fn record_success(&mut self, job: &JobId, machine: &MachineId) -> Vec<MachineId> {
         self.machines.remove(machine);
         let Some(failures) = self.jobs.get_mut(job) else {
             return Vec::new();
@@ -126,17 +140,20 @@
         failures.tries = 0;
         let mut faulty = Vec::new();
         for id in failures.machines.iter().filter(|id| *id != machine) {
-            let Some(on) = self.machines.get_mut(id) else {
+            let Some(machine_failures) = self.machines.get_mut(id) else {
                 continue;
             };
-            if on.suspected_by.contains(job) && on.proven_by.insert(job.clone()) && on.is_faulty() {
+            if machine_failures.suspected_by.contains(job)
+                && machine_failures.proven_by.insert(job.clone())
+                && machine_failures.is_faulty()
+            {
                 faulty.push(id.clone());
             }
         }
         faulty
     }
 
-    /// Takes over what an earlier owner wrote of a job's failures.
+    /// Restores the failures of a job that an earlier owner of the shard wrote to the store.
     pub(crate) fn restore(&mut self, now: Time, job: &JobId, tries: u32, machines: &[MachineId]) {
         if machines.is_empty() {
             return;
@@ -148,13 +165,13 @@
             return self.clear_machine_failures(job);
         }
         for machine in machines {
-            let on = self.machines.entry(machine.clone()).or_default();
-            on.attribute_failure(now, job);
+            let machine_failures = self.machines.entry(machine.clone()).or_default();
+            machine_failures.attribute_failure(now, job);
         }
     }
 
-    /// What the next owner has to know of a job: its failed tries in a row, and where they
-    /// were.
+    /// Returns what the next owner of the shard needs of a job's failures: the failed tries in a
+    /// row, and the machines on which the job has failed.
     pub(crate) fn failures_of_job(&self, job: &JobId) -> (u32, Vec<MachineId>) {
         let Some(failures) = self.jobs.get(job) else {
             return (0, Vec::new());
@@ -163,65 +180,67 @@
         (failures.tries, machines.collect())
     }
 
-    /// Whether a job failed on a machine.
+    /// Whether a job has failed on a machine.
     pub(crate) fn failed_on(&self, job: &JobId, machine: &MachineId) -> bool {
         let failures = self.jobs.get(job);
-        failures.is_some_and(|f| f.machines.contains(machine))
+        failures.is_some_and(|failures| failures.machines.contains(machine))
     }
 
-    /// Whether a job has failed so often that it is tried one task at a time.
+    /// Whether a job has failed so often in a row that it is retried one task at a time.
     pub(crate) fn runs_one_task_at_a_time(&self, job: &JobId) -> bool {
         let failures = self.jobs.get(job);
-        failures.is_some_and(|f| f.tries >= PROMPT_TRIES)
+        failures.is_some_and(|failures| failures.tries >= PROMPT_TRIES)
     }
 
-    /// Whether a job has failed so often that no machine is scaled out for it.
+    /// Whether a job has failed so often in a row that no machines are added for it.
     pub(crate) fn blocks_scale_out(&self, job: &JobId) -> bool {
         let failures = self.jobs.get(job);
-        failures.is_some_and(|f| f.tries >= UNPLACEABLE_TRIES)
+        failures.is_some_and(|failures| failures.tries >= NO_SCALE_OUT_TRIES)
     }
 
-    /// How long a job waits before its next try, in seconds.
-    pub(crate) fn pause_s(&self, job: &JobId) -> f64 {
-        let tries = self.jobs.get(job).map_or(0, |f| f.tries);
+    /// How long a job waits before it is retried, in seconds. Above `PROMPT_TRIES`, the delay
+    /// doubles with each failed try.
+    pub(crate) fn retry_delay_s(&self, job: &JobId) -> f64 {
+        let tries = self.jobs.get(job).map_or(0, |failures| failures.tries);
         match tries.saturating_sub(PROMPT_TRIES) {
             0 => 0.0,
-            beyond => 2f64.powi(beyond.min(8) as i32).min(PAUSE_MAX_S),
+            excess => 2f64.powi(excess.min(8) as i32).min(RETRY_DELAY_MAX_S),
         }
     }
 
-    /// Whether a machine may be given tasks.
+    /// Whether a machine is out of quarantine.
     pub(crate) fn may_run_tasks(&self, machine: &MachineId, now: Time) -> bool {
-        let on = self.machines.get(machine);
-        on.is_none_or(|on| now >= on.quarantined_until)
+        let machine_failures = self.machines.get(machine);
+        machine_failures.is_none_or(|failures| now >= failures.quarantined_until)
     }
 
-    /// Forgets a job that is over.
+    /// Forgets a job that has ended. Machines that it helped to prove faulty keep that evidence.
     pub(crate) fn forget_job(&mut self, job: &JobId) {
         let Some(failures) = self.jobs.remove(job) else {
             return;
         };
         for machine in failures.machines {
-            if let Some(on) = self.machines.get_mut(&machine)
-                && !on.proven_by.contains(job)
+            if let Some(machine_failures) = self.machines.get_mut(&machine)
+                && !machine_failures.proven_by.contains(job)
             {
-                on.clear_failures(job);
+                machine_failures.clear_failures(job);
             }
         }
     }
 
-    /// Forgets a machine that is gone.
+    /// Forgets a deleted machine.
     pub(crate) fn forget_machine(&mut self, machine: &MachineId) {
         self.machines.remove(machine);
     }
 
+    /// Removes the failures of a crash-looping job from all machines' records.
     fn clear_machine_failures(&mut self, job: &JobId) {
         let Some(failures) = self.jobs.get(job) else {
             return;
         };
         for machine in &failures.machines {
-            if let Some(on) = self.machines.get_mut(machine) {
-                on.clear_failures(job);
+            if let Some(machine_failures) = self.machines.get_mut(machine) {
+                machine_failures.clear_failures(job);
             }
         }
     }
--- a/src/controller/machines/heartbeats.rs
+++ b/src/controller/machines/heartbeats.rs
@@ -1,4 +1,5 @@
-//! What heartbeats tell of machines and tasks.
+//! Worker heartbeats: what they change in the state of machines and tasks, and how long their
+//! answers wait for commands.
 
 use crate::controller::context::{BATCH_MS, Context};
 use crate::controller::events::Reply;
@@ -10,22 +11,24 @@
 use crate::wire::{Cause, HeartbeatTask, MachineType, TaskStatus, WorkerHeartbeat, commands_body};
 use log::{debug, info, warn};
 
-/// A start is sent this often before its placement is given up.
-const SENDS_MAX: u32 = 4;
-/// Boots aren't shorter than this share of what the catalog says, unless the machine was
-/// up before it was heard of.
-const LEAST_BOOT: f64 = 0.3;
-/// Pause before a machine that refused a task for want of room gets another.
-const FULL_S: f64 = 3.0;
-/// A task that has run for so long is taken to be well: crash-looping jobs and quarantined machines fail
-/// their tasks as they start.
+/// Number of times that a start is sent before its placement is removed.
+const START_SENDS_MAX: u32 = 4;
+/// Shortest plausible boot time, as a ratio to the boot time in the catalog. A machine that seems
+/// to boot faster was already up when this shard first heard of it.
+const BOOT_TIME_MIN_RATIO: f64 = 0.3;
+/// Time in seconds during which a machine that refused a task for lack of resources gets no others.
+const FULL_PAUSE_S: f64 = 3.0;
+/// A task that has run for this many seconds counts as a success of its job and machine:
+/// crash-looping jobs and faulty machines fail their tasks as they start.
 const RUNS_WELL_S: f64 = 10.0;
-/// Pause before a start is tried again that its machine refused for not knowing the job, and
-/// after how many of them it grows no longer.
-const UNKNOWN_PAUSE_S: f64 = 2.0;
-const UNKNOWN_PAUSES: u32 = 8;
+/// Delay in seconds before a job is retried after a worker refused a start because it doesn't know
+/// the job. The delay grows by the same amount with each such refusal.
+const UNKNOWN_JOB_PAUSE_S: f64 = 2.0;
+/// Number of refusals after which the delay no longer grows.
+const UNKNOWN_JOB_PAUSES_MAX: u32 = 8;
 
 impl ShardOwner {
+    /// Processes a worker's heartbeat, and answers it now or leaves it waiting for a command.
     pub(crate) fn on_heartbeat(
         &mut self,
         context: &mut Context,
@@ -35,7 +38,8 @@
     ) {
         let now = context.now;
         self.last_worker_heartbeat = now;
-        // Somebody newer gives commands. Its answers count, ours would be dropped.
+        // The worker has acknowledged a newer owner of the shard and drops answers that carry an
+        // older token.
         if heartbeat.token > self.token.0 {
             return context.redirect(request_id, id);
         }
@@ -44,21 +48,21 @@
         }
         self.adopt_unknown_machine(context, id, &heartbeat);
         let token = self.token;
-        let proof = heartbeat.token == token.0;
+        let shows_token = heartbeat.token == token.0;
         let forwarded_by = context.forwarding.forwarder(request_id);
         let outcome = self.machines.edit(id, |machine| {
             machine.forwarded_by = forwarded_by;
-            machine.record_heartbeat(now, &heartbeat, proof)
+            machine.record_heartbeat(now, &heartbeat, shows_token)
         });
         let Some(outcome) = outcome else {
             return;
         };
-        if !outcome.fresh {
-            // A copy, or overtaken by a newer one: it is answered, since its worker
-            // may still wait, but nothing in it is news.
+        if !outcome.is_fresh {
+            // The heartbeat is a duplicate or was overtaken by a newer one. It is answered, since
+            // the worker may still wait, but its content is outdated.
             return context.answer(request_id, Reply::ok(200, commands_body(token, &[])));
         }
-        if outcome.first {
+        if outcome.is_first_for_owner {
             debug!(
                 "first heartbeat, machine={id} agent_epoch={} token={} tasks={}",
                 heartbeat.agent_epoch,
@@ -67,25 +71,29 @@
             );
             self.apply_hinted_images(id, context.standby.hints(), &context.cloud.catalog);
         }
-        if outcome.first_ever {
+        if outcome.is_first_of_machine {
             self.scheduling_wanted = true;
-            self.record_boot(&context.cloud.catalog, id, now);
+            self.record_boot_time(&context.cloud.catalog, id, now);
         }
-        if let Some((old, until)) = outcome.waiting {
-            self.long_poll_deadlines.remove(&(until, id.clone()));
-            context.answer(old, Reply::ok(200, commands_body(token, &[])));
+        if let Some((previous_request_id, deadline)) = outcome.previous_long_poll {
+            self.long_poll_deadlines.remove(&(deadline, id.clone()));
+            context.answer(
+                previous_request_id,
+                Reply::ok(200, commands_body(token, &[])),
+            );
         }
-        let listed = listed_tasks(&heartbeat);
-        self.update_tasks(context, id, &listed, proof);
-        let commands = self.commands(context, id, &listed);
+        let listed = parse_listed_tasks(&heartbeat);
+        self.update_tasks(context, id, &listed, shows_token);
+        let commands = self.commands_for(context, id, &listed);
         if commands.is_empty() && self.start_long_poll(context, id, request_id) {
             return;
         }
         self.send_commands(context, id, request_id, &commands);
     }
 
-    /// A machine nobody here knows heartbeats: an earlier leader's, or one whose scale-out request
-    /// was carried out late. It is used, or returned when it isn't wanted.
+    /// Adds a machine that sends heartbeats and that this shard doesn't know: one of an earlier
+    /// leader, or one whose scale-out request was carried out late. It is used, or scaled in if it
+    /// isn't needed.
     fn adopt_unknown_machine(
         &mut self,
         context: &Context,
@@ -95,11 +103,12 @@
         let now = context.now;
         let (class, zone, spot) = (&heartbeat.class, &heartbeat.zone, heartbeat.spot);
         if self.machines.contains_key(id) {
-            // It may be known by name only, or from before the catalog was.
+            // A known machine may lack its type if only its id was known, or if it was added before
+            // the catalog was read.
             if self
                 .machines
                 .get(id)
-                .is_some_and(|m| m.machine_type.is_none())
+                .is_some_and(|machine| machine.machine_type.is_none())
             {
                 let set_machine_type =
                     |m: &mut Machine| m.set_machine_type(&context.cloud.catalog, class, zone, spot);
@@ -111,8 +120,8 @@
         self.machines.insert(id.clone(), machine);
     }
 
-    /// Whether the answer may wait for a command. Only a quiet heartbeat waits, and
-    /// less long than until the next one is due.
+    /// Lets the answer to a heartbeat that needs no commands wait for one, if it may. Returns
+    /// whether it waits. The deadline lies before the worker's next heartbeat is due.
     fn start_long_poll(
         &mut self,
         context: &Context,
@@ -122,44 +131,47 @@
         let Some(machine) = self.machines.get(id) else {
             return false;
         };
-        // What ends meanwhile is heard of only when the worker is answered.
-        let ends = machine
+        // A worker reports a task that ends during the wait only after it is answered.
+        let has_batch_tasks = machine
             .tasks
             .values()
-            .any(|s| s.record.kind == JobKind::Batch);
-        let poll_s = context.settings.long_poll_s(ends);
-        // A worker without our token yet gets it at once.
+            .any(|binding| binding.record.kind == JobKind::Batch);
+        let poll_s = context.settings.long_poll_s(has_batch_tasks);
+        // A worker that doesn't have this shard's token yet is answered at once, to get it.
         if poll_s <= 0.0 || !machine.token_acknowledged {
             return false;
         }
-        let until = match machine.is_full() {
-            // No start comes for it, and its lease counts from its last answered heartbeat.
+        let deadline = match machine.is_full() {
+            // A full machine gets no starts, and its lease counts from its last answered heartbeat.
             true => context.now.next_multiple(BATCH_MS),
-            false => answer_at(context.now, poll_s),
+            false => long_poll_deadline(context.now, poll_s),
         };
-        self.machines
-            .touch(id, |machine| machine.long_poll = Some((request_id, until)));
-        self.long_poll_deadlines.insert((until, id.clone()));
+        self.machines.edit_unindexed(id, |machine| {
+            machine.long_poll = Some((request_id, deadline));
+        });
+        self.long_poll_deadlines.insert((deadline, id.clone()));
         true
     }
 
-    /// Takes in what a heartbeat lists, and what it doesn't.
+    /// Updates the placements on a machine from the tasks that a heartbeat lists. If the heartbeat
+    /// shows this shard's token, placements that it doesn't list are removed.
     fn update_tasks(
         &mut self,
         context: &Context,
         id: &MachineId,
         listed: &[ListedTask<'_>],
-        proof: bool,
+        shows_token: bool,
     ) {
         for entry in listed {
             self.update_task(context, id, &entry.task, entry.heartbeat);
         }
-        if proof {
+        if shows_token {
             self.remove_unlisted_tasks(context, id, listed);
         }
     }
 
-    /// What a heartbeat that proves absence doesn't list isn't on its machine.
+    /// Removes the placements that a heartbeat with this shard's token doesn't list: its list is
+    /// complete, so the tasks aren't on the machine.
     fn remove_unlisted_tasks(
         &mut self,
         context: &Context,
@@ -171,35 +183,47 @@
         let Some(machine) = machines.get(id) else {
             return;
         };
-        let mut gone = Vec::new();
+        let mut unlisted = Vec::new();
         for task in machine.tasks.keys() {
             let job_state = jobs.get_mut(&task.job);
-            let Some(placement) = job_state.and_then(|l| l.placed.get_mut(&task.index)) else {
+            let Some(placement) =
+                job_state.and_then(|job_state| job_state.placed.get_mut(&task.index))
+            else {
                 continue;
             };
-            if listed.iter().any(|l| l.is(task, placement.attempt)) {
+            if listed
+                .iter()
+                .any(|entry| entry.matches(task, placement.attempt))
+            {
                 continue;
             }
             match placement.phase {
                 Phase::Committing | Phase::Ready => {}
-                // The answer that carried the start was lost: its worker reported
-                // again, so it has dropped that answer for good. The same attempt
-                // was never there, so it can be sent once more.
+                // The answer with the start was lost. The worker has sent another heartbeat since,
+                // so it won't accept that answer any more. The attempt never reached the machine
+                // and its start can be sent again.
                 Phase::Sent
-                    if placement.stop_requested.is_none() && placement.sends < SENDS_MAX =>
+                    if placement.stop_requested.is_none() && placement.sends < START_SENDS_MAX =>
                 {
                     placement.phase = Phase::Ready;
                 }
-                _ => gone.push(task.clone()),
+                _ => unlisted.push(task.clone()),
             }
         }
-        for task in gone {
-            debug!("task gone, task={task} machine={id}");
+        for task in unlisted {
+            debug!("placement removed, task={task} machine={id} reason=not in heartbeat");
             self.remove_placement(now, &task);
         }
     }
 
-    fn update_task(&mut self, context: &Context, id: &MachineId, task: &TaskId, t: &HeartbeatTask) {
+    /// Updates the placement of a task from its entry in a heartbeat of the machine `id`.
+    fn update_task(
+        &mut self,
+        context: &Context,
+        id: &MachineId,
+        task: &TaskId,
+        listed: &HeartbeatTask,
+    ) {
         let now = context.now;
         let Some(job_state) = self.jobs.get_mut(&task.job) else {
             return;
@@ -207,20 +231,20 @@
         let Some(placement) = job_state.placed.get_mut(&task.index) else {
             return;
         };
-        if placement.machine != *id || placement.attempt != t.attempt {
+        if placement.machine != *id || placement.attempt != listed.attempt {
             return;
         }
-        let phase = match t.status {
+        let phase = match listed.status {
             TaskStatus::Fetching => Phase::Fetching,
             TaskStatus::Running => Phase::Running,
             TaskStatus::Checkpointing => Phase::Checkpointing,
-            TaskStatus::Ended => return self.on_task_ended(context, id, task, t.cause),
+            TaskStatus::Ended => return self.on_task_ended(context, id, task, listed.cause),
         };
         if placement.phase == phase {
             let runs_well = phase == Phase::Running && now.since(placement.since) > RUNS_WELL_S;
             if runs_well && !placement.runs_well {
                 placement.runs_well = true;
-                self.task_succeeded(now, id, task);
+                self.record_task_success(now, id, task);
             }
             return;
         }
@@ -231,17 +255,19 @@
         let record = job_state.record.clone();
         let catalog = &context.cloud.catalog;
         self.machines.edit(id, |machine| {
-            if let Some(bind) = machine.tasks.get_mut(task) {
-                bind.is_image_cached = true;
+            if let Some(binding) = machine.tasks.get_mut(task) {
+                binding.is_image_cached = true;
             }
             if phase == Phase::Running {
-                let cache_gb = machine.type_in(catalog).map_or(f64::MAX, |c| c.cache_gb);
+                let cache_gb = machine
+                    .type_in(catalog)
+                    .map_or(f64::MAX, |found| found.cache_gb);
                 machine.use_image(&record.image, record.image_gb, cache_gb);
             }
         });
     }
 
-    /// An attempt ended. That it did is true however old the heartbeat is.
+    /// Processes the end of an attempt. An end is final, so it counts however old the heartbeat is.
     fn on_task_ended(
         &mut self,
         context: &Context,
@@ -252,21 +278,21 @@
         let now = context.now;
         match cause {
             Some(Cause::Done) => {
-                self.task_succeeded(now, id, task);
+                self.record_task_success(now, id, task);
                 return self.record_done(now, task);
             }
-            Some(Cause::Error) => self.task_failed(context, id, task),
+            Some(Cause::Error) => self.record_task_failure(context, id, task),
             Some(Cause::Full) => {
                 warn!("start refused, task={task} machine={id} reason=no resources left");
                 self.machines
-                    .edit(id, |machine| machine.full_until = now.after(FULL_S));
+                    .edit(id, |machine| machine.full_until = now.after(FULL_PAUSE_S));
             }
             Some(Cause::Unknown) => {
-                // Its description isn't there yet, or never will be.
+                // The worker has no description of the job: it arrives later or never.
                 if let Some(job_state) = self.jobs.get_mut(&task.job) {
                     job_state.unknown_starts += 1;
-                    let pauses = job_state.unknown_starts.min(UNKNOWN_PAUSES);
-                    job_state.not_before = now.after(UNKNOWN_PAUSE_S * f64::from(pauses));
+                    let pauses = job_state.unknown_starts.min(UNKNOWN_JOB_PAUSES_MAX);
+                    job_state.not_before = now.after(UNKNOWN_JOB_PAUSE_S * f64::from(pauses));
                 }
             }
             _ => {}
@@ -274,31 +300,32 @@
         self.remove_placement(now, task);
     }
 
-    fn task_failed(&mut self, context: &Context, id: &MachineId, task: &TaskId) {
+    /// Records that a task failed, and delays the job's next try accordingly.
+    fn record_task_failure(&mut self, context: &Context, id: &MachineId, task: &TaskId) {
         let now = context.now;
         let Some(job_state) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let tries = self.failures.task_failed(now, &task.job, id);
-        job_state.not_before = now.after(self.failures.pause_s(&task.job));
+        let tries = self.failures.record_failure(now, &task.job, id);
+        job_state.not_before = now.after(self.failures.retry_delay_s(&task.job));
         warn!("task failed, task={task} machine={id} failed_tries={tries}");
     }
 }
 
-/// A task that a heartbeat lists.
+/// An entry of a heartbeat's task list, with the task's id parsed.
 pub(crate) struct ListedTask<'a> {
     pub(crate) task: TaskId,
     pub(crate) heartbeat: &'a HeartbeatTask,
 }
 
 impl ListedTask<'_> {
-    fn is(&self, task: &TaskId, attempt: Attempt) -> bool {
+    fn matches(&self, task: &TaskId, attempt: Attempt) -> bool {
         self.heartbeat.attempt == attempt && self.task == *task
     }
 }
 
-/// The tasks of a heartbeat whose names can be read.
-fn listed_tasks(heartbeat: &WorkerHeartbeat) -> Vec<ListedTask<'_>> {
+/// Parses the task ids in a heartbeat. Entries with malformed ids are left out.
+fn parse_listed_tasks(heartbeat: &WorkerHeartbeat) -> Vec<ListedTask<'_>> {
     let tasks = heartbeat.tasks.iter();
     let listed = tasks.filter_map(|heartbeat| {
         let task = TaskId::parse(&heartbeat.task)?;
@@ -307,85 +334,89 @@
     listed.collect()
 }
 
-/// When the answer to a heartbeat goes out that may wait for so long: together with others, if
-/// there is a moment for it meanwhile.
-fn answer_at(now: Time, long_poll_s: f64) -> Time {
-    let most = now.after(long_poll_s);
-    let together = most.round_down(BATCH_MS);
-    if together > now { together } else { most }
+/// Returns when a heartbeat that may wait for `long_poll_s` seconds is answered. The time is
+/// rounded down to a multiple of `BATCH_MS`, so that answers go out in batches, unless that isn't
+/// after `now`.
+fn long_poll_deadline(now: Time, long_poll_s: f64) -> Time {
+    let latest = now.after(long_poll_s);
+    let batched = latest.round_down(BATCH_MS);
+    if batched > now { batched } else { latest }
 }
 
-/// What came of a heartbeat's head.
+/// The effects of a heartbeat on its machine's state, apart from the tasks.
 struct HeartbeatOutcome {
-    /// It is newer than any before it.
-    fresh: bool,
-    /// It is the first that this owner has of the machine.
-    first: bool,
-    /// It is the machine's first.
-    first_ever: bool,
-    /// The older heartbeat that waited for its answer.
-    waiting: Option<(RequestId, Time)>,
+    /// The heartbeat is newer than all earlier ones of the machine.
+    is_fresh: bool,
+    /// The heartbeat is the first that this owner of the shard has received from the machine.
+    is_first_for_owner: bool,
+    /// The heartbeat is the first that the machine is known to have sent.
+    is_first_of_machine: bool,
+    /// Request and deadline of an older heartbeat that was still waiting for its answer.
+    previous_long_poll: Option<(RequestId, Time)>,
 }
 
 impl Machine {
-    /// Takes in all of a heartbeat but its tasks. An answer follows in any case.
+    /// Records all parts of a heartbeat except its tasks. The caller must answer the heartbeat,
+    /// since an outdated one already counts as answered here.
     fn record_heartbeat(
         &mut self,
         now: Time,
         heartbeat: &WorkerHeartbeat,
-        proof: bool,
+        shows_token: bool,
     ) -> HeartbeatOutcome {
-        let fresh = (heartbeat.agent_epoch, heartbeat.sequence) > (self.agent_epoch, self.sequence);
-        let first_ever = fresh && self.ready_since.is_none();
-        if !fresh {
-            self.last_acknowledged = now;
+        let is_fresh =
+            (heartbeat.agent_epoch, heartbeat.sequence) > (self.agent_epoch, self.sequence);
+        let is_first_of_machine = is_fresh && self.ready_since.is_none();
+        if !is_fresh {
+            self.last_answered_at = now;
             return HeartbeatOutcome {
-                fresh,
-                first: false,
-                first_ever,
-                waiting: None,
+                is_fresh,
+                is_first_for_owner: false,
+                is_first_of_machine,
+                previous_long_poll: None,
             };
         }
         (self.agent_epoch, self.sequence, self.last_heartbeat) =
             (heartbeat.agent_epoch, heartbeat.sequence, now);
-        let first = self.first_heartbeat.is_none();
+        let is_first_for_owner = self.first_heartbeat.is_none();
         self.first_heartbeat.get_or_insert(now);
-        self.token_acknowledged |= proof;
-        if first_ever {
+        self.token_acknowledged |= shows_token;
+        if is_first_of_machine {
             self.ready_since = Some(now);
             self.empty_since.get_or_insert(now);
-            let boot = now.since(self.known_since);
+            let boot_s = now.since(self.known_since);
             info!(
-                "machine ready, machine={} type={} zone={} boot_s={boot:.0}",
+                "machine ready, machine={} type={} zone={} boot_s={boot_s:.0}",
                 heartbeat.machine, self.type_name, self.zone
             );
         }
-        self.preemption_at = heartbeat.notice_s.map(|s| now.after(s.0));
-        let waiting = self.long_poll.take();
-        if waiting.is_some() {
-            self.last_acknowledged = now;
+        self.preemption_at = heartbeat.notice_s.map(|notice_s| now.after(notice_s.0));
+        let previous_long_poll = self.long_poll.take();
+        if previous_long_poll.is_some() {
+            self.last_answered_at = now;
         }
         HeartbeatOutcome {
-            fresh,
-            first,
-            first_ever,
-            waiting,
+            is_fresh,
+            is_first_for_owner,
+            is_first_of_machine,
+            previous_long_poll,
         }
     }
 }
 
 impl ShardOwner {
-    /// A machine came up. One that was merely heard lately tells nothing of its boot.
-    fn record_boot(&mut self, catalog: &[MachineType], id: &MachineId, now: Time) {
+    /// Records the boot time of a machine that became ready. A machine that was already up when
+    /// this shard first heard of it is left out, since its boot time isn't known.
+    fn record_boot_time(&mut self, catalog: &[MachineType], id: &MachineId, now: Time) {
         let Some(machine) = self.machines.get(id) else {
             return;
         };
-        let took_s = now.since(machine.known_since);
+        let boot_s = now.since(machine.known_since);
         let ready_s = machine.type_in(catalog).map(|found| found.ready_s);
         if let (Some(machine_type), Some(ready_s)) = (machine.machine_type, ready_s)
-            && took_s > ready_s * LEAST_BOOT
+            && boot_s > ready_s * BOOT_TIME_MIN_RATIO
         {
-            self.observe_boot_time(machine_type, ready_s, took_s);
+            self.observe_boot_time(machine_type, ready_s, boot_s);
         }
     }
 }
--- a/src/controller/machines/inventory.rs
+++ b/src/controller/machines/inventory.rs
@@ -1,10 +1,11 @@
-//! A shard's machines, and the indexes that keep work in step with what changes.
+//! A shard's machines and the indexes over them.
 //!
-//! Placing a task once went over all machines and, for each, over the jobs of its tasks.
-//! At a thousand machines that used up a controller's processor. Now machines stand on
-//! shelves by type, zone, kind and free room, so that full ones aren't looked at, and each
-//! knows what its tasks mean for a placement. Every change goes through `edit`, which
-//! files the machine anew: there is no second place that could forget to.
+//! To place a task, the scheduler once scanned all machines and, for each, the jobs of its tasks.
+//! At a thousand machines this used up a controller's processor. The indexes therefore group
+//! machines into buckets by type, zone, market and free capacity, so that full machines are
+//! skipped, and each machine keeps what a placement needs to know of its tasks. [`Inventory::edit`]
+//! and [`Inventory::edit_all`] are the only ways to change an indexed property, so that the indexes
+//! can't be left out of date.
 
 use crate::controller::audit::AuditError;
 use crate::controller::pool::Pool;
@@ -14,61 +15,70 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// A task on a machine, as far as other placements there depend on it.
+/// A task on a machine, with what other placements on the machine depend on.
 #[derive(Clone, Debug)]
 pub(crate) struct Binding {
     pub record: Rc<JobRecord>,
-    /// Its image is there.
+    /// The task's image is in the machine's image cache.
     pub is_image_cached: bool,
 }
 
 /// A machine of the shard.
 #[derive(Debug)]
 pub(crate) struct Machine {
-    /// Its type's place in the catalog, if that is known.
+    /// Index of the machine's type in the catalog; `None` while the type isn't known.
     pub machine_type: Option<usize>,
     pub type_name: Rc<str>,
-    /// What its type has.
+    /// Total resources of the machine's type.
     pub resources: Resources,
     pub zone: Rc<str>,
     pub spot: bool,
-    /// When it was scaled out or first heard of.
+    /// When the machine was requested from the cloud or first heard of.
     pub known_since: Time,
-    /// When its first heartbeat came; `None` while it boots.
+    /// When the machine became ready, by its first heartbeat or the cloud's list; `None` while it
+    /// boots.
     pub ready_since: Option<Time>,
+    /// Epoch of the worker process in the newest heartbeat; 0 if there was none.
     pub agent_epoch: u64,
+    /// Sequence number of the newest heartbeat within its epoch.
     pub sequence: u64,
-    /// A heartbeat showed that it has this shard's token.
+    /// Whether a heartbeat has carried this shard's token.
     pub token_acknowledged: bool,
     pub last_heartbeat: Time,
-    /// When this owner first had a heartbeat of it.
+    /// When this owner received its first heartbeat from the machine.
     pub first_heartbeat: Option<Time>,
-    /// The peer that forwarded its latest heartbeat; `None` if it came here.
+    /// The peer that forwarded the latest heartbeat; `None` if the worker sent it to this
+    /// controller.
     pub forwarded_by: Option<ControllerId>,
-    /// When this process last answered one of its heartbeats with 200.
-    pub last_acknowledged: Time,
+    /// When this process last answered a heartbeat of the machine with status 200.
+    pub last_answered_at: Time,
+    /// When the cloud takes the spot machine back, by its latest heartbeat's notice.
     pub preemption_at: Option<Time>,
     pub tasks: BTreeMap<TaskId, Binding>,
+    /// Resources that the tasks on the machine reserve.
     pub used: Resources,
-    /// To be deleted, at this moment even if tasks are left on it. Nothing is placed
-    /// on it any more.
+    /// When the machine is deleted even if it still has tasks; once empty, it is deleted earlier.
+    /// `None` unless it is to be deleted. Nothing is placed on a machine that is to be deleted.
     pub decommission_at: Option<Time>,
+    /// Whether a deletion request to the cloud is pending.
     pub is_deleting: bool,
-    /// The request that waits for a command, and until when.
+    /// The heartbeat request that waits for a command, and its deadline.
     pub long_poll: Option<(RequestId, Time)>,
-    /// Images it should have, latest use last.
+    /// Images that the cache should hold, with their sizes in GB, the most recently used last.
     pub images: Vec<(Image, f64)>,
-    /// Since when it has had no task.
+    /// Since when the machine has had no tasks; `None` while it has some.
     pub empty_since: Option<Time>,
-    /// Its work would fit elsewhere: it gets nothing new while there is another place.
+    /// Whether the machine gets new tasks only where no other machine fits, since its own tasks
+    /// would fit on others.
     pub is_cordoned: bool,
-    /// A start was refused for want of room.
+    /// Until when the machine gets no tasks because it refused a start for lack of resources.
     pub full_until: Time,
-    /// Where the indexes have it.
+    /// The machine's entry in the indexes.
     indexed: Option<IndexEntry>,
 }
 
 impl Machine {
+    /// Creates a machine that becomes known `now` and has sent no heartbeat.
     pub(crate) fn new(
         catalog: &[MachineType],
         type_name: &str,
@@ -90,7 +100,7 @@
             last_heartbeat: now,
             first_heartbeat: None,
             forwarded_by: None,
-            last_acknowledged: now,
+            last_answered_at: now,
             preemption_at: None,
             tasks: BTreeMap::new(),
             used: Resources::default(),
@@ -107,24 +117,26 @@
         machine
     }
 
-    /// Looks its type up in the catalog.
+    /// Looks up the machine's type in the catalog, and sets its resources.
     pub(crate) fn resolve_machine_type(&mut self, catalog: &[MachineType]) {
-        self.machine_type = catalog.iter().position(|c| *c.name == *self.type_name);
+        self.machine_type = catalog
+            .iter()
+            .position(|listed| *listed.name == *self.type_name);
         let found = self.type_in(catalog);
         self.resources = found.map_or(Resources::default(), |found| found.resources);
     }
 
-    /// Its type in the catalog.
+    /// Returns the machine's type in the catalog.
     pub(crate) fn type_in<'a>(&self, catalog: &'a [MachineType]) -> Option<&'a MachineType> {
         catalog.get(self.machine_type?)
     }
 
-    /// The pool that it is counted in.
+    /// Returns the pool to which the machine belongs; `None` while its type isn't known.
     pub(crate) fn pool(&self) -> Option<Pool> {
         Some(Pool::of(self.machine_type?, self.spot))
     }
 
-    /// What a machine that was known by name only is.
+    /// Sets the type, zone and market of a machine whose type wasn't known; others don't change.
     pub(crate) fn set_machine_type(
         &mut self,
         catalog: &[MachineType],
@@ -139,34 +151,36 @@
     }
 
     pub(crate) fn has_image(&self, image: &Image) -> bool {
-        self.images.iter().any(|(i, _)| i == image)
+        self.images.iter().any(|(cached, _)| cached == image)
     }
 
-    /// Notes that an image is used now; the cache drops the one unused for longest.
+    /// Records that an image is used now. The least recently used images are dropped while the
+    /// cache holds more than `cache_gb`.
     pub(crate) fn use_image(&mut self, image: &Image, gb: f64, cache_gb: f64) {
-        self.images.retain(|(i, _)| i != image);
+        self.images.retain(|(cached, _)| cached != image);
         self.images.push((image.clone(), gb));
-        let mut total: f64 = self.images.iter().map(|(_, gb)| gb).sum();
-        while total > cache_gb && self.images.len() > 1 {
-            total -= self.images.remove(0).1;
+        let mut total_gb: f64 = self.images.iter().map(|(_, gb)| gb).sum();
+        while total_gb > cache_gb && self.images.len() > 1 {
+            total_gb -= self.images.remove(0).1;
         }
     }
 
+    /// Returns the resources that no task reserves.
     pub(crate) fn free(&self) -> Resources {
         let mut free = self.resources;
         free.add(self.used, -1.0);
         free
     }
 
-    /// Whether next to nothing of something that tasks need is left.
+    /// Whether the free CPUs or GPUs are less than one capacity step of the machine's total.
     pub(crate) fn is_full(&self) -> bool {
         let free = self.free();
-        let least = |all: f64| all / STEPS - EDGE;
-        let short = |free: f64, all: f64| all > 0.0 && free < least(all);
-        short(free.cpus, self.resources.cpus) || short(free.gpus, self.resources.gpus)
+        let step = |total: f64| total / CAPACITY_STEPS - STEP_TOLERANCE;
+        let is_short = |free: f64, total: f64| total > 0.0 && free < step(total);
+        is_short(free.cpus, self.resources.cpus) || is_short(free.gpus, self.resources.gpus)
     }
 
-    /// Enters a task: its room counts from now on.
+    /// Adds a task and reserves its resources.
     pub(crate) fn bind(&mut self, task: TaskId, record: &Rc<JobRecord>) {
         self.used.add(record.resources, 1.0);
         self.empty_since = None;
@@ -180,16 +194,17 @@
         );
     }
 
-    /// Replaces the description of a task's job.
+    /// Replaces the job record of a task on the machine.
     pub(crate) fn rebind(&mut self, task: &TaskId, record: &Rc<JobRecord>) {
-        if let Some(bind) = self.tasks.get_mut(task) {
-            bind.record = record.clone();
+        if let Some(binding) = self.tasks.get_mut(task) {
+            binding.record = record.clone();
         }
     }
 
+    /// Removes a task and frees its resources.
     pub(crate) fn unbind(&mut self, now: Time, task: &TaskId) {
-        if let Some(bind) = self.tasks.remove(task) {
-            self.used.add(bind.record.resources, -1.0);
+        if let Some(binding) = self.tasks.remove(task) {
+            self.used.add(binding.record.resources, -1.0);
         }
         if self.tasks.is_empty() {
             self.used = Resources::default();
@@ -197,11 +212,12 @@
         }
     }
 
-    /// Its pool, if it can be given tasks, but for what passes by itself.
+    /// Returns the machine's pool if tasks can be placed on it. Temporary obstacles such as a
+    /// quarantine or a refused start aren't considered.
     fn schedulable_pool(&self) -> Option<Pool> {
-        let staying = self.decommission_at.is_none() && self.preemption_at.is_none();
-        let reports = self.ready_since.is_some() && self.agent_epoch > 0;
-        self.pool().filter(|_| staying && reports)
+        let is_staying = self.decommission_at.is_none() && self.preemption_at.is_none();
+        let has_reported = self.ready_since.is_some() && self.agent_epoch > 0;
+        self.pool().filter(|_| is_staying && has_reported)
     }
 
     fn index_entry(&self) -> IndexEntry {
@@ -209,16 +225,18 @@
             schedulable: self
                 .schedulable_pool()
                 .map(|pool| self.capacity_bucket(pool)),
-            leaving: self.decommission_at.is_some() || self.preemption_at.is_some(),
-            booting: self.ready_since.is_none() && self.decommission_at.is_none(),
+            is_leaving: self.decommission_at.is_some() || self.preemption_at.is_some(),
+            is_booting: self.ready_since.is_none() && self.decommission_at.is_none(),
         }
     }
 
+    /// Returns the machine's bucket, its free capacity in units of `1 / CAPACITY_UNITS`, and the
+    /// lowest priority class of its tasks.
     fn capacity_bucket(&self, pool: Pool) -> (CapacityBucket, u64, Option<PriorityClass>) {
         let free = self.free();
-        let step = |free: f64, all: f64| {
-            let share = if all > 0.0 { free / all } else { 1.0 };
-            (share * STEPS + EDGE).clamp(0.0, STEPS) as u8
+        let step = |free: f64, total: f64| {
+            let fraction = if total > 0.0 { free / total } else { 1.0 };
+            (fraction * CAPACITY_STEPS + STEP_TOLERANCE).clamp(0.0, CAPACITY_STEPS) as u8
         };
         let capacity_bucket = CapacityBucket {
             pool,
@@ -227,20 +245,29 @@
             gpus: step(free.gpus, self.resources.gpus),
             mem: step(free.mem, self.resources.mem),
         };
-        let share = (1.0 - self.used.share_of(self.resources)).clamp(0.0, 1.0);
-        let lowest = self.tasks.values().map(|s| s.record.priority_class).min();
-        (capacity_bucket, (share * PARTS) as u64, lowest)
+        let free_fraction = (1.0 - self.used.share_of(self.resources)).clamp(0.0, 1.0);
+        let lowest = self
+            .tasks
+            .values()
+            .map(|binding| binding.record.priority_class)
+            .min();
+        (
+            capacity_bucket,
+            (free_fraction * CAPACITY_UNITS) as u64,
+            lowest,
+        )
     }
 }
 
-/// Steps into which the free room of a machine is told apart.
-const STEPS: f64 = 8.0;
-/// What is so little below a step counts as there: amounts are rounded.
-const EDGE: f64 = 1e-4;
-/// Free room is added up in whole parts of a machine, so that sums stay exact.
-const PARTS: f64 = 1e6;
+/// Number of steps by which machines are grouped by the free fraction of a resource.
+const CAPACITY_STEPS: f64 = 8.0;
+/// An amount that is less than this below a step counts as reaching it, since amounts are rounded.
+const STEP_TOLERANCE: f64 = 1e-4;
+/// Units per machine in which free capacity is added up. Integer units keep the sums exact.
+const CAPACITY_UNITS: f64 = 1e6;
 
-/// Machines of one type, zone and kind with about the same free room.
+/// Key of a group of machines of one pool and zone with about the same free capacity. `cpus`,
+/// `gpus` and `mem` are numbers of free steps.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct CapacityBucket {
     pool: Pool,
@@ -251,35 +278,39 @@
 }
 
 impl CapacityBucket {
-    /// Whether a machine here may have room for a task: what it has is below the next
-    /// step, so a task that takes a whole step more needn't look here.
+    /// Whether a machine in this bucket may have enough free capacity for a task. Its free
+    /// resources lie below the next step, so a task that needs more than that can't fit.
     fn may_hold(&self, resources: Resources, need: Resources) -> bool {
-        let most = |steps: u8, all: f64| (f64::from(steps) + 1.0 - EDGE) / STEPS * all;
+        let upper_bound = |steps: u8, total: f64| {
+            (f64::from(steps) + 1.0 - STEP_TOLERANCE) / CAPACITY_STEPS * total
+        };
         let free = Resources {
-            cpus: most(self.cpus, resources.cpus),
-            gpus: most(self.gpus, resources.gpus),
-            mem: most(self.mem, resources.mem),
+            cpus: upper_bound(self.cpus, resources.cpus),
+            gpus: upper_bound(self.gpus, resources.gpus),
+            mem: upper_bound(self.mem, resources.mem),
         };
         free.holds(need)
     }
 }
 
-/// What the indexes say of a machine.
+/// The properties of a machine that the indexes depend on.
 #[derive(Clone, Debug, PartialEq)]
 struct IndexEntry {
-    /// Its shelf, the free part of it, and the lowest rank of its tasks.
+    /// Bucket, free capacity in units and lowest priority class of the tasks; `None` if tasks can't
+    /// be placed on the machine.
     schedulable: Option<(CapacityBucket, u64, Option<PriorityClass>)>,
-    leaving: bool,
-    booting: bool,
+    is_leaving: bool,
+    is_booting: bool,
 }
 
+/// Indexes over the machines of a shard.
 #[derive(Debug, Default)]
 struct Index {
     buckets: BTreeMap<CapacityBucket, BTreeSet<MachineId>>,
-    /// Open machines with tasks, by the lowest rank among these.
+    /// Schedulable machines with tasks, by pool and lowest priority class of these tasks.
     by_lowest_priority: BTreeMap<(Pool, PriorityClass), BTreeSet<MachineId>>,
-    /// Free parts of open machines, by type and kind.
-    free: BTreeMap<Pool, u64>,
+    /// Sum of the free capacity of schedulable machines, in units, by pool.
+    free_units: BTreeMap<Pool, u64>,
     leaving: BTreeSet<MachineId>,
     booting: BTreeSet<MachineId>,
 }
@@ -297,7 +328,7 @@
 
     fn add_entry(&mut self, id: &MachineId, new: &IndexEntry) {
         if let Some((capacity_bucket, free, lowest)) = &new.schedulable {
-            *self.free.entry(capacity_bucket.pool).or_default() += free;
+            *self.free_units.entry(capacity_bucket.pool).or_default() += free;
             if let Some(priority_class) = lowest {
                 let key = (capacity_bucket.pool, *priority_class);
                 self.by_lowest_priority
@@ -308,10 +339,10 @@
             let machines = self.buckets.entry(capacity_bucket.clone()).or_default();
             machines.insert(id.clone());
         }
-        if new.leaving {
+        if new.is_leaving {
             self.leaving.insert(id.clone());
         }
-        if new.booting {
+        if new.is_booting {
             self.booting.insert(id.clone());
         }
     }
@@ -321,22 +352,23 @@
             return;
         };
         if let Some((capacity_bucket, free, lowest)) = &old.schedulable {
-            *self.free.entry(capacity_bucket.pool).or_default() -= free;
+            *self.free_units.entry(capacity_bucket.pool).or_default() -= free;
             if let Some(priority_class) = lowest {
-                drop_from(
+                remove_from_set(
                     &mut self.by_lowest_priority,
                     &(capacity_bucket.pool, *priority_class),
                     id,
                 );
             }
-            drop_from(&mut self.buckets, capacity_bucket, id);
+            remove_from_set(&mut self.buckets, capacity_bucket, id);
         }
         self.leaving.remove(id);
         self.booting.remove(id);
     }
 }
 
-fn drop_from<K: Ord>(sets: &mut BTreeMap<K, BTreeSet<MachineId>>, key: &K, id: &MachineId) {
+/// Removes a machine from the set under a key, and the set if it is then empty.
+fn remove_from_set<K: Ord>(sets: &mut BTreeMap<K, BTreeSet<MachineId>>, key: &K, id: &MachineId) {
     if let Some(set) = sets.get_mut(key) {
         set.remove(id);
         if set.is_empty() {
@@ -345,106 +377,111 @@
     }
 }
 
+/// The machines of a shard, by id, with their indexes.
 #[derive(Debug, Default)]
 pub(crate) struct Inventory {
-    all: BTreeMap<MachineId, Machine>,
+    machines: BTreeMap<MachineId, Machine>,
     index: Index,
 }
 
 impl Inventory {
     pub(crate) fn get(&self, id: &MachineId) -> Option<&Machine> {
-        self.all.get(id)
+        self.machines.get(id)
     }
 
     pub(crate) fn contains_key(&self, id: &MachineId) -> bool {
-        self.all.contains_key(id)
+        self.machines.contains_key(id)
     }
 
     pub(crate) fn len(&self) -> usize {
-        self.all.len()
+        self.machines.len()
     }
 
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&MachineId, &Machine)> {
-        self.all.iter()
+        self.machines.iter()
     }
 
-    /// The machines behind one of this name, in the order of their names.
+    /// Iterates over the machines with ids greater than `id`, in the order of their ids; over all
+    /// machines for `None`.
     pub(crate) fn iter_after(
         &self,
         id: Option<&MachineId>,
     ) -> impl Iterator<Item = (&MachineId, &Machine)> {
         use std::ops::Bound;
         let from = id.map_or(Bound::Unbounded, Bound::Excluded);
-        self.all.range((from, Bound::Unbounded))
+        self.machines.range((from, Bound::Unbounded))
     }
 
     pub(crate) fn values(&self) -> impl Iterator<Item = &Machine> {
-        self.all.values()
+        self.machines.values()
     }
 
     pub(crate) fn insert(&mut self, id: MachineId, mut machine: Machine) {
         self.remove(&id);
         self.index.update_entry(&id, &mut machine);
-        self.all.insert(id, machine);
+        self.machines.insert(id, machine);
     }
 
     pub(crate) fn remove(&mut self, id: &MachineId) -> Option<Machine> {
-        let mut machine = self.all.remove(id)?;
+        let mut machine = self.machines.remove(id)?;
         self.index.remove_entry(id, &mut machine);
         Some(machine)
     }
 
-    /// Changes of a machine what no index depends on: which request waits, and when it was
-    /// last answered.
-    pub(crate) fn touch(&mut self, id: &MachineId, change: impl FnOnce(&mut Machine)) {
-        if let Some(machine) = self.all.get_mut(id) {
+    /// Changes properties of a machine that no index depends on: the waiting request and the time
+    /// of the last answer. The indexes aren't updated.
+    pub(crate) fn edit_unindexed(&mut self, id: &MachineId, change: impl FnOnce(&mut Machine)) {
+        if let Some(machine) = self.machines.get_mut(id) {
             change(machine);
         }
     }
 
-    /// The way to change anything else of a machine.
+    /// Changes a machine and updates the indexes. Returns the result of `change`, or `None` if the
+    /// machine isn't known.
     pub(crate) fn edit<R>(
         &mut self,
         id: &MachineId,
         change: impl FnOnce(&mut Machine) -> R,
     ) -> Option<R> {
-        let machine = self.all.get_mut(id)?;
+        let machine = self.machines.get_mut(id)?;
         let result = change(machine);
         self.index.update_entry(id, machine);
         Some(result)
     }
 
+    /// Changes all machines and updates the indexes.
     pub(crate) fn edit_all(&mut self, mut change: impl FnMut(&mut Machine)) {
-        for (id, machine) in &mut self.all {
+        for (id, machine) in &mut self.machines {
             change(machine);
             self.index.update_entry(id, machine);
         }
     }
 
-    /// Open machines that may have room for a task, of those types, kinds and zones that
-    /// `fits` lets pass.
+    /// Iterates over the schedulable machines that may have free capacity for a task, in the pools
+    /// and zones that `fits` accepts.
     pub(crate) fn with_free_capacity(
         &self,
         need: Resources,
         fits: impl Fn(Pool, &Rc<str>) -> bool,
     ) -> impl Iterator<Item = (&MachineId, &Machine)> {
-        let wide = move |capacity_bucket: &CapacityBucket, ids: &BTreeSet<MachineId>| {
-            // All machines of a shelf are of one type.
+        let is_candidate = move |capacity_bucket: &CapacityBucket, ids: &BTreeSet<MachineId>| {
+            // All machines in a bucket are of one type.
             let resources = ids
                 .first()
-                .and_then(|id| self.all.get(id))
+                .and_then(|id| self.machines.get(id))
                 .map(|machine| machine.resources);
             resources.is_some_and(|resources| capacity_bucket.may_hold(resources, need))
                 && fits(capacity_bucket.pool, &capacity_bucket.zone)
         };
         let buckets = self.index.buckets.iter();
-        let buckets = buckets.filter(move |(capacity_bucket, ids)| wide(capacity_bucket, ids));
+        let buckets =
+            buckets.filter(move |(capacity_bucket, ids)| is_candidate(capacity_bucket, ids));
         let ids = buckets.flat_map(|(_, ids)| ids);
-        ids.filter_map(|id| Some((id, self.all.get(id)?)))
+        ids.filter_map(|id| Some((id, self.machines.get(id)?)))
     }
 
-    /// Open machines with tasks, of those types, kinds and lowest priority classes that `fits` lets
-    /// pass.
+    /// Iterates over the schedulable machines with tasks, of the pools and lowest priority classes
+    /// that `fits` accepts.
     pub(crate) fn by_lowest_priority(
         &self,
         fits: impl Fn(Pool, PriorityClass) -> bool,
@@ -452,45 +489,46 @@
         let sets = self.index.by_lowest_priority.iter();
         let sets = sets.filter(move |((pool, priority_class), _)| fits(*pool, *priority_class));
         let ids = sets.flat_map(|(_, ids)| ids);
-        ids.filter_map(|id| Some((id, self.all.get(id)?)))
+        ids.filter_map(|id| Some((id, self.machines.get(id)?)))
     }
 
-    /// Machines' worth of free room on the open machines of a pool.
+    /// Returns the free capacity on the schedulable machines of a pool, as a number of machines;
+    /// parts of machines add up.
     pub(crate) fn free(&self, pool: Pool) -> f64 {
-        let parts = self.index.free.get(&pool);
-        parts.copied().unwrap_or(0) as f64 / PARTS
+        let units = self.index.free_units.get(&pool);
+        units.copied().unwrap_or(0) as f64 / CAPACITY_UNITS
     }
 
-    /// Machines that are to be deleted or have notice.
+    /// Iterates over the machines that are to be deleted or have a preemption notice.
     pub(crate) fn leaving(&self) -> impl Iterator<Item = (&MachineId, &Machine)> {
         let ids = self.index.leaving.iter();
-        ids.filter_map(|id| Some((id, self.all.get(id)?)))
+        ids.filter_map(|id| Some((id, self.machines.get(id)?)))
     }
 
-    /// Machines that haven't come up yet.
+    /// Iterates over the machines that aren't ready yet and aren't to be deleted.
     pub(crate) fn booting(&self) -> impl Iterator<Item = (&MachineId, &Machine)> {
         let ids = self.index.booting.iter();
-        ids.filter_map(|id| Some((id, self.all.get(id)?)))
+        ids.filter_map(|id| Some((id, self.machines.get(id)?)))
     }
 
-    /// Recounts the indexes; says what is wrong with them.
+    /// Checks the indexes against a recount. Fails if an entry or an index differs from it.
     pub(crate) fn audit(&self) -> Result<(), AuditError> {
-        let mut again = Index::default();
-        for (id, machine) in &self.all {
+        let mut recounted = Index::default();
+        for (id, machine) in &self.machines {
             let indexed = machine.index_entry();
             if machine.indexed.as_ref() != Some(&indexed) {
                 return Err(AuditError::IndexEntry(id.clone()));
             }
-            again.add_entry(id, &indexed);
+            recounted.add_entry(id, &indexed);
         }
-        again.free.retain(|_, n| *n > 0);
-        let mut free = self.index.free.clone();
-        free.retain(|_, n| *n > 0);
-        let same = again.buckets == self.index.buckets
-            && again.by_lowest_priority == self.index.by_lowest_priority
-            && again.free == free
-            && again.leaving == self.index.leaving
-            && again.booting == self.index.booting;
-        same.then_some(()).ok_or(AuditError::Index)
+        recounted.free_units.retain(|_, units| *units > 0);
+        let mut free_units = self.index.free_units.clone();
+        free_units.retain(|_, units| *units > 0);
+        let is_same = recounted.buckets == self.index.buckets
+            && recounted.by_lowest_priority == self.index.by_lowest_priority
+            && recounted.free_units == free_units
+            && recounted.leaving == self.index.leaving
+            && recounted.booting == self.index.booting;
+        is_same.then_some(()).ok_or(AuditError::Index)
     }
 }
--- a/src/controller/machines/liveness.rs
+++ b/src/controller/machines/liveness.rs
@@ -1,4 +1,5 @@
-//! Machines that are silent, partitioned, or hear nothing, and leases that are over.
+//! Liveness of workers: expired leases, silent machines, partitioned zones, and machines that don't
+//! acknowledge the shard's token.
 
 use crate::controller::ShardOwner;
 use crate::controller::context::{CLOCK_DRIFT, Context, MARGIN_S, RECENT_S};
@@ -11,98 +12,109 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// After `cancel_s` times this, a machine that may still run a cancelled task is
-/// deleted: its user waits, and repeats the request for a minute.
-const CANCEL_SHARE: f64 = 0.6;
-/// The same in a zone that is partitioned; cuts mostly end sooner.
-const PARTITION_CANCEL_SHARE: f64 = 2.0;
-/// Without any heartbeat for this many heartbeat intervals, an owner whose machines all
-/// reported before takes itself to be partitioned from them.
-const UNREACHABLE_HEARTBEATS: f64 = 5.0;
-/// Silent machines are a few up to this share; more are taken to be partitioned, and are
-/// given up after so many leases.
-const FEW_SILENT_SHARE: f64 = 0.15;
-/// So many are few whatever the size of the fleet.
-const FEW_SILENT_LEAST: f64 = 2.0;
+/// A machine that may still run a cancelled task is deleted after this fraction of `cancel_s`: the
+/// user waits for the cancellation, and repeats the request for a minute.
+const CANCEL_FRACTION: f64 = 0.6;
+/// The corresponding ratio to `cancel_s` during and shortly after a partition; most partitions end
+/// sooner.
+const PARTITION_CANCEL_RATIO: f64 = 2.0;
+/// Heartbeat intervals without a heartbeat from any machine after which an owner with at
+/// least two ready machines considers itself partitioned from them.
+const UNREACHABLE_HEARTBEAT_INTERVALS: f64 = 5.0;
+/// Silent machines count as individual failures up to this fraction of the ready machines. More
+/// silent machines are considered partitioned.
+const SILENT_FAILURES_FRACTION: f64 = 0.15;
+/// Number of silent machines that count as individual failures whatever the size of the fleet.
+const SILENT_FAILURES_MIN: f64 = 2.0;
+/// Leases of silence after which a machine is decommissioned while many are silent at once.
 const MASS_SILENT_LEASES: f64 = 4.0;
-/// Machines that have been quiet for this share of the patience with silent ones are
-/// counted among these.
-const NEARLY_SILENT: f64 = 0.95;
-/// Machines that may be kept alive are given up after so many.
+/// A machine counts as silent after this fraction of the usual time after which silent machines are
+/// decommissioned.
+const NEARLY_SILENT_FRACTION: f64 = 0.95;
+/// Leases of silence after which a machine is decommissioned even if its worker may be kept alive
+/// by a controller of its own zone.
 const KEPT_ALIVE_SILENT_LEASES: f64 = 9.0;
-/// A zone is taken to be partitioned when this share of its machines, and at least so
-/// many, have missed so many heartbeats.
-const PARTITION_SHARE: f64 = 0.25;
-const PARTITION_LEAST: usize = 3;
-const PARTITION_HEARTBEATS: f64 = 3.0;
-/// A machine that never showed this shard's token, with tasks on it, is deleted after
-/// this many leases of silence: only that proves them gone.
+/// A zone is considered partitioned when at least this fraction of its machines have missed
+/// `PARTITION_MISSED_HEARTBEATS`.
+const PARTITION_FRACTION: f64 = 0.25;
+/// Minimum number of such machines in a zone that is considered partitioned.
+const PARTITION_MACHINES_MIN: usize = 3;
+/// Heartbeat intervals without a heartbeat after which a machine counts towards a partition.
+const PARTITION_MISSED_HEARTBEATS: f64 = 3.0;
+/// Leases of silence after which a machine with tasks is decommissioned if it never acknowledged
+/// this shard's token: only a deletion proves that its tasks no longer run.
 const UNPROVABLE_LEASES: f64 = 1.2;
-/// A machine that heartbeats and doesn't take up this shard's token is deleted after so many
-/// leases if tasks may be on it.
+/// Leases after which a machine with tasks is decommissioned if it sends heartbeats and doesn't
+/// acknowledge this shard's token.
 const UNACKNOWLEDGED_LEASES: f64 = 2.0;
-/// Seconds a machine of an older leadership has to heartbeat before it counts as silent.
+/// Time in seconds that machines taken over from an earlier owner have to send their first
+/// heartbeat before the new owner can consider itself partitioned from them.
 const FIRST_HEARTBEAT_S: f64 = 12.0;
 
-/// A machine from which no heartbeat has come for long.
+/// A machine that has sent no heartbeat for a long time.
 struct SilentMachine {
     id: MachineId,
     silent_s: f64,
-    /// How long it is waited for.
-    patience_s: f64,
-    /// A controller of its partitioned zone may keep its worker alive.
-    kept_alive: bool,
+    /// Time in seconds without a heartbeat after which the machine is usually decommissioned.
+    silence_max_s: f64,
+    /// The machine's zone is partitioned and has a controller that may keep its worker alive.
+    may_be_kept_alive: bool,
 }
 
 impl ShardOwner {
-    /// An owner that hears none of its machines, while they heartbeat to a peer, or no
-    /// peer either, is partitioned from them and lets another controller try. When peers
-    /// hear none of them it is they who are gone, and giving up would only put off their
+    /// Whether this owner is partitioned from its machines and should release the shard to another
+    /// controller. This is so if it receives no heartbeats from its machines while workers send
+    /// heartbeats to a peer, or while no peer can be reached either. If the peers are reachable and
+    /// receive none either, the machines themselves are down, and a release would only delay their
     /// replacement.
     pub(crate) fn is_partitioned_from_workers(&self, context: &Context) -> bool {
         let workers = &context.settings.platform.facts.workers;
-        let patience = workers.report_s * UNREACHABLE_HEARTBEATS;
-        let up = self
+        let silence_max_s = workers.report_s * UNREACHABLE_HEARTBEAT_INTERVALS;
+        let ready_count = self
             .machines
             .values()
             .filter(|machine| machine.ready_since.is_some())
             .count();
-        let settled = context.now.since(self.since) > FIRST_HEARTBEAT_S;
-        let workers_unreachable =
-            up >= 2 && settled && context.now.since(self.last_worker_heartbeat) > patience;
+        let is_settled = context.now.since(self.since) > FIRST_HEARTBEAT_S;
+        let workers_unreachable = ready_count >= 2
+            && is_settled
+            && context.now.since(self.last_worker_heartbeat) > silence_max_s;
         workers_unreachable
             && !context.is_stale()
             && (context.peer_hears_workers() || context.peers_unreachable())
     }
 
-    /// Proof 2: leases that must be over.
-    pub(crate) fn check_leases(&mut self, context: &Context) {
-        let lease =
+    /// Removes the placements on machines whose lease has expired, by proof 2 of the
+    /// `machines` module.
+    pub(crate) fn expire_worker_leases(&mut self, context: &Context) {
+        let lease_s =
             context.settings.platform.facts.workers.lease_s * (1.0 + CLOCK_DRIFT) + MARGIN_S;
-        let (now, fresh) = (context.now, context.store.linearized_at());
-        let mut lost = Vec::new();
+        let (now, linearized_at) = (context.now, context.store.linearized_at());
+        let mut expired = Vec::new();
         for (id, machine) in self.machines.iter() {
-            let over = machine.last_acknowledged.after(lease);
-            // The read was sent after the lease's end, and the shard is still ours.
-            let known = machine.token_acknowledged
+            let expires_at = machine.last_answered_at.after(lease_s);
+            let can_expire = machine.token_acknowledged
                 && machine.long_poll.is_none()
                 && !machine.tasks.is_empty();
-            if known
-                && fresh > over
-                && now > over
-                && context.no_keepalive_by_peers(&machine.zone, over, lease)
+            // A store read that was sent after the expiry has to show that this controller still
+            // owns the shard.
+            if can_expire
+                && linearized_at > expires_at
+                && now > expires_at
+                && context.no_keepalive_by_peers(&machine.zone, expires_at, lease_s)
             {
-                lost.push((
+                expired.push((
                     id.clone(),
                     machine.tasks.keys().cloned().collect::<Vec<_>>(),
                 ));
             }
         }
-        for (id, tasks) in lost {
+        for (id, tasks) in expired {
             warn!("worker lease expired, machine={id} tasks={}", tasks.len());
             for task in tasks {
                 let job_state = self.jobs.get(&task.job);
-                let phase = job_state.and_then(|l| Some(l.placed.get(&task.index)?.phase));
+                let phase =
+                    job_state.and_then(|job_state| Some(job_state.placed.get(&task.index)?.phase));
                 if phase != Some(Phase::Committing) {
                     self.remove_placement(now, &task);
                 }
@@ -110,73 +122,76 @@
         }
     }
 
-    /// Deletes machines that may still run a cancelled task, where nothing else proves it
-    /// gone: its user is told only then. Machines of a zone that is partitioned get longer,
-    /// for all that runs beside it would be lost as well.
-    pub(crate) fn check_cancels(&mut self, context: &Context) {
+    /// Decommissions machines that may still run a cancelled task when no other proof has come in
+    /// time: the user is told of the cancellation only after a proof. Machines in partitioned zones
+    /// get more time, since all other tasks on them would be lost as well.
+    pub(crate) fn decommission_unproven_cancellations(&mut self, context: &Context) {
         let workers = &context.settings.platform.facts.workers;
         let (cancel_s, lease_s) = (workers.cancel_s, workers.lease_s);
         let now = context.now;
-        let mut late = BTreeSet::new();
+        let mut overdue = BTreeSet::new();
         for job_state in self.jobs.values() {
-            let Some(at) = job_state.cancelled else {
+            let Some(cancelled_at) = job_state.cancelled else {
                 continue;
             };
             for placement in job_state.placed.values() {
-                // When a partition ends, the last ones to come back get time as well.
-                let cut = self.partitioned_zones.contains(&placement.zone)
+                // The last machines to come back after a partition get more time as well.
+                let is_partitioned = self.partitioned_zones.contains(&placement.zone)
                     || now.since(self.partitioned_at) < lease_s;
-                let share = if cut {
-                    PARTITION_CANCEL_SHARE
+                let ratio = if is_partitioned {
+                    PARTITION_CANCEL_RATIO
                 } else {
-                    CANCEL_SHARE
+                    CANCEL_FRACTION
                 };
-                // A new owner sees only after a while which zones are partitioned. Counting
-                // from the cancellation, it deleted the machines of one at once.
-                if now.since(at.max(self.since)) > cancel_s * share {
-                    late.insert(placement.machine.clone());
+                // The time counts from the start of the ownership at the earliest, since a new
+                // owner needs a while to detect partitioned zones. Counted from the cancellation
+                // alone, it deleted the machines of a partitioned zone at once.
+                if now.since(cancelled_at.max(self.since)) > cancel_s * ratio {
+                    overdue.insert(placement.machine.clone());
                 }
             }
         }
-        for id in late {
+        for id in overdue {
             self.decommission(now, &id, DecommissionReason::CancelledTaskUnproven);
         }
     }
 
-    /// Machines that stay silent are deleted. Most come back when a partition is over, with their
-    /// images, so they get time; only where nothing else proves what became of their tasks is a
-    /// deletion needed sooner. Many at once are a partition for sure, unless they stay away for
-    /// long.
-    pub(crate) fn check_silent(&mut self, context: &Context) {
+    /// Decommissions machines that stay silent. Most silent machines come back after a partition
+    /// with their images cached, so they get time. A machine goes sooner only if nothing but its
+    /// deletion proves that its tasks no longer run. Many machines silent at once are considered
+    /// partitioned unless the silence lasts long.
+    pub(crate) fn decommission_silent(&mut self, context: &Context) {
         let (now, lease_s) = (context.now, context.settings.platform.facts.workers.lease_s);
         let unreachable = self.unreachable_controllers(context);
         let partitioned_zones = self.find_partitioned_zones(context);
         let silent = self.find_silent(context, &unreachable, &partitioned_zones);
-        let partitioned_before = self.partitioned_at;
+        let previous_partitioned_at = self.partitioned_at;
         self.record_partition(now, partitioned_zones, silent.len());
         if context.is_stale() {
             return;
         }
         let zones_partitioned_at = self.zones_partitioned_at;
-        let zones_come_back = zones_partitioned_at.is_some_and(|at| now.since(at) < lease_s);
+        let are_zones_recovering = zones_partitioned_at.is_some_and(|at| now.since(at) < lease_s);
         for machine in silent {
-            let least_s = match (self.mass_partition, machine.kept_alive) {
+            let min_s = match (self.mass_partition, machine.may_be_kept_alive) {
                 (_, true) => KEPT_ALIVE_SILENT_LEASES * lease_s,
                 (true, false) => MASS_SILENT_LEASES * lease_s,
                 (false, false) => 0.0,
             };
-            // When a partition ends, those who come back last aren't taken for dead. None is waited
-            // for for ever: those that went meanwhile look as if it went on.
-            let given_up = machine.silent_s > KEPT_ALIVE_SILENT_LEASES * lease_s;
-            let calm = now.since(partitioned_before) > machine.patience_s;
-            let late = (self.mass_partition && !zones_come_back) || given_up || calm;
-            if machine.silent_s > machine.patience_s.max(least_s) && late {
+            // The machines that come back last after a partition must not count as failed. The wait
+            // is limited, since machines that failed during the partition look as if it went on.
+            let is_wait_over = machine.silent_s > KEPT_ALIVE_SILENT_LEASES * lease_s;
+            let is_partition_over = now.since(previous_partitioned_at) > machine.silence_max_s;
+            let may_decommission =
+                (self.mass_partition && !are_zones_recovering) || is_wait_over || is_partition_over;
+            if machine.silent_s > machine.silence_max_s.max(min_s) && may_decommission {
                 self.decommission(now, &machine.id, DecommissionReason::Silent);
             }
         }
     }
 
-    /// Machines that have been quiet for nearly as long as is waited for them.
+    /// Returns the machines that have been silent for nearly the usual time after which silent
+    /// machines are decommissioned.
     fn find_silent(
         &self,
         context: &Context,
@@ -185,52 +200,59 @@
     ) -> Vec<SilentMachine> {
         let lease_s = context.settings.platform.facts.workers.lease_s;
         let usual_s = context.settings.silent_s(false);
-        let controller_unreachable_s = context.settings.silent_s(true);
+        let unreachable_controller_s = context.settings.silent_s(true);
         let mut silent = Vec::new();
         for (id, machine) in self.machines.iter() {
             let silent_s = context.now.since(machine.last_heartbeat.max(self.since));
-            let waits = machine.ready_since.is_none() || machine.long_poll.is_some();
-            if waits || silent_s <= usual_s * NEARLY_SILENT {
+            let is_exempt = machine.ready_since.is_none() || machine.long_poll.is_some();
+            if is_exempt || silent_s <= usual_s * NEARLY_SILENT_FRACTION {
                 continue;
             }
-            let provable = machine.token_acknowledged || machine.tasks.is_empty();
-            let patience_s = match (provable, unreachable.contains(&machine.forwarded_by)) {
+            let is_provable = machine.token_acknowledged || machine.tasks.is_empty();
+            let silence_max_s = match (is_provable, unreachable.contains(&machine.forwarded_by)) {
                 (true, false) => usual_s,
-                (true, true) => controller_unreachable_s,
+                (true, true) => unreachable_controller_s,
                 (false, _) => UNPROVABLE_LEASES * lease_s,
             };
             let zone = &machine.zone;
             silent.push(SilentMachine {
                 id: id.clone(),
                 silent_s,
-                patience_s,
-                kept_alive: partitioned_zones.contains(zone) && context.zone_has_peer(zone),
+                silence_max_s,
+                may_be_kept_alive: partitioned_zones.contains(zone) && context.zone_has_peer(zone),
             });
         }
         silent
     }
 
-    /// Takes note of which zones, and whether so many machines, are taken to be partitioned.
-    fn record_partition(&mut self, now: Time, partitioned_zones: BTreeSet<Rc<str>>, silent: usize) {
+    /// Records the partitioned zones, and whether the number of silent machines indicates a
+    /// partition.
+    fn record_partition(
+        &mut self,
+        now: Time,
+        partitioned_zones: BTreeSet<Rc<str>>,
+        silent_count: usize,
+    ) {
         if !partitioned_zones.is_empty() {
             self.zones_partitioned_at = Some(now);
         }
         self.partitioned_zones = partitioned_zones;
         let machines = self.machines.values();
-        let ready = machines
+        let ready_count = machines
             .filter(|machine| machine.ready_since.is_some())
             .count();
-        self.mass_partition =
-            silent as f64 > (FEW_SILENT_SHARE * ready as f64).max(FEW_SILENT_LEAST);
+        self.mass_partition = silent_count as f64
+            > (SILENT_FAILURES_FRACTION * ready_count as f64).max(SILENT_FAILURES_MIN);
         if self.mass_partition || !self.partitioned_zones.is_empty() {
             self.partitioned_at = now;
         }
     }
 
-    /// Machines whose heartbeats come while nothing told them arrives never show this shard's
-    /// number, so that no heartbeat of theirs proves what became of the tasks an earlier owner
-    /// placed there. Their leases have run out meanwhile; deleting them frees the tasks.
-    pub(crate) fn check_unacknowledged(&mut self, context: &Context) {
+    /// Decommissions machines whose heartbeats arrive while no answer reaches them. They never
+    /// acknowledge this shard's token, so none of their heartbeats proves what became of the tasks
+    /// that an earlier owner placed there. Their leases have expired in the meantime, and their
+    /// deletion lets the tasks be placed again.
+    pub(crate) fn decommission_unacknowledged(&mut self, context: &Context) {
         let lease_s = context.settings.platform.facts.workers.lease_s;
         let (now, is_stale) = (context.now, context.is_stale());
         if is_stale || self.mass_partition {
@@ -242,10 +264,12 @@
             .iter()
             .filter(|(_, machine)| !machine.token_acknowledged)
         {
-            let long = machine
+            let is_overdue = machine
                 .first_heartbeat
                 .is_some_and(|at| now.since(at) > UNACKNOWLEDGED_LEASES * lease_s);
-            if long && !machine.tasks.is_empty() && !self.partitioned_zones.contains(&machine.zone)
+            if is_overdue
+                && !machine.tasks.is_empty()
+                && !self.partitioned_zones.contains(&machine.zone)
             {
                 unacknowledged.push(id.clone());
             }
@@ -255,81 +279,91 @@
         }
     }
 
-    /// Controllers, `None` for this one, that lately heard no worker or weren't heard
-    /// themselves. Workers that reported there look for another one, and may be sent back
-    /// once, which takes two tries of 5 s: they looked as if their machines were gone.
+    /// Returns the controllers, with `None` for this one, that received no worker heartbeat
+    /// recently or were not reachable themselves, at some time within the last lease. Their workers
+    /// look for another controller and may be redirected back once, which takes two tries of 5 s.
+    /// Without extra time, their machines were taken to be down.
     fn unreachable_controllers(&mut self, context: &Context) -> BTreeSet<Option<ControllerId>> {
         let now = context.now;
         let lease_s = context.settings.platform.facts.workers.lease_s;
-        let mut unreachable_controllers = Vec::new();
+        let mut now_unreachable = Vec::new();
         if now.since(context.last_worker_heartbeat) > RECENT_S {
-            unreachable_controllers.push(None);
+            now_unreachable.push(None);
         }
         let peers = context.settings.platform.peers.iter();
-        let workers_unreachable = peers.filter(|s| !context.hears_workers(&s.controller_id));
-        unreachable_controllers.extend(workers_unreachable.map(|s| Some(s.controller_id.clone())));
+        let unreachable_peers = peers.filter(|peer| !context.hears_workers(&peer.controller_id));
+        now_unreachable.extend(unreachable_peers.map(|peer| Some(peer.controller_id.clone())));
         self.unreachable_at.extend(
-            unreachable_controllers
+            now_unreachable
                 .into_iter()
-                .map(|machine| (machine, now)),
+                .map(|controller_id| (controller_id, now)),
         );
         self.unreachable_at.retain(|_, at| now.since(*at) < lease_s);
         self.unreachable_at.keys().cloned().collect()
     }
 
-    /// Zones of which so many machines have missed their heartbeats that they must be cut
-    /// off. Their own controllers keep them alive.
+    /// Returns the zones in which so many machines have missed heartbeats that the zone must be
+    /// partitioned. The zone's own controllers keep its workers alive.
     fn find_partitioned_zones(&self, context: &Context) -> BTreeSet<Rc<str>> {
-        let quiet_s = context.settings.platform.facts.workers.report_s * PARTITION_HEARTBEATS;
+        let silence_max_s =
+            context.settings.platform.facts.workers.report_s * PARTITION_MISSED_HEARTBEATS;
         let mut zones: BTreeMap<&Rc<str>, (usize, usize)> = BTreeMap::new();
-        let staying = |machine: &&Machine| {
+        let is_counted = |machine: &&Machine| {
             machine.ready_since.is_some()
                 && machine.preemption_at.is_none()
                 && machine.decommission_at.is_none()
         };
-        for machine in self.machines.values().filter(staying) {
-            let count = zones.entry(&machine.zone).or_default();
-            count.0 += 1;
-            let quiet = context.now.since(machine.last_heartbeat.max(self.since)) > quiet_s;
-            count.1 += usize::from(quiet && machine.long_poll.is_none());
+        for machine in self.machines.values().filter(is_counted) {
+            let counts = zones.entry(&machine.zone).or_default();
+            counts.0 += 1;
+            let is_silent =
+                context.now.since(machine.last_heartbeat.max(self.since)) > silence_max_s;
+            counts.1 += usize::from(is_silent && machine.long_poll.is_none());
         }
-        let cut = |(all, quiet): (usize, usize)| {
-            quiet >= PARTITION_LEAST && quiet as f64 >= PARTITION_SHARE * all as f64
+        let is_partitioned = |(all, silent): (usize, usize)| {
+            silent >= PARTITION_MACHINES_MIN && silent as f64 >= PARTITION_FRACTION * all as f64
         };
-        // Where a controller of the zone hears workers and is heard, there is no cut: a
-        // wave that took many spot machines looked like one.
-        let cut_off = zones.into_iter().filter(|(_, count)| cut(*count));
-        let cut_off = cut_off.map(|(zone, _)| zone.clone());
-        cut_off
+        // A zone whose controllers are reachable and receive worker heartbeats isn't partitioned:
+        // the preemption of many spot machines at once looked like a partition.
+        let partitioned = zones
+            .into_iter()
+            .filter(|(_, counts)| is_partitioned(*counts));
+        let partitioned = partitioned.map(|(zone, _)| zone.clone());
+        partitioned
             .filter(|zone| !context.zone_hears_workers(zone))
             .collect()
     }
 
-    /// Tasks on machines that are about to go are stopped: at once where they can
-    /// save, and on machines to be replaced.
-    pub(crate) fn drain(&mut self, context: &mut Context) {
+    /// Stops tasks on machines that are about to be deleted or preempted. On a decommissioned
+    /// machine all tasks are stopped. On a spot machine with a preemption notice, replicas of
+    /// services and tasks that save checkpoints are stopped, while other tasks run on until the
+    /// preemption.
+    pub(crate) fn drain_leaving_machines(&mut self, context: &mut Context) {
         let now = context.now;
-        let mut stop = Vec::new();
+        let mut to_stop = Vec::new();
         for (_, machine) in self.machines.leaving() {
-            let sick = machine.decommission_at.is_some();
-            if !sick && machine.preemption_at.is_none_or(|at| at <= now) {
+            let is_decommissioned = machine.decommission_at.is_some();
+            if !is_decommissioned && machine.preemption_at.is_none_or(|at| at <= now) {
                 continue;
             }
-            for (task, bind) in &machine.tasks {
+            for (task, binding) in &machine.tasks {
                 let job_state = self.jobs.get(&task.job);
-                let Some(placement) = job_state.and_then(|l| l.placed.get(&task.index)) else {
+                let Some(placement) =
+                    job_state.and_then(|job_state| job_state.placed.get(&task.index))
+                else {
                     continue;
                 };
-                let moves = bind.record.kind == JobKind::Service || bind.record.checkpoint_s > 0.0;
+                let can_move =
+                    binding.record.kind == JobKind::Service || binding.record.checkpoint_s > 0.0;
                 if placement.stop_requested.is_none()
-                    && (sick || moves)
+                    && (is_decommissioned || can_move)
                     && placement.phase != Phase::Committing
                 {
-                    stop.push(task.clone());
+                    to_stop.push(task.clone());
                 }
             }
         }
-        for task in stop {
+        for task in to_stop {
             self.stop_task(context, &task);
         }
     }
--- a/src/controller/machines/mod.rs
+++ b/src/controller/machines/mod.rs
@@ -1,16 +1,19 @@
-//! Heartbeats and their answers, and the proofs that a task is gone.
+//! The machines of a shard: worker heartbeats, the commands that answer them, and the proofs that
+//! a task no longer runs.
 //!
-//! A task may be placed again, and its quota and place are free, only when
-//! 1. a heartbeat that shows this shard's token, newer than any before it, lists the
-//!    attempt as ended or doesn't list it; or
-//! 2. the worker had acknowledged this token, its lease must be over by now, counted from
-//!    the last 200 this process sent it, the other controllers of its zone have said
-//!    since that they kept nobody alive for a lease, and the shard was then still
-//!    unchanged at the store; or
-//! 3. the cloud said that its machine is deleted.
+//! A task may be placed again, and its quota and resources are free, only after one of these proofs
+//! that its earlier attempt no longer runs:
+//! 1. A heartbeat that carries this shard's token, and is newer than all earlier ones of its
+//!    machine, lists the attempt as ended or doesn't list it.
+//! 2. The lease of a worker that had acknowledged this token has expired. The lease counts from the
+//!    last response with status 200 that this process sent to the worker. In addition, after that
+//!    expiry, every other controller of the worker's zone must have said that it sent no keepalive
+//!    for the length of a lease, and a read of the store must have shown the shard unchanged.
+//! 3. The cloud has confirmed that the machine is deleted.
 //!
-//! `heartbeats` takes heartbeats in, `commands` derives the answers, and `liveness` finds machines that
-//! are silent, hear nothing, or must go.
+//! `heartbeats` processes heartbeats, `commands` derives the answers, `liveness` finds machines
+//! that are silent, partitioned or don't acknowledge the token, `failures` attributes task failures
+//! to machines or jobs, and `inventory` stores and indexes the machines.
 
 pub(crate) mod commands;
 pub(crate) mod failures;
@@ -24,27 +27,29 @@
 use log::{info, warn};
 use std::fmt;
 
-/// A quarantined machine's tasks get this long to stop before it is deleted.
-const DRAIN_S: f64 = 15.0;
-/// Names of deleted machines are kept for late copies of their heartbeats.
-const GONE_S: f64 = 900.0;
+/// Time in seconds that tasks on a machine that proved faulty have to stop before it is deleted.
+const FAULTY_DRAIN_S: f64 = 15.0;
+/// Time in seconds for which the ids of deleted machines are kept, to recognize late copies of
+/// their heartbeats.
+const DELETED_KEPT_S: f64 = 900.0;
 
 /// Why a machine is decommissioned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DecommissionReason {
-    /// A cancelled task may still run on it, and nothing else proves it gone.
+    /// A cancelled task may still run on the machine, and only a deletion can prove that it
+    /// doesn't.
     CancelledTaskUnproven,
-    /// No heartbeat has come for too long.
+    /// The machine has sent no heartbeat for too long.
     Silent,
-    /// It never acknowledged the shard's token.
+    /// The machine sends heartbeats but never acknowledged the shard's token.
     TokenNotAcknowledged,
-    /// It is empty, and the scaling plan gives it back.
+    /// The machine is empty, and the scaling plan doesn't need it.
     ScaledIn,
-    /// It never became ready.
+    /// The machine didn't become ready in time.
     NeverReady,
-    /// The cloud lists it as failed.
+    /// The cloud lists the machine as failed.
     FailedAtCloud,
-    /// The cloud should list it by now, and doesn't.
+    /// The cloud doesn't list the machine, although it should by now.
     NotListed,
 }
 
@@ -63,22 +68,25 @@
 }
 
 impl ShardOwner {
-    /// Does what no event triggers: checks machines, empties and deletes some.
+    /// Runs the periodic checks: expires worker leases, then drains, consolidates, decommissions
+    /// and deletes machines.
     pub(crate) fn housekeeping(&mut self, context: &mut Context) {
-        self.check_leases(context);
-        self.check_cancels(context);
-        self.check_silent(context);
-        self.check_unacknowledged(context);
-        self.drain(context);
+        self.expire_worker_leases(context);
+        self.decommission_unproven_cancellations(context);
+        self.decommission_silent(context);
+        self.decommission_unacknowledged(context);
+        self.drain_leaving_machines(context);
         self.consolidate(context);
         self.decommission_abandoned(context);
         self.delete_decommissioned(context);
         let now = context.now;
         self.deleted_machines
-            .retain(|_, at| now.since(*at) < GONE_S);
+            .retain(|_, at| now.since(*at) < DELETED_KEPT_S);
     }
 
-    /// Tells a task to stop, as soon as its machine can hear it.
+    /// Requests that a task stops. A placement whose start was never sent is removed at once.
+    /// Otherwise the command goes out with the answer to the machine's waiting heartbeat, or to its
+    /// next one.
     pub(crate) fn stop_task(&mut self, context: &mut Context, task: &TaskId) {
         let now = context.now;
         let Some(placement) = self.placement_mut(task) else {
@@ -95,20 +103,21 @@
 }
 
 impl ShardOwner {
-    /// A task completed or runs well. A machine on which its job failed before is quarantined
-    /// then, if others say so too.
-    pub(crate) fn task_succeeded(&mut self, now: Time, id: &MachineId, task: &TaskId) {
-        for faulty in self.failures.task_succeeded(&task.job, id) {
+    /// Records that a task on the machine `id` completed or runs well. A machine on which the job
+    /// failed earlier is decommissioned if the success proves it faulty (see `failures`).
+    pub(crate) fn record_task_success(&mut self, now: Time, id: &MachineId, task: &TaskId) {
+        for faulty in self.failures.record_success(&task.job, id) {
             self.machines.edit(&faulty, |machine| {
                 if machine.decommission_at.is_none() {
                     warn!("machine quarantined for good, machine={faulty} reason=its tasks succeed elsewhere");
-                    machine.decommission_at = Some(now.after(DRAIN_S));
+                    machine.decommission_at = Some(now.after(FAULTY_DRAIN_S));
                 }
             });
         }
     }
 
-    /// Decides to delete a machine. Nothing is placed on it from now on.
+    /// Marks a machine for deletion. From now on nothing is placed on it. A machine that is already
+    /// marked keeps its earlier time and reason.
     pub(crate) fn decommission(&mut self, now: Time, id: &MachineId, reason: DecommissionReason) {
         self.machines.edit(id, |machine| {
             if machine.decommission_at.is_none() {
