--- a/src/controller/forwarding.rs
+++ b/src/controller/forwarding.rs
@@ -1,16 +1,18 @@
-//! How a worker's heartbeat reaches the owner of its machine's shard, and what keeps workers alive
-//! when it can't.
+//! Forwarding of worker heartbeats to the owners of their machines' shards, and keepalives for
+//! workers whose owner can't be reached.
 //!
-//! A worker sends its heartbeats to a controller of its own zone, which forwards them to the owner, and
-//! the owner's responses back. When the zone is partitioned, or the owner has ended, the worker needn't
-//! look for another controller while its lease runs: its own controller answers in the owner's place
-//! ("keepalive"), under the token that it knows and without starts.
+//! A worker sends its heartbeats to a controller of its own zone. This controller forwards them to
+//! the owner, and passes the owner's responses back. When the zone is partitioned or the owner is
+//! down, the worker doesn't have to look for another controller before its lease expires: the
+//! controller of its zone answers in the owner's place. Such a response, a keepalive, carries the
+//! token that the controller knows and no starts.
 //!
-//! Why that is safe. Such a response gives a worker nothing but time, and stops what is cancelled.
-//! Time breaks two things only. A lease proves a task gone only once the zone's other controllers
-//! have said that they kept nobody alive while it ran out (`no_keepalive_by_peers`). And a user is
-//! told of a cancellation only once every task is proven gone (`api`), so no bound runs against a
-//! worker that nobody with a fresh mirror reaches.
+//! A keepalive is safe because it only renews the worker's lease and stops cancelled or ended
+//! tasks. A renewed lease can affect only two guarantees:
+//! - An expired lease proves that a task no longer runs only after the zone's other controllers
+//!   have confirmed that they sent no keepalive while it expired (`no_keepalive_by_peers`).
+//! - A user is told of a cancellation only after every task is proven to have stopped (`api`), so
+//!   no time limit applies to a worker that no controller with a fresh mirror reaches.
 
 use crate::controller::context::{BATCH_MS, Context, RECENT_S};
 use crate::controller::events::{Output, Reply};
@@ -22,108 +24,117 @@
 use crate::wire::{Command, TaskStatus, WorkerHeartbeat, commands_body, redirect_body};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// A heartbeat whose machine's owner is down.
+/// A heartbeat for whose machine no owner is known or can be reached.
 #[derive(Debug)]
 struct OwnerlessHeartbeat {
     request_id: RequestId,
     heartbeat: WorkerHeartbeat,
-    since: Time,
-    /// The owner that it was forwarded to without a response.
-    tried: Option<ControllerId>,
+    received_at: Time,
+    /// The owner to which the heartbeat was forwarded without a usable response.
+    failed_owner: Option<ControllerId>,
 }
 
-/// How long such a heartbeat waits at most, in seconds. Workers wait for 4 s. How many do at
-/// once is bounded by the connections on which they came.
-const OWNERLESS_MAX_S: f64 = 3.8;
-/// A heartbeat forwarded is answered here when no answer came this long after the time
-/// for which the owner may hold it.
+/// Longest time in seconds that an ownerless heartbeat waits for an owner. Workers wait 4 s for an
+/// answer. The number of waiting heartbeats is bounded by the connections on which they came.
+const OWNERLESS_WAIT_MAX_S: f64 = 3.8;
+/// Time in seconds beyond the owner's longest long poll after which a forwarded heartbeat without a
+/// response counts as ownerless.
 const FORWARD_GRACE_S: f64 = 0.9;
-/// Heartbeats with more tasks don't fit into a message to a peer; their workers go to
-/// the owner themselves.
+/// Maximum number of tasks in a forwarded heartbeat. Heartbeats with more don't fit into a message
+/// to a peer, and their workers are redirected to the owner.
 const FORWARDED_TASKS_MAX: usize = 200;
-/// An owner that refuses connections for this much longer than a takeover takes isn't
-/// down: only the controllers can't reach it, and workers are sent there.
+/// Margin in seconds beyond the length of a takeover. An owner that refuses connections for longer
+/// and still has its record isn't down: only other controllers can't reach it, and workers are
+/// redirected to it.
 pub(crate) const TAKEOVER_MARGIN_S: f64 = 1.5;
-/// Pause between two workers redirected to a controller that hears no worker yet.
-const PROBE_PAUSE_S: f64 = 2.0;
+/// Time in seconds between redirects of single workers to a controller that receives no worker
+/// heartbeats yet.
+const PROBE_INTERVAL_S: f64 = 2.0;
 
-/// A heartbeat that was forwarded to its owner.
+/// A heartbeat that was forwarded to its owner and has no response yet.
 #[derive(Debug)]
-struct ForwardedOut {
+struct OutgoingForward {
     to: ControllerId,
     heartbeat: WorkerHeartbeat,
-    since: Time,
+    forwarded_at: Time,
 }
 
-impl ForwardedOut {
-    /// The heartbeat, now that its owner didn't answer it.
-    fn ownerless(self, request_id: RequestId) -> OwnerlessHeartbeat {
+impl OutgoingForward {
+    /// Converts the forward into an ownerless heartbeat, since its owner gave no usable response.
+    fn into_ownerless(self, request_id: RequestId) -> OwnerlessHeartbeat {
         OwnerlessHeartbeat {
             request_id,
             heartbeat: self.heartbeat,
-            since: self.since,
-            tried: Some(self.to),
+            received_at: self.forwarded_at,
+            failed_owner: Some(self.to),
         }
     }
 }
 
-/// A heartbeat that a peer forwarded: which of its processes, and which request there.
+/// The origin of a heartbeat that a peer forwarded: the peer, its process and its request.
 #[derive(Debug)]
-struct ForwardedIn {
+struct IncomingForward {
     from: ControllerId,
     incarnation: u64,
     request_id: RequestId,
 }
 
-/// The heartbeats on their way between controllers.
+/// The heartbeats that are being forwarded between controllers or wait for an owner.
 #[derive(Debug, Default)]
 pub(crate) struct Forwarding {
-    /// Heartbeats that were forwarded from here, by their request.
-    out: BTreeMap<RequestId, ForwardedOut>,
-    /// Heartbeats that peers forwarded here, by the number that they were given here.
-    forwarded_in: HashMap<RequestId, ForwardedIn>,
-    forwarded_in_count: u64,
-    /// Heartbeats to be forwarded together, and when.
+    /// Heartbeats that this controller forwarded and that have no response yet, by request id.
+    outgoing: BTreeMap<RequestId, OutgoingForward>,
+    /// Heartbeats that peers forwarded and that aren't answered yet, by the request id given here.
+    incoming: HashMap<RequestId, IncomingForward>,
+    /// Number of heartbeats that peers have forwarded to this process.
+    incoming_count: u64,
+    /// Heartbeats to be forwarded with the next batch.
     batched: Vec<(ControllerId, Box<ForwardedHeartbeat>)>,
+    /// When the next batch is forwarded; `None` while it is empty.
     batched_until: Option<Time>,
-    /// Heartbeats that wait until an owner is known.
+    /// Heartbeats that wait for an owner.
     ownerless: VecDeque<OwnerlessHeartbeat>,
-    /// When this process last answered in an owner's place; at first its start.
+    /// When this process last sent a keepalive in an owner's place; initially its start.
     pub(crate) last_keepalive: Option<Time>,
-    /// When a worker was last redirected to a controller that hears no worker yet.
-    probes: BTreeMap<ControllerId, Time>,
-    /// Workers sent to a safer controller of this zone, and when.
-    redirected: BTreeMap<MachineId, Time>,
+    /// When a worker was last redirected to each controller of another zone, to limit redirects to
+    /// controllers that receive no worker heartbeats yet.
+    probed_at: BTreeMap<ControllerId, Time>,
+    /// When each worker was redirected to a safer controller of this zone.
+    redirected_at: BTreeMap<MachineId, Time>,
 }
 
-/// A worker that came back after it was sent to a safer controller is kept for so many leases.
+/// Leases for which a worker that comes back after a redirect to a safer controller isn't
+/// redirected to one again.
 const REDIRECTED_KEPT_LEASES: f64 = 6.0;
 
-/// One of several controllers for a machine, the same each time.
-fn pick_by_name<'a>(
+/// Picks one of several controllers for a machine: the same one each time for the same list.
+fn pick_controller<'a>(
     id: &MachineId,
     controller_ids: &[&'a ControllerId],
 ) -> Option<&'a ControllerId> {
-    let at = stable_hash(id.as_str()) % controller_ids.len().max(1) as u64;
-    controller_ids.get(at as usize).copied()
+    let index = stable_hash(id.as_str()) % controller_ids.len().max(1) as u64;
+    controller_ids.get(index as usize).copied()
 }
 
-/// Forwarded requests are numbered apart from those that come on connections.
-const FORWARDED_REQUESTS: u64 = 1 << 62;
+/// First id of requests that peers forward, beyond the ids of requests that come on connections.
+const FORWARDED_REQUEST_ID_BASE: u64 = 1 << 62;
 
 impl Forwarding {
-    /// When the heartbeats gathered so far are to be forwarded.
+    /// Returns when the next batch of heartbeats is forwarded; `None` while it is empty.
     pub(crate) fn batched_until(&self) -> Option<Time> {
         self.batched_until
     }
 
-    /// The peer that forwarded a heartbeat.
+    /// Returns the peer that forwarded a heartbeat; `None` if it came from its worker.
     pub(crate) fn forwarder(&self, request_id: RequestId) -> Option<ControllerId> {
-        self.forwarded_in.get(&request_id).map(|g| g.from.clone())
+        self.incoming
+            .get(&request_id)
+            .map(|incoming| incoming.from.clone())
     }
 }
 
-/// The owned shard to which a machine belongs.
+/// Returns the shard owned here that lists a machine. For a machine that none lists, returns the
+/// owned shard that covers the whole fleet, if there is one.
 fn owner_of_machine<'a>(
     shards: &'a mut BTreeMap<u32, ShardOwner>,
     id: &MachineId,
@@ -137,7 +148,8 @@
 }
 
 impl Controller {
-    /// A worker reports here: its heartbeat is answered, forwarded, or the worker is redirected.
+    /// Processes a heartbeat that a worker sent to this controller: answers or forwards it, or
+    /// redirects the worker.
     pub(crate) fn on_worker_heartbeat(
         &mut self,
         request_id: RequestId,
@@ -157,51 +169,58 @@
         self.context.forward(request_id, heartbeat);
     }
 
+    /// Retries or answers ownerless heartbeats, and treats forwarded heartbeats as ownerless if
+    /// their owner hasn't responded in time or can't be reached.
     pub(crate) fn forwarding_housekeeping(&mut self) {
         let kept_s = REDIRECTED_KEPT_LEASES * self.context.settings.platform.facts.workers.lease_s;
         let now = self.context.now;
-        let redirected = &mut self.context.forwarding.redirected;
-        redirected.retain(|_, at| now.since(*at) < kept_s);
+        let redirected_at = &mut self.context.forwarding.redirected_at;
+        redirected_at.retain(|_, at| now.since(*at) < kept_s);
         for ownerless in std::mem::take(&mut self.context.forwarding.ownerless) {
             let id = MachineId::from(ownerless.heartbeat.machine.as_str());
-            let held = owner_of_machine(&mut self.shards, &id).is_some();
-            let owner = self.context.owner_for(&ownerless);
-            if held || owner.is_some_and(|h| self.context.reachable(&h)) {
+            let is_owned_here = owner_of_machine(&mut self.shards, &id).is_some();
+            let owner = self.context.usable_owner_for(&ownerless);
+            if is_owned_here || owner.is_some_and(|owner| self.context.reachable(&owner)) {
                 self.on_worker_heartbeat(ownerless.request_id, ownerless.heartbeat);
             } else {
-                self.context.without_owner(ownerless);
+                self.context.handle_ownerless(ownerless);
             }
         }
-        let patience = self.context.settings.long_poll_s(false) + FORWARD_GRACE_S;
-        let late = self.context.forwarding.out.iter().filter(|(_, r)| {
-            self.context.now.since(r.since) > patience
-                || !self.context.heartbeat_fresh(&r.to)
-                || !self.context.linked(&r.to)
-        });
-        let late: Vec<RequestId> = late.map(|(request_id, _)| *request_id).collect();
-        for request_id in late {
-            if let Some(r) = self.context.forwarding.out.remove(&request_id) {
-                self.context.without_owner(r.ownerless(request_id));
+        let response_max_s = self.context.settings.long_poll_s(false) + FORWARD_GRACE_S;
+        let failed = self
+            .context
+            .forwarding
+            .outgoing
+            .iter()
+            .filter(|(_, forward)| {
+                self.context.now.since(forward.forwarded_at) > response_max_s
+                    || !self.context.heartbeat_fresh(&forward.to)
+                    || !self.context.linked(&forward.to)
+            });
+        let failed: Vec<RequestId> = failed.map(|(request_id, _)| *request_id).collect();
+        for request_id in failed {
+            if let Some(forward) = self.context.forwarding.outgoing.remove(&request_id) {
+                self.context
+                    .handle_ownerless(forward.into_ownerless(request_id));
             }
         }
     }
 
-    /// A peer forwards a heartbeat of one of its workers.
+    /// Processes a heartbeat that a peer forwarded. If no shard of the machine is owned here, the
+    /// response is a redirect that names no owner.
     pub(crate) fn on_forwarded_heartbeat(&mut self, forwarded: ForwardedHeartbeat) {
         if !self.context.is_peer(&forwarded.from) {
             return;
         }
-        self.context.forwarding.forwarded_in_count += 1;
-        let request_id = RequestId(FORWARDED_REQUESTS + self.context.forwarding.forwarded_in_count);
-        let pending = ForwardedIn {
+        self.context.forwarding.incoming_count += 1;
+        let request_id =
+            RequestId(FORWARDED_REQUEST_ID_BASE + self.context.forwarding.incoming_count);
+        let pending = IncomingForward {
             from: forwarded.from.clone(),
             incarnation: forwarded.incarnation,
             request_id: RequestId(forwarded.request_id),
         };
-        self.context
-            .forwarding
-            .forwarded_in
-            .insert(request_id, pending);
+        self.context.forwarding.incoming.insert(request_id, pending);
         let heartbeat = forwarded.report();
         let id = MachineId::from(heartbeat.machine.as_str());
         match owner_of_machine(&mut self.shards, &id) {
@@ -214,93 +233,115 @@
 }
 
 impl Context {
-    /// The controller of a worker's own zone to which it had better heartbeat. One that
-    /// hears nobody yet gets workers one by one: if they can't reach it, the others
-    /// mustn't lose half a lease by trying.
+    /// Returns the controller to which a worker should send its heartbeats instead of this one: one
+    /// of the worker's own zone. Workers are redirected one at a time to a controller that receives
+    /// no worker heartbeats yet, since each loses half of its lease if it can't reach that
+    /// controller.
     fn preferred_controller(
         &mut self,
         id: &MachineId,
         heartbeat: &WorkerHeartbeat,
     ) -> Option<ControllerId> {
-        if heartbeat.tasks.len() > FORWARDED_TASKS_MAX || self.unanswered(id, heartbeat) {
+        if heartbeat.tasks.len() > FORWARDED_TASKS_MAX || self.is_unanswered_by_owner(id, heartbeat)
+        {
             return None;
         }
         if heartbeat.zone == self.settings.platform.site {
             return self.safer_controller(id);
         }
         let local = self.forwarders_in(&heartbeat.zone);
-        let safe: Vec<&ControllerId> = local.iter().filter(|m| self.has_next(m)).copied().collect();
+        let safe: Vec<&ControllerId> = local
+            .iter()
+            .filter(|controller_id| self.has_live_successor(controller_id))
+            .copied()
+            .collect();
         let local = if safe.is_empty() { local } else { safe };
-        let preferred = pick_by_name(id, &local)?.clone();
-        let heard = self
+        let preferred = pick_controller(id, &local)?.clone();
+        let hears_workers = self
             .peers
             .heartbeats
             .get(&preferred)
-            .is_some_and(|(h, _)| h.hears_workers);
-        let trial = self.forwarding.probes.get(&preferred);
-        if !heard && trial.is_some_and(|at| self.now.since(*at) < PROBE_PAUSE_S) {
+            .is_some_and(|(peer_heartbeat, _)| peer_heartbeat.hears_workers);
+        let probed_at = self.forwarding.probed_at.get(&preferred);
+        if !hears_workers && probed_at.is_some_and(|at| self.now.since(*at) < PROBE_INTERVAL_S) {
             return None;
         }
-        self.forwarding.probes.insert(preferred.clone(), self.now);
+        self.forwarding
+            .probed_at
+            .insert(preferred.clone(), self.now);
         Some(preferred)
     }
 
-    /// Whether a worker wasn't answered yet by the present owner of its shard: its lease counts
-    /// from an answer of an earlier one, and may be about to end. It is answered first and sent
-    /// elsewhere later.
-    fn unanswered(&self, id: &MachineId, heartbeat: &WorkerHeartbeat) -> bool {
+    /// Whether a worker has no answer yet from the present owner of its shard. Its lease counts
+    /// from an answer of an earlier owner and may expire soon, so it is answered before it is
+    /// redirected.
+    fn is_unanswered_by_owner(&self, id: &MachineId, heartbeat: &WorkerHeartbeat) -> bool {
         let shard = self.store.mirror.shard_of_machine(id);
         shard.is_some_and(|(_, record)| heartbeat.token < record.token.0)
     }
 
-    /// Another controller of this zone for a worker that would find nobody if this one fell
-    /// silent: the next one that it would try has been silent for long, and the two tries take
-    /// as long as its lease. Two controllers of three silent at once cost 95 machines their
-    /// tasks. Each worker is sent away once, should the controllers disagree on who is silent.
+    /// Returns another controller of this zone for a worker that would lose its lease if this one
+    /// failed: the controller that the worker would try next has been silent for longer than a
+    /// lease, and two failed tries take as long as the lease. When two of three controllers were
+    /// silent at once, 95 machines lost their tasks. Each worker is redirected only once, in case
+    /// the controllers disagree on which of them are silent.
     fn safer_controller(&mut self, id: &MachineId) -> Option<ControllerId> {
         let platform = &self.settings.platform;
-        if self.has_next(&platform.controller_id) || self.forwarding.redirected.contains_key(id) {
+        if self.has_live_successor(&platform.controller_id)
+            || self.forwarding.redirected_at.contains_key(id)
+        {
             return None;
         }
         let local = self.forwarders_in(&platform.site);
-        let safe: Vec<&ControllerId> = local.into_iter().filter(|m| self.has_next(m)).collect();
-        let preferred = pick_by_name(id, &safe)?.clone();
-        self.forwarding.redirected.insert(id.clone(), self.now);
+        let safe: Vec<&ControllerId> = local
+            .into_iter()
+            .filter(|controller_id| self.has_live_successor(controller_id))
+            .collect();
+        let preferred = pick_controller(id, &safe)?.clone();
+        self.forwarding.redirected_at.insert(id.clone(), self.now);
         Some(preferred)
     }
 
-    /// Controllers of a zone, besides this one, that can forward heartbeats.
+    /// Returns the controllers of a zone, apart from this one, that can forward heartbeats.
     fn forwarders_in<'a>(&'a self, zone: &'a str) -> Vec<&'a ControllerId> {
-        let relaying = |s: &&Peer| {
-            let heartbeat = self.peers.heartbeats.get(&s.controller_id).map(|(h, _)| h);
-            self.linked(&s.controller_id) && heartbeat.is_some_and(|h| h.can_forward)
+        let can_forward = |peer: &&Peer| {
+            let heartbeat = self
+                .peers
+                .heartbeats
+                .get(&peer.controller_id)
+                .map(|(heartbeat, _)| heartbeat);
+            self.linked(&peer.controller_id)
+                && heartbeat.is_some_and(|heartbeat| heartbeat.can_forward)
         };
-        let local = self.peers_in(zone).filter(relaying);
-        local.map(|s| &s.controller_id).collect()
+        let local = self.peers_in(zone).filter(can_forward);
+        local.map(|peer| &peer.controller_id).collect()
     }
 
-    /// Whether the controller that workers try after this one, in the order of the names, has
-    /// been heard lately.
-    fn has_next(&self, controller_id: &ControllerId) -> bool {
+    /// Whether the controller that workers try after `controller_id` isn't known to be silent.
+    /// Workers try controllers in the order of their ids, shorter ids first. A controller that was
+    /// never heard doesn't count as silent.
+    fn has_live_successor(&self, controller_id: &ControllerId) -> bool {
         let platform = &self.settings.platform;
-        let order = |m: &ControllerId| (m.as_str().len(), m.0.clone());
-        let peers = platform.peers.iter().map(|s| &s.controller_id);
+        let order = |id: &ControllerId| (id.as_str().len(), id.0.clone());
+        let peers = platform.peers.iter().map(|peer| &peer.controller_id);
         let all = peers.chain([&platform.controller_id]);
-        // The first one behind it or, behind the last, the first of all.
-        let next = all.min_by_key(|m| (order(m) <= order(controller_id), order(m)));
+        // The successor is the first controller after it or, after the last one, the first of all.
+        let successor = all.min_by_key(|id| (order(id) <= order(controller_id), order(id)));
         let lease_s = platform.facts.workers.lease_s;
-        let silent = |(_, at): &(PeerHeartbeat, Time)| self.now.since(*at) > lease_s;
-        !next
-            .and_then(|m| self.peers.heartbeats.get(m))
-            .is_some_and(silent)
+        let is_silent = |(_, at): &(PeerHeartbeat, Time)| self.now.since(*at) > lease_s;
+        !successor
+            .and_then(|id| self.peers.heartbeats.get(id))
+            .is_some_and(is_silent)
     }
 
-    /// Hands a heartbeat on to its owner, or does what can be done without it.
+    /// Queues a heartbeat to be forwarded to its owner. If its owner can't be reached, the
+    /// heartbeat is handled as ownerless, and if it is too large to forward, the worker is
+    /// redirected.
     fn forward(&mut self, request_id: RequestId, heartbeat: WorkerHeartbeat) {
         let id = MachineId::from(heartbeat.machine.as_str());
         let owner = self.owner_of(&id);
-        let reached = owner.filter(|h| self.reachable(h));
-        match reached {
+        let reachable = owner.filter(|owner| self.reachable(owner));
+        match reachable {
             Some(to) if self.linked(&to) && heartbeat.tasks.len() <= FORWARDED_TASKS_MAX => {
                 let forwarded = ForwardedHeartbeat::new(
                     &self.settings.platform.controller_id,
@@ -312,13 +353,13 @@
                 self.forwarding.batched.push(batched);
                 let until = self.now.next_multiple(BATCH_MS);
                 self.forwarding.batched_until.get_or_insert(until);
-                let since = self.now;
-                self.forwarding.out.insert(
+                let forwarded_at = self.now;
+                self.forwarding.outgoing.insert(
                     request_id,
-                    ForwardedOut {
+                    OutgoingForward {
                         to,
                         heartbeat,
-                        since,
+                        forwarded_at,
                     },
                 );
             }
@@ -326,18 +367,18 @@
                 self.answer(request_id, Reply::ok(421, redirect_body(Some(&to))));
             }
             _ => {
-                let since = self.now;
-                self.without_owner(OwnerlessHeartbeat {
+                let received_at = self.now;
+                self.handle_ownerless(OwnerlessHeartbeat {
                     request_id,
                     heartbeat,
-                    since,
-                    tried: None,
+                    received_at,
+                    failed_owner: None,
                 });
             }
         }
     }
 
-    /// Forwards the heartbeats that were gathered, once their time has come.
+    /// Forwards the batched heartbeats once the batch is due.
     pub(crate) fn send_batched_forwards(&mut self) {
         if self.forwarding.batched_until.is_none_or(|at| self.now < at) {
             return;
@@ -349,41 +390,51 @@
         }
     }
 
-    /// Answers a heartbeat in its owner's place, or keeps it for a while.
-    fn without_owner(&mut self, ownerless: OwnerlessHeartbeat) {
-        if let Some(reply) = self.keepalive_for_owner(&ownerless.heartbeat) {
+    /// Answers an ownerless heartbeat with a keepalive if possible. Otherwise the heartbeat waits
+    /// for an owner, or its worker is redirected if waiting can't help.
+    fn handle_ownerless(&mut self, ownerless: OwnerlessHeartbeat) {
+        if let Some(reply) = self.keepalive_reply(&ownerless.heartbeat) {
             self.forwarding.last_keepalive = Some(self.now);
             return self.answer(ownerless.request_id, reply);
         }
         let id = MachineId::from(ownerless.heartbeat.machine.as_str());
-        let known = self.owner_for(&ownerless).is_some();
-        let waited = self.now.since(ownerless.since) >= OWNERLESS_MAX_S;
-        let starting = !self.store.initial_list_done();
+        let has_usable_owner = self.usable_owner_for(&ownerless).is_some();
+        let has_timed_out = self.now.since(ownerless.received_at) >= OWNERLESS_WAIT_MAX_S;
+        let is_starting = !self.store.initial_list_done();
         let sockets = self.settings.platform.facts.resources.max_sockets;
-        let full = self.forwarding.ownerless.len() >= sockets;
-        // An owner that takes over says so here only if somebody is heard here: a worker whose
-        // heartbeat waited at a controller that was partitioned from the others lost its lease.
-        let alone = self.peers_unreachable() && self.age_s() > RECENT_S;
-        if known || waited || full || alone || (self.is_stale() && !starting) {
+        let is_queue_full = self.forwarding.ownerless.len() >= sockets;
+        // A controller that reaches no peer doesn't learn of a new owner. Workers whose heartbeats
+        // waited at a controller that was partitioned from the others lost their leases.
+        let is_isolated = self.peers_unreachable() && self.age_s() > RECENT_S;
+        if has_usable_owner
+            || has_timed_out
+            || is_queue_full
+            || is_isolated
+            || (self.is_stale() && !is_starting)
+        {
             return self.redirect(ownerless.request_id, &id);
         }
-        // While the owner is down, a worker that is sent there, or on to the next
-        // node, loses a second each time.
+        // While the owner is down, each redirect to it or to the next controller costs the worker a
+        // second of its lease.
         self.forwarding.ownerless.push_back(ownerless);
     }
 
-    /// The owner that a kept heartbeat's worker can be sent to. One that didn't answer when the
-    /// heartbeat was handed to it seems to run until its next message is missed: workers that
-    /// were sent there waited for 5 s, and then for another 5 s where it had sent them before.
-    fn owner_for(&self, ownerless: &OwnerlessHeartbeat) -> Option<ControllerId> {
+    /// Returns the owner to which an ownerless heartbeat can be forwarded or its worker redirected.
+    /// An owner that gave no usable response to this heartbeat is left out, since it seems to run
+    /// until its next heartbeat is missed: workers that were redirected to such an owner waited for
+    /// 5 s, and then for another 5 s at the controller to which the owner had redirected them
+    /// before.
+    fn usable_owner_for(&self, ownerless: &OwnerlessHeartbeat) -> Option<ControllerId> {
         let owner = self.owner_of(&MachineId::from(ownerless.heartbeat.machine.as_str()))?;
-        let runs = self.reachable(&owner) && ownerless.tried.as_ref() != Some(&owner);
-        (runs || self.refuses_connections(&owner)).then_some(owner)
+        let is_running = self.reachable(&owner) && ownerless.failed_owner.as_ref() != Some(&owner);
+        (is_running || self.refuses_connections(&owner)).then_some(owner)
     }
 
-    /// The answer that keeps a worker of this controller's own zone alive while its
-    /// owner can't be reached: no starts, but stops for what is cancelled or over.
-    fn keepalive_for_owner(&self, heartbeat: &WorkerHeartbeat) -> Option<Reply> {
+    /// Returns the keepalive for a worker of this controller's own zone while its owner can't be
+    /// reached. The keepalive holds no starts, and stops for the tasks of cancelled or ended jobs.
+    /// Returns `None` if the worker is of another zone, if no token can be given, or if the worker
+    /// may still reach its owner.
+    fn keepalive_reply(&self, heartbeat: &WorkerHeartbeat) -> Option<Reply> {
         let id = MachineId::from(heartbeat.machine.as_str());
         if heartbeat.zone != self.settings.platform.site {
             return None;
@@ -391,91 +442,99 @@
         let is_stale = self.is_stale();
         let shard = self.store.mirror.shard_of_machine(&id);
         let record = shard.map(|(_, record)| record);
-        if record.is_some_and(|b| self.refuses_connections(&b.owner)) {
+        if record.is_some_and(|record| self.refuses_connections(&record.owner)) {
             return None;
         }
-        // A process that began in a zone that is partitioned knows no token, or an old one.
-        // The worker's own tells it nothing that it doesn't know, and gives it time.
-        let known = record.map(|b| b.token).filter(|n| n.0 >= heartbeat.token);
-        let own = Some(FencingToken(heartbeat.token)).filter(|n| is_stale && n.0 > 0);
-        let token = known.or(own)?;
-        // A job that isn't known here may be newer than what is: only one whose end is known is
-        // over. Tasks that the owner had started just before it ended were stopped here, since the
-        // follow hadn't brought their jobs yet, and started again by its successor.
-        let over = |task: &TaskId| match self.store.mirror.jobs.get(&task.job) {
+        // A process that started in a partitioned zone knows no token, or an outdated one. It then
+        // answers with the worker's own token, which only renews the worker's lease.
+        let known = record
+            .map(|record| record.token)
+            .filter(|token| token.0 >= heartbeat.token);
+        let from_worker =
+            Some(FencingToken(heartbeat.token)).filter(|token| is_stale && token.0 > 0);
+        let token = known.or(from_worker)?;
+        // A job that is missing from the mirror may be newer than the mirror, so a job counts as
+        // over only if its cancellation or end is known. Otherwise, tasks that the owner had
+        // started just before it failed were stopped here, since the watch hadn't delivered their
+        // jobs yet, and were started again by the next owner.
+        let is_over = |task: &TaskId| match self.store.mirror.jobs.get(&task.job) {
             Some(job) => job.cancelled.is_some(),
             None => self.store.mirror.ending(&task.job).is_some(),
         };
-        let halts = heartbeat.tasks.iter().filter_map(|t| {
-            let task = TaskId::parse(&t.task)?;
-            let runs = t.status != TaskStatus::Ended;
-            (runs && over(&task)).then(|| Command::Stop {
-                task: t.task.clone(),
-                attempt: t.attempt,
+        let stops = heartbeat.tasks.iter().filter_map(|listed| {
+            let task = TaskId::parse(&listed.task)?;
+            let is_running = listed.status != TaskStatus::Ended;
+            (is_running && is_over(&task)).then(|| Command::Stop {
+                task: listed.task.clone(),
+                attempt: listed.attempt,
                 grace_s: 0.0,
             })
         });
-        let halts: Vec<Command> = halts.collect();
-        Some(Reply::ok(200, commands_body(token, &halts)))
+        let stops: Vec<Command> = stops.collect();
+        Some(Reply::ok(200, commands_body(token, &stops)))
     }
 
-    /// Sends a worker to its shard's owner, if it is known.
+    /// Redirects a worker to its shard's owner. The redirect names no owner unless one is known and
+    /// surely runs.
     pub(crate) fn redirect(&mut self, request_id: RequestId, machine: &MachineId) {
         let owner = self.owner_of(machine);
-        let owner = owner.filter(|h| self.surely_runs(h));
+        let owner = owner.filter(|owner| self.is_surely_running(owner));
         self.answer(request_id, Reply::ok(421, redirect_body(owner.as_ref())));
     }
 
-    /// Whether an owner runs for sure: it was heard just now or, where it hasn't been for
-    /// longer than a takeover takes, its record stands all the same. Workers sent to one that
-    /// is dead lose half of their lease.
-    fn surely_runs(&self, owner: &ControllerId) -> bool {
+    /// Whether an owner surely runs: a heartbeat from it came just now or, if there was none for
+    /// longer than a takeover takes, its record is still in a fresh mirror. Workers that are
+    /// redirected to an owner that is down lose half of their lease.
+    fn is_surely_running(&self, owner: &ControllerId) -> bool {
         let takeover_s = self.settings.tuning.leader_lease_s + TAKEOVER_MARGIN_S;
-        let heard = self.peers.heartbeats.get(owner).map(|(_, at)| *at);
-        let peers_unreachable = heard.is_none_or(|at| self.now.since(at) > takeover_s);
-        self.heartbeat_fresh(owner) || peers_unreachable && !self.is_stale()
+        let last_heartbeat = self.peers.heartbeats.get(owner).map(|(_, at)| *at);
+        let outlasted_takeover = last_heartbeat.is_none_or(|at| self.now.since(at) > takeover_s);
+        self.heartbeat_fresh(owner) || outlasted_takeover && !self.is_stale()
     }
 
-    /// The owner's answer to a heartbeat that was forwarded to it.
-    pub(crate) fn on_forwarded_response(&mut self, answer: ForwardedResponse) {
-        let request_id = RequestId(answer.request_id);
-        if answer.incarnation != self.incarnation {
+    /// Processes the owner's response to a heartbeat that was forwarded to it.
+    pub(crate) fn on_forwarded_response(&mut self, response: ForwardedResponse) {
+        let request_id = RequestId(response.request_id);
+        if response.incarnation != self.incarnation {
             return;
         }
-        let Some(forwarded) = self.forwarding.out.remove(&request_id) else {
+        let Some(forward) = self.forwarding.outgoing.remove(&request_id) else {
             return;
         };
-        if answer.status == 421 {
-            // It doesn't hold the shard any more; who does is soon known here.
-            return self.without_owner(forwarded.ownerless(request_id));
+        if response.status == 421 {
+            // That controller no longer owns the shard. The new owner is known here soon.
+            return self.handle_ownerless(forward.into_ownerless(request_id));
         }
         let reply = Reply {
-            status: answer.status,
-            body: answer.body,
-            retry_after: answer.retry_after,
+            status: response.status,
+            body: response.body,
+            retry_after: response.retry_after,
         };
         self.answer(request_id, reply);
     }
 
+    /// Answers a request on its connection, or through the peer that forwarded it.
     pub(crate) fn answer(&mut self, request_id: RequestId, reply: Reply) {
-        let Some(forwarded) = self.forwarding.forwarded_in.remove(&request_id) else {
+        let Some(forward) = self.forwarding.incoming.remove(&request_id) else {
             return self.outbox.push(Output::Answer(request_id, reply));
         };
-        let answer = ForwardedResponse {
-            incarnation: forwarded.incarnation,
-            request_id: forwarded.request_id.0,
+        let response = ForwardedResponse {
+            incarnation: forward.incarnation,
+            request_id: forward.request_id.0,
             status: reply.status,
             body: reply.body,
             retry_after: reply.retry_after,
         };
-        let message = Message::ForwardedResponse(answer);
-        self.outbox.send_to_peer(Some(forwarded.from), message);
+        let message = Message::ForwardedResponse(response);
+        self.outbox.send_to_peer(Some(forward.from), message);
     }
 
+    /// Drops a heartbeat that waits for an owner or a forwarded response, after its worker has
+    /// disconnected.
     pub(crate) fn forget_heartbeat(&mut self, request_id: RequestId) {
         self.forwarding
             .ownerless
-            .retain(|l| l.request_id != request_id);
-        self.forwarding.out.remove(&request_id);
+            .retain(|ownerless| ownerless.request_id != request_id);
+        self.forwarding.outgoing.remove(&request_id);
     }
 }
