--- a/src/controller/forwarding.rs
+++ b/src/controller/forwarding.rs
@@ -401,8 +401,8 @@
         let has_usable_owner = self.usable_owner_for(&ownerless).is_some();
         let has_timed_out = self.now.since(ownerless.received_at) >= OWNERLESS_WAIT_MAX_S;
         let is_starting = !self.store.initial_list_done();
-        let sockets = self.settings.platform.facts.resources.max_sockets;
-        let is_queue_full = self.forwarding.ownerless.len() >= sockets;
+        let sockets_max = self.settings.platform.facts.resources.max_sockets;
+        let is_queue_full = self.forwarding.ownerless.len() >= sockets_max;
         // A controller that reaches no peer doesn't learn of a new owner. Workers whose heartbeats
         // waited at a controller that was partitioned from the others lost their leases.
         let is_isolated = self.peers_unreachable() && self.age_s() > RECENT_S;
@@ -447,12 +447,12 @@
         }
         // A process that started in a partitioned zone knows no token, or an outdated one. It then
         // answers with the worker's own token, which only renews the worker's lease.
-        let known = record
+        let known_token = record
             .map(|record| record.token)
             .filter(|token| token.0 >= heartbeat.token);
-        let from_worker =
+        let worker_token =
             Some(FencingToken(heartbeat.token)).filter(|token| is_stale && token.0 > 0);
-        let token = known.or(from_worker)?;
+        let token = known_token.or(worker_token)?;
         // A job that is missing from the mirror may be newer than the mirror, so a job counts as
         // over only if its cancellation or end is known. Otherwise, tasks that the owner had
         // started just before it failed were stopped here, since the watch hadn't delivered their
--- a/src/controller/machines/failures.rs
+++ b/src/controller/machines/failures.rs
@@ -47,14 +47,14 @@
     /// Failed tries since a task of the job last succeeded.
     tries: u32,
     /// Machine and time of the latest failure.
-    last: Option<(MachineId, Time)>,
+    last_failure: Option<(MachineId, Time)>,
     /// Machines on which the job has failed, up to `FAILED_MACHINES_MAX`.
     machines: BTreeSet<MachineId>,
 }
 
 impl JobFailures {
     fn record(&mut self, now: Time, machine: &MachineId) {
-        let last = self.last.replace((machine.clone(), now));
+        let last = self.last_failure.replace((machine.clone(), now));
         let is_same_try = last.is_some_and(|(last_machine, at)| {
             last_machine == *machine && now.since(at) < SAME_TRY_S
         });
--- a/src/controller/machines/heartbeats.rs
+++ b/src/controller/machines/heartbeats.rs
@@ -138,7 +138,7 @@
             .any(|binding| binding.record.kind == JobKind::Batch);
         let poll_s = context.settings.long_poll_s(has_batch_tasks);
         // A worker that doesn't have this shard's token yet is answered at once, to get it.
-        if poll_s <= 0.0 || !machine.token_acknowledged {
+        if poll_s <= 0.0 || !machine.has_acknowledged_token {
             return false;
         }
         let deadline = match machine.is_full() {
@@ -380,7 +380,7 @@
             (heartbeat.agent_epoch, heartbeat.sequence, now);
         let is_first_for_owner = self.first_heartbeat.is_none();
         self.first_heartbeat.get_or_insert(now);
-        self.token_acknowledged |= shows_token;
+        self.has_acknowledged_token |= shows_token;
         if is_first_of_machine {
             self.ready_since = Some(now);
             self.empty_since.get_or_insert(now);
--- a/src/controller/machines/inventory.rs
+++ b/src/controller/machines/inventory.rs
@@ -43,7 +43,7 @@
     /// Sequence number of the newest heartbeat within its epoch.
     pub sequence: u64,
     /// Whether a heartbeat has carried this shard's token.
-    pub token_acknowledged: bool,
+    pub has_acknowledged_token: bool,
     pub last_heartbeat: Time,
     /// When this owner received its first heartbeat from the machine.
     pub first_heartbeat: Option<Time>,
@@ -96,7 +96,7 @@
             ready_since: None,
             agent_epoch: 0,
             sequence: 0,
-            token_acknowledged: false,
+            has_acknowledged_token: false,
             last_heartbeat: now,
             first_heartbeat: None,
             forwarded_by: None,
--- a/src/controller/machines/liveness.rs
+++ b/src/controller/machines/liveness.rs
@@ -93,7 +93,7 @@
         let mut expired = Vec::new();
         for (id, machine) in self.machines.iter() {
             let expires_at = machine.last_answered_at.after(lease_s);
-            let can_expire = machine.token_acknowledged
+            let can_expire = machine.has_acknowledged_token
                 && machine.long_poll.is_none()
                 && !machine.tasks.is_empty();
             // A store read that was sent after the expiry has to show that this controller still
@@ -208,7 +208,7 @@
             if is_exempt || silent_s <= usual_s * NEARLY_SILENT_FRACTION {
                 continue;
             }
-            let is_provable = machine.token_acknowledged || machine.tasks.is_empty();
+            let is_provable = machine.has_acknowledged_token || machine.tasks.is_empty();
             let silence_max_s = match (is_provable, unreachable.contains(&machine.forwarded_by)) {
                 (true, false) => usual_s,
                 (true, true) => unreachable_controller_s,
@@ -262,7 +262,7 @@
         for (id, machine) in self
             .machines
             .iter()
-            .filter(|(_, machine)| !machine.token_acknowledged)
+            .filter(|(_, machine)| !machine.has_acknowledged_token)
         {
             let is_overdue = machine
                 .first_heartbeat
