--- a/src/controller/api/mod.rs
+++ b/src/controller/api/mod.rs
@@ -174,7 +174,7 @@
     pub(crate) fn on_disconnect(&mut self, request_id: RequestId) {
         self.context.forget_heartbeat(request_id);
         for owner in self.shards.values_mut() {
-            owner.forget_request(request_id);
+            owner.drop_long_poll(request_id);
         }
     }
 
--- a/src/controller/autoscaling/demand.rs
+++ b/src/controller/autoscaling/demand.rs
@@ -111,7 +111,7 @@
         let mut slow_pools = self.slow_pools(catalog, settings.tuning.boot, now);
         let with_kept_room = |pool| {
             let count = PoolCount {
-                keep: self.kept_room(pool, catalog, settings.tuning.headroom, now),
+                keep: self.headroom_machines(pool, catalog, settings.tuning.headroom, now),
                 ..PoolCount::default()
             };
             (pool, count)
@@ -143,8 +143,8 @@
         now: Time,
     ) -> bool {
         let lease_s = settings.platform.facts.workers.lease_s;
-        let quiet = now.since(machine.last_heartbeat.max(self.since)) > lease_s;
-        let partitioned = self.mass_partition || self.partitioned_zones.contains(&machine.zone);
+        let quiet = now.since(machine.last_heartbeat.max(self.owned_since)) > lease_s;
+        let partitioned = self.is_mass_partition || self.partitioned_zones.contains(&machine.zone);
         let silent =
             machine.ready_since.is_some() && machine.long_poll.is_none() && quiet && !partitioned;
         silent || self.boots_longer_than(settings.tuning.boot, catalog, machine, now)
--- a/src/controller/autoscaling/machines.rs
+++ b/src/controller/autoscaling/machines.rs
@@ -210,7 +210,7 @@
         if self.deleted_machines.contains_key(&id) {
             return;
         }
-        if self.whole && !self.machines.contains_key(&id) {
+        if self.is_only_shard && !self.machines.contains_key(&id) {
             let mut machine = Machine::new(catalog, &listed.class, &listed.zone, listed.spot, now);
             let age_ms = (listed.age_s().max(0.0) * 1000.0) as u64;
             machine.since = Time(now.0.saturating_sub(age_ms));
@@ -237,7 +237,7 @@
     /// Machines that should be listed by now and aren't, and never sent a heartbeat, are
     /// gone or were never created. Absence proves nothing, so they are deleted.
     fn decommission_unlisted(&mut self, now: Time, settled_s: f64, listed: &BTreeSet<&str>) {
-        let since = self.since;
+        let since = self.owned_since;
         let settled = |machine: &Machine| now.since(machine.since.max(since)) > settled_s;
         let booting = self.machines.booting();
         let missing =
@@ -278,7 +278,7 @@
         self.machines.remove(id);
         self.failures.forget_machine(id);
         self.deleted_machines.insert(id.clone(), now);
-        self.scheduling_wanted = true;
+        self.needs_scheduling = true;
         long_poll.map(|(request_id, _)| request_id)
     }
 }
--- a/src/controller/autoscaling/mod.rs
+++ b/src/controller/autoscaling/mod.rs
@@ -61,12 +61,12 @@
             let tick_s = self.context.settings.tuning.tick_s;
             self.context.next_counts_at = self.context.now.after(tick_s * COUNTS_INTERVAL_SHARE);
             self.send_counts();
-            self.lease_housekeeping();
+            self.update_shard_records();
         }
         if self.context.cloud.catalog.is_empty() {
             return;
         }
-        let several_shards = self.shards.values().any(|shard| !shard.whole);
+        let several_shards = self.shards.values().any(|shard| !shard.is_only_shard);
         if self.context.lease_valid() || several_shards {
             self.context.list_machines();
         }
@@ -106,7 +106,7 @@
             shard
                 .machines
                 .edit_all(|machine| machine.resolve_machine_type(catalog));
-            shard.scheduling_wanted = true;
+            shard.needs_scheduling = true;
         }
     }
 }
--- a/src/controller/autoscaling/reconcile.rs
+++ b/src/controller/autoscaling/reconcile.rs
@@ -143,7 +143,7 @@
     /// Adds up what the shards' owners count. Types that the catalog doesn't have are left out.
     fn count_fleet(&self) -> FleetCounts {
         let mut fleet = FleetCounts::default();
-        for shard_counts in self.believed_counts() {
+        for shard_counts in self.valid_counts() {
             for (type_name, spot, count) in &shard_counts.pools {
                 if let Some(pool) = self.pool_named(type_name, *spot) {
                     let by_shard = fleet.counts.entry(pool).or_default();
--- a/src/controller/autoscaling/scale_out.rs
+++ b/src/controller/autoscaling/scale_out.rs
@@ -81,7 +81,7 @@
     /// New machines join the only shard at once, or the machines to be assigned to one.
     fn add_machines(&mut self, record: &ScaleOutRecord, machines: Vec<MachineId>) {
         let now = self.context.now;
-        let only_shard = self.shards.values_mut().find(|shard| shard.whole);
+        let only_shard = self.shards.values_mut().find(|shard| shard.is_only_shard);
         if let Some(shard) = only_shard {
             for id in machines {
                 if !shard.machines.contains_key(&id) && !shard.deleted_machines.contains_key(&id) {
@@ -105,7 +105,7 @@
                 record.spot,
             ));
         }
-        self.lease_housekeeping();
+        self.update_shard_records();
     }
 }
 
--- a/src/controller/forwarding.rs
+++ b/src/controller/forwarding.rs
@@ -131,7 +131,7 @@
     let listed = shards
         .iter()
         .find(|(_, shard)| shard.machines.contains_key(id));
-    let whole = || shards.iter().find(|(_, shard)| shard.whole);
+    let whole = || shards.iter().find(|(_, shard)| shard.is_only_shard);
     let found = listed.or_else(whole).map(|(shard, _)| *shard);
     shards.get_mut(&found?)
 }
--- a/src/controller/leadership/standby.rs
+++ b/src/controller/leadership/standby.rs
@@ -104,7 +104,7 @@
         else {
             return;
         };
-        if !owner.whole {
+        if !owner.is_only_shard {
             return;
         }
         self.context.hint_sender.due = Time(self.context.now.0 + pause_ms);
@@ -183,7 +183,7 @@
         let Some((age_ms, estimates)) = context.standby.hints().estimates(context.now.0) else {
             return;
         };
-        if !self.whole {
+        if !self.is_only_shard {
             return;
         }
         info!("estimates adopted from hints, age_ms={age_ms}");
@@ -192,9 +192,9 @@
 
     fn estimates_for_peers(&self, now: Time, catalog: &[MachineType]) -> Estimates {
         let named = |class: usize| catalog.get(class).map(|c| c.name.clone());
-        let boots = self.boots.iter();
+        let boots = self.boot_averages_s.iter();
         let boots = boots.filter_map(|(class, boot_s)| Some((named(*class)?, *boot_s)));
-        let bursts = self.bursts.iter().filter_map(|(pool, burst)| {
+        let bursts = self.burst_estimates.iter().filter_map(|(pool, burst)| {
             let machine_type = pool.type_in(catalog)?;
             let squares = burst.decayed(now, machine_type.ready_s);
             Some((machine_type.name.clone(), pool.is_spot(), squares))
@@ -215,15 +215,15 @@
         let class_of = |name: &str| catalog.iter().position(|c| c.name == name);
         for (name, boot_s) in &estimates.boots {
             if let Some(class) = class_of(name) {
-                self.boots.insert(class, *boot_s);
+                self.boot_averages_s.insert(class, *boot_s);
             }
         }
         let told_at = Time(now.0.saturating_sub(age_ms));
         for (name, spot, squares) in &estimates.bursts {
             if let Some(class) = class_of(name) {
                 let pool = Pool::of(class, *spot);
-                self.bursts
-                    .insert(pool, BurstEstimate::observed(told_at, *squares));
+                self.burst_estimates
+                    .insert(pool, BurstEstimate::from_hint(told_at, *squares));
             }
         }
     }
--- a/src/controller/machines/commands.rs
+++ b/src/controller/machines/commands.rs
@@ -95,7 +95,7 @@
             match (placement.stop_requested, placement.phase) {
                 (None, Phase::Ready) if starts => {
                     (placement.phase, placement.since) = (Phase::Sent, now);
-                    placement.sends += 1;
+                    placement.send_count += 1;
                     out.push(Command::Start {
                         task: task.to_string(),
                         attempt: placement.attempt,
@@ -146,7 +146,9 @@
         let chunk = l.layout.chunk_of(task.index);
         t.cause == Some(Cause::Done)
             && l.cancelled.is_none()
-            && l.chunks.get(&chunk).is_some_and(|c| c.unwritten)
+            && l.chunks
+                .get(&chunk)
+                .is_some_and(|c| c.has_unwritten_results)
     });
     (!unwritten).then_some(Command::Clear {
         task: name,
--- a/src/controller/machines/heartbeats.rs
+++ b/src/controller/machines/heartbeats.rs
@@ -68,7 +68,7 @@
             self.apply_hinted_images(id, context.standby.hints(), &context.cloud.catalog);
         }
         if outcome.first_ever {
-            self.scheduling_wanted = true;
+            self.needs_scheduling = true;
             self.record_boot(&context.cloud.catalog, id, now);
         }
         if let Some((old, until)) = outcome.waiting {
@@ -186,7 +186,7 @@
                 // again, so it has dropped that answer for good. The same attempt
                 // was never there, so it can be sent once more.
                 Phase::Sent
-                    if placement.stop_requested.is_none() && placement.sends < SENDS_MAX =>
+                    if placement.stop_requested.is_none() && placement.send_count < SENDS_MAX =>
                 {
                     placement.phase = Phase::Ready;
                 }
@@ -218,8 +218,8 @@
         };
         if placement.phase == phase {
             let runs_well = phase == Phase::Running && now.since(placement.since) > RUNS_WELL_S;
-            if runs_well && !placement.runs_well {
-                placement.runs_well = true;
+            if runs_well && !placement.is_proven_healthy {
+                placement.is_proven_healthy = true;
                 self.task_succeeded(now, id, task);
             }
             return;
@@ -264,8 +264,8 @@
             Some(Cause::Unknown) => {
                 // Its description isn't there yet, or never will be.
                 if let Some(job_state) = self.jobs.get_mut(&task.job) {
-                    job_state.unknown_starts += 1;
-                    let pauses = job_state.unknown_starts.min(UNKNOWN_PAUSES);
+                    job_state.unknown_job_refusals += 1;
+                    let pauses = job_state.unknown_job_refusals.min(UNKNOWN_PAUSES);
                     job_state.not_before = now.after(UNKNOWN_PAUSE_S * f64::from(pauses));
                 }
             }
--- a/src/controller/machines/liveness.rs
+++ b/src/controller/machines/liveness.rs
@@ -67,7 +67,7 @@
             .values()
             .filter(|machine| machine.ready_since.is_some())
             .count();
-        let settled = context.now.since(self.since) > FIRST_HEARTBEAT_S;
+        let settled = context.now.since(self.owned_since) > FIRST_HEARTBEAT_S;
         let workers_unreachable =
             up >= 2 && settled && context.now.since(self.last_worker_heartbeat) > patience;
         workers_unreachable
@@ -133,7 +133,7 @@
                 };
                 // A new owner sees only after a while which zones are partitioned. Counting
                 // from the cancellation, it deleted the machines of one at once.
-                if now.since(at.max(self.since)) > cancel_s * share {
+                if now.since(at.max(self.owned_since)) > cancel_s * share {
                     late.insert(placement.machine.clone());
                 }
             }
@@ -160,7 +160,7 @@
         let zones_partitioned_at = self.zones_partitioned_at;
         let zones_come_back = zones_partitioned_at.is_some_and(|at| now.since(at) < lease_s);
         for machine in silent {
-            let least_s = match (self.mass_partition, machine.kept_alive) {
+            let least_s = match (self.is_mass_partition, machine.kept_alive) {
                 (_, true) => KEPT_ALIVE_SILENT_LEASES * lease_s,
                 (true, false) => MASS_SILENT_LEASES * lease_s,
                 (false, false) => 0.0,
@@ -169,7 +169,7 @@
             // for for ever: those that went meanwhile look as if it went on.
             let given_up = machine.silent_s > KEPT_ALIVE_SILENT_LEASES * lease_s;
             let calm = now.since(partitioned_before) > machine.patience_s;
-            let late = (self.mass_partition && !zones_come_back) || given_up || calm;
+            let late = (self.is_mass_partition && !zones_come_back) || given_up || calm;
             if machine.silent_s > machine.patience_s.max(least_s) && late {
                 self.decommission(now, &machine.id, DecommissionReason::Silent);
             }
@@ -188,7 +188,9 @@
         let controller_unreachable_s = context.settings.silent_s(true);
         let mut silent = Vec::new();
         for (id, machine) in self.machines.iter() {
-            let silent_s = context.now.since(machine.last_heartbeat.max(self.since));
+            let silent_s = context
+                .now
+                .since(machine.last_heartbeat.max(self.owned_since));
             let waits = machine.ready_since.is_none() || machine.long_poll.is_some();
             if waits || silent_s <= usual_s * NEARLY_SILENT {
                 continue;
@@ -220,9 +222,9 @@
         let ready = machines
             .filter(|machine| machine.ready_since.is_some())
             .count();
-        self.mass_partition =
+        self.is_mass_partition =
             silent as f64 > (FEW_SILENT_SHARE * ready as f64).max(FEW_SILENT_LEAST);
-        if self.mass_partition || !self.partitioned_zones.is_empty() {
+        if self.is_mass_partition || !self.partitioned_zones.is_empty() {
             self.partitioned_at = now;
         }
     }
@@ -233,7 +235,7 @@
     pub(crate) fn check_unacknowledged(&mut self, context: &Context) {
         let lease_s = context.settings.platform.facts.workers.lease_s;
         let (now, is_stale) = (context.now, context.is_stale());
-        if is_stale || self.mass_partition {
+        if is_stale || self.is_mass_partition {
             return;
         }
         let mut unacknowledged = Vec::new();
@@ -290,7 +292,10 @@
         for machine in self.machines.values().filter(staying) {
             let count = zones.entry(&machine.zone).or_default();
             count.0 += 1;
-            let quiet = context.now.since(machine.last_heartbeat.max(self.since)) > quiet_s;
+            let quiet = context
+                .now
+                .since(machine.last_heartbeat.max(self.owned_since))
+                > quiet_s;
             count.1 += usize::from(quiet && machine.long_poll.is_none());
         }
         let cut = |(all, quiet): (usize, usize)| {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -145,7 +145,7 @@
         for job_state in self.shards.values().flat_map(|h| h.jobs.values()) {
             let tasks = job_state.queued() as usize;
             queue.waiting_for_others +=
-                usize::from(job_state.cancelled.is_none() && !job_state.released);
+                usize::from(job_state.cancelled.is_none() && !job_state.is_released);
             queue.waiting_for_room += usize::from(tasks > 0);
             queue.tasks += tasks;
         }
--- a/src/controller/peers/heartbeats.rs
+++ b/src/controller/peers/heartbeats.rs
@@ -62,7 +62,7 @@
         let late = held.flat_map(|h| {
             h.machines
                 .iter()
-                .map(move |(id, machine)| (h.since, id, machine))
+                .map(move |(id, machine)| (h.owned_since, id, machine))
         });
         let late = late.filter(|(since, _, machine)| {
             !machine.tasks.is_empty()
--- a/src/controller/quota/cells/mod.rs
+++ b/src/controller/quota/cells/mod.rs
@@ -69,7 +69,7 @@
         }
         // The shards may use a share that has just come, and have to leave one that another cell
         // needs: their records change at once.
-        self.lease_housekeeping();
+        self.update_shard_records();
     }
 
     /// Counts the shards owned here again if their records have changed since. Counted only every
--- a/src/controller/quota/cells/views.rs
+++ b/src/controller/quota/cells/views.rs
@@ -75,7 +75,7 @@
 
     /// Each shard's quota shares with its owner's counts under them.
     fn current_counts(&self) -> Option<Vec<CountedShard<'_>>> {
-        let latest_counts = self.believed_counts();
+        let latest_counts = self.valid_counts();
         let shards = self.store.mirror.shards.iter();
         let counts = shards.map(|(shard, slot)| {
             let quota_shares = slot.record.as_ref()?.quota_shares.as_ref()?;
--- a/src/controller/scheduling/consolidation.rs
+++ b/src/controller/scheduling/consolidation.rs
@@ -35,10 +35,10 @@
     /// shrink otherwise.
     pub(crate) fn consolidate(&mut self, context: &mut Context) {
         let now = context.now;
-        if context.is_stale() || now < self.consolidate_at {
+        if context.is_stale() || now < self.next_consolidation_at {
             return;
         }
-        self.consolidate_at = now.after(context.settings.tuning.tick_s);
+        self.next_consolidation_at = now.after(context.settings.tuning.tick_s);
         let cordoned = self.cordon_spare_machines(context);
         for Move { machine, tasks } in self.possible_moves(context, &cordoned) {
             info!(
@@ -59,7 +59,7 @@
             let job_state = self.jobs.get(id);
             job_state.is_some_and(|job| job.record.priority_class > PriorityClass::Normal)
         };
-        let room_to_spare = !self.mass_partition && !self.waiting.iter().any(urgent);
+        let room_to_spare = !self.is_mass_partition && !self.waiting.iter().any(urgent);
         let spare = if room_to_spare {
             let headroom = context.settings.tuning.headroom;
             spare_machines(self, &context.cloud.catalog, headroom, context.now)
@@ -138,7 +138,7 @@
     let mut spare = BTreeSet::new();
     for (pool, mut machines) in pools {
         machines.sort_by(|(share_a, _), (share_b, _)| share_a.total_cmp(share_b));
-        let kept_room = shard.kept_room(pool, catalog, headroom, now);
+        let kept_room = shard.headroom_machines(pool, catalog, headroom, now);
         let mut free: f64 = machines
             .iter()
             .map(|(used_share, _)| 1.0 - used_share)
--- a/src/controller/scheduling/mod.rs
+++ b/src/controller/scheduling/mod.rs
@@ -74,7 +74,7 @@
             return;
         }
         self.next_cycle_at = Time(context.now.0 + CYCLE_INTERVAL_MIN_MS);
-        self.scheduling_wanted = false;
+        self.needs_scheduling = false;
         let queue = self.queue_order(context);
         if queue.is_empty() {
             return;
@@ -89,7 +89,7 @@
         context.machines_scanned += cycle.machines_scanned;
         context.placed += cycle.placed;
         if cycle.tasks_left == 0 {
-            self.scheduling_wanted = true;
+            self.needs_scheduling = true;
         }
         for job in unplaced {
             self.preempt_for(context, &job, &mut cycle);
@@ -101,7 +101,7 @@
         let now = context.now;
         // Pauses of failing jobs, of machines and of batch work end without any event.
         let due = now.since(self.next_cycle_at) > CYCLE_INTERVAL_MAX_S && !self.waiting.is_empty();
-        let wanted = self.scheduling_wanted || due;
+        let wanted = self.needs_scheduling || due;
         wanted
             && !context.is_stale()
             && !context.cloud.catalog.is_empty()
@@ -116,7 +116,7 @@
         let mut queue = Vec::new();
         for id in &self.waiting {
             let job_state = &self.jobs[id];
-            if context.now >= job_state.not_before && !job_state.finishing {
+            if context.now >= job_state.not_before && !job_state.is_finishing {
                 queue.push(QueuePosition {
                     priority_class: Reverse(job_state.record.priority_class),
                     beyond_guarantee: !within_guarantee(self, &context.settings, job_state),
@@ -219,7 +219,7 @@
         }
         let index = self.jobs.get_mut(id).and_then(JobState::next_queued)?;
         // All tasks of a crash-looping job at once took room on every machine at each attempt.
-        let held_back = self.failures.on_probation(id) && self.jobs[id].trying();
+        let held_back = self.failures.on_probation(id) && self.jobs[id].has_unproven_task();
         (!held_back).then_some(index)
     }
 
--- a/src/controller/scheduling/preemption.rs
+++ b/src/controller/scheduling/preemption.rs
@@ -154,6 +154,6 @@
 /// all their work, and were needed or waited themselves soon after, again and again.
 fn yields_to(record: &JobRecord, job_state: &JobState) -> bool {
     !job_state.inherits_priority_class()
-        || record.priority_class < job_state.own_priority_class
+        || record.priority_class < job_state.submitted_priority_class
         || record.checkpoint_s > 0.0
 }
--- a/src/controller/scheduling/scoring.rs
+++ b/src/controller/scheduling/scoring.rs
@@ -316,8 +316,9 @@
 /// machines waits for one rather than use that room.
 fn full_pools(shard: &ShardOwner, catalog: &[MachineType], headroom: f64, now: Time) -> Vec<Pool> {
     let on_demand = (0..catalog.len()).map(|machine_type| Pool::of(machine_type, false));
-    let full =
-        |pool: &Pool| shard.machines.free(*pool) < shard.kept_room(*pool, catalog, headroom, now);
+    let full = |pool: &Pool| {
+        shard.machines.free(*pool) < shard.headroom_machines(*pool, catalog, headroom, now)
+    };
     on_demand.filter(full).collect()
 }
 
--- a/src/controller/shard/admission.rs
+++ b/src/controller/shard/admission.rs
@@ -112,13 +112,13 @@
         let Some(job_state) = self.jobs.get_mut(id) else {
             return;
         };
-        if job_state.released || job_state.cancelled.is_some() {
+        if job_state.is_released || job_state.cancelled.is_some() {
             return;
         }
         match context.store.mirror.dependency_state(&job.record) {
             DependencyState::Open | DependencyState::Unknown => {}
             DependencyState::Met => {
-                job_state.released = true;
+                job_state.is_released = true;
                 job_state.since = now;
                 if !job.record.dependencies.is_empty() {
                     info!("job released, its dependencies are done, job={id}");
@@ -132,7 +132,7 @@
                 self.record_image_use(now, &job.record);
                 if self.jobs[id].queued() > 0 {
                     self.waiting.insert(id.clone());
-                    self.scheduling_wanted = true;
+                    self.needs_scheduling = true;
                 }
             }
             DependencyState::Cancelled => {
@@ -226,9 +226,9 @@
             phase: Phase::Doubt,
             since: now,
             stop_requested: None,
-            sends: 0,
+            send_count: 0,
             // An earlier owner has seen it start: that it runs is no news of its machine.
-            runs_well: true,
+            is_proven_healthy: true,
         };
         self.add_placement(job, index, placement);
     }
--- a/src/controller/shard/burst_estimate.rs
+++ b/src/controller/shard/burst_estimate.rs
@@ -40,7 +40,7 @@
 
 impl BurstEstimate {
     /// What the previous owner estimated, at that moment.
-    pub(crate) fn observed(at: Time, squares: f64) -> Self {
+    pub(crate) fn from_hint(at: Time, squares: f64) -> Self {
         Self { squares, at }
     }
 
@@ -96,7 +96,7 @@
         record: &JobRecord,
     ) {
         if let Some(ServiceSize { pool, machines }) = service_size(catalog, exhausted, record) {
-            let burst = self.bursts.entry(pool).or_default();
+            let burst = self.burst_estimates.entry(pool).or_default();
             burst.add(now, catalog[pool.machine_type].ready_s, machines);
         }
     }
@@ -109,7 +109,7 @@
         exhausted: &[ExhaustedPool],
     ) {
         let mut squares: BTreeMap<Pool, f64> = BTreeMap::new();
-        let active = |job_state: &&JobState| job_state.cancelled.is_none() && job_state.released;
+        let active = |job_state: &&JobState| job_state.cancelled.is_none() && job_state.is_released;
         for job_state in self.jobs.values().filter(active) {
             let size = service_size(catalog, exhausted, &job_state.record);
             if let Some(ServiceSize { pool, machines }) = size {
@@ -117,13 +117,14 @@
             }
         }
         let estimate = |(pool, sum)| (pool, BurstEstimate::of_running(now, sum));
-        self.bursts = squares.into_iter().map(estimate).collect();
+        self.burst_estimates = squares.into_iter().map(estimate).collect();
     }
 
     /// How long a machine of a type usually takes to boot: no less than the catalog says,
     /// and longer when boots have taken longer lately.
     pub(crate) fn usual_boot_s(&self, machine_type: Option<usize>, ready_s: f64) -> f64 {
-        let average_s = machine_type.and_then(|machine_type| self.boots.get(&machine_type));
+        let average_s =
+            machine_type.and_then(|machine_type| self.boot_averages_s.get(&machine_type));
         let average_s = average_s.copied().unwrap_or(ready_s);
         average_s.clamp(ready_s, ready_s * BOOT_FACTOR_MAX)
     }
@@ -132,11 +133,11 @@
     pub(crate) fn observe_boot_time(&mut self, machine_type: usize, ready_s: f64, took_s: f64) {
         let usual_s = self.usual_boot_s(Some(machine_type), ready_s);
         let average_s = usual_s + (took_s - usual_s) * BOOT_AVERAGE_WEIGHT;
-        self.boots.insert(machine_type, average_s);
+        self.boot_averages_s.insert(machine_type, average_s);
     }
 
     /// Machines' worth of room to keep free for urgent starts.
-    pub(crate) fn kept_room(
+    pub(crate) fn headroom_machines(
         &self,
         pool: Pool,
         catalog: &[MachineType],
@@ -145,7 +146,7 @@
     ) -> f64 {
         let machine_type = pool.type_in(catalog);
         let boot_s = machine_type.map_or(1.0, |machine_type| machine_type.ready_s.max(1.0));
-        let burst = self.bursts.get(&pool);
+        let burst = self.burst_estimates.get(&pool);
         let deviation = burst.map_or(0.0, |burst| burst.deviation(now, boot_s));
         (headroom * deviation).max(1.0)
     }
--- a/src/controller/shard/commits.rs
+++ b/src/controller/shard/commits.rs
@@ -194,7 +194,8 @@
         // What came in meanwhile is still to be written.
         let entry = |urgency| (urgency, item.job.clone(), item.chunk);
         let mut urgencies = WriteUrgency::ALL.into_iter();
-        chunk.unwritten = urgencies.any(|urgency| self.write_queue.contains(&entry(urgency)));
+        chunk.has_unwritten_results =
+            urgencies.any(|urgency| self.write_queue.contains(&entry(urgency)));
         mark_committed(now, job_state, &item.placed)
     }
 
@@ -347,15 +348,25 @@
         };
         info!("placement records split into parts, job={job} reason=larger than the store's limit");
         job_state.layout = ChunkLayout::new(&job_state.record, Some(chunk_size(value_bytes)));
-        let unwritten = job_state.chunks.iter().filter(|(_, c)| c.unwritten);
+        let unwritten = job_state
+            .chunks
+            .iter()
+            .filter(|(_, c)| c.has_unwritten_results);
         let mut chunks: BTreeSet<u32> = unwritten.map(|(chunk, _)| *chunk).collect();
         let queued = self.write_queue.iter().filter(|(_, id, _)| id == job);
         chunks.extend(queued.map(|(_, _, chunk)| *chunk));
         self.write_queue.retain(|(_, id, _)| id != job);
         for chunk in chunks {
-            let unwritten = job_state.chunks.get(&chunk).is_some_and(|c| c.unwritten);
+            let unwritten = job_state
+                .chunks
+                .get(&chunk)
+                .is_some_and(|c| c.has_unwritten_results);
             for part in job_state.layout.chunks_for(chunk) {
-                job_state.chunks.entry(part).or_default().unwritten |= unwritten;
+                job_state
+                    .chunks
+                    .entry(part)
+                    .or_default()
+                    .has_unwritten_results |= unwritten;
             }
             queue_chunk(&mut self.write_queue, job, job_state, chunk);
         }
--- a/src/controller/shard/completion.rs
+++ b/src/controller/shard/completion.rs
@@ -27,7 +27,7 @@
         let (mut cancelled, mut done) = (Vec::new(), Vec::new());
         let jobs = self.ready_to_end_jobs.iter();
         for (id, job_state) in jobs.filter_map(|id| Some((id, self.jobs.get(id)?))) {
-            if job_state.finishing || job_state.chunks.values().any(|c| c.busy) {
+            if job_state.is_finishing || job_state.chunks.values().any(|c| c.busy) {
                 continue;
             }
             // The user of a cancelled job is told with its end. By then no task of it is left, and
@@ -81,7 +81,7 @@
         let purpose = RequestPurpose::Shard(self.ownership(), request);
         let sent = context.send_store_request(op, purpose, priority).is_ok();
         if let Some(job_state) = self.jobs.get_mut(id) {
-            job_state.finishing = sent;
+            job_state.is_finishing = sent;
         }
         sent
     }
@@ -122,11 +122,11 @@
         let Some(job_state) = self.jobs.get_mut(&id) else {
             return;
         };
-        job_state.finishing = false;
+        job_state.is_finishing = false;
         // The watch brings the end; a conflict means that a cancellation came first,
         // and anything else is tried again.
         if let StoreResponse::Committed { .. } = reply {
-            job_state.finishing = true;
+            job_state.is_finishing = true;
         } else if let StoreResponse::Conflict { failed } = reply {
             warn!(
                 "job end not written, job={id} reason={} records changed",
--- a/src/controller/shard/job.rs
+++ b/src/controller/shard/job.rs
@@ -34,9 +34,9 @@
     pub since: Time,
     /// When it was first told to stop, if it was.
     pub stop_requested: Option<Time>,
-    pub sends: u32,
+    pub send_count: u32,
     /// It has run for so long that neither its job nor its machine can be at fault.
-    pub runs_well: bool,
+    pub is_proven_healthy: bool,
 }
 
 impl Placement {
@@ -49,8 +49,8 @@
             phase: Phase::Committing,
             since: now,
             stop_requested: None,
-            sends: 0,
-            runs_well: false,
+            send_count: 0,
+            is_proven_healthy: false,
         }
     }
 }
@@ -60,7 +60,7 @@
 pub(crate) struct JobState {
     pub record: Rc<JobRecord>,
     /// The rank that it was submitted with; `record` may have a higher one, of a job that depends on it.
-    pub own_priority_class: PriorityClass,
+    pub submitted_priority_class: PriorityClass,
     /// In which records its tasks are.
     pub layout: ChunkLayout,
     pub revision: u64,
@@ -69,17 +69,17 @@
     pub since: Time,
     pub cancelled: Option<Time>,
     /// Whether all jobs that it depends on are known to be done. Until then nothing of it starts.
-    pub released: bool,
+    pub is_released: bool,
     pub done: Vec<bool>,
     pub done_count: u32,
     pub placed: BTreeMap<u32, Placement>,
     /// No queued task has an index below this one.
     pub queue_from: u32,
     pub chunks: BTreeMap<u32, Chunk>,
-    pub finishing: bool,
+    pub is_finishing: bool,
     pub not_before: Time,
     /// Starts that machines refused for not knowing the job.
-    pub unknown_starts: u32,
+    pub unknown_job_refusals: u32,
     /// Room is being made by stopping others until then.
     pub preempting_until: Time,
 }
@@ -90,28 +90,28 @@
     pub revision: u64,
     pub busy: bool,
     /// Finished tasks that aren't written yet; their results aren't cleared.
-    pub unwritten: bool,
+    pub has_unwritten_results: bool,
 }
 
 impl JobState {
     pub(crate) fn new(job: &MirroredJob, layout: ChunkLayout, now: Time) -> Self {
         Self {
             record: job.record.clone(),
-            own_priority_class: job.record.priority_class,
+            submitted_priority_class: job.record.priority_class,
             layout,
             revision: job.revision,
             arrival: job.revision,
             since: now,
             cancelled: job.cancelled,
-            released: false,
+            is_released: false,
             done: vec![false; job.record.count as usize],
             done_count: 0,
             placed: BTreeMap::new(),
             queue_from: 0,
             chunks: BTreeMap::new(),
-            finishing: false,
+            is_finishing: false,
             not_before: now,
-            unknown_starts: 0,
+            unknown_job_refusals: 0,
             preempting_until: now,
         }
     }
@@ -130,7 +130,7 @@
 
     /// Whether its rank is that of a job that depends on it.
     pub(crate) fn inherits_priority_class(&self) -> bool {
-        self.record.priority_class > self.own_priority_class
+        self.record.priority_class > self.submitted_priority_class
     }
 
     pub(crate) fn is_queued(&self, index: u32) -> bool {
@@ -159,13 +159,15 @@
     }
 
     /// Whether one of its tasks has been started and may yet fail.
-    pub(crate) fn trying(&self) -> bool {
-        self.placed.values().any(|placement| !placement.runs_well)
+    pub(crate) fn has_unproven_task(&self) -> bool {
+        self.placed
+            .values()
+            .any(|placement| !placement.is_proven_healthy)
     }
 
     /// How many tasks wait for a machine: none while the job waits for others.
     pub(crate) fn queued(&self) -> u32 {
-        if self.cancelled.is_some() || !self.released {
+        if self.cancelled.is_some() || !self.is_released {
             return 0;
         }
         (self.record.count - self.done_count).saturating_sub(self.placed.len() as u32)
--- a/src/controller/shard/mod.rs
+++ b/src/controller/shard/mod.rs
@@ -51,9 +51,9 @@
     /// The revision of the shard's record that is known here; every write rests on it.
     pub shard_revision: u64,
     /// When this ownership began.
-    pub since: Time,
+    pub owned_since: Time,
     /// Whether it is the only shard, with every machine there is in it.
-    pub whole: bool,
+    pub is_only_shard: bool,
     /// Zones of which so many machines are silent that they are taken to be partitioned.
     pub(crate) partitioned_zones: BTreeSet<Rc<str>>,
     /// When there last was one.
@@ -65,7 +65,7 @@
     /// Whether the limits are shared with other cells.
     pub(crate) shares_limits: bool,
     /// Attempts made under this token.
-    pub(crate) count: u64,
+    pub(crate) attempts_made: u64,
     /// The shard's jobs that aren't over.
     pub jobs: BTreeMap<JobId, JobState>,
     /// Its machines.
@@ -73,21 +73,21 @@
     /// What each team uses here.
     pub(crate) teams: HashMap<String, Resources>,
     /// How services' demand for each pool comes.
-    pub(crate) bursts: BTreeMap<Pool, BurstEstimate>,
+    pub(crate) burst_estimates: BTreeMap<Pool, BurstEstimate>,
     /// What failed, and whom it speaks against.
     pub(crate) failures: FailureLog,
     /// How long machines of each type have taken to boot lately.
-    pub(crate) boots: BTreeMap<usize, f64>,
+    pub(crate) boot_averages_s: BTreeMap<usize, f64>,
     /// Images of services.
     pub(crate) images: HashMap<Image, ImageDemand>,
     /// Jobs with queued tasks.
     pub(crate) waiting: BTreeSet<JobId>,
     /// Something has changed that scheduling depends on.
-    pub(crate) scheduling_wanted: bool,
+    pub(crate) needs_scheduling: bool,
     /// No scheduling cycle before this.
     pub(crate) next_cycle_at: Time,
     /// When machines are next emptied.
-    pub(crate) consolidate_at: Time,
+    pub(crate) next_consolidation_at: Time,
     /// Chunks to write, by urgency.
     pub(crate) write_queue: WriteQueue,
     /// Transactions of placements without a response yet.
@@ -105,7 +105,7 @@
     /// When the latest heartbeat of any machine came.
     pub(crate) last_worker_heartbeat: Time,
     /// Whether so many machines are silent that they are partitioned rather than down.
-    pub(crate) mass_partition: bool,
+    pub(crate) is_mass_partition: bool,
     /// When that was last so. Machines get time from then to come back.
     pub(crate) partitioned_at: Time,
 }
@@ -116,25 +116,25 @@
             shard,
             token,
             shard_revision: 0,
-            since: now,
-            whole: true,
+            owned_since: now,
+            is_only_shard: true,
             partitioned_zones: BTreeSet::new(),
             zones_partitioned_at: None,
             unreachable_at: BTreeMap::new(),
             quota_shares: None,
             shares_limits,
-            count: 0,
+            attempts_made: 0,
             jobs: BTreeMap::new(),
             machines: Inventory::default(),
             teams: HashMap::new(),
-            bursts: BTreeMap::new(),
+            burst_estimates: BTreeMap::new(),
             failures: FailureLog::default(),
-            boots: BTreeMap::new(),
+            boot_averages_s: BTreeMap::new(),
             images: HashMap::new(),
             waiting: BTreeSet::new(),
-            scheduling_wanted: true,
+            needs_scheduling: true,
             next_cycle_at: now,
-            consolidate_at: now,
+            next_consolidation_at: now,
             write_queue: BTreeSet::new(),
             writes_in_flight: 0,
             ready_to_end_jobs: BTreeSet::new(),
@@ -143,7 +143,7 @@
             long_poll_deadlines: BTreeSet::new(),
             deleted_machines: BTreeMap::new(),
             last_worker_heartbeat: now,
-            mass_partition: false,
+            is_mass_partition: false,
             partitioned_at: now,
         }
     }
@@ -177,13 +177,13 @@
         catalog: &[MachineType],
     ) {
         self.shard_revision = revision;
-        self.whole = record.machines.is_none();
+        self.is_only_shard = record.machines.is_none();
         self.quota_shares = record.quota_shares.clone();
         if self.shares_limits {
             // Until the shard's record says what it may use, it may use nothing.
             self.quota_shares.get_or_insert_default();
         }
-        self.scheduling_wanted = true;
+        self.needs_scheduling = true;
         let Some(list) = &record.machines else {
             return;
         };
@@ -195,7 +195,7 @@
         }
     }
 
-    pub(crate) fn forget_request(&mut self, request_id: RequestId) {
+    pub(crate) fn drop_long_poll(&mut self, request_id: RequestId) {
         let held = self
             .long_poll_deadlines
             .iter()
@@ -223,8 +223,8 @@
     }
 
     pub(crate) fn next_attempt(&mut self) -> Attempt {
-        self.count += 1;
-        Attempt::new(self.token, self.count)
+        self.attempts_made += 1;
+        Attempt::new(self.token, self.attempts_made)
     }
 
     /// Enters a placement: its room and quota count from now on.
@@ -269,7 +269,7 @@
                 machine.rebind(&task, &job_state.record);
             });
         }
-        self.scheduling_wanted = true;
+        self.needs_scheduling = true;
     }
 
     /// Whether a task's start was never sent and no commit of it is under way: it can't be on
@@ -320,7 +320,7 @@
             job_state.queue_from = job_state.queue_from.min(task.index);
             self.waiting.insert(task.job.clone());
         }
-        self.scheduling_wanted = true;
+        self.needs_scheduling = true;
     }
 
     /// Notes a finished task.
@@ -334,7 +334,11 @@
         }
         job_state.done_count += 1;
         let chunk = job_state.layout.chunk_of(task.index);
-        job_state.chunks.entry(chunk).or_default().unwritten = true;
+        job_state
+            .chunks
+            .entry(chunk)
+            .or_default()
+            .has_unwritten_results = true;
         let all = job_state.done_count == job_state.record.count;
         if all && job_state.cancelled.is_none() {
             self.ready_to_end_jobs.insert(task.job.clone());
--- a/src/controller/shard/transaction.rs
+++ b/src/controller/shard/transaction.rs
@@ -103,7 +103,7 @@
             shard.write_queue.remove(&entry);
             continue;
         };
-        if job_state.finishing || job_state.chunks.get(chunk).is_some_and(|c| c.busy) {
+        if job_state.is_finishing || job_state.chunks.get(chunk).is_some_and(|c| c.busy) {
             continue;
         }
         let record = shard.placement_record(job, job_state, *chunk);
--- a/src/controller/shards/counts.rs
+++ b/src/controller/shards/counts.rs
@@ -39,7 +39,7 @@
     }
 
     /// Counts that are believed: of the present owner, and not too old.
-    pub(crate) fn believed_counts(&self) -> Vec<&ShardCounts> {
+    pub(crate) fn valid_counts(&self) -> Vec<&ShardCounts> {
         let stale = self.settings.tuning.tick_s * STALE_TICKS;
         let Some(leadership) = &self.leadership else {
             return Vec::new();
--- a/src/controller/shards/leases.rs
+++ b/src/controller/shards/leases.rs
@@ -16,7 +16,7 @@
 
 impl Controller {
     /// Commits what has to change about the leases, all at once.
-    pub(crate) fn lease_housekeeping(&mut self) {
+    pub(crate) fn update_shard_records(&mut self) {
         let Some(leadership) = &self.context.leadership else {
             return;
         };
@@ -95,7 +95,7 @@
     }
 
     /// Whatever came of it, the watch shows it, and the next look goes on from there.
-    pub(crate) fn on_leased(&mut self, _reply: StoreResponse) {
+    pub(crate) fn on_shard_records_written(&mut self, _reply: StoreResponse) {
         if let Some(leadership) = &mut self.leadership {
             leadership.busy = false;
         }
--- a/src/controller/shards/quota_shares.rs
+++ b/src/controller/shards/quota_shares.rs
@@ -150,7 +150,7 @@
         };
         let marks = self.store.mirror.shards.iter();
         let marks: BTreeMap<u32, u64> = marks.map(|(k, b)| (*k, b.revision)).collect();
-        let all = self.believed_counts();
+        let all = self.valid_counts();
         let current = |t: &&&ShardCounts| marks.get(&t.shard) == Some(&t.revision);
         let told: BTreeMap<u32, &ShardCounts> =
             all.iter().filter(current).map(|t| (t.shard, *t)).collect();
--- a/src/controller/shards/splitting.rs
+++ b/src/controller/shards/splitting.rs
@@ -60,7 +60,7 @@
     ) {
         let machines: u32 = self
             .context
-            .believed_counts()
+            .valid_counts()
             .iter()
             .flat_map(|t| &t.zones)
             .map(|(_, _, _, n)| n)
--- a/src/controller/store_requests.rs
+++ b/src/controller/store_requests.rs
@@ -115,7 +115,7 @@
                 self.on_shard_response(ownership, request, response);
             }
             RequestPurpose::WritePlan => context.on_plan_written(response),
-            RequestPurpose::UpdateShards => context.on_leased(response),
+            RequestPurpose::UpdateShards => context.on_shard_records_written(response),
             RequestPurpose::CellChange => context.on_cell_changed(response),
         }
     }
