--- a/src/controller/shard/admission.rs
+++ b/src/controller/shard/admission.rs
@@ -1,4 +1,4 @@
-//! Jobs come into a shard, are cancelled there, and leave it.
+//! Adds jobs to a shard, reacts to changes of their records, and removes them.
 
 use crate::controller::context::Context;
 use crate::controller::dependencies::graph::DependencyState;
@@ -12,17 +12,17 @@
 use std::collections::BTreeSet;
 
 impl ShardOwner {
-    /// A new owner's start: all that earlier ones committed is known, and nothing
-    /// of it is believed to have ended without proof.
+    /// Builds the state of a new owner from the mirror, which has everything that earlier owners
+    /// committed. Placements count as occupied until there is proof that their tasks have ended.
     pub(crate) fn rebuild_from_mirror(&mut self, context: &mut Context) {
         let shard = self.shard;
-        let of_shard = |j: &MirroredJob| j.record.shard == shard;
+        let is_of_shard = |job: &MirroredJob| job.record.shard == shard;
         let jobs = context
             .store
             .mirror
             .jobs
             .iter()
-            .filter(|(_, j)| of_shard(j));
+            .filter(|(_, job)| is_of_shard(job));
         let ids: Vec<JobId> = jobs.map(|(id, _)| id.clone()).collect();
         for id in ids {
             self.on_job_changed(context, &id);
@@ -35,8 +35,7 @@
             .keys()
             .filter(|(id, _)| !jobs.contains_key(id));
         let leftover_placements: Vec<_> = leftover_placements.cloned().collect();
-        // Chunks without a job belong to no shard; the first one's owner clears
-        // them away.
+        // A chunk without a job belongs to no shard. The owner of shard 0 deletes these chunks.
         self.leftover_placements = if shard == 0 {
             leftover_placements
         } else {
@@ -52,7 +51,7 @@
         self.adopt_hinted_estimates(context);
     }
 
-    /// A job was accepted, or its record changed.
+    /// Handles a job that was accepted, or whose record changed.
     pub(crate) fn on_job_changed(&mut self, context: &mut Context, id: &JobId) {
         let Some(job) = context.store.mirror.jobs.get(id) else {
             return;
@@ -67,42 +66,48 @@
         }
     }
 
-    /// Takes in a job, with what earlier owners wrote of it.
+    /// Adds a job, with the results, placements and failures that earlier owners committed.
     fn admit(&mut self, context: &mut Context, id: &JobId) {
         let now = context.now;
         let Some(job) = context.store.mirror.jobs.get(id) else {
             return;
         };
-        let (runs, layout) = context.store.mirror.effective_placements(id, &job.record);
+        let (placement_records, layout) =
+            context.store.mirror.effective_placements(id, &job.record);
         let mut job_state = JobState::new(job, layout, now);
         job_state.set_priority_class(job.priority_class);
         let mut unconfirmed = Vec::new();
-        for (chunk, revision, run) in runs {
+        for (chunk, revision, placement_record) in placement_records {
             job_state.chunks.entry(chunk).or_default().revision = revision;
-            job_state.restore_done(&run.done);
-            unconfirmed.extend(run.placed.iter().cloned());
-            self.failures
-                .restore(now, id, run.failed_tries, &run.failed_on);
+            job_state.restore_done(&placement_record.done);
+            unconfirmed.extend(placement_record.placed.iter().cloned());
+            self.failures.restore(
+                now,
+                id,
+                placement_record.failed_tries,
+                &placement_record.failed_on,
+            );
         }
-        let cancelled = job_state.cancelled.is_some();
-        let all_done = job_state.done_count == job_state.record.count;
+        let is_cancelled = job_state.cancelled.is_some();
+        let is_all_done = job_state.done_count == job_state.record.count;
         self.jobs.insert(id.clone(), job_state);
         for placed in unconfirmed {
             self.add_unconfirmed_placement(now, id, placed);
         }
-        if cancelled {
-            // It was cancelled under an earlier owner, whose stops may never have
-            // gone out: this one has to send its own.
+        if is_cancelled {
+            // An earlier owner may not have sent the stop commands before it lost the shard, so
+            // they are sent again.
             return self.stop_cancelled(context, id);
         }
-        if all_done {
+        if is_all_done {
             self.ready_to_end_jobs.insert(id.clone());
         }
         self.on_dependencies_changed(context, id);
     }
 
-    /// Something changed for a job through one that it depends on or that depends on it: it may start, it is
-    /// cancelled, or its rank is another.
+    /// Handles a change of the jobs that a job depends on, or that depend on it. The job is
+    /// released once its dependencies are done, is cancelled with a dependency, or gets another
+    /// priority class.
     pub(crate) fn on_dependencies_changed(&mut self, context: &mut Context, id: &JobId) {
         let now = context.now;
         let Some(job) = context.store.mirror.jobs.get(id) else {
@@ -136,30 +141,30 @@
                 }
             }
             DependencyState::Cancelled => {
-                info!("job cancelled with a dependency, job={id}");
+                info!("job cancelled because a dependency was cancelled, job={id}");
                 job_state.cancelled = Some(now);
                 self.stop_cancelled(context, id);
             }
         }
     }
 
-    /// A job's record is gone: it ended, and its end is committed.
+    /// Removes a job whose record was deleted, which is part of the commit of its end.
     pub(crate) fn on_job_removed(&mut self, context: &Context, id: &JobId) {
         let leftover: Vec<_> = context
             .store
             .mirror
             .chunks(id)
-            .map(|(c, _)| (id.clone(), c))
+            .map(|(chunk, _)| (id.clone(), chunk))
             .collect();
         let now = context.now;
         self.leftover_placements.extend(leftover);
         let Some(job_state) = self.jobs.get(id) else {
             return;
         };
-        let all = job_state.cancelled.is_none();
+        let is_done = job_state.cancelled.is_none();
         info!(
             "job ended, job={id} ending={}",
-            if all { "done" } else { "cancelled" }
+            if is_done { "done" } else { "cancelled" }
         );
         let tasks: Vec<u32> = job_state.placed.keys().copied().collect();
         for index in tasks {
@@ -173,19 +178,19 @@
         self.write_queue.retain(|(_, job, _)| job != id);
     }
 
-    /// Stops every task of a cancelled job: nothing they do is of use any more.
+    /// Stops all tasks of a cancelled job, and removes the placements whose start was never sent.
     fn stop_cancelled(&mut self, context: &mut Context, id: &JobId) {
         let now = context.now;
         self.waiting.remove(id);
         let Some(job_state) = self.jobs.get_mut(id) else {
             return;
         };
-        let mut was_never_sent = Vec::new();
+        let mut never_sent = Vec::new();
         let mut machines = BTreeSet::new();
         for (index, placement) in &mut job_state.placed {
             placement.stop_requested.get_or_insert(now);
             match placement.phase {
-                Phase::Ready => was_never_sent.push(*index),
+                Phase::Ready => never_sent.push(*index),
                 _ => {
                     machines.insert(placement.machine.clone());
                 }
@@ -194,7 +199,7 @@
         if job_state.placed.is_empty() {
             self.ready_to_end_jobs.insert(id.clone());
         }
-        for index in was_never_sent {
+        for index in never_sent {
             let job = id.clone();
             self.remove_placement(now, &TaskId { job, index });
         }
@@ -205,7 +210,8 @@
 }
 
 impl ShardOwner {
-    /// Enters a placement of an earlier owner: it counts until it is proven gone.
+    /// Adds a placement of an earlier owner. It occupies its machine until there is proof that the
+    /// task has ended.
     fn add_unconfirmed_placement(
         &mut self,
         now: Time,
@@ -213,21 +219,22 @@
         (index, attempt, machine, zone): Placed,
     ) {
         if !self.machines.contains_key(&machine) && !self.deleted_machines.contains_key(&machine) {
-            // Known by name only until it heartbeats. If it never does, it is
-            // deleted, which proves its tasks gone.
-            let mut known = Machine::new(&[], "", &zone, false, now);
-            known.ready_since = Some(now);
-            self.machines.insert(machine.clone(), known);
+            // Only the machine's name and zone are known until its first heartbeat. If no heartbeat
+            // arrives, the machine is deleted, which proves that its tasks have ended.
+            let mut machine_state = Machine::new(&[], "", &zone, false, now);
+            machine_state.ready_since = Some(now);
+            self.machines.insert(machine.clone(), machine_state);
         }
         let placement = Placement {
             machine,
             zone: zone.as_str().into(),
             attempt,
-            phase: Phase::Doubt,
+            phase: Phase::Unconfirmed,
             since: now,
             stop_requested: None,
             send_count: 0,
-            // An earlier owner has seen it start: that it runs is no news of its machine.
+            // An earlier owner may have credited the machine for this task already, so that the
+            // task doesn't count in favor of its machine again.
             is_proven_healthy: true,
         };
         self.add_placement(job, index, placement);
--- a/src/controller/shard/burst_estimate.rs
+++ b/src/controller/shard/burst_estimate.rs
@@ -1,64 +1,64 @@
-//! How services' demand for each pool varies, and how long machines take to boot. Both give the
-//! room to keep free for urgent starts.
+//! Estimates of how services' demand for each pool varies, and of how long machines take to boot.
+//! The room that is kept free for urgent starts is derived from both.
 
 use crate::controller::autoscaling::pool_selection::{pool_for, tasks_per_machine};
 use crate::controller::pool::Pool;
 use crate::controller::shard::job::JobState;
-use crate::controller::shard::{ShardOwner, decayed};
+use crate::controller::shard::{ShardOwner, decay};
 use crate::controller::store::records::{ExhaustedPool, JobKind, JobRecord};
 use crate::ids::Time;
 use crate::wire::MachineType;
 use std::collections::BTreeMap;
 
-/// How unevenly services' demand for a pool arrives: the sum of the squares of the jobs' sizes, in
-/// machines, with older ones decayed.
+/// Variability of services' demand for a pool: the sum of the squared sizes of the services that
+/// arrived, in machines, with exponential decay.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct BurstEstimate {
-    /// The sum.
+    /// The decayed sum as of `at`, in machines squared.
     squares: f64,
-    /// When the sum was last brought up to date.
+    /// When `squares` was last updated.
     at: Time,
 }
 
-/// Weight of the latest boot in the moving average of a type's boots.
+/// Weight of the latest boot in the moving average of a machine type's boot times.
 const BOOT_AVERAGE_WEIGHT: f64 = 0.2;
-/// How many times longer than the catalog says the average may become: some machines never become
-/// ready, and are paid for until they are deleted.
+/// Upper bound of the average boot time, as a multiple of the catalog's. Some machines never become
+/// ready, and they cost money until they are deleted, so the average must not grow without bound.
 const BOOT_FACTOR_MAX: f64 = 2.0;
-/// Half-life of demand, in boot times.
+/// Half-life of recorded demand, in boot times.
 const BURST_HALF_LIFE_BOOTS: f64 = 2.0;
-/// How many boot times a service is taken to run, where only those that run now are known.
+/// Assumed lifetime of a service, in boot times, where only the running services are known.
 const SERVICE_LIFETIME_BOOTS: f64 = 5.0;
 
-/// A service's pool, and its size there in machines.
+/// The pool of a service, and the size of the service there.
 struct ServiceSize {
-    /// The pool.
     pool: Pool,
-    /// How many of its machines the service fills.
+    /// How many machines of the pool the service fills.
     machines: f64,
 }
 
 impl BurstEstimate {
-    /// What the previous owner estimated, at that moment.
+    /// The estimate of the previous owner, as of `at`.
     pub(crate) fn from_hint(at: Time, squares: f64) -> Self {
         Self { squares, at }
     }
 
-    /// The sum of squares, decayed until now.
+    /// The sum of squares, with decay up to `now`.
     pub(crate) fn decayed(&self, now: Time, boot_s: f64) -> f64 {
         let half_life_s = BURST_HALF_LIFE_BOOTS * boot_s;
-        decayed(self.squares, now.since(self.at), half_life_s)
+        decay(self.squares, now.since(self.at), half_life_s)
     }
 
-    /// Adds a job of so many machines.
+    /// Adds a service that fills `machines` machines.
     fn add(&mut self, now: Time, boot_s: f64, machines: f64) {
         self.squares = self.decayed(now, boot_s) + machines * machines;
         self.at = now;
     }
 
-    /// What a new owner assumes of the demand before it: that the running services came and went
-    /// at the rate that their number and lifetime imply.
-    fn of_running(now: Time, squares: f64) -> Self {
+    /// The estimate of an owner that knows only the running services. It assumes that services
+    /// have arrived and ended at the constant rate that their number and
+    /// [`SERVICE_LIFETIME_BOOTS`] imply.
+    fn from_running_services(now: Time, squares: f64) -> Self {
         Self {
             squares: squares / SERVICE_LIFETIME_BOOTS * BURST_HALF_LIFE_BOOTS
                 / std::f64::consts::LN_2,
@@ -66,15 +66,17 @@
         }
     }
 
-    /// The standard deviation of demand, jobs coming and going, over a boot time: what
-    /// may be needed in addition before a machine scaled out for it is ready.
+    /// The standard deviation of the change in demand over one boot time, in machines, from
+    /// services that arrive and services that end. This is how much demand may grow before a
+    /// machine that is rented in response is ready.
     pub(crate) fn deviation(&self, now: Time, boot_s: f64) -> f64 {
-        let per_boot = self.decayed(now, boot_s) * std::f64::consts::LN_2 / BURST_HALF_LIFE_BOOTS;
-        (2.0 * per_boot).sqrt()
+        let squares_per_boot =
+            self.decayed(now, boot_s) * std::f64::consts::LN_2 / BURST_HALF_LIFE_BOOTS;
+        (2.0 * squares_per_boot).sqrt()
     }
 }
 
-/// The pool and size of a service; `None` for batch jobs and where no pool fits.
+/// The pool and size of a service. `None` for batch jobs, and for services that fit no pool.
 fn service_size(
     catalog: &[MachineType],
     exhausted: &[ExhaustedPool],
@@ -87,7 +89,7 @@
 }
 
 impl ShardOwner {
-    /// Adds a job that arrived to the estimate of its pool.
+    /// Adds a job that arrived to the estimate of its pool, if the job is a service.
     pub(crate) fn record_demand(
         &mut self,
         now: Time,
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Estimates demand from the services that run now.
+    /// Replaces all estimates by those derived from the running services.
     pub(crate) fn estimate_demand(
         &mut self,
         now: Time,
@@ -109,19 +111,20 @@
         exhausted: &[ExhaustedPool],
     ) {
         let mut squares: BTreeMap<Pool, f64> = BTreeMap::new();
-        let active = |job_state: &&JobState| job_state.cancelled.is_none() && job_state.is_released;
-        for job_state in self.jobs.values().filter(active) {
+        let is_active =
+            |job_state: &&JobState| job_state.cancelled.is_none() && job_state.is_released;
+        for job_state in self.jobs.values().filter(is_active) {
             let size = service_size(catalog, exhausted, &job_state.record);
             if let Some(ServiceSize { pool, machines }) = size {
                 *squares.entry(pool).or_default() += machines * machines;
             }
         }
-        let estimate = |(pool, sum)| (pool, BurstEstimate::of_running(now, sum));
+        let estimate = |(pool, sum)| (pool, BurstEstimate::from_running_services(now, sum));
         self.burst_estimates = squares.into_iter().map(estimate).collect();
     }
 
-    /// How long a machine of a type usually takes to boot: no less than the catalog says,
-    /// and longer when boots have taken longer lately.
+    /// How long a machine of a type is expected to boot, in seconds: the moving average of recent
+    /// boots, but at least the catalog's `ready_s` and at most [`BOOT_FACTOR_MAX`] times that.
     pub(crate) fn usual_boot_s(&self, machine_type: Option<usize>, ready_s: f64) -> f64 {
         let average_s =
             machine_type.and_then(|machine_type| self.boot_averages_s.get(&machine_type));
@@ -129,14 +132,15 @@
         average_s.clamp(ready_s, ready_s * BOOT_FACTOR_MAX)
     }
 
-    /// Adds a boot to the moving average of its type.
+    /// Adds a boot that took `took_s` seconds to the moving average of its machine type.
     pub(crate) fn observe_boot_time(&mut self, machine_type: usize, ready_s: f64, took_s: f64) {
         let usual_s = self.usual_boot_s(Some(machine_type), ready_s);
         let average_s = usual_s + (took_s - usual_s) * BOOT_AVERAGE_WEIGHT;
         self.boot_averages_s.insert(machine_type, average_s);
     }
 
-    /// Machines' worth of room to keep free for urgent starts.
+    /// How much room of a pool to keep free for urgent starts, in machines: at least one.
+    /// `headroom` is the number of standard deviations of demand to cover.
     pub(crate) fn headroom_machines(
         &self,
         pool: Pool,
--- a/src/controller/shard/commits.rs
+++ b/src/controller/shard/commits.rs
@@ -1,4 +1,4 @@
-//! How placements, results and ends are committed.
+//! Commits placements and results to the store, and handles the responses.
 
 use crate::controller::context::Context;
 use crate::controller::rate_limits::token_bucket::Priority;
@@ -13,25 +13,27 @@
 use log::{debug, info, warn};
 use std::collections::BTreeSet;
 
-/// One chunk in a commit, with the placements that it makes good.
+/// A chunk in a commit, with the attempts that are committed by it.
 #[derive(Debug)]
 pub(crate) struct PlacementWrite {
     pub job: JobId,
     pub chunk: u32,
+    /// Index and attempt of each placed task.
     pub placed: Vec<(u32, Attempt)>,
 }
 
-/// How soon a chunk is to be written; the smaller comes first.
+/// How urgently a chunk is to be written. The smaller value is the more urgent one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum WriteUrgency {
-    /// Placements of jobs of this rank wait for the commit, the highest rank first.
+    /// The chunk has placements that are waiting for the commit. A higher priority class of the job
+    /// is more urgent.
     Placements(std::cmp::Reverse<PriorityClass>),
-    /// Results only: nothing starts later for them.
+    /// The chunk has only results to write, so that no start is delayed.
     Results,
 }
 
 impl WriteUrgency {
-    /// Every urgency there is, the most urgent first.
+    /// All urgencies, the most urgent first.
     pub(crate) const ALL: [Self; 5] = [
         Self::placements(PriorityClass::Critical),
         Self::placements(PriorityClass::Urgent),
@@ -40,14 +42,14 @@
         Self::Results,
     ];
 
-    /// The urgency of placements of a job of this rank.
+    /// The urgency of placements of a job with this priority class.
     pub(crate) const fn placements(priority_class: PriorityClass) -> Self {
         Self::Placements(std::cmp::Reverse(priority_class))
     }
 
-    /// What the commit has to leave of the budgets. Batch work leaves enough for an urgent
-    /// start to be committed at once: with a guest's array and swarm under way, urgent starts
-    /// waited for seconds behind their commits.
+    /// The priority of the commit at the store's rate limits. Commits of batch work leave enough
+    /// budget for an urgent start to be committed at once. Without this reserve, urgent starts
+    /// waited for seconds behind the commits of another team's array and many small jobs.
     pub(crate) fn priority(self) -> Priority {
         match self {
             Self::Placements(std::cmp::Reverse(priority_class)) => write_priority(priority_class),
@@ -56,7 +58,7 @@
     }
 }
 
-/// The priority of what is committed for a job of this rank.
+/// The priority of commits for a job with this priority class.
 pub(crate) fn write_priority(priority_class: PriorityClass) -> Priority {
     if priority_class > PriorityClass::Normal {
         Priority::Usual
@@ -65,14 +67,17 @@
     }
 }
 
-/// Chunks to write, the most urgent first.
+/// Chunks to write, the most urgent first: urgency, job, and number of the chunk.
 pub(crate) type WriteQueue = BTreeSet<(WriteUrgency, JobId, u32)>;
 
-/// Commits of chunks under way at once, and how many more there may be for urgent ones.
+/// Maximum number of placement transactions in flight, where none of them is urgent.
 const WRITES_IN_FLIGHT_MAX: usize = 4;
+/// How many more transactions may be in flight for urgent placements.
 const URGENT_WRITES_IN_FLIGHT_MAX: usize = 2;
 
 impl Context {
+    /// The limits of the store. Its announced future value size applies as soon as the store has
+    /// refused a value for its size.
     fn transaction_limits(&self) -> TransactionLimits {
         let strict = self.settings.state_limits();
         let value_bytes = if self.store.values_shrunk {
@@ -89,7 +94,8 @@
 }
 
 impl ShardOwner {
-    /// Commits chunks, several to a transaction, the most urgent first.
+    /// Commits job ends and queued chunks while the budgets last. A transaction has several chunks;
+    /// the most urgent ones go first.
     pub(crate) fn write_placements(&mut self, context: &mut Context) {
         self.write_job_ends(context);
         loop {
@@ -99,14 +105,15 @@
                 return;
             };
             let priority = urgency.priority();
-            // A larger transaction would leave a debt that urgent ones have to wait out.
-            let largest = context.store.change_limit.largest_call(priority) as usize;
-            limits.ops = limits.ops.min(largest);
-            let most = match priority {
+            // A larger transaction would overdraw the budget, and urgent ones would have to wait
+            // until it has recovered.
+            let ops_max = context.store.change_limit.largest_call(priority) as usize;
+            limits.ops = limits.ops.min(ops_max);
+            let writes_in_flight_max = match priority {
                 Priority::Last => WRITES_IN_FLIGHT_MAX,
                 _ => WRITES_IN_FLIGHT_MAX + URGENT_WRITES_IN_FLIGHT_MAX,
             };
-            if self.writes_in_flight >= most
+            if self.writes_in_flight >= writes_in_flight_max
                 || !context.store.request_limit.has(now, 1.0, priority)
                 || !context.store.change_limit.has(now, 1.0, priority)
             {
@@ -124,7 +131,7 @@
                 Err(RequestPurpose::Shard(_, ShardRequest::WritePlacements(items))) => {
                     items
                         .iter()
-                        .for_each(|i| self.requeue_write(&i.job, i.chunk));
+                        .for_each(|item| self.requeue_write(&item.job, item.chunk));
 
                     return;
                 }
@@ -133,6 +140,7 @@
         }
     }
 
+    /// Handles the response to a transaction of chunks.
     pub(crate) fn on_placements_written(
         &mut self,
         context: &mut Context,
@@ -150,19 +158,20 @@
                 items.len()
             );
         }
-        let mut ready = BTreeSet::new();
+        let mut ready_machines = BTreeSet::new();
         let mut conflicts = Vec::new();
         for item in &items {
             match &reply {
                 StoreResponse::Committed { revision } => {
-                    ready.extend(self.on_chunk_written(context.now, item, *revision));
+                    ready_machines.extend(self.on_chunk_written(context.now, item, *revision));
                 }
                 StoreResponse::Conflict { failed } => {
                     if self.on_chunk_conflict(context.now, item, failed) {
                         conflicts.push((item.job.clone(), item.chunk));
                     }
                 }
-                // Not executed, or perhaps: the same conditions make it happen once.
+                // The transaction may or may not have been executed. Its preconditions make the
+                // retry fail if it was.
                 _ => self.requeue_write(&item.job, item.chunk),
             }
         }
@@ -173,12 +182,13 @@
         for (job, chunk) in conflicts {
             self.reread_placements(context, job, chunk);
         }
-        for machine in ready {
+        for machine in ready_machines {
             self.answer_long_poll(context, &machine);
         }
     }
 
-    /// A chunk's record was written: its placements may be sent. Returns their machines.
+    /// Marks a chunk's placements as committed, so that their starts may be sent. Returns their
+    /// machines.
     fn on_chunk_written(
         &mut self,
         now: Time,
@@ -189,9 +199,9 @@
             return Vec::new();
         };
         let chunk = job_state.chunks.entry(item.chunk).or_default();
-        chunk.busy = false;
+        chunk.is_request_in_flight = false;
         chunk.revision = revision;
-        // What came in meanwhile is still to be written.
+        // Results that arrived during the commit have queued the chunk again.
         let entry = |urgency| (urgency, item.job.clone(), item.chunk);
         let mut urgencies = WriteUrgency::ALL.into_iter();
         chunk.has_unwritten_results =
@@ -199,14 +209,18 @@
         mark_committed(now, job_state, &item.placed)
     }
 
-    /// A transaction failed by its preconditions. Whether this chunk's record is another than
-    /// expected, and has to be read.
+    /// Handles a chunk of a transaction that failed by a precondition. Returns whether the chunk's
+    /// record isn't the expected one and has to be read.
     fn on_chunk_conflict(&mut self, now: Time, item: &PlacementWrite, failed: &[Key]) -> bool {
         let Some(job_state) = self.jobs.get_mut(&item.job) else {
             return false;
         };
         let chunk_changed = failed.contains(&Key::Placements(item.job.clone(), item.chunk));
-        job_state.chunks.entry(item.chunk).or_default().busy = chunk_changed;
+        job_state
+            .chunks
+            .entry(item.chunk)
+            .or_default()
+            .is_request_in_flight = chunk_changed;
         if chunk_changed {
             return true;
         }
@@ -218,8 +232,8 @@
         false
     }
 
-    /// Reads a chunk whose revision isn't the expected one: an earlier commit whose
-    /// answer was lost stands after all.
+    /// Reads a chunk whose revision isn't the expected one, because an earlier commit whose
+    /// response was lost has been executed.
     fn reread_placements(&mut self, context: &mut Context, job: JobId, chunk: u32) {
         let op = StoreRequest::Get(Key::Placements(job.clone(), chunk));
         let request = ShardRequest::RereadPlacements(job, chunk);
@@ -232,10 +246,12 @@
     }
 
     fn retry_write(&mut self, job: &JobId, chunk: u32) {
-        // The chunk is written again, fails again, and is read then.
+        // The write fails with the same conflict again, which leads to another read.
         self.requeue_write(job, chunk);
     }
 
+    /// Handles the response to the read of a chunk: marks the placements in it as committed, and
+    /// queues the chunk with its current content.
     pub(crate) fn on_placements_reread(
         &mut self,
         context: &mut Context,
@@ -243,37 +259,38 @@
         chunk: u32,
         reply: StoreResponse,
     ) {
-        let (revision, run) = match reply {
+        let (revision, placement_record) = match reply {
             StoreResponse::Found {
-                record: Record::Placements(run),
+                record: Record::Placements(placement_record),
                 revision,
-            } => (revision, run),
+            } => (revision, placement_record),
             StoreResponse::Missing { .. } => (0, PlacementRecord::default()),
             _ => return self.retry_write(&job, chunk),
         };
         let now = context.now;
-        let mut ready = Vec::new();
+        let mut ready_machines = Vec::new();
         if let Some(job_state) = self.jobs.get_mut(&job) {
             let entry = job_state.chunks.entry(chunk).or_default();
             entry.revision = revision;
-            entry.busy = false;
-            let placed: Vec<_> = run
+            entry.is_request_in_flight = false;
+            let placed: Vec<_> = placement_record
                 .placed
                 .iter()
                 .map(|placement| (placement.0, placement.1))
                 .collect();
-            ready = mark_committed(now, job_state, &placed);
+            ready_machines = mark_committed(now, job_state, &placed);
         }
         self.remove_unsent(now, &job);
         self.requeue_write(&job, chunk);
 
-        for machine in ready {
+        for machine in ready_machines {
             self.answer_long_poll(context, &machine);
         }
     }
 }
 
-/// Marks committed placements; returns their machines.
+/// Moves placements whose commit is known to have succeeded on to [`Phase::Ready`]. Returns their
+/// machines.
 fn mark_committed(
     now: Time,
     job_state: &mut JobState,
@@ -294,7 +311,7 @@
 }
 
 impl ShardOwner {
-    /// The present content of a chunk's record.
+    /// The current content of a chunk's record.
     pub(crate) fn placement_record(
         &self,
         job: &JobId,
@@ -320,18 +337,22 @@
         }
     }
 
-    /// Queues a chunk whose commit didn't succeed, with the urgency of what it holds by now.
-    /// Put before all others, the batch work's chunks overtook urgent ones whenever the budget
-    /// for changes ran out.
+    /// Queues a chunk whose commit didn't succeed, with the urgency of its current content. When
+    /// such chunks went to the head of the queue, chunks of batch work overtook urgent ones
+    /// whenever the write budget ran out.
     fn requeue_write(&mut self, job: &JobId, chunk: u32) {
         let Some(job_state) = self.jobs.get_mut(job) else {
             return;
         };
-        job_state.chunks.entry(chunk).or_default().busy = false;
+        job_state
+            .chunks
+            .entry(chunk)
+            .or_default()
+            .is_request_in_flight = false;
         queue_chunk(&mut self.write_queue, job, job_state, chunk);
     }
 
-    /// Queues the record of a placement that was just made.
+    /// Queues the chunk of a task that was just placed.
     pub(crate) fn write_placement(&mut self, job: &JobId, index: u32) {
         if let Some(job_state) = self.jobs.get(job) {
             let urgency = WriteUrgency::placements(job_state.record.priority_class);
@@ -340,8 +361,9 @@
         }
     }
 
-    /// Turns to writing a job's chunks in parts that fit into values of so many bytes. What waits
-    /// to be written of a chunk is written with its parts, results before they are cleared.
+    /// Changes the layout of a job's records to parts that fit into values of `value_bytes`. Parts
+    /// replace chunks in the write queue. Unwritten results of a chunk stay marked as such on each
+    /// of its parts, so that they are written before they are cleared.
     pub(crate) fn split_into_parts(&mut self, job: &JobId, value_bytes: usize) {
         let Some(job_state) = self.jobs.get_mut(job) else {
             return;
@@ -372,31 +394,32 @@
         }
     }
 
-    /// Placements told to stop before their start was sent: they can't be there.
+    /// Removes placements that were told to stop before their start was sent. Their tasks can't be
+    /// on the machine.
     fn remove_unsent(&mut self, now: Time, job: &JobId) {
         let Some(job_state) = self.jobs.get(job) else {
             return;
         };
-        let was_never_sent = job_state.placed.iter().filter(|(_, placement)| {
+        let never_sent = job_state.placed.iter().filter(|(_, placement)| {
             placement.stop_requested.is_some() && placement.phase == Phase::Ready
         });
-        let was_never_sent: Vec<u32> = was_never_sent.map(|(index, _)| *index).collect();
-        for index in was_never_sent {
+        let never_sent: Vec<u32> = never_sent.map(|(index, _)| *index).collect();
+        for index in never_sent {
             let job = job.clone();
             self.remove_placement(now, &TaskId { job, index });
         }
     }
 
-    /// The job changed under a commit, so its placements were never made.
+    /// Removes the placements of a commit that failed because the job's record changed.
     fn remove_uncommitted(&mut self, now: Time, item: &PlacementWrite) {
         for (index, attempt) in &item.placed {
-            let same = |placement: &Placement| {
+            let is_same_attempt = |placement: &Placement| {
                 placement.attempt == *attempt && placement.phase == Phase::Committing
             };
             let job_state = self.jobs.get(&item.job);
             if job_state
-                .and_then(|l| l.placed.get(index))
-                .is_some_and(same)
+                .and_then(|job_state| job_state.placed.get(index))
+                .is_some_and(is_same_attempt)
             {
                 let task = TaskId {
                     job: item.job.clone(),
@@ -408,7 +431,7 @@
     }
 }
 
-/// Queues what is to be written of a chunk: itself or, if its job was cut into parts, these.
+/// Queues a chunk or, if the job's records are split into parts, the parts that cover the chunk.
 fn queue_chunk(queue: &mut WriteQueue, job: &JobId, job_state: &JobState, chunk: u32) {
     for chunk in job_state.layout.chunks_for(chunk) {
         queue.insert((job_state.write_urgency(chunk), job.clone(), chunk));
--- a/src/controller/shard/completion.rs
+++ b/src/controller/shard/completion.rs
@@ -1,4 +1,4 @@
-//! How the ends of jobs are committed, and how what is left of their records is cleared away.
+//! Commits the ends of jobs, and deletes the records that are left of them.
 
 use crate::controller::ShardOwner;
 use crate::controller::context::Context;
@@ -11,8 +11,8 @@
 use log::warn;
 
 impl ShardOwner {
-    /// Writes the ends of jobs: first of cancelled ones, for which users wait, while the budget
-    /// lasts.
+    /// Commits the ends of jobs while the budget lasts. Cancelled jobs go first, because their
+    /// users wait for a response.
     pub(crate) fn write_job_ends(&mut self, context: &mut Context) {
         for id in self.ready_to_end(context) {
             if !self.write_job_end(context, &id) {
@@ -22,20 +22,22 @@
         self.delete_leftover_placements(context);
     }
 
-    /// Jobs whose end can be committed now.
+    /// Jobs whose end can be committed now, the cancelled ones first.
     fn ready_to_end(&self, context: &Context) -> Vec<JobId> {
         let (mut cancelled, mut done) = (Vec::new(), Vec::new());
         let jobs = self.ready_to_end_jobs.iter();
         for (id, job_state) in jobs.filter_map(|id| Some((id, self.jobs.get(id)?))) {
-            if job_state.is_finishing || job_state.chunks.values().any(|c| c.busy) {
+            if job_state.is_finishing || job_state.chunks.values().any(|c| c.is_request_in_flight) {
                 continue;
             }
-            // The user of a cancelled job is told with its end. By then no task of it is left, and
-            // no job is open that depends on it: none can be called queued when that isn't true any
-            // more, whatever fails from then on.
-            let settled = job_state.placed.is_empty() && !context.store.mirror.has_dependents(id);
+            // The cancellation is confirmed to the user once the end is committed. At that point no
+            // task of the job may be left, and no job that depends on it may still be open.
+            // Otherwise a later failure could let the status of such a job be reported as queued
+            // although it is cancelled too.
+            let can_end_cancelled =
+                job_state.placed.is_empty() && !context.store.mirror.has_dependents(id);
             match job_state.cancelled {
-                Some(_) if settled => cancelled.push(id.clone()),
+                Some(_) if can_end_cancelled => cancelled.push(id.clone()),
                 Some(_) => {}
                 None => done.push(id.clone()),
             }
@@ -44,8 +46,9 @@
         cancelled
     }
 
-    /// Commits a job's end, and with it the deletion of its record; chunks that don't fit into the
-    /// transaction go later. False if there is no budget for it.
+    /// Commits a job's end and deletes the job's record in the same transaction. Chunks whose
+    /// deletion doesn't fit into the transaction are deleted later. Returns false if there is no
+    /// budget for the transaction.
     fn write_job_end(&mut self, context: &mut Context, id: &JobId) -> bool {
         let ops = context.settings.state_limits().txn_ops;
         let Some(job_state) = self.jobs.get_mut(id) else {
@@ -68,9 +71,12 @@
             Write::put(end, Record::End(ending)),
             Write::Delete { key: job },
         ];
-        let written = job_state.chunks.iter().filter(|(_, c)| c.revision > 0);
-        let resources = ops - writes.len();
-        writes.extend(written.take(resources).map(|(chunk, _)| Write::Delete {
+        let written = job_state
+            .chunks
+            .iter()
+            .filter(|(_, chunk)| chunk.revision > 0);
+        let ops_left = ops - writes.len();
+        writes.extend(written.take(ops_left).map(|(chunk, _)| Write::Delete {
             key: Key::Placements(id.clone(), *chunk),
         }));
         let op = StoreRequest::Transaction {
@@ -86,50 +92,57 @@
         sent
     }
 
-    /// Deletes chunks of jobs that are over.
+    /// Deletes chunks of ended jobs, as many as fit into one transaction.
     fn delete_leftover_placements(&mut self, context: &mut Context) {
         let ops = context.settings.state_limits().txn_ops;
-        if self.deleting_placements || self.leftover_placements.is_empty() {
+        if self.is_deleting_placements || self.leftover_placements.is_empty() {
             return;
         }
-        let n = self.leftover_placements.len().min(ops);
-        let list: Vec<_> = self.leftover_placements.drain(..n).collect();
-        let writes = list.iter().map(|(job, chunk)| Write::Delete {
+        let count = self.leftover_placements.len().min(ops);
+        let chunks: Vec<_> = self.leftover_placements.drain(..count).collect();
+        let writes = chunks.iter().map(|(job, chunk)| Write::Delete {
             key: Key::Placements(job.clone(), *chunk),
         });
         let op = StoreRequest::Transaction {
             preconditions: vec![(Key::Shard(self.shard), self.shard_revision)],
             writes: writes.collect(),
         };
-        self.deleting_placements = true;
-        let request = ShardRequest::DeletePlacements(list);
+        self.is_deleting_placements = true;
+        let request = ShardRequest::DeletePlacements(chunks);
         let purpose = RequestPurpose::Shard(self.ownership(), request);
-        if let Err(RequestPurpose::Shard(_, ShardRequest::DeletePlacements(list))) =
+        if let Err(RequestPurpose::Shard(_, ShardRequest::DeletePlacements(chunks))) =
             context.send_store_request(op, purpose, Priority::Last)
         {
-            self.on_placements_deleted(list, StoreResponse::Refused);
+            self.on_placements_deleted(chunks, StoreResponse::Refused);
         }
     }
 
-    pub(crate) fn on_placements_deleted(&mut self, list: Vec<(JobId, u32)>, reply: StoreResponse) {
-        self.deleting_placements = false;
+    /// Handles the response to a deletion of chunks. Those that weren't deleted are tried again.
+    pub(crate) fn on_placements_deleted(
+        &mut self,
+        chunks: Vec<(JobId, u32)>,
+        reply: StoreResponse,
+    ) {
+        self.is_deleting_placements = false;
         if !matches!(reply, StoreResponse::Committed { .. }) {
-            self.leftover_placements.extend(list);
+            self.leftover_placements.extend(chunks);
         }
     }
 
+    /// Handles the response to the commit of a job's end.
     pub(crate) fn on_job_end_written(&mut self, id: JobId, reply: StoreResponse) {
         let Some(job_state) = self.jobs.get_mut(&id) else {
             return;
         };
         job_state.is_finishing = false;
-        // The watch brings the end; a conflict means that a cancellation came first,
-        // and anything else is tried again.
+        // After a successful commit the watch reports the deletion of the job's record, which
+        // removes the job here. A conflict means that the job was cancelled before. After any other
+        // response the commit is retried.
         if let StoreResponse::Committed { .. } = reply {
             job_state.is_finishing = true;
         } else if let StoreResponse::Conflict { failed } = reply {
             warn!(
-                "job end not written, job={id} reason={} records changed",
+                "job end not written, job={id} records_changed={} reason=conflict",
                 failed.len()
             );
         }
--- a/src/controller/shard/image_demand.rs
+++ b/src/controller/shard/image_demand.rs
@@ -1,38 +1,38 @@
-//! Which images services use, and how often jobs with them arrive.
+//! Which images services use, and how often services with each image arrive.
 
-use crate::controller::shard::{ShardOwner, decayed};
+use crate::controller::shard::{ShardOwner, decay};
 use crate::controller::store::records::{JobKind, JobRecord, Resources};
 use crate::ids::Time;
 
-/// What is known of an image that services use.
+/// The demand for an image that services use.
 #[derive(Debug)]
 pub(crate) struct ImageDemand {
-    /// The class of the job that used it last.
+    /// Job class of the latest service with the image.
     pub(crate) class: String,
-    /// Its size.
+    /// Size of the image in GB.
     pub(crate) gb: f64,
-    /// What a task of the job that used it last needs.
+    /// Resources that a task of the latest service with the image needs.
     pub(crate) need: Resources,
-    /// Jobs that arrived with it, older ones decayed, as of `at`.
+    /// Number of services that arrived with the image, with exponential decay, as of `at`.
     uses: f64,
-    /// When the use was last brought up to date.
+    /// When `uses` was last updated.
     at: Time,
 }
 
-/// Half-life of the use of an image.
+/// Half-life of the recorded uses of an image.
 const USE_HALF_LIFE_S: f64 = 300.0;
-/// Most images remembered; the least used are forgotten first.
+/// Maximum number of images that are remembered. The least used image is forgotten first.
 const IMAGES_MAX: usize = 256;
 
 impl ImageDemand {
-    /// How much it is used, decayed until now.
+    /// Number of recent uses of the image, with decay up to `now`.
     pub(crate) fn recent_uses(&self, now: Time) -> f64 {
-        decayed(self.uses, now.since(self.at), USE_HALF_LIFE_S)
+        decay(self.uses, now.since(self.at), USE_HALF_LIFE_S)
     }
 }
 
 impl ShardOwner {
-    /// Records the image of a service that arrived.
+    /// Records a use of a job's image, if the job is a service.
     pub(crate) fn record_image_use(&mut self, now: Time, record: &JobRecord) {
         if record.kind != JobKind::Service {
             return;
--- a/src/controller/shard/job.rs
+++ b/src/controller/shard/job.rs
@@ -1,4 +1,5 @@
-//! What a shard's owner knows of one job: its tasks, its placements, and what is written.
+//! The state of one job at a shard's owner: its tasks, their placements, and which of its records
+//! are written.
 
 use crate::controller::shard::commits::WriteUrgency;
 use crate::controller::store::chunks::ChunkLayout;
@@ -8,39 +9,41 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// How far a placement has come.
+/// The state of a placement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// Not yet known to be committed: never sent.
+    /// The commit isn't known to have succeeded. The start was never sent.
     Committing,
-    /// Committed; its start goes with the next answer to its machine.
+    /// Committed. The start is sent with the next response to the machine.
     Ready,
-    /// Sent, and not seen in a heartbeat yet.
+    /// The start was sent, and no heartbeat has listed the task yet.
     Sent,
     Fetching,
     Running,
     Checkpointing,
-    /// Placed by an earlier owner; this one has no proof of what became of it.
-    Doubt,
+    /// Placed by an earlier owner. There is no proof yet whether the task is on its machine.
+    Unconfirmed,
 }
 
+/// An attempt to run a task on a machine.
 #[derive(Clone, Debug)]
 pub(crate) struct Placement {
     pub machine: MachineId,
     pub zone: Rc<str>,
     pub attempt: Attempt,
     pub phase: Phase,
-    /// Since when it is in this phase.
+    /// When `phase` last changed.
     pub since: Time,
-    /// When it was first told to stop, if it was.
+    /// When the task was first requested to stop. `None` if it wasn't.
     pub stop_requested: Option<Time>,
+    /// How often the start was sent.
     pub send_count: u32,
-    /// It has run for so long that neither its job nor its machine can be at fault.
+    /// Whether the task has run long enough to rule out a fault of its job or its machine.
     pub is_proven_healthy: bool,
 }
 
 impl Placement {
-    /// A placement that is still to be committed.
+    /// A placement that isn't committed yet.
     pub(crate) fn new(machine: MachineId, zone: Rc<str>, attempt: Attempt, now: Time) -> Self {
         Self {
             machine,
@@ -55,41 +58,53 @@
     }
 }
 
-/// A job of the shard.
+/// The state of a job of the shard that hasn't ended.
 #[derive(Debug)]
 pub(crate) struct JobState {
     pub record: Rc<JobRecord>,
-    /// The rank that it was submitted with; `record` may have a higher one, of a job that depends on it.
+    /// The priority class of the submission. The class in `record` is higher if a job with a higher
+    /// class depends on this one.
     pub submitted_priority_class: PriorityClass,
-    /// In which records its tasks are.
+    /// Maps the job's tasks to the records that have them.
     pub layout: ChunkLayout,
+    /// Revision of the job's record.
     pub revision: u64,
-    /// Order of arrival: the revision of its acceptance.
+    /// Revision at which the job's acceptance was committed: the order of arrival.
     pub arrival: u64,
+    /// When the job began to wait for machines: when it was added or, with dependencies, released.
     pub since: Time,
+    /// When the job was cancelled.
     pub cancelled: Option<Time>,
-    /// Whether all jobs that it depends on are known to be done. Until then nothing of it starts.
+    /// Whether all dependencies are known to be done. No task starts before that.
     pub is_released: bool,
+    /// Whether each task is done, by index.
     pub done: Vec<bool>,
     pub done_count: u32,
+    /// Placements by index of the task.
     pub placed: BTreeMap<u32, Placement>,
-    /// No queued task has an index below this one.
-    pub queue_from: u32,
+    /// Where the search for queued tasks starts: no queued task has a smaller index.
+    pub queue_scan_start: u32,
     pub chunks: BTreeMap<u32, Chunk>,
+    /// Whether the job's end is committed, or its commit is in flight.
     pub is_finishing: bool,
+    /// Earliest time at which another task of the job may be placed, after failures.
     pub not_before: Time,
-    /// Starts that machines refused for not knowing the job.
+    /// How many starts machines have refused because they didn't know the job.
     pub unknown_job_refusals: u32,
-    /// Room is being made by stopping others until then.
+    /// No more tasks are preempted for the job before this time, because earlier preemptions are
+    /// still making room.
     pub preempting_until: Time,
 }
 
-/// What is written of a chunk.
+/// The write state of a chunk.
 #[derive(Debug, Default)]
 pub(crate) struct Chunk {
+    /// Revision of the chunk's record; 0 if it isn't written.
     pub revision: u64,
-    pub busy: bool,
-    /// Finished tasks that aren't written yet; their results aren't cleared.
+    /// Whether a commit or a read of the chunk is in flight.
+    pub is_request_in_flight: bool,
+    /// Whether there are done tasks whose results aren't committed. Workers must keep these
+    /// results.
     pub has_unwritten_results: bool,
 }
 
@@ -107,7 +122,7 @@
             done: vec![false; job.record.count as usize],
             done_count: 0,
             placed: BTreeMap::new(),
-            queue_from: 0,
+            queue_scan_start: 0,
             chunks: BTreeMap::new(),
             is_finishing: false,
             not_before: now,
@@ -116,8 +131,8 @@
         }
     }
 
-    /// Gives the job another rank than its own: the highest of those that depend on it. Whatever goes
-    /// by rank goes by this one.
+    /// Sets the effective priority class of the job, which is the highest among the job itself and
+    /// those that depend on it.
     pub(crate) fn set_priority_class(&mut self, priority_class: PriorityClass) {
         if priority_class != self.record.priority_class {
             let record = JobRecord::clone(&self.record);
@@ -128,7 +143,7 @@
         }
     }
 
-    /// Whether its rank is that of a job that depends on it.
+    /// Whether the effective priority class comes from a job that depends on this one.
     pub(crate) fn inherits_priority_class(&self) -> bool {
         self.record.priority_class > self.submitted_priority_class
     }
@@ -137,7 +152,7 @@
         !self.done[index as usize] && !self.placed.contains_key(&index)
     }
 
-    /// Takes over which tasks are finished.
+    /// Marks the tasks in ranges of indexes as done. The end of a range is exclusive.
     pub(crate) fn restore_done(&mut self, ranges: &[(u32, u32)]) {
         for (from, to) in ranges {
             for index in *from..(*to).min(self.record.count) {
@@ -148,7 +163,7 @@
         }
     }
 
-    /// How soon the present state of a chunk or part is to be written.
+    /// How urgently the current state of a chunk or part is to be written.
     pub(crate) fn write_urgency(&self, chunk: u32) -> WriteUrgency {
         let mut placed = self.placed.range(self.layout.tasks_of(chunk));
         if placed.any(|(_, placement)| placement.phase == Phase::Committing) {
@@ -158,14 +173,14 @@
         }
     }
 
-    /// Whether one of its tasks has been started and may yet fail.
+    /// Whether a placed task hasn't run long enough yet to rule out a fault of the job.
     pub(crate) fn has_unproven_task(&self) -> bool {
         self.placed
             .values()
             .any(|placement| !placement.is_proven_healthy)
     }
 
-    /// How many tasks wait for a machine: none while the job waits for others.
+    /// Number of tasks that wait for a machine. 0 if the job is cancelled or has open dependencies.
     pub(crate) fn queued(&self) -> u32 {
         if self.cancelled.is_some() || !self.is_released {
             return 0;
@@ -173,11 +188,11 @@
         (self.record.count - self.done_count).saturating_sub(self.placed.len() as u32)
     }
 
-    /// The first queued task from `queue_from` on; moves that index along.
+    /// The index of the first queued task. Advances `queue_scan_start` to it.
     pub(crate) fn next_queued(&mut self) -> Option<u32> {
-        while self.queue_from < self.record.count && !self.is_queued(self.queue_from) {
-            self.queue_from += 1;
+        while self.queue_scan_start < self.record.count && !self.is_queued(self.queue_scan_start) {
+            self.queue_scan_start += 1;
         }
-        (self.queue_from < self.record.count).then_some(self.queue_from)
+        (self.queue_scan_start < self.record.count).then_some(self.queue_scan_start)
     }
 }
--- a/src/controller/shard/mod.rs
+++ b/src/controller/shard/mod.rs
@@ -1,9 +1,15 @@
-//! The owner of a shard: its jobs, machines and placements, and how they are written.
+//! The owner of a shard: the state of its jobs, machines and placements, and the commits of that
+//! state to the store.
 //!
-//! A placement is committed, on the condition that the shard and the job are unchanged, before its
-//! start is sent to anyone (`commits`). `job` has what is known of a job, `admission` takes jobs in and
-//! lets them go, `completion` writes their ends, `image_demand` and `burst_estimate` remember what
-//! came.
+//! A placement is committed before its start command is sent to the worker. The transaction
+//! requires that the records of the shard and of the job are unchanged.
+//!
+//! - `job`: state of one job and its placements.
+//! - `admission`: adds jobs to the shard, cancels them and removes them.
+//! - `commits` and `transaction`: commits of placements and results.
+//! - `completion`: commits of job ends, and deletion of leftover records.
+//! - `burst_estimate`: estimates of how services' demand varies and how long machines boot.
+//! - `image_demand`: how often services with each image arrive.
 
 pub(crate) mod admission;
 pub(crate) mod burst_estimate;
@@ -30,83 +36,86 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
-/// One ownership of one shard: a response to what was asked under it means nothing to another one.
+/// Identifies one ownership of one shard. A response to a request that was sent under one
+/// ownership is ignored under any other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ShardOwnership {
-    /// The shard.
     pub(crate) shard: u32,
-    /// The token of this ownership.
+    /// The fencing token of the ownership.
     pub(crate) token: FencingToken,
 }
 
-/// What is left of an amount of which half is forgotten in `half_s`.
-fn decayed(amount: f64, passed_s: f64, half_s: f64) -> f64 {
-    amount * 0.5f64.powf(passed_s / half_s)
+/// Exponential decay of an amount over `elapsed_s` seconds with the half-life `half_life_s`.
+fn decay(amount: f64, elapsed_s: f64, half_life_s: f64) -> f64 {
+    amount * 0.5f64.powf(elapsed_s / half_life_s)
 }
 
-/// One ownership of a shard: all that its owner knows and decides.
+/// State of a shard during one ownership. A new ownership starts with a new value.
 pub(crate) struct ShardOwner {
     pub shard: u32,
     pub token: FencingToken,
-    /// The revision of the shard's record that is known here; every write rests on it.
+    /// Revision of the shard's record as known here. It is a precondition of every write, so that
+    /// a former owner can't commit anything.
     pub shard_revision: u64,
-    /// When this ownership began.
     pub owned_since: Time,
-    /// Whether it is the only shard, with every machine there is in it.
+    /// Whether this is the only shard, which has every machine of the fleet.
     pub is_only_shard: bool,
-    /// Zones of which so many machines are silent that they are taken to be partitioned.
+    /// Zones that are taken to be partitioned, because many of their machines are silent.
     pub(crate) partitioned_zones: BTreeSet<Rc<str>>,
-    /// When there last was one.
+    /// When `partitioned_zones` was last not empty.
     pub(crate) zones_partitioned_at: Option<Time>,
-    /// When each controller was last found to hear no worker, or not to be heard.
+    /// When each controller was last found to receive no worker heartbeats, or to be silent
+    /// itself.
     pub(crate) unreachable_at: BTreeMap<Option<ControllerId>, Time>,
-    /// What teams with a limit may use here; `None` for their whole limit.
+    /// CPUs and GPUs that each team with a limit may use in this shard. `None` if each team may
+    /// use its whole limit here.
     pub(crate) quota_shares: Option<BTreeMap<String, (f64, f64)>>,
-    /// Whether the limits are shared with other cells.
+    /// Whether team limits are shared with other cells.
     pub(crate) shares_limits: bool,
-    /// Attempts made under this token.
+    /// Number of attempts created under this token.
     pub(crate) attempts_made: u64,
-    /// The shard's jobs that aren't over.
+    /// Jobs of the shard whose end isn't committed.
     pub jobs: BTreeMap<JobId, JobState>,
-    /// Its machines.
     pub machines: Inventory,
-    /// What each team uses here.
+    /// Resources that each team uses in this shard.
     pub(crate) teams: HashMap<String, Resources>,
-    /// How services' demand for each pool comes.
+    /// How much services' demand for each pool varies.
     pub(crate) burst_estimates: BTreeMap<Pool, BurstEstimate>,
-    /// What failed, and whom it speaks against.
+    /// Failed attempts of tasks, with the job or machine that they are attributed to.
     pub(crate) failures: FailureLog,
-    /// How long machines of each type have taken to boot lately.
+    /// Moving average of boot times in seconds, by index of the machine type in the catalog.
     pub(crate) boot_averages_s: BTreeMap<usize, f64>,
-    /// Images of services.
+    /// Demand for images that services use.
     pub(crate) images: HashMap<Image, ImageDemand>,
     /// Jobs with queued tasks.
     pub(crate) waiting: BTreeSet<JobId>,
-    /// Something has changed that scheduling depends on.
+    /// Whether something that scheduling depends on has changed since the last cycle.
     pub(crate) needs_scheduling: bool,
-    /// No scheduling cycle before this.
+    /// Earliest time of the next scheduling cycle.
     pub(crate) next_cycle_at: Time,
-    /// When machines are next emptied.
+    /// Earliest time of the next consolidation, which empties machines with few tasks.
     pub(crate) next_consolidation_at: Time,
-    /// Chunks to write, by urgency.
+    /// Chunks to write, the most urgent first.
     pub(crate) write_queue: WriteQueue,
-    /// Transactions of placements without a response yet.
+    /// Number of placement transactions that are waiting for a response.
     pub(crate) writes_in_flight: usize,
-    /// Jobs whose last record is to be written: all done, or cancelled and gone.
+    /// Jobs whose end is to be committed: either all tasks are done, or the job is cancelled and
+    /// none of its tasks is placed.
     pub(crate) ready_to_end_jobs: BTreeSet<JobId>,
-    /// Chunks of jobs that are over, to be deleted.
+    /// Chunks of ended jobs that are to be deleted.
     pub(crate) leftover_placements: Vec<(JobId, u32)>,
-    /// Whether a deletion of such chunks is pending.
-    pub(crate) deleting_placements: bool,
-    /// When the long polls of machines have to be answered.
+    /// Whether a deletion of `leftover_placements` is in flight.
+    pub(crate) is_deleting_placements: bool,
+    /// Deadlines by which the long polls of machines have to be answered.
     pub(crate) long_poll_deadlines: BTreeSet<(Time, MachineId)>,
-    /// Machines that the cloud has deleted, and when: late copies of their heartbeats may come.
+    /// Machines that the cloud has deleted, with the time of deletion. They are remembered because
+    /// late copies of their heartbeats may still arrive.
     pub(crate) deleted_machines: BTreeMap<MachineId, Time>,
-    /// When the latest heartbeat of any machine came.
+    /// When the latest heartbeat of any machine arrived.
     pub(crate) last_worker_heartbeat: Time,
-    /// Whether so many machines are silent that they are partitioned rather than down.
+    /// Whether so many machines are silent that a partition is more likely than failures.
     pub(crate) is_mass_partition: bool,
-    /// When that was last so. Machines get time from then to come back.
+    /// When `is_mass_partition` was last true. Silent machines get time from then on to reconnect.
     pub(crate) partitioned_at: Time,
 }
 
@@ -139,7 +148,7 @@
             writes_in_flight: 0,
             ready_to_end_jobs: BTreeSet::new(),
             leftover_placements: Vec::new(),
-            deleting_placements: false,
+            is_deleting_placements: false,
             long_poll_deadlines: BTreeSet::new(),
             deleted_machines: BTreeMap::new(),
             last_worker_heartbeat: now,
@@ -148,7 +157,7 @@
         }
     }
 
-    /// Which ownership of which shard this is.
+    /// The shard and fencing token that responses to this owner's requests are matched with.
     pub(crate) fn ownership(&self) -> ShardOwnership {
         ShardOwnership {
             shard: self.shard,
@@ -161,15 +170,16 @@
     }
 
     pub(crate) fn long_polling_requests(&self) -> Vec<RequestId> {
-        let held = self
+        let long_polls = self
             .machines
             .values()
             .filter_map(|machine| machine.long_poll);
-        held.map(|(request_id, _)| request_id).collect()
+        long_polls.map(|(request_id, _)| request_id).collect()
     }
 
-    /// Takes over what the shard's record says besides who holds it.
-    pub(crate) fn sync(
+    /// Applies the shard's record: its machines and quota shares. Deciding whether this process
+    /// is the owner is up to the caller.
+    pub(crate) fn apply_record(
         &mut self,
         now: Time,
         revision: u64,
@@ -180,14 +190,15 @@
         self.is_only_shard = record.machines.is_none();
         self.quota_shares = record.quota_shares.clone();
         if self.shares_limits {
-            // Until the shard's record says what it may use, it may use nothing.
+            // The shares depend on other cells, so nothing may be used before the shard's record
+            // has them.
             self.quota_shares.get_or_insert_default();
         }
         self.needs_scheduling = true;
-        let Some(list) = &record.machines else {
+        let Some(machines) = &record.machines else {
             return;
         };
-        for (id, type_name, zone, spot) in list {
+        for (id, type_name, zone, spot) in machines {
             if !self.machines.contains_key(id) && !self.deleted_machines.contains_key(id) {
                 let machine = Machine::new(catalog, type_name, zone, *spot, now);
                 self.machines.insert(id.clone(), machine);
@@ -195,31 +206,32 @@
         }
     }
 
+    /// Forgets the long poll with this id; it is answered no more.
     pub(crate) fn drop_long_poll(&mut self, request_id: RequestId) {
-        let held = self
+        let deadline = self
             .long_poll_deadlines
             .iter()
             .find(|(_, id)| {
                 let machine = self.machines.get(id);
                 machine
                     .and_then(|machine| machine.long_poll)
-                    .is_some_and(|(r, _)| r == request_id)
+                    .is_some_and(|(id, _)| id == request_id)
             })
             .cloned();
-        if let Some(entry) = held {
-            self.long_poll_deadlines.remove(&entry);
+        if let Some(deadline) = deadline {
+            self.long_poll_deadlines.remove(&deadline);
             self.machines
-                .edit(&entry.1, |machine| machine.long_poll = None);
+                .edit(&deadline.1, |machine| machine.long_poll = None);
         }
     }
 
-    /// Whether workers have reported here and none does any more.
+    /// Whether workers have sent heartbeats to this owner, but none has lately.
     pub(crate) fn workers_unreachable(&self, now: Time) -> bool {
-        let had = self
+        let has_heard_workers = self
             .machines
             .values()
             .any(|machine| machine.agent_epoch > 0);
-        had && now.since(self.last_worker_heartbeat) > RECENT_S
+        has_heard_workers && now.since(self.last_worker_heartbeat) > RECENT_S
     }
 
     pub(crate) fn next_attempt(&mut self) -> Attempt {
@@ -227,7 +239,7 @@
         Attempt::new(self.token, self.attempts_made)
     }
 
-    /// Enters a placement: its room and quota count from now on.
+    /// Adds a placement. From now on it takes up room on its machine and its team's quota.
     pub(crate) fn add_placement(&mut self, job: &JobId, index: u32, placement: Placement) {
         let Some(job_state) = self.jobs.get_mut(job) else {
             return;
@@ -246,18 +258,18 @@
         job_state.placed.insert(index, placement);
     }
 
-    /// A task's placement, to be changed.
     pub(crate) fn placement_mut(&mut self, task: &TaskId) -> Option<&mut Placement> {
         let job_state = self.jobs.get_mut(&task.job)?;
         job_state.placed.get_mut(&task.index)
     }
 
-    /// Gives a job another rank, also where its tasks are.
+    /// Changes the priority class of a job, also in the inventory of the machines that have its
+    /// tasks.
     pub(crate) fn set_priority_class(&mut self, job: &JobId, priority_class: PriorityClass) {
         let Some(job_state) = self
             .jobs
             .get_mut(job)
-            .filter(|l| l.record.priority_class != priority_class)
+            .filter(|job_state| job_state.record.priority_class != priority_class)
         else {
             return;
         };
@@ -272,28 +284,35 @@
         self.needs_scheduling = true;
     }
 
-    /// Whether a task's start was never sent and no commit of it is under way: it can't be on
-    /// its machine. An earlier commit without an answer may yet be carried out, but the
-    /// attempt that it names is never sent once the placement is taken out. While commits of
-    /// a guest's array were waited for, their tasks kept all room from urgent starts.
+    /// Whether the start of a task was never sent and no commit of its placement is in flight, so
+    /// that the task can't be on its machine.
+    ///
+    /// An earlier commit whose response was lost may still be executed by the store. That is safe,
+    /// because the start of its attempt is never sent once the placement is removed. If
+    /// placements were kept until such commits are resolved, a large array of tasks with a low
+    /// priority would block all room that urgent tasks could take.
     pub(crate) fn was_never_sent(&self, task: &TaskId) -> bool {
         let Some(job_state) = self.jobs.get(&task.job) else {
             return false;
         };
         let chunk = job_state.layout.chunk_of(task.index);
-        let busy = job_state.chunks.get(&chunk).is_some_and(|c| c.busy);
+        let is_request_in_flight = job_state
+            .chunks
+            .get(&chunk)
+            .is_some_and(|c| c.is_request_in_flight);
         match job_state
             .placed
             .get(&task.index)
             .map(|placement| placement.phase)
         {
             Some(Phase::Ready) => true,
-            Some(Phase::Committing) => !busy,
+            Some(Phase::Committing) => !is_request_in_flight,
             _ => false,
         }
     }
 
-    /// Takes a placement out, once its task is proven gone or was never sent.
+    /// Removes a placement. The caller has proof that the task is no longer on its machine, or that
+    /// its start was never sent.
     pub(crate) fn remove_placement(&mut self, now: Time, task: &TaskId) {
         let Some(job_state) = self.jobs.get_mut(&task.job) else {
             return;
@@ -317,13 +336,14 @@
                 self.ready_to_end_jobs.insert(task.job.clone());
             }
         } else if !done {
-            job_state.queue_from = job_state.queue_from.min(task.index);
+            job_state.queue_scan_start = job_state.queue_scan_start.min(task.index);
             self.waiting.insert(task.job.clone());
         }
         self.needs_scheduling = true;
     }
 
-    /// Notes a finished task.
+    /// Marks a task as done, queues the write of its result or of the job's end, and removes its
+    /// placement.
     pub(crate) fn record_done(&mut self, now: Time, task: &TaskId) {
         let Some(job_state) = self.jobs.get_mut(&task.job) else {
             return;
@@ -339,8 +359,8 @@
             .entry(chunk)
             .or_default()
             .has_unwritten_results = true;
-        let all = job_state.done_count == job_state.record.count;
-        if all && job_state.cancelled.is_none() {
+        let is_all_done = job_state.done_count == job_state.record.count;
+        if is_all_done && job_state.cancelled.is_none() {
             self.ready_to_end_jobs.insert(task.job.clone());
         } else {
             self.write_queue
@@ -349,7 +369,12 @@
         self.remove_placement(now, task);
     }
 
-    /// Recounts what teams use and which tasks machines have, and checks the indexes.
+    /// Recounts the use of each team and the tasks on each machine, and checks that the indexes
+    /// agree with the counts.
+    ///
+    /// # Errors
+    ///
+    /// The first difference that is found.
     pub(crate) fn audit(&self) -> Result<(), AuditError> {
         let (mut bound, mut teams) = (0, HashMap::<&str, Resources>::new());
         for (job, job_state) in &self.jobs {
--- a/src/controller/shard/transaction.rs
+++ b/src/controller/shard/transaction.rs
@@ -1,4 +1,4 @@
-//! Transactions of placements: which chunks are written together, and on which conditions.
+//! Builds transactions of chunks: which chunks are written together, and under which preconditions.
 
 use crate::controller::rate_limits::token_bucket::Priority;
 use crate::controller::shard::commits::PlacementWrite;
@@ -9,27 +9,28 @@
 use crate::ids::JobId;
 use crate::wire::{StoreRequest, Write};
 
-/// What a transaction of chunks may hold.
+/// The store's limits for a transaction of chunks.
 pub(crate) struct TransactionLimits {
+    /// Maximum number of operations in a transaction.
     pub(crate) ops: usize,
-    /// Bytes that a value may have now, as far as is known.
+    /// Maximum size of a value at present, as far as is known.
     pub(crate) value_bytes: usize,
-    /// Bytes that a value may have now and later.
+    /// Maximum size of a value at present and under the announced future limits.
     pub(crate) strict_bytes: usize,
 }
 
-/// A transaction of chunks that is being put together.
+/// A transaction of chunks that is being built.
 pub(crate) struct ChunkTransaction {
     pub(crate) preconditions: Vec<(Key, u64)>,
     pub(crate) writes: Vec<Write>,
     pub(crate) items: Vec<PlacementWrite>,
-    /// About the bytes of the writes.
+    /// Estimated size of the writes.
     pub(crate) bytes: usize,
 }
 
 impl ChunkTransaction {
-    /// Adds a chunk's present record, on the condition that the job's and the chunk's are
-    /// unchanged.
+    /// Adds a chunk's current record, with the precondition that the records of the job and of the
+    /// chunk are unchanged.
     pub(crate) fn add(
         &mut self,
         job: &JobId,
@@ -38,11 +39,15 @@
         record: PlacementRecord,
     ) {
         let key = Key::Placements(job.clone(), chunk);
-        let revision = job_state.chunks.get(&chunk).map_or(0, |c| c.revision);
+        let revision = job_state
+            .chunks
+            .get(&chunk)
+            .map_or(0, |chunk| chunk.revision);
         self.preconditions
             .push((Key::Job(job.clone()), job_state.revision));
         self.preconditions.push((key.clone(), revision));
-        self.bytes += PLACED_BYTES * record.placed.len() + DONE_BYTES * record.done.len();
+        self.bytes +=
+            PLACED_TASK_BYTES * record.placed.len() + DONE_RANGE_BYTES * record.done.len();
         let placed = record.placed.iter();
         self.items.push(PlacementWrite {
             job: job.clone(),
@@ -55,9 +60,9 @@
             .push(Write::put(key, Record::Placements(record)));
     }
 
-    /// The request, unless there is nothing to write.
+    /// Returns the request. `None` if there is nothing to write.
     pub(crate) fn finish(mut self) -> Option<(StoreRequest, Vec<PlacementWrite>)> {
-        // A job with several chunks in the transaction is compared once.
+        // A job with several chunks in the transaction has only one precondition.
         self.preconditions.sort();
         self.preconditions.dedup();
         let request = StoreRequest::Transaction {
@@ -68,13 +73,15 @@
     }
 }
 
-/// Bytes that a placed task, and a range of finished ones, take in a record.
-pub(crate) const PLACED_BYTES: usize = 60;
+/// Estimated JSON bytes of a placed task in a record.
+pub(crate) const PLACED_TASK_BYTES: usize = 60;
 
-pub(crate) const DONE_BYTES: usize = 12;
+/// Estimated JSON bytes of a range of done tasks in a record.
+pub(crate) const DONE_RANGE_BYTES: usize = 12;
 
-/// Builds the next transaction of chunks of one priority: urgent ones don't wait until there is
-/// budget for batch work as well.
+/// Builds the next transaction from the head of the write queue. All its chunks have the same
+/// priority, so that urgent ones don't wait for the budget of batch work. `None` if no chunk can be
+/// written now.
 pub(crate) fn next_transaction(
     shard: &mut ShardOwner,
     limits: &TransactionLimits,
@@ -86,15 +93,16 @@
         items: Vec::new(),
         bytes: 0,
     };
-    let same = |(urgency, ..): &&(WriteUrgency, JobId, u32)| urgency.priority() == priority;
-    let queue = shard.write_queue.iter().take_while(same);
+    let has_priority = |(urgency, ..): &&(WriteUrgency, JobId, u32)| urgency.priority() == priority;
+    let queue = shard.write_queue.iter().take_while(has_priority);
     let candidates: Vec<_> = queue.take(4 * limits.ops).cloned().collect();
     for entry in candidates {
-        if transaction.writes.len() >= limits.ops || transaction.bytes > TRANSACTION_BYTES {
+        if transaction.writes.len() >= limits.ops || transaction.bytes > TRANSACTION_BYTES_MAX {
             break;
         }
-        // Splitting a job's chunk into parts takes its other chunks out of the queue as well.
-        // Written whole after that, one said that it was a part, and its tasks were recorded twice.
+        // Splitting one chunk of a job into parts removes the job's other chunks from the queue
+        // too. When such a chunk was written nevertheless, its record was marked as a part, and its
+        // tasks were recorded twice.
         if !shard.write_queue.contains(&entry) {
             continue;
         }
@@ -103,28 +111,38 @@
             shard.write_queue.remove(&entry);
             continue;
         };
-        if job_state.is_finishing || job_state.chunks.get(chunk).is_some_and(|c| c.busy) {
+        if job_state.is_finishing
+            || job_state
+                .chunks
+                .get(chunk)
+                .is_some_and(|c| c.is_request_in_flight)
+        {
             continue;
         }
         let record = shard.placement_record(job, job_state, *chunk);
-        // Only chunks of jobs accepted under larger limits can have outgrown the present one.
+        // Only chunks of jobs that were accepted under larger limits can exceed the current limit.
         let tasks = job_state.layout.tasks_of(*chunk).len();
-        let old = tasks > chunk_size(limits.strict_bytes) as usize;
-        if old && json_bytes(&record) > limits.value_bytes {
+        let may_exceed_limit = tasks > chunk_size(limits.strict_bytes) as usize;
+        if may_exceed_limit && json_bytes(&record) > limits.value_bytes {
             shard.split_into_parts(job, limits.strict_bytes);
             continue;
         }
         transaction.add(job, job_state, *chunk, record);
-        // One commit carries all that is to be written of the chunk.
+        // The record has everything that is to be written of the chunk, at any urgency.
         for urgency in WriteUrgency::ALL {
             shard.write_queue.remove(&(urgency, job.clone(), *chunk));
         }
         if let Some(job_state) = shard.jobs.get_mut(job) {
-            job_state.chunks.entry(*chunk).or_default().busy = true;
+            job_state
+                .chunks
+                .entry(*chunk)
+                .or_default()
+                .is_request_in_flight = true;
         }
     }
     transaction.finish()
 }
 
-/// JSON bytes of chunks in one transaction, below the limit of 64 KiB.
-pub(crate) const TRANSACTION_BYTES: usize = 40 * 1024;
+/// Size at which a transaction gets no more chunks, in estimated JSON bytes. It is below the
+/// store's limit of 64 KiB per transaction.
+pub(crate) const TRANSACTION_BYTES_MAX: usize = 40 * 1024;
--- a/src/controller/shards/assignment.rs
+++ b/src/controller/shards/assignment.rs
@@ -1,4 +1,4 @@
-//! Which controller owns each shard: whom the leader replaces, and by whom.
+//! Which controller owns each shard, and when the leader assigns a shard to another controller.
 
 use crate::controller::Controller;
 use crate::controller::context::Context;
@@ -7,34 +7,35 @@
 use log::info;
 use std::collections::BTreeMap;
 
-/// Share of a shard's lease without a count from its owner after which it goes to
-/// another controller.
-pub(crate) const SILENT_SHARE: f64 = 0.25;
+/// A shard is assigned to another controller when its owner has sent no counts for this fraction of
+/// the duration of a shard's lease.
+pub(crate) const OWNER_SILENT_LEASE_FRACTION: f64 = 0.25;
 
 impl Context {
-    /// The shards that a new leader takes for itself: the only one, and those whose
-    /// owners aren't heard of.
+    /// The shards that a new leader takes for itself: the only shard, or those whose owners have
+    /// sent no recent heartbeat.
     pub(crate) fn shards_to_take(&self) -> Vec<u32> {
         let records: Vec<(u32, &ShardRecord)> = self.store.mirror.shard_records().collect();
         if records.len() <= 1 {
             return vec![0];
         }
-        let lost = records
+        let without_owner = records
             .iter()
-            .filter(|(_, b)| !self.process_lives(&b.owner, b.incarnation));
-        lost.map(|(k, _)| *k).collect()
+            .filter(|(_, record)| !self.is_process_alive(&record.owner, record.incarnation));
+        without_owner.map(|(shard, _)| *shard).collect()
     }
 
-    /// Whether a process, this one or a peer's, was heard of lately.
-    pub(crate) fn process_lives(&self, controller_id: &ControllerId, incarnation: u64) -> bool {
+    /// Whether an incarnation of a controller is this process, or has sent a recent heartbeat.
+    pub(crate) fn is_process_alive(&self, controller_id: &ControllerId, incarnation: u64) -> bool {
         if *controller_id == self.settings.platform.controller_id {
             return incarnation == self.incarnation;
         }
-        self.recent_heartbeats()
-            .any(|h| h.from == *controller_id && h.incarnation == incarnation)
+        self.recent_heartbeats().any(|heartbeat| {
+            heartbeat.from == *controller_id && heartbeat.incarnation == incarnation
+        })
     }
 
-    /// A shard's record with this process as its owner, and the revision it replaces.
+    /// A shard's record with this process as its owner, and the revision of the record to replace.
     pub(crate) fn lease_to_self(&self, shard: u32, token: FencingToken) -> (u64, ShardRecord) {
         let slot = self
             .store
@@ -43,42 +44,52 @@
             .get(&shard)
             .cloned()
             .unwrap_or_default();
-        let version = slot.version();
+        let revision = slot.version();
         let old = slot.record;
         let record = ShardRecord {
             owner: self.settings.platform.controller_id.clone(),
             incarnation: self.incarnation,
             token,
-            machines: old.as_ref().and_then(|b| b.machines.clone()),
-            quota_shares: old.and_then(|b| b.quota_shares),
+            machines: old.as_ref().and_then(|record| record.machines.clone()),
+            quota_shares: old.and_then(|record| record.quota_shares),
         };
-        (version, record)
+        (revision, record)
     }
 
-    /// Whether a shard's owner is heard of, but as another process.
-    pub(crate) fn rebooted(&self, record: &ShardRecord) -> bool {
-        let mut heard = self.recent_heartbeats().filter(|h| h.from == record.owner);
-        heard.any(|h| h.incarnation != record.incarnation)
+    /// Whether a shard's owner has sent a recent heartbeat from another incarnation.
+    pub(crate) fn has_owner_restarted(&self, record: &ShardRecord) -> bool {
+        let mut heartbeats = self
+            .recent_heartbeats()
+            .filter(|heartbeat| heartbeat.from == record.owner);
+        heartbeats.any(|heartbeat| heartbeat.incarnation != record.incarnation)
     }
 
-    /// The controller that sees the store and holds the fewest shards.
-    pub(crate) fn least_loaded(&self, load: &BTreeMap<ControllerId, usize>) -> (ControllerId, u64) {
-        let me = (
+    /// The controller with the fewest shards, and its incarnation. Candidates are this process and
+    /// the peers whose view of the store is fresh. `shards_owned` has the number of shards by
+    /// owner.
+    pub(crate) fn least_loaded(
+        &self,
+        shards_owned: &BTreeMap<ControllerId, usize>,
+    ) -> (ControllerId, u64) {
+        let this_process = (
             self.settings.platform.controller_id.clone(),
             self.incarnation,
         );
-        let others = self.recent_heartbeats().filter(|h| h.is_fresh);
-        let others = others.map(|h| (h.from.clone(), h.incarnation));
-        let all = std::iter::once(me.clone()).chain(others);
-        let least = all.min_by_key(|(machine, _)| load.get(machine).copied().unwrap_or(0));
-        least.unwrap_or(me)
+        let peers = self
+            .recent_heartbeats()
+            .filter(|heartbeat| heartbeat.is_fresh);
+        let peers = peers.map(|heartbeat| (heartbeat.from.clone(), heartbeat.incarnation));
+        let candidates = std::iter::once(this_process.clone()).chain(peers);
+        let least = candidates
+            .min_by_key(|(controller, _)| shards_owned.get(controller).copied().unwrap_or(0));
+        least.unwrap_or(this_process)
     }
 }
 
 impl Controller {
-    /// Shards whose owner restarted or counts no more go to another controller,
-    /// under a higher token.
-    pub(crate) fn replace_owners(
+    /// Assigns shards to another controller, under a higher token, if their owner has restarted,
+    /// has released the shard, or sends no counts.
+    pub(crate) fn reassign_lost_shards(
         &self,
         records: &mut BTreeMap<u32, ShardRecord>,
         highest: &mut FencingToken,
@@ -86,35 +97,39 @@
         let Some(leadership) = &self.context.leadership else {
             return;
         };
-        let patience = self.context.settings.tuning.shard_lease_s * SILENT_SHARE;
-        let mut load: BTreeMap<ControllerId, usize> = BTreeMap::new();
-        for b in records.values() {
-            *load.entry(b.owner.clone()).or_default() += 1;
+        let silent_max_s = self.context.settings.tuning.shard_lease_s * OWNER_SILENT_LEASE_FRACTION;
+        let mut shards_owned: BTreeMap<ControllerId, usize> = BTreeMap::new();
+        for record in records.values() {
+            *shards_owned.entry(record.owner.clone()).or_default() += 1;
         }
         for (shard, record) in records.iter_mut() {
-            let told = leadership.shard_counts.get(shard);
-            let told = told
-                .filter(|(t, _)| t.token == record.token)
+            let counted_at = leadership.shard_counts.get(shard);
+            let counted_at = counted_at
+                .filter(|(counts, _)| counts.token == record.token)
                 .map(|(_, at)| *at);
-            let quiet = self.context.now.since(told.unwrap_or(leadership.since)) > patience;
-            let released_tokens = self
+            let is_silent = self
+                .context
+                .now
+                .since(counted_at.unwrap_or(leadership.since))
+                > silent_max_s;
+            let is_released = self
                 .context
                 .released_tokens
                 .get(shard)
-                .is_some_and(|n| record.token <= *n);
-            let mine = record.owner == self.context.settings.platform.controller_id;
-            let restarted = mine
-                && (record.incarnation != self.context.incarnation || released_tokens)
-                || self.context.rebooted(record);
-            if !quiet && !restarted {
+                .is_some_and(|released| record.token <= *released);
+            let is_own = record.owner == self.context.settings.platform.controller_id;
+            let has_restarted = is_own
+                && (record.incarnation != self.context.incarnation || is_released)
+                || self.context.has_owner_restarted(record);
+            if !is_silent && !has_restarted {
                 continue;
             }
-            let (controller_id, incarnation) = self.context.least_loaded(&load);
+            let (controller_id, incarnation) = self.context.least_loaded(&shards_owned);
             info!(
                 "shard reassigned, shard={shard} from={} to={controller_id}",
                 record.owner
             );
-            *load.entry(controller_id.clone()).or_default() += 1;
+            *shards_owned.entry(controller_id.clone()).or_default() += 1;
             highest.0 += 1;
             (record.owner, record.incarnation, record.token) =
                 (controller_id, incarnation, *highest);
--- a/src/controller/shards/counts.rs
+++ b/src/controller/shards/counts.rs
@@ -1,20 +1,22 @@
-//! What the owner of each shard counts for the leader, and which counts the leader believes.
+//! The counts that the owner of each shard reports to the leader, and which of them the leader
+//! uses.
 
 use crate::controller::Controller;
 use crate::controller::context::Context;
 use crate::controller::pool::Pool;
 use crate::controller::shard::ShardOwner;
-use crate::controller::shards::machine_assignment::GONE_S;
+use crate::controller::shards::machine_assignment::DELETED_MACHINE_KEPT_S;
 use crate::peer::{Message, ShardCounts, TeamCount};
 use std::collections::BTreeMap;
 
-/// Longest list of empty or deleted machines in one message.
-pub(crate) const NAMES_MAX: usize = 100;
+/// Maximum number of empty machines, and of deleted machines, that one message lists.
+pub(crate) const MACHINES_LISTED_MAX: usize = 100;
 
-/// Counts older than this are no longer believed, in reconcile turns.
-pub(crate) const STALE_TICKS: f64 = 3.0;
+/// Age from which counts are no longer used, in reconcile periods.
+pub(crate) const COUNTS_STALE_TICKS: f64 = 3.0;
 
 impl Controller {
+    /// Reports the counts of all shards that this controller owns to the leader.
     pub(crate) fn send_counts(&mut self) {
         for shard in self.shards.values() {
             shard.report_counts(&mut self.context);
@@ -23,12 +25,13 @@
 }
 
 impl Context {
+    /// Stores the counts of a shard if this controller is the leader.
     pub(crate) fn on_shard_counts(&mut self, shard_counts: ShardCounts) {
         let now = self.now;
         if let Some(leadership) = &mut self.leadership {
             leadership
                 .deleted_machines
-                .retain(|_, at| now.since(*at) < GONE_S);
+                .retain(|_, at| now.since(*at) < DELETED_MACHINE_KEPT_S);
             leadership
                 .deleted_machines
                 .extend(shard_counts.gone.iter().map(|id| (id.clone(), now)));
@@ -38,35 +41,39 @@
         }
     }
 
-    /// Counts that are believed: of the present owner, and not too old.
+    /// The latest counts of each shard that the shard's current owner reported and that aren't
+    /// stale.
     pub(crate) fn valid_counts(&self) -> Vec<&ShardCounts> {
-        let stale = self.settings.tuning.tick_s * STALE_TICKS;
+        let stale_s = self.settings.tuning.tick_s * COUNTS_STALE_TICKS;
         let Some(leadership) = &self.leadership else {
             return Vec::new();
         };
-        let all = leadership.shard_counts.values();
-        let good = all.filter(|(t, at)| {
+        let latest = leadership.shard_counts.values();
+        let valid = latest.filter(|(counts, at)| {
             let record = self
                 .store
                 .mirror
                 .shards
-                .get(&t.shard)
-                .and_then(|b| b.record.as_ref());
-            record.is_some_and(|b| b.token == t.token) && self.now.since(*at) < stale
+                .get(&counts.shard)
+                .and_then(|slot| slot.record.as_ref());
+            record.is_some_and(|record| record.token == counts.token)
+                && self.now.since(*at) < stale_s
         });
-        good.map(|(t, _)| t).collect()
+        valid.map(|(counts, _)| counts).collect()
     }
 }
 
 impl ShardOwner {
+    /// Counts the shard's machines, demand and use for the leader.
     pub(crate) fn shard_counts(&self, context: &Context) -> ShardCounts {
         let catalog = &context.cloud.catalog;
-        let closed = context.store.mirror.exhausted_pools();
-        let named = |pool: Pool| pool.type_in(catalog).map(|found| found.name.clone());
+        let exhausted = context.store.mirror.exhausted_pools();
+        let type_name = |pool: Pool| pool.type_in(catalog).map(|found| found.name.clone());
         let pools = self
-            .counts(catalog, &context.settings, closed, context.now)
+            .counts(catalog, &context.settings, exhausted, context.now)
             .into_iter();
-        let pools = pools.filter_map(|(pool, c)| Some((named(pool)?, pool.is_spot(), c)));
+        let pools =
+            pools.filter_map(|(pool, count)| Some((type_name(pool)?, pool.is_spot(), count)));
         let mut zones: BTreeMap<(String, bool, String), u32> = BTreeMap::new();
         let mut empty = Vec::new();
         for (id, machine) in self.machines.iter() {
@@ -80,17 +87,23 @@
                 && machine.tasks.is_empty()
                 && machine.decommission_at.is_none()
             {
-                let name = machine.type_name.to_string();
-                empty.push((machine.images.len(), (name, machine.spot, id.clone())));
+                let type_name = machine.type_name.to_string();
+                empty.push((machine.images.len(), (type_name, machine.spot, id.clone())));
             }
         }
-        let pins = self.pins(catalog, closed).into_iter();
-        let pins =
-            pins.filter_map(|((pool, zone), n)| Some((named(pool)?, pool.is_spot(), zone, n)));
-        // Those with the fewest images are missed least.
+        let pins = self.pins(catalog, exhausted).into_iter();
+        let pins = pins.filter_map(|((pool, zone), count)| {
+            Some((type_name(pool)?, pool.is_spot(), zone, count))
+        });
+        // The machines with the fewest cached images come first, as they are the least useful.
         empty.sort();
-        let empty = empty.into_iter().map(|(_, e)| e).take(NAMES_MAX);
-        let zones = zones.into_iter().map(|((c, s, z), n)| (c, s, z, n));
+        let empty = empty
+            .into_iter()
+            .map(|(_, entry)| entry)
+            .take(MACHINES_LISTED_MAX);
+        let zones = zones
+            .into_iter()
+            .map(|((class, spot, zone), count)| (class, spot, zone, count));
         ShardCounts {
             from: context.settings.platform.controller_id.clone(),
             shard: self.shard,
@@ -104,32 +117,35 @@
                 .deleted_machines
                 .keys()
                 .rev()
-                .take(NAMES_MAX)
+                .take(MACHINES_LISTED_MAX)
                 .cloned()
                 .collect(),
-            teams: self.team_counts(),
+            teams: self.counts_by_team(),
         }
     }
 
-    pub(crate) fn team_counts(&self) -> Vec<(String, TeamCount)> {
+    /// CPUs and GPUs that each team uses, and those that it would use if all its queued tasks ran.
+    pub(crate) fn counts_by_team(&self) -> Vec<(String, TeamCount)> {
         let mut counts: BTreeMap<&str, TeamCount> = BTreeMap::new();
         for (team, used) in &self.teams {
-            let c = counts.entry(team).or_default();
-            (c.cpus, c.gpus) = (used.cpus, used.gpus);
-            (c.cpus_wanted, c.gpus_wanted) = (used.cpus, used.gpus);
+            let count = counts.entry(team).or_default();
+            (count.cpus, count.gpus) = (used.cpus, used.gpus);
+            (count.cpus_wanted, count.gpus_wanted) = (used.cpus, used.gpus);
         }
         for job_state in self.waiting.iter().filter_map(|id| self.jobs.get(id)) {
-            let c = counts.entry(&job_state.record.team).or_default();
-            c.cpus_wanted += f64::from(job_state.queued()) * job_state.record.resources.cpus;
-            c.gpus_wanted += f64::from(job_state.queued()) * job_state.record.resources.gpus;
+            let count = counts.entry(&job_state.record.team).or_default();
+            count.cpus_wanted += f64::from(job_state.queued()) * job_state.record.resources.cpus;
+            count.gpus_wanted += f64::from(job_state.queued()) * job_state.record.resources.gpus;
         }
         let counts = counts.into_iter();
-        counts.map(|(team, c)| (team.to_string(), c)).collect()
+        counts
+            .map(|(team, count)| (team.to_string(), count))
+            .collect()
     }
 }
 
 impl ShardOwner {
-    /// Tells the leader what the shard given counts.
+    /// Reports the shard's counts to the leader, which may be this process.
     pub(crate) fn report_counts(&self, context: &mut Context) {
         let shard_counts = self.shard_counts(context);
         if context.leadership.is_some() {
--- a/src/controller/shards/leases.rs
+++ b/src/controller/shards/leases.rs
@@ -1,4 +1,5 @@
-//! The shards' records: what has to change about them is worked out and committed in one transaction.
+//! The leader's changes of the shards' records, which assign shards to owners. All changes are
+//! committed in one transaction, as far as they fit into it.
 
 use crate::controller::Controller;
 use crate::controller::context::Context;
@@ -9,13 +10,16 @@
 use crate::wire::{StoreRequest, StoreResponse, Write};
 use std::collections::BTreeMap;
 
-/// Share of the value limit that a shard's record may fill.
-const RECORD_SHARE: f64 = 0.85;
-/// JSON bytes of records in one commit, below the limit of 64 KiB.
-const COMMIT_BYTES: usize = 40 * 1024;
+/// Fraction of the store's value limit that a shard's record may fill.
+const RECORD_FILL_FRACTION_MAX: f64 = 0.85;
+/// Size at which a transaction gets no more records, in JSON bytes. It is below the store's limit
+/// of 64 KiB per transaction.
+const TRANSACTION_BYTES_MAX: usize = 40 * 1024;
 
 impl Controller {
-    /// Commits what has to change about the leases, all at once.
+    /// Computes the new records of all shards, and commits those that change. Does nothing while an
+    /// earlier commit is in flight, or if this controller isn't a leader with a valid lease and a
+    /// fresh view of the store.
     pub(crate) fn update_shard_records(&mut self) {
         let Some(leadership) = &self.context.leadership else {
             return;
@@ -29,20 +33,25 @@
             .mirror
             .shards
             .iter()
-            .filter_map(|(k, b)| Some((*k, (b.revision, b.record.clone()?))))
+            .filter_map(|(shard, slot)| Some((*shard, (slot.revision, slot.record.clone()?))))
+            .collect();
+        let mut after: BTreeMap<u32, ShardRecord> = before
+            .iter()
+            .map(|(shard, (_, record))| (*shard, record.clone()))
             .collect();
-        let mut after: BTreeMap<u32, ShardRecord> =
-            before.iter().map(|(k, (_, b))| (*k, b.clone())).collect();
         let mut highest = self.context.store.mirror.highest();
-        self.replace_owners(&mut after, &mut highest);
-        self.split(&mut after, &mut highest);
+        self.reassign_lost_shards(&mut after, &mut highest);
+        self.add_shard_if_needed(&mut after, &mut highest);
         self.context.assign_machines(&mut after);
-        self.context.share_limits(&mut after);
+        self.context.divide_limits(&mut after);
         self.context.commit_leases(&before, after, highest);
     }
 }
 
 impl Context {
+    /// Commits the records that differ between `before` and `after`. Records that don't fit into
+    /// the transaction are left to the next call. `highest` is the highest fencing token in
+    /// `after`.
     fn commit_leases(
         &mut self,
         before: &BTreeMap<u32, (u64, ShardRecord)>,
@@ -51,15 +60,16 @@
     ) {
         let mut preconditions = vec![(Key::Leader, self.store.mirror.leader.version())];
         if self.settings.cells.is_some() {
-            // What the shards may use was taken from this record.
+            // The shards' quota shares were computed from the cell's record.
             preconditions.push((Key::Cell, self.store.mirror.cell.version()));
         }
         let (mut writes, mut bytes) = (Vec::new(), 0);
-        let most = self.settings.state_limits().txn_ops - 1;
+        // One write is left for the record of the fencing token.
+        let records_max = self.settings.state_limits().txn_ops - 1;
         for (shard, record) in after {
             let old = before.get(&shard);
-            let full = writes.len() >= most || bytes >= COMMIT_BYTES;
-            if old.is_some_and(|(_, b)| *b == record) || full {
+            let is_full = writes.len() >= records_max || bytes >= TRANSACTION_BYTES_MAX;
+            if old.is_some_and(|(_, old_record)| *old_record == record) || is_full {
                 continue;
             }
             bytes += json_bytes(&record);
@@ -77,7 +87,7 @@
                 .token
                 .record
                 .as_ref()
-                .and_then(|n| n.fence);
+                .and_then(|record| record.fence);
             let record = FencingTokenRecord { highest, fence };
             writes.push(Write::put(Key::FencingToken, Record::FencingToken(record)));
         }
@@ -94,16 +104,17 @@
         }
     }
 
-    /// Whatever came of it, the watch shows it, and the next look goes on from there.
+    /// Handles the response to a commit of shard records. The response itself doesn't matter: the
+    /// watch reports the records as they are now, and the next update starts from these.
     pub(crate) fn on_shard_records_written(&mut self, _reply: StoreResponse) {
         if let Some(leadership) = &mut self.leadership {
             leadership.busy = false;
         }
     }
 
-    /// Most bytes of a shard's record.
-    pub(crate) fn record_most(&self) -> usize {
+    /// Maximum size of a shard's record in JSON bytes.
+    pub(crate) fn shard_record_bytes_max(&self) -> usize {
         let bytes = self.settings.state_limits().value_bytes;
-        (bytes as f64 * RECORD_SHARE) as usize
+        (bytes as f64 * RECORD_FILL_FRACTION_MAX) as usize
     }
 }
--- a/src/controller/shards/mod.rs
+++ b/src/controller/shards/mod.rs
@@ -1,8 +1,8 @@
-//! How the leader divides the fleet into shards and leases them to owners.
+//! The leader divides the fleet into shards and assigns each shard to an owner.
 //!
-//! While the fleet is small there is one shard with every machine in it, owned by the leader itself.
-//! Splitting a fleet splits packing, limits and caches as well, so there are more shards only once
-//! each has enough machines.
+//! A small fleet is one shard that has every machine and is owned by the leader itself. Splitting a
+//! fleet also splits bin packing, team limits and image caches. Therefore a shard is added only
+//! where each shard has enough machines.
 
 pub(crate) mod assignment;
 pub(crate) mod counts;
--- a/src/controller/shards/ownership.rs
+++ b/src/controller/shards/ownership.rs
@@ -1,4 +1,5 @@
-//! Which shards this controller owns: their records are followed, and a shard is given up whenever its owner may be another.
+//! Which shards this controller owns. It follows the shards' records, and releases a shard whenever
+//! another controller may be the owner.
 
 use crate::controller::Controller;
 use crate::controller::events::Reply;
@@ -10,17 +11,22 @@
 use log::{info, warn};
 
 impl Controller {
-    /// The leader's, a shard's, the token's or the plan's record changed.
+    /// Handles a change of the records of the leader, the shards, the fencing token or the plan:
+    /// starts or ends this controller's leadership and its ownership of shards accordingly.
     pub(crate) fn on_control_records_changed(&mut self) {
         self.context.read_limits();
         self.context.tell_standby_of_leader();
-        let me = &self.context.settings.platform.controller_id;
+        let own_id = &self.context.settings.platform.controller_id;
         let may_acquire = self.context.election.may_acquire(self.context.now);
         let leader = self.context.store.mirror.leader.record.as_ref();
-        let is_leader = leader
-            .is_some_and(|l| l.controller_id == *me && l.incarnation == self.context.incarnation);
+        let is_leader = leader.is_some_and(|record| {
+            record.controller_id == *own_id && record.incarnation == self.context.incarnation
+        });
         if is_leader && self.context.leadership.is_none() && may_acquire {
-            info!("became leader, token={}", leader.map_or(0, |l| l.token.0));
+            info!(
+                "became leader, token={}",
+                leader.map_or(0, |record| record.token.0)
+            );
             self.context.election.begin_renewing(self.context.now);
             self.context.adopt_lease();
             self.become_leader();
@@ -33,48 +39,53 @@
             .mirror
             .shards
             .iter()
-            .map(|(k, slot)| (*k, slot.clone()))
+            .map(|(shard, slot)| (*shard, slot.clone()))
             .collect();
         for (shard, slot) in shards {
             let Some(record) = slot.record else {
                 continue;
             };
-            // A token once given up is never used again: what was answered under it
-            // is forgotten, and copies of heartbeats from then may still come.
-            let given_up = self
+            // A token whose ownership was released is never used again. The state of that ownership
+            // is lost, and delayed copies of heartbeats that it has handled may still arrive.
+            let is_released = self
                 .context
                 .released_tokens
                 .get(&shard)
-                .is_some_and(|n| record.token <= *n);
-            let me = &self.context.settings.platform.controller_id;
-            let mine =
-                record.owner == *me && record.incarnation == self.context.incarnation && !given_up;
-            self.sync_shard(shard, slot.revision, &record, mine && may_acquire);
+                .is_some_and(|released| record.token <= *released);
+            let own_id = &self.context.settings.platform.controller_id;
+            let is_own = record.owner == *own_id
+                && record.incarnation == self.context.incarnation
+                && !is_released;
+            self.sync_shard(shard, slot.revision, &record, is_own && may_acquire);
         }
         self.apply_scale_in();
     }
 
-    /// Brings what is held here in line with a shard's record.
+    /// Acquires, updates or releases a shard according to its record. `is_owner` says whether this
+    /// process is the owner by the record and may own shards at present.
     pub(crate) fn sync_shard(
         &mut self,
         shard: u32,
         revision: u64,
         record: &ShardRecord,
-        mine: bool,
+        is_owner: bool,
     ) {
-        let held = self.shards.get(&shard).map(|h| (h.token, h.shard_revision));
-        match held {
-            Some((token, _)) if !mine || token != record.token => {
+        let owned = self
+            .shards
+            .get(&shard)
+            .map(|owner| (owner.token, owner.shard_revision));
+        match owned {
+            Some((token, _)) if !is_owner || token != record.token => {
                 self.release_shard(shard, GiveUpReason::OwnedByAnother);
             }
-            Some((_, known)) if known == revision => return,
+            Some((_, known_revision)) if known_revision == revision => return,
             _ => {}
         }
-        if !mine {
+        if !is_owner {
             return;
         }
-        let fresh = !self.shards.contains_key(&shard);
-        if fresh {
+        let is_new = !self.shards.contains_key(&shard);
+        if is_new {
             info!("shard acquired, shard={shard} token={}", record.token.0);
             let shares_limits = self.context.settings.cells.is_some();
             let owner = ShardOwner::new(shard, record.token, self.context.now, shares_limits);
@@ -83,18 +94,19 @@
         self.update_rate_limits();
         if let Some(owner) = self.shards.get_mut(&shard) {
             let context = &mut self.context;
-            if fresh {
+            if is_new {
                 owner.rebuild_from_mirror(context);
             }
-            owner.sync(context.now, revision, record, &context.cloud.catalog);
+            owner.apply_record(context.now, revision, record, &context.cloud.catalog);
         }
-        if fresh {
-            // Heartbeats wait elsewhere for the owner: their controllers learn of it at once.
+        if is_new {
+            // Other controllers may have worker heartbeats for the owner. They learn of it at once.
             self.send_heartbeat();
         }
     }
 
-    /// Stops acting as the owner of a shard. Always safe: another process takes over by a commit.
+    /// Stops acting as the owner of a shard. This is always safe, because another process becomes
+    /// the owner only by a commit.
     pub(crate) fn release_shard(&mut self, shard: u32, reason: GiveUpReason) {
         let Some(owner) = self.shards.remove(&shard) else {
             return;
@@ -107,15 +119,16 @@
             .released_tokens
             .insert(owner.shard, owner.token);
         self.update_rate_limits();
-        // Its workers stay where they are until there is a new owner. An answer under
-        // the token given up is worth nothing to those that have shown a higher one.
+        // The workers' long polls are answered without commands. The workers stay with their
+        // controllers until there is a new owner. A worker that has seen a higher token ignores a
+        // response under the released one.
         for request_id in owner.long_polling_requests() {
             let body = commands_body(owner.token, &[]);
             self.context.answer(request_id, Reply::ok(200, body));
         }
     }
 
-    /// Gives up everything this controller holds.
+    /// Steps down as the leader and releases all shards.
     pub(crate) fn give_up(&mut self, reason: GiveUpReason) {
         self.step_down(reason);
         let shards: Vec<u32> = self.shards.keys().copied().collect();
@@ -124,12 +137,14 @@
         }
     }
 
-    /// Gives up everything and rests, when this controller can't do the work.
+    /// Steps down, releases all shards, and stays out of elections for some lease durations. Used
+    /// when this controller can't do its work.
     pub(crate) fn resign(&mut self, reason: GiveUpReason) {
         let lease_s = self.context.settings.tuning.leader_lease_s;
         let lease_id = self.context.election.rest(self.context.now, lease_s);
         self.give_up(reason);
-        // Its key goes with the lease, so that nobody waits for its end.
+        // The leader's key is deleted with the lease, so that no other controller has to wait for
+        // the lease to expire.
         if let Some(lease_id) = lease_id {
             self.context.revoke_when_quiet(lease_id);
         }
--- a/src/controller/shards/quota_shares.rs
+++ b/src/controller/shards/quota_shares.rs
@@ -1,4 +1,4 @@
-//! How a team's quota limit is shared among the shards.
+//! How the limits of teams are divided among the shards.
 
 use crate::controller::context::Context;
 use crate::controller::quota::team_limits::LimitsWanted;
@@ -8,110 +8,138 @@
 use log::warn;
 use std::collections::BTreeMap;
 
-/// Shares one team's limit among the shards. `turn` is the shard whose turn it is.
-pub(crate) fn share_limit(
+/// Divides the limit of one team, in CPUs and GPUs, among the shards in `counts`. `turn` is the
+/// shard that is served first.
+pub(crate) fn divide_team_limit(
     records: &mut BTreeMap<u32, ShardRecord>,
     team: &str,
     limit: (f64, f64),
     counts: &BTreeMap<u32, TeamCount>,
     turn: u32,
 ) {
-    let has = |k: &u32| {
-        let given = records[k].quota_shares.as_ref().and_then(|a| a.get(team));
-        given.copied().unwrap_or_default()
+    let old_share = |shard: &u32| {
+        let share = records[shard]
+            .quota_shares
+            .as_ref()
+            .and_then(|shares| shares.get(team));
+        share.copied().unwrap_or_default()
     };
-    let pick = |f: fn(&TeamCount) -> f64| counts.iter().map(|(k, c)| (*k, f(c))).collect();
-    let old_cpus = counts.keys().map(|k| (*k, has(k).0)).collect();
-    let old_gpus = counts.keys().map(|k| (*k, has(k).1)).collect();
-    let cpus = shares(
+    let by_shard = |amount: fn(&TeamCount) -> f64| {
+        counts
+            .iter()
+            .map(|(shard, count)| (*shard, amount(count)))
+            .collect()
+    };
+    let old_cpus = counts.keys().map(|k| (*k, old_share(k).0)).collect();
+    let old_gpus = counts.keys().map(|k| (*k, old_share(k).1)).collect();
+    let cpus = divide_amount(
         limit.0,
         turn,
         &old_cpus,
-        &pick(|c| c.cpus),
-        &pick(|c| c.cpus_wanted),
+        &by_shard(|count| count.cpus),
+        &by_shard(|count| count.cpus_wanted),
     );
-    let gpus = shares(
+    let gpus = divide_amount(
         limit.1,
         turn,
         &old_gpus,
-        &pick(|c| c.gpus),
-        &pick(|c| c.gpus_wanted),
+        &by_shard(|count| count.gpus),
+        &by_shard(|count| count.gpus_wanted),
     );
-    for k in counts.keys() {
-        if let Some(all) = records.get_mut(k).and_then(|b| b.quota_shares.as_mut()) {
-            let (cpus, gpus) = (cpus[k], gpus[k]);
-            if cpus > 0.0 || gpus > 0.0 || all.contains_key(team) {
-                all.insert(team.to_string(), (cpus, gpus));
+    for shard in counts.keys() {
+        if let Some(shares) = records
+            .get_mut(shard)
+            .and_then(|record| record.quota_shares.as_mut())
+        {
+            let (cpus, gpus) = (cpus[shard], gpus[shard]);
+            if cpus > 0.0 || gpus > 0.0 || shares.contains_key(team) {
+                shares.insert(team.to_string(), (cpus, gpus));
             }
         }
     }
 }
 
-pub(crate) type PerShard = BTreeMap<u32, f64>;
+/// An amount of CPUs or GPUs by shard.
+pub(crate) type AmountByShard = BTreeMap<u32, f64>;
 
-/// Room for rounding when amounts are added and taken away many times.
-pub(crate) const SLACK: f64 = 1e-6;
+/// Tolerance for rounding errors that add up over many additions and subtractions.
+pub(crate) const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// What each shard may use from now on. Nothing changes while every shard has what it
-/// wants and the limit wasn't lowered. Otherwise the shard whose turn it is gets all it wants, so that even a task
-/// as large as the limit starts one day, and the others share the rest evenly. Room is
-/// given only once nobody uses it.
-pub(crate) fn shares(
+/// Computes how much of `limit` each shard may use from now on, from the `old` shares, the amounts
+/// in use and the amounts wanted.
+///
+/// Nothing changes while every shard has what it wants and the sum of the shares is within the
+/// limit. Otherwise the shard `turn` gets all that it wants, so that even a task as large as the
+/// limit starts eventually, and the other shards share the rest evenly. A share grows only by an
+/// amount that no other shard may use or still uses.
+pub(crate) fn divide_amount(
     limit: f64,
     turn: u32,
-    old: &PerShard,
-    used: &PerShard,
-    wanted: &PerShard,
-) -> PerShard {
+    old: &AmountByShard,
+    used: &AmountByShard,
+    wanted: &AmountByShard,
+) -> AmountByShard {
     let mut new = old.clone();
-    let lowered = old.values().sum::<f64>() > limit + SLACK;
-    let served = wanted.iter().all(|(k, w)| *w <= old[k] + SLACK);
-    if limit <= 0.0 || served && !lowered {
+    let is_lowered = old.values().sum::<f64>() > limit + ROUNDING_TOLERANCE;
+    let is_satisfied = wanted
+        .iter()
+        .all(|(shard, amount)| *amount <= old[shard] + ROUNDING_TOLERANCE);
+    if limit <= 0.0 || is_satisfied && !is_lowered {
         return new;
     }
     let mut left = limit;
-    let mut targets = PerShard::new();
-    if let Some(w) = wanted.get(&turn) {
-        targets.insert(turn, w.min(left));
-        left -= w.min(left);
+    let mut targets = AmountByShard::new();
+    if let Some(amount) = wanted.get(&turn) {
+        targets.insert(turn, amount.min(left));
+        left -= amount.min(left);
     }
     let mut others: Vec<(u32, f64)> = wanted
         .iter()
-        .filter(|(k, _)| **k != turn)
-        .map(|(k, w)| (*k, *w))
+        .filter(|(shard, _)| **shard != turn)
+        .map(|(shard, amount)| (*shard, *amount))
         .collect();
     others.sort_by(|a, b| a.1.total_cmp(&b.1));
     let count = others.len();
-    for (at, (k, w)) in others.into_iter().enumerate() {
-        let part = w.min(left / (count - at) as f64);
-        targets.insert(k, part);
-        left -= part;
+    for (index, (shard, amount)) in others.into_iter().enumerate() {
+        let target = amount.min(left / (count - index) as f64);
+        targets.insert(shard, target);
+        left -= target;
     }
-    // Before anyone gets more, what others may use or use still is counted.
-    let mut free = limit - old.iter().map(|(k, a)| a.max(used[k])).sum::<f64>();
-    for (k, have) in &mut new {
-        let target = targets.get(k).copied().unwrap_or(0.0);
-        if *have < target {
-            let more = (target - *have).min(free.max(0.0));
-            *have += more;
-            free -= more;
+    // A share grows only within the part of the limit that no shard may use or still uses.
+    let mut free = limit
+        - old
+            .iter()
+            .map(|(shard, share)| share.max(used[shard]))
+            .sum::<f64>();
+    for (shard, share) in &mut new {
+        let target = targets.get(shard).copied().unwrap_or(0.0);
+        if *share < target {
+            let added = (target - *share).min(free.max(0.0));
+            *share += added;
+            free -= added;
         } else {
-            *have = target;
+            *share = target;
         }
     }
-    // Below a lowered limit, what one shard still uses beyond its part is no room for another.
-    let mut over = new.iter().map(|(k, a)| a.max(used[k])).sum::<f64>() - limit;
-    for (k, have) in &mut new {
-        let cut = over.min(*have - used[k]).max(0.0);
-        *have -= cut;
-        over -= cut;
+    // After the limit was lowered, a shard may still use more than its share. The excess is taken
+    // from the unused shares of other shards, so that the sum stays within the limit.
+    let mut excess = new
+        .iter()
+        .map(|(shard, share)| share.max(used[shard]))
+        .sum::<f64>()
+        - limit;
+    for (shard, share) in &mut new {
+        let cut = excess.min(*share - used[shard]).max(0.0);
+        *share -= cut;
+        excess -= cut;
     }
     new
 }
 
 impl Context {
-    /// Lets the only shard use what the limits allow, once that has changed.
-    pub(crate) fn limit_only_shard(&self, records: &mut BTreeMap<u32, ShardRecord>) {
+    /// Updates the limits in the record of the only shard, which gets them whole. Limits that don't
+    /// fit into the record are logged and not applied.
+    pub(crate) fn set_limits_of_only_shard(&self, records: &mut BTreeMap<u32, ShardRecord>) {
         let wanted = match self.limits_wanted() {
             LimitsWanted::OfSettings => None,
             LimitsWanted::Set(limits) => Some(limits),
@@ -120,54 +148,64 @@
         let Some(record) = records.get_mut(&0) else {
             return;
         };
-        let limited = ShardRecord {
+        let updated = ShardRecord {
             quota_shares: wanted,
             ..record.clone()
         };
-        if limited.quota_shares == record.quota_shares {
+        if updated.quota_shares == record.quota_shares {
             return;
         }
-        let (bytes, most) = (json_bytes(&limited), self.record_most());
-        if bytes > most {
+        let (bytes, bytes_max) = (json_bytes(&updated), self.shard_record_bytes_max());
+        if bytes > bytes_max {
             warn!(
-                "team limits not in force, bytes={bytes} bytes_max={most} reason=too large for one record"
+                "team limits not in force, bytes={bytes} bytes_max={bytes_max} reason=too large for one record"
             );
             return;
         }
-        *record = limited;
+        *record = updated;
     }
 
-    /// Moves what teams may use to where they want it. What one shard loses another
-    /// gets only once the first one's use, counted under its new record, is below.
-    pub(crate) fn share_limits(&self, records: &mut BTreeMap<u32, ShardRecord>) {
+    /// Divides the limits of all teams among the shards by what each shard wants. What one shard
+    /// loses is given to another only once the first shard has reported, under its new record, that
+    /// it uses no more than its new share. Therefore nothing changes until the latest counts of
+    /// every shard are of its current record.
+    pub(crate) fn divide_limits(&self, records: &mut BTreeMap<u32, ShardRecord>) {
         if records.len() < 2 {
-            return self.limit_only_shard(records);
+            return self.set_limits_of_only_shard(records);
         }
         let limits = match self.limits_wanted() {
             LimitsWanted::OfSettings => self.limits_of_settings(),
             LimitsWanted::Set(limits) => limits,
             LimitsWanted::AsTheyAre => return,
         };
-        let marks = self.store.mirror.shards.iter();
-        let marks: BTreeMap<u32, u64> = marks.map(|(k, b)| (*k, b.revision)).collect();
-        let all = self.valid_counts();
-        let current = |t: &&&ShardCounts| marks.get(&t.shard) == Some(&t.revision);
-        let told: BTreeMap<u32, &ShardCounts> =
-            all.iter().filter(current).map(|t| (t.shard, *t)).collect();
-        if records.keys().any(|k| !told.contains_key(k)) {
+        let slots = self.store.mirror.shards.iter();
+        let revisions: BTreeMap<u32, u64> =
+            slots.map(|(shard, slot)| (*shard, slot.revision)).collect();
+        let valid = self.valid_counts();
+        let is_current =
+            |counts: &&&ShardCounts| revisions.get(&counts.shard) == Some(&counts.revision);
+        let current: BTreeMap<u32, &ShardCounts> = valid
+            .iter()
+            .filter(is_current)
+            .map(|counts| (counts.shard, *counts))
+            .collect();
+        if records.keys().any(|shard| !current.contains_key(shard)) {
             return;
         }
+        // Each shard is served first for one lease duration in turn.
         let lease_s = self.settings.tuning.shard_lease_s;
         let turn_index = (self.now.since(Time(0)) / lease_s) as usize % records.len();
         let turn = records.keys().nth(turn_index).copied().unwrap_or(0);
         for (team, limit) in limits {
-            let count = |t: &ShardCounts| {
-                let found = t.teams.iter().find(|(name, _)| *name == team);
-                found.map(|(_, c)| *c).unwrap_or_default()
+            let team_count = |counts: &ShardCounts| {
+                let found = counts.teams.iter().find(|(name, _)| *name == team);
+                found.map(|(_, count)| *count).unwrap_or_default()
             };
-            let counts: BTreeMap<u32, TeamCount> =
-                told.iter().map(|(k, t)| (*k, count(t))).collect();
-            share_limit(records, &team, limit, &counts, turn);
+            let counts: BTreeMap<u32, TeamCount> = current
+                .iter()
+                .map(|(shard, counts)| (*shard, team_count(counts)))
+                .collect();
+            divide_team_limit(records, &team, limit, &counts, turn);
         }
     }
 }
--- a/src/controller/shards/splitting.rs
+++ b/src/controller/shards/splitting.rs
@@ -1,4 +1,4 @@
-//! When the fleet is split into one more shard, and which shard takes a new job.
+//! When the leader adds a shard to the fleet, and which shard a new job belongs to.
 
 use crate::controller::Controller;
 use crate::controller::context::Context;
@@ -9,30 +9,37 @@
 use log::info;
 use std::collections::BTreeMap;
 
-/// A fleet is cut once its owner has been too busy for so many lives of a shard's lease.
-pub(crate) const CUT_LEASES: f64 = 2.0;
+/// A shard is added once the owners have been too busy for this many durations of a shard's lease.
+pub(crate) const SPLIT_DELAY_LEASES: f64 = 2.0;
 
-/// A process that has run for so many seconds without a measurement won't get one.
-pub(crate) const UNMEASURED_S: f64 = 5.0;
+/// Age of the process in seconds from which a missing measurement of its processor use means that
+/// there won't be one.
+pub(crate) const MEASUREMENT_WAIT_S: f64 = 5.0;
 
 impl Controller {
-    /// Into how many shards a fleet is cut. Where it is measured how busy the owner is, that
-    /// decides, and only once it has said so for long: a partition costs more than a full processor for
-    /// some seconds, and isn't undone.
+    /// The number of shards that the fleet needs.
+    ///
+    /// Where the processor use of this process is measured, it decides, and only once it has called
+    /// for more shards for some time. A split costs more than a few seconds at full processor use,
+    /// and it isn't undone. Without a measurement, the number of machines decides.
     pub(crate) fn shards_needed(&mut self, machines: u32, shards: usize) -> usize {
         let now = self.context.now;
         if !self.context.processor.measured() {
-            // A process that has just begun will be.
-            let never = self.context.age_s() > UNMEASURED_S;
-            return if never {
+            // The first measurement takes some seconds after the start of the process.
+            let is_unavailable = self.context.age_s() > MEASUREMENT_WAIT_S;
+            return if is_unavailable {
                 self.context.settings.shards_for(machines)
             } else {
                 shards
             };
         }
-        let held = self.shards.values().map(|h| h.machines.len()).sum();
-        let by_use = self.context.processor.machines_per_owner(now, held);
-        let needed = by_use.map_or(1, |most| self.context.settings.shards_at(machines, most));
+        let owned = self.shards.values().map(|owner| owner.machines.len()).sum();
+        let machines_per_owner = self.context.processor.machines_per_owner(now, owned);
+        let needed = machines_per_owner.map_or(1, |machines_per_owner| {
+            self.context
+                .settings
+                .shards_at(machines, machines_per_owner)
+        });
         let Some(leadership) = &mut self.context.leadership else {
             return shards;
         };
@@ -41,8 +48,8 @@
             return shards;
         }
         let since = *leadership.short_of_shards_since.get_or_insert(now);
-        let patience = self.context.settings.tuning.shard_lease_s * CUT_LEASES;
-        if now.since(since) < patience {
+        let delay_s = self.context.settings.tuning.shard_lease_s * SPLIT_DELAY_LEASES;
+        if now.since(since) < delay_s {
             return shards;
         }
         leadership.short_of_shards_since = None;
@@ -52,8 +59,9 @@
         needed
     }
 
-    /// One more shard, once each of them has enough machines.
-    pub(crate) fn split(
+    /// Adds one shard if the fleet needs more than it has and there are enough controllers, or if a
+    /// machine fits into no shard's record.
+    pub(crate) fn add_shard_if_needed(
         &mut self,
         records: &mut BTreeMap<u32, ShardRecord>,
         highest: &mut FencingToken,
@@ -62,45 +70,54 @@
             .context
             .valid_counts()
             .iter()
-            .flat_map(|t| &t.zones)
-            .map(|(_, _, _, n)| n)
+            .flat_map(|counts| &counts.zones)
+            .map(|(_, _, _, count)| count)
             .sum();
         let controllers = 1 + self
             .context
             .recent_heartbeats()
-            .filter(|h| h.is_fresh)
+            .filter(|heartbeat| heartbeat.is_fresh)
             .count();
-        let by_size = self.shards_needed(machines, records.len());
-        let crowded = self.context.leadership.as_ref().is_some_and(|l| l.crowded);
-        if records.is_empty() || (records.len() >= by_size.min(controllers) && !crowded) {
+        let needed = self.shards_needed(machines, records.len());
+        let is_crowded = self.context.leadership.as_ref().is_some_and(|l| l.crowded);
+        if records.is_empty() || (records.len() >= needed.min(controllers) && !is_crowded) {
             return;
         }
-        if let Some(first) = records.get_mut(&0).filter(|b| b.machines.is_none()) {
-            // The only shard gets a list before there is a second one.
-            let Some(h) = self.shards.get(&0).filter(|h| h.token == first.token) else {
+        if let Some(first) = records
+            .get_mut(&0)
+            .filter(|record| record.machines.is_none())
+        {
+            // The record of the only shard has no list of machines. It needs one before there is a
+            // second shard.
+            let Some(owner) = self
+                .shards
+                .get(&0)
+                .filter(|owner| owner.token == first.token)
+            else {
                 return;
             };
             let mut listed = first.clone();
-            listed.machines = Some(h.entries());
-            // As they are, if they were set at run time: what is in force changes elsewhere.
-            let whole = || match self.context.settings.cells {
+            listed.machines = Some(owner.machine_entries());
+            // Limits that were set at run time are in the record already and stay: changes of
+            // limits go through another path.
+            let default_limits = || match self.context.settings.cells {
                 None => self.context.limits_of_settings(),
                 Some(_) => LimitsByTeam::new(),
             };
-            listed.quota_shares.get_or_insert_with(whole);
-            if json_bytes(&listed) > self.context.record_most() {
-                // It goes on as one shard, which needs no list.
+            listed.quota_shares.get_or_insert_with(default_limits);
+            if json_bytes(&listed) > self.context.shard_record_bytes_max() {
+                // The list is too large for the record. The fleet remains one shard without a list.
                 return;
             }
             *first = listed;
         }
-        let load: BTreeMap<ControllerId, usize> =
-            records.values().fold(BTreeMap::new(), |mut l, b| {
-                *l.entry(b.owner.clone()).or_default() += 1;
-                l
+        let shards_owned: BTreeMap<ControllerId, usize> =
+            records.values().fold(BTreeMap::new(), |mut owned, record| {
+                *owned.entry(record.owner.clone()).or_default() += 1;
+                owned
             });
-        let (owner, incarnation) = self.context.least_loaded(&load);
-        let shard = records.keys().max().map_or(0, |k| k + 1);
+        let (owner, incarnation) = self.context.least_loaded(&shards_owned);
+        let shard = records.keys().max().map_or(0, |highest| highest + 1);
         info!("shard created, shard={shard} owner={owner}");
         highest.0 += 1;
         let record = ShardRecord {
@@ -115,20 +132,21 @@
 }
 
 impl ShardOwner {
-    /// The shard's machines as its record lists them.
-    pub(crate) fn entries(&self) -> Vec<Entry> {
-        let all = self.machines.iter();
-        let all = all.map(|(id, machine)| {
+    /// The shard's machines in the form of its record.
+    pub(crate) fn machine_entries(&self) -> Vec<Entry> {
+        let machines = self.machines.iter();
+        let entries = machines.map(|(id, machine)| {
             let (class, zone) = (machine.type_name.to_string(), machine.zone.to_string());
             (id.clone(), class, zone, machine.spot)
         });
-        all.collect()
+        entries.collect()
     }
 }
 
 impl Context {
-    /// The shard that takes a new job: by the job's name, in proportion to the shares
-    /// in the plan, so that every node comes to the same shard.
+    /// The shard of a new job. It is chosen by a hash of the job's name, in proportion to the
+    /// shares in the plan's record, so that all controllers choose the same shard. Shard 0 if there
+    /// are no shares.
     pub(crate) fn shard_for(&self, id: &JobId) -> u32 {
         let shares = self
             .store
@@ -136,23 +154,24 @@
             .plan
             .record
             .as_ref()
-            .map(|placement| placement.shares.as_slice());
+            .map(|plan| plan.shares.as_slice());
         let shares = shares.unwrap_or(&[]);
-        let total: u64 = shares.iter().map(|(_, n)| u64::from(*n)).sum();
+        let total: u64 = shares.iter().map(|(_, share)| u64::from(*share)).sum();
         if total == 0 {
             return 0;
         }
-        let mut at = stable_hash(id.as_str()) % total;
-        for (shard, n) in shares {
-            if at < u64::from(*n) {
+        let mut remainder = stable_hash(id.as_str()) % total;
+        for (shard, share) in shares {
+            if remainder < u64::from(*share) {
                 return *shard;
             }
-            at -= u64::from(*n);
+            remainder -= u64::from(*share);
         }
         0
     }
 
-    /// The shares of new jobs, by machines.
+    /// The shares in which new jobs are divided among shards: one more than the shard's machines
+    /// each. Empty while there is only one shard.
     pub(crate) fn job_shares(&self) -> Vec<(u32, u32)> {
         let records = self.store.mirror.shard_records();
         let shares = records.filter_map(|(shard, record)| {
