--- a/src/controller/autoscaling/demand.rs
+++ b/src/controller/autoscaling/demand.rs
@@ -160,7 +160,7 @@
         counts: &mut BTreeMap<Pool, PoolCount>,
     ) {
         let mut team_quota_left = HashMap::new();
-        for id in &self.waiting {
+        for id in &self.jobs_with_queued_tasks {
             let Some(job_state) = self.jobs.get(id) else {
                 continue;
             };
@@ -207,7 +207,7 @@
     pub(crate) fn pins(&self, catalog: &[MachineType], exhausted: &[ExhaustedPool]) -> Zones {
         let mut lacking = Zones::new();
         let mut empty_machines = self.empty_machines();
-        let waiting = self.waiting.iter();
+        let waiting = self.jobs_with_queued_tasks.iter();
         let waiting = waiting.filter(|id| !self.failures.unplaceable(id));
         for job_state in waiting.filter_map(|id| self.jobs.get(id)) {
             let Some(pool) = pool_for(catalog, &job_state.record, exhausted) else {
@@ -260,7 +260,11 @@
         let Some(team) = teams.iter().find(|team| team.name == record.team) else {
             return 0;
         };
-        let used = self.teams.get(&record.team).copied().unwrap_or_default();
+        let used = self
+            .usage_by_team
+            .get(&record.team)
+            .copied()
+            .unwrap_or_default();
         let left = quota_left.entry(record.team.clone()).or_insert_with(|| {
             let (cpus, gpus) = self.quota_share(team);
             let unused = |limit: f64, used: f64| {
--- a/src/controller/machines/commands.rs
+++ b/src/controller/machines/commands.rs
@@ -94,7 +94,7 @@
             };
             match (placement.stop_requested, placement.phase) {
                 (None, Phase::Ready) if starts => {
-                    (placement.phase, placement.since) = (Phase::Sent, now);
+                    (placement.phase, placement.phase_since) = (Phase::Sent, now);
                     placement.send_count += 1;
                     out.push(Command::Start {
                         task: task.to_string(),
--- a/src/controller/machines/heartbeats.rs
+++ b/src/controller/machines/heartbeats.rs
@@ -217,14 +217,15 @@
             TaskStatus::Ended => return self.on_task_ended(context, id, task, t.cause),
         };
         if placement.phase == phase {
-            let runs_well = phase == Phase::Running && now.since(placement.since) > RUNS_WELL_S;
+            let runs_well =
+                phase == Phase::Running && now.since(placement.phase_since) > RUNS_WELL_S;
             if runs_well && !placement.is_proven_healthy {
                 placement.is_proven_healthy = true;
                 self.task_succeeded(now, id, task);
             }
             return;
         }
-        (placement.phase, placement.since) = (phase, now);
+        (placement.phase, placement.phase_since) = (phase, now);
         if phase == Phase::Fetching {
             return;
         }
--- a/src/controller/scheduling/consolidation.rs
+++ b/src/controller/scheduling/consolidation.rs
@@ -59,7 +59,8 @@
             let job_state = self.jobs.get(id);
             job_state.is_some_and(|job| job.record.priority_class > PriorityClass::Normal)
         };
-        let room_to_spare = !self.is_mass_partition && !self.waiting.iter().any(urgent);
+        let room_to_spare =
+            !self.is_mass_partition && !self.jobs_with_queued_tasks.iter().any(urgent);
         let spare = if room_to_spare {
             let headroom = context.settings.tuning.headroom;
             spare_machines(self, &context.cloud.catalog, headroom, context.now)
@@ -171,8 +172,8 @@
     for task in tasks {
         let job_state = shard.jobs.get(&task.job)?;
         let placement = job_state.placed.get(&task.index)?;
-        let ran_long =
-            placement.phase == Phase::Running && context.now.since(placement.since) > RUNNING_MIN_S;
+        let ran_long = placement.phase == Phase::Running
+            && context.now.since(placement.phase_since) > RUNNING_MIN_S;
         let is_service = job_state.record.kind == JobKind::Service;
         if !is_service || placement.stop_requested.is_some() || !ran_long {
             return None;
--- a/src/controller/scheduling/constraints.rs
+++ b/src/controller/scheduling/constraints.rs
@@ -22,7 +22,11 @@
     let Some(team) = teams.iter().find(|team| team.name == record.team) else {
         return false;
     };
-    let used = shard.teams.get(&record.team).copied().unwrap_or_default();
+    let used = shard
+        .usage_by_team
+        .get(&record.team)
+        .copied()
+        .unwrap_or_default();
     let (cpus, gpus) = shard.quota_share(team);
     let fits = |used: f64, need: f64, limit: f64| used + need <= limit + ROUNDING;
     fits(used.cpus, record.resources.cpus, cpus) && fits(used.gpus, record.resources.gpus, gpus)
@@ -54,7 +58,7 @@
         return false;
     }
     let used = shard
-        .teams
+        .usage_by_team
         .get(&job_state.record.team)
         .copied()
         .unwrap_or_default();
@@ -74,7 +78,11 @@
     let above = |used: f64, guaranteed: f64| guaranteed > 0.0 && used > guaranteed + ROUNDING;
     let teams = settings.platform.facts.teams.iter();
     let over = teams.filter(|other| {
-        let used = shard.teams.get(&other.name).copied().unwrap_or_default();
+        let used = shard
+            .usage_by_team
+            .get(&other.name)
+            .copied()
+            .unwrap_or_default();
         let guaranteed = other.cpus > 0.0 || other.gpus > 0.0;
         let over = above(used.cpus, other.cpus) || above(used.gpus, other.gpus);
         other.name != team && (!guaranteed || over)
--- a/src/controller/scheduling/mod.rs
+++ b/src/controller/scheduling/mod.rs
@@ -100,7 +100,8 @@
     fn scheduling_due(&self, context: &Context) -> bool {
         let now = context.now;
         // Pauses of failing jobs, of machines and of batch work end without any event.
-        let due = now.since(self.next_cycle_at) > CYCLE_INTERVAL_MAX_S && !self.waiting.is_empty();
+        let due = now.since(self.next_cycle_at) > CYCLE_INTERVAL_MAX_S
+            && !self.jobs_with_queued_tasks.is_empty();
         let wanted = self.needs_scheduling || due;
         wanted
             && !context.is_stale()
@@ -111,10 +112,10 @@
     /// The jobs with queued tasks, in the order in which they are served.
     fn queue_order(&mut self, context: &Context) -> Vec<QueuePosition> {
         let jobs = &self.jobs;
-        self.waiting
+        self.jobs_with_queued_tasks
             .retain(|id| jobs.get(id).is_some_and(|job_state| job_state.queued() > 0));
         let mut queue = Vec::new();
-        for id in &self.waiting {
+        for id in &self.jobs_with_queued_tasks {
             let job_state = &self.jobs[id];
             if context.now >= job_state.not_before && !job_state.is_finishing {
                 queue.push(QueuePosition {
@@ -290,7 +291,7 @@
     /// has done.
     fn is_owed_its_guarantee(&self, context: &Context, job_state: &JobState) -> bool {
         let boots = context.cloud.catalog.iter().map(|found| found.ready_s);
-        let waited = context.now.since(job_state.since) > boots.fold(0.0, f64::max);
+        let waited = context.now.since(job_state.waiting_since) > boots.fold(0.0, f64::max);
         waited && within_guarantee(self, &context.settings, job_state)
     }
 
--- a/src/controller/scheduling/preemption.rs
+++ b/src/controller/scheduling/preemption.rs
@@ -136,7 +136,7 @@
             let loss_s = 0.0;
             preemptible.push(Preemptible { loss_s, task, need });
         } else if matches!(placement.phase, Phase::Fetching | Phase::Running) {
-            let ran_s = shard.last_worker_heartbeat.since(placement.since);
+            let ran_s = shard.last_worker_heartbeat.since(placement.phase_since);
             let loss_s = if record.checkpoint_s > 0.0 {
                 CHECKPOINTED_LOSS_S
             } else {
--- a/src/controller/scheduling/scoring.rs
+++ b/src/controller/scheduling/scoring.rs
@@ -169,7 +169,7 @@
     /// Whether a job waits for a spot machine rather than use the room kept for urgent starts.
     fn waits_for_spot(&self, job_state: &JobState) -> bool {
         let record = &job_state.record;
-        self.now.since(job_state.since) < SPOT_WAIT_S
+        self.now.since(job_state.waiting_since) < SPOT_WAIT_S
             && record.checkpoint_s <= 0.0
             && record.spot
             && record.priority_class <= PriorityClass::Normal
--- a/src/controller/shard/admission.rs
+++ b/src/controller/shard/admission.rs
@@ -124,7 +124,7 @@
             DependencyState::Open | DependencyState::Unknown => {}
             DependencyState::Met => {
                 job_state.is_released = true;
-                job_state.since = now;
+                job_state.waiting_since = now;
                 if !job.record.dependencies.is_empty() {
                     info!("job released, its dependencies are done, job={id}");
                 }
@@ -136,7 +136,7 @@
                 );
                 self.record_image_use(now, &job.record);
                 if self.jobs[id].queued() > 0 {
-                    self.waiting.insert(id.clone());
+                    self.jobs_with_queued_tasks.insert(id.clone());
                     self.needs_scheduling = true;
                 }
             }
@@ -173,7 +173,7 @@
         }
         self.jobs.remove(id);
         self.failures.forget_job(id);
-        self.waiting.remove(id);
+        self.jobs_with_queued_tasks.remove(id);
         self.ready_to_end_jobs.remove(id);
         self.write_queue.retain(|(_, job, _)| job != id);
     }
@@ -181,7 +181,7 @@
     /// Stops all tasks of a cancelled job, and removes the placements whose start was never sent.
     fn stop_cancelled(&mut self, context: &mut Context, id: &JobId) {
         let now = context.now;
-        self.waiting.remove(id);
+        self.jobs_with_queued_tasks.remove(id);
         let Some(job_state) = self.jobs.get_mut(id) else {
             return;
         };
@@ -230,7 +230,7 @@
             zone: zone.as_str().into(),
             attempt,
             phase: Phase::Unconfirmed,
-            since: now,
+            phase_since: now,
             stop_requested: None,
             send_count: 0,
             // An earlier owner may have credited the machine for this task already, so that the
--- a/src/controller/shard/commits.rs
+++ b/src/controller/shard/commits.rs
@@ -303,7 +303,7 @@
             && placement.phase == Phase::Committing
         {
             placement.phase = Phase::Ready;
-            placement.since = now;
+            placement.phase_since = now;
             machines.push(placement.machine.clone());
         }
     }
--- a/src/controller/shard/job.rs
+++ b/src/controller/shard/job.rs
@@ -33,7 +33,7 @@
     pub attempt: Attempt,
     pub phase: Phase,
     /// When `phase` last changed.
-    pub since: Time,
+    pub phase_since: Time,
     /// When the task was first requested to stop. `None` if it wasn't.
     pub stop_requested: Option<Time>,
     /// How often the start was sent.
@@ -50,7 +50,7 @@
             zone,
             attempt,
             phase: Phase::Committing,
-            since: now,
+            phase_since: now,
             stop_requested: None,
             send_count: 0,
             is_proven_healthy: false,
@@ -72,7 +72,7 @@
     /// Revision at which the job's acceptance was committed: the order of arrival.
     pub arrival: u64,
     /// When the job began to wait for machines: when it was added or, with dependencies, released.
-    pub since: Time,
+    pub waiting_since: Time,
     /// When the job was cancelled.
     pub cancelled: Option<Time>,
     /// Whether all dependencies are known to be done. No task starts before that.
@@ -116,7 +116,7 @@
             layout,
             revision: job.revision,
             arrival: job.revision,
-            since: now,
+            waiting_since: now,
             cancelled: job.cancelled,
             is_released: false,
             done: vec![false; job.record.count as usize],
--- a/src/controller/shard/mod.rs
+++ b/src/controller/shard/mod.rs
@@ -78,7 +78,7 @@
     pub jobs: BTreeMap<JobId, JobState>,
     pub machines: Inventory,
     /// Resources that each team uses in this shard.
-    pub(crate) teams: HashMap<String, Resources>,
+    pub(crate) usage_by_team: HashMap<String, Resources>,
     /// How much services' demand for each pool varies.
     pub(crate) burst_estimates: BTreeMap<Pool, BurstEstimate>,
     /// Failed attempts of tasks, with the job or machine that they are attributed to.
@@ -88,7 +88,7 @@
     /// Demand for images that services use.
     pub(crate) images: HashMap<Image, ImageDemand>,
     /// Jobs with queued tasks.
-    pub(crate) waiting: BTreeSet<JobId>,
+    pub(crate) jobs_with_queued_tasks: BTreeSet<JobId>,
     /// Whether something that scheduling depends on has changed since the last cycle.
     pub(crate) needs_scheduling: bool,
     /// Earliest time of the next scheduling cycle.
@@ -135,12 +135,12 @@
             attempts_made: 0,
             jobs: BTreeMap::new(),
             machines: Inventory::default(),
-            teams: HashMap::new(),
+            usage_by_team: HashMap::new(),
             burst_estimates: BTreeMap::new(),
             failures: FailureLog::default(),
             boot_averages_s: BTreeMap::new(),
             images: HashMap::new(),
-            waiting: BTreeSet::new(),
+            jobs_with_queued_tasks: BTreeSet::new(),
             needs_scheduling: true,
             next_cycle_at: now,
             next_consolidation_at: now,
@@ -251,7 +251,7 @@
         let record = &job_state.record;
         self.machines
             .edit(&placement.machine, |machine| machine.bind(task, record));
-        self.teams
+        self.usage_by_team
             .entry(record.team.clone())
             .or_default()
             .add(record.resources, 1.0);
@@ -321,7 +321,7 @@
             return;
         };
         let need = job_state.record.resources;
-        if let Some(used) = self.teams.get_mut(&job_state.record.team) {
+        if let Some(used) = self.usage_by_team.get_mut(&job_state.record.team) {
             used.add(need, -1.0);
         }
         self.machines
@@ -337,7 +337,7 @@
             }
         } else if !done {
             job_state.queue_scan_start = job_state.queue_scan_start.min(task.index);
-            self.waiting.insert(task.job.clone());
+            self.jobs_with_queued_tasks.insert(task.job.clone());
         }
         self.needs_scheduling = true;
     }
@@ -398,7 +398,7 @@
         if bound != bindings.sum::<usize>() {
             return Err(AuditError::NotPlaced);
         }
-        for (team, used) in &self.teams {
+        for (team, used) in &self.usage_by_team {
             let recounted = teams.get(team.as_str()).copied().unwrap_or_default();
             if !used.holds(recounted) || !recounted.holds(*used) {
                 return Err(AuditError::TeamUse {
--- a/src/controller/shards/counts.rs
+++ b/src/controller/shards/counts.rs
@@ -127,12 +127,16 @@
     /// CPUs and GPUs that each team uses, and those that it would use if all its queued tasks ran.
     pub(crate) fn counts_by_team(&self) -> Vec<(String, TeamCount)> {
         let mut counts: BTreeMap<&str, TeamCount> = BTreeMap::new();
-        for (team, used) in &self.teams {
+        for (team, used) in &self.usage_by_team {
             let count = counts.entry(team).or_default();
             (count.cpus, count.gpus) = (used.cpus, used.gpus);
             (count.cpus_wanted, count.gpus_wanted) = (used.cpus, used.gpus);
         }
-        for job_state in self.waiting.iter().filter_map(|id| self.jobs.get(id)) {
+        for job_state in self
+            .jobs_with_queued_tasks
+            .iter()
+            .filter_map(|id| self.jobs.get(id))
+        {
             let count = counts.entry(&job_state.record.team).or_default();
             count.cpus_wanted += f64::from(job_state.queued()) * job_state.record.resources.cpus;
             count.gpus_wanted += f64::from(job_state.queued()) * job_state.record.resources.gpus;
