--- a/src/controller/shard/admission.rs
+++ b/src/controller/shard/admission.rs
@@ -233,8 +233,8 @@
             phase_since: now,
             stop_requested: None,
             send_count: 0,
-            // An earlier owner may have credited the machine for this task already, so that the
-            // task doesn't count in favor of its machine again.
+            // The task was started under an earlier owner. That it still runs says nothing new
+            // about its machine.
             is_proven_healthy: true,
         };
         self.add_placement(job, index, placement);
--- a/src/controller/shard/commits.rs
+++ b/src/controller/shard/commits.rs
@@ -76,8 +76,8 @@
 const URGENT_WRITES_IN_FLIGHT_MAX: usize = 2;
 
 impl Context {
-    /// The limits of the store. Its announced future value size applies as soon as the store has
-    /// refused a value for its size.
+    /// The store's limits for transactions. The announced future limit on values applies as soon as
+    /// the store has refused a value for its size.
     fn transaction_limits(&self) -> TransactionLimits {
         let strict = self.settings.state_limits();
         let value_bytes = if self.store.values_shrunk {
@@ -145,23 +145,23 @@
         &mut self,
         context: &mut Context,
         items: Vec<PlacementWrite>,
-        reply: StoreResponse,
+        response: StoreResponse,
     ) {
-        if reply == StoreResponse::Rejected {
+        if response == StoreResponse::Rejected {
             warn!("store refuses values of this size, the announced limits are in force");
             context.store.values_shrunk = true;
         }
         self.writes_in_flight = self.writes_in_flight.saturating_sub(1);
-        if !matches!(reply, StoreResponse::Committed { .. }) {
+        if !matches!(response, StoreResponse::Committed { .. }) {
             debug!(
-                "placements not written, chunks={} reason={reply:?}",
+                "placements not written, chunks={} reason={response:?}",
                 items.len()
             );
         }
         let mut ready_machines = BTreeSet::new();
         let mut conflicts = Vec::new();
         for item in &items {
-            match &reply {
+            match &response {
                 StoreResponse::Committed { revision } => {
                     ready_machines.extend(self.on_chunk_written(context.now, item, *revision));
                 }
@@ -201,7 +201,7 @@
         let chunk = job_state.chunks.entry(item.chunk).or_default();
         chunk.is_request_in_flight = false;
         chunk.revision = revision;
-        // Results that arrived during the commit have queued the chunk again.
+        // If the chunk was queued again during the commit, it has changes that aren't written yet.
         let entry = |urgency| (urgency, item.job.clone(), item.chunk);
         let mut urgencies = WriteUrgency::ALL.into_iter();
         chunk.has_unwritten_results =
@@ -257,9 +257,9 @@
         context: &mut Context,
         job: JobId,
         chunk: u32,
-        reply: StoreResponse,
+        response: StoreResponse,
     ) {
-        let (revision, placement_record) = match reply {
+        let (revision, placement_record) = match response {
             StoreResponse::Found {
                 record: Record::Placements(placement_record),
                 revision,
@@ -362,8 +362,8 @@
     }
 
     /// Changes the layout of a job's records to parts that fit into values of `value_bytes`. Parts
-    /// replace chunks in the write queue. Unwritten results of a chunk stay marked as such on each
-    /// of its parts, so that they are written before they are cleared.
+    /// replace chunks in the write queue. Unwritten results of a chunk are marked as unwritten for
+    /// each of its parts, so that workers keep them until the parts are written.
     pub(crate) fn split_into_parts(&mut self, job: &JobId, value_bytes: usize) {
         let Some(job_state) = self.jobs.get_mut(job) else {
             return;
--- a/src/controller/shard/completion.rs
+++ b/src/controller/shard/completion.rs
@@ -32,8 +32,8 @@
             }
             // The cancellation is confirmed to the user once the end is committed. At that point no
             // task of the job may be left, and no job that depends on it may still be open.
-            // Otherwise a later failure could let the status of such a job be reported as queued
-            // although it is cancelled too.
+            // Otherwise a dependent job could still be reported as queued after a later failure,
+            // although it can never start.
             let can_end_cancelled =
                 job_state.placed.is_empty() && !context.store.mirror.has_dependents(id);
             match job_state.cancelled {
@@ -121,16 +121,16 @@
     pub(crate) fn on_placements_deleted(
         &mut self,
         chunks: Vec<(JobId, u32)>,
-        reply: StoreResponse,
+        response: StoreResponse,
     ) {
         self.is_deleting_placements = false;
-        if !matches!(reply, StoreResponse::Committed { .. }) {
+        if !matches!(response, StoreResponse::Committed { .. }) {
             self.leftover_placements.extend(chunks);
         }
     }
 
     /// Handles the response to the commit of a job's end.
-    pub(crate) fn on_job_end_written(&mut self, id: JobId, reply: StoreResponse) {
+    pub(crate) fn on_job_end_written(&mut self, id: JobId, response: StoreResponse) {
         let Some(job_state) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -138,9 +138,9 @@
         // After a successful commit the watch reports the deletion of the job's record, which
         // removes the job here. A conflict means that the job was cancelled before. After any other
         // response the commit is retried.
-        if let StoreResponse::Committed { .. } = reply {
+        if let StoreResponse::Committed { .. } = response {
             job_state.is_finishing = true;
-        } else if let StoreResponse::Conflict { failed } = reply {
+        } else if let StoreResponse::Conflict { failed } = response {
             warn!(
                 "job end not written, job={id} records_changed={} reason=conflict",
                 failed.len()
--- a/src/controller/shard/mod.rs
+++ b/src/controller/shard/mod.rs
@@ -166,7 +166,7 @@
     }
 
     pub(crate) fn first_long_poll_deadline(&self) -> Option<Time> {
-        self.long_poll_deadlines.first().map(|(t, _)| *t)
+        self.long_poll_deadlines.first().map(|(at, _)| *at)
     }
 
     pub(crate) fn long_polling_requests(&self) -> Vec<RequestId> {
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Forgets the long poll with this id; it is answered no more.
+    /// Removes the long poll with this request id, which needs no response any more.
     pub(crate) fn drop_long_poll(&mut self, request_id: RequestId) {
         let deadline = self
             .long_poll_deadlines
@@ -288,9 +288,9 @@
     /// that the task can't be on its machine.
     ///
     /// An earlier commit whose response was lost may still be executed by the store. That is safe,
-    /// because the start of its attempt is never sent once the placement is removed. If
-    /// placements were kept until such commits are resolved, a large array of tasks with a low
-    /// priority would block all room that urgent tasks could take.
+    /// because the start of its attempt is never sent once the placement is removed. When such
+    /// placements were kept until their commits were resolved, the tasks of another team's large
+    /// array held all room while urgent tasks waited.
     pub(crate) fn was_never_sent(&self, task: &TaskId) -> bool {
         let Some(job_state) = self.jobs.get(&task.job) else {
             return false;
--- a/src/controller/shards/assignment.rs
+++ b/src/controller/shards/assignment.rs
@@ -92,7 +92,7 @@
     pub(crate) fn reassign_lost_shards(
         &self,
         records: &mut BTreeMap<u32, ShardRecord>,
-        highest: &mut FencingToken,
+        highest_token: &mut FencingToken,
     ) {
         let Some(leadership) = &self.context.leadership else {
             return;
@@ -130,9 +130,9 @@
                 record.owner
             );
             *shards_owned.entry(controller_id.clone()).or_default() += 1;
-            highest.0 += 1;
+            highest_token.0 += 1;
             (record.owner, record.incarnation, record.token) =
-                (controller_id, incarnation, *highest);
+                (controller_id, incarnation, *highest_token);
         }
     }
 }
--- a/src/controller/shards/leases.rs
+++ b/src/controller/shards/leases.rs
@@ -39,24 +39,25 @@
             .iter()
             .map(|(shard, (_, record))| (*shard, record.clone()))
             .collect();
-        let mut highest = self.context.store.mirror.highest();
-        self.reassign_lost_shards(&mut after, &mut highest);
-        self.add_shard_if_needed(&mut after, &mut highest);
+        let mut highest_token = self.context.store.mirror.highest();
+        self.reassign_lost_shards(&mut after, &mut highest_token);
+        self.add_shard_if_needed(&mut after, &mut highest_token);
         self.context.assign_machines(&mut after);
         self.context.divide_limits(&mut after);
-        self.context.commit_leases(&before, after, highest);
+        self.context
+            .commit_shard_records(&before, after, highest_token);
     }
 }
 
 impl Context {
     /// Commits the records that differ between `before` and `after`. Records that don't fit into
-    /// the transaction are left to the next call. `highest` is the highest fencing token in
+    /// the transaction are left to the next call. `highest_token` is the highest fencing token in
     /// `after`.
-    fn commit_leases(
+    fn commit_shard_records(
         &mut self,
         before: &BTreeMap<u32, (u64, ShardRecord)>,
         after: BTreeMap<u32, ShardRecord>,
-        highest: FencingToken,
+        highest_token: FencingToken,
     ) {
         let mut preconditions = vec![(Key::Leader, self.store.mirror.leader.version())];
         if self.settings.cells.is_some() {
@@ -79,7 +80,7 @@
         if writes.is_empty() {
             return;
         }
-        if highest > self.store.mirror.highest() {
+        if highest_token > self.store.mirror.highest() {
             preconditions.push((Key::FencingToken, self.store.mirror.token.version()));
             let fence = self
                 .store
@@ -88,7 +89,10 @@
                 .record
                 .as_ref()
                 .and_then(|record| record.fence);
-            let record = FencingTokenRecord { highest, fence };
+            let record = FencingTokenRecord {
+                highest: highest_token,
+                fence,
+            };
             writes.push(Write::put(Key::FencingToken, Record::FencingToken(record)));
         }
         let op = StoreRequest::Transaction {
@@ -106,7 +110,7 @@
 
     /// Handles the response to a commit of shard records. The response itself doesn't matter: the
     /// watch reports the records as they are now, and the next update starts from these.
-    pub(crate) fn on_shard_records_written(&mut self, _reply: StoreResponse) {
+    pub(crate) fn on_shard_records_written(&mut self, _response: StoreResponse) {
         if let Some(leadership) = &mut self.leadership {
             leadership.busy = false;
         }
--- a/src/controller/shards/splitting.rs
+++ b/src/controller/shards/splitting.rs
@@ -64,7 +64,7 @@
     pub(crate) fn add_shard_if_needed(
         &mut self,
         records: &mut BTreeMap<u32, ShardRecord>,
-        highest: &mut FencingToken,
+        highest_token: &mut FencingToken,
     ) {
         let machines: u32 = self
             .context
@@ -98,8 +98,8 @@
             };
             let mut listed = first.clone();
             listed.machines = Some(owner.machine_entries());
-            // Limits that were set at run time are in the record already and stay: changes of
-            // limits go through another path.
+            // Limits that were set at run time are already in the record and stay as they are here.
+            // Changes of limits are applied elsewhere (`divide_limits`).
             let default_limits = || match self.context.settings.cells {
                 None => self.context.limits_of_settings(),
                 Some(_) => LimitsByTeam::new(),
@@ -119,11 +119,11 @@
         let (owner, incarnation) = self.context.least_loaded(&shards_owned);
         let shard = records.keys().max().map_or(0, |highest| highest + 1);
         info!("shard created, shard={shard} owner={owner}");
-        highest.0 += 1;
+        highest_token.0 += 1;
         let record = ShardRecord {
             owner,
             incarnation,
-            token: *highest,
+            token: *highest_token,
             machines: Some(Vec::new()),
             quota_shares: Some(BTreeMap::new()),
         };
