--- a/src/controller/autoscaling/demand.rs
+++ b/src/controller/autoscaling/demand.rs
@@ -111,7 +111,7 @@
         let mut slow_pools = self.slow_pools(catalog, settings.tuning.boot, now);
         let with_kept_room = |pool| {
             let count = PoolCount {
-                keep: self.kept_room(pool, catalog, settings.tuning.headroom, now),
+                keep: self.headroom_machines(pool, catalog, settings.tuning.headroom, now),
                 ..PoolCount::default()
             };
             (pool, count)
@@ -143,8 +143,8 @@
         now: Time,
     ) -> bool {
         let lease_s = settings.platform.facts.workers.lease_s;
-        let quiet = now.since(machine.last_heartbeat.max(self.since)) > lease_s;
-        let partitioned = self.mass_partition || self.partitioned_zones.contains(&machine.zone);
+        let quiet = now.since(machine.last_heartbeat.max(self.owned_since)) > lease_s;
+        let partitioned = self.is_mass_partition || self.partitioned_zones.contains(&machine.zone);
         let silent =
             machine.ready_since.is_some() && machine.long_poll.is_none() && quiet && !partitioned;
         silent || self.boots_longer_than(settings.tuning.boot, catalog, machine, now)
@@ -160,7 +160,7 @@
         counts: &mut BTreeMap<Pool, PoolCount>,
     ) {
         let mut team_quota_left = HashMap::new();
-        for id in &self.waiting {
+        for id in &self.jobs_with_queued_tasks {
             let Some(job_state) = self.jobs.get(id) else {
                 continue;
             };
@@ -207,7 +207,7 @@
     pub(crate) fn pins(&self, catalog: &[MachineType], exhausted: &[ExhaustedPool]) -> Zones {
         let mut lacking = Zones::new();
         let mut empty_machines = self.empty_machines();
-        let waiting = self.waiting.iter();
+        let waiting = self.jobs_with_queued_tasks.iter();
         let waiting = waiting.filter(|id| !self.failures.blocks_scale_out(id));
         for job_state in waiting.filter_map(|id| self.jobs.get(id)) {
             let Some(pool) = pool_for(catalog, &job_state.record, exhausted) else {
@@ -260,7 +260,11 @@
         let Some(team) = teams.iter().find(|team| team.name == record.team) else {
             return 0;
         };
-        let used = self.teams.get(&record.team).copied().unwrap_or_default();
+        let used = self
+            .usage_by_team
+            .get(&record.team)
+            .copied()
+            .unwrap_or_default();
         let left = quota_left.entry(record.team.clone()).or_insert_with(|| {
             let (cpus, gpus) = self.quota_share(team);
             let unused = |limit: f64, used: f64| {
--- a/src/controller/machines/commands.rs
+++ b/src/controller/machines/commands.rs
@@ -100,8 +100,8 @@
             };
             match (placement.stop_requested, placement.phase) {
                 (None, Phase::Ready) if may_start => {
-                    (placement.phase, placement.since) = (Phase::Sent, now);
-                    placement.sends += 1;
+                    (placement.phase, placement.phase_since) = (Phase::Sent, now);
+                    placement.send_count += 1;
                     commands.push(Command::Start {
                         task: task.to_string(),
                         attempt: placement.attempt,
@@ -162,7 +162,7 @@
             && job_state
                 .chunks
                 .get(&chunk)
-                .is_some_and(|chunk| chunk.unwritten)
+                .is_some_and(|chunk| chunk.has_unwritten_results)
     });
     (!is_unwritten).then_some(Command::Clear {
         task: name,
--- a/src/controller/machines/heartbeats.rs
+++ b/src/controller/machines/heartbeats.rs
@@ -72,7 +72,7 @@
             self.apply_hinted_images(id, context.standby.hints(), &context.cloud.catalog);
         }
         if outcome.is_first_of_machine {
-            self.scheduling_wanted = true;
+            self.needs_scheduling = true;
             self.record_boot_time(&context.cloud.catalog, id, now);
         }
         if let Some((previous_request_id, deadline)) = outcome.previous_long_poll {
@@ -203,7 +203,8 @@
                 // so it won't accept that answer any more. The attempt never reached the machine
                 // and its start can be sent again.
                 Phase::Sent
-                    if placement.stop_requested.is_none() && placement.sends < START_SENDS_MAX =>
+                    if placement.stop_requested.is_none()
+                        && placement.send_count < START_SENDS_MAX =>
                 {
                     placement.phase = Phase::Ready;
                 }
@@ -241,14 +242,15 @@
             TaskStatus::Ended => return self.on_task_ended(context, id, task, listed.cause),
         };
         if placement.phase == phase {
-            let runs_well = phase == Phase::Running && now.since(placement.since) > RUNS_WELL_S;
-            if runs_well && !placement.runs_well {
-                placement.runs_well = true;
+            let runs_well =
+                phase == Phase::Running && now.since(placement.phase_since) > RUNS_WELL_S;
+            if runs_well && !placement.is_proven_healthy {
+                placement.is_proven_healthy = true;
                 self.record_task_success(now, id, task);
             }
             return;
         }
-        (placement.phase, placement.since) = (phase, now);
+        (placement.phase, placement.phase_since) = (phase, now);
         if phase == Phase::Fetching {
             return;
         }
@@ -290,8 +292,8 @@
             Some(Cause::Unknown) => {
                 // The worker has no description of the job: it arrives later or never.
                 if let Some(job_state) = self.jobs.get_mut(&task.job) {
-                    job_state.unknown_starts += 1;
-                    let pauses = job_state.unknown_starts.min(UNKNOWN_JOB_PAUSES_MAX);
+                    job_state.unknown_job_refusals += 1;
+                    let pauses = job_state.unknown_job_refusals.min(UNKNOWN_JOB_PAUSES_MAX);
                     job_state.not_before = now.after(UNKNOWN_JOB_PAUSE_S * f64::from(pauses));
                 }
             }
--- a/src/controller/machines/liveness.rs
+++ b/src/controller/machines/liveness.rs
@@ -77,7 +77,7 @@
             .values()
             .filter(|machine| machine.ready_since.is_some())
             .count();
-        let is_settled = context.now.since(self.since) > FIRST_HEARTBEAT_S;
+        let is_settled = context.now.since(self.owned_since) > FIRST_HEARTBEAT_S;
         let workers_unreachable = ready_count >= 2
             && is_settled
             && context.now.since(self.last_worker_heartbeat) > silence_max_s;
@@ -149,7 +149,7 @@
                 // The time counts from the start of the ownership at the earliest, since a new
                 // owner needs a while to detect partitioned zones. Counted from the cancellation
                 // alone, it deleted the machines of a partitioned zone at once.
-                if now.since(cancelled_at.max(self.since)) > cancel_s * ratio {
+                if now.since(cancelled_at.max(self.owned_since)) > cancel_s * ratio {
                     overdue.insert(placement.machine.clone());
                 }
             }
@@ -176,7 +176,7 @@
         let zones_partitioned_at = self.zones_partitioned_at;
         let are_zones_recovering = zones_partitioned_at.is_some_and(|at| now.since(at) < lease_s);
         for machine in silent {
-            let min_s = match (self.mass_partition, machine.may_be_kept_alive) {
+            let min_s = match (self.is_mass_partition, machine.may_be_kept_alive) {
                 (_, true) => KEPT_ALIVE_SILENT_LEASES * lease_s,
                 (true, false) => MASS_SILENT_LEASES * lease_s,
                 (false, false) => 0.0,
@@ -185,8 +185,9 @@
             // is limited, since machines that failed during the partition look as if it went on.
             let is_wait_over = machine.silent_s > KEPT_ALIVE_SILENT_LEASES * lease_s;
             let is_partition_over = now.since(previous_partitioned_at) > machine.silence_max_s;
-            let may_decommission =
-                (self.mass_partition && !are_zones_recovering) || is_wait_over || is_partition_over;
+            let may_decommission = (self.is_mass_partition && !are_zones_recovering)
+                || is_wait_over
+                || is_partition_over;
             if machine.silent_s > machine.silence_max_s.max(min_s) && may_decommission {
                 self.decommission(now, &machine.id, DecommissionReason::Silent);
             }
@@ -206,7 +207,9 @@
         let unreachable_controller_s = context.settings.silent_s(true);
         let mut silent = Vec::new();
         for (id, machine) in self.machines.iter() {
-            let silent_s = context.now.since(machine.last_heartbeat.max(self.since));
+            let silent_s = context
+                .now
+                .since(machine.last_heartbeat.max(self.owned_since));
             let is_exempt = machine.ready_since.is_none() || machine.long_poll.is_some();
             if is_exempt || silent_s <= usual_s * NEARLY_SILENT_FRACTION {
                 continue;
@@ -244,9 +247,9 @@
         let ready_count = machines
             .filter(|machine| machine.ready_since.is_some())
             .count();
-        self.mass_partition = silent_count as f64
+        self.is_mass_partition = silent_count as f64
             > (SILENT_FAILURES_FRACTION * ready_count as f64).max(SILENT_FAILURES_MIN);
-        if self.mass_partition || !self.partitioned_zones.is_empty() {
+        if self.is_mass_partition || !self.partitioned_zones.is_empty() {
             self.partitioned_at = now;
         }
     }
@@ -258,7 +261,7 @@
     pub(crate) fn decommission_unacknowledged(&mut self, context: &Context) {
         let lease_s = context.settings.platform.facts.workers.lease_s;
         let (now, is_stale) = (context.now, context.is_stale());
-        if is_stale || self.mass_partition {
+        if is_stale || self.is_mass_partition {
             return;
         }
         let mut unacknowledged = Vec::new();
@@ -319,8 +322,10 @@
         for machine in self.machines.values().filter(is_counted) {
             let counts = zones.entry(&machine.zone).or_default();
             counts.0 += 1;
-            let is_silent =
-                context.now.since(machine.last_heartbeat.max(self.since)) > silence_max_s;
+            let is_silent = context
+                .now
+                .since(machine.last_heartbeat.max(self.owned_since))
+                > silence_max_s;
             counts.1 += usize::from(is_silent && machine.long_poll.is_none());
         }
         let is_partitioned = |(all, silent): (usize, usize)| {
--- a/src/controller/scheduling/mod.rs
+++ b/src/controller/scheduling/mod.rs
@@ -74,7 +74,7 @@
             return;
         }
         self.next_cycle_at = Time(context.now.0 + CYCLE_INTERVAL_MIN_MS);
-        self.scheduling_wanted = false;
+        self.needs_scheduling = false;
         let queue = self.queue_order(context);
         if queue.is_empty() {
             return;
@@ -89,7 +89,7 @@
         context.machines_scanned += cycle.machines_scanned;
         context.placed += cycle.placed;
         if cycle.tasks_left == 0 {
-            self.scheduling_wanted = true;
+            self.needs_scheduling = true;
         }
         for job in unplaced {
             self.preempt_for(context, &job, &mut cycle);
@@ -100,8 +100,9 @@
     fn scheduling_due(&self, context: &Context) -> bool {
         let now = context.now;
         // Pauses of failing jobs, of machines and of batch work end without any event.
-        let due = now.since(self.next_cycle_at) > CYCLE_INTERVAL_MAX_S && !self.waiting.is_empty();
-        let wanted = self.scheduling_wanted || due;
+        let due = now.since(self.next_cycle_at) > CYCLE_INTERVAL_MAX_S
+            && !self.jobs_with_queued_tasks.is_empty();
+        let wanted = self.needs_scheduling || due;
         wanted
             && !context.is_stale()
             && !context.cloud.catalog.is_empty()
@@ -111,12 +112,12 @@
     /// The jobs with queued tasks, in the order in which they are served.
     fn queue_order(&mut self, context: &Context) -> Vec<QueuePosition> {
         let jobs = &self.jobs;
-        self.waiting
+        self.jobs_with_queued_tasks
             .retain(|id| jobs.get(id).is_some_and(|job_state| job_state.queued() > 0));
         let mut queue = Vec::new();
-        for id in &self.waiting {
+        for id in &self.jobs_with_queued_tasks {
             let job_state = &self.jobs[id];
-            if context.now >= job_state.not_before && !job_state.finishing {
+            if context.now >= job_state.not_before && !job_state.is_finishing {
                 queue.push(QueuePosition {
                     priority_class: Reverse(job_state.record.priority_class),
                     beyond_guarantee: !within_guarantee(self, &context.settings, job_state),
@@ -219,7 +220,8 @@
         }
         let index = self.jobs.get_mut(id).and_then(JobState::next_queued)?;
         // All tasks of a crash-looping job at once took room on every machine at each attempt.
-        let held_back = self.failures.runs_one_task_at_a_time(id) && self.jobs[id].trying();
+        let held_back =
+            self.failures.runs_one_task_at_a_time(id) && self.jobs[id].has_unproven_task();
         (!held_back).then_some(index)
     }
 
@@ -290,7 +292,7 @@
     /// has done.
     fn is_owed_its_guarantee(&self, context: &Context, job_state: &JobState) -> bool {
         let boots = context.cloud.catalog.iter().map(|found| found.ready_s);
-        let waited = context.now.since(job_state.since) > boots.fold(0.0, f64::max);
+        let waited = context.now.since(job_state.waiting_since) > boots.fold(0.0, f64::max);
         waited && within_guarantee(self, &context.settings, job_state)
     }
 
--- a/src/controller/scheduling/scoring.rs
+++ b/src/controller/scheduling/scoring.rs
@@ -169,7 +169,7 @@
     /// Whether a job waits for a spot machine rather than use the room kept for urgent starts.
     fn waits_for_spot(&self, job_state: &JobState) -> bool {
         let record = &job_state.record;
-        self.now.since(job_state.since) < SPOT_WAIT_S
+        self.now.since(job_state.waiting_since) < SPOT_WAIT_S
             && record.checkpoint_s <= 0.0
             && record.spot
             && record.priority_class <= PriorityClass::Normal
@@ -319,8 +319,9 @@
 /// machines waits for one rather than use that room.
 fn full_pools(shard: &ShardOwner, catalog: &[MachineType], headroom: f64, now: Time) -> Vec<Pool> {
     let on_demand = (0..catalog.len()).map(|machine_type| Pool::of(machine_type, false));
-    let full =
-        |pool: &Pool| shard.machines.free(*pool) < shard.kept_room(*pool, catalog, headroom, now);
+    let full = |pool: &Pool| {
+        shard.machines.free(*pool) < shard.headroom_machines(*pool, catalog, headroom, now)
+    };
     on_demand.filter(full).collect()
 }
 
