--- a/src/controller/autoscaling/demand.rs
+++ b/src/controller/autoscaling/demand.rs
@@ -2,7 +2,8 @@
 
 use crate::controller::autoscaling::Zones;
 use crate::controller::autoscaling::pool_selection::{
-    all_pools, available_pool, is_exhausted, pool_for, pools_for, tasks_per_machine, tasks_within,
+    all_pools, available_pool, eligible_pools, is_exhausted, preferred_pool, tasks_per_machine,
+    tasks_within,
 };
 use crate::controller::machines::inventory::{Binding, Machine};
 use crate::controller::pool::Pool;
@@ -101,7 +102,7 @@
 
 impl ShardOwner {
     /// Counts every pool.
-    pub(crate) fn counts(
+    pub(crate) fn count_pools(
         &self,
         catalog: &[MachineType],
         settings: &Settings,
@@ -204,13 +205,17 @@
     /// Machines lacking in particular zones: for tasks that may not go elsewhere, by
     /// their job's zone, by its other tasks' zone, or because the other zones hold as
     /// many of its tasks as they may.
-    pub(crate) fn pins(&self, catalog: &[MachineType], exhausted: &[ExhaustedPool]) -> Zones {
+    pub(crate) fn zone_shortfalls(
+        &self,
+        catalog: &[MachineType],
+        exhausted: &[ExhaustedPool],
+    ) -> Zones {
         let mut lacking = Zones::new();
         let mut empty_machines = self.empty_machines();
         let waiting = self.waiting.iter();
         let waiting = waiting.filter(|id| !self.failures.unplaceable(id));
         for job_state in waiting.filter_map(|id| self.jobs.get(id)) {
-            let Some(pool) = pool_for(catalog, &job_state.record, exhausted) else {
+            let Some(pool) = preferred_pool(catalog, &job_state.record, exhausted) else {
                 continue;
             };
             let machine_type = &catalog[pool.machine_type];
@@ -348,8 +353,8 @@
     let urgent = record.priority_class > PriorityClass::Normal;
     let in_time = |pool: &Pool| !slow_pools.is_slow(pool, urgent);
     let last_pool = available_pool(catalog, record, exhausted, in_time)
-        .or(pool_for(catalog, record, exhausted));
-    for pool in pools_for(catalog, record) {
+        .or(preferred_pool(catalog, record, exhausted));
+    for pool in eligible_pools(catalog, record) {
         let Some(count) = counts.get_mut(&pool).filter(|_| left > 0.0) else {
             continue;
         };
--- a/src/controller/autoscaling/mod.rs
+++ b/src/controller/autoscaling/mod.rs
@@ -44,7 +44,7 @@
 
 impl CloudPurpose {
     /// Whether the call scales out or deletes machines.
-    pub(crate) fn changes(&self) -> bool {
+    pub(crate) fn is_mutating(&self) -> bool {
         matches!(self, Self::ScaleOut(_) | Self::Delete { .. })
     }
 }
@@ -56,7 +56,7 @@
 
 impl Controller {
     /// Sends counts, lists machines, and scales, as far as each is due.
-    pub(crate) fn leadership_housekeeping(&mut self) {
+    pub(crate) fn autoscaling_housekeeping(&mut self) {
         if self.context.now >= self.context.next_counts_at {
             let tick_s = self.context.settings.tuning.tick_s;
             self.context.next_counts_at = self.context.now.after(tick_s * COUNTS_INTERVAL_SHARE);
@@ -79,7 +79,7 @@
     }
 
     /// Passes a response of the cloud to what its call was for.
-    pub(crate) fn on_cloud(&mut self, call: CallId, response: CloudResponse) {
+    pub(crate) fn on_cloud_response(&mut self, call: CallId, response: CloudResponse) {
         let Some(purpose) = self.context.cloud.on_response(call, &response) else {
             return;
         };
--- a/src/controller/autoscaling/pool_selection.rs
+++ b/src/controller/autoscaling/pool_selection.rs
@@ -6,12 +6,12 @@
 
 /// The pool on which a task counts: the smallest type that fits, spot where the
 /// job may use it. Where the cloud has no capacity left, the next one.
-pub(crate) fn pool_for(
+pub(crate) fn preferred_pool(
     catalog: &[MachineType],
     record: &JobRecord,
     exhausted: &[ExhaustedPool],
 ) -> Option<Pool> {
-    let first = || pools_for(catalog, record).first().copied();
+    let first = || eligible_pools(catalog, record).first().copied();
     available_pool(catalog, record, exhausted, |_| true).or_else(first)
 }
 
@@ -30,7 +30,7 @@
         });
         zones.any(|zone| !is_exhausted(exhausted, &machine_type.name, zone, pool))
     };
-    let pools = pools_for(catalog, record);
+    let pools = eligible_pools(catalog, record);
     let mut accepted = pools.iter().filter(|pool| accepts(pool));
     accepted.find(has_capacity).copied()
 }
@@ -61,7 +61,7 @@
 }
 
 /// The pools that a task may use, in the order in which it counts on them.
-pub(super) fn pools_for(catalog: &[MachineType], record: &JobRecord) -> Vec<Pool> {
+pub(super) fn eligible_pools(catalog: &[MachineType], record: &JobRecord) -> Vec<Pool> {
     let mut pools: Vec<Pool> = Vec::new();
     for (index, machine_type) in catalog.iter().enumerate() {
         if record.allows(&machine_type.name) && machine_type.resources.holds(record.resources) {
--- a/src/controller/leadership/shutdown.rs
+++ b/src/controller/leadership/shutdown.rs
@@ -94,7 +94,7 @@
         let Some(lease_revocation) = &self.lease_revocation else {
             return;
         };
-        let under_way = self.cloud.is_pending(CloudPurpose::changes);
+        let under_way = self.cloud.is_pending(CloudPurpose::is_mutating);
         if under_way && self.now.since(lease_revocation.since) < CLOUD_REQUESTS_S {
             return;
         }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -68,7 +68,7 @@
             Input::Request(request_id, ask) => self.on_request(request_id, ask),
             Input::Disconnect(request_id) => self.on_disconnect(request_id),
             Input::Store(call, reply) => self.on_store_response(call, reply),
-            Input::Cloud(call, reply) => self.on_cloud(call, reply),
+            Input::Cloud(call, reply) => self.on_cloud_response(call, reply),
             Input::Peer(Message::PeerHeartbeat(heartbeat)) => self.on_peer_heartbeat(heartbeat),
             Input::Peer(Message::ShardCounts(shard_counts)) => {
                 self.context.on_shard_counts(*shard_counts);
@@ -167,7 +167,7 @@
         self.shards_housekeeping();
         self.context.catalog_housekeeping();
         self.cells_housekeeping();
-        self.leadership_housekeeping();
+        self.autoscaling_housekeeping();
         if self.context.store.write_rate.advance(self.context.now) {
             self.update_rate_limits();
         }
--- a/src/controller/shard/burst_estimate.rs
+++ b/src/controller/shard/burst_estimate.rs
@@ -1,7 +1,7 @@
 //! How services' demand for each pool varies, and how long machines take to boot. Both give the
 //! room to keep free for urgent starts.
 
-use crate::controller::autoscaling::pool_selection::{pool_for, tasks_per_machine};
+use crate::controller::autoscaling::pool_selection::{preferred_pool, tasks_per_machine};
 use crate::controller::pool::Pool;
 use crate::controller::shard::job::JobState;
 use crate::controller::shard::{ShardOwner, decayed};
@@ -80,7 +80,8 @@
     exhausted: &[ExhaustedPool],
     record: &JobRecord,
 ) -> Option<ServiceSize> {
-    let pool = pool_for(catalog, record, exhausted).filter(|_| record.kind == JobKind::Service)?;
+    let pool =
+        preferred_pool(catalog, record, exhausted).filter(|_| record.kind == JobKind::Service)?;
     let machine_type = &catalog[pool.machine_type];
     let machines = f64::from(record.count) / tasks_per_machine(machine_type, record.resources);
     Some(ServiceSize { pool, machines })
--- a/src/controller/shards/counts.rs
+++ b/src/controller/shards/counts.rs
@@ -64,7 +64,7 @@
         let closed = context.store.mirror.exhausted_pools();
         let named = |pool: Pool| pool.type_in(catalog).map(|found| found.name.clone());
         let pools = self
-            .counts(catalog, &context.settings, closed, context.now)
+            .count_pools(catalog, &context.settings, closed, context.now)
             .into_iter();
         let pools = pools.filter_map(|(pool, c)| Some((named(pool)?, pool.is_spot(), c)));
         let mut zones: BTreeMap<(String, bool, String), u32> = BTreeMap::new();
@@ -84,7 +84,7 @@
                 empty.push((machine.images.len(), (name, machine.spot, id.clone())));
             }
         }
-        let pins = self.pins(catalog, closed).into_iter();
+        let pins = self.zone_shortfalls(catalog, closed).into_iter();
         let pins =
             pins.filter_map(|((pool, zone), n)| Some((named(pool)?, pool.is_spot(), zone, n)));
         // Those with the fewest images are missed least.
