--- a/src/controller/autoscaling/demand.rs
+++ b/src/controller/autoscaling/demand.rs
@@ -1,6 +1,6 @@
-//! Counts of the machines that queued and running tasks need, by pool.
+//! Counts the machines that queued and running tasks need, for each pool and for each zone.
 
-use crate::controller::autoscaling::Zones;
+use crate::controller::autoscaling::PoolZoneCounts;
 use crate::controller::autoscaling::pool_selection::{
     all_pools, available_pool, eligible_pools, is_exhausted, preferred_pool, tasks_per_machine,
     tasks_within,
@@ -19,32 +19,36 @@
 use crate::wire::MachineType;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A machine of which at least this share is free counts as room kept for urgent starts.
-const SPARE_SHARE: f64 = 0.5;
+/// Free fraction from which on a used machine counts towards the room kept for urgent starts.
+const SPARE_FREE_FRACTION_MIN: f64 = 0.5;
 
-/// A machine that has been booting for longer than so many times what its type's boots have
-/// taken lately is late: usual ones take up to one and a half times as long. Urgent work
-/// doesn't wait for it.
-const LATE_BOOT_FACTOR: f64 = 1.75;
+/// Boot time, as a multiple of the usual boot time of the machine's type, after which a booting
+/// machine is late. Normal boots take up to 1.5 times the usual time. Urgent work does not wait for
+/// a late machine.
+const LATE_BOOT_RATIO: f64 = 1.75;
 
-/// Pools of which at least half of the booting machines are late or overdue. Work that may
-/// use other pools counts on those instead: an empty fleet whose smallest type didn't become ready
-/// ran nothing, and scaled out and deleted that type's machines without end.
+/// Pools of which at least half of the booting machines are late or overdue. A machine is late
+/// after `LATE_BOOT_RATIO` usual boot times, and overdue after `health.boot` usual boot times.
+///
+/// Demand that may use other pools is counted there instead. Without this, an empty fleet whose
+/// smallest type never became ready ran nothing, and kept scaling out and deleting machines of that
+/// type.
 #[derive(Default)]
 struct SlowPools {
-    /// Slow for urgent work: half are late.
+    /// Pools that urgent work avoids: at least half of the booting machines are late or overdue.
     for_urgent: BTreeSet<Pool>,
-    /// Slow for all work: half are overdue.
+    /// Pools that all work avoids: at least half of the booting machines are overdue.
     for_all: BTreeSet<Pool>,
-    /// Late machines that aren't overdue yet.
-    late: BTreeMap<Pool, u32>,
-    /// Machines' worth of urgent work that counts on each pool. For these, as many others are
-    /// scaled out as are late, once each: late ones that become ready after all count again.
-    urgent_queued: BTreeMap<Pool, f64>,
+    /// Number of late machines that are not overdue yet.
+    late_machines: BTreeMap<Pool, u32>,
+    /// Urgent queued demand counted on each pool, in machines. It decides how many late machines
+    /// are replaced. Each late machine is replaced at most once, and counts again when it becomes
+    /// ready.
+    urgent_machines_queued: BTreeMap<Pool, f64>,
 }
 
 impl SlowPools {
-    /// Whether work that may use other pools counts on those instead.
+    /// Whether demand that may use other pools is counted there instead.
     fn is_slow(&self, pool: &Pool, urgent: bool) -> bool {
         let pools = if urgent {
             &self.for_urgent
@@ -55,53 +59,62 @@
     }
 }
 
-/// A pool's machines that aren't ready yet.
+/// Numbers of a pool's machines that are not ready yet.
 #[derive(Default)]
 struct BootingCount {
-    /// All of them.
-    all: u32,
-    /// Late ones that aren't overdue yet.
+    /// All booting machines.
+    total: u32,
+    /// Late machines that are not overdue yet.
     late: u32,
-    /// Overdue ones, which are replaced.
+    /// Overdue machines, which are replaced.
     overdue: u32,
 }
 
 impl BootingCount {
-    /// Whether so many are at least half of them.
-    fn is_half(&self, part: u32) -> bool {
-        part > 0 && 2 * part >= self.all
+    /// Whether `part` is at least half of the booting machines, and not zero.
+    fn is_at_least_half(&self, part: u32) -> bool {
+        part > 0 && 2 * part >= self.total
     }
 }
 
 impl PoolCount {
-    /// Makes the count ask for machines in place of late ones, as many as urgent work waits
-    /// for beyond those that come in time. The room kept for urgent starts stays on the late ones:
-    /// they may become ready, and count again then.
-    fn replace_late(&mut self, late: u32, urgent_queued: u32) {
-        let in_time = self.provisioned.saturating_sub(self.busy + late);
-        let lacking = urgent_queued.saturating_sub(in_time).min(late);
-        let wanted = self.wanted(u32::MAX);
-        self.provisioned = self.provisioned.min(wanted.saturating_sub(lacking));
+    /// Requests replacements for late machines, as many as urgent queued work needs beyond the
+    /// idle and booting machines that are not late. Lowers `provisioned`, so that the reconcile
+    /// loop sees a gap.
+    ///
+    /// The room kept for urgent starts is not replaced: it remains assigned to the late machines,
+    /// which count again once they become ready.
+    fn request_late_replacements(&mut self, late: u32, urgent_queued: u32) {
+        let on_time = self.provisioned.saturating_sub(self.busy + late);
+        let missing = urgent_queued.saturating_sub(on_time).min(late);
+        let machines_wanted = self.machines_wanted(u32::MAX);
+        self.provisioned = self
+            .provisioned
+            .min(machines_wanted.saturating_sub(missing));
     }
 
-    /// The larger of the two counts, each rounded up, within the ceiling.
+    /// Returns the number of machines that the pool needs, at most `ceiling`. It is the larger of
+    /// two counts, each rounded up: busy machines plus queued demand, and running demand. If
+    /// services run in the pool, it includes the room still missing for urgent starts.
     ///
-    /// Queued tasks found no room on the busy machines, so their count is added to
-    /// those: with just the larger of the two, a full machine with as many
-    /// tasks queued as running would never get a second one beside it.
-    pub(crate) fn wanted(&self, ceiling: u32) -> u32 {
-        let by_queue = self.busy + self.queued.ceil() as u32;
+    /// Queued tasks found no room on busy machines, so their demand is added to the number of busy
+    /// machines. With the larger of queued and running demand alone, a full machine with as many
+    /// tasks queued as running would never get a second machine.
+    pub(crate) fn machines_wanted(&self, ceiling: u32) -> u32 {
+        let by_queued = self.busy + self.queued.ceil() as u32;
         let by_running = self.running.ceil() as u32;
         let mut kept_machines = 0.0;
         if self.urgent {
             kept_machines = (self.keep - self.spare).max(0.0).ceil();
         }
-        (by_queue.max(by_running) + kept_machines as u32).min(ceiling)
+        (by_queued.max(by_running) + kept_machines as u32).min(ceiling)
     }
 }
 
 impl ShardOwner {
-    /// Counts every pool.
+    /// Counts demand and machines of every pool of the catalog, for this shard.
+    ///
+    /// Machines that need replacement are left out of the counts.
     pub(crate) fn count_pools(
         &self,
         catalog: &[MachineType],
@@ -109,7 +122,7 @@
         exhausted: &[ExhaustedPool],
         now: Time,
     ) -> BTreeMap<Pool, PoolCount> {
-        let mut slow_pools = self.slow_pools(catalog, settings.tuning.boot, now);
+        let mut slow_pools = self.find_slow_pools(catalog, settings.tuning.boot, now);
         let with_kept_room = |pool| {
             let count = PoolCount {
                 keep: self.kept_room(pool, catalog, settings.tuning.headroom, now),
@@ -124,18 +137,19 @@
                 count_machine(catalog, machine, &mut counts);
             }
         }
-        self.count_waiting_jobs(catalog, settings, exhausted, &mut slow_pools, &mut counts);
-        for (pool, urgent_queued) in slow_pools.urgent_queued {
-            let late = slow_pools.late.get(&pool).copied().unwrap_or(0);
+        self.count_queued_tasks(catalog, settings, exhausted, &mut slow_pools, &mut counts);
+        for (pool, urgent_queued) in slow_pools.urgent_machines_queued {
+            let late = slow_pools.late_machines.get(&pool).copied().unwrap_or(0);
             if let Some(count) = counts.get_mut(&pool) {
-                count.replace_late(late, urgent_queued.ceil() as u32);
+                count.request_late_replacements(late, urgent_queued.ceil() as u32);
             }
         }
         counts
     }
 
-    /// Whether a machine is silent, outside a partition, or overdue. If it heartbeats after all, it
-    /// is used or scaled in.
+    /// Whether another machine is scaled out in place of this one: its lease has expired without a
+    /// known network partition, or its boot is overdue. If it sends a heartbeat later, it is used
+    /// again or scaled in.
     fn needs_replacement(
         &self,
         catalog: &[MachineType],
@@ -144,15 +158,18 @@
         now: Time,
     ) -> bool {
         let lease_s = settings.platform.facts.workers.lease_s;
-        let quiet = now.since(machine.last_heartbeat.max(self.since)) > lease_s;
-        let partitioned = self.mass_partition || self.partitioned_zones.contains(&machine.zone);
-        let silent =
-            machine.ready_since.is_some() && machine.long_poll.is_none() && quiet && !partitioned;
-        silent || self.boots_longer_than(settings.tuning.boot, catalog, machine, now)
+        let lease_expired = now.since(machine.last_heartbeat.max(self.since)) > lease_s;
+        let is_partitioned = self.mass_partition || self.partitioned_zones.contains(&machine.zone);
+        let is_silent = machine.ready_since.is_some()
+            && machine.long_poll.is_none()
+            && lease_expired
+            && !is_partitioned;
+        is_silent || self.has_boot_exceeded(settings.tuning.boot, catalog, machine, now)
     }
 
-    /// Counts the queued tasks of the jobs that may start some.
-    fn count_waiting_jobs(
+    /// Adds the queued tasks of waiting jobs to `counts`, as far as each team's quota lets them
+    /// start. Skips jobs that have failed so often that no machine is scaled out for them.
+    fn count_queued_tasks(
         &self,
         catalog: &[MachineType],
         settings: &Settings,
@@ -171,47 +188,48 @@
             }
             let queued = job_state.queued();
             let tasks = self.tasks_within_quota(settings, queued, record, &mut team_quota_left);
-            count_queued(catalog, record, exhausted, slow_pools, tasks, counts);
+            count_job_demand(catalog, record, exhausted, slow_pools, tasks, counts);
         }
     }
 
-    /// The pools whose machines come late.
-    fn slow_pools(&self, catalog: &[MachineType], overdue_factor: f64, now: Time) -> SlowPools {
+    /// Finds the pools whose machines boot slowly. `overdue_ratio` is the multiple of the usual
+    /// boot time after which a machine is overdue.
+    fn find_slow_pools(&self, catalog: &[MachineType], overdue_ratio: f64, now: Time) -> SlowPools {
         let mut booting: BTreeMap<Pool, BootingCount> = BTreeMap::new();
         for (_, machine) in self.machines.booting() {
             let Some(pool) = machine.pool() else {
                 continue;
             };
             let count = booting.entry(pool).or_default();
-            let late = self.boots_longer_than(LATE_BOOT_FACTOR, catalog, machine, now);
-            let overdue = self.boots_longer_than(overdue_factor, catalog, machine, now);
-            count.all += 1;
+            let late = self.has_boot_exceeded(LATE_BOOT_RATIO, catalog, machine, now);
+            let overdue = self.has_boot_exceeded(overdue_ratio, catalog, machine, now);
+            count.total += 1;
             count.late += u32::from(late && !overdue);
             count.overdue += u32::from(overdue);
         }
         let mut slow_pools = SlowPools::default();
         for (pool, count) in booting {
-            slow_pools.late.insert(pool, count.late);
-            if count.is_half(count.late + count.overdue) {
+            slow_pools.late_machines.insert(pool, count.late);
+            if count.is_at_least_half(count.late + count.overdue) {
                 slow_pools.for_urgent.insert(pool);
             }
-            if count.is_half(count.overdue) {
+            if count.is_at_least_half(count.overdue) {
                 slow_pools.for_all.insert(pool);
             }
         }
         slow_pools
     }
 
-    /// Machines lacking in particular zones: for tasks that may not go elsewhere, by
-    /// their job's zone, by its other tasks' zone, or because the other zones hold as
-    /// many of its tasks as they may.
+    /// Counts the machines missing in particular zones, for queued tasks that are restricted to
+    /// them. A task is restricted by its job's zone, by zone affinity to the job's other tasks, or
+    /// because the other zones already hold as many of the job's tasks as zone spread allows.
     pub(crate) fn zone_shortfalls(
         &self,
         catalog: &[MachineType],
         exhausted: &[ExhaustedPool],
-    ) -> Zones {
-        let mut lacking = Zones::new();
-        let mut empty_machines = self.empty_machines();
+    ) -> PoolZoneCounts {
+        let mut shortfalls = PoolZoneCounts::new();
+        let mut empty_machines = self.count_empty_machines();
         let waiting = self.waiting.iter();
         let waiting = waiting.filter(|id| !self.failures.unplaceable(id));
         for job_state in waiting.filter_map(|id| self.jobs.get(id)) {
@@ -234,26 +252,31 @@
                 .iter()
                 .filter(|zone| !is_exhausted(exhausted, &machine_type.name, zone, &pool));
             if let Some(zone) = available.next().filter(|_| needed > 0) {
-                *lacking.entry((pool, zone.to_string())).or_default() += needed;
+                *shortfalls.entry((pool, zone.to_string())).or_default() += needed;
             }
         }
-        lacking
+        shortfalls
     }
 
-    /// Machines without tasks that stay, booting ones included, by pool and zone.
-    fn empty_machines(&self) -> BTreeMap<(Pool, &str), u32> {
+    /// Counts machines without tasks by pool and zone, booting machines included. Leaves out
+    /// machines that are being decommissioned or have a preemption notice.
+    fn count_empty_machines(&self) -> BTreeMap<(Pool, &str), u32> {
         let mut empty_machines = BTreeMap::new();
         for machine in self.machines.values() {
-            let stays = machine.decommission_at.is_none() && machine.notice.is_none();
-            if let Some(pool) = machine.pool().filter(|_| machine.tasks.is_empty() && stays) {
+            let is_staying = machine.decommission_at.is_none() && machine.notice.is_none();
+            if let Some(pool) = machine
+                .pool()
+                .filter(|_| machine.tasks.is_empty() && is_staying)
+            {
                 *empty_machines.entry((pool, &*machine.zone)).or_default() += 1;
             }
         }
         empty_machines
     }
 
-    /// How many queued tasks the team's limit still lets run. `quota_left` has what the jobs that
-    /// were counted before leave of each team's limit.
+    /// Returns how many of a job's `queued` tasks fit into what is left of its team's quota, and
+    /// subtracts them from `quota_left`. `quota_left` holds each team's remaining quota after the
+    /// jobs counted before.
     fn tasks_within_quota(
         &self,
         settings: &Settings,
@@ -268,7 +291,7 @@
         let used = self.teams.get(&record.team).copied().unwrap_or_default();
         let left = quota_left.entry(record.team.clone()).or_insert_with(|| {
             let (cpus, gpus) = self.quota_share(team);
-            let unused = |limit: f64, used: f64| {
+            let quota_left_of = |limit: f64, used: f64| {
                 if limit < f64::MAX {
                     limit - used
                 } else {
@@ -276,8 +299,8 @@
                 }
             };
             Resources {
-                cpus: unused(cpus, used.cpus),
-                gpus: unused(gpus, used.gpus),
+                cpus: quota_left_of(cpus, used.cpus),
+                gpus: quota_left_of(gpus, used.gpus),
                 mem: f64::MAX,
             }
         });
@@ -294,25 +317,29 @@
     }
 }
 
-/// The zones of a machine type to which a job's next task may go, if it may not go to all of them.
+/// Returns the zones of a machine type that the job's next task may use; `None` if it may use all
+/// of them or none.
 fn restricted_zones<'a>(
     job_state: &JobState,
     machine_type: &'a MachineType,
 ) -> Option<Vec<&'a String>> {
-    let all = &machine_type.zones;
-    let allowed = all.iter().filter(|zone| zone_allowed(job_state, zone));
+    let all_zones = &machine_type.zones;
+    let allowed = all_zones
+        .iter()
+        .filter(|zone| zone_allowed(job_state, zone));
     let allowed: Vec<&String> = allowed.collect();
-    (!allowed.is_empty() && allowed.len() != all.len()).then_some(allowed)
+    (!allowed.is_empty() && allowed.len() != all_zones.len()).then_some(allowed)
 }
 
-/// Counts a machine that neither is to be replaced nor leaves.
+/// Adds a machine to the count of its pool, unless it is being decommissioned or has a preemption
+/// notice.
 fn count_machine(
     catalog: &[MachineType],
     machine: &Machine,
     counts: &mut BTreeMap<Pool, PoolCount>,
 ) {
-    let leaving = machine.decommission_at.is_some() || machine.notice.is_some();
-    let Some(pool) = machine.pool().filter(|_| !leaving) else {
+    let is_leaving = machine.decommission_at.is_some() || machine.notice.is_some();
+    let Some(pool) = machine.pool().filter(|_| !is_leaving) else {
         return;
     };
     let (Some(machine_type), Some(count)) = (pool.type_in(catalog), counts.get_mut(&pool)) else {
@@ -325,10 +352,11 @@
     count.busy += 1;
     count.running += machine.used.share_of(machine_type.resources);
     let free = 1.0 - machine.used.share_of(machine_type.resources);
-    if free >= SPARE_SHARE {
+    if free >= SPARE_FREE_FRACTION_MIN {
         count.spare += free;
     }
-    // Batch work that checkpoints is preempted for urgent starts at hardly any cost.
+    // Batch tasks that checkpoint lose little when preempted, so the room that they use counts as
+    // available to urgent starts.
     for Binding { record, .. } in machine.tasks.values() {
         let checkpoints = record.kind == JobKind::Batch && record.checkpoint_s > 0.0;
         if checkpoints && record.priority_class <= PriorityClass::Normal {
@@ -338,10 +366,13 @@
     }
 }
 
-/// Counts a job's queued tasks. Where the cloud has no capacity left they count on the next
-/// pool, but only those for which the booting machines have no room: counting them
-/// all scaled out a second fleet beside the first, when an empty one's first pool was full.
-fn count_queued(
+/// Adds a job's queued tasks to the pools that they may use. Empty and booting machines of pools
+/// that are exhausted or slow take as many tasks as they hold. The remaining tasks count on the
+/// first pool that has capacity and is not slow, or on the preferred pool if there is none.
+///
+/// If all tasks counted on the next pool as soon as the first was exhausted, an empty fleet would
+/// scale out a second time while the first pool's machines were still booting.
+fn count_job_demand(
     catalog: &[MachineType],
     record: &JobRecord,
     exhausted: &[ExhaustedPool],
@@ -349,31 +380,32 @@
     tasks: u32,
     counts: &mut BTreeMap<Pool, PoolCount>,
 ) {
-    let mut left = f64::from(tasks);
+    let mut tasks_left = f64::from(tasks);
     let urgent = record.priority_class > PriorityClass::Normal;
-    let in_time = |pool: &Pool| !slow_pools.is_slow(pool, urgent);
-    let last_pool = available_pool(catalog, record, exhausted, in_time)
+    let is_on_time = |pool: &Pool| !slow_pools.is_slow(pool, urgent);
+    let overflow_pool = available_pool(catalog, record, exhausted, is_on_time)
         .or(preferred_pool(catalog, record, exhausted));
     for pool in eligible_pools(catalog, record) {
-        let Some(count) = counts.get_mut(&pool).filter(|_| left > 0.0) else {
+        let Some(count) = counts.get_mut(&pool).filter(|_| tasks_left > 0.0) else {
             continue;
         };
         let tasks_per_machine = tasks_per_machine(&catalog[pool.machine_type], record.resources);
-        let late = slow_pools.late.get(&pool).filter(|_| urgent);
+        let late = slow_pools.late_machines.get(&pool).filter(|_| urgent);
         let empty = f64::from(count.provisioned - count.busy) - count.queued;
-        let in_time = empty - f64::from(late.copied().unwrap_or(0));
-        let counted_here = if Some(pool) == last_pool {
-            left
+        let on_time = empty - f64::from(late.copied().unwrap_or(0));
+        let counted_here = if Some(pool) == overflow_pool {
+            tasks_left
         } else {
-            left.min((in_time.max(0.0) * tasks_per_machine).floor())
+            tasks_left.min((on_time.max(0.0) * tasks_per_machine).floor())
         };
         count.queued += counted_here / tasks_per_machine;
         if urgent {
-            *slow_pools.urgent_queued.entry(pool).or_default() += counted_here / tasks_per_machine;
+            *slow_pools.urgent_machines_queued.entry(pool).or_default() +=
+                counted_here / tasks_per_machine;
         }
         count.urgent |= counted_here > 0.0 && record.kind == JobKind::Service;
-        left -= counted_here;
-        if Some(pool) == last_pool {
+        tasks_left -= counted_here;
+        if Some(pool) == overflow_pool {
             return;
         }
     }
--- a/src/controller/autoscaling/machines.rs
+++ b/src/controller/autoscaling/machines.rs
@@ -1,8 +1,9 @@
-//! What becomes of machines: those that the cloud lists, those that never become ready, and those
-//! that are scaled in or deleted.
+//! Life cycle of machines: reconciles the inventory with the cloud's list of machines,
+//! decommissions machines that never become ready or are scaled in, and deletes decommissioned
+//! machines.
 
 use crate::controller::Controller;
-use crate::controller::autoscaling::{CloudPurpose, REPEAT_S};
+use crate::controller::autoscaling::{CloudPurpose, RETRY_DELAY_S};
 use crate::controller::context::Context;
 use crate::controller::events::Reply;
 use crate::controller::machines::DecommissionReason;
@@ -15,20 +16,22 @@
 use log::info;
 use std::collections::BTreeSet;
 
-/// Most machines that one deletion may name.
-const DELETE_MAX: usize = 100;
-/// A machine is surely listed after this many list lags.
-const LISTED_AFTER_LAGS: f64 = 3.0;
-/// Boot time assumed for a type that isn't in the catalog.
+/// Maximum number of machines in one deletion request.
+const DELETED_MACHINES_MAX: usize = 100;
+/// Time, in list lags of the cloud, after which a new machine must appear in the cloud's list.
+const LISTED_AFTER_LIST_LAGS: f64 = 3.0;
+/// Boot time assumed for a machine type that is not in the catalog.
 const UNKNOWN_TYPE_BOOT_S: f64 = 60.0;
-/// A machine is abandoned once it is late by so many times what makes it overdue.
-const ABANDONED_FACTOR: f64 = 2.0;
-/// Shortest list lag that the leader's interval between lists goes by.
-const LIST_LAG_MIN_S: f64 = 2.0;
+/// Boot time after which a machine is deleted as never ready, as a multiple of the boot time after
+/// which it is overdue (`health.boot`).
+const ABANDONED_OVERDUE_RATIO: f64 = 2.0;
+/// Minimum interval between two lists of machines by the leader, where the list lag is shorter.
+const LIST_INTERVAL_MIN_S: f64 = 2.0;
 
 impl Controller {
-    /// Takes a page of the cloud's list of machines, and compares the whole list with what is
-    /// known.
+    /// Handles one page of the cloud's list of machines. Requests the next page or, after the last
+    /// one, reconciles the inventory of each shard with the whole list. The leader also registers
+    /// listed machines that belong to no shard yet.
     pub(crate) fn on_machine_list(
         &mut self,
         earlier_pages: Vec<ListedMachine>,
@@ -44,16 +47,19 @@
             return self.context.request_next_page(listed);
         }
         let lag_s = self.context.settings.platform.facts.cloud.list_lag_s;
-        let (now, settled_s) = (self.context.now, LISTED_AFTER_LAGS * lag_s + REPEAT_S);
+        let (now, settled_s) = (
+            self.context.now,
+            LISTED_AFTER_LIST_LAGS * lag_s + RETRY_DELAY_S,
+        );
         let ids: BTreeSet<&str> = listed.iter().map(|machine| machine.id.as_str()).collect();
         for shard in self.shards.values_mut() {
             for machine in &listed {
-                shard.observe_listed(now, &self.context.cloud.catalog, machine);
+                shard.update_from_list(now, &self.context.cloud.catalog, machine);
             }
             shard.decommission_unlisted(now, settled_s, &ids);
         }
         if let Some(leadership) = &mut self.context.leadership {
-            leadership.scale.listed = true;
+            leadership.scale.has_machine_list = true;
             for machine in listed {
                 let id = MachineId::from(machine.id.as_str());
                 self.context
@@ -62,7 +68,8 @@
         }
     }
 
-    /// Decommissions the machines that the leader's plan gives back, if they are still empty.
+    /// Decommissions the machines that the leader's plan scales in, if they are still empty. Each
+    /// revision of the plan is applied once.
     pub(crate) fn apply_scale_in(&mut self) {
         let plan = &self.context.store.mirror.plan;
         if plan.revision == self.context.applied_plan_revision {
@@ -83,15 +90,17 @@
 }
 
 impl Context {
-    /// The leader lists machines to find those that belong to no shard; with several shards,
-    /// the other owners list them, less often, to learn what became of their own.
+    /// Starts a list of the cloud's machines when it is due, or continues with the next page.
+    ///
+    /// The leader lists machines to find those that belong to no shard. With several shards, the
+    /// other owners list them at half that rate, to learn the state of their own machines.
     pub(crate) fn list_machines(&mut self) {
         if let Some(listed) = self.cloud.listing.waiting_pages.take() {
             return self.request_next_page(listed);
         }
         let lag_s = self.settings.platform.facts.cloud.list_lag_s;
-        let lag_s = lag_s.max(LIST_LAG_MIN_S);
-        let pause_s = if self.leadership.is_some() {
+        let lag_s = lag_s.max(LIST_INTERVAL_MIN_S);
+        let list_interval_s = if self.leadership.is_some() {
             lag_s
         } else {
             2.0 * lag_s
@@ -103,12 +112,15 @@
         let op = CloudRequest::List { after: None };
         if self.cloud_call(op, CloudPurpose::List(Vec::new()), Priority::Usual) {
             self.cloud.listing.under_way = true;
-            self.cloud.listing.next_at = self.now.after(pause_s);
+            self.cloud.listing.next_at = self.now.after(list_interval_s);
         }
     }
 
-    /// Asks for the next page, now or as soon as the rate limit allows. Begun anew instead, a list
-    /// of more pages than the limit allows calls was never complete, and nothing was scaled out.
+    /// Requests the next page of the list, or keeps the pages so far until the rate limit allows
+    /// the call.
+    ///
+    /// Restarting the list instead meant that a list with more pages than the rate limit allows
+    /// calls never completed, and nothing was scaled out.
     fn request_next_page(&mut self, listed: Vec<ListedMachine>) {
         let last = listed.last();
         let after = last.map(|machine| MachineId::from(machine.id.as_str()));
@@ -123,25 +135,30 @@
 }
 
 impl ShardOwner {
-    /// Machines that never become ready are paid for until they are deleted. That is long after
-    /// they were replaced: on a night on which all boots took several times as long, each was
-    /// deleted shortly before it was ready, and scaled out anew.
+    /// Decommissions machines that have not become ready long after they were replaced, since they
+    /// are paid for until they are deleted.
+    ///
+    /// The limit is well above the one for replacement. With a lower limit, one night when all
+    /// boots took several times as long as usual, each machine was deleted shortly before it became
+    /// ready, and scaled out again.
     pub(crate) fn decommission_abandoned(&mut self, context: &Context) {
         let now = context.now;
-        let boot_factor = ABANDONED_FACTOR * context.settings.tuning.boot;
+        let boot_ratio = ABANDONED_OVERDUE_RATIO * context.settings.tuning.boot;
         let catalog = &context.cloud.catalog;
         let booting = self.machines.booting();
         let abandoned = booting
-            .filter(|(_, machine)| self.boots_longer_than(boot_factor, catalog, machine, now));
+            .filter(|(_, machine)| self.has_boot_exceeded(boot_ratio, catalog, machine, now));
         let abandoned: Vec<MachineId> = abandoned.map(|(id, _)| id.clone()).collect();
         for id in abandoned {
             self.decommission(now, &id, DecommissionReason::NeverReady);
         }
     }
 
-    /// Deletes decommissioned machines, at their moment or once they are empty. A deletion needs no
-    /// lease: it can only cost a machine, and proves its tasks gone. Only a leader that replaced
-    /// another before its lease's end waits until that one deletes nothing.
+    /// Deletes decommissioned machines when their decommission time has come or they are empty.
+    ///
+    /// A deletion needs no lease: at worst it loses a machine, and it proves that the machine's
+    /// tasks no longer run. The exception is a leader that replaced another one before that one's
+    /// lease expired: it waits until the previous leader can no longer call the cloud.
     pub(crate) fn delete_decommissioned(&mut self, context: &mut Context) {
         let now = context.now;
         if context.is_stale() || context.fenced() {
@@ -149,10 +166,14 @@
         }
         let mut ids = Vec::new();
         for (id, machine) in self.machines.leaving() {
-            let due = machine
+            let is_due = machine
                 .decommission_at
                 .is_some_and(|at| now >= at || machine.tasks.is_empty());
-            if due && !machine.deleting && ids.len() < DELETE_MAX && !self.committing_on(machine) {
+            if is_due
+                && !machine.deleting
+                && ids.len() < DELETED_MACHINES_MAX
+                && !self.has_uncommitted_placement(machine)
+            {
                 ids.push(id.clone());
             }
         }
@@ -171,7 +192,9 @@
         }
     }
 
-    /// Once the deletion is answered, the machine and all on it are gone.
+    /// Handles the response to a deletion. On success the machines and their placements are
+    /// removed, and their pending long polls are answered. On any other response the deletion is
+    /// retried later.
     pub(crate) fn on_deleted(
         &mut self,
         context: &mut Context,
@@ -195,8 +218,8 @@
 }
 
 impl ShardOwner {
-    /// Whether a placement on a machine is being written.
-    fn committing_on(&self, machine: &Machine) -> bool {
+    /// Whether a placement on the machine is being written to the store.
+    fn has_uncommitted_placement(&self, machine: &Machine) -> bool {
         machine.tasks.keys().any(|task| {
             let job_state = self.jobs.get(&task.job);
             let placement = job_state.and_then(|job_state| job_state.placed.get(&task.index));
@@ -204,8 +227,9 @@
         })
     }
 
-    /// Compares a machine in the cloud's list with what is known of it.
-    fn observe_listed(&mut self, now: Time, catalog: &[MachineType], listed: &ListedMachine) {
+    /// Updates the inventory from one machine in the cloud's list. The owner of the only shard adds
+    /// unknown machines. Machines already deleted are ignored, since the list may lag behind.
+    fn update_from_list(&mut self, now: Time, catalog: &[MachineType], listed: &ListedMachine) {
         let id = MachineId::from(listed.id.as_str());
         if self.deleted_machines.contains_key(&id) {
             return;
@@ -223,7 +247,7 @@
         if known.is_some_and(|known| known.machine_type.is_none() || becomes_ready(known)) {
             self.machines.edit(&id, |machine| {
                 if becomes_ready(machine) {
-                    // From now on it counts as silent unless it heartbeats.
+                    // From now on the machine counts as silent unless it sends heartbeats.
                     (machine.ready_since, machine.last_heartbeat) = (Some(now), now);
                 }
                 machine.set_machine_type(catalog, &listed.class, &listed.zone, listed.spot);
@@ -234,37 +258,40 @@
         }
     }
 
-    /// Machines that should be listed by now and aren't, and never sent a heartbeat, are
-    /// gone or were never created. Absence proves nothing, so they are deleted.
+    /// Decommissions machines that are still booting, are missing from the cloud's list, and have
+    /// been known for longer than `settled_s`.
+    ///
+    /// Such a machine is gone or was never created. Absence from the list does not prove this, so
+    /// the machine is deleted.
     fn decommission_unlisted(&mut self, now: Time, settled_s: f64, listed: &BTreeSet<&str>) {
         let since = self.since;
-        let settled = |machine: &Machine| now.since(machine.since.max(since)) > settled_s;
+        let is_settled = |machine: &Machine| now.since(machine.since.max(since)) > settled_s;
         let booting = self.machines.booting();
         let missing =
-            booting.filter(|(id, machine)| settled(machine) && !listed.contains(id.as_str()));
+            booting.filter(|(id, machine)| is_settled(machine) && !listed.contains(id.as_str()));
         let missing: Vec<MachineId> = missing.map(|(id, _)| id.clone()).collect();
         for id in missing {
             self.decommission(now, &id, DecommissionReason::NotListed);
         }
     }
 
-    /// Whether a machine has been booting for longer than so many times what its type's boots
-    /// have taken lately.
-    pub(crate) fn boots_longer_than(
+    /// Whether a machine is not ready yet and has been booting for longer than `ratio` times the
+    /// usual boot time of its type.
+    pub(crate) fn has_boot_exceeded(
         &self,
-        factor: f64,
+        ratio: f64,
         catalog: &[MachineType],
         machine: &Machine,
         now: Time,
     ) -> bool {
         let machine_type = machine.type_in(catalog);
         let ready_s = machine_type.map_or(UNKNOWN_TYPE_BOOT_S, |found| found.ready_s);
-        let limit_s = factor * self.usual_boot_s(machine.machine_type, ready_s);
+        let limit_s = ratio * self.usual_boot_s(machine.machine_type, ready_s);
         machine.ready_since.is_none() && now.since(machine.since) > limit_s
     }
 
-    /// Forgets a deleted machine; its tasks are proven gone. Returns the request
-    /// that waits for its commands, if there is one.
+    /// Removes a deleted machine and its placements; the deletion proves that its tasks no longer
+    /// run. Returns the machine's pending long poll, if there is one.
     fn remove_machine(&mut self, now: Time, id: &MachineId) -> Option<RequestId> {
         let machine = self.machines.get(id)?;
         let long_poll = machine.long_poll;
--- a/src/controller/autoscaling/mod.rs
+++ b/src/controller/autoscaling/mod.rs
@@ -1,10 +1,15 @@
-//! How many machines there are. Each machine type and market is a pool. Each turn of the reconcile
-//! loop compares the larger of two counts, what is queued and what runs, with what is
-//! provisioned, booting machines included.
+//! Autoscaling: decides how many machines there are of each pool, that is, of each combination of
+//! machine type and market (on-demand or spot).
 //!
-//! [`demand`] counts, with [`pool_selection`] for the pool of each task; [`reconcile`] decides,
-//! [`plan`] writes the decision down, [`scale_out`] sends the scale-out requests, and [`machines`]
-//! follows machines from the cloud's list to their deletion.
+//! Each pass of the reconcile loop compares the machines that a pool needs for its queued and
+//! running tasks with the machines that are provisioned, booting machines included.
+//!
+//! - [`demand`] counts the machines needed and provisioned.
+//! - [`pool_selection`] selects the pools that a task may use.
+//! - [`reconcile`] decides what to scale out and what to scale in.
+//! - [`plan`] writes the decision to the store.
+//! - [`scale_out`] sends the scale-out requests.
+//! - [`machines`] tracks machines from the cloud's list to their deletion.
 
 pub(crate) mod demand;
 pub(crate) mod machines;
@@ -21,53 +26,56 @@
 use crate::wire::{CloudRequest, CloudResponse, ListedMachine};
 use std::collections::BTreeMap;
 
-/// Machines by pool and zone.
-pub(crate) type Zones = BTreeMap<(Pool, String), u32>;
+/// Numbers of machines by pool and zone.
+pub(crate) type PoolZoneCounts = BTreeMap<(Pool, String), u32>;
 
-/// What a pending call to the cloud is for.
+/// The purpose of a pending call to the cloud, which decides how its response is handled.
 #[derive(Debug)]
 pub(crate) enum CloudPurpose {
-    /// The machine types.
+    /// Fetches the catalog of machine types.
     Catalog,
-    /// The scale-out request of this name.
+    /// Sends the scale-out request of this name.
     ScaleOut(String),
-    /// A shard's decommissioned machines.
+    /// Deletes decommissioned machines of one shard.
     Delete {
-        /// The shard.
+        /// The shard that owns the machines.
         shard: u32,
-        /// The machines.
+        /// The machines to delete.
         machines: Vec<MachineId>,
     },
-    /// The next page of the list of machines, after these.
+    /// Fetches the next page of the list of machines; holds the machines of the earlier pages.
     List(Vec<ListedMachine>),
 }
 
 impl CloudPurpose {
-    /// Whether the call scales out or deletes machines.
+    /// Whether the call creates or deletes machines.
     pub(crate) fn is_mutating(&self) -> bool {
         matches!(self, Self::ScaleOut(_) | Self::Delete { .. })
     }
 }
 
-/// Pause before a scale-out request without an answer is repeated.
-const REPEAT_S: f64 = 2.0;
-/// Interval of the counts sent to the leader, as a share of the reconcile loop's.
-const COUNTS_INTERVAL_SHARE: f64 = 0.2;
+/// Delay before an unanswered scale-out request or fetch of the catalog is repeated.
+const RETRY_DELAY_S: f64 = 2.0;
+/// Interval at which counts are sent to the leader, as a fraction of the reconcile interval
+/// (`scale.tick-s`).
+const COUNTS_INTERVAL_FRACTION: f64 = 0.2;
 
 impl Controller {
-    /// Sends counts, lists machines, and scales, as far as each is due.
+    /// Runs the autoscaling work that is due: sends counts to the leader, maintains the shard
+    /// leases, and lists machines. A leader that may call the cloud also sends scale-out requests,
+    /// reconciles, and writes the plan.
     pub(crate) fn autoscaling_housekeeping(&mut self) {
         if self.context.now >= self.context.next_counts_at {
             let tick_s = self.context.settings.tuning.tick_s;
-            self.context.next_counts_at = self.context.now.after(tick_s * COUNTS_INTERVAL_SHARE);
+            self.context.next_counts_at = self.context.now.after(tick_s * COUNTS_INTERVAL_FRACTION);
             self.send_counts();
             self.lease_housekeeping();
         }
         if self.context.cloud.catalog.is_empty() {
             return;
         }
-        let several_shards = self.shards.values().any(|shard| !shard.whole);
-        if self.context.lease_valid() || several_shards {
+        let has_several_shards = self.shards.values().any(|shard| !shard.whole);
+        if self.context.lease_valid() || has_several_shards {
             self.context.list_machines();
         }
         if !self.context.may_use_cloud() {
@@ -78,7 +86,7 @@
         self.context.write_plan();
     }
 
-    /// Passes a response of the cloud to what its call was for.
+    /// Handles a response of the cloud according to the purpose of the call.
     pub(crate) fn on_cloud_response(&mut self, call: CallId, response: CloudResponse) {
         let Some(purpose) = self.context.cloud.on_response(call, &response) else {
             return;
@@ -95,7 +103,7 @@
         }
     }
 
-    /// Takes the machine types, and looks up those of the machines that are known by name.
+    /// Stores the catalog, and resolves the types of machines that are known only by type name.
     fn on_catalog(&mut self, response: CloudResponse) {
         let CloudResponse::Catalog(machine_types) = response else {
             return;
@@ -112,10 +120,10 @@
 }
 
 impl Context {
-    /// Asks for the machine types until they are known.
+    /// Requests the catalog of machine types until it is known.
     pub(crate) fn catalog_housekeeping(&mut self) {
         if self.cloud.catalog.is_empty() && self.now >= self.cloud.catalog_retry {
-            self.cloud.catalog_retry = self.now.after(REPEAT_S);
+            self.cloud.catalog_retry = self.now.after(RETRY_DELAY_S);
             self.cloud_call(
                 CloudRequest::Catalog,
                 CloudPurpose::Catalog,
@@ -124,7 +132,7 @@
         }
     }
 
-    /// Calls the cloud if the rate limit allows it; says whether it did.
+    /// Calls the cloud if the rate limit allows it; returns whether the call was sent.
     fn cloud_call(&mut self, op: CloudRequest, purpose: CloudPurpose, priority: Priority) -> bool {
         let outbox = &mut self.outbox;
         self.cloud.send(self.now, outbox, op, purpose, priority)
--- a/src/controller/autoscaling/plan.rs
+++ b/src/controller/autoscaling/plan.rs
@@ -1,5 +1,5 @@
-//! The leader's scaling plan: wanted counts and the scale-out requests under way, written before
-//! these are sent.
+//! The leader's scaling plan: the machines wanted of each pool and the scale-out requests in
+//! progress. The plan is written to the store before any of its requests is sent.
 
 use crate::controller::context::Context;
 use crate::controller::pool::Pool;
@@ -12,104 +12,112 @@
 use crate::wire::{MachineType, StoreRequest, StoreResponse, Write};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// Share of the store's value limit that the plan may fill.
-const PLAN_VALUE_SHARE: f64 = 0.9;
-/// An answered scale-out request is kept for so many list lags, and so many seconds more.
+/// Fraction of the store's value size limit that the plan may fill.
+const PLAN_VALUE_FRACTION: f64 = 0.9;
+/// How long an answered scale-out request stays in the plan, in list lags of the cloud. After this
+/// time and `ANSWERED_MARGIN_S`, lists must show its machines.
 const ANSWERED_LIST_LAGS: f64 = 3.0;
-/// Seconds beyond the list lags.
+/// Time for which an answered scale-out request stays in the plan beyond `ANSWERED_LIST_LAGS`.
 const ANSWERED_MARGIN_S: f64 = 5.0;
 
-/// A request to scale out.
+/// A scale-out request and its progress.
 #[derive(Debug)]
 pub(crate) struct ScaleOutRequest {
-    /// What it asks for, as it is written.
+    /// The request as stored in the plan.
     pub(crate) record: ScaleOutRecord,
-    /// How far it has come.
+    /// The current step.
     pub(crate) step: ScaleOutStep,
-    /// When it came to this step; for a repeated one, when it is due.
-    pub(crate) at: Time,
+    /// When the request reached this step; for a request to be repeated, when it is due.
+    pub(crate) step_at: Time,
 }
 
-/// How far a request to scale out has come.
+/// Progress of a scale-out request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ScaleOutStep {
-    /// Not yet in the written plan.
+    /// Not yet in the plan in the store.
     Planned,
-    /// Written: may be sent.
+    /// In the plan in the store; may be sent.
     Written,
-    /// Sent, and not answered yet.
+    /// Sent to the cloud; not answered yet.
     Sent,
-    /// Answered; kept in the plan until lists surely show its machines.
+    /// Answered by the cloud; kept in the plan until its machines must appear in lists.
     Answered,
 }
 
-/// How long a zone of a pool isn't asked again.
+/// Backoff state of one zone of a pool that had no capacity.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Exhausted {
-    /// When it may be asked again.
-    pub(crate) until: Time,
-    /// How often it has refused in a row.
-    pub(crate) refusals: u32,
+pub(crate) struct ExhaustedZone {
+    /// When the zone may be asked for machines again.
+    pub(crate) retry_at: Time,
+    /// Number of consecutive refusals.
+    pub(crate) consecutive_refusals: u32,
 }
 
-/// What was wanted of a pool at one turn of the reconcile loop.
+/// Machines wanted of a pool in one pass of the reconcile loop.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct WantedAt {
-    /// When.
+pub(crate) struct WantedSample {
+    /// Time of the pass.
     at: Time,
-    /// How many machines.
+    /// Number of machines wanted.
     machines: u32,
 }
 
-/// What the leader knows and plans of scaling.
+/// The leader's autoscaling state.
 #[derive(Debug, Default)]
 pub(crate) struct ScalingState {
-    /// Since when counts are rebuilt, so that scaling out may begin.
-    pub(crate) ready: Option<Time>,
-    /// Whether a whole list of the machines has come.
-    pub(crate) listed: bool,
-    /// When the next turn of the reconcile loop is due.
-    pub(crate) reconcile_at: Time,
-    /// Wanted counts within the stabilization window, the latest last.
-    pub(crate) wanted: BTreeMap<Pool, VecDeque<WantedAt>>,
-    /// Scale-out requests under way.
+    /// When the counts were complete after this leader's election. Scaling starts only then.
+    pub(crate) counts_complete_at: Option<Time>,
+    /// Whether this leader has received a complete list of machines.
+    pub(crate) has_machine_list: bool,
+    /// When the next pass of the reconcile loop is due.
+    pub(crate) next_reconcile_at: Time,
+    /// Machines wanted of each pool during the stabilization window, latest last.
+    pub(crate) wanted_history: BTreeMap<Pool, VecDeque<WantedSample>>,
+    /// Scale-out requests in progress.
     pub(crate) scale_out_requests: Vec<ScaleOutRequest>,
-    /// How many were planned; part of their names.
-    pub(crate) scale_out_count: u64,
-    /// Zones of pools that had no capacity when they were last asked.
-    pub(crate) exhausted: HashMap<(Pool, String), Exhausted>,
-    /// Shares of new jobs that the written plan gives each shard.
-    pub(crate) written_shares: Vec<(u32, u32)>,
-    /// Exhausted pools that the written plan names.
-    pub(crate) written_exhausted: Vec<ExhaustedPool>,
-    /// Machines to give back, for the next plan.
+    /// Number of scale-out requests planned so far, used to give each a unique name.
+    pub(crate) planned_request_count: u64,
+    /// Zones of pools that had no capacity when they were last asked, with their backoff state.
+    pub(crate) exhausted_zones: HashMap<(Pool, String), ExhaustedZone>,
+    /// Shards and their shares of new jobs, as last sent with the plan.
+    pub(crate) sent_shares: Vec<(u32, u32)>,
+    /// Exhausted pools, as last sent with the plan.
+    pub(crate) sent_exhausted_pools: Vec<ExhaustedPool>,
+    /// Machines to scale in with the next plan.
     pub(crate) scale_in: Vec<MachineId>,
-    /// Whether a plan is being written.
-    pub(crate) plan_write_pending: bool,
-    /// Whether the written plan is out of date.
-    pub(crate) plan_changed: bool,
+    /// Whether a write of the plan is pending.
+    pub(crate) is_plan_write_pending: bool,
+    /// Whether the plan has changed since it was last sent to the store.
+    pub(crate) has_plan_changed: bool,
 }
 
 impl Context {
-    /// A new leader first repeats the scale-out requests in the plan, under their
-    /// names, and lists machines: it scales out only once it knows which there are.
+    /// Loads the scale-out requests from the plan in the store, after this controller became
+    /// leader.
+    ///
+    /// A new leader first repeats these requests under the same names, and lists machines. It
+    /// scales out only once it knows which machines exist.
     pub(crate) fn rebuild_scaling_state(&mut self) {
         let now = self.now;
         let plan = self.store.mirror.plan.record.clone().unwrap_or_default();
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        let written = |record| ScaleOutRequest {
+        let as_written = |record| ScaleOutRequest {
             record,
             step: ScaleOutStep::Written,
-            at: now,
+            step_at: now,
         };
-        leadership.scale.scale_out_requests =
-            plan.scale_out_requests.into_iter().map(written).collect();
-        leadership.scale.reconcile_at = now;
+        leadership.scale.scale_out_requests = plan
+            .scale_out_requests
+            .into_iter()
+            .map(as_written)
+            .collect();
+        leadership.scale.next_reconcile_at = now;
     }
 
-    /// Writes the plan if it changed. A scale-out request is sent only once it is written.
+    /// Writes the plan to the store if it has changed. Each scale-out request is sent to the cloud
+    /// only after the plan that contains it is stored.
     pub(crate) fn write_plan(&mut self) {
         let lag_s = self.settings.platform.facts.cloud.list_lag_s;
         let now = self.now;
@@ -121,9 +129,9 @@
         let scale = &mut leadership.scale;
         scale.remove_listed_requests(now, ANSWERED_LIST_LAGS * lag_s + ANSWERED_MARGIN_S);
         let exhausted = scale.exhausted_pools(catalog, now);
-        scale.plan_changed |=
-            scale.written_shares != shares || scale.written_exhausted != exhausted;
-        if scale.plan_write_pending || !scale.plan_changed {
+        scale.has_plan_changed |=
+            scale.sent_shares != shares || scale.sent_exhausted_pools != exhausted;
+        if scale.is_plan_write_pending || !scale.has_plan_changed {
             return;
         }
         let mut plan = ScalingPlanRecord {
@@ -134,15 +142,19 @@
             ..ScalingPlanRecord::default()
         };
         let value_bytes = self.settings.state_limits().value_bytes;
-        scale.fill_plan(&mut plan, (value_bytes as f64 * PLAN_VALUE_SHARE) as usize);
-        // An earlier leader's scale-out requests, from a time of a larger value limit, wait for
-        // their answers. Once enough are answered, the rest fits.
+        scale.fill_plan(
+            &mut plan,
+            (value_bytes as f64 * PLAN_VALUE_FRACTION) as usize,
+        );
+        // The plan is too large if it contains requests of an earlier leader from when the value
+        // size limit was larger. The write waits until enough of them are answered and removed.
         if json_bytes(&plan) <= value_bytes {
             self.send_plan(plan);
         }
     }
 
-    /// Writes a plan under the leader's lease.
+    /// Sends the plan to the store, on the condition that this controller still holds the leader
+    /// record.
     fn send_plan(&mut self, plan: ScalingPlanRecord) {
         let (shares, exhausted) = (plan.shares.clone(), plan.closed.clone());
         let request = StoreRequest::Transaction {
@@ -155,110 +167,116 @@
             && let Some(leadership) = &mut self.leadership
         {
             let scale = &mut leadership.scale;
-            scale.plan_write_pending = true;
-            scale.plan_changed = false;
-            scale.written_shares = shares;
-            scale.written_exhausted = exhausted;
+            scale.is_plan_write_pending = true;
+            scale.has_plan_changed = false;
+            scale.sent_shares = shares;
+            scale.sent_exhausted_pools = exhausted;
             scale.scale_in.clear();
         }
     }
 
-    /// Sends the scale-out requests of a plan that is written, or has it written again.
+    /// Handles the response to a write of the plan: sends its scale-out requests if it was stored,
+    /// and otherwise schedules another write.
     pub(crate) fn on_plan_written(&mut self, response: StoreResponse) {
         let now = self.now;
         let Some(leadership) = &mut self.leadership else {
             return;
         };
         let scale = &mut leadership.scale;
-        scale.plan_write_pending = false;
+        scale.is_plan_write_pending = false;
         if let StoreResponse::Committed { .. } = response {
-            // Scale-out requests planned while the transaction was under way made the plan out of
-            // date again, and wait for the next one.
-            if !scale.plan_changed {
+            // If the plan changed while the write was pending, some planned requests are not in
+            // the stored plan. All planned requests then wait for the next write.
+            if !scale.has_plan_changed {
                 for request in &mut scale.scale_out_requests {
                     if request.step == ScaleOutStep::Planned {
-                        (request.step, request.at) = (ScaleOutStep::Written, now);
+                        (request.step, request.step_at) = (ScaleOutStep::Written, now);
                     }
                 }
             }
             self.send_scale_out_requests();
         } else {
-            scale.plan_changed = true;
+            scale.has_plan_changed = true;
         }
     }
 }
 
 impl ScalingState {
-    /// Removes the scale-out requests whose machines are surely listed by now.
+    /// Removes the scale-out requests that were answered at least `kept_s` seconds ago, whose
+    /// machines must be listed by now.
     fn remove_listed_requests(&mut self, now: Time, kept_s: f64) {
-        let before = self.scale_out_requests.len();
+        let count_before = self.scale_out_requests.len();
         self.scale_out_requests.retain(|request| {
-            request.step != ScaleOutStep::Answered || now.since(request.at) < kept_s
+            request.step != ScaleOutStep::Answered || now.since(request.step_at) < kept_s
         });
-        self.plan_changed |= self.scale_out_requests.len() != before;
+        self.has_plan_changed |= self.scale_out_requests.len() != count_before;
     }
 
-    /// The latest wanted counts, in the plan's form.
+    /// Returns the latest number of machines wanted of each pool, in the format of the plan.
     fn wanted_by_type(&self, catalog: &[MachineType]) -> Vec<(String, bool, u32)> {
-        let wanted = self.wanted.iter().filter_map(|(pool, window)| {
+        let wanted = self.wanted_history.iter().filter_map(|(pool, window)| {
             let name = pool.type_in(catalog)?.name.clone();
             Some((name, pool.is_spot(), window.back()?.machines))
         });
         wanted.collect()
     }
 
-    /// Adds the scale-out requests and the machines to give back that fit into a plan of so many
-    /// bytes. With many pools and zones a plan outgrew its value, and then nothing was scaled out.
-    /// Answered requests are dropped first: they only help a new leader before its list is
-    /// complete; those that haven't been sent are planned again.
+    /// Adds scale-out requests and machines to scale in to the plan, as many as fit into
+    /// `plan_bytes`. Without this limit, with many pools and zones, a plan exceeded the store's
+    /// value size limit, and nothing was scaled out.
+    ///
+    /// Answered requests are dropped first, oldest first: they only help a new leader before its
+    /// list of machines is complete. Next are requests that are not written yet, latest first: they
+    /// are planned again. Requests that are written or sent always stay.
     fn fill_plan(&mut self, plan: &mut ScalingPlanRecord, plan_bytes: usize) {
-        let bytes = plan_bytes.saturating_sub(json_bytes(plan));
-        let mut used: usize = self
+        let available_bytes = plan_bytes.saturating_sub(json_bytes(plan));
+        let mut used_bytes: usize = self
             .scale_out_requests
             .iter()
             .map(|request| json_bytes(&request.record))
             .sum();
-        while used > bytes {
-            let answered = |request: &ScaleOutRequest| request.step == ScaleOutStep::Answered;
-            let planned = |request: &ScaleOutRequest| request.step == ScaleOutStep::Planned;
-            let oldest = self.scale_out_requests.iter().position(answered);
+        while used_bytes > available_bytes {
+            let is_answered = |request: &ScaleOutRequest| request.step == ScaleOutStep::Answered;
+            let is_planned = |request: &ScaleOutRequest| request.step == ScaleOutStep::Planned;
+            let oldest = self.scale_out_requests.iter().position(is_answered);
             let Some(dropped) =
-                oldest.or_else(|| self.scale_out_requests.iter().rposition(planned))
+                oldest.or_else(|| self.scale_out_requests.iter().rposition(is_planned))
             else {
                 break;
             };
-            used -= json_bytes(&self.scale_out_requests.remove(dropped).record);
+            used_bytes -= json_bytes(&self.scale_out_requests.remove(dropped).record);
         }
         let requests = self.scale_out_requests.iter();
         plan.scale_out_requests = requests.map(|request| request.record.clone()).collect();
-        let mut left = bytes.saturating_sub(used);
+        let mut left_bytes = available_bytes.saturating_sub(used_bytes);
         let fits = |id: &&MachineId| {
-            let size = json_bytes(*id);
-            let fits = size <= left;
-            left = left.saturating_sub(size);
+            let entry_bytes = json_bytes(*id);
+            let fits = entry_bytes <= left_bytes;
+            left_bytes = left_bytes.saturating_sub(entry_bytes);
             fits
         };
         plan.scale_in = self.scale_in.iter().take_while(fits).cloned().collect();
     }
 
-    /// Plans to give back up to `surplus` of a pool's empty machines.
+    /// Plans to scale in up to `surplus` of a pool's empty machines.
     pub(crate) fn plan_scale_in<'a>(
         &mut self,
         empty: impl Iterator<Item = &'a MachineId>,
         surplus: usize,
     ) {
-        let before = self.scale_in.len();
+        let count_before = self.scale_in.len();
         self.scale_in.extend(empty.take(surplus).cloned());
-        self.plan_changed |= self.scale_in.len() > before;
+        self.has_plan_changed |= self.scale_in.len() > count_before;
     }
 
-    /// Records what is wanted of a pool, for as long as the stabilization window.
+    /// Records the number of machines wanted of a pool, and drops samples older than the
+    /// stabilization window of `window_s`.
     pub(crate) fn record_wanted(&mut self, pool: Pool, now: Time, machines: u32, window_s: f64) {
-        let window = self.wanted.entry(pool).or_default();
+        let window = self.wanted_history.entry(pool).or_default();
         if window.back().map(|latest| latest.machines) != Some(machines) {
-            self.plan_changed = true;
+            self.has_plan_changed = true;
         }
-        window.push_back(WantedAt { at: now, machines });
+        window.push_back(WantedSample { at: now, machines });
         while window
             .front()
             .is_some_and(|oldest| now.since(oldest.at) > window_s)
@@ -267,9 +285,9 @@
         }
     }
 
-    /// The highest count wanted of a pool within the stabilization window.
+    /// Returns the highest number of machines wanted of a pool during the stabilization window.
     pub(crate) fn highest_wanted(&self, pool: Pool) -> u32 {
-        let window = self.wanted.get(&pool);
+        let window = self.wanted_history.get(&pool);
         window
             .and_then(|window| window.iter().map(|wanted| wanted.machines).max())
             .unwrap_or(0)
--- a/src/controller/autoscaling/pool_selection.rs
+++ b/src/controller/autoscaling/pool_selection.rs
@@ -1,11 +1,12 @@
-//! Which pools a task may use, in which order, and how many of its kind a machine holds.
+//! Selects the pools that a task may use and their order, and computes how many tasks fit on a
+//! machine.
 
 use crate::controller::pool::{Market, Pool};
 use crate::controller::store::records::{ExhaustedPool, JobRecord, Resources};
 use crate::wire::MachineType;
 
-/// The pool on which a task counts: the smallest type that fits, spot where the
-/// job may use it. Where the cloud has no capacity left, the next one.
+/// Returns the pool on which a job's queued tasks count: the first eligible pool that is not
+/// exhausted, or the first eligible pool if all are exhausted. `None` if no machine type fits.
 pub(crate) fn preferred_pool(
     catalog: &[MachineType],
     record: &JobRecord,
@@ -15,7 +16,8 @@
     available_pool(catalog, record, exhausted, |_| true).or_else(first)
 }
 
-/// The first of a task's pools of which the cloud has machines left and that `accepts` accepts.
+/// Returns the first eligible pool that `accepts` returns true for and that has capacity left in a
+/// zone that the job may use.
 pub(super) fn available_pool(
     catalog: &[MachineType],
     record: &JobRecord,
@@ -35,7 +37,7 @@
     accepted.find(has_capacity).copied()
 }
 
-/// Whether the cloud has no machine of a pool's type and market left in a zone.
+/// Whether the cloud has no capacity left for a pool in a zone.
 pub(super) fn is_exhausted(
     exhausted: &[ExhaustedPool],
     type_name: &str,
@@ -44,12 +46,14 @@
 ) -> bool {
     exhausted
         .iter()
-        .any(|(known_type, known_zone, known_spot)| {
-            known_type == type_name && known_zone == zone && *known_spot == pool.is_spot()
+        .any(|(exhausted_type, exhausted_zone, exhausted_spot)| {
+            exhausted_type == type_name
+                && exhausted_zone == zone
+                && *exhausted_spot == pool.is_spot()
         })
 }
 
-/// Each pool that there is.
+/// Returns all pools of the catalog.
 pub(super) fn all_pools(catalog: &[MachineType]) -> impl Iterator<Item = Pool> {
     let types = 0..catalog.len();
     types.flat_map(|machine_type| {
@@ -60,7 +64,8 @@
     })
 }
 
-/// The pools that a task may use, in the order in which it counts on them.
+/// Returns the pools that a job's tasks may use, in order of preference: spot pools before
+/// on-demand pools, and smaller machine types first.
 pub(super) fn eligible_pools(catalog: &[MachineType], record: &JobRecord) -> Vec<Pool> {
     let mut pools: Vec<Pool> = Vec::new();
     for (index, machine_type) in catalog.iter().enumerate() {
@@ -72,6 +77,7 @@
         }
     }
     pools.sort_by(|a, b| {
+        // Orders by GPUs first; CPUs only decide between types with equally many GPUs.
         let size = |pool: &Pool| {
             let resources = catalog[pool.machine_type].resources;
             resources.gpus + resources.cpus / 1e3
@@ -81,7 +87,7 @@
     pools
 }
 
-/// How many of a task one machine holds; at least one.
+/// Returns how many tasks that need `need` fit on one empty machine, at least 1.
 pub(crate) fn tasks_per_machine(machine_type: &MachineType, need: Resources) -> f64 {
     let resources = machine_type.resources;
     tasks_within(resources.cpus, need.cpus)
@@ -90,8 +96,8 @@
         .clamp(1.0, 1e6)
 }
 
-/// How many tasks that need `need` of one resource fit into an amount of it. The sum of what tasks
-/// need is subject to rounding, so that a task that lacks next to nothing fits.
+/// Returns how many tasks that need `need` of one resource fit into `amount`. Allows for rounding
+/// errors in summed needs: a task that lacks a negligible fraction still fits.
 pub(super) fn tasks_within(amount: f64, need: f64) -> f64 {
     if need > 0.0 {
         (amount / need + 1e-6).floor()
--- a/src/controller/autoscaling/scale_out.rs
+++ b/src/controller/autoscaling/scale_out.rs
@@ -1,11 +1,11 @@
-//! Scale-out requests: planned, written, sent, and repeated under their names until they are
-//! answered.
+//! Scale-out requests: planned, written to the store with the plan, sent to the cloud, and repeated
+//! under the same name until the cloud answers.
 
 use crate::controller::Controller;
 use crate::controller::autoscaling::plan::{
-    Exhausted, ScaleOutRequest, ScaleOutStep, ScalingState,
+    ExhaustedZone, ScaleOutRequest, ScaleOutStep, ScalingState,
 };
-use crate::controller::autoscaling::{CloudPurpose, REPEAT_S, Zones};
+use crate::controller::autoscaling::{CloudPurpose, PoolZoneCounts, RETRY_DELAY_S};
 use crate::controller::context::Context;
 use crate::controller::machines::inventory::Machine;
 use crate::controller::pool::Pool;
@@ -16,41 +16,42 @@
 use log::{info, warn};
 use std::collections::BTreeMap;
 
-/// Pause before a zone that refused is asked again; doubled by each further refusal, up to the
-/// longest.
-const REFUSAL_PAUSE_S: f64 = 10.0;
-/// Longest pause before a zone that refused is asked again.
-const REFUSAL_PAUSE_MAX_S: f64 = 80.0;
-/// Most refusals in a row that double the pause.
+/// Delay before a zone that refused a request is asked again. It doubles with each consecutive
+/// refusal, up to `REFUSAL_DELAY_MAX_S`.
+const REFUSAL_DELAY_S: f64 = 10.0;
+/// Maximum delay before a zone that refused a request is asked again.
+const REFUSAL_DELAY_MAX_S: f64 = 80.0;
+/// Maximum number of consecutive refusals that double the delay.
 const REFUSAL_DOUBLINGS_MAX: u32 = 6;
-/// Most machines that one scale-out request may ask for.
-const SCALE_OUT_MAX: u32 = 50;
+/// Maximum number of machines in one scale-out request. The cloud accepts no more.
+const SCALE_OUT_MACHINES_MAX: u32 = 50;
 
-/// A zone of a pool, as the planning of a scale-out sees it.
-struct ZonePlan<'a> {
+/// Machines to add in one zone of a pool.
+struct ZoneScaleOut<'a> {
     /// The zone.
     zone: &'a String,
-    /// Machines of the pool that are there.
-    existing: u32,
-    /// Machines to ask for.
-    added: u32,
+    /// Existing machines of the pool in the zone.
+    existing_machines: u32,
+    /// Machines to request.
+    added_machines: u32,
 }
 
-/// What to scale out of one pool.
+/// Machines to scale out of one pool.
 pub(crate) struct ScaleOutDemand<'a> {
     /// The pool.
     pub(crate) pool: Pool,
-    /// How many machines are lacking.
+    /// Number of machines to add.
     pub(crate) gap: u32,
-    /// How many of them must be in particular zones.
-    pub(crate) by_zone: &'a BTreeMap<&'a String, u32>,
-    /// Machines that there are, of all pools.
-    pub(crate) existing: &'a Zones,
+    /// How many of these machines must be in each zone.
+    pub(crate) shortfall_by_zone: &'a BTreeMap<&'a String, u32>,
+    /// Existing machines of all pools.
+    pub(crate) existing_machines: &'a PoolZoneCounts,
 }
 
 impl Controller {
-    /// Takes the response to a scale-out request: new machines, a refusal, or none that says
-    /// anything, so that the request is repeated.
+    /// Handles the response to a scale-out request. New machines are added to the inventory, and a
+    /// refusal marks the zone as exhausted. After any other response the request is repeated under
+    /// the same name.
     pub(crate) fn on_scale_out_response(&mut self, name: &str, response: CloudResponse) {
         let now = self.context.now;
         let catalog = &self.context.cloud.catalog;
@@ -74,11 +75,12 @@
                 self.add_machines(&record, machines);
             }
             CloudResponse::PoolExhausted => scale.on_refused(pool, &record, now),
-            _ => scale.set_step(name, ScaleOutStep::Written, now.after(REPEAT_S)),
+            _ => scale.set_step(name, ScaleOutStep::Written, now.after(RETRY_DELAY_S)),
         }
     }
 
-    /// New machines join the only shard at once, or the machines to be assigned to one.
+    /// Adds new machines to the only shard or, if there are several shards, to the machines that
+    /// wait for assignment to a shard.
     fn add_machines(&mut self, record: &ScaleOutRecord, machines: Vec<MachineId>) {
         let now = self.context.now;
         let only_shard = self.shards.values_mut().find(|shard| shard.whole);
@@ -110,7 +112,8 @@
 }
 
 impl Context {
-    /// Sends the scale-out requests that are written and due.
+    /// Sends the scale-out requests that are in the stored plan and due, as far as the rate limit
+    /// allows.
     pub(crate) fn send_scale_out_requests(&mut self) {
         let now = self.now;
         let Some(leadership) = self.leadership.as_ref().filter(|_| self.may_use_cloud()) else {
@@ -120,7 +123,7 @@
             .scale
             .scale_out_requests
             .iter()
-            .filter(|request| request.step == ScaleOutStep::Written && now >= request.at)
+            .filter(|request| request.step == ScaleOutStep::Written && now >= request.step_at)
             .map(|request| request.record.clone())
             .collect();
         for record in due {
@@ -137,8 +140,9 @@
 }
 
 impl ScalingState {
-    /// Plans scale-out requests, each machine to the zone with capacity that has fewest such
-    /// machines.
+    /// Plans scale-out requests for a pool's missing machines. Zones with a shortfall are served
+    /// first. Each remaining machine goes to the zone with capacity that has the fewest machines of
+    /// the pool.
     pub(crate) fn plan_scale_out(
         &mut self,
         catalog: &[MachineType],
@@ -147,15 +151,19 @@
         now: Time,
     ) {
         let machine_type = &catalog[demand.pool.machine_type];
-        for ZonePlan { zone, added, .. } in self.zone_plans(machine_type, demand, now) {
-            let mut left = added;
-            // One request asks for no more than the cloud accepts.
-            while left > 0 {
-                let count = left.min(SCALE_OUT_MAX);
-                left -= count;
-                self.scale_out_count += 1;
+        for ZoneScaleOut {
+            zone,
+            added_machines,
+            ..
+        } in self.plan_zones(machine_type, demand, now)
+        {
+            let mut machines_left = added_machines;
+            while machines_left > 0 {
+                let count = machines_left.min(SCALE_OUT_MACHINES_MAX);
+                machines_left -= count;
+                self.planned_request_count += 1;
                 let record = ScaleOutRecord {
-                    name: format!("r-{}-{}", token.0, self.scale_out_count),
+                    name: format!("r-{}-{}", token.0, self.planned_request_count),
                     class: machine_type.name.clone(),
                     zone: zone.clone(),
                     spot: demand.pool.is_spot(),
@@ -164,54 +172,56 @@
                 self.scale_out_requests.push(ScaleOutRequest {
                     record,
                     step: ScaleOutStep::Planned,
-                    at: now,
+                    step_at: now,
                 });
-                self.plan_changed = true;
+                self.has_plan_changed = true;
             }
         }
     }
 
-    /// How many machines to ask for in each zone with capacity: first those that must be there,
-    /// then one by one where the fewest are.
-    fn zone_plans<'a>(
+    /// Computes how many machines to request in each zone with capacity. Assigns first the machines
+    /// that must be in the zone, and then each remaining machine to the zone with the fewest.
+    fn plan_zones<'a>(
         &self,
         machine_type: &'a MachineType,
         demand: &ScaleOutDemand,
         now: Time,
-    ) -> Vec<ZonePlan<'a>> {
+    ) -> Vec<ZoneScaleOut<'a>> {
         let pool = demand.pool;
         let zones = machine_type.zones.iter();
         let zones = zones.filter(|zone| self.has_capacity(pool, zone, now));
-        let mut plans: Vec<ZonePlan> = zones
+        let mut plans: Vec<ZoneScaleOut> = zones
             .map(|zone| {
-                let existing = demand.existing.get(&(pool, zone.clone()));
-                ZonePlan {
+                let existing = demand.existing_machines.get(&(pool, zone.clone()));
+                ZoneScaleOut {
                     zone,
-                    existing: existing.copied().unwrap_or(0),
-                    added: 0,
+                    existing_machines: existing.copied().unwrap_or(0),
+                    added_machines: 0,
                 }
             })
             .collect();
-        let mut left = demand.gap;
+        let mut machines_left = demand.gap;
         for plan in &mut plans {
-            let required = demand.by_zone.get(plan.zone).copied();
-            plan.added = required.unwrap_or(0).min(left);
-            left -= plan.added;
+            let required_machines = demand.shortfall_by_zone.get(plan.zone).copied();
+            plan.added_machines = required_machines.unwrap_or(0).min(machines_left);
+            machines_left -= plan.added_machines;
         }
-        for _ in 0..left {
+        for _ in 0..machines_left {
             let fewest = plans.iter_mut();
-            let Some(fewest) = fewest.min_by_key(|plan| plan.existing + plan.added) else {
+            let Some(fewest) =
+                fewest.min_by_key(|plan| plan.existing_machines + plan.added_machines)
+            else {
                 break;
             };
-            fewest.added += 1;
+            fewest.added_machines += 1;
         }
         plans
     }
 
-    /// The exhausted zones of pools, in the plan's form.
+    /// Returns the currently exhausted zones of all pools, sorted, in the format of the plan.
     pub(crate) fn exhausted_pools(&self, catalog: &[MachineType], now: Time) -> Vec<ExhaustedPool> {
-        let exhausted = self.exhausted.iter();
-        let exhausted = exhausted.filter(|(_, exhausted)| now < exhausted.until);
+        let exhausted = self.exhausted_zones.iter();
+        let exhausted = exhausted.filter(|(_, exhausted)| now < exhausted.retry_at);
         let exhausted = exhausted.filter_map(|((pool, zone), _)| {
             let machine_type = pool.type_in(catalog)?;
             Some((machine_type.name.clone(), zone.clone(), pool.is_spot()))
@@ -221,13 +231,14 @@
         exhausted
     }
 
-    /// Whether a zone of a pool may be asked.
+    /// Whether a zone of a pool may be asked for machines now.
     fn has_capacity(&self, pool: Pool, zone: &str, now: Time) -> bool {
-        let exhausted = self.exhausted.get(&(pool, zone.to_string()));
-        exhausted.is_none_or(|exhausted| now >= exhausted.until)
+        let exhausted = self.exhausted_zones.get(&(pool, zone.to_string()));
+        exhausted.is_none_or(|exhausted| now >= exhausted.retry_at)
     }
 
-    /// A request was answered with machines. Fewer than it asked for mean that there are no more.
+    /// Handles machines created for a scale-out request. Fewer machines than requested mean that
+    /// the zone has no more capacity.
     fn on_scaled_out(
         &mut self,
         pool: Pool,
@@ -243,16 +254,16 @@
             machines.len(),
             record.count
         );
-        let place = (pool, record.zone.clone());
+        let pool_zone = (pool, record.zone.clone());
         if (machines.len() as u32) < record.count {
-            self.mark_exhausted(place, now);
+            self.mark_exhausted(pool_zone, now);
         } else {
-            self.exhausted.remove(&place);
+            self.exhausted_zones.remove(&pool_zone);
         }
         self.set_step(&record.name, ScaleOutStep::Answered, now);
     }
 
-    /// A request was refused for want of capacity.
+    /// Handles a refusal for lack of capacity: marks the zone as exhausted and removes the request.
     fn on_refused(&mut self, pool: Pool, record: &ScaleOutRecord, now: Time) {
         warn!(
             "pool exhausted, type={} zone={} spot={}",
@@ -261,30 +272,31 @@
         self.mark_exhausted((pool, record.zone.clone()), now);
         self.scale_out_requests
             .retain(|request| request.record.name != record.name);
-        self.plan_changed = true;
+        self.has_plan_changed = true;
     }
 
-    /// Records that a zone of a pool has no capacity: it isn't asked again for a while.
-    fn mark_exhausted(&mut self, place: (Pool, String), now: Time) {
-        let known = self.exhausted.get(&place);
-        let refusals = known.map_or(0, |exhausted| exhausted.refusals);
-        let doublings = refusals.min(REFUSAL_DOUBLINGS_MAX);
-        let pause_s = (REFUSAL_PAUSE_S * 2f64.powi(doublings as i32)).min(REFUSAL_PAUSE_MAX_S);
-        let exhausted = Exhausted {
-            until: now.after(pause_s),
-            refusals: refusals + 1,
+    /// Marks a zone of a pool as exhausted, so that it is not asked again until its delay has
+    /// passed.
+    fn mark_exhausted(&mut self, pool_zone: (Pool, String), now: Time) {
+        let known = self.exhausted_zones.get(&pool_zone);
+        let consecutive_refusals = known.map_or(0, |exhausted| exhausted.consecutive_refusals);
+        let doublings = consecutive_refusals.min(REFUSAL_DOUBLINGS_MAX);
+        let delay_s = (REFUSAL_DELAY_S * 2f64.powi(doublings as i32)).min(REFUSAL_DELAY_MAX_S);
+        let exhausted = ExhaustedZone {
+            retry_at: now.after(delay_s),
+            consecutive_refusals: consecutive_refusals + 1,
         };
-        self.exhausted.insert(place, exhausted);
+        self.exhausted_zones.insert(pool_zone, exhausted);
     }
 
-    /// Records how far the request of a name has come.
+    /// Sets the step of the request with the given name.
     fn set_step(&mut self, name: &str, step: ScaleOutStep, at: Time) {
         for request in self
             .scale_out_requests
             .iter_mut()
             .filter(|request| request.record.name == name)
         {
-            (request.step, request.at) = (step, at);
+            (request.step, request.step_at) = (step, at);
         }
     }
 }
