--- a/src/controller/autoscaling/demand.rs
+++ b/src/controller/autoscaling/demand.rs
@@ -7,7 +7,7 @@
 };
 use crate::controller::machines::inventory::{Binding, Machine};
 use crate::controller::pool::Pool;
-use crate::controller::scheduling::constraints::{within_limit, zone_allowed};
+use crate::controller::scheduling::constraints::{is_within_quota_limit, is_zone_allowed};
 use crate::controller::shard::ShardOwner;
 use crate::controller::shard::job::JobState;
 use crate::controller::store::records::{
@@ -183,7 +183,7 @@
                 continue;
             };
             let record = &job_state.record;
-            if self.failures.unplaceable(id) || !within_limit(self, settings, record) {
+            if self.failures.unplaceable(id) || !is_within_quota_limit(self, settings, record) {
                 continue;
             }
             let queued = job_state.queued();
@@ -326,7 +326,7 @@
     let all_zones = &machine_type.zones;
     let allowed = all_zones
         .iter()
-        .filter(|zone| zone_allowed(job_state, zone));
+        .filter(|zone| is_zone_allowed(job_state, zone));
     let allowed: Vec<&String> = allowed.collect();
     (!allowed.is_empty() && allowed.len() != all_zones.len()).then_some(allowed)
 }
--- a/src/controller/scheduling/consolidation.rs
+++ b/src/controller/scheduling/consolidation.rs
@@ -1,10 +1,10 @@
-//! Consolidation: moves the replicas of little used machines to fuller ones, so that the former can
-//! be scaled in.
+//! Consolidation: drains underused machines by moving their replicas to fuller machines, so that
+//! the drained machines can be scaled in.
 
 use crate::controller::context::Context;
 use crate::controller::machines::inventory::Machine;
 use crate::controller::pool::Pool;
-use crate::controller::scheduling::constraints::{suits, usable, zone_allowed};
+use crate::controller::scheduling::constraints::{allows_pool, is_schedulable, is_zone_allowed};
 use crate::controller::shard::ShardOwner;
 use crate::controller::shard::job::{JobState, Phase, Placement};
 use crate::controller::store::records::{JobKind, PriorityClass, Resources};
@@ -14,33 +14,35 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// A machine used no more than this may be emptied.
-const EMPTIED_USE_MAX: f64 = 0.5;
-/// How long its replicas must have run: starts that are stopped soon after don't count as such.
-const RUNNING_MIN_S: f64 = 45.0;
-/// Share of a shard's machines that one turn may empty, and one machine at least.
-const EMPTIED_SHARE: f64 = 0.02;
+/// Maximum used fraction of a machine that may be drained.
+const DRAINED_USED_FRACTION_MAX: f64 = 0.5;
+/// How long each replica on a machine must have run before the machine is drained. A start that is
+/// stopped soon after doesn't count as a start.
+const REPLICA_RUN_MIN_S: f64 = 45.0;
+/// Fraction of a shard's machines that one pass may drain, rounded up to at least one machine.
+const DRAINED_FRACTION_MAX: f64 = 0.02;
 
-/// The replicas of one machine, to be stopped there.
-struct Move {
+/// A machine to drain.
+struct MachineDrain {
     /// The machine.
     machine: MachineId,
-    /// Its tasks.
+    /// The replicas that run on it, all of which are stopped.
     tasks: Vec<TaskId>,
 }
 
 impl ShardOwner {
-    /// Moves the replicas of little used machines to fuller ones that have their images, so that
-    /// the former can be scaled in: services never end by themselves, so that a fleet would not
-    /// shrink otherwise.
+    /// Runs one consolidation pass if it is due. Cordons underused machines, and drains those of
+    /// them whose replicas all fit on fuller machines that have their images cached.
+    ///
+    /// Services never end by themselves, so without consolidation a fleet would not shrink.
     pub(crate) fn consolidate(&mut self, context: &mut Context) {
         let now = context.now;
         if context.is_stale() || now < self.consolidate_at {
             return;
         }
         self.consolidate_at = now.after(context.settings.tuning.tick_s);
-        let cordoned = self.cordon_spare_machines(context);
-        for Move { machine, tasks } in self.possible_moves(context, &cordoned) {
+        let cordoned = self.cordon_underused_machines(context);
+        for MachineDrain { machine, tasks } in self.select_drains(context, &cordoned) {
             info!(
                 "machine emptied, machine={machine} tasks={} reason=its tasks fit elsewhere",
                 tasks.len()
@@ -51,71 +53,78 @@
         }
     }
 
-    /// Cordons the machines whose work would fit on others, and uncordons the rest except emptied
-    /// ones.
-    fn cordon_spare_machines(&mut self, context: &Context) -> BTreeSet<MachineId> {
-        // While urgent work waits for room, no machine is given up.
-        let urgent = |id: &JobId| {
+    /// Cordons the underused machines, and uncordons all others except drained machines. Returns
+    /// the underused machines.
+    fn cordon_underused_machines(&mut self, context: &Context) -> BTreeSet<MachineId> {
+        // While urgent jobs wait for room and during a mass partition, no machine is cordoned, and
+        // all cordoned machines are uncordoned.
+        let is_urgent = |id: &JobId| {
             let job_state = self.jobs.get(id);
             job_state.is_some_and(|job| job.record.priority_class > PriorityClass::Normal)
         };
-        let room_to_spare = !self.mass_partition && !self.waiting.iter().any(urgent);
-        let spare = if room_to_spare {
+        let may_cordon = !self.mass_partition && !self.waiting.iter().any(is_urgent);
+        let underused = if may_cordon {
             let headroom = context.settings.tuning.headroom;
-            spare_machines(self, &context.cloud.catalog, headroom, context.now)
+            find_underused_machines(self, &context.cloud.catalog, headroom, context.now)
         } else {
             BTreeSet::new()
         };
-        // One that has been emptied stays cordoned: uncordoned, it drew the replicas of the next
-        // one to be emptied, which then drew them back, without end.
-        let emptied =
-            |machine: &Machine| room_to_spare && machine.cordoned && machine.tasks.is_empty();
-        let changes = |(id, machine): &(&MachineId, &Machine)| {
-            machine.cordoned != (spare.contains(*id) || emptied(machine))
+        // A drained machine stays cordoned. Uncordoned, it received the replicas of the next
+        // machine to be drained, which then received them back, in an endless loop.
+        let is_drained =
+            |machine: &Machine| may_cordon && machine.cordoned && machine.tasks.is_empty();
+        let cordon_changes = |(id, machine): &(&MachineId, &Machine)| {
+            machine.cordoned != (underused.contains(*id) || is_drained(machine))
         };
-        let changed = self.machines.iter().filter(changes);
+        let changed = self.machines.iter().filter(cordon_changes);
         let changed: Vec<MachineId> = changed.map(|(id, _)| id.clone()).collect();
         for id in changed {
             let toggle = |machine: &mut Machine| machine.cordoned = !machine.cordoned;
             self.machines.edit(&id, toggle);
         }
-        spare
+        underused
     }
 
-    /// The machines that can be emptied now. One at a time never caught up with a fleet of hundreds
-    /// that shrinks.
-    fn possible_moves(&self, context: &Context, spare: &BTreeSet<MachineId>) -> Vec<Move> {
-        let moves_max = (self.machines.len() as f64 * EMPTIED_SHARE).ceil() as usize;
-        let (mut reserved, mut moves) = (ReservedRoom::new(), Vec::new());
-        let mut critical_moves = 0;
-        for id in spare {
-            let Some(machine) = self.machines.get(id).filter(|_| moves.len() < moves_max) else {
+    /// Selects the machines to drain in this pass, up to `DRAINED_FRACTION_MAX` of the shard's
+    /// machines. Draining one machine at a time was too slow for a shrinking fleet of hundreds.
+    fn select_drains(
+        &self,
+        context: &Context,
+        underused: &BTreeSet<MachineId>,
+    ) -> Vec<MachineDrain> {
+        let drains_max = (self.machines.len() as f64 * DRAINED_FRACTION_MAX).ceil() as usize;
+        let (mut reserved, mut drains) = (ReservedRoom::new(), Vec::new());
+        let mut critical_drains = 0;
+        for id in underused {
+            let Some(machine) = self.machines.get(id).filter(|_| drains.len() < drains_max) else {
                 break;
             };
-            // Critical services are moved from one machine at a time.
+            // Only one machine with critical services is drained per pass.
             let bindings = machine.tasks.values();
             let highest = bindings.map(|binding| binding.record.priority_class).max();
-            let critical = highest == Some(PriorityClass::Critical);
-            if critical && critical_moves > 0 {
+            let is_critical = highest == Some(PriorityClass::Critical);
+            if is_critical && critical_drains > 0 {
                 continue;
             }
             let tasks: Vec<TaskId> = machine.tasks.keys().cloned().collect();
-            let with_tasks = reserve_elsewhere(self, context, id, &tasks, &reserved);
-            if let Some(with_tasks) = with_tasks.filter(|_| !tasks.is_empty()) {
-                reserved = with_tasks;
-                critical_moves += usize::from(critical);
+            let reserved_with_tasks = reserve_room_elsewhere(self, context, id, &tasks, &reserved);
+            if let Some(reserved_with_tasks) = reserved_with_tasks.filter(|_| !tasks.is_empty()) {
+                reserved = reserved_with_tasks;
+                critical_drains += usize::from(is_critical);
                 let machine = id.clone();
-                moves.push(Move { machine, tasks });
+                drains.push(MachineDrain { machine, tasks });
             }
         }
-        moves
+        drains
     }
 }
 
-/// The least used machines of each pool whose work would fit into the room that is
-/// free on the others, beside the room kept for urgent starts. They get nothing new
-/// while there is another place for it; their batch tasks end by themselves.
-fn spare_machines(
+/// Returns the least used machines of each pool whose tasks would fit into the room that is free on
+/// the pool's other machines, beside the room kept for urgent starts.
+///
+/// These machines get new tasks only if no other machine has room. Their batch tasks are left to
+/// finish.
+fn find_underused_machines(
     shard: &ShardOwner,
     catalog: &[MachineType],
     headroom: f64,
@@ -123,44 +132,45 @@
 ) -> BTreeSet<MachineId> {
     let mut pools: BTreeMap<Pool, Vec<(f64, &MachineId)>> = BTreeMap::new();
     for (id, machine) in shard.machines.iter() {
-        let stays = machine.ready_since.is_some()
+        let is_staying = machine.ready_since.is_some()
             && machine.decommission_at.is_none()
             && machine.notice.is_none();
         if let Some(pool) = machine
             .pool()
-            .filter(|_| stays && !machine.tasks.is_empty())
+            .filter(|_| is_staying && !machine.tasks.is_empty())
             && let Some(machine_type) = pool.type_in(catalog)
         {
-            let used_share = machine.used.share_of(machine_type.resources);
-            pools.entry(pool).or_default().push((used_share, id));
+            let used_fraction = machine.used.share_of(machine_type.resources);
+            pools.entry(pool).or_default().push((used_fraction, id));
         }
     }
-    let mut spare = BTreeSet::new();
+    let mut underused = BTreeSet::new();
     for (pool, mut machines) in pools {
-        machines.sort_by(|(share_a, _), (share_b, _)| share_a.total_cmp(share_b));
+        machines.sort_by(|(fraction_a, _), (fraction_b, _)| fraction_a.total_cmp(fraction_b));
         let kept_room = shard.kept_room(pool, catalog, headroom, now);
-        let mut free: f64 = machines
+        let mut free_machines: f64 = machines
             .iter()
-            .map(|(used_share, _)| 1.0 - used_share)
+            .map(|(used_fraction, _)| 1.0 - used_fraction)
             .sum();
-        for (used_share, id) in machines {
-            // Its own room is lost, and its work needs room on the others.
-            free -= 1.0;
-            if used_share > EMPTIED_USE_MAX || free < kept_room {
+        for (used_fraction, id) in machines {
+            // Draining a machine removes its free room, and its used room is needed elsewhere. Both
+            // add up to one machine.
+            free_machines -= 1.0;
+            if used_fraction > DRAINED_USED_FRACTION_MAX || free_machines < kept_room {
                 break;
             }
-            spare.insert(id.clone());
+            underused.insert(id.clone());
         }
     }
-    spare
+    underused
 }
 
-/// Room on other machines that this turn's moves will use.
+/// Room reserved on each machine for the replicas that this pass moves.
 type ReservedRoom = BTreeMap<MachineId, Resources>;
 
-/// Reserves room elsewhere for all of a machine's tasks, beside what other moves have reserved;
-/// `None` if one of them can't be moved.
-fn reserve_elsewhere(
+/// Reserves room on other machines for all tasks of the machine `from`, in addition to `reserved`.
+/// Returns all reservations, or `None` if a task can't be moved.
+fn reserve_room_elsewhere(
     shard: &ShardOwner,
     context: &Context,
     from: &MachineId,
@@ -171,10 +181,10 @@
     for task in tasks {
         let job_state = shard.jobs.get(&task.job)?;
         let placement = job_state.placed.get(&task.index)?;
-        let ran_long =
-            placement.phase == Phase::Running && context.now.since(placement.since) > RUNNING_MIN_S;
+        let has_run_long = placement.phase == Phase::Running
+            && context.now.since(placement.since) > REPLICA_RUN_MIN_S;
         let is_service = job_state.record.kind == JobKind::Service;
-        if !is_service || placement.stop_requested.is_some() || !ran_long {
+        if !is_service || placement.stop_requested.is_some() || !has_run_long {
             return None;
         }
         let target = fullest_target(shard, context, from, job_state, placement, &reserved)?;
@@ -184,7 +194,8 @@
     Some(reserved)
 }
 
-/// The machine in use with the least room left for a replica that would move there.
+/// Returns the machine that would have the least room left after the replica moves there, among
+/// schedulable machines with tasks and with the replica's image.
 fn fullest_target<'a>(
     shard: &'a ShardOwner,
     context: &Context,
@@ -195,22 +206,23 @@
 ) -> Option<&'a MachineId> {
     let record = &job_state.record;
     let mut fullest: Option<(f64, &MachineId)> = None;
-    let fits = |pool: Pool, _: &Rc<str>| suits(record, &context.cloud.catalog, pool);
+    let fits = |pool: Pool, _: &Rc<str>| allows_pool(record, &context.cloud.catalog, pool);
     for (id, machine) in shard.machines.roomy(record.resources, fits) {
         let mut free = machine.free();
         free.add(reserved.get(id).copied().unwrap_or_default(), -1.0);
-        // Within its zone it takes the place of itself.
-        let zone_fits = machine.zone == placement.zone || zone_allowed(job_state, &machine.zone);
-        let possible = id != from
+        // In its own zone the replica replaces itself, so zone constraints still hold.
+        let is_zone_suitable =
+            machine.zone == placement.zone || is_zone_allowed(job_state, &machine.zone);
+        let is_target = id != from
             && !machine.tasks.is_empty()
             && !machine.cordoned
             && free.holds(record.resources)
             && machine.has_image(&record.image)
-            && usable(machine, &context.settings, context.now)
+            && is_schedulable(machine, &context.settings, context.now)
             && shard.failures.may_run_tasks(id, context.now)
-            && zone_fits;
+            && is_zone_suitable;
         let left = free.share_of(machine.resources);
-        if possible && fullest.is_none_or(|(least, _)| left < least) {
+        if is_target && fullest.is_none_or(|(least, _)| left < least) {
             fullest = Some((left, id));
         }
     }
--- a/src/controller/scheduling/mod.rs
+++ b/src/controller/scheduling/mod.rs
@@ -1,8 +1,9 @@
-//! Scheduling: binds queued tasks to machines as soon as they are queued, where the shard has room.
+//! Scheduling: binds queued tasks to machines of the shard that have room for them.
 //!
-//! [`scoring`] computes what a machine costs a task, [`constraints`] whether its team and its job
-//! allow it there, [`preemption`] which tasks are stopped for it, and [`consolidation`] empties
-//! machines that are little used.
+//! - [`scoring`] computes the cost of placing a task on a machine.
+//! - [`constraints`] checks whether the team's quota and the job allow the placement.
+//! - [`preemption`] selects the tasks that are stopped for a job that found no room.
+//! - [`consolidation`] drains underused machines.
 
 pub(crate) mod consolidation;
 pub(crate) mod constraints;
@@ -11,11 +12,12 @@
 
 use crate::controller::context::Context;
 use crate::controller::scheduling::constraints::{
-    teams_over_guarantee, within_guarantee, within_limit,
+    is_within_guaranteed_quota, is_within_quota_limit, teams_above_guarantee,
 };
-use crate::controller::scheduling::preemption::cheapest_victims;
+use crate::controller::scheduling::preemption::select_cheapest_victims;
 use crate::controller::scheduling::scoring::{
-    Candidate, PlacementContext, ScoreInputs, best_candidate, expected_s, fetch_s,
+    Candidate, PlacementContext, ScoreInputs, estimate_image_fetch_s, pop_best_candidate,
+    start_objective_s,
 };
 use crate::controller::shard::ShardOwner;
 use crate::controller::shard::job::{JobState, Placement};
@@ -26,90 +28,97 @@
 use std::collections::BinaryHeap;
 use std::rc::Rc;
 
-/// Shortest interval between two scheduling cycles.
+/// Minimum interval between two scheduling cycles.
 const CYCLE_INTERVAL_MIN_MS: u64 = 15;
-/// Longest interval between two scheduling cycles while tasks are queued.
+/// Maximum interval between two scheduling cycles while tasks are queued.
 const CYCLE_INTERVAL_MAX_S: f64 = 0.5;
-/// How long a job waits for the room of tasks that were preempted for it before more are.
+/// How long a job waits for tasks that were preempted for it to free their room, before more tasks
+/// are preempted.
 const PREEMPTION_WAIT_S: f64 = 6.0;
-/// Most tasks bound in one cycle, so that a large array doesn't delay everything else.
+/// Maximum number of tasks bound in one cycle, so that a large array doesn't delay other work.
 const CYCLE_TASKS_MAX: usize = 64;
 
-/// Most tasks preempted at once for one job.
-const VICTIMS_MAX: u32 = 8;
-/// Running tasks that count as one step in the order of jobs.
+/// Maximum number of a job's queued tasks for which other tasks are preempted at once. Each of them
+/// takes the room on one machine, where several tasks may have to stop.
+const PREEMPTING_TASKS_MAX: u32 = 8;
+/// Number of placed tasks by which a job moves one step back in the queue.
 const RUNNING_TASKS_PER_STEP: u32 = 8;
 
-/// A queued job's place in the queue. Lower comes first.
+/// The position of a job in the scheduling queue. Jobs with lower values come first; the fields are
+/// compared in their order.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct QueuePosition {
-    /// Higher classes first.
+    /// Higher priority classes come first.
     priority_class: Reverse<PriorityClass>,
-    /// Whether its team would use more than its guaranteed quota.
-    beyond_guarantee: bool,
-    /// Jobs with few running tasks go first, so that neither a mass of tasks nor a large array
-    /// delays the others.
+    /// Whether another task would exceed the guaranteed quota of the job's team.
+    is_beyond_guarantee: bool,
+    /// Number of placed tasks, in steps of `RUNNING_TASKS_PER_STEP`. Jobs with few placed tasks
+    /// come first, so that a job with many tasks doesn't delay the others.
     running_steps: u32,
-    /// Earlier jobs first.
+    /// Order of arrival: jobs accepted earlier come first.
     arrival: u64,
     /// The job.
     job: JobId,
 }
 
-/// The outcome of binding a job's next task.
+/// Outcome of an attempt to bind a job's next task.
 enum BindOutcome {
-    /// It is bound.
+    /// The task is bound to a machine.
     Bound,
-    /// No task of it is queued, or none may start now.
+    /// The job has no queued task, or none that may start now.
     NothingToBind,
-    /// No machine has room for it.
+    /// No machine has room for the task.
     NoMachine,
 }
 
 impl ShardOwner {
-    /// Runs a scheduling cycle if one is due: binds queued tasks to machines. Those that find no
-    /// room are counted by the autoscaler.
+    /// Runs a scheduling cycle if one is due: binds queued tasks to machines, and preempts tasks
+    /// for jobs that found no room. The autoscaler counts the tasks that remain queued.
     pub(crate) fn schedule(&mut self, context: &mut Context) {
-        if !self.scheduling_due(context) {
+        if !self.is_scheduling_due(context) {
             return;
         }
         self.next_cycle_at = Time(context.now.0 + CYCLE_INTERVAL_MIN_MS);
         self.scheduling_wanted = false;
-        let queue = self.queue_order(context);
+        let queue = self.order_queue(context);
         if queue.is_empty() {
             return;
         }
         let mut cycle = SchedulingCycle::new(self, context);
-        let mut unplaced = Vec::new();
+        let mut unplaced_jobs = Vec::new();
         for position in queue {
             if self.schedule_job(context, &position.job, &mut cycle) {
-                unplaced.push(position.job);
+                unplaced_jobs.push(position.job);
             }
         }
         context.machines_scanned += cycle.machines_scanned;
-        context.placed += cycle.placed;
+        context.placed += cycle.tasks_placed;
         if cycle.tasks_left == 0 {
             self.scheduling_wanted = true;
         }
-        for job in unplaced {
-            self.preempt_for(context, &job, &mut cycle);
+        for job in unplaced_jobs {
+            self.preempt_for_job(context, &job, &mut cycle);
         }
     }
 
-    /// Whether a cycle is wanted and possible now.
-    fn scheduling_due(&self, context: &Context) -> bool {
+    /// Whether a scheduling cycle is requested or overdue, and possible now.
+    fn is_scheduling_due(&self, context: &Context) -> bool {
         let now = context.now;
-        // Pauses of failing jobs, of machines and of batch work end without any event.
-        let due = now.since(self.next_cycle_at) > CYCLE_INTERVAL_MAX_S && !self.waiting.is_empty();
-        let wanted = self.scheduling_wanted || due;
-        wanted
+        // A cycle runs also without a request, since no event marks the end of the pauses of
+        // failing jobs, of machines that take no tasks for now, and of jobs that wait for spot
+        // machines.
+        let is_overdue =
+            now.since(self.next_cycle_at) > CYCLE_INTERVAL_MAX_S && !self.waiting.is_empty();
+        let is_wanted = self.scheduling_wanted || is_overdue;
+        is_wanted
             && !context.is_stale()
             && !context.cloud.catalog.is_empty()
             && now >= self.next_cycle_at
     }
 
-    /// The jobs with queued tasks, in the order in which they are served.
-    fn queue_order(&mut self, context: &Context) -> Vec<QueuePosition> {
+    /// Returns the jobs with tasks that may start now, in scheduling order. Removes jobs without
+    /// queued tasks from `waiting`.
+    fn order_queue(&mut self, context: &Context) -> Vec<QueuePosition> {
         let jobs = &self.jobs;
         self.waiting
             .retain(|id| jobs.get(id).is_some_and(|job_state| job_state.queued() > 0));
@@ -119,7 +128,11 @@
             if context.now >= job_state.not_before && !job_state.finishing {
                 queue.push(QueuePosition {
                     priority_class: Reverse(job_state.record.priority_class),
-                    beyond_guarantee: !within_guarantee(self, &context.settings, job_state),
+                    is_beyond_guarantee: !is_within_guaranteed_quota(
+                        self,
+                        &context.settings,
+                        job_state,
+                    ),
                     running_steps: job_state.placed.len() as u32 / RUNNING_TASKS_PER_STEP,
                     arrival: job_state.arrival,
                     job: id.clone(),
@@ -130,22 +143,22 @@
         queue
     }
 
-    /// Binds a job's queued tasks; true if one found no machine.
+    /// Binds a job's queued tasks, and returns whether one of them found no machine.
     fn schedule_job(&mut self, context: &Context, id: &JobId, cycle: &mut SchedulingCycle) -> bool {
         let Some(record) = self.jobs.get(id).map(|job_state| job_state.record.clone()) else {
             return false;
         };
         if cycle
-            .failed
+            .unplaceable_jobs
             .iter()
-            .any(|failed| same_demand(failed, &record))
+            .any(|failed| has_same_requirements(failed, &record))
         {
             return true;
         }
         let placement = PlacementContext {
             settings: &context.settings,
             catalog: &context.cloud.catalog,
-            expected_s: expected_s(&context.settings, &record.class),
+            start_objective_s: start_objective_s(&context.settings, &record.class),
             now: context.now,
         };
         let mut candidates = None;
@@ -155,7 +168,7 @@
                 BindOutcome::NothingToBind => return false,
                 BindOutcome::NoMachine => {
                     if !record.zone_affinity && !record.zone_spread {
-                        cycle.failed.push(record);
+                        cycle.unplaceable_jobs.push(record);
                     }
                     return true;
                 }
@@ -164,8 +177,8 @@
         false
     }
 
-    /// Binds a job's next queued task to the cheapest machine. The candidates are found once for
-    /// all tasks of the job.
+    /// Binds a job's next queued task to the machine with the lowest cost. `candidates` is computed
+    /// for the job's first task and reused for the others.
     fn bind_next_task(
         &mut self,
         placement: &PlacementContext<'_>,
@@ -174,7 +187,7 @@
         candidates: &mut Option<BinaryHeap<Candidate>>,
         cycle: &mut SchedulingCycle,
     ) -> BindOutcome {
-        let Some(index) = self.next_to_bind(placement, id, record) else {
+        let Some(index) = self.next_bindable_index(placement, id, record) else {
             return BindOutcome::NothingToBind;
         };
         let candidates = candidates.get_or_insert_with(|| {
@@ -182,18 +195,18 @@
             cycle.machines_scanned += found.machines_scanned;
             found.heap
         });
-        let Some(machine_id) = best_candidate(self, &self.jobs[id], candidates) else {
+        let Some(machine_id) = pop_best_candidate(self, &self.jobs[id], candidates) else {
             return BindOutcome::NoMachine;
         };
         cycle.tasks_left -= 1;
-        cycle.placed += 1;
+        cycle.tasks_placed += 1;
         if !self.bind(placement, id, index, record, &machine_id) {
             return BindOutcome::NoMachine;
         }
-        // Only this machine's cost has changed.
+        // Only the cost of the machine that took the task has changed.
         let machine = self.machines.get(&machine_id);
         let cost = machine.and_then(|machine| {
-            placement.cost_of(
+            placement.placement_cost(
                 self,
                 (id, &self.jobs[id]),
                 (&machine_id, machine),
@@ -207,23 +220,25 @@
         BindOutcome::Bound
     }
 
-    /// The index of a job's next queued task, if it may start now.
-    fn next_to_bind(
+    /// Returns the index of the job's next queued task, if that task may start now.
+    fn next_bindable_index(
         &mut self,
         placement: &PlacementContext<'_>,
         id: &JobId,
         record: &JobRecord,
     ) -> Option<u32> {
-        if !within_limit(self, placement.settings, record) {
+        if !is_within_quota_limit(self, placement.settings, record) {
             return None;
         }
         let index = self.jobs.get_mut(id).and_then(JobState::next_queued)?;
-        // All tasks of a crash-looping job at once took room on every machine at each attempt.
-        let held_back = self.failures.on_probation(id) && self.jobs[id].trying();
-        (!held_back).then_some(index)
+        // A crash-looping job runs one task at a time. All its tasks at once took room on every
+        // machine at each attempt.
+        let is_held_back = self.failures.on_probation(id) && self.jobs[id].trying();
+        (!is_held_back).then_some(index)
     }
 
-    /// Binds a task to a machine and has its placement written; false if there is no such machine.
+    /// Binds a task to a machine, and starts the write of its placement to the store. Returns false
+    /// if the machine is unknown.
     fn bind(
         &mut self,
         placement: &PlacementContext<'_>,
@@ -237,7 +252,8 @@
             return false;
         };
         let machine_type = machine.type_in(placement.catalog);
-        let image_fetch_s = machine_type.map_or(0.0, |found| fetch_s(record, found, machine));
+        let image_fetch_s =
+            machine_type.map_or(0.0, |found| estimate_image_fetch_s(record, found, machine));
         debug!(
             "task scheduled, task={id}/{index} machine={machine_id} \
              image_fetch_s={image_fetch_s:.1}"
@@ -249,61 +265,67 @@
         true
     }
 
-    /// Preempts tasks of a lower priority class where a job that found no machine fits then.
-    fn preempt_for(&mut self, context: &mut Context, id: &JobId, cycle: &mut SchedulingCycle) {
+    /// Preempts tasks for a job that found no machine, where tasks of the job fit afterwards. The
+    /// preempted tasks have a lower priority class, or belong to teams above their guaranteed quota
+    /// if the job is entitled to its team's guaranteed quota.
+    fn preempt_for_job(&mut self, context: &mut Context, id: &JobId, cycle: &mut SchedulingCycle) {
         let now = context.now;
         let Some(job_state) = self.jobs.get(id) else {
             return;
         };
         let record = &job_state.record;
-        let guaranteed = self.is_owed_its_guarantee(context, job_state);
-        let may_preempt = record.priority_class > PriorityClass::Normal || guaranteed;
+        let is_entitled = self.is_entitled_to_guarantee(context, job_state);
+        let may_preempt = record.priority_class > PriorityClass::Normal || is_entitled;
         if !may_preempt || now < job_state.preempting_until {
             return;
         }
-        let same = |failed: &Rc<JobRecord>| {
-            same_demand(failed, record) && failed.priority_class >= record.priority_class
+        let is_covered = |failed: &Rc<JobRecord>| {
+            has_same_requirements(failed, record) && failed.priority_class >= record.priority_class
         };
-        if !guaranteed && cycle.without_victims.iter().any(same) {
+        if !is_entitled && cycle.jobs_without_victims.iter().any(is_covered) {
             return;
         }
-        // Teams beyond their guaranteed quota yield to one that lacks its own.
-        let teams_over = if guaranteed {
-            teams_over_guarantee(self, &context.settings, &record.team)
+        // Tasks of teams above their guaranteed quota may be preempted for a team that is still
+        // within its own.
+        let teams_above = if is_entitled {
+            teams_above_guarantee(self, &context.settings, &record.team)
         } else {
             Vec::new()
         };
-        let tasks_max = job_state.queued().min(VICTIMS_MAX) as usize;
+        let tasks_max = job_state.queued().min(PREEMPTING_TASKS_MAX) as usize;
         let catalog = &context.cloud.catalog;
-        let victims = cheapest_victims(self, catalog, job_state, now, tasks_max, &teams_over);
+        let victims =
+            select_cheapest_victims(self, catalog, job_state, now, tasks_max, &teams_above);
         context.machines_scanned += victims.machines_scanned;
-        let counts_for_all = !guaranteed && !job_state.inherits_priority_class();
-        let anywhere = !record.zone_affinity && !record.zone_spread;
-        if victims.tasks.is_empty() && counts_for_all && anywhere {
-            cycle.without_victims.push(record.clone());
+        let applies_to_similar_jobs = !is_entitled && !job_state.inherits_priority_class();
+        let is_any_zone_allowed = !record.zone_affinity && !record.zone_spread;
+        if victims.tasks.is_empty() && applies_to_similar_jobs && is_any_zone_allowed {
+            cycle.jobs_without_victims.push(record.clone());
         }
         self.preempt(context, id, &victims.tasks);
     }
 
-    /// Whether a job within its team's guarantee has waited for longer than machines take to boot.
-    /// Work of the same class is stopped only then: scaling out didn't help, and it may lose all it
-    /// has done.
-    fn is_owed_its_guarantee(&self, context: &Context, job_state: &JobState) -> bool {
+    /// Whether the job may preempt tasks of its own priority class: it is within its team's
+    /// guaranteed quota, and has waited for longer than the longest boot time in the catalog.
+    ///
+    /// The wait shows that scaling out did not help. Before that, such preemption isn't justified,
+    /// since the preempted tasks may lose all their work.
+    fn is_entitled_to_guarantee(&self, context: &Context, job_state: &JobState) -> bool {
         let boots = context.cloud.catalog.iter().map(|found| found.ready_s);
-        let waited = context.now.since(job_state.since) > boots.fold(0.0, f64::max);
-        waited && within_guarantee(self, &context.settings, job_state)
+        let has_waited = context.now.since(job_state.since) > boots.fold(0.0, f64::max);
+        has_waited && is_within_guaranteed_quota(self, &context.settings, job_state)
     }
 
-    /// Stops tasks for a job, and lets it wait for their room.
+    /// Stops tasks to make room for a job, and sets until when no more tasks are preempted for it.
     fn preempt(&mut self, context: &mut Context, id: &JobId, victims: &[TaskId]) {
-        // Room of tasks that were never sent is free at once.
-        let pause_s = if victims.iter().all(|task| self.was_never_sent(task)) {
+        // Tasks whose start was never sent free their room at once.
+        let wait_s = if victims.iter().all(|task| self.was_never_sent(task)) {
             CYCLE_INTERVAL_MAX_S
         } else {
             PREEMPTION_WAIT_S
         };
         if let Some(job_state) = self.jobs.get_mut(id) {
-            job_state.preempting_until = context.now.after(pause_s);
+            job_state.preempting_until = context.now.after(wait_s);
         }
         for task in victims {
             info!("task preempted, task={task} for_job={id}");
@@ -314,37 +336,39 @@
 
 /// The state of one scheduling cycle.
 struct SchedulingCycle {
-    /// What scores depend on.
+    /// Inputs of the placement costs that are computed once per cycle.
     scores: ScoreInputs,
-    /// Tasks that may still be bound.
+    /// Number of tasks that may still be bound in this cycle.
     tasks_left: usize,
-    /// Demands that found no machine: others like them won't either.
-    failed: Vec<Rc<JobRecord>>,
-    /// Demands for which nothing of a lower class could be stopped.
-    without_victims: Vec<Rc<JobRecord>>,
-    /// Machines that were looked at.
+    /// Jobs that found no machine. Other jobs with the same requirements are skipped.
+    unplaceable_jobs: Vec<Rc<JobRecord>>,
+    /// Jobs for which no task could be preempted. Jobs with the same requirements and no higher
+    /// priority class are skipped.
+    jobs_without_victims: Vec<Rc<JobRecord>>,
+    /// Number of machines examined.
     machines_scanned: u64,
-    /// Tasks that were bound.
-    placed: u64,
+    /// Number of tasks bound.
+    tasks_placed: u64,
 }
 
 impl SchedulingCycle {
-    /// Begins a cycle.
+    /// Creates the state at the start of a cycle.
     fn new(shard: &ShardOwner, context: &Context) -> Self {
         let catalog = &context.cloud.catalog;
         Self {
             scores: ScoreInputs::new(shard, catalog, &context.settings, context.now),
             tasks_left: CYCLE_TASKS_MAX,
-            failed: Vec::new(),
-            without_victims: Vec::new(),
+            unplaceable_jobs: Vec::new(),
+            jobs_without_victims: Vec::new(),
             machines_scanned: 0,
-            placed: 0,
+            tasks_placed: 0,
         }
     }
 }
 
-/// Whether two jobs' tasks find room on the same machines.
-fn same_demand(a: &JobRecord, b: &JobRecord) -> bool {
+/// Whether the tasks of two jobs fit on the same machines. Jobs with zone affinity or zone spread
+/// never match, because their zones depend on their other tasks.
+fn has_same_requirements(a: &JobRecord, b: &JobRecord) -> bool {
     a.resources == b.resources
         && a.spot == b.spot
         && a.zone == b.zone
--- a/src/controller/scheduling/preemption.rs
+++ b/src/controller/scheduling/preemption.rs
@@ -1,33 +1,34 @@
-//! Which tasks of a lower priority class are preempted for a job that found no room.
+//! Selects the tasks that are preempted for a job that found no room.
 
 use crate::controller::machines::inventory::Machine;
 use crate::controller::pool::Pool;
-use crate::controller::scheduling::constraints::{suits, zone_allowed};
-use crate::controller::scheduling::scoring::fetch_s;
+use crate::controller::scheduling::constraints::{allows_pool, is_zone_allowed};
+use crate::controller::scheduling::scoring::estimate_image_fetch_s;
 use crate::controller::shard::ShardOwner;
 use crate::controller::shard::job::{JobState, Phase};
 use crate::controller::store::records::{JobRecord, PriorityClass, Resources};
 use crate::ids::{TaskId, Time};
 use crate::wire::MachineType;
 
-/// Loss, in seconds of work, of preempting a task that checkpoints.
+/// Work lost by preempting a running task that checkpoints.
 const CHECKPOINTED_LOSS_S: f64 = 3.0;
-/// Loss of preempting one that doesn't, beside the share of the time that it has run.
+/// Fixed loss of preempting a running task that doesn't checkpoint, in addition to
+/// `RUN_LOSS_FRACTION` of its running time.
 const START_LOSS_S: f64 = 5.0;
-/// Share of a task's running time that counts as lost if it doesn't checkpoint.
-const RUN_LOSS_SHARE: f64 = 0.2;
+/// Fraction of a task's running time that counts as lost if the task doesn't checkpoint.
+const RUN_LOSS_FRACTION: f64 = 0.2;
 
 /// The tasks to preempt for a job.
 pub(crate) struct Victims {
     /// The tasks.
     pub(crate) tasks: Vec<TaskId>,
-    /// How many machines were looked at.
+    /// Number of machines examined.
     pub(crate) machines_scanned: u64,
 }
 
-/// The victims on one machine.
+/// The tasks to preempt on one machine.
 struct MachineVictims {
-    /// What stopping them throws away.
+    /// Work lost by stopping all of them, in seconds.
     loss_s: f64,
     /// The tasks.
     tasks: Vec<TaskId>,
@@ -35,64 +36,68 @@
 
 /// A task that may be preempted.
 struct Preemptible<'a> {
-    /// What stopping it throws away.
+    /// Work lost by stopping the task, in seconds.
     loss_s: f64,
     /// The task.
     task: &'a TaskId,
-    /// The room that it frees.
+    /// The resources that stopping the task frees.
     need: Resources,
 }
 
-/// The tasks to stop for up to `tasks_max` tasks of a job: the least work of lower priority class,
-/// one machine for each. `teams_over` are those beyond their guaranteed quota, whose work of the
-/// same class may be stopped too.
-pub(crate) fn cheapest_victims(
+/// Selects the tasks to preempt for up to `tasks_max` tasks of a job. Each task of the job gets one
+/// machine. Machines are chosen by the lowest cost: the work lost there plus the time to fetch the
+/// job's image.
+///
+/// Tasks of a lower priority class may be preempted, and tasks of the same class if they belong to
+/// one of `teams_above`, the teams above their guaranteed quota.
+pub(crate) fn select_cheapest_victims(
     shard: &ShardOwner,
     catalog: &[MachineType],
     job_state: &JobState,
     now: Time,
     tasks_max: usize,
-    teams_over: &[&str],
+    teams_above: &[&str],
 ) -> Victims {
     let priority_class = job_state.record.priority_class;
     let fits = |pool: Pool, lowest: PriorityClass| {
-        let yields =
-            lowest < priority_class || (lowest == priority_class && !teams_over.is_empty());
-        yields && suits(&job_state.record, catalog, pool)
+        let has_preemptible_class =
+            lowest < priority_class || (lowest == priority_class && !teams_above.is_empty());
+        has_preemptible_class && allows_pool(&job_state.record, catalog, pool)
     };
-    let (mut found, mut machines_scanned) = (Vec::new(), 0);
+    let (mut candidates, mut machines_scanned) = (Vec::new(), 0);
     for (id, machine) in shard.machines.ranked(fits) {
         machines_scanned += 1;
-        if !zone_allowed(job_state, &machine.zone) || !shard.failures.may_run_tasks(id, now) {
+        if !is_zone_allowed(job_state, &machine.zone) || !shard.failures.may_run_tasks(id, now) {
             continue;
         }
-        if let Some(victims) = victims_on(shard, job_state, machine, teams_over) {
+        if let Some(victims) = select_victims_on_machine(shard, job_state, machine, teams_above) {
             let machine_type = machine.type_in(catalog);
-            let fetch_s = machine_type.map_or(0.0, |machine_type| {
-                fetch_s(&job_state.record, machine_type, machine)
+            let image_fetch_s = machine_type.map_or(0.0, |machine_type| {
+                estimate_image_fetch_s(&job_state.record, machine_type, machine)
             });
-            let cost_s = victims.loss_s + fetch_s;
-            found.push((cost_s, (id, victims.tasks)));
+            let cost_s = victims.loss_s + image_fetch_s;
+            candidates.push((cost_s, (id, victims.tasks)));
         }
     }
-    found.sort_by(|(cost_a, (id_a, _)), (cost_b, (id_b, _))| {
+    candidates.sort_by(|(cost_a, (id_a, _)), (cost_b, (id_b, _))| {
         cost_a.total_cmp(cost_b).then_with(|| id_a.cmp(id_b))
     });
-    let cheapest = found.into_iter().take(tasks_max);
+    let cheapest = candidates.into_iter().take(tasks_max);
     Victims {
         tasks: cheapest.flat_map(|(_, (_, tasks))| tasks).collect(),
         machines_scanned,
     }
 }
 
-/// Which tasks to stop on one machine, those of the least loss first, until a task of the job fits.
-fn victims_on(
+/// Selects the tasks to preempt on one machine, in order of increasing loss, until a task of the
+/// job fits. Returns `None` if a task fits without preemption, or doesn't fit even after it.
+fn select_victims_on_machine(
     shard: &ShardOwner,
     job_state: &JobState,
     machine: &Machine,
-    teams_over: &[&str],
+    teams_above: &[&str],
 ) -> Option<MachineVictims> {
-    let mut preemptible = preemptible_on(shard, job_state, machine, teams_over)?;
+    let mut preemptible = find_preemptible_on_machine(shard, job_state, machine, teams_above)?;
     preemptible.sort_by(|a, b| a.loss_s.total_cmp(&b.loss_s));
     let mut free = machine.free();
     let mut victims = MachineVictims {
@@ -110,21 +115,23 @@
     (free.holds(job_state.record.resources) && !victims.tasks.is_empty()).then_some(victims)
 }
 
-/// The tasks on one machine that may be preempted for a job.
-fn preemptible_on<'a>(
+/// Returns the tasks on one machine that may be preempted for a job; `None` if a task on it has no
+/// placement in this shard.
+fn find_preemptible_on_machine<'a>(
     shard: &ShardOwner,
     job_state: &JobState,
     machine: &'a Machine,
-    teams_over: &[&str],
+    teams_above: &[&str],
 ) -> Option<Vec<Preemptible<'a>>> {
     let priority_class = job_state.record.priority_class;
     let mut preemptible = Vec::new();
     for (task, binding) in &machine.tasks {
         let record = &binding.record;
-        let below = record.priority_class < priority_class && yields_to(record, job_state);
-        let owed =
-            record.priority_class == priority_class && teams_over.contains(&record.team.as_str());
-        if !below && !owed {
+        let is_preemptible_by_class =
+            record.priority_class < priority_class && may_be_preempted_for(record, job_state);
+        let is_team_above_guarantee =
+            record.priority_class == priority_class && teams_above.contains(&record.team.as_str());
+        if !is_preemptible_by_class && !is_team_above_guarantee {
             continue;
         }
         let placement = shard.jobs.get(&task.job)?.placed.get(&task.index)?;
@@ -140,7 +147,7 @@
             let loss_s = if record.checkpoint_s > 0.0 {
                 CHECKPOINTED_LOSS_S
             } else {
-                START_LOSS_S + ran_s * RUN_LOSS_SHARE
+                START_LOSS_S + ran_s * RUN_LOSS_FRACTION
             };
             preemptible.push(Preemptible { loss_s, task, need });
         }
@@ -148,11 +155,13 @@
     Some(preemptible)
 }
 
-/// Whether work may be stopped for a job as far as its loss allows it. For a priority class that a
-/// job inherits from those that depend on it, only work that checkpoints may be, beside what the
-/// job's own class is above: arrays needed by pipelines stopped others of their class, which lost
-/// all their work, and were needed or waited themselves soon after, again and again.
-fn yields_to(record: &JobRecord, job_state: &JobState) -> bool {
+/// Whether a task of a lower priority class may be preempted for the job.
+///
+/// A job that inherits its priority class from the jobs that depend on it may preempt only tasks
+/// below its own class and tasks that checkpoint. Without this rule, arrays needed by pipelines
+/// preempted other arrays of their own class, which lost all their work. These were themselves
+/// needed or waiting soon after, so that the arrays kept preempting each other.
+fn may_be_preempted_for(record: &JobRecord, job_state: &JobState) -> bool {
     !job_state.inherits_priority_class()
         || record.priority_class < job_state.own_priority_class
         || record.checkpoint_s > 0.0
--- a/src/controller/scheduling/scoring.rs
+++ b/src/controller/scheduling/scoring.rs
@@ -1,9 +1,11 @@
-//! Scores: what a start costs on each machine, by its delay, the spread of its job, and what other
-//! starts would lose by it.
+//! Placement costs: scores each machine for a task by the delay of its start, by the spread of its
+//! service, and by the cached images that other services could no longer use there.
+//!
+//! Costs have no unit; only their relations matter.
 
 use crate::controller::machines::inventory::Machine;
 use crate::controller::pool::Pool;
-use crate::controller::scheduling::constraints::{suits, usable, zone_allowed};
+use crate::controller::scheduling::constraints::{allows_pool, is_schedulable, is_zone_allowed};
 use crate::controller::shard::ShardOwner;
 use crate::controller::shard::job::JobState;
 use crate::controller::store::records::{JobKind, JobRecord, PriorityClass, Resources};
@@ -14,29 +16,33 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
 use std::rc::Rc;
 
-/// Cost of a start that is as late as its class allows.
-const DELAY_COST: f64 = 12.0;
-/// Cost of each task of the same service on the machine.
-const SPREAD_COST: f64 = 4.0;
-/// Services of up to so many tasks are spread with the full weight.
-const SPREAD_TASKS_FULL: f64 = 8.0;
-/// Cost of a machine that is wholly free.
-const FREE_COST: f64 = 3.0;
-/// What a spot machine costs less.
-const SPOT_GAIN: f64 = 8.0;
+/// Cost of a start whose delay equals the start objective of the job's class.
+const DELAY_AT_OBJECTIVE_COST: f64 = 12.0;
+/// Cost of each task of the same service on the machine, before weighting by the service's size.
+const SAME_SERVICE_TASK_COST: f64 = 4.0;
+/// Number of tasks up to which a service is spread with the full weight.
+const FULL_SPREAD_TASKS_MAX: f64 = 8.0;
+/// Cost of a completely free machine. A partly used machine costs in proportion to its free
+/// fraction.
+const FREE_MACHINE_COST: f64 = 3.0;
+/// Cost reduction of a spot machine.
+const SPOT_COST_REDUCTION: f64 = 8.0;
 /// Cost of a cordoned machine.
-const CORDONED_COST: f64 = 10.0;
-/// A job that failed on a machine is tried elsewhere: that shows which of them is at fault.
-const FAILED_COST: f64 = 30.0;
-/// Batch work doesn't use the room kept for urgent starts for this long, in which a
-/// spot machine should have become ready. Where none is to be had it mustn't wait for ever.
+const CORDONED_MACHINE_COST: f64 = 10.0;
+/// Cost of a machine on which the job has failed. The job is tried on another machine, which shows
+/// whether the job or the machine is at fault.
+const FAILED_MACHINE_COST: f64 = 30.0;
+/// How long tasks that may run on spot machines leave the room kept for urgent starts unused. A
+/// spot machine should become ready within this time. The wait is limited because there may be no
+/// spot capacity.
 const SPOT_WAIT_S: f64 = 90.0;
-/// Least of the counts of use by which images are weighed: no division by zero.
-const USES_MIN: f64 = 1e-9;
+/// Lower bound of the use count by which image values are normalized. It avoids a division by zero.
+const USE_COUNT_MIN: f64 = 1e-9;
 
-/// A machine for a job's next task. The cheapest one orders as the greatest, for the heap.
+/// A machine for a job's next task. The ordering is reversed, so that the candidate with the lowest
+/// cost is on top of a [`BinaryHeap`].
 pub(crate) struct Candidate {
-    /// What the start costs there.
+    /// Cost of the placement.
     pub(crate) cost: f64,
     /// The machine.
     pub(crate) machine: MachineId,
@@ -63,28 +69,28 @@
 
 impl Eq for Candidate {}
 
-/// What the placement of one job's tasks depends on, beside the shard.
+/// Inputs for placing one job's tasks, besides the state of the shard.
 pub(crate) struct PlacementContext<'a> {
     /// The settings.
     pub(crate) settings: &'a Settings,
     /// The machine types.
     pub(crate) catalog: &'a [MachineType],
-    /// Within which time the tasks are expected to start.
-    pub(crate) expected_s: Option<f64>,
-    /// The time.
+    /// Start objective of the job's class, in seconds, if the platform sets one.
+    pub(crate) start_objective_s: Option<f64>,
+    /// The current time.
     pub(crate) now: Time,
 }
 
-/// What scores depend on that is computed once for a scheduling cycle.
+/// Inputs of the placement costs that are computed once per scheduling cycle.
 pub(crate) struct ScoreInputs {
-    /// The worth of images.
-    images: ImageWorths,
-    /// Pools with no more room than is kept for urgent starts.
-    full_pools: Vec<Pool>,
+    /// Values of cached images.
+    images: CachedImageValues,
+    /// On-demand pools with less free room than is kept for urgent starts.
+    pools_without_spare_room: Vec<Pool>,
 }
 
 impl ScoreInputs {
-    /// Computes them from the shard's state at the cycle's begin.
+    /// Computes the inputs from the shard's state at the start of a cycle.
     pub(crate) fn new(
         shard: &ShardOwner,
         catalog: &[MachineType],
@@ -92,27 +98,32 @@
         now: Time,
     ) -> Self {
         Self {
-            images: image_worths(shard, catalog, settings, now),
-            full_pools: full_pools(shard, catalog, settings.tuning.headroom, now),
+            images: value_cached_images(shard, catalog, settings, now),
+            pools_without_spare_room: find_pools_without_spare_room(
+                shard,
+                catalog,
+                settings.tuning.headroom,
+                now,
+            ),
         }
     }
 }
 
 /// The machines for a job's next task.
 pub(crate) struct Candidates {
-    /// The machines, the cheapest on top.
+    /// The machines, with the lowest cost on top.
     pub(crate) heap: BinaryHeap<Candidate>,
-    /// How many machines were looked at.
+    /// Number of machines examined.
     pub(crate) machines_scanned: u64,
 }
 
 impl PlacementContext<'_> {
-    /// What each machine with room for the job's next task costs.
+    /// Computes the placement cost of the job's next task on each machine that has room for it.
     pub(crate) fn candidates(
         &self,
         shard: &ShardOwner,
         job: &JobId,
-        scores: &ScoreInputs,
+        score_inputs: &ScoreInputs,
     ) -> Candidates {
         let job_state = &shard.jobs[job];
         let record = &job_state.record;
@@ -120,16 +131,16 @@
         let zones: BTreeSet<&str> = zones.map(String::as_str).collect();
         let allowed_zones = zones.into_iter();
         let allowed_zones: Vec<&str> = allowed_zones
-            .filter(|zone| zone_allowed(job_state, zone))
+            .filter(|zone| is_zone_allowed(job_state, zone))
             .collect();
         let fits = |pool: Pool, zone: &Rc<str>| {
-            allowed_zones.contains(&&**zone) && suits(record, self.catalog, pool)
+            allowed_zones.contains(&&**zone) && allows_pool(record, self.catalog, pool)
         };
         let mut machines_scanned = 0;
         let machines = shard.machines.roomy(record.resources, fits);
         let candidates = machines.filter_map(|(id, machine)| {
             machines_scanned += 1;
-            let cost = self.cost_of(shard, (job, job_state), (id, machine), scores)?;
+            let cost = self.placement_cost(shard, (job, job_state), (id, machine), score_inputs)?;
             let machine = id.clone();
             Some(Candidate { cost, machine })
         });
@@ -139,34 +150,35 @@
         }
     }
 
-    /// What the job's next task costs on a machine that suits it; `None` if it can't go
-    /// there.
-    pub(crate) fn cost_of(
+    /// Returns the cost of placing the job's next task on a machine of an allowed pool and zone;
+    /// `None` if the machine can't take the task now.
+    pub(crate) fn placement_cost(
         &self,
         shard: &ShardOwner,
         (job, job_state): (&JobId, &JobState),
         (id, machine): (&MachineId, &Machine),
-        scores: &ScoreInputs,
+        score_inputs: &ScoreInputs,
     ) -> Option<f64> {
         let pool = machine.pool()?;
         let machine_type = pool.type_in(self.catalog)?;
-        let usable =
-            usable(machine, self.settings, self.now) && shard.failures.may_run_tasks(id, self.now);
-        if !machine.free().holds(job_state.record.resources) || !usable {
+        let is_usable = is_schedulable(machine, self.settings, self.now)
+            && shard.failures.may_run_tasks(id, self.now);
+        if !machine.free().holds(job_state.record.resources) || !is_usable {
             return None;
         }
-        if self.waits_for_spot(job_state) && scores.full_pools.contains(&pool) {
+        if self.waits_for_spot(job_state) && score_inputs.pools_without_spare_room.contains(&pool) {
             return None;
         }
         let mut cost = self.start_cost(&job_state.record, machine_type, machine)
-            + displacement_cost(&scores.images, job_state, machine);
+            + displacement_cost(&score_inputs.images, job_state, machine);
         if shard.failures.failed_on(job, id) {
-            cost += FAILED_COST;
+            cost += FAILED_MACHINE_COST;
         }
         Some(cost)
     }
 
-    /// Whether a job waits for a spot machine rather than use the room kept for urgent starts.
+    /// Whether the job waits for a spot machine instead of using the room kept for urgent starts.
+    /// Jobs that checkpoint and jobs above the normal priority class don't wait.
     fn waits_for_spot(&self, job_state: &JobState) -> bool {
         let record = &job_state.record;
         self.now.since(job_state.since) < SPOT_WAIT_S
@@ -175,30 +187,33 @@
             && record.priority_class <= PriorityClass::Normal
     }
 
-    /// What a start costs by its delay, by what it leaves of the machine, and by the job's spread.
+    /// Returns the cost of a start by its delay, the machine's free fraction, the spread of the
+    /// service, the machine's market, and whether the machine is cordoned.
     fn start_cost(
         &self,
         record: &Rc<JobRecord>,
         machine_type: &MachineType,
         machine: &Machine,
     ) -> f64 {
-        let free_share = 1.0 - machine.used.share_of(machine_type.resources);
-        let delay_s = self.command_delay_s(machine) + fetch_s(record, machine_type, machine);
-        let mut cost = delay_cost(self.expected_s, machine_type, delay_s) + FREE_COST * free_share;
+        let free_fraction = 1.0 - machine.used.share_of(machine_type.resources);
+        let delay_s =
+            self.command_delay_s(machine) + estimate_image_fetch_s(record, machine_type, machine);
+        let mut cost = delay_cost(self.start_objective_s, machine_type, delay_s)
+            + FREE_MACHINE_COST * free_fraction;
         if record.kind == JobKind::Service {
             cost += spread_cost(record, machine);
         }
         if machine.spot {
-            cost -= SPOT_GAIN;
+            cost -= SPOT_COST_REDUCTION;
         }
         if machine.cordoned {
-            cost += CORDONED_COST;
+            cost += CORDONED_MACHINE_COST;
         }
         cost
     }
 
-    /// Seconds until a command reaches a machine: it goes with the response to a heartbeat, and at
-    /// once where a long poll waits for it.
+    /// Returns the seconds until a command reaches a machine. Commands are sent at once if a long
+    /// poll is waiting, and otherwise with the response to the next heartbeat.
     fn command_delay_s(&self, machine: &Machine) -> f64 {
         let heartbeat_s = self.settings.platform.facts.workers.report_s;
         match machine.long_poll {
@@ -208,8 +223,9 @@
     }
 }
 
-/// Takes the cheapest candidate whose zone may still have a task of the job.
-pub(crate) fn best_candidate(
+/// Removes and returns the candidate with the lowest cost whose zone the job's next task may use.
+/// Candidates in other zones are dropped.
+pub(crate) fn pop_best_candidate(
     shard: &ShardOwner,
     job_state: &JobState,
     candidates: &mut BinaryHeap<Candidate>,
@@ -217,24 +233,28 @@
     loop {
         let id = candidates.pop()?.machine;
         let zone = shard.machines.get(&id).map(|machine| &machine.zone);
-        if zone.is_some_and(|zone| zone_allowed(job_state, zone)) {
+        if zone.is_some_and(|zone| is_zone_allowed(job_state, zone)) {
             return Some(id);
         }
     }
 }
 
-/// What a service's tasks on the same machine cost: the loss of one machine shall cost a service as
-/// little as can be. A large one loses little anyway: with the full weight, its replicas went back
-/// to the machines that were being emptied of them, again and again.
+/// Returns the cost of the service's tasks that already run on the machine. Spreading limits what a
+/// service loses with one machine.
+///
+/// The weight falls with the size of the service, since a large service loses only a small fraction
+/// with one machine. With the full weight, replicas of large services kept returning to the
+/// machines that were being drained of them.
 fn spread_cost(record: &Rc<JobRecord>, machine: &Machine) -> f64 {
     let bindings = machine.tasks.values();
     let same_job = bindings.filter(|binding| Rc::ptr_eq(&binding.record, record));
-    let weight = (SPREAD_TASKS_FULL / f64::from(record.count.max(1))).min(1.0);
-    SPREAD_COST * weight * same_job.count() as f64
+    let weight = (FULL_SPREAD_TASKS_MAX / f64::from(record.count.max(1))).min(1.0);
+    SAME_SERVICE_TASK_COST * weight * same_job.count() as f64
 }
 
-/// Within which time the tasks of a class of jobs are expected to start, if the platform says so.
-pub(crate) fn expected_s(settings: &Settings, class: &str) -> Option<f64> {
+/// Returns the strictest start objective (`wait`) of a job class in seconds, if the platform sets
+/// one.
+pub(crate) fn start_objective_s(settings: &Settings, class: &str) -> Option<f64> {
     let objectives = settings.platform.facts.objectives.iter();
     let waits = objectives
         .filter(|objective| objective.kind == "wait" && objective.class.as_deref() == Some(class));
@@ -243,62 +263,68 @@
         .reduce(f64::min)
 }
 
-/// What a start's delay costs: little while it is small against what is expected of the
-/// job's class, much once it comes near. Classes without an expectation are
-/// measured by the time a machine takes to boot.
-fn delay_cost(expected_s: Option<f64>, machine_type: &MachineType, delay_s: f64) -> f64 {
-    let within_s = expected_s.unwrap_or(machine_type.ready_s);
-    DELAY_COST * (delay_s / within_s.max(1.0)).powi(2)
+/// Returns the cost of a start delay. It grows with the square of the ratio of the delay to the
+/// start objective, so that short delays cost little. For classes without an objective, the boot
+/// time of the machine type takes its place.
+fn delay_cost(start_objective_s: Option<f64>, machine_type: &MachineType, delay_s: f64) -> f64 {
+    let objective_s = start_objective_s.unwrap_or(machine_type.ready_s);
+    DELAY_AT_OBJECTIVE_COST * (delay_s / objective_s.max(1.0)).powi(2)
 }
 
-/// An image's worth on a machine that has it and has room for one of its tasks.
-struct ImageWorth {
-    /// What one of its tasks needs.
+/// Value of an image on a machine that has cached it and has room for one of its tasks.
+struct CachedImageValue {
+    /// Resources that one task with this image needs.
     need: Resources,
-    /// What its next start would lose elsewhere, the less the more such machines there are.
-    worth: f64,
+    /// Cost of fetching the image for its next start elsewhere, weighted by its recent use and
+    /// divided by the number of machines that have it cached and have room.
+    value: f64,
 }
 
-/// The worth of each image that a machine with room for it has.
-type ImageWorths = HashMap<Image, ImageWorth>;
+/// Values of the images that are cached on a machine with room for one of their tasks.
+type CachedImageValues = HashMap<Image, CachedImageValue>;
 
-/// Weighs the images of services by their use and by the machines that have them.
-fn image_worths(
+/// Computes the values of cached images of services from their recent use and from the number of
+/// machines that have them. The fetch time is that of the machine type with the slowest fetch rate.
+fn value_cached_images(
     shard: &ShardOwner,
     catalog: &[MachineType],
     settings: &Settings,
     now: Time,
-) -> ImageWorths {
+) -> CachedImageValues {
     let uses = shard.images.values().map(|demand| demand.recent_uses(now));
-    let most_uses = uses.fold(USES_MIN, f64::max);
+    let max_uses = uses.fold(USE_COUNT_MIN, f64::max);
     let rates = catalog.iter().map(|machine_type| machine_type.fetch_gb_s);
     let slowest_gb_s = rates.fold(f64::MAX, f64::min);
-    let worth = |(image, machines): (&Image, u32)| {
+    let value_of = |(image, machines): (&Image, u32)| {
         let demand = shard.images.get(image)?;
-        let expected_s = expected_s(settings, &demand.class);
-        let fetch_s = demand.gb / slowest_gb_s;
-        let cost = delay_cost(expected_s, catalog.first()?, fetch_s);
-        let worth = ImageWorth {
+        let start_objective_s = start_objective_s(settings, &demand.class);
+        let fetch_time_s = demand.gb / slowest_gb_s;
+        let cost = delay_cost(start_objective_s, catalog.first()?, fetch_time_s);
+        let value = CachedImageValue {
             need: demand.need,
-            worth: cost * demand.recent_uses(now) / most_uses / f64::from(machines),
+            value: cost * demand.recent_uses(now) / max_uses / f64::from(machines),
         };
-        Some((image.clone(), worth))
+        Some((image.clone(), value))
     };
-    let machines = machines_by_image(shard, settings, now);
-    machines.into_iter().filter_map(worth).collect()
+    let machines = count_machines_by_image(shard, settings, now);
+    machines.into_iter().filter_map(value_of).collect()
 }
 
-/// How many machines have each image of a service and room for one of its tasks.
-fn machines_by_image<'a>(
+/// Counts, for each image of a service, the on-demand machines that have it cached and have room
+/// for one of its tasks.
+fn count_machines_by_image<'a>(
     shard: &'a ShardOwner,
     settings: &Settings,
     now: Time,
 ) -> BTreeMap<&'a Image, u32> {
     let mut counts: BTreeMap<&Image, u32> = BTreeMap::new();
     let needs = shard.images.values().map(|demand| demand.need);
-    let least = needs.reduce(Resources::least).unwrap_or_default();
-    for (id, machine) in shard.machines.roomy(least, |pool, _| !pool.is_spot()) {
-        if !usable(machine, settings, now) || !shard.failures.may_run_tasks(id, now) {
+    let smallest_need = needs.reduce(Resources::least).unwrap_or_default();
+    for (id, machine) in shard
+        .machines
+        .roomy(smallest_need, |pool, _| !pool.is_spot())
+    {
+        if !is_schedulable(machine, settings, now) || !shard.failures.may_run_tasks(id, now) {
             continue;
         }
         let free = machine.free();
@@ -312,35 +338,47 @@
     counts
 }
 
-/// The on-demand pools with no more room than is kept for urgent starts. Work that may use spot
-/// machines waits for one rather than use that room.
-fn full_pools(shard: &ShardOwner, catalog: &[MachineType], headroom: f64, now: Time) -> Vec<Pool> {
+/// Returns the on-demand pools with less free room than is kept for urgent starts. Tasks that may
+/// run on spot machines wait for one instead of using that room.
+fn find_pools_without_spare_room(
+    shard: &ShardOwner,
+    catalog: &[MachineType],
+    headroom: f64,
+    now: Time,
+) -> Vec<Pool> {
     let on_demand = (0..catalog.len()).map(|machine_type| Pool::of(machine_type, false));
-    let full =
+    let has_no_spare_room =
         |pool: &Pool| shard.machines.free(*pool) < shard.kept_room(*pool, catalog, headroom, now);
-    on_demand.filter(full).collect()
+    on_demand.filter(has_no_spare_room).collect()
 }
 
-/// What is lost when a task uses the room that a machine has for services whose images
-/// it has.
-fn displacement_cost(worths: &ImageWorths, job_state: &JobState, machine: &Machine) -> f64 {
+/// Returns the total value of the cached images whose tasks no longer fit on the machine once the
+/// job's next task is placed there. Spot machines have no such cost.
+fn displacement_cost(values: &CachedImageValues, job_state: &JobState, machine: &Machine) -> f64 {
     if machine.spot {
         return 0.0;
     }
-    let before = machine.free();
-    let mut after = before;
-    after.add(job_state.record.resources, -1.0);
+    let free_before = machine.free();
+    let mut free_after = free_before;
+    free_after.add(job_state.record.resources, -1.0);
     let images = machine
         .images
         .iter()
         .filter(|(image, _)| *image != job_state.record.image);
-    let worths = images.filter_map(|(image, _)| worths.get(image));
-    let lost = worths.filter(|image| before.holds(image.need) && !after.holds(image.need));
-    lost.map(|image| image.worth).sum()
+    let values = images.filter_map(|(image, _)| values.get(image));
+    let lost =
+        values.filter(|image| free_before.holds(image.need) && !free_after.holds(image.need));
+    lost.map(|image| image.value).sum()
 }
 
-/// Seconds until a task's image would be there. Images fetched at the same time share the rate.
-pub(crate) fn fetch_s(record: &JobRecord, machine_type: &MachineType, machine: &Machine) -> f64 {
+/// Estimates the seconds until a task's image is fetched to a machine; 0 if it is cached.
+/// Concurrent fetches of different images share the machine's fetch rate. If another task on the
+/// machine is already fetching the image, half of the fetch is assumed to be done.
+pub(crate) fn estimate_image_fetch_s(
+    record: &JobRecord,
+    machine_type: &MachineType,
+    machine: &Machine,
+) -> f64 {
     if machine.has_image(&record.image) {
         return 0.0;
     }
