--- a/src/controller/autoscaling/demand.rs
+++ b/src/controller/autoscaling/demand.rs
@@ -19,7 +19,7 @@
 use crate::wire::MachineType;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Free fraction from which on a used machine counts towards the room kept for urgent starts.
+/// Minimum free fraction of a machine in use for its free room to count as kept for urgent starts.
 const SPARE_FREE_FRACTION_MIN: f64 = 0.5;
 
 /// Boot time, as a multiple of the usual boot time of the machine's type, after which a booting
@@ -49,8 +49,8 @@
 
 impl SlowPools {
     /// Whether demand that may use other pools is counted there instead.
-    fn is_slow(&self, pool: &Pool, urgent: bool) -> bool {
-        let pools = if urgent {
+    fn is_slow(&self, pool: &Pool, is_urgent: bool) -> bool {
+        let pools = if is_urgent {
             &self.for_urgent
         } else {
             &self.for_all
@@ -158,11 +158,11 @@
         now: Time,
     ) -> bool {
         let lease_s = settings.platform.facts.workers.lease_s;
-        let lease_expired = now.since(machine.last_heartbeat.max(self.since)) > lease_s;
+        let has_lease_expired = now.since(machine.last_heartbeat.max(self.since)) > lease_s;
         let is_partitioned = self.mass_partition || self.partitioned_zones.contains(&machine.zone);
         let is_silent = machine.ready_since.is_some()
             && machine.long_poll.is_none()
-            && lease_expired
+            && has_lease_expired
             && !is_partitioned;
         is_silent || self.has_boot_exceeded(settings.tuning.boot, catalog, machine, now)
     }
@@ -201,11 +201,11 @@
                 continue;
             };
             let count = booting.entry(pool).or_default();
-            let late = self.has_boot_exceeded(LATE_BOOT_RATIO, catalog, machine, now);
-            let overdue = self.has_boot_exceeded(overdue_ratio, catalog, machine, now);
+            let is_late = self.has_boot_exceeded(LATE_BOOT_RATIO, catalog, machine, now);
+            let is_overdue = self.has_boot_exceeded(overdue_ratio, catalog, machine, now);
             count.total += 1;
-            count.late += u32::from(late && !overdue);
-            count.overdue += u32::from(overdue);
+            count.late += u32::from(is_late && !is_overdue);
+            count.overdue += u32::from(is_overdue);
         }
         let mut slow_pools = SlowPools::default();
         for (pool, count) in booting {
@@ -358,20 +358,21 @@
     // Batch tasks that checkpoint lose little when preempted, so the room that they use counts as
     // available to urgent starts.
     for Binding { record, .. } in machine.tasks.values() {
-        let checkpoints = record.kind == JobKind::Batch && record.checkpoint_s > 0.0;
-        if checkpoints && record.priority_class <= PriorityClass::Normal {
+        let has_checkpoints = record.kind == JobKind::Batch && record.checkpoint_s > 0.0;
+        if has_checkpoints && record.priority_class <= PriorityClass::Normal {
             count.spare += record.resources.share_of(machine_type.resources);
         }
         count.urgent |= record.kind == JobKind::Service;
     }
 }
 
-/// Adds a job's queued tasks to the pools that they may use. Empty and booting machines of pools
-/// that are exhausted or slow take as many tasks as they hold. The remaining tasks count on the
-/// first pool that has capacity and is not slow, or on the preferred pool if there is none.
+/// Adds a job's queued tasks to the counts of the pools that they may use. Empty and booting
+/// machines of pools that are exhausted or slow take as many tasks as they hold; late machines take
+/// no urgent tasks. The remaining tasks count on the first pool that has capacity and is not slow,
+/// or on the preferred pool if there is none.
 ///
-/// If all tasks counted on the next pool as soon as the first was exhausted, an empty fleet would
-/// scale out a second time while the first pool's machines were still booting.
+/// Counting all tasks on the next pool as soon as the first was exhausted scaled out a second fleet
+/// beside the first, whose machines were still booting.
 fn count_job_demand(
     catalog: &[MachineType],
     record: &JobRecord,
@@ -381,8 +382,8 @@
     counts: &mut BTreeMap<Pool, PoolCount>,
 ) {
     let mut tasks_left = f64::from(tasks);
-    let urgent = record.priority_class > PriorityClass::Normal;
-    let is_on_time = |pool: &Pool| !slow_pools.is_slow(pool, urgent);
+    let is_urgent = record.priority_class > PriorityClass::Normal;
+    let is_on_time = |pool: &Pool| !slow_pools.is_slow(pool, is_urgent);
     let overflow_pool = available_pool(catalog, record, exhausted, is_on_time)
         .or(preferred_pool(catalog, record, exhausted));
     for pool in eligible_pools(catalog, record) {
@@ -390,16 +391,16 @@
             continue;
         };
         let tasks_per_machine = tasks_per_machine(&catalog[pool.machine_type], record.resources);
-        let late = slow_pools.late_machines.get(&pool).filter(|_| urgent);
-        let empty = f64::from(count.provisioned - count.busy) - count.queued;
-        let on_time = empty - f64::from(late.copied().unwrap_or(0));
+        let late_machines = slow_pools.late_machines.get(&pool).filter(|_| is_urgent);
+        let empty_machines = f64::from(count.provisioned - count.busy) - count.queued;
+        let on_time_machines = empty_machines - f64::from(late_machines.copied().unwrap_or(0));
         let counted_here = if Some(pool) == overflow_pool {
             tasks_left
         } else {
-            tasks_left.min((on_time.max(0.0) * tasks_per_machine).floor())
+            tasks_left.min((on_time_machines.max(0.0) * tasks_per_machine).floor())
         };
         count.queued += counted_here / tasks_per_machine;
-        if urgent {
+        if is_urgent {
             *slow_pools.urgent_machines_queued.entry(pool).or_default() +=
                 counted_here / tasks_per_machine;
         }
--- a/src/controller/autoscaling/machines.rs
+++ b/src/controller/autoscaling/machines.rs
@@ -17,7 +17,7 @@
 use std::collections::BTreeSet;
 
 /// Maximum number of machines in one deletion request.
-const DELETED_MACHINES_MAX: usize = 100;
+const DELETE_MACHINES_MAX: usize = 100;
 /// Time, in list lags of the cloud, after which a new machine must appear in the cloud's list.
 const LISTED_AFTER_LIST_LAGS: f64 = 3.0;
 /// Boot time assumed for a machine type that is not in the catalog.
@@ -99,11 +99,11 @@
             return self.request_next_page(listed);
         }
         let lag_s = self.settings.platform.facts.cloud.list_lag_s;
-        let lag_s = lag_s.max(LIST_INTERVAL_MIN_S);
+        let leader_interval_s = lag_s.max(LIST_INTERVAL_MIN_S);
         let list_interval_s = if self.leadership.is_some() {
-            lag_s
+            leader_interval_s
         } else {
-            2.0 * lag_s
+            2.0 * leader_interval_s
         };
         let listing = &self.cloud.listing;
         if listing.under_way || self.now < listing.next_at || self.is_stale() {
@@ -171,7 +171,7 @@
                 .is_some_and(|at| now >= at || machine.tasks.is_empty());
             if is_due
                 && !machine.deleting
-                && ids.len() < DELETED_MACHINES_MAX
+                && ids.len() < DELETE_MACHINES_MAX
                 && !self.has_uncommitted_placement(machine)
             {
                 ids.push(id.clone());
@@ -195,7 +195,7 @@
     /// Handles the response to a deletion. On success the machines and their placements are
     /// removed, and their pending long polls are answered. On any other response the deletion is
     /// retried later.
-    pub(crate) fn on_deleted(
+    pub(crate) fn on_delete_response(
         &mut self,
         context: &mut Context,
         ids: Vec<MachineId>,
@@ -286,8 +286,8 @@
     ) -> bool {
         let machine_type = machine.type_in(catalog);
         let ready_s = machine_type.map_or(UNKNOWN_TYPE_BOOT_S, |found| found.ready_s);
-        let limit_s = ratio * self.usual_boot_s(machine.machine_type, ready_s);
-        machine.ready_since.is_none() && now.since(machine.since) > limit_s
+        let boot_max_s = ratio * self.usual_boot_s(machine.machine_type, ready_s);
+        machine.ready_since.is_none() && now.since(machine.since) > boot_max_s
     }
 
     /// Removes a deleted machine and its placements; the deletion proves that its tasks no longer
--- a/src/controller/autoscaling/mod.rs
+++ b/src/controller/autoscaling/mod.rs
@@ -96,7 +96,7 @@
             CloudPurpose::ScaleOut(name) => self.on_scale_out_response(&name, response),
             CloudPurpose::Delete { shard, machines } => {
                 if let Some(shard) = self.shards.get_mut(&shard) {
-                    shard.on_deleted(&mut self.context, machines, response);
+                    shard.on_delete_response(&mut self.context, machines, response);
                 }
             }
             CloudPurpose::List(earlier_pages) => self.on_machine_list(earlier_pages, response),
--- a/src/controller/autoscaling/reconcile.rs
+++ b/src/controller/autoscaling/reconcile.rs
@@ -43,7 +43,7 @@
     /// Runs one pass of the reconcile loop if it is due: plans scale-out requests and machines to
     /// scale in for each pool.
     pub(crate) fn reconcile(&mut self) {
-        let Some(counts_complete_at) = self.context.reconcile_due() else {
+        let Some(counts_complete_at) = self.context.start_reconcile_if_due() else {
             return;
         };
         self.send_counts();
@@ -65,7 +65,7 @@
     ///
     /// Counts of a new leader are complete once the list of machines is, each shard has reported,
     /// and no scale-out request is unanswered.
-    fn reconcile_due(&mut self) -> Option<Time> {
+    fn start_reconcile_if_due(&mut self) -> Option<Time> {
         let now = self.now;
         let shards = self.store.mirror.shards.len();
         let leadership = self.leadership.as_mut()?;
--- a/src/controller/autoscaling/scale_out.rs
+++ b/src/controller/autoscaling/scale_out.rs
@@ -278,8 +278,8 @@
     /// Marks a zone of a pool as exhausted, so that it is not asked again until its delay has
     /// passed.
     fn mark_exhausted(&mut self, pool_zone: (Pool, String), now: Time) {
-        let known = self.exhausted_zones.get(&pool_zone);
-        let consecutive_refusals = known.map_or(0, |exhausted| exhausted.consecutive_refusals);
+        let previous = self.exhausted_zones.get(&pool_zone);
+        let consecutive_refusals = previous.map_or(0, |exhausted| exhausted.consecutive_refusals);
         let doublings = consecutive_refusals.min(REFUSAL_DOUBLINGS_MAX);
         let delay_s = (REFUSAL_DELAY_S * 2f64.powi(doublings as i32)).min(REFUSAL_DELAY_MAX_S);
         let exhausted = ExhaustedZone {
--- a/src/controller/scheduling/consolidation.rs
+++ b/src/controller/scheduling/consolidation.rs
@@ -41,8 +41,8 @@
             return;
         }
         self.consolidate_at = now.after(context.settings.tuning.tick_s);
-        let cordoned = self.cordon_underused_machines(context);
-        for MachineDrain { machine, tasks } in self.select_drains(context, &cordoned) {
+        let underused = self.cordon_underused_machines(context);
+        for MachineDrain { machine, tasks } in self.select_drains(context, &underused) {
             info!(
                 "machine emptied, machine={machine} tasks={} reason=its tasks fit elsewhere",
                 tasks.len()
@@ -101,8 +101,8 @@
             };
             // Only one machine with critical services is drained per pass.
             let bindings = machine.tasks.values();
-            let highest = bindings.map(|binding| binding.record.priority_class).max();
-            let is_critical = highest == Some(PriorityClass::Critical);
+            let highest_class = bindings.map(|binding| binding.record.priority_class).max();
+            let is_critical = highest_class == Some(PriorityClass::Critical);
             if is_critical && critical_drains > 0 {
                 continue;
             }
@@ -187,7 +187,7 @@
         if !is_service || placement.stop_requested.is_some() || !has_run_long {
             return None;
         }
-        let target = fullest_target(shard, context, from, job_state, placement, &reserved)?;
+        let target = find_fullest_target(shard, context, from, job_state, placement, &reserved)?;
         let room = reserved.entry(target.clone()).or_default();
         room.add(job_state.record.resources, 1.0);
     }
@@ -196,7 +196,7 @@
 
 /// Returns the machine that would have the least room left after the replica moves there, among
 /// schedulable machines with tasks and with the replica's image.
-fn fullest_target<'a>(
+fn find_fullest_target<'a>(
     shard: &'a ShardOwner,
     context: &Context,
     from: &MachineId,
@@ -221,9 +221,9 @@
             && is_schedulable(machine, &context.settings, context.now)
             && shard.failures.may_run_tasks(id, context.now)
             && is_zone_suitable;
-        let left = free.share_of(machine.resources);
-        if is_target && fullest.is_none_or(|(least, _)| left < least) {
-            fullest = Some((left, id));
+        let room_left = free.share_of(machine.resources);
+        if is_target && fullest.is_none_or(|(least_room_left, _)| room_left < least_room_left) {
+            fullest = Some((room_left, id));
         }
     }
     fullest.map(|(_, id)| id)
--- a/src/controller/scheduling/mod.rs
+++ b/src/controller/scheduling/mod.rs
@@ -42,7 +42,7 @@
 /// takes the room on one machine, where several tasks may have to stop.
 const PREEMPTING_TASKS_MAX: u32 = 8;
 /// Number of placed tasks by which a job moves one step back in the queue.
-const RUNNING_TASKS_PER_STEP: u32 = 8;
+const PLACED_TASKS_PER_STEP: u32 = 8;
 
 /// The position of a job in the scheduling queue. Jobs with lower values come first; the fields are
 /// compared in their order.
@@ -52,9 +52,9 @@
     priority_class: Reverse<PriorityClass>,
     /// Whether another task would exceed the guaranteed quota of the job's team.
     is_beyond_guarantee: bool,
-    /// Number of placed tasks, in steps of `RUNNING_TASKS_PER_STEP`. Jobs with few placed tasks
+    /// Number of placed tasks, in steps of `PLACED_TASKS_PER_STEP`. Jobs with few placed tasks
     /// come first, so that a job with many tasks doesn't delay the others.
-    running_steps: u32,
+    placed_task_steps: u32,
     /// Order of arrival: jobs accepted earlier come first.
     arrival: u64,
     /// The job.
@@ -133,7 +133,7 @@
                         &context.settings,
                         job_state,
                     ),
-                    running_steps: job_state.placed.len() as u32 / RUNNING_TASKS_PER_STEP,
+                    placed_task_steps: job_state.placed.len() as u32 / PLACED_TASKS_PER_STEP,
                     arrival: job_state.arrival,
                     job: id.clone(),
                 });
@@ -155,7 +155,7 @@
         {
             return true;
         }
-        let placement = PlacementContext {
+        let placement_context = PlacementContext {
             settings: &context.settings,
             catalog: &context.cloud.catalog,
             start_objective_s: start_objective_s(&context.settings, &record.class),
@@ -163,7 +163,7 @@
         };
         let mut candidates = None;
         while cycle.tasks_left > 0 {
-            match self.bind_next_task(&placement, id, &record, &mut candidates, cycle) {
+            match self.bind_next_task(&placement_context, id, &record, &mut candidates, cycle) {
                 BindOutcome::Bound => {}
                 BindOutcome::NothingToBind => return false,
                 BindOutcome::NoMachine => {
@@ -181,17 +181,17 @@
     /// for the job's first task and reused for the others.
     fn bind_next_task(
         &mut self,
-        placement: &PlacementContext<'_>,
+        placement_context: &PlacementContext<'_>,
         id: &JobId,
         record: &JobRecord,
         candidates: &mut Option<BinaryHeap<Candidate>>,
         cycle: &mut SchedulingCycle,
     ) -> BindOutcome {
-        let Some(index) = self.next_bindable_index(placement, id, record) else {
+        let Some(index) = self.next_bindable_index(placement_context, id, record) else {
             return BindOutcome::NothingToBind;
         };
         let candidates = candidates.get_or_insert_with(|| {
-            let found = placement.candidates(self, id, &cycle.scores);
+            let found = placement_context.candidates(self, id, &cycle.score_inputs);
             cycle.machines_scanned += found.machines_scanned;
             found.heap
         });
@@ -200,17 +200,17 @@
         };
         cycle.tasks_left -= 1;
         cycle.tasks_placed += 1;
-        if !self.bind(placement, id, index, record, &machine_id) {
+        if !self.bind_task(placement_context, id, index, record, &machine_id) {
             return BindOutcome::NoMachine;
         }
         // Only the cost of the machine that took the task has changed.
         let machine = self.machines.get(&machine_id);
         let cost = machine.and_then(|machine| {
-            placement.placement_cost(
+            placement_context.placement_cost(
                 self,
                 (id, &self.jobs[id]),
                 (&machine_id, machine),
-                &cycle.scores,
+                &cycle.score_inputs,
             )
         });
         candidates.extend(cost.map(|cost| Candidate {
@@ -223,11 +223,11 @@
     /// Returns the index of the job's next queued task, if that task may start now.
     fn next_bindable_index(
         &mut self,
-        placement: &PlacementContext<'_>,
+        placement_context: &PlacementContext<'_>,
         id: &JobId,
         record: &JobRecord,
     ) -> Option<u32> {
-        if !is_within_quota_limit(self, placement.settings, record) {
+        if !is_within_quota_limit(self, placement_context.settings, record) {
             return None;
         }
         let index = self.jobs.get_mut(id).and_then(JobState::next_queued)?;
@@ -239,9 +239,9 @@
 
     /// Binds a task to a machine, and starts the write of its placement to the store. Returns false
     /// if the machine is unknown.
-    fn bind(
+    fn bind_task(
         &mut self,
-        placement: &PlacementContext<'_>,
+        placement_context: &PlacementContext<'_>,
         id: &JobId,
         index: u32,
         record: &JobRecord,
@@ -251,7 +251,7 @@
         let Some(machine) = self.machines.get(machine_id) else {
             return false;
         };
-        let machine_type = machine.type_in(placement.catalog);
+        let machine_type = machine.type_in(placement_context.catalog);
         let image_fetch_s =
             machine_type.map_or(0.0, |found| estimate_image_fetch_s(record, found, machine));
         debug!(
@@ -259,7 +259,7 @@
              image_fetch_s={image_fetch_s:.1}"
         );
         let zone = machine.zone.clone();
-        let bound = Placement::new(machine_id.clone(), zone, attempt, placement.now);
+        let bound = Placement::new(machine_id.clone(), zone, attempt, placement_context.now);
         self.add_placement(id, index, bound);
         self.write_placement(id, index);
         true
@@ -337,7 +337,7 @@
 /// The state of one scheduling cycle.
 struct SchedulingCycle {
     /// Inputs of the placement costs that are computed once per cycle.
-    scores: ScoreInputs,
+    score_inputs: ScoreInputs,
     /// Number of tasks that may still be bound in this cycle.
     tasks_left: usize,
     /// Jobs that found no machine. Other jobs with the same requirements are skipped.
@@ -356,7 +356,7 @@
     fn new(shard: &ShardOwner, context: &Context) -> Self {
         let catalog = &context.cloud.catalog;
         Self {
-            scores: ScoreInputs::new(shard, catalog, &context.settings, context.now),
+            score_inputs: ScoreInputs::new(shard, catalog, &context.settings, context.now),
             tasks_left: CYCLE_TASKS_MAX,
             unplaceable_jobs: Vec::new(),
             jobs_without_victims: Vec::new(),
