--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -70,7 +70,7 @@
             Input::Request(request_id, request) => self.on_request(request_id, request),
             Input::Disconnect(request_id) => self.on_disconnect(request_id),
             Input::Store(call, response) => self.on_store_response(call, response),
-            Input::Cloud(call, response) => self.on_cloud(call, response),
+            Input::Cloud(call, response) => self.on_cloud_response(call, response),
             Input::Peer(Message::PeerHeartbeat(heartbeat)) => self.on_peer_heartbeat(heartbeat),
             Input::Peer(Message::ShardCounts(shard_counts)) => {
                 self.context.on_shard_counts(*shard_counts);
@@ -172,7 +172,7 @@
         self.shards_housekeeping();
         self.context.catalog_housekeeping();
         self.cells_housekeeping();
-        self.leadership_housekeeping();
+        self.autoscaling_housekeeping();
         if self.context.store.write_rate.advance(self.context.now) {
             self.update_rate_limits();
         }
--- a/src/controller/shards/counts.rs
+++ b/src/controller/shards/counts.rs
@@ -70,7 +70,7 @@
         let exhausted = context.store.mirror.exhausted_pools();
         let type_name = |pool: Pool| pool.type_in(catalog).map(|found| found.name.clone());
         let pools = self
-            .counts(catalog, &context.settings, exhausted, context.now)
+            .count_pools(catalog, &context.settings, exhausted, context.now)
             .into_iter();
         let pools =
             pools.filter_map(|(pool, count)| Some((type_name(pool)?, pool.is_spot(), count)));
@@ -91,7 +91,7 @@
                 empty.push((machine.images.len(), (type_name, machine.spot, id.clone())));
             }
         }
-        let pins = self.pins(catalog, exhausted).into_iter();
+        let pins = self.zone_shortfalls(catalog, exhausted).into_iter();
         let pins = pins.filter_map(|((pool, zone), count)| {
             Some((type_name(pool)?, pool.is_spot(), zone, count))
         });
