--- a/src/controller/autoscaling/machines.rs
+++ b/src/controller/autoscaling/machines.rs
@@ -126,7 +126,11 @@
         let after = last.map(|machine| MachineId::from(machine.id.as_str()));
         let op = CloudRequest::List { after };
         self.cloud.listing.under_way = true;
-        if !self.cloud.rate_limit.has(self.now, 1.0, Priority::Usual) {
+        if !self
+            .cloud
+            .rate_limit
+            .can_take(self.now, 1.0, Priority::Usual)
+        {
             self.cloud.listing.waiting_pages = Some(listed);
             return;
         }
@@ -161,7 +165,7 @@
     /// lease expired: it waits until the previous leader can no longer call the cloud.
     pub(crate) fn delete_decommissioned(&mut self, context: &mut Context) {
         let now = context.now;
-        if context.is_stale() || context.fenced() {
+        if context.is_stale() || context.predecessor_may_use_cloud() {
             return;
         }
         let mut ids = Vec::new();
--- a/src/controller/autoscaling/mod.rs
+++ b/src/controller/autoscaling/mod.rs
@@ -75,7 +75,7 @@
             return;
         }
         let has_several_shards = self.shards.values().any(|shard| !shard.is_only_shard);
-        if self.context.lease_valid() || has_several_shards {
+        if self.context.has_valid_lease() || has_several_shards {
             self.context.list_machines();
         }
         if !self.context.may_use_cloud() {
--- a/src/controller/forwarding.rs
+++ b/src/controller/forwarding.rs
@@ -180,7 +180,9 @@
             let id = MachineId::from(ownerless.heartbeat.machine.as_str());
             let is_owned_here = owner_of_machine(&mut self.shards, &id).is_some();
             let owner = self.context.usable_owner_for(&ownerless);
-            if is_owned_here || owner.is_some_and(|owner| self.context.reachable(&owner)) {
+            if is_owned_here
+                || owner.is_some_and(|owner| self.context.is_reachable_by_workers(&owner))
+            {
                 self.on_worker_heartbeat(ownerless.request_id, ownerless.heartbeat);
             } else {
                 self.context.handle_ownerless(ownerless);
@@ -194,8 +196,8 @@
             .iter()
             .filter(|(_, forward)| {
                 self.context.now.since(forward.forwarded_at) > response_max_s
-                    || !self.context.heartbeat_fresh(&forward.to)
-                    || !self.context.linked(&forward.to)
+                    || !self.context.has_recent_heartbeat(&forward.to)
+                    || !self.context.is_linked(&forward.to)
             });
         let failed: Vec<RequestId> = failed.map(|(request_id, _)| *request_id).collect();
         for request_id in failed {
@@ -310,10 +312,10 @@
                 .heartbeats
                 .get(&peer.controller_id)
                 .map(|(heartbeat, _)| heartbeat);
-            self.linked(&peer.controller_id)
+            self.is_linked(&peer.controller_id)
                 && heartbeat.is_some_and(|heartbeat| heartbeat.can_forward)
         };
-        let local = self.peers_in(zone).filter(can_forward);
+        let local = self.peers_in_zone(zone).filter(can_forward);
         local.map(|peer| &peer.controller_id).collect()
     }
 
@@ -340,9 +342,9 @@
     fn forward(&mut self, request_id: RequestId, heartbeat: WorkerHeartbeat) {
         let id = MachineId::from(heartbeat.machine.as_str());
         let owner = self.owner_of(&id);
-        let reachable = owner.filter(|owner| self.reachable(owner));
+        let reachable = owner.filter(|owner| self.is_reachable_by_workers(owner));
         match reachable {
-            Some(to) if self.linked(&to) && heartbeat.tasks.len() <= FORWARDED_TASKS_MAX => {
+            Some(to) if self.is_linked(&to) && heartbeat.tasks.len() <= FORWARDED_TASKS_MAX => {
                 let forwarded = ForwardedHeartbeat::new(
                     &self.settings.platform.controller_id,
                     self.incarnation,
@@ -405,7 +407,7 @@
         let is_queue_full = self.forwarding.ownerless.len() >= sockets_max;
         // A controller that reaches no peer doesn't learn of a new owner. Workers whose heartbeats
         // waited at a controller that was partitioned from the others lost their leases.
-        let is_isolated = self.peers_unreachable() && self.age_s() > RECENT_HEARTBEAT_S;
+        let is_isolated = self.all_peers_unreachable() && self.process_age_s() > RECENT_HEARTBEAT_S;
         if has_usable_owner
             || has_timed_out
             || is_queue_full
@@ -426,7 +428,8 @@
     /// before.
     fn usable_owner_for(&self, ownerless: &OwnerlessHeartbeat) -> Option<ControllerId> {
         let owner = self.owner_of(&MachineId::from(ownerless.heartbeat.machine.as_str()))?;
-        let is_running = self.reachable(&owner) && ownerless.failed_owner.as_ref() != Some(&owner);
+        let is_running =
+            self.is_reachable_by_workers(&owner) && ownerless.failed_owner.as_ref() != Some(&owner);
         (is_running || self.refuses_connections(&owner)).then_some(owner)
     }
 
@@ -489,7 +492,7 @@
         let takeover_s = self.settings.tuning.leader_lease_s + TAKEOVER_MARGIN_S;
         let last_heartbeat = self.peers.heartbeats.get(owner).map(|(_, at)| *at);
         let outlasted_takeover = last_heartbeat.is_none_or(|at| self.now.since(at) > takeover_s);
-        self.heartbeat_fresh(owner) || outlasted_takeover && !self.is_stale()
+        self.has_recent_heartbeat(owner) || outlasted_takeover && !self.is_stale()
     }
 
     /// Processes the owner's response to a heartbeat that was forwarded to it.
--- a/src/controller/machines/liveness.rs
+++ b/src/controller/machines/liveness.rs
@@ -83,7 +83,7 @@
             && context.now.since(self.last_worker_heartbeat) > silence_max_s;
         workers_unreachable
             && !context.is_stale()
-            && (context.peer_hears_workers() || context.peers_unreachable())
+            && (context.any_peer_hears_workers() || context.all_peers_unreachable())
     }
 
     /// Removes the placements on machines whose lease has expired, by proof 2 of the
@@ -338,7 +338,7 @@
             .filter(|(_, counts)| is_partitioned(*counts));
         let partitioned = partitioned.map(|(zone, _)| zone.clone());
         partitioned
-            .filter(|zone| !context.zone_hears_workers(zone))
+            .filter(|zone| !context.zone_peers_hear_workers(zone))
             .collect()
     }
 
--- a/src/controller/shards/leases.rs
+++ b/src/controller/shards/leases.rs
@@ -24,7 +24,10 @@
         let Some(leadership) = &self.context.leadership else {
             return;
         };
-        if leadership.busy || !self.context.lease_valid() || self.context.is_stale() {
+        if leadership.lease_change_pending
+            || !self.context.has_valid_lease()
+            || self.context.is_stale()
+        {
             return;
         }
         let before: BTreeMap<u32, (u64, ShardRecord)> = self
@@ -107,7 +110,7 @@
             .is_ok()
             && let Some(leadership) = &mut self.leadership
         {
-            leadership.busy = true;
+            leadership.lease_change_pending = true;
         }
     }
 
@@ -115,7 +118,7 @@
     /// watch reports the records as they are now, and the next update starts from these.
     pub(crate) fn on_shard_records_written(&mut self, _response: StoreResponse) {
         if let Some(leadership) = &mut self.leadership {
-            leadership.busy = false;
+            leadership.lease_change_pending = false;
         }
     }
 
--- a/src/controller/shards/machine_assignment.rs
+++ b/src/controller/shards/machine_assignment.rs
@@ -33,7 +33,7 @@
             .filter_map(|record| record.machines.as_ref());
         let listed: BTreeSet<MachineId> = lists.flatten().map(|entry| entry.0.clone()).collect();
         leadership.unassigned.retain(|id, _| !listed.contains(id));
-        leadership.crowded = false;
+        leadership.shard_records_full = false;
         let lists = records
             .iter()
             .filter(|(_, record)| record.machines.is_some());
@@ -56,7 +56,7 @@
             let key = |shard: u32| (entry.1.clone(), entry.3, shard);
             let lacking = |shard: u32| {
                 leadership
-                    .lacking_machines
+                    .machine_shortfall
                     .get(&key(shard))
                     .copied()
                     .unwrap_or(0)
@@ -64,12 +64,12 @@
             let best =
                 open.max_by_key(|(shard, list)| (lacking(*shard), std::cmp::Reverse(list.len())));
             let Some((shard, list)) = best else {
-                leadership.crowded = !bytes.is_empty();
+                leadership.shard_records_full = !bytes.is_empty();
                 return;
             };
             list.push(entry.clone());
             *bytes.entry(shard).or_default() += entry.0.as_str().len() + 1;
-            if let Some(count) = leadership.lacking_machines.get_mut(&key(shard)) {
+            if let Some(count) = leadership.machine_shortfall.get_mut(&key(shard)) {
                 *count = count.saturating_sub(1);
             }
         }
--- a/src/controller/shards/ownership.rs
+++ b/src/controller/shards/ownership.rs
@@ -15,7 +15,7 @@
     /// starts or ends this controller's leadership and its ownership of shards accordingly.
     pub(crate) fn on_control_records_changed(&mut self) {
         self.context.read_limits();
-        self.context.tell_standby_of_leader();
+        self.context.update_standby_term();
         let own_id = &self.context.settings.platform.controller_id;
         let may_acquire = self.context.election.may_acquire(self.context.now);
         let leader = self.context.store.mirror.leader.record.as_ref();
@@ -141,12 +141,12 @@
     /// when this controller can't do its work.
     pub(crate) fn resign(&mut self, reason: GiveUpReason) {
         let lease_s = self.context.settings.tuning.leader_lease_s;
-        let lease_id = self.context.election.rest(self.context.now, lease_s);
+        let lease_id = self.context.election.back_off(self.context.now, lease_s);
         self.give_up(reason);
         // The leader's key is deleted with the lease, so that no other controller has to wait for
         // the lease to expire.
         if let Some(lease_id) = lease_id {
-            self.context.revoke_when_quiet(lease_id);
+            self.context.revoke_after_cloud_calls(lease_id);
         }
     }
 }
--- a/src/controller/shards/quota_shares.rs
+++ b/src/controller/shards/quota_shares.rs
@@ -1,7 +1,7 @@
 //! How the limits of teams are divided among the shards.
 
 use crate::controller::context::Context;
-use crate::controller::quota::team_limits::LimitsWanted;
+use crate::controller::quota::team_limits::TargetLimits;
 use crate::controller::store::records::{ShardRecord, json_bytes};
 use crate::ids::Time;
 use crate::peer::{ShardCounts, TeamCount};
@@ -140,10 +140,10 @@
     /// Updates the limits in the record of the only shard, which gets them whole. Limits that don't
     /// fit into the record are logged and not applied.
     pub(crate) fn set_limits_of_only_shard(&self, records: &mut BTreeMap<u32, ShardRecord>) {
-        let wanted = match self.limits_wanted() {
-            LimitsWanted::OfSettings => None,
-            LimitsWanted::Set(limits) => Some(limits),
-            LimitsWanted::AsTheyAre => return,
+        let wanted = match self.target_limits() {
+            TargetLimits::FromSettings => None,
+            TargetLimits::Set(limits) => Some(limits),
+            TargetLimits::Unchanged => return,
         };
         let Some(record) = records.get_mut(&0) else {
             return;
@@ -173,10 +173,10 @@
         if records.len() < 2 {
             return self.set_limits_of_only_shard(records);
         }
-        let limits = match self.limits_wanted() {
-            LimitsWanted::OfSettings => self.limits_of_settings(),
-            LimitsWanted::Set(limits) => limits,
-            LimitsWanted::AsTheyAre => return,
+        let limits = match self.target_limits() {
+            TargetLimits::FromSettings => self.settings_limits(),
+            TargetLimits::Set(limits) => limits,
+            TargetLimits::Unchanged => return,
         };
         let slots = self.store.mirror.shards.iter();
         let revisions: BTreeMap<u32, u64> =
--- a/src/controller/shards/splitting.rs
+++ b/src/controller/shards/splitting.rs
@@ -26,7 +26,7 @@
         let now = self.context.now;
         if !self.context.processor.has_measurement() {
             // The first measurement takes some seconds after the start of the process.
-            let is_unavailable = self.context.age_s() > MEASUREMENT_WAIT_S;
+            let is_unavailable = self.context.process_age_s() > MEASUREMENT_WAIT_S;
             return if is_unavailable {
                 self.context.settings.shards_for(machines)
             } else {
@@ -79,7 +79,8 @@
             .filter(|heartbeat| heartbeat.is_fresh)
             .count();
         let needed = self.shards_needed(machines, records.len());
-        let is_crowded = self.context.leadership.as_ref().is_some_and(|l| l.crowded);
+        let leadership = self.context.leadership.as_ref();
+        let is_crowded = leadership.is_some_and(|leadership| leadership.shard_records_full);
         if records.is_empty() || (records.len() >= needed.min(controllers) && !is_crowded) {
             return;
         }
@@ -101,7 +102,7 @@
             // Limits that were set at run time are already in the record and stay as they are here.
             // Changes of limits are applied elsewhere (`divide_limits`).
             let default_limits = || match self.context.settings.cells {
-                None => self.context.limits_of_settings(),
+                None => self.context.settings_limits(),
                 Some(_) => LimitsByTeam::new(),
             };
             listed.quota_shares.get_or_insert_with(default_limits);
--- a/src/controller/store_requests.rs
+++ b/src/controller/store_requests.rs
@@ -86,7 +86,8 @@
     /// Opens the next watch: without a pause if this controller owns shards, leads, suspects the
     /// leader or has won an election.
     fn continue_watch(&mut self) {
-        let is_taking_over = self.context.suspects_leader().is_some() || self.context.has_won();
+        let is_taking_over =
+            self.context.leader_suspicion().is_some() || self.context.has_won_election();
         let is_active = !self.shards.is_empty() || self.context.is_leader();
         let Context {
             store, outbox, now, ..
