--- a/src/controller/api/mod.rs
+++ b/src/controller/api/mod.rs
@@ -179,7 +179,7 @@
     pub(crate) fn on_disconnect(&mut self, request_id: RequestId) {
         self.context.forget_heartbeat(request_id);
         for owner in self.shards.values_mut() {
-            owner.forget_request(request_id);
+            owner.drop_long_poll(request_id);
         }
     }
 
@@ -215,7 +215,7 @@
         let is_isolated = self.is_isolated_from_store() || self.all_peers_unreachable();
         let reply = if self.is_shutting_down() {
             Reply::later(503, 1, SHUTTING_DOWN)
-        } else if self.is_stale() && (!self.store.initial_list_done() || is_isolated) {
+        } else if self.is_stale() && (!self.store.is_initial_list_done() || is_isolated) {
             Reply::later(503, 1, "the state service doesn't answer")
         } else {
             Reply::ok(200, Vec::new())
--- a/src/controller/api/status_queries.rs
+++ b/src/controller/api/status_queries.rs
@@ -129,7 +129,7 @@
             return self.api.awaiting_end.push_back(query);
         }
         if query.intent == Intent::Cancel {
-            match job.cancelled {
+            match job.cancelled_at {
                 None => self.api.cancellations.push_back(query),
                 Some(_) => self.api.awaiting_end.push_back(query),
             }
@@ -139,7 +139,7 @@
             // Another user may already have been told that a dependency of the job is cancelled.
             return self.repeat_status_query(query);
         }
-        let (done, running) = self.store.mirror.counts(&query.id);
+        let (done, running) = self.store.mirror.count_done_and_placed(&query.id);
         let status = if running > 0 {
             JobStatus::Running
         } else {
--- a/src/controller/leadership/mod.rs
+++ b/src/controller/leadership/mod.rs
@@ -7,7 +7,7 @@
 
 use crate::controller::Controller;
 use crate::controller::autoscaling::plan::ScalingState;
-use crate::controller::store::records::Entry;
+use crate::controller::store::records::MachineEntry;
 use crate::ids::{FencingToken, MachineId, Time};
 use crate::peer::ShardCounts;
 use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
     /// spot, and shard.
     pub(crate) machine_shortfall: BTreeMap<(String, bool, u32), u32>,
     /// Machines that aren't assigned to a shard yet.
-    pub(crate) unassigned: BTreeMap<MachineId, Entry>,
+    pub(crate) unassigned: BTreeMap<MachineId, MachineEntry>,
     /// Machines that shard owners have deleted, and when this leader learned of it. Lists of the
     /// cloud and of the shards' records may still contain them.
     pub(crate) deleted_machines: BTreeMap<MachineId, Time>,
--- a/src/controller/leadership/shutdown.rs
+++ b/src/controller/leadership/shutdown.rs
@@ -105,7 +105,7 @@
         let Some(revocation) = &self.lease_revocation else {
             return;
         };
-        let has_pending_calls = self.cloud.is_pending(CloudPurpose::changes);
+        let has_pending_calls = self.cloud.is_pending(CloudPurpose::is_mutating);
         if has_pending_calls && self.now.since(revocation.since) < CLOUD_CALLS_WAIT_MAX_S {
             return;
         }
--- a/src/controller/leadership/standby.rs
+++ b/src/controller/leadership/standby.rs
@@ -116,7 +116,7 @@
         else {
             return;
         };
-        if !owner.whole {
+        if !owner.is_only_shard {
             return;
         }
         self.context.hint_sender.due_at = Time(self.context.now.0 + interval_ms);
@@ -201,7 +201,7 @@
         let Some((age_ms, estimates)) = context.standby.hints().estimates(context.now.0) else {
             return;
         };
-        if !self.whole {
+        if !self.is_only_shard {
             return;
         }
         info!("estimates adopted from hints, age_ms={age_ms}");
@@ -215,9 +215,9 @@
                 .get(class)
                 .map(|machine_type| machine_type.name.clone())
         };
-        let boots = self.boots.iter();
+        let boots = self.boot_averages_s.iter();
         let boots = boots.filter_map(|(class, boot_s)| Some((type_name(*class)?, *boot_s)));
-        let bursts = self.bursts.iter().filter_map(|(pool, burst)| {
+        let bursts = self.burst_estimates.iter().filter_map(|(pool, burst)| {
             let machine_type = pool.type_in(catalog)?;
             let squares = burst.decayed(now, machine_type.ready_s);
             Some((machine_type.name.clone(), pool.is_spot(), squares))
@@ -243,15 +243,15 @@
         };
         for (name, boot_s) in &estimates.boots {
             if let Some(class) = type_index(name) {
-                self.boots.insert(class, *boot_s);
+                self.boot_averages_s.insert(class, *boot_s);
             }
         }
         let estimated_at = Time(now.0.saturating_sub(age_ms));
         for (name, spot, squares) in &estimates.bursts {
             if let Some(class) = type_index(name) {
                 let pool = Pool::of(class, *spot);
-                self.bursts
-                    .insert(pool, BurstEstimate::observed(estimated_at, *squares));
+                self.burst_estimates
+                    .insert(pool, BurstEstimate::from_hint(estimated_at, *squares));
             }
         }
     }
--- a/src/controller/peers/heartbeats.rs
+++ b/src/controller/peers/heartbeats.rs
@@ -2,7 +2,7 @@
 //! owns a shard, and whether this controller is partitioned.
 
 use crate::controller::Controller;
-use crate::controller::context::{Context, RECENT_S};
+use crate::controller::context::{Context, RECENT_HEARTBEAT_S};
 use crate::controller::events::Output;
 use crate::controller::leadership::GiveUpReason;
 use crate::controller::store::staleness::STALENESS_BOUND_S;
@@ -33,7 +33,8 @@
             shards: shards.collect(),
             is_fresh: !self.context.is_stale(),
             staleness_ms: (self.context.staleness_s() * 1000.0) as u64,
-            hears_workers: self.context.now.since(self.context.last_worker_heartbeat) < RECENT_S,
+            hears_workers: self.context.now.since(self.context.last_worker_heartbeat)
+                < RECENT_HEARTBEAT_S,
             workers_unreachable: self
                 .shards
                 .values()
@@ -67,7 +68,7 @@
             owner
                 .machines
                 .iter()
-                .map(move |(id, machine)| (owner.since, id, machine))
+                .map(move |(id, machine)| (owner.owned_since, id, machine))
         });
         let overdue = machines.filter(|(since, _, machine)| {
             !machine.tasks.is_empty()
@@ -207,7 +208,7 @@
 
     /// The peers' heartbeats that arrived within [`RECENT_S`].
     pub(crate) fn recent_heartbeats(&self) -> impl Iterator<Item = &PeerHeartbeat> {
-        let is_recent = |received_at: &Time| self.now.since(*received_at) < RECENT_S;
+        let is_recent = |received_at: &Time| self.now.since(*received_at) < RECENT_HEARTBEAT_S;
         let heartbeats = self.peers.heartbeats.values();
         heartbeats
             .filter(move |(_, received_at)| is_recent(received_at))
--- a/src/controller/quota/cells/mod.rs
+++ b/src/controller/quota/cells/mod.rs
@@ -71,7 +71,7 @@
         }
         // The shards' records follow the cell's shares at once: shards may use a share that has
         // just arrived, and have to free one that another cell needs.
-        self.lease_housekeeping();
+        self.update_shard_records();
     }
 
     /// Sends new counts of the shards owned here if a shard's record has changed since its last
