--- a/src/controller/machines/heartbeats.rs
+++ b/src/controller/machines/heartbeats.rs
@@ -337,8 +337,8 @@
 }
 
 /// Returns when a heartbeat that may wait for `long_poll_s` seconds is answered. The time is
-/// rounded down to a multiple of `BATCH_MS`, so that answers go out in batches, unless that isn't
-/// after `now`.
+/// rounded down to a multiple of [`BATCH_INTERVAL_MS`], so that answers go out in batches, unless
+/// that isn't after `now`.
 fn long_poll_deadline(now: Time, long_poll_s: f64) -> Time {
     let latest = now.after(long_poll_s);
     let batched = latest.round_down(BATCH_INTERVAL_MS);
--- a/src/controller/peers/heartbeats.rs
+++ b/src/controller/peers/heartbeats.rs
@@ -206,7 +206,7 @@
         !self.settings.platform.peers.is_empty() && self.recent_heartbeats().next().is_none()
     }
 
-    /// The peers' heartbeats that arrived within [`RECENT_S`].
+    /// The peers' heartbeats that arrived within [`RECENT_HEARTBEAT_S`].
     pub(crate) fn recent_heartbeats(&self) -> impl Iterator<Item = &PeerHeartbeat> {
         let is_recent = |received_at: &Time| self.now.since(*received_at) < RECENT_HEARTBEAT_S;
         let heartbeats = self.peers.heartbeats.values();
