--- a/cells/src/amount.rs
+++ b/cells/src/amount.rs
@@ -52,7 +52,7 @@
     }
 
     /// The sum, saturating.
-    pub fn plus(self, other: Amount) -> Amount {
+    pub fn saturating_add(self, other: Amount) -> Amount {
         Self(
             self.0.saturating_add(other.0),
             self.1.saturating_add(other.1),
@@ -60,7 +60,7 @@
     }
 
     /// The difference of each, zero where the other is larger.
-    pub fn beyond(self, other: Amount) -> Amount {
+    pub fn saturating_sub(self, other: Amount) -> Amount {
         Self(
             self.0.saturating_sub(other.0),
             self.1.saturating_sub(other.1),
@@ -68,23 +68,23 @@
     }
 
     /// The minimum of each.
-    pub fn least(self, other: Amount) -> Amount {
+    pub fn component_min(self, other: Amount) -> Amount {
         Self(self.0.min(other.0), self.1.min(other.1))
     }
 
     /// The maximum of each.
-    pub fn most(self, other: Amount) -> Amount {
+    pub fn component_max(self, other: Amount) -> Amount {
         Self(self.0.max(other.0), self.1.max(other.1))
     }
 
     /// Of each, this amount if it is at least `least`, and else zero.
-    pub fn unless_below(self, least: Amount) -> Amount {
+    pub fn zero_if_below(self, least: Amount) -> Amount {
         let at_least = |amount: u64, least: u64| if amount < least { 0 } else { amount };
         Self(at_least(self.0, least.0), at_least(self.1, least.1))
     }
 
     /// This times `part` over `whole`, rounded up; zero where `whole` is zero.
-    pub fn scaled_up(self, part: Amount, whole: Amount) -> Amount {
+    pub fn scale_rounded_up(self, part: Amount, whole: Amount) -> Amount {
         let scaled = |amount: u64, part: u64, whole: u64| {
             let product = u128::from(amount) * u128::from(part);
             match u128::from(whole) {
@@ -108,7 +108,7 @@
     }
 
     /// This divided by `parts`, rounded down.
-    pub fn part(self, parts: usize) -> Amount {
+    pub fn divided_by(self, parts: usize) -> Amount {
         let parts = parts.max(1) as u64;
         Self(self.0 / parts, self.1 / parts)
     }
--- a/cells/src/ledger.rs
+++ b/cells/src/ledger.rs
@@ -65,7 +65,7 @@
 pub enum Refusal {
     /// The previous transfer isn't known to be taken yet.
     #[error("a transfer is under way")]
-    UnderWay,
+    TransferPending,
     /// It has no teams, too many, or an empty amount.
     #[error("a transfer has one to {TRANSFER_TEAMS_MAX} teams, each once and with something")]
     Malformed,
@@ -74,7 +74,7 @@
     Held,
     /// Its sequence number isn't the next one.
     #[error("the number isn't the next one")]
-    OutOfTurn,
+    UnexpectedNumber,
     /// It names a team that this cell doesn't know.
     #[error("the team isn't known")]
     UnknownTeam,
@@ -95,7 +95,7 @@
 impl CellRecord {
     /// A cell's first record. It creates the limits of those teams at home here that are new with
     /// this file; the limits of others were created before, in whichever cell.
-    pub fn found(here: &Cell, generation: u64, teams: &BTreeMap<Team, HomeTeam>) -> Self {
+    pub fn create(here: &Cell, generation: u64, teams: &BTreeMap<Team, HomeTeam>) -> Self {
         let empty = Self {
             generation,
             ..Self::default()
@@ -158,8 +158,10 @@
     pub fn change_limit(&self, team: &str, wanted: Amount, held: Amount) -> Result<Self, Refusal> {
         let limit = *self.limits.get(team).ok_or(Refusal::NotHome)?;
         let share = self.share(team);
-        let raise = wanted.beyond(limit);
-        let lower = limit.beyond(wanted).least(share.beyond(held));
+        let raise = wanted.saturating_sub(limit);
+        let lower = limit
+            .saturating_sub(wanted)
+            .component_min(share.saturating_sub(held));
         if raise.is_zero() && lower.is_zero() {
             return Err(Refusal::Unchanged);
         }
@@ -182,7 +184,7 @@
         held: impl Fn(&str) -> Amount,
     ) -> Result<(Self, LinkRecord), Refusal> {
         if link.pending.is_some() {
-            return Err(Refusal::UnderWay);
+            return Err(Refusal::TransferPending);
         }
         if amounts.is_empty() || amounts.len() > TRANSFER_TEAMS_MAX {
             return Err(Refusal::Malformed);
@@ -219,7 +221,7 @@
         transfer: &Transfer,
     ) -> Result<(Self, LinkRecord), Refusal> {
         if link.taken.checked_add(1) != Some(transfer.number) {
-            return Err(Refusal::OutOfTurn);
+            return Err(Refusal::UnexpectedNumber);
         }
         if transfer.amounts.is_empty() || transfer.amounts.len() > TRANSFER_TEAMS_MAX {
             return Err(Refusal::Malformed);
@@ -240,7 +242,7 @@
 
 impl LinkRecord {
     /// The third commit of a transfer, at the giver: the other cell has taken all up to number `taken`.
-    pub fn forget(&self, taken: u64) -> Result<Self, Refusal> {
+    pub fn clear_pending(&self, taken: u64) -> Result<Self, Refusal> {
         match &self.pending {
             Some(pending) if pending.number <= taken => Ok(Self {
                 pending: None,
--- a/cells/src/message.rs
+++ b/cells/src/message.rs
@@ -9,7 +9,7 @@
 /// Raised when the encoding of a message changes.
 pub const VERSION: u8 = 1;
 /// Most bytes of one message: the needs and recalls of a few hundred teams, and one transfer.
-pub const MESSAGE_MAX: usize = 64 * 1024;
+pub const MESSAGE_BYTES_MAX: usize = 64 * 1024;
 /// Bytes before a message: its length and the version.
 const HEAD: usize = 5;
 
@@ -59,7 +59,9 @@
 impl Recall {
     /// What a cell with this share gives back: in proportion to its part of the limit.
     pub fn part_of(&self, share: Amount) -> Amount {
-        self.amount.scaled_up(share, self.limit).least(share)
+        self.amount
+            .scale_rounded_up(share, self.limit)
+            .component_min(share)
     }
 }
 
@@ -80,7 +82,7 @@
 /// Encodes a message with its length and version.
 pub fn frame(message: &LinkMessage) -> Result<Vec<u8>, LinkError> {
     let body = postcard::to_stdvec(message).map_err(|_| LinkError::Malformed)?;
-    if body.len() > MESSAGE_MAX {
+    if body.len() > MESSAGE_BYTES_MAX {
         return Err(LinkError::TooLarge);
     }
     let mut out = Vec::with_capacity(body.len() + HEAD);
@@ -100,7 +102,7 @@
     if version != VERSION {
         return Err(LinkError::Version(version));
     }
-    if size > MESSAGE_MAX {
+    if size > MESSAGE_BYTES_MAX {
         return Err(LinkError::TooLarge);
     }
     if buffer.len() < size + HEAD {
--- a/cells/src/sharing.rs
+++ b/cells/src/sharing.rs
@@ -19,7 +19,10 @@
         .iter()
         .flat_map(|(cell, message)| message.needs.iter().map(move |need| (cell, need)));
     let mut needs: Vec<(&Cell, &Need)> = needs.collect();
-    let lack = |need: &Need| need.lacking.permille_of(need.share.plus(need.lacking));
+    let lack = |need: &Need| {
+        need.lacking
+            .permille_of(need.share.saturating_add(need.lacking))
+    };
     needs.sort_by_key(|(_, need)| std::cmp::Reverse(lack(need)));
     needs
 }
@@ -47,26 +50,33 @@
     /// What this cell keeps against one that lacks quota: what is wanted plus an eighth, and at least
     /// the floor.
     fn required(&self) -> Amount {
-        self.wanted.plus(self.wanted.part(8)).most(self.floor)
+        self.wanted
+            .saturating_add(self.wanted.divided_by(8))
+            .component_max(self.floor)
     }
 
     /// What this cell asks for: what is wanted plus a half for demand to come, and at least the
     /// floor. With an eighth, growing demand waited for one transfer after another.
     pub fn target(&self) -> Amount {
-        self.wanted.plus(self.wanted.part(2)).most(self.floor)
+        self.wanted
+            .saturating_add(self.wanted.divided_by(2))
+            .component_max(self.floor)
     }
 
     /// What the shards here are to free, so that it can be given to cells that ask for `more` and
     /// lack `lacking`.
-    pub fn to_leave(&self, more: Amount, lacking: Amount) -> Amount {
-        let spare = self.share.beyond(self.target()).least(more);
-        let beyond_required = self.share.beyond(self.required()).least(lacking);
-        spare.most(beyond_required)
+    pub fn amount_to_free(&self, more: Amount, lacking: Amount) -> Amount {
+        let spare = self.share.saturating_sub(self.target()).component_min(more);
+        let beyond_required = self
+            .share
+            .saturating_sub(self.required())
+            .component_min(lacking);
+        spare.component_max(beyond_required)
     }
 
     /// How much more this cell asks for.
     pub fn need(&self) -> Amount {
-        self.target().beyond(self.share)
+        self.target().saturating_sub(self.share)
     }
 }
 
@@ -77,7 +87,7 @@
         team: team.clone(),
         share: view.share,
         more: view.need(),
-        lacking: view.required().beyond(view.share),
+        lacking: view.required().saturating_sub(view.share),
     });
     needs.collect()
 }
@@ -85,33 +95,33 @@
 /// How much of a team's share is recalled in this cell: its part of what is recalled of the limit.
 /// When the whole was recalled from every cell, a lowered limit stopped all starts of its team until
 /// the quota was back where it was wanted.
-pub fn called_back<'a>(
+pub fn recalled_amount<'a>(
     team: &str,
     share: Amount,
     messages: impl Iterator<Item = &'a LinkMessage>,
 ) -> Amount {
     let recalls = messages.flat_map(|m| &m.recalls).filter(|r| r.team == team);
-    recalls.fold(Amount::ZERO, |most, r| most.most(r.part_of(share)))
+    recalls.fold(Amount::ZERO, |most, r| most.component_max(r.part_of(share)))
 }
 
 /// What to give to each cell now, of what isn't held. `cells` is the number of cells.
-pub fn gifts(
+pub fn plan_transfers(
     teams: &BTreeMap<Team, TeamView>,
     messages: &BTreeMap<Cell, &LinkMessage>,
     cells: usize,
 ) -> BTreeMap<Cell, Vec<(Team, Amount)>> {
     let mut left: BTreeMap<&Team, Amount> = BTreeMap::new();
     for (team, view) in teams {
-        left.insert(team, view.share.beyond(view.held));
+        left.insert(team, view.share.saturating_sub(view.held));
     }
     let mut gifts: BTreeMap<Cell, Vec<(Team, Amount)>> = BTreeMap::new();
     let mut give = |to: &Cell, team: &Team, amount: Amount, left: &mut Amount| {
         let list = gifts.entry(to.clone()).or_default();
         let known = list.iter().any(|(other, _)| other == team);
-        let amount = amount.least(*left);
+        let amount = amount.component_min(*left);
         if !amount.is_zero() && !known && list.len() < TRANSFER_TEAMS_MAX {
             list.push((team.clone(), amount));
-            *left = left.beyond(amount);
+            *left = left.saturating_sub(amount);
         }
     };
     // Recalls come first.
@@ -128,11 +138,13 @@
             continue;
         };
         if let Some(free) = left.get_mut(&need.team) {
-            let beyond = |target| free.least(view.share.beyond(keeps(view, target, need, cells)));
-            let lacking = beyond(view.required()).least(need.lacking);
-            let more = beyond(view.target()).least(need.more);
-            let worth = even_part(view, need, cells).part(WORTH_PARTS);
-            let amount = lacking.most(more).unless_below(worth);
+            let beyond = |target| {
+                free.component_min(view.share.saturating_sub(keeps(view, target, need, cells)))
+            };
+            let lacking = beyond(view.required()).component_min(need.lacking);
+            let more = beyond(view.target()).component_min(need.more);
+            let worth = even_part(view, need, cells).divided_by(WORTH_PARTS);
+            let amount = lacking.component_max(more).zero_if_below(worth);
             give(cell, &need.team, amount, free);
         }
     }
@@ -143,7 +155,9 @@
 /// An even part of what this cell and another one have of a team together: half of it, unless there
 /// is one cell alone.
 fn even_part(view: &TeamView, need: &Need, cells: usize) -> Amount {
-    view.share.plus(need.share).part(cells.clamp(1, 2))
+    view.share
+        .saturating_add(need.share)
+        .divided_by(cells.clamp(1, 2))
 }
 
 /// What this cell keeps of a team against another one's need: its target or, while the other has
@@ -158,5 +172,5 @@
         of(target.0, even.0, need.share.0),
         of(target.1, even.1, need.share.1),
     );
-    shared.most(view.floor).most(view.held)
+    shared.component_max(view.floor).component_max(view.held)
 }
--- a/cells/tests/hard_cases.rs
+++ b/cells/tests/hard_cases.rs
@@ -8,7 +8,7 @@
     CellRecord, HomeTeam, LinkRecord, Refusal, TRANSFER_TEAMS_MAX, Transfer,
 };
 use salttrestle_cells::message::{self, LinkError, LinkMessage, Need};
-use salttrestle_cells::sharing::{TeamView, gifts};
+use salttrestle_cells::sharing::{TeamView, plan_transfers};
 use std::collections::BTreeMap;
 use world::{LeaderOf, Mistake, Violation, World, refused, tasks_of};
 
@@ -347,7 +347,7 @@
 fn old_cells_file_when_a_cell_comes_back_is_refused() {
     let (here, other) = ("here".to_string(), "other".to_string());
     let first = teams(&[("blue", "here", 1)]);
-    let record = CellRecord::found(&here, 1, &first);
+    let record = CellRecord::create(&here, 1, &first);
     assert_eq!(record.share("blue"), tasks_of(8));
     // A newer file brings a team; the older one neither removes nor creates any.
     let newer = teams(&[("blue", "here", 1), ("green", "here", 2)]);
@@ -357,19 +357,19 @@
     assert_eq!(refused(adopted.adopt(&here, 2, &newer)), Refusal::Unchanged);
     // A team that is known elsewhere isn't created again where a file moves its home to.
     let moved = teams(&[("blue", "other", 1), ("green", "other", 2)]);
-    let theirs = CellRecord::found(&other, 1, &first);
+    let theirs = CellRecord::create(&other, 1, &first);
     let theirs = theirs.adopt(&other, 3, &moved).expect("a newer file");
     assert_eq!(theirs.share("blue"), Amount::ZERO);
     assert!(!theirs.limits.contains_key("blue"));
     // Nor by a cell that comes later than the team.
-    let late = CellRecord::found(&other, 3, &moved);
+    let late = CellRecord::create(&other, 3, &moved);
     assert_eq!(late.share("green"), Amount::ZERO);
 }
 
 #[test]
 fn changes_that_must_not_be_made_are_refused() {
     let here = "here".to_string();
-    let record = CellRecord::found(
+    let record = CellRecord::create(
         &here,
         1,
         &teams(&[("blue", "here", 1), ("red", "there", 1)]),
@@ -392,11 +392,11 @@
     let take = |transfer| record.take(&link, &transfer);
     assert_eq!(
         refused(take(transfer(0, amounts("blue", 1)))),
-        Refusal::OutOfTurn
+        Refusal::UnexpectedNumber
     );
     assert_eq!(
         refused(take(transfer(2, amounts("blue", 1)))),
-        Refusal::OutOfTurn
+        Refusal::UnexpectedNumber
     );
     assert_eq!(
         refused(take(transfer(1, amounts("gold", 1)))),
@@ -408,7 +408,7 @@
         refused(record.change_limit("red", tasks_of(1), Amount::ZERO)),
         Refusal::NotHome
     );
-    assert_eq!(refused(link.forget(7)), Refusal::Unchanged);
+    assert_eq!(refused(link.clear_pending(7)), Refusal::Unchanged);
 }
 
 #[test]
@@ -484,7 +484,7 @@
         recalls: Vec::new(),
     };
     let messages = [("east".to_string(), &message)].into();
-    let given = gifts(&teams, &messages, 2);
+    let given = plan_transfers(&teams, &messages, 2);
     let names: Vec<&String> = given["east"].iter().map(|(team, _)| team).collect();
     assert_eq!(names.len(), TRANSFER_TEAMS_MAX);
     assert!(names.contains(&&"team-59".to_string()), "{names:?}");
--- a/cells/tests/world/leaders.rs
+++ b/cells/tests/world/leaders.rs
@@ -4,7 +4,7 @@
 use super::{LeaderOf, Mistake, TASK, World, tasks_of};
 use salttrestle_cells::ledger::{CellRecord, LinkRecord};
 use salttrestle_cells::message::{LinkMessage, Recall};
-use salttrestle_cells::sharing::{TeamView, gifts, needs};
+use salttrestle_cells::sharing::{TeamView, needs, plan_transfers};
 use salttrestle_cells::{Amount, Cell, Team};
 use std::collections::BTreeMap;
 
@@ -74,14 +74,14 @@
         if self.mistake == Mistake::GivesWhatIsUsed {
             return Amount::ZERO;
         }
-        view.quota_share(team).most(view.used(team))
+        view.quota_share(team).component_max(view.used(team))
     }
 
     /// Sets the shard's quota share of a team: the team's whole share, or less.
     pub(crate) fn set_quota_share(&mut self, by: LeaderOf, team: usize, tasks: u64) {
         let view = self.view(by);
         let team = self.team(team);
-        let allowed = tasks_of(tasks).least(view.cell.value.share(&team));
+        let allowed = tasks_of(tasks).component_min(view.cell.value.share(&team));
         let mut quota_shares = view.shard.value.clone();
         quota_shares.insert(team, allowed);
         // The cell's record is a condition: a quota share is never above the share.
@@ -127,7 +127,7 @@
         else {
             return;
         };
-        if let Ok(forgotten) = link.value.forget(message.taken) {
+        if let Ok(forgotten) = link.value.clear_pending(message.taken) {
             self.propose(Proposal::new(by.cell, &view).link(&from, forgotten));
         }
         let Some(mut transfer) = message.transfer else {
@@ -173,7 +173,7 @@
     fn message(&self, at: usize, view: &Store, to: &Cell, link: &LinkRecord) -> LinkMessage {
         let recalls = view.cell.value.limits.iter().map(|(team, limit)| Recall {
             team: team.clone(),
-            amount: limit.beyond(view.wanted.get(team).copied().unwrap_or(*limit)),
+            amount: limit.saturating_sub(view.wanted.get(team).copied().unwrap_or(*limit)),
             limit: *limit,
         });
         LinkMessage {
@@ -195,7 +195,7 @@
                 share: *share,
                 held: self.held(view, team),
                 used,
-                wanted: used.plus(TASK),
+                wanted: used.saturating_add(TASK),
                 floor: Amount::ZERO,
             };
             (team.clone(), of_team)
@@ -214,9 +214,9 @@
         let mut teams = self.team_views(&view);
         teams.retain(|team, _| {
             let limit = view.cell.value.limits.get(team);
-            limit.is_none_or(|limit| limit.beyond(view.wanted[team]).is_zero())
+            limit.is_none_or(|limit| limit.saturating_sub(view.wanted[team]).is_zero())
         });
-        for (to, amounts) in gifts(&teams, &messages, self.names.len()) {
+        for (to, amounts) in plan_transfers(&teams, &messages, self.names.len()) {
             self.give_amounts(by.cell, &view, &to, amounts);
         }
     }
--- a/cells/tests/world/mod.rs
+++ b/cells/tests/world/mod.rs
@@ -146,8 +146,8 @@
     pub(crate) fn start_task(&mut self, cell: usize, team: usize) {
         let team = self.team(team);
         let store = &mut self.stores[cell];
-        let used = store.used(&team).plus(TASK);
-        if used.beyond(store.quota_share(&team)).is_zero() {
+        let used = store.used(&team).saturating_add(TASK);
+        if used.saturating_sub(store.quota_share(&team)).is_zero() {
             store.used.insert(team, used);
         }
     }
@@ -156,7 +156,7 @@
     pub(crate) fn end_task(&mut self, cell: usize, team: usize) {
         let team = self.team(team);
         let used = self.stores[cell].used.entry(team).or_default();
-        *used = used.beyond(TASK);
+        *used = used.saturating_sub(TASK);
     }
 
     /// Carries a commit out if its conditions hold; it stays on its way, and may come again.
@@ -218,7 +218,7 @@
 
 /// What a cell's store has in the beginning.
 fn first_store(here: &Cell, names: &[Cell], teams: &BTreeMap<Team, HomeTeam>) -> Store {
-    let record = CellRecord::found(here, 1, teams);
+    let record = CellRecord::create(here, 1, teams);
     let others = names.iter().filter(|other| *other != here);
     let links = others.map(|other| (other.clone(), Versioned::<LinkRecord>::default()));
     Store {
--- a/cells/tests/world/violations.rs
+++ b/cells/tests/world/violations.rs
@@ -50,7 +50,7 @@
                 let pending = pending.filter(|transfer| transfer.number > taken);
                 let amounts = pending.flat_map(|transfer| &transfer.amounts);
                 for (_, amount) in amounts.filter(|(other, _)| other == team) {
-                    sum = sum.plus(*amount);
+                    sum = sum.saturating_add(*amount);
                 }
             }
         }
@@ -60,7 +60,7 @@
     /// All shares of a team.
     fn shares(&self, team: &str) -> Amount {
         let shares = self.stores.iter().map(|store| store.cell.value.share(team));
-        shares.fold(Amount::ZERO, Amount::plus)
+        shares.fold(Amount::ZERO, Amount::saturating_add)
     }
 
     /// Checks what must hold at any time.
@@ -76,7 +76,7 @@
         let home = self.place_of(&self.teams[team].home);
         let limit = self.stores[home].cell.value.limits[team];
         let (shares, in_transit) = (self.shares(team), self.in_transit(team));
-        if shares.plus(in_transit) == limit {
+        if shares.saturating_add(in_transit) == limit {
             return Ok(());
         }
         Err(Violation::Sum {
@@ -90,7 +90,7 @@
     fn check_use(&self, team: &Team) -> Result<(), Violation> {
         for (cell, store) in self.names.iter().zip(&self.stores) {
             let (used, share) = (store.used(team), store.cell.value.share(team));
-            if !used.beyond(share).is_zero() {
+            if !used.saturating_sub(share).is_zero() {
                 return Err(Violation::Overused {
                     team: team.clone(),
                     cell: cell.clone(),
--- a/src/controller/leadership/election.rs
+++ b/src/controller/leadership/election.rs
@@ -305,7 +305,7 @@
         let leader = self.store.mirror.leader.record.as_ref();
         let replaced = leader.filter(|_| self.has_leader());
         Predecessors {
-            replaced_grant_ms: replaced.and_then(|leader| leader.fenced_ms),
+            replaced_lease_ms: replaced.and_then(|leader| leader.fenced_ms),
             fence: self
                 .store
                 .mirror
@@ -347,7 +347,7 @@
             preconditions.push((Key::Shard(shard), version));
             writes.push(Write::put(Key::Shard(shard), Record::Shard(record)));
         }
-        let standby_enabled = self.settings.standby().enabled();
+        let standby_enabled = self.settings.standby().is_enabled();
         let leader = LeaderRecord {
             controller_id: self.settings.platform.controller_id.clone(),
             incarnation: self.incarnation,
--- a/src/controller/leadership/standby.rs
+++ b/src/controller/leadership/standby.rs
@@ -182,12 +182,12 @@
     /// The state of the standby, if it is enabled.
     pub(crate) fn standby_status(&self) -> Option<StandbyStatus> {
         let now = self.now.0;
-        self.standby_config().enabled().then(|| StandbyStatus {
+        self.standby_config().is_enabled().then(|| StandbyStatus {
             leader_silent_ms: self.standby.leader_silent_ms(now),
             hints_age_ms: self.standby.hints().age_ms(now),
-            hinted_machines: self.standby.hints().machines(),
+            hinted_machines: self.standby.hints().machine_count(),
             stale_hints: self.standby.stale_hints,
-            leadership_changes: self.standby.changes_lately(now),
+            leadership_changes: self.standby.recent_leadership_changes(now),
         })
     }
 }
@@ -262,7 +262,7 @@
         hints: &HintStore,
         catalog: &[MachineType],
     ) {
-        let images = hints.images_of(id.as_str());
+        let images = hints.cached_images(id.as_str());
         if images.is_empty() {
             return;
         }
--- a/src/controller/quota/cells/changes.rs
+++ b/src/controller/quota/cells/changes.rs
@@ -13,7 +13,7 @@
 use crate::wire::{StoreRequest, StoreResponse, Write};
 use log::{debug, warn};
 use salttrestle_cells::ledger::{CellRecord, LinkRecord, Refusal};
-use salttrestle_cells::sharing::gifts;
+use salttrestle_cells::sharing::plan_transfers;
 use salttrestle_cells::{Amount, Cell};
 
 /// One change of the cell's record, of a link's, or of both.
@@ -45,7 +45,7 @@
     /// newer cells file, an incoming transfer, a limit, an outgoing transfer.
     pub(super) fn next_cell_change(&mut self, file: &CellsFile) -> Option<CellChange> {
         let Some(record) = self.store.mirror.cell.record.clone() else {
-            let record = CellRecord::found(&file.here, file.generation, &file.teams);
+            let record = CellRecord::create(&file.here, file.generation, &file.teams);
             return Some(CellChange::of_cell(record, false, "first record".into()));
         };
         match record.adopt(&file.here, file.generation, &file.teams) {
@@ -72,7 +72,7 @@
         for (from, received) in &self.cells.received {
             let message = &received.message;
             let link = self.cell_link(from);
-            if let Ok(forgotten) = link.forget(message.taken) {
+            if let Ok(forgotten) = link.clear_pending(message.taken) {
                 return Some(CellChange {
                     cell: None,
                     link: Some((from.clone(), forgotten)),
@@ -123,14 +123,18 @@
         // quota itself.
         let is_lowered = |team: &str| {
             let limit = record.limits.get(team);
-            limit.is_some_and(|limit| !limit.beyond(self.requested_limit(record, team)).is_zero())
+            limit.is_some_and(|limit| {
+                !limit
+                    .saturating_sub(self.requested_limit(record, team))
+                    .is_zero()
+            })
         };
         views.retain(|team, _| !is_lowered(team));
         let messages = self
             .recent_messages()
             .map(|message| (message.from.clone(), message))
             .collect();
-        for (to, amounts) in gifts(&views, &messages, file.cells.len()) {
+        for (to, amounts) in plan_transfers(&views, &messages, file.cells.len()) {
             let held = |team: &str| views.get(team).map_or(Amount::ZERO, |view| view.held);
             let teams = amounts.len();
             if let Ok((cell, link)) = record.give(&self.cell_link(&to), amounts, held) {
--- a/src/controller/quota/cells/messages.rs
+++ b/src/controller/quota/cells/messages.rs
@@ -106,7 +106,7 @@
         let link = self.cell_link(to);
         let recalls = record.limits.iter().map(|(team, limit)| Recall {
             team: team.clone(),
-            amount: limit.beyond(self.requested_limit(record, team)),
+            amount: limit.saturating_sub(self.requested_limit(record, team)),
             limit: *limit,
         });
         LinkMessage {
--- a/src/controller/quota/cells/views.rs
+++ b/src/controller/quota/cells/views.rs
@@ -8,7 +8,7 @@
 use salttrestle_cells::Amount;
 use salttrestle_cells::ledger::CellRecord;
 use salttrestle_cells::message::Recall;
-use salttrestle_cells::sharing::{TeamView, called_back};
+use salttrestle_cells::sharing::{TeamView, recalled_amount};
 use std::collections::BTreeMap;
 
 /// A shard's quota shares, and its owner's counts of the teams under these shares.
@@ -33,15 +33,17 @@
     fn recalled_here(&self, record: &CellRecord, team: &str, view: Option<&TeamView>) -> Amount {
         let share = record.share(team);
         let Some(limit) = record.limits.get(team) else {
-            return called_back(team, share, self.recent_messages());
+            return recalled_amount(team, share, self.recent_messages());
         };
         let recall = Recall {
             team: team.into(),
-            amount: limit.beyond(self.requested_limit(record, team)),
+            amount: limit.saturating_sub(self.requested_limit(record, team)),
             limit: *limit,
         };
-        let unneeded = view.map_or(Amount::ZERO, |view| share.beyond(view.target()));
-        recall.part_of(share).most(recall.amount.least(unneeded))
+        let unneeded = view.map_or(Amount::ZERO, |view| share.saturating_sub(view.target()));
+        recall
+            .part_of(share)
+            .component_max(recall.amount.component_min(unneeded))
     }
 
     /// The state of each team in this cell; `None` unless every shard's owner has sent counts under
@@ -66,9 +68,9 @@
                 let allowed = Amount::rounded_up(allowed.0, allowed.1);
                 let used = Amount::rounded_up(count.cpus, count.gpus);
                 let wanted = Amount::rounded_up(count.cpus_wanted, count.gpus_wanted);
-                view.held = view.held.plus(allowed.most(used));
-                view.used = view.used.plus(used);
-                view.wanted = view.wanted.plus(wanted);
+                view.held = view.held.saturating_add(allowed.component_max(used));
+                view.used = view.used.saturating_add(used);
+                view.wanted = view.wanted.saturating_add(wanted);
             }
             views.insert(team.clone(), view);
         }
@@ -103,10 +105,10 @@
         let views = self.team_views(record, file);
         let limits = record.shares.iter().map(|(team, share)| {
             let view = views.as_ref().and_then(|views| views.get(team));
-            let remaining = share.beyond(self.recalled_here(record, team, view));
+            let remaining = share.saturating_sub(self.recalled_here(record, team, view));
             let allowed = match view {
-                Some(view) => remaining.least(self.share_for_shards(team, view)),
-                None => remaining.least(self.allowed_by_shard_records(team)),
+                Some(view) => remaining.component_min(self.share_for_shards(team, view)),
+                None => remaining.component_min(self.allowed_by_shard_records(team)),
             };
             (team.clone(), allowed.to_pair())
         });
@@ -117,11 +119,15 @@
     fn share_for_shards(&self, team: &str, view: &TeamView) -> Amount {
         let needs = self.recent_messages().flat_map(|message| &message.needs);
         let team_needs = needs.filter(|need| need.team == team);
-        let (more, lacking) = team_needs
-            .fold((Amount::ZERO, Amount::ZERO), |(more, lacking), need| {
-                (more.most(need.more), lacking.most(need.lacking))
+        let (more, lacking) =
+            team_needs.fold((Amount::ZERO, Amount::ZERO), |(more, lacking), need| {
+                (
+                    more.component_max(need.more),
+                    lacking.component_max(need.lacking),
+                )
             });
-        view.share.beyond(view.to_leave(more, lacking))
+        view.share
+            .saturating_sub(view.amount_to_free(more, lacking))
     }
 
     /// What the shards' records together allow a team at present.
@@ -130,7 +136,7 @@
         let quota_shares =
             records.filter_map(|(_, record)| record.quota_shares.as_ref()?.get(team));
         quota_shares.fold(Amount::ZERO, |sum, (cpus, gpus)| {
-            sum.plus(Amount::rounded_down(*cpus, *gpus))
+            sum.saturating_add(Amount::rounded_down(*cpus, *gpus))
         })
     }
 }
--- a/src/net/cell_links.rs
+++ b/src/net/cell_links.rs
@@ -9,7 +9,7 @@
 use crate::settings::CellsFile;
 use log::{debug, warn};
 use salttrestle_cells::Cell;
-use salttrestle_cells::message::{self, LinkMessage, MESSAGE_MAX};
+use salttrestle_cells::message::{self, LinkMessage, MESSAGE_BYTES_MAX};
 use std::collections::{BTreeMap, HashMap};
 use std::net::{SocketAddrV4, TcpStream};
 
@@ -18,7 +18,7 @@
 const RECONNECT_PAUSE_S: f64 = 1.0;
 const RECONNECT_JITTER: f64 = 0.5;
 /// Most bytes that wait to be written to a controller of another cell.
-const CELL_UNSENT_MAX: usize = 2 * MESSAGE_MAX;
+const CELL_UNSENT_MAX: usize = 2 * MESSAGE_BYTES_MAX;
 
 /// The connections from and to controllers of other cells.
 pub(super) struct CellLinks {
--- a/src/settings/cells.rs
+++ b/src/settings/cells.rs
@@ -201,8 +201,8 @@
             return Err(table.error(&key, Reason::InvalidFloor));
         };
         let floor = Amount::rounded_up(cpus, gpus);
-        let all = (0..cells).fold(Amount::ZERO, |sum, _| sum.plus(floor));
-        if !all.beyond(team.limit).is_zero() {
+        let all = (0..cells).fold(Amount::ZERO, |sum, _| sum.saturating_add(floor));
+        if !all.saturating_sub(team.limit).is_zero() {
             return Err(table.error(&key, Reason::FloorsExceedLimit(cells)));
         }
         floors.insert(name, floor);
--- a/standby/src/config.rs
+++ b/standby/src/config.rs
@@ -36,7 +36,7 @@
 
 impl Config {
     /// Whether leaders are ever replaced before their lease expires.
-    pub fn enabled(&self) -> bool {
+    pub fn is_enabled(&self) -> bool {
         self.heartbeat_ms > 0
     }
 
@@ -47,7 +47,7 @@
 
     /// Refuses settings that contradict each other.
     pub fn check(&self) -> Result<(), ConfigError> {
-        if !self.enabled() {
+        if !self.is_enabled() {
             return match self.hints_ms {
                 0 => Ok(()),
                 _ => Err(ConfigError::HintsWithoutHeartbeats),
--- a/standby/src/fence.rs
+++ b/standby/src/fence.rs
@@ -32,7 +32,7 @@
 pub struct Predecessors {
     /// The duration of the lease of the leader whose record is replaced, if there is one that isn't
     /// of an earlier process of the same controller.
-    pub replaced_grant_ms: Option<Millis>,
+    pub replaced_lease_ms: Option<Millis>,
     /// The wait that the latest election requires.
     pub fence: Option<Fence>,
     /// The token of the leadership that wrote the scaling plan.
@@ -44,7 +44,7 @@
     pub fn wait_ms(&self) -> Millis {
         let open = self.fence.filter(|fence| fence.token > self.plan_token);
         let earlier_ms = open.map_or(0, |fence| fence.ms);
-        self.replaced_grant_ms.unwrap_or(0).max(earlier_ms)
+        self.replaced_lease_ms.unwrap_or(0).max(earlier_ms)
     }
 
     /// The wait to be stored with the election's commit.
--- a/standby/src/hints.rs
+++ b/standby/src/hints.rs
@@ -220,12 +220,12 @@
     }
 
     /// The images that a machine had, least recently used first.
-    pub fn images_of(&self, machine: &str) -> &[ImageHint] {
+    pub fn cached_images(&self, machine: &str) -> &[ImageHint] {
         self.machines.get(machine).map_or(&[], Vec::as_slice)
     }
 
     /// The number of machines with hints.
-    pub fn machines(&self) -> usize {
+    pub fn machine_count(&self) -> usize {
         self.machines.len()
     }
 
--- a/standby/src/standby.rs
+++ b/standby/src/standby.rs
@@ -170,7 +170,7 @@
     /// Whether this controller suspects the present leader, and why.
     pub fn suspicion(&self, now: Millis) -> Option<Suspicion> {
         let term = self.term.as_ref()?;
-        if !self.config.enabled() || term.leader == self.controller_id {
+        if !self.config.is_enabled() || term.leader == self.controller_id {
             return None;
         }
         self.detector.suspicion(&self.config, now)
@@ -190,7 +190,7 @@
         if self.suspecting(now, term) * 2 <= self.peers.len() + 1 {
             return Err(NotReplaceable::NoMajority);
         }
-        match self.changes_lately(now) < self.config.takeovers_per_minute as usize {
+        match self.recent_leadership_changes(now) < self.config.takeovers_per_minute as usize {
             true => Ok(()),
             false => Err(NotReplaceable::TooMany),
         }
@@ -207,7 +207,7 @@
     }
 
     /// How often leadership changed within the last minute.
-    pub fn changes_lately(&self, now: Millis) -> usize {
+    pub fn recent_leadership_changes(&self, now: Millis) -> usize {
         let recent = |at: &&Millis| now.saturating_sub(**at) < MINUTE_MS;
         self.changes.iter().filter(recent).count()
     }
@@ -219,7 +219,7 @@
 
     /// The heartbeat that is due, if one is.
     pub fn tick(&mut self, now: Millis) -> Option<Heartbeat> {
-        if !self.config.enabled() {
+        if !self.config.is_enabled() {
             return None;
         }
         while let Some(at) = self.changes.front()
--- a/standby/tests/world/controllers.rs
+++ b/standby/tests/world/controllers.rs
@@ -179,7 +179,7 @@
         let replaced = view.leader.value.as_ref();
         let replaced = replaced.filter(|leader| leader.term.leader != name(place));
         let predecessors = Predecessors {
-            replaced_grant_ms: replaced.and_then(|leader| leader.term.fenced_ms),
+            replaced_lease_ms: replaced.and_then(|leader| leader.term.fenced_ms),
             fence: match self.mistake {
                 Mistake::FenceForgotten => None,
                 _ => view.highest.value.fence,
