--- a/cells/src/ledger.rs
+++ b/cells/src/ledger.rs
@@ -1,100 +1,103 @@
 //! The records of a cell, and the only changes that may be made to them.
 //!
-//! Every change is a function from the present records to the new ones. The caller commits it on the
-//! condition that all records which it was given are unchanged; so a change that is repeated, late
-//! or made by a former leader fails as a whole.
+//! Every change is a function from the present records to the new ones. The caller commits the new
+//! records on the condition that all records passed to the function are unchanged. A commit that is
+//! repeated, late or sent by a former leader therefore fails as a whole.
 //!
-//! Invariant, after any order of such commits in any number of cells: for each team, the shares of
-//! all cells and the transfers that were given and not yet taken sum to exactly the limit in the
-//! record of the team's home cell.
+//! Invariant: after any sequence of such commits in any number of cells, the shares of a team in
+//! all cells and its amounts in transit add up to exactly the limit in the record of the team's
+//! home cell. An amount is in transit from the commit that gives it to the commit that takes it.
 
 use crate::{Amount, Cell, Team};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// Most teams in one transfer: it is part of a record, whose size is limited.
+/// Maximum number of teams in one transfer. A transfer is part of a record, and the store limits
+/// the size of a record.
 pub const TRANSFER_TEAMS_MAX: usize = 32;
 
-/// What a cell may use, and the limits of the teams whose home it is.
+/// The shares of a cell, and the limits of the teams whose home it is.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CellRecord {
-    /// The generation of the cells file that was adopted last.
+    /// The generation of the cells file that the cell adopted last.
     pub generation: u64,
-    /// What each team may use here. Every team that was ever known has an entry.
+    /// The share of each team: the quota that the team may use in this cell. Every team that was in
+    /// a cells file adopted here has an entry.
     pub shares: BTreeMap<Team, Amount>,
-    /// The limits in force of the teams whose home is here.
+    /// The limits in force of the teams whose home is this cell.
     pub limits: BTreeMap<Team, Amount>,
 }
 
-/// The transfers between this cell and one other.
+/// The state of the transfers between this cell and one other cell.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LinkRecord {
-    /// The number of the last transfer to that cell.
+    /// The sequence number of the last transfer to the other cell; 0 before the first.
     pub sent: u64,
-    /// That transfer, until the other cell is known to have taken it.
+    /// The last transfer to the other cell, until that cell is known to have taken it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub pending: Option<Transfer>,
-    /// The number of the last transfer that was taken from that cell.
+    /// The sequence number of the last transfer taken from the other cell; 0 before the first.
     pub taken: u64,
 }
 
-/// Quota that moves from one cell to another. Numbers rise by one for each direction of a pair of
-/// cells.
+/// Quota that moves from one cell to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Transfer {
-    /// Its sequence number.
+    /// The sequence number. Each direction between two cells has its own numbers, which increase by
+    /// one.
     pub number: u64,
-    /// The amount of each team.
+    /// The amount for each team.
     pub amounts: Vec<(Team, Amount)>,
 }
 
 /// A team in the cells file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HomeTeam {
-    /// Its home cell.
+    /// The team's home cell, whose record holds the limit.
     pub home: Cell,
-    /// The generation of the file that introduced it.
+    /// The generation of the cells file that introduced the team.
     pub since: u64,
-    /// Its limit in that file.
+    /// The team's limit in that file.
     pub limit: Amount,
 }
 
-/// Why a change is refused.
+/// Why a change of the records is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Refusal {
-    /// The previous transfer isn't known to be taken yet.
-    #[error("a transfer is under way")]
+    /// The other cell isn't known to have taken the previous transfer.
+    #[error("the previous transfer to the other cell is still pending")]
     TransferPending,
-    /// It has no teams, too many, or an empty amount.
-    #[error("a transfer has one to {TRANSFER_TEAMS_MAX} teams, each once and with something")]
+    /// The transfer has no teams, too many teams, or an amount of zero.
+    #[error("a transfer needs 1 to {TRANSFER_TEAMS_MAX} teams, each with an amount above zero")]
     Malformed,
-    /// More is in use, or promised to shards, than would be left.
-    #[error("more is held than would be left")]
+    /// The remaining share would be less than the amount in use or allotted to the cell's shards.
+    #[error("the remaining share would be less than the amount in use or allotted to shards")]
     Held,
-    /// Its sequence number isn't the next one.
-    #[error("the number isn't the next one")]
+    /// The transfer's sequence number isn't the next one.
+    #[error("the sequence number of the transfer isn't the next one")]
     UnexpectedNumber,
-    /// It names a team that this cell doesn't know.
-    #[error("the team isn't known")]
+    /// The transfer names a team that isn't in a cells file adopted here.
+    #[error("the team isn't known in this cell")]
     UnknownTeam,
-    /// The amounts overflow.
-    #[error("the amounts are too large")]
+    /// An amount or a sequence number overflows.
+    #[error("an amount or a sequence number overflows")]
     Overflow,
-    /// The cell isn't the team's home.
+    /// This cell isn't the team's home.
     #[error("the team's home is another cell")]
     NotHome,
-    /// The file is older than one that was adopted before.
-    #[error("the cells file is older than one that was taken in before")]
+    /// The cells file is older than the one adopted last.
+    #[error("the cells file is older than the one adopted last")]
     OldFile,
-    /// Nothing would change.
+    /// The records would stay as they are.
     #[error("nothing would change")]
     Unchanged,
 }
 
 impl CellRecord {
-    /// A cell's first record. It creates the limits of those teams at home here that are new with
-    /// this file; the limits of others were created before, in whichever cell.
+    /// Creates a cell's first record. It contains the limits of the teams whose home is this cell
+    /// and that this cells file introduces. The limits of older teams exist already, possibly in
+    /// another cell, and creating them again would double the quota.
     pub fn create(here: &Cell, generation: u64, teams: &BTreeMap<Team, HomeTeam>) -> Self {
         let empty = Self {
             generation,
@@ -103,7 +106,7 @@
         empty.with_teams(here, teams, |team| team.since == generation)
     }
 
-    /// Adopts a newer file: teams that are new with it are known from now on.
+    /// Adopts a newer cells file: adds the teams that it introduces.
     pub fn adopt(
         &self,
         here: &Cell,
@@ -147,27 +150,28 @@
         record
     }
 
-    /// What a team may use here.
+    /// The share of a team in this cell; zero for an unknown team.
     pub fn share(&self, team: &str) -> Amount {
         self.shares.get(team).copied().unwrap_or_default()
     }
 
-    /// Moves a limit towards what is wanted. A raise is added to this cell's own share at once. A
-    /// reduction is subtracted from it, as far as it isn't held here; the rest of the old limit stays
-    /// in force until the other cells have given theirs back.
+    /// Moves a team's limit towards `wanted`. An increase is added to this cell's share at once. A
+    /// decrease is subtracted from this cell's share, except for the amount `held`: in use or
+    /// allotted to the cell's shards. The rest of the old limit stays in force until the other
+    /// cells have returned quota.
     pub fn change_limit(&self, team: &str, wanted: Amount, held: Amount) -> Result<Self, Refusal> {
         let limit = *self.limits.get(team).ok_or(Refusal::NotHome)?;
         let share = self.share(team);
-        let raise = wanted.saturating_sub(limit);
-        let lower = limit
+        let increase = wanted.saturating_sub(limit);
+        let decrease = limit
             .saturating_sub(wanted)
             .component_min(share.saturating_sub(held));
-        if raise.is_zero() && lower.is_zero() {
+        if increase.is_zero() && decrease.is_zero() {
             return Err(Refusal::Unchanged);
         }
         let changed = |amount: Amount| {
-            let raised = amount.checked_add(raise).ok_or(Refusal::Overflow)?;
-            raised.checked_sub(lower).ok_or(Refusal::Held)
+            let increased = amount.checked_add(increase).ok_or(Refusal::Overflow)?;
+            increased.checked_sub(decrease).ok_or(Refusal::Held)
         };
         let mut record = self.clone();
         record.limits.insert(team.into(), changed(limit)?);
@@ -175,8 +179,8 @@
         Ok(record)
     }
 
-    /// The first commit of a transfer, at the giver. `held` is how much of each team's share is in
-    /// use or promised to the cell's shards.
+    /// Computes the first commit of a transfer, at the cell that gives the quota. `held` returns
+    /// how much of a team's share is in use or allotted to the cell's shards.
     pub fn give(
         &self,
         link: &LinkRecord,
@@ -192,18 +196,21 @@
         let mut record = self.clone();
         for (team, amount) in &amounts {
             let share = record.shares.get_mut(team).ok_or(Refusal::UnknownTeam)?;
-            let left = share.checked_sub(*amount).ok_or(Refusal::Held)?;
+            let remaining = share.checked_sub(*amount).ok_or(Refusal::Held)?;
             if amount.is_zero() {
                 return Err(Refusal::Malformed);
             }
-            // Only of a resource that is given must enough be left: a share that is below what is
-            // in use can still give of the other resource.
-            let kept = |given: u64, left: u64, held: u64| given == 0 || left >= held;
+            // Only a resource that is given needs a remainder of at least what is held. If the
+            // share of one resource is below what is in use, the other resource can still be given.
+            let covers_held =
+                |given: u64, remaining: u64, held: u64| given == 0 || remaining >= held;
             let held = held(team);
-            if !kept(amount.0, left.0, held.0) || !kept(amount.1, left.1, held.1) {
+            if !covers_held(amount.0, remaining.0, held.0)
+                || !covers_held(amount.1, remaining.1, held.1)
+            {
                 return Err(Refusal::Held);
             }
-            *share = left;
+            *share = remaining;
         }
         let number = link.sent.checked_add(1).ok_or(Refusal::Overflow)?;
         let given = LinkRecord {
@@ -214,7 +221,7 @@
         Ok((record, given))
     }
 
-    /// The second commit of a transfer, at the taker.
+    /// Computes the second commit of a transfer, at the cell that takes the quota.
     pub fn take(
         &self,
         link: &LinkRecord,
@@ -228,7 +235,8 @@
         }
         let mut record = self.clone();
         for (team, amount) in &transfer.amounts {
-            // A team that only a newer file names is waited for: the amount stays in transit.
+            // A team that only a newer cells file names is refused. The amount stays in transit
+            // until this cell adopts that file.
             let share = record.shares.get_mut(team).ok_or(Refusal::UnknownTeam)?;
             *share = share.checked_add(*amount).ok_or(Refusal::Overflow)?;
         }
@@ -241,7 +249,8 @@
 }
 
 impl LinkRecord {
-    /// The third commit of a transfer, at the giver: the other cell has taken all up to number `taken`.
+    /// Computes the third commit of a transfer, at the cell that gave the quota: removes the
+    /// pending transfer once the other cell has taken all transfers up to sequence number `taken`.
     pub fn clear_pending(&self, taken: u64) -> Result<Self, Refusal> {
         match &self.pending {
             Some(pending) if pending.number <= taken => Ok(Self {
--- a/cells/src/lib.rs
+++ b/cells/src/lib.rs
@@ -1,17 +1,21 @@
-//! Team limits that hold across cells.
+//! Team limits that are enforced across cells.
 //!
-//! Each cell is a complete installation with a store of its own. A team's limit is split into
-//! shares, one in each cell's store, and a cell starts tasks within its share without asking
-//! another cell. Shares move by transfers between two cells, each of three commits: the giver lowers
-//! its share and records the transfer; the taker raises its share and records the transfer's
-//! number; the giver removes the transfer from its record. In between the amount is in transit, and
-//! no cell may use it.
+//! Each cell is a complete installation with its own store. A team's limit is split into shares,
+//! one in each cell's store. A cell starts tasks within its share without asking another cell.
+//! Quota moves between two cells by transfers. A transfer consists of three commits:
 //!
-//! [`ledger`] has the records and the only changes that may be made to them; each must be committed
-//! on the condition that the records it was made from are unchanged. [`sharing`] decides what to
-//! give to which cell; no rule depends on it. [`message`] is what two cells send each other.
+//! 1. The giving cell lowers its share and records the transfer.
+//! 2. The taking cell raises its share and records the transfer's sequence number.
+//! 3. The giving cell removes the transfer from its record.
 //!
-//! This is a state machine alone: it has no clock, no connections and no store.
+//! Between the first and the second commit the amount is in transit, and no cell may use it.
+//!
+//! [`ledger`] defines the records and the only changes that may be made to them. Each change must
+//! be committed on the condition that the records from which it was computed are unchanged.
+//! [`sharing`] decides how much quota to give to which cell; the invariant of the ledger doesn't
+//! depend on it. [`message`] defines the messages between two cells.
+//!
+//! The crate is a pure state machine: it uses no clock, no connections and no store.
 
 #![warn(missing_docs)]
 
--- a/cells/src/sharing.rs
+++ b/cells/src/sharing.rs
@@ -1,70 +1,80 @@
-//! What a cell gives to which other one. No rule depends on it: whatever is decided here, the ledger
-//! gives only what isn't held.
+//! Decides how much quota a cell gives to which other cell.
 //!
-//! A cell that needs more of a team than its share says so, and cells with more than they need give
-//! ahead of demand. Where all need more, each keeps what it uses and no more than an even part of
-//! the total; a floor is kept in any case. A team's home that lowers its limit recalls a part of
-//! each cell's share, and against a recall only what is held is kept.
+//! The invariant of the ledger doesn't depend on these decisions: the ledger never gives quota that
+//! is held, which means in use or allotted to the cell's shards.
+//!
+//! - A cell that needs more quota of a team than its share reports this need. Cells with more quota
+//!   than they need give some of it before the demand arises.
+//! - If all cells need more, each keeps what it holds and at most an even part of the total.
+//! - Every cell keeps its floor of a team when it gives quota for a need.
+//! - When a team's limit is lowered, the team's home recalls a part of each cell's share. Against a
+//!   recall a cell keeps only what it holds.
 
 use crate::ledger::TRANSFER_TEAMS_MAX;
 use crate::message::{LinkMessage, Need};
 use crate::{Amount, Cell, Team};
 use std::collections::BTreeMap;
 
-/// What all cells need, those first that have the smallest part of it: a transfer holds a limited
-/// number of teams, and by name the last ones would wait for as long as the first need a little
-/// more.
-fn by_lack<'a>(messages: &'a BTreeMap<Cell, &LinkMessage>) -> Vec<(&'a Cell, &'a Need)> {
+/// The needs of all cells, in descending order of the fraction that is lacking. The number of teams
+/// in a transfer is limited, and in order of names the last teams would wait for as long as the
+/// first ones need a little more.
+fn needs_by_shortage<'a>(messages: &'a BTreeMap<Cell, &LinkMessage>) -> Vec<(&'a Cell, &'a Need)> {
     let needs = messages
         .iter()
         .flat_map(|(cell, message)| message.needs.iter().map(move |need| (cell, need)));
     let mut needs: Vec<(&Cell, &Need)> = needs.collect();
-    let lack = |need: &Need| {
+    let shortage = |need: &Need| {
         need.lacking
             .permille_of(need.share.saturating_add(need.lacking))
     };
-    needs.sort_by_key(|(_, need)| std::cmp::Reverse(lack(need)));
+    needs.sort_by_key(|(_, need)| std::cmp::Reverse(shortage(need)));
     needs
 }
 
-/// Less than this part of an even share isn't worth a transfer: cells that all need more would send
-/// each other ever smaller amounts.
-const WORTH_PARTS: usize = 16;
+/// A transfer for a need has to be at least an even share divided by this. Without a minimum, cells
+/// that all need more would send each other ever smaller amounts.
+const TRANSFER_MIN_DIVISOR: usize = 16;
+/// The headroom that a cell keeps against a cell that lacks quota is the wanted amount divided by
+/// this.
+const REQUIRED_HEADROOM_DIVISOR: usize = 8;
+/// The headroom that a cell requests for growing demand is the wanted amount divided by this. With
+/// one eighth, growing demand waited for one transfer after another.
+const TARGET_HEADROOM_DIVISOR: usize = 2;
 
-/// One team in this cell.
+/// The quota state of one team in this cell.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TeamView {
-    /// Its share.
+    /// The team's share.
     pub share: Amount,
-    /// How much of it is in use or promised to the cell's shards.
+    /// The part of the share that is in use or allotted to the cell's shards.
     pub held: Amount,
-    /// What is in use.
+    /// The amount in use.
     pub used: Amount,
-    /// What would be in use without limits.
+    /// The amount that would be in use without a limit.
     pub wanted: Amount,
-    /// What is kept for urgent work while this cell is partitioned from others.
+    /// The amount kept for urgent work while this cell is partitioned from the other cells.
     pub floor: Amount,
 }
 
 impl TeamView {
-    /// What this cell keeps against one that lacks quota: what is wanted plus an eighth, and at least
-    /// the floor.
+    /// The amount that this cell keeps against a cell that lacks quota: the wanted amount and one
+    /// eighth of it, and at least the floor.
     fn required(&self) -> Amount {
         self.wanted
-            .saturating_add(self.wanted.divided_by(8))
+            .saturating_add(self.wanted.divided_by(REQUIRED_HEADROOM_DIVISOR))
             .component_max(self.floor)
     }
 
-    /// What this cell asks for: what is wanted plus a half for demand to come, and at least the
-    /// floor. With an eighth, growing demand waited for one transfer after another.
+    /// The share that this cell aims at: the wanted amount and one half of it for growing demand,
+    /// and at least the floor.
     pub fn target(&self) -> Amount {
         self.wanted
-            .saturating_add(self.wanted.divided_by(2))
+            .saturating_add(self.wanted.divided_by(TARGET_HEADROOM_DIVISOR))
             .component_max(self.floor)
     }
 
-    /// What the shards here are to free, so that it can be given to cells that ask for `more` and
-    /// lack `lacking`.
+    /// The amount that the shards of this cell have to free, so that it can be given to cells that
+    /// request `more` and lack `lacking`.
     pub fn amount_to_free(&self, more: Amount, lacking: Amount) -> Amount {
         let spare = self.share.saturating_sub(self.target()).component_min(more);
         let beyond_required = self
@@ -74,27 +84,29 @@
         spare.component_max(beyond_required)
     }
 
-    /// How much more this cell asks for.
-    pub fn need(&self) -> Amount {
+    /// The additional amount that this cell requests.
+    pub fn requested_increase(&self) -> Amount {
         self.target().saturating_sub(self.share)
     }
 }
 
-/// What this cell needs, for its messages to others.
+/// The needs of this cell, as its messages to other cells report them.
 pub fn needs(teams: &BTreeMap<Team, TeamView>) -> Vec<Need> {
-    let needy = teams.iter().filter(|(_, view)| !view.need().is_zero());
-    let needs = needy.map(|(team, view)| Need {
+    let teams_in_need = teams
+        .iter()
+        .filter(|(_, view)| !view.requested_increase().is_zero());
+    let needs = teams_in_need.map(|(team, view)| Need {
         team: team.clone(),
         share: view.share,
-        more: view.need(),
+        more: view.requested_increase(),
         lacking: view.required().saturating_sub(view.share),
     });
     needs.collect()
 }
 
-/// How much of a team's share is recalled in this cell: its part of what is recalled of the limit.
-/// When the whole was recalled from every cell, a lowered limit stopped all starts of its team until
-/// the quota was back where it was wanted.
+/// The amount of a team's share that is recalled from this cell: the cell's proportional part of
+/// the recall. When the full amount was recalled from every cell, a lowered limit stopped all task
+/// starts of its team until the quota was back where it was needed.
 pub fn recalled_amount<'a>(
     team: &str,
     share: Amount,
@@ -104,73 +116,80 @@
     recalls.fold(Amount::ZERO, |most, r| most.component_max(r.part_of(share)))
 }
 
-/// What to give to each cell now, of what isn't held. `cells` is the number of cells.
+/// The amounts to give to each other cell now, from what isn't held. `cells` is the total number of
+/// cells.
 pub fn plan_transfers(
     teams: &BTreeMap<Team, TeamView>,
     messages: &BTreeMap<Cell, &LinkMessage>,
     cells: usize,
 ) -> BTreeMap<Cell, Vec<(Team, Amount)>> {
-    let mut left: BTreeMap<&Team, Amount> = BTreeMap::new();
+    let mut free_amounts: BTreeMap<&Team, Amount> = BTreeMap::new();
     for (team, view) in teams {
-        left.insert(team, view.share.saturating_sub(view.held));
+        free_amounts.insert(team, view.share.saturating_sub(view.held));
     }
-    let mut gifts: BTreeMap<Cell, Vec<(Team, Amount)>> = BTreeMap::new();
-    let mut give = |to: &Cell, team: &Team, amount: Amount, left: &mut Amount| {
-        let list = gifts.entry(to.clone()).or_default();
-        let known = list.iter().any(|(other, _)| other == team);
-        let amount = amount.component_min(*left);
-        if !amount.is_zero() && !known && list.len() < TRANSFER_TEAMS_MAX {
+    let mut transfers: BTreeMap<Cell, Vec<(Team, Amount)>> = BTreeMap::new();
+    let mut give = |to: &Cell, team: &Team, amount: Amount, free: &mut Amount| {
+        let list = transfers.entry(to.clone()).or_default();
+        let already_listed = list.iter().any(|(other, _)| other == team);
+        let amount = amount.component_min(*free);
+        if !amount.is_zero() && !already_listed && list.len() < TRANSFER_TEAMS_MAX {
             list.push((team.clone(), amount));
-            *left = left.saturating_sub(amount);
+            *free = free.saturating_sub(amount);
         }
     };
-    // Recalls come first.
+    // Recalls take precedence over needs.
     for (cell, message) in messages {
         for recall in &message.recalls {
-            let found = left.iter_mut().find(|(team, _)| ***team == recall.team);
-            if let Some((team, free)) = found {
+            let entry = free_amounts
+                .iter_mut()
+                .find(|(team, _)| ***team == recall.team);
+            if let Some((team, free)) = entry {
                 give(cell, team, recall.part_of(teams[*team].share), free);
             }
         }
     }
-    for (cell, need) in by_lack(messages) {
+    for (cell, need) in needs_by_shortage(messages) {
         let Some(view) = teams.get(&need.team) else {
             continue;
         };
-        if let Some(free) = left.get_mut(&need.team) {
-            let beyond = |target| {
-                free.component_min(view.share.saturating_sub(keeps(view, target, need, cells)))
+        if let Some(free) = free_amounts.get_mut(&need.team) {
+            let available = |target| {
+                free.component_min(
+                    view.share
+                        .saturating_sub(kept_amount(view, target, need, cells)),
+                )
             };
-            let lacking = beyond(view.required()).component_min(need.lacking);
-            let more = beyond(view.target()).component_min(need.more);
-            let worth = even_part(view, need, cells).divided_by(WORTH_PARTS);
-            let amount = lacking.component_max(more).zero_if_below(worth);
+            let lacking = available(view.required()).component_min(need.lacking);
+            let more = available(view.target()).component_min(need.more);
+            let transfer_min = even_part(view, need, cells).divided_by(TRANSFER_MIN_DIVISOR);
+            let amount = lacking.component_max(more).zero_if_below(transfer_min);
             give(cell, &need.team, amount, free);
         }
     }
-    gifts.retain(|_, amounts| !amounts.is_empty());
-    gifts
+    transfers.retain(|_, amounts| !amounts.is_empty());
+    transfers
 }
 
-/// An even part of what this cell and another one have of a team together: half of it, unless there
-/// is one cell alone.
+/// An even part of the quota that this cell and another one have together: one half, or all of it
+/// if there is only one cell.
 fn even_part(view: &TeamView, need: &Need, cells: usize) -> Amount {
     view.share
         .saturating_add(need.share)
         .divided_by(cells.clamp(1, 2))
 }
 
-/// What this cell keeps of a team against another one's need: its target or, while the other has
-/// less than an even part of what both have, at most that part.
-fn keeps(view: &TeamView, target: Amount, need: &Need, cells: usize) -> Amount {
+/// The amount that this cell keeps against another cell's need: the target or, while the other cell
+/// has less than an even part of the quota of both, at most that part. The floor and the amount
+/// that is held are kept in any case.
+fn kept_amount(view: &TeamView, target: Amount, need: &Need, cells: usize) -> Amount {
     let even = even_part(view, need, cells);
-    let of = |target: u64, even: u64, theirs: u64| match theirs < even {
+    let limited = |target: u64, even: u64, other_share: u64| match other_share < even {
         true => target.min(even),
         false => target,
     };
     let shared = Amount(
-        of(target.0, even.0, need.share.0),
-        of(target.1, even.1, need.share.1),
+        limited(target.0, even.0, need.share.0),
+        limited(target.1, even.1, need.share.1),
     );
     shared.component_max(view.floor).component_max(view.held)
 }
--- a/standby/src/config.rs
+++ b/standby/src/config.rs
@@ -6,46 +6,47 @@
 /// Intervals and limits of the standby.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Config {
-    /// Interval between two heartbeats of the leader; 0 disables the standby.
+    /// Interval between two heartbeats of the leader, in milliseconds; 0 disables the standby.
     pub heartbeat_ms: Millis,
-    /// The leader is suspected after so many missed heartbeats in a row.
+    /// Number of consecutive missed heartbeats after which the leader is suspected.
     pub missed: u32,
-    /// Most changes of leadership in a minute; beyond that a takeover waits for the lease to expire.
+    /// Maximum number of leadership changes in a minute. After that many a takeover waits until the
+    /// leader's lease expires.
     pub takeovers_per_minute: u32,
-    /// Interval between two messages with hints of the leader; 0 for none.
+    /// Interval between two hint messages of the leader, in milliseconds; 0 if it sends no hints.
     pub hints_ms: Millis,
-    /// Duration of the leader's lease.
+    /// Duration of the leader's lease, in milliseconds.
     pub lease_ms: Millis,
 }
 
-/// Settings that contradict each other.
+/// Why the settings contradict each other.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ConfigError {
-    /// The lease expires before missed heartbeats make the leader suspected.
+    /// The leader's lease expires before missed heartbeats lead to a suspicion.
     #[error("{silence_ms} ms without a heartbeat are no less than the grant's {lease_ms} ms")]
     SilenceOutlastsLease {
-        /// Silence after which a leader is suspected.
+        /// Time without a heartbeat after which the leader is suspected, in milliseconds.
         silence_ms: Millis,
-        /// Duration of the lease.
+        /// Duration of the lease, in milliseconds.
         lease_ms: Millis,
     },
-    /// Hints are sent only with heartbeats.
-    #[error("hints are sent only with heartbeats, and these are switched off")]
+    /// Hints are enabled and heartbeats are disabled, but hints are sent only with heartbeats.
+    #[error("hints are sent only with heartbeats, and heartbeats are disabled")]
     HintsWithoutHeartbeats,
 }
 
 impl Config {
-    /// Whether leaders are ever replaced before their lease expires.
+    /// Whether a leader may be replaced before its lease expires.
     pub fn is_enabled(&self) -> bool {
         self.heartbeat_ms > 0
     }
 
-    /// The silence after which a leader is suspected.
+    /// Time without a heartbeat after which the leader is suspected, in milliseconds.
     pub fn silence_ms(&self) -> Millis {
         self.heartbeat_ms * Millis::from(self.missed)
     }
 
-    /// Refuses settings that contradict each other.
+    /// Returns an error if the settings contradict each other.
     pub fn check(&self) -> Result<(), ConfigError> {
         if !self.is_enabled() {
             return match self.hints_ms {
--- a/standby/src/fence.rs
+++ b/standby/src/fence.rs
@@ -1,53 +1,56 @@
-//! For how long a new leader must not call the cloud.
+//! The time during which a new leader must not call the cloud.
 //!
-//! A commit of a former leader fails by its preconditions, whenever it is carried out. A call to the
-//! cloud has none. So a leader rents and deletes machines only while a read of its own record, and a
-//! renewal of its lease, were both sent no longer ago than the duration of that lease. A successor
-//! that replaces the record before the lease expires, by a commit carried out at T, knows that every
-//! read which still showed the old record was sent before T, and that the former leader's last call
-//! is sent before T plus that duration. It waits for as long from the moment at which it sees its
-//! own commit, which is later than T; the caller adds the drift of the clocks.
+//! A late commit of a former leader fails because its preconditions don't hold any more. A call to
+//! the cloud has no preconditions. A leader therefore rents and deletes machines only while both
+//! its latest read of its own record and its latest renewal of its lease were sent less than the
+//! duration of the lease ago.
 //!
-//! A successor may fail during that wait. Its own lease, if it was requested before the commit, can
-//! expire before the wait ends, and the next leader then finds no record. So the wait is stored
-//! beside the highest token, which outlives leases, until a leader has written a scaling plan: that
-//! is written only after its wait.
+//! A successor may replace the leader's record before the lease expires, by a commit carried out at
+//! time T. Every read that still returned the old record was sent before T, so the former leader's
+//! last call to the cloud is sent before T plus the duration of its lease. The successor waits for
+//! that duration, starting when it sees its own commit, which is later than T. The caller adds an
+//! allowance for clock drift.
+//!
+//! The successor may fail during this wait. If its own lease was requested before the commit, that
+//! lease can expire before the wait ends, and the next leader then finds no leader record. The wait
+//! is therefore stored with the highest token, which outlives leases. It applies until a leader has
+//! written a scaling plan, because a leader writes the plan only after its wait.
 
 use crate::Millis;
 use serde::{Deserialize, Serialize};
 
-/// The wait that an election requires, stored beside the highest token.
+/// The wait that an election requires, stored with the highest token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fence {
-    /// The token of the leadership that has to wait.
+    /// The token of the leader that has to wait.
     #[serde(rename = "number")]
     pub token: u64,
-    /// How long it waits from its election.
+    /// Duration of the wait from the election, in milliseconds.
     pub ms: Millis,
 }
 
-/// What the records say of earlier leaders, read no later than the election's commit: that commit
-/// is conditional on the records of the leader and of the highest token.
+/// What the records say about earlier leaders. They are read before the election's commit, which is
+/// conditional on the records of the leader and of the highest token.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Predecessors {
-    /// The duration of the lease of the leader whose record is replaced, if there is one that isn't
-    /// of an earlier process of the same controller.
+    /// Duration of the lease of the leader whose record is replaced, in milliseconds. `None` if
+    /// there is no record, or if the record is of an earlier process of the same controller.
     pub replaced_lease_ms: Option<Millis>,
-    /// The wait that the latest election requires.
+    /// The stored wait of the latest election.
     pub fence: Option<Fence>,
-    /// The token of the leadership that wrote the scaling plan.
+    /// The token of the leader that wrote the scaling plan.
     pub plan_token: u64,
 }
 
 impl Predecessors {
-    /// How long the leader that is elected now has to wait.
+    /// How long the leader that is elected now has to wait, in milliseconds.
     pub fn wait_ms(&self) -> Millis {
-        let open = self.fence.filter(|fence| fence.token > self.plan_token);
-        let earlier_ms = open.map_or(0, |fence| fence.ms);
+        let active_fence = self.fence.filter(|fence| fence.token > self.plan_token);
+        let earlier_ms = active_fence.map_or(0, |fence| fence.ms);
         self.replaced_lease_ms.unwrap_or(0).max(earlier_ms)
     }
 
-    /// The wait to be stored with the election's commit.
+    /// The wait to store in the election's commit; `None` if the leader needn't wait.
     pub fn fence(&self, token: u64) -> Option<Fence> {
         let ms = self.wait_ms();
         (ms > 0).then_some(Fence { token, ms })
--- a/standby/src/hints.rs
+++ b/standby/src/hints.rs
@@ -1,87 +1,92 @@
-//! What the leader tells the others that no record has: estimates, and which images each machine has
-//! cached. Each message is complete in itself, so that a lost, late, duplicated or reordered one
-//! only makes the hints older.
+//! Hints of the leader for the other controllers, which aren't in any record: estimates, and the
+//! images that each machine has cached. Messages don't depend on each other. A message that is
+//! lost, late, duplicated or reordered only makes the hints older.
 
 use crate::{ControllerId, Millis};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use thiserror::Error;
 
-/// Machines in one message: a fleet is sent in parts, one after the other.
+/// Maximum number of machines in one message. A larger fleet is sent in several messages, one after
+/// the other.
 pub const MACHINES_PER_MESSAGE: usize = 256;
-/// Most machines whose images are remembered; the oldest are dropped.
+/// Maximum number of machines whose images are stored. Beyond that, the machines with the oldest
+/// first hint are dropped.
 const MACHINES_MAX: usize = 20_000;
-/// Most pools, and most images, in one message.
+/// Maximum number of pools in one message.
 const POOLS_MAX: usize = 512;
+/// Maximum number of images in one message.
 const IMAGES_MAX: usize = 1_024;
-/// Most images of one machine.
-const IMAGES_PER_MACHINE: usize = 64;
-/// Most bytes of a name.
-const NAME_MAX: usize = 256;
-/// Older estimates are worse than a guess from what runs.
-const ESTIMATES_LIFE_MS: Millis = 120_000;
-
-/// What the leader knows besides the records.
+/// Maximum number of images of one machine in a message.
+const IMAGES_PER_MACHINE_MAX: usize = 64;
+/// Maximum length of a name in bytes.
+const NAME_BYTES_MAX: usize = 256;
+/// Maximum age of estimates that are used, in milliseconds. Older estimates are less accurate than
+/// ones derived from the running tasks.
+const ESTIMATES_AGE_MAX_MS: Millis = 120_000;
+
+/// A message with hints of the leader.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Hints {
-    /// The sender.
+    /// The sending controller.
     pub from: ControllerId,
-    /// The token of its leadership.
+    /// The token under which the sender leads.
     pub token: u64,
-    /// What it estimates.
+    /// The sender's estimates.
     pub estimates: Estimates,
-    /// The images that `machines` refers to.
+    /// The images to which `machines` refers by index.
     pub images: Vec<ImageHint>,
-    /// A part of its machines.
+    /// Some of the machines; the following messages contain the others.
     pub machines: Vec<MachineHint>,
 }
 
 /// Estimates that a leader learns over minutes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Estimates {
-    /// How long machines of a type have recently taken to boot, in seconds.
+    /// Average of the recent boot times of each machine type, in seconds.
     pub boots: Vec<(String, f64)>,
-    /// The estimate of bursts in the demand of services for each type and market.
+    /// Estimate of demand bursts of services for each machine type and market, on demand or spot
+    /// (`true`).
     pub bursts: Vec<(String, bool, f64)>,
 }
 
-/// An image.
+/// A container image.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ImageHint {
-    /// Its name.
+    /// The image's name.
     pub name: String,
-    /// Its size.
+    /// The image's size in GB.
     pub gb: f64,
 }
 
-/// The images on one machine.
+/// The images that one machine has cached.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MachineHint {
     /// The machine's name.
     pub id: String,
-    /// Its images by index into the message's list, least recently used first.
+    /// Indexes into [`Hints::images`], least recently used image first.
     pub images: Vec<u16>,
 }
 
-/// The limit that a message exceeds.
+/// Why a message with hints is refused.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum HintsError {
-    /// A list is too long.
+    /// A list has too many entries.
     #[error("too many {0}")]
     TooMany(&'static str),
     /// A name is too long.
-    #[error("a name is too long")]
+    #[error("a name is longer than {NAME_BYTES_MAX} bytes")]
     LongName,
-    /// A number is negative or not finite.
-    #[error("a figure of {0} is impossible")]
+    /// A value is negative or not finite.
+    #[error("a value of {0} is negative or not finite")]
     Impossible(&'static str),
-    /// A machine has an image that isn't listed.
-    #[error("a machine has an image that isn't listed")]
+    /// A machine refers to an image that the message doesn't list.
+    #[error("a machine refers to an image that isn't listed")]
     UnknownImage,
 }
 
 impl Hints {
-    /// Checks a message of another controller against the limits.
+    /// Checks a message of another controller: sizes, values and indexes.
     pub fn check(&self) -> Result<(), HintsError> {
         let lists = [
             ("boots", self.estimates.boots.len(), POOLS_MAX),
@@ -89,11 +94,11 @@
             ("images", self.images.len(), IMAGES_MAX),
             ("machines", self.machines.len(), MACHINES_PER_MESSAGE),
         ];
-        if let Some((what, ..)) = lists.iter().find(|(_, count, most)| count > most) {
+        if let Some((what, ..)) = lists.iter().find(|(_, count, count_max)| count > count_max) {
             return Err(HintsError::TooMany(what));
         }
         self.check_names()?;
-        self.check_figures()?;
+        self.check_values()?;
         self.check_machines()
     }
 
@@ -103,21 +108,21 @@
         let images = self.images.iter().map(|image| &image.name);
         let machines = self.machines.iter().map(|machine| &machine.id);
         let mut names = boots.chain(bursts).chain(images).chain(machines);
-        match names.any(|name| name.len() > NAME_MAX) {
+        match names.any(|name| name.len() > NAME_BYTES_MAX) {
             true => Err(HintsError::LongName),
             false => Ok(()),
         }
     }
 
-    fn check_figures(&self) -> Result<(), HintsError> {
-        let possible = |value: &f64| value.is_finite() && *value >= 0.0;
-        if !self.estimates.boots.iter().all(|(_, s)| possible(s)) {
+    fn check_values(&self) -> Result<(), HintsError> {
+        let is_valid = |value: &f64| value.is_finite() && *value >= 0.0;
+        if !self.estimates.boots.iter().all(|(_, s)| is_valid(s)) {
             return Err(HintsError::Impossible("boots"));
         }
-        if !self.estimates.bursts.iter().all(|(.., s)| possible(s)) {
+        if !self.estimates.bursts.iter().all(|(.., s)| is_valid(s)) {
             return Err(HintsError::Impossible("bursts"));
         }
-        match self.images.iter().all(|image| possible(&image.gb)) {
+        match self.images.iter().all(|image| is_valid(&image.gb)) {
             true => Ok(()),
             false => Err(HintsError::Impossible("images")),
         }
@@ -125,11 +130,11 @@
 
     fn check_machines(&self) -> Result<(), HintsError> {
         for machine in &self.machines {
-            if machine.images.len() > IMAGES_PER_MACHINE {
+            if machine.images.len() > IMAGES_PER_MACHINE_MAX {
                 return Err(HintsError::TooMany("images of a machine"));
             }
-            let listed = |image: &u16| usize::from(*image) < self.images.len();
-            if !machine.images.iter().all(listed) {
+            let is_listed = |image: &u16| usize::from(*image) < self.images.len();
+            if !machine.images.iter().all(is_listed) {
                 return Err(HintsError::UnknownImage);
             }
         }
@@ -137,20 +142,23 @@
     }
 }
 
-/// Assembles the parts of a fleet for one message after the other: machines come in the order of
-/// their names, and the first one follows the last.
+/// Splits the machines of a fleet over consecutive messages. Machines are sent in order of their
+/// names, starting again with the first one after the last.
 #[derive(Clone, Debug, Default)]
 pub struct Rotation {
-    after: Option<String>,
+    last_sent: Option<String>,
 }
 
 impl Rotation {
-    /// The machine after which the next part begins; `None` for the first part.
+    /// The machine after which the next message starts; `None` if it starts with the first machine.
     pub fn after(&self) -> Option<&str> {
-        self.after.as_deref()
+        self.last_sent.as_deref()
     }
 
-    /// The next part: machines with their images, as many as a message holds.
+    /// Takes as many machines as one message holds, and returns the images of these machines and
+    /// the machines. `machines` yields each machine's name with the names and sizes in GB of its
+    /// images, least recently used first, and starts after the machine that [`Rotation::after`]
+    /// returns.
     pub fn next<'a>(
         &mut self,
         machines: impl Iterator<Item = (&'a str, Vec<(&'a str, f64)>)>,
@@ -159,77 +167,79 @@
         let mut images = Vec::new();
         let mut part = Vec::new();
         for (id, cached) in machines.take(MACHINES_PER_MESSAGE) {
-            let mut of_machine = Vec::new();
-            let latest = cached.len().saturating_sub(IMAGES_PER_MACHINE);
-            for (name, gb) in &cached[latest..] {
+            let mut machine_images = Vec::new();
+            let first_sent = cached.len().saturating_sub(IMAGES_PER_MACHINE_MAX);
+            for (name, gb) in &cached[first_sent..] {
                 if !indexes.contains_key(name) && images.len() < IMAGES_MAX {
                     indexes.insert(name, images.len() as u16);
                     let name = String::from(*name);
                     images.push(ImageHint { name, gb: *gb });
                 }
-                of_machine.extend(indexes.get(name));
+                machine_images.extend(indexes.get(name));
             }
             part.push(MachineHint {
                 id: id.into(),
-                images: of_machine,
+                images: machine_images,
             });
         }
-        let whole = part.len() == MACHINES_PER_MESSAGE;
+        let is_full = part.len() == MACHINES_PER_MESSAGE;
         let last = part.last().map(|machine| machine.id.clone());
-        self.after = last.filter(|_| whole);
+        self.last_sent = last.filter(|_| is_full);
         (images, part)
     }
 }
 
-/// The hints that a standby has received.
+/// The hints that a controller has received from leaders.
 #[derive(Clone, Debug, Default)]
 pub struct HintStore {
     estimates: Option<(Millis, Estimates)>,
     machines: BTreeMap<String, Vec<ImageHint>>,
-    /// Machines in the order of their first hints, to drop the oldest.
-    order: VecDeque<String>,
-    /// When the latest hints arrived.
+    /// Machines in the order of their first hints, from which the oldest is dropped.
+    arrival_order: VecDeque<String>,
+    /// When the latest message arrived.
     received_at: Option<Millis>,
 }
 
 impl HintStore {
-    /// Adds hints that have passed [`Hints::check`].
+    /// Stores a message that has passed [`Hints::check`].
     pub fn add(&mut self, now: Millis, hints: Hints) {
         self.received_at = Some(now);
         self.estimates = Some((now, hints.estimates));
         for machine in hints.machines {
             let images = machine.images.iter();
-            let images = images.filter_map(|at| hints.images.get(usize::from(*at)).cloned());
-            let known = self.machines.insert(machine.id.clone(), images.collect());
-            if known.is_none() {
-                self.order.push_back(machine.id);
+            let images = images.filter_map(|index| hints.images.get(usize::from(*index)).cloned());
+            let previous = self.machines.insert(machine.id.clone(), images.collect());
+            if previous.is_none() {
+                self.arrival_order.push_back(machine.id);
             }
         }
-        while self.order.len() > MACHINES_MAX {
-            if let Some(oldest) = self.order.pop_front() {
+        while self.arrival_order.len() > MACHINES_MAX {
+            if let Some(oldest) = self.arrival_order.pop_front() {
                 self.machines.remove(&oldest);
             }
         }
     }
 
-    /// The estimates and their age, unless they are too old.
+    /// The age of the latest estimates in milliseconds, and the estimates; `None` if there are none
+    /// or they are too old.
     pub fn estimates(&self, now: Millis) -> Option<(Millis, &Estimates)> {
         let (at, estimates) = self.estimates.as_ref()?;
         let age_ms = now.saturating_sub(*at);
-        (age_ms <= ESTIMATES_LIFE_MS).then_some((age_ms, estimates))
+        (age_ms <= ESTIMATES_AGE_MAX_MS).then_some((age_ms, estimates))
     }
 
-    /// The images that a machine had, least recently used first.
+    /// The images that a machine had cached by the latest hint about it, least recently used first;
+    /// empty for an unknown machine.
     pub fn cached_images(&self, machine: &str) -> &[ImageHint] {
         self.machines.get(machine).map_or(&[], Vec::as_slice)
     }
 
-    /// The number of machines with hints.
+    /// Number of machines with hints.
     pub fn machine_count(&self) -> usize {
         self.machines.len()
     }
 
-    /// The age of the latest hints; `None` if none have arrived.
+    /// The age of the latest message in milliseconds; `None` if none has arrived.
     pub fn age_ms(&self, now: Millis) -> Option<Millis> {
         self.received_at.map(|at| now.saturating_sub(at))
     }
--- a/standby/src/lib.rs
+++ b/standby/src/lib.rs
@@ -1,18 +1,25 @@
-//! Warm standby: how the controllers that don't lead detect that the leader has failed, and what the
-//! next leader knows as it takes over.
+//! Warm standby: how the controllers that don't lead detect that the leader has failed, and what
+//! the next leader knows when it takes over.
 //!
-//! The leader's record at the store is attached to a lease of a few seconds, and without this
-//! package no controller takes over before that lease expires. Here the others agree sooner:
-//! [`detector`] says whether one controller has lost the leader, [`standby`] counts how many have,
-//! and a majority may replace the leader's record at once, by a commit on the condition that it is
-//! unchanged. [`fence`] says for how long such a successor must not call the cloud: calls to the
-//! cloud have no preconditions, so that their safety depends on the former leader's lease.
-//! [`hints`] has what the leader tells the others that no record has, and [`message`] the messages.
+//! The leader's record in the store is attached to a lease of a few seconds. Without this crate no
+//! controller takes over before the lease expires. With it, the other controllers can agree sooner
+//! that the leader has failed:
 //!
-//! No rule depends on who is suspected or on what a hint says: suspicion only decides when a commit
-//! is tried, and a hint only where a task is placed first and how much capacity is kept free.
+//! - [`detector`] decides whether this controller suspects the leader.
+//! - [`standby`] counts the controllers that suspect the leader. Once they are a majority, one of
+//!   them
+//!   may replace the leader's record at once, by a commit on the condition that the record is
+//!   unchanged.
+//! - [`fence`] computes for how long such a successor must not call the cloud. Calls to the cloud
+//!   have
+//!   no preconditions, so their safety depends on the former leader's lease.
+//! - [`hints`] contains what the leader tells the other controllers besides the records.
+//! - [`message`] defines the messages between controllers.
 //!
-//! This is a state machine alone: it has no connections, no store and no clock. Moments are
+//! Correctness doesn't depend on suspicions or hints. A suspicion only decides when a commit is
+//! tried. A hint only influences where a task is placed first and how much capacity is kept free.
+//!
+//! The crate is a pure state machine: it uses no connections, no store and no clock. Times are
 //! milliseconds on the caller's monotonic clock.
 
 #![warn(missing_docs)]
@@ -27,7 +34,7 @@
 pub use config::Config;
 pub use standby::Standby;
 
-/// The name of a controller.
+/// The ID of a controller.
 pub type ControllerId = String;
-/// A moment on the caller's monotonic clock, or a span, in milliseconds.
+/// A time on the caller's monotonic clock, or a duration, in milliseconds.
 pub type Millis = u64;
--- a/standby/src/message.rs
+++ b/standby/src/message.rs
@@ -1,29 +1,29 @@
-//! Messages between controllers besides those that every release knows: `postcard`, distinguished
-//! from other messages by the version of the frame. A release that doesn't know that version drops
-//! the frame and keeps the connection.
+//! Messages of the standby between controllers, in `postcard` encoding. Their frames have a version
+//! of their own, which distinguishes them from the messages that every release knows. A release
+//! that doesn't know this version drops the frame and keeps the connection.
 
 use crate::ControllerId;
 use crate::hints::{Hints, HintsError};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// A message of this package.
+/// A message of the standby.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum StandbyMessage {
-    /// The sender is alive.
+    /// A heartbeat of any controller.
     Heartbeat(Heartbeat),
-    /// What the leader knows besides the records.
+    /// Hints of the leader.
     Hints(Hints),
 }
 
-/// The sender is alive, and whether it sees the leader alive.
+/// Shows that the sender is alive, and whether the sender suspects the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The sender.
+    /// The sending controller.
     pub from: ControllerId,
-    /// Distinguishes this process from earlier ones of the same controller.
+    /// Distinguishes the sending process from earlier processes of the same controller.
     pub incarnation: u64,
-    /// The token of the leadership that the sender knows; 0 if there is none.
+    /// The token of the leader that the sender knows; 0 if it knows none.
     pub token: u64,
     /// Whether the sender leads under that token.
     pub is_leader: bool,
@@ -31,13 +31,13 @@
     pub lost: bool,
 }
 
-/// Why a message is refused.
+/// Why a standby message is refused.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum MessageError {
-    /// It can't be decoded.
-    #[error("a standby message can't be read")]
+    /// The message can't be decoded.
+    #[error("a standby message can't be decoded")]
     Malformed,
-    /// Its hints exceed a limit.
+    /// The message contains hints that fail [`Hints::check`].
     #[error("hints are refused: {0}")]
     Hints(#[from] HintsError),
 }
@@ -48,7 +48,7 @@
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Decodes a message and checks it against the limits.
+    /// Decodes a message and, if it contains hints, checks them.
     pub fn decode(bytes: &[u8]) -> Result<Self, MessageError> {
         let Ok((message, [])) = postcard::take_from_bytes::<Self>(bytes) else {
             return Err(MessageError::Malformed);
--- a/standby/src/standby.rs
+++ b/standby/src/standby.rs
@@ -1,5 +1,6 @@
-//! The standby of a controller that doesn't lead: it watches the leader's heartbeats, tells the
-//! others when it suspects the leader, and may replace it once a majority does.
+//! The standby of one controller: it monitors the leader's heartbeats, tells the other controllers
+//! when it suspects the leader, and decides whether the leader may be replaced because a majority
+//! suspects it.
 
 use crate::detector::{Detector, Suspicion};
 use crate::hints::{HintStore, Hints};
@@ -8,55 +9,58 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use thiserror::Error;
 
-/// Interval between heartbeats of controllers that don't lead: these only show that their release
-/// takes part, and once they suspect the leader they are sent as often as the leader's.
-const ANNOUNCE_MS: Millis = 1_000;
-/// A vote counts for so many heartbeat intervals after it arrived.
-const VOTE_INTERVALS: Millis = 3;
+/// Interval between two heartbeats of a controller that doesn't lead, in milliseconds. These
+/// heartbeats only show that the controller's release has a standby. A controller that suspects the
+/// leader sends heartbeats as often as a leader does.
+const FOLLOWER_HEARTBEAT_MS: Millis = 1_000;
+/// Time for which a vote counts after its arrival, in heartbeat intervals.
+const VOTE_LIFETIME_INTERVALS: Millis = 3;
 const MINUTE_MS: Millis = 60_000;
 
-/// One leadership, as its record shows it.
+/// The current leader and its term, as the leader's record in the store shows them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Term {
-    /// Who leads.
+    /// The controller that leads.
     pub leader: ControllerId,
-    /// Which of its processes.
+    /// The incarnation of the leader's process.
     pub incarnation: u64,
-    /// The leadership's token.
+    /// The token under which the leader leads.
     pub token: u64,
-    /// The time within which the leader must have read its own record before it calls the cloud.
-    /// Without it the leader mustn't be replaced before its lease expires.
+    /// Maximum age of the leader's latest read of its own record when it calls the cloud, in
+    /// milliseconds. If it is `None`, the leader must not be replaced before its lease expires.
     pub fenced_ms: Option<Millis>,
 }
 
-/// A peer suspects the leader of a token.
+/// A peer's report that it suspects the leader with a token.
 #[derive(Clone, Copy, Debug)]
 struct Vote {
     token: u64,
-    at: Millis,
+    received_at: Millis,
 }
 
-/// Why the leader mustn't be replaced before its lease expires.
+/// Why the leader must not be replaced before its lease expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum NotReplaceable {
-    /// The leader isn't suspected here, or there is none.
-    #[error("no leader is suspected")]
+    /// This controller doesn't suspect the leader, or there is no leader.
+    #[error("this controller suspects no leader")]
     NotSuspected,
-    /// The leader may call the cloud without reading its own record.
-    #[error("the leader isn't fenced")]
+    /// The leader's calls to the cloud aren't known to require a recent read of its own record.
+    #[error("the leader's calls to the cloud aren't known to be fenced")]
     NotFenced,
-    /// A controller may run a release without a standby.
+    /// A peer hasn't sent a heartbeat since this process started, so its release may have no
+    /// standby.
     #[error("a controller may run a release without a standby")]
     UnknownRelease,
-    /// No majority suspects the leader.
-    #[error("no majority suspects the leader")]
+    /// Fewer than a majority of the controllers suspect the leader.
+    #[error("no majority of the controllers suspects the leader")]
     NoMajority,
-    /// Leadership has changed too often in the last minute.
-    #[error("leadership has changed too often")]
+    /// Leadership has changed [`Config::takeovers_per_minute`] times or more within the last
+    /// minute.
+    #[error("leadership has changed too often within the last minute")]
     TooMany,
 }
 
-/// The standby's state in one controller.
+/// The state of the standby in one controller.
 #[derive(Debug)]
 pub struct Standby {
     config: Config,
@@ -66,20 +70,20 @@
     term: Option<Term>,
     detector: Detector,
     votes: BTreeMap<ControllerId, Vote>,
-    /// Peers that have sent heartbeats since this process started: none of them will run an older
-    /// release again.
-    announced: BTreeSet<ControllerId>,
-    /// When leadership changed within the last minute.
-    changes: VecDeque<Millis>,
-    next_heartbeat: Millis,
-    was_suspected: bool,
+    /// Peers that have sent a heartbeat since this process started. It is assumed that none of them
+    /// goes back to a release without a standby.
+    peers_with_standby: BTreeSet<ControllerId>,
+    /// The times of the leadership changes within the last minute.
+    leadership_changes: VecDeque<Millis>,
+    next_heartbeat_at: Millis,
+    last_sent_lost: bool,
     hints: HintStore,
-    /// Messages with hints of others than the present leader, which were dropped.
+    /// Number of hint messages dropped because their sender isn't the current leader.
     pub stale_hints: u64,
 }
 
 impl Standby {
-    /// The state of a process that has just started.
+    /// Creates the state of a process that has just started. `peers` are the other controllers.
     pub fn new(
         config: Config,
         controller_id: &str,
@@ -94,80 +98,85 @@
             term: None,
             detector: Detector::default(),
             votes: BTreeMap::new(),
-            announced: BTreeSet::new(),
-            changes: VecDeque::new(),
-            next_heartbeat: 0,
-            was_suspected: false,
+            peers_with_standby: BTreeSet::new(),
+            leadership_changes: VecDeque::new(),
+            next_heartbeat_at: 0,
+            last_sent_lost: false,
             hints: HintStore::default(),
             stale_hints: 0,
         }
     }
 
-    /// The leader's record has been read; `None` if there is none.
+    /// Stores what a read of the leader's record has returned; `None` if there is no record.
     pub fn set_term(&mut self, now: Millis, term: Option<Term>) {
         if term == self.term {
             return;
         }
         let token = |term: &Option<Term>| term.as_ref().map(|t| t.token);
         if term.is_some() && token(&term) != token(&self.term) {
-            self.changes.push_back(now);
+            self.leadership_changes.push_back(now);
             self.detector = Detector::default();
             self.votes.clear();
-            // The new leader sends a heartbeat at once.
-            self.next_heartbeat = now;
+            // A new leader sends a heartbeat at once.
+            self.next_heartbeat_at = now;
         }
         self.term = term;
     }
 
-    /// A heartbeat of a peer has arrived.
+    /// Handles a heartbeat of a peer.
     pub fn on_heartbeat(&mut self, now: Millis, heartbeat: &Heartbeat) {
         if !self.peers.contains(&heartbeat.from) {
             return;
         }
-        self.announced.insert(heartbeat.from.clone());
+        self.peers_with_standby.insert(heartbeat.from.clone());
         let Some(term) = &self.term else {
             return;
         };
         if heartbeat.is_leader && heartbeat.from == term.leader && heartbeat.token == term.token {
             if heartbeat.incarnation == term.incarnation {
-                self.detector.heard(now);
+                self.detector.record_heartbeat(now);
             }
         } else if heartbeat.lost {
             let token = heartbeat.token;
-            self.votes
-                .insert(heartbeat.from.clone(), Vote { token, at: now });
+            self.votes.insert(
+                heartbeat.from.clone(),
+                Vote {
+                    token,
+                    received_at: now,
+                },
+            );
         } else {
             self.votes.remove(&heartbeat.from);
         }
     }
 
-    /// Hints have arrived. Only those of the present leader are used.
+    /// Handles hints. Only those of the current leader are stored.
     pub fn on_hints(&mut self, now: Millis, hints: Hints) {
-        let of_leader = |t: &Term| t.leader == hints.from && t.token == hints.token;
-        if self.term.as_ref().is_some_and(of_leader) {
+        let is_from_leader = |term: &Term| term.leader == hints.from && term.token == hints.token;
+        if self.term.as_ref().is_some_and(is_from_leader) {
             self.hints.add(now, hints);
         } else {
             self.stale_hints += 1;
         }
     }
 
-    /// The connection to a peer is lost, or refused.
+    /// Handles a connection to a peer that is lost or refused.
     pub fn on_disconnected(&mut self, now: Millis, controller_id: &str) {
         if self
             .term
             .as_ref()
             .is_some_and(|t| t.leader == controller_id)
         {
-            self.detector.disconnected(now);
+            self.detector.record_disconnect(now);
         }
     }
 
-    /// The hints received so far.
+    /// The hints that this controller has received.
     pub fn hints(&self) -> &HintStore {
         &self.hints
     }
 
-    /// Whether this controller suspects the present leader, and why.
+    /// Why this controller suspects the current leader; `None` if it doesn't.
     pub fn suspicion(&self, now: Millis) -> Option<Suspicion> {
         let term = self.term.as_ref()?;
         if !self.config.is_enabled() || term.leader == self.controller_id {
@@ -176,7 +185,7 @@
         self.detector.suspicion(&self.config, now)
     }
 
-    /// Whether the leader's record may be replaced before its lease expires.
+    /// Whether this controller may replace the leader's record before the lease expires.
     pub fn may_replace(&self, now: Millis) -> Result<(), NotReplaceable> {
         let Some(term) = self.term.as_ref().filter(|_| self.suspicion(now).is_some()) else {
             return Err(NotReplaceable::NotSuspected);
@@ -184,10 +193,10 @@
         if term.fenced_ms.is_none() {
             return Err(NotReplaceable::NotFenced);
         }
-        if !self.peers.is_subset(&self.announced) {
+        if !self.peers.is_subset(&self.peers_with_standby) {
             return Err(NotReplaceable::UnknownRelease);
         }
-        if self.suspecting(now, term) * 2 <= self.peers.len() + 1 {
+        if self.count_suspecting(now, term) * 2 <= self.peers.len() + 1 {
             return Err(NotReplaceable::NoMajority);
         }
         match self.recent_leadership_changes(now) < self.config.takeovers_per_minute as usize {
@@ -196,51 +205,53 @@
         }
     }
 
-    /// How many controllers, this one included, suspect the leader.
-    fn suspecting(&self, now: Millis, term: &Term) -> usize {
-        let life_ms = VOTE_INTERVALS * self.config.heartbeat_ms;
-        let counts = |(controller_id, vote): &(&ControllerId, &Vote)| {
-            let fresh = now.saturating_sub(vote.at) <= life_ms;
-            **controller_id != term.leader && vote.token == term.token && fresh
+    /// Number of controllers that suspect the leader, this one included.
+    fn count_suspecting(&self, now: Millis, term: &Term) -> usize {
+        let lifetime_ms = VOTE_LIFETIME_INTERVALS * self.config.heartbeat_ms;
+        let is_valid = |(controller_id, vote): &(&ControllerId, &Vote)| {
+            let is_recent = now.saturating_sub(vote.received_at) <= lifetime_ms;
+            **controller_id != term.leader && vote.token == term.token && is_recent
         };
-        1 + self.votes.iter().filter(counts).count()
+        1 + self.votes.iter().filter(is_valid).count()
     }
 
-    /// How often leadership changed within the last minute.
+    /// Number of leadership changes within the last minute.
     pub fn recent_leadership_changes(&self, now: Millis) -> usize {
         let recent = |at: &&Millis| now.saturating_sub(**at) < MINUTE_MS;
-        self.changes.iter().filter(recent).count()
+        self.leadership_changes.iter().filter(recent).count()
     }
 
-    /// The time since the leader's last heartbeat; `None` without one, or if this controller leads.
+    /// The time since the leader's last heartbeat, in milliseconds; `None` if none has arrived or
+    /// this controller leads.
     pub fn leader_silent_ms(&self, now: Millis) -> Option<Millis> {
         self.detector.silent_ms(now)
     }
 
-    /// The heartbeat that is due, if one is.
+    /// Returns the heartbeat to broadcast if one is due. One is due at the regular interval, and at
+    /// once when this controller starts or stops suspecting the leader.
     pub fn tick(&mut self, now: Millis) -> Option<Heartbeat> {
         if !self.config.is_enabled() {
             return None;
         }
-        while let Some(at) = self.changes.front()
+        while let Some(at) = self.leadership_changes.front()
             && now.saturating_sub(*at) >= MINUTE_MS
         {
-            self.changes.pop_front();
+            self.leadership_changes.pop_front();
         }
         let lost = self.suspicion(now).is_some();
-        let changed = lost != self.was_suspected;
-        if !changed && now < self.next_heartbeat {
+        let has_changed = lost != self.last_sent_lost;
+        if !has_changed && now < self.next_heartbeat_at {
             return None;
         }
-        self.was_suspected = lost;
+        self.last_sent_lost = lost;
         let is_leader =
             |t: &Term| t.leader == self.controller_id && t.incarnation == self.incarnation;
         let is_leader = self.term.as_ref().is_some_and(is_leader);
-        let pause_ms = match is_leader || lost {
+        let interval_ms = match is_leader || lost {
             true => self.config.heartbeat_ms,
-            false => ANNOUNCE_MS.max(self.config.heartbeat_ms),
+            false => FOLLOWER_HEARTBEAT_MS.max(self.config.heartbeat_ms),
         };
-        self.next_heartbeat = now + pause_ms;
+        self.next_heartbeat_at = now + interval_ms;
         Some(Heartbeat {
             from: self.controller_id.clone(),
             incarnation: self.incarnation,
