--- a/cells/tests/hard_cases.rs
+++ b/cells/tests/hard_cases.rs
@@ -1,5 +1,5 @@
-//! The cases that are hardest to get right, one by one: each holds, and each fails with the mistake
-//! that it is there to find.
+//! Edge cases of transfers and limit changes, each as a fixed sequence of steps. Each case has to
+//! hold with the correct code, and to fail with the injected bug against which it guards.
 
 mod world;
 
@@ -10,7 +10,7 @@
 use salttrestle_cells::message::{self, LinkError, LinkMessage, Need};
 use salttrestle_cells::sharing::{TeamView, plan_transfers};
 use std::collections::BTreeMap;
-use world::{LeaderOf, Mistake, Violation, World, refused, tasks_of};
+use world::{InjectedBug, LeaderId, Violation, World, quota_for_tasks, refused};
 
 const BLUE: usize = 0;
 const HOME: usize = 0;
@@ -19,37 +19,39 @@
 
 type Case = fn(&mut World) -> Result<(), Violation>;
 
-/// Plays a case as it is, and with the mistake that it catches.
-fn play(case: Case, caught: Mistake) {
-    let mut world = World::new(3, &[("blue", 8)], Mistake::None);
+/// Runs a case without an injected bug, which has to pass, and with `bug`, which has to fail.
+fn run_case(case: Case, bug: InjectedBug) {
+    let mut world = World::new(3, &[("blue", 8)], InjectedBug::None);
     case(&mut world).expect("the case holds");
-    let mut world = World::new(3, &[("blue", 8)], caught);
+    let mut world = World::new(3, &[("blue", 8)], bug);
     let result = case(&mut world);
-    assert!(result.is_err(), "{caught:?} isn't caught");
+    assert!(result.is_err(), "{bug:?} isn't found");
 }
 
-/// A transfer's first commit is carried out.
+/// Executes the first commit of a transfer.
 fn give(world: &mut World, from: usize, to: usize, tasks: u64) {
-    world.step(from, |world, by| world.give(by, to, BLUE, tasks));
+    world.run_step(from, |world, by| world.give(by, to, BLUE, tasks));
 }
 
-/// What `from` has committed reaches `to`, which acts on it.
-fn pass(world: &mut World, from: usize, to: usize) {
-    world.refresh(LeaderOf::first(from));
-    world.send_message(LeaderOf::first(from), to);
+/// Sends the committed state of cell `from` to cell `to`, which handles the message.
+fn send_and_handle_message(world: &mut World, from: usize, to: usize) {
+    world.read_records(LeaderId::first(from));
+    world.send_message(LeaderId::first(from), to);
     world.deliver(world.messages.len() - 1, 0);
-    world.step(to, |world, by| world.act_on(by, from));
+    world.run_step(to, |world, by| world.handle_last_message(by, from));
 }
 
-/// A cell's only shard may use the cell's whole share.
-fn allow_all(world: &mut World, at: usize) {
-    world.step(at, |world, by| {
+/// Allots the cell's whole share to its only shard.
+fn allot_whole_share(world: &mut World, at: usize) {
+    world.run_step(at, |world, by| {
         world.set_quota_share(by, BLUE, u64::MAX / 2000);
     });
 }
 
-fn expect(holds: bool, what: &'static str) -> Result<(), Violation> {
-    holds.then_some(()).ok_or(Violation::Unexpected(what))
+fn ensure(holds: bool, expectation: &'static str) -> Result<(), Violation> {
+    holds
+        .then_some(())
+        .ok_or(Violation::Unexpected(expectation))
 }
 
 fn share(world: &World, at: usize) -> Amount {
@@ -57,286 +59,301 @@
 }
 
 #[test]
-fn transfer_when_the_link_is_partitioned_between_both_commits_is_accepted_once() {
-    play(
+fn transfer_when_the_link_is_partitioned_between_both_commits_is_taken_once() {
+    run_case(
         |world| {
             give(world, HOME, EAST, 3);
             world.check()?;
-            expect(world.in_transit("blue") == tasks_of(3), "in transit")?;
-            // No message arrives: neither cell has the room, and no second transfer begins.
+            ensure(world.in_transit("blue") == quota_for_tasks(3), "in transit")?;
+            // No message arrives: neither cell may use the quota, and no second transfer starts.
             give(world, HOME, EAST, 2);
-            expect(world.in_transit("blue") == tasks_of(3), "one at a time")?;
-            pass(world, HOME, EAST);
+            ensure(
+                world.in_transit("blue") == quota_for_tasks(3),
+                "only one transfer is pending",
+            )?;
+            send_and_handle_message(world, HOME, EAST);
             world.check()?;
-            expect(share(world, EAST) == tasks_of(3), "taken once")
+            ensure(share(world, EAST) == quota_for_tasks(3), "taken once")
         },
-        Mistake::ForgetsEarly,
+        InjectedBug::ClearsPendingEarly,
     );
 }
 
 #[test]
 fn copies_of_an_old_transfer_after_newer_ones_are_ignored() {
-    play(
+    run_case(
         |world| {
             give(world, HOME, EAST, 3);
-            pass(world, HOME, EAST);
+            send_and_handle_message(world, HOME, EAST);
             let first = world.messages.len() - 1;
-            pass(world, EAST, HOME);
+            send_and_handle_message(world, EAST, HOME);
             give(world, HOME, EAST, 2);
-            pass(world, HOME, EAST);
+            send_and_handle_message(world, HOME, EAST);
             for _ in 0..3 {
                 world.deliver(first, 0);
-                world.step(EAST, |world, by| world.act_on(by, HOME));
+                world.run_step(EAST, |world, by| world.handle_last_message(by, HOME));
                 world.check()?;
             }
-            expect(share(world, EAST) == tasks_of(5), "each taken once")
+            ensure(share(world, EAST) == quota_for_tasks(5), "each taken once")
         },
-        Mistake::AnyNumber,
+        InjectedBug::AcceptsAnyNumber,
     );
 }
 
 #[test]
-fn transfer_when_the_takers_leader_changes_after_its_commit_is_accepted_once() {
-    play(
+fn transfer_when_the_receivers_leader_changes_after_its_commit_is_taken_once() {
+    run_case(
         |world| {
             give(world, HOME, EAST, 3);
-            pass(world, HOME, EAST);
-            // The next leader has received the same transfer, and reads the records anew.
+            send_and_handle_message(world, HOME, EAST);
+            // The next leader has received the same transfer and reads the records again.
             world.deliver(world.messages.len() - 1, 1);
-            world.refresh(LeaderOf::second(EAST));
-            world.act_on(LeaderOf::second(EAST), HOME);
-            world.carry_out(world.commits.len() - 1);
+            world.read_records(LeaderId::second(EAST));
+            world.handle_last_message(LeaderId::second(EAST), HOME);
+            world.execute_commit(world.commits.len() - 1);
             world.check()?;
-            pass(world, EAST, HOME);
-            expect(world.in_transit("blue").is_zero(), "forgotten")?;
-            expect(share(world, EAST) == tasks_of(3), "taken once")
+            send_and_handle_message(world, EAST, HOME);
+            ensure(
+                world.in_transit("blue").is_zero(),
+                "pending transfer is cleared",
+            )?;
+            ensure(share(world, EAST) == quota_for_tasks(3), "taken once")
         },
-        Mistake::AnyNumber,
+        InjectedBug::AcceptsAnyNumber,
     );
 }
 
 #[test]
-fn transfer_when_the_giver_is_killed_after_each_step_is_accepted_once() {
-    play(
+fn transfer_when_the_senders_leader_is_killed_after_each_step_is_taken_once() {
+    run_case(
         |world| {
-            // After the commit was sent: whether it was carried out isn't known.
-            world.refresh(LeaderOf::first(HOME));
-            world.give(LeaderOf::first(HOME), EAST, BLUE, 3);
+            // Killed after it sent the commit: nobody knows whether the commit was executed.
+            world.read_records(LeaderId::first(HOME));
+            world.give(LeaderId::first(HOME), EAST, BLUE, 3);
             let sent = world.commits.len() - 1;
-            // The next leader gives as well; whichever commit comes first makes the other fail.
-            world.refresh(LeaderOf::second(HOME));
-            world.give(LeaderOf::second(HOME), EAST, BLUE, 4);
-            world.carry_out(world.commits.len() - 1);
+            // The next leader also gives quota. The commit that is executed first makes the other
+            // one fail.
+            world.read_records(LeaderId::second(HOME));
+            world.give(LeaderId::second(HOME), EAST, BLUE, 4);
+            world.execute_commit(world.commits.len() - 1);
             world.check()?;
-            world.carry_out(sent);
+            world.execute_commit(sent);
             world.check()?;
-            expect(world.in_transit("blue") == tasks_of(4), "one of the two")?;
-            // After the transfer was sent: the next leader sends it again.
-            pass(world, HOME, EAST);
-            pass(world, HOME, EAST);
+            ensure(
+                world.in_transit("blue") == quota_for_tasks(4),
+                "only one of the two transfers",
+            )?;
+            // Killed after it sent the transfer: the next leader sends the transfer again.
+            send_and_handle_message(world, HOME, EAST);
+            send_and_handle_message(world, HOME, EAST);
             world.check()?;
-            // After the giver learnt that it was accepted, before it forgot.
-            pass(world, EAST, HOME);
-            pass(world, EAST, HOME);
+            // Killed after it learned that the transfer was taken, but before it cleared the
+            // pending transfer.
+            send_and_handle_message(world, EAST, HOME);
+            send_and_handle_message(world, EAST, HOME);
             world.check()?;
-            expect(share(world, EAST) == tasks_of(4), "taken once")
+            ensure(share(world, EAST) == quota_for_tasks(4), "taken once")
         },
-        Mistake::NoConditions,
+        InjectedBug::IgnoresConditions,
     );
 }
 
 #[test]
-fn commit_without_an_answer_when_carried_out_late_changes_nothing() {
-    play(
+fn commit_without_a_response_when_executed_late_changes_nothing() {
+    run_case(
         |world| {
             give(world, HOME, EAST, 3);
-            world.refresh(LeaderOf::first(HOME));
-            world.send_message(LeaderOf::first(HOME), EAST);
+            world.read_records(LeaderId::first(HOME));
+            world.send_message(LeaderId::first(HOME), EAST);
             world.deliver(world.messages.len() - 1, 0);
-            world.refresh(LeaderOf::first(EAST));
-            world.act_on(LeaderOf::first(EAST), HOME);
+            world.read_records(LeaderId::first(EAST));
+            world.handle_last_message(LeaderId::first(EAST), HOME);
             let late = world.commits.len() - 1;
-            // It is tried again, and succeeds, and some of it goes on to another cell; then the
-            // first try is carried out.
-            world.step(EAST, |world, by| world.act_on(by, HOME));
+            // The second attempt succeeds, and some of the quota moves on to another cell. Then the
+            // commit of the first attempt is executed.
+            world.run_step(EAST, |world, by| world.handle_last_message(by, HOME));
             world.check()?;
             give(world, EAST, WEST, 1);
-            world.carry_out(late);
+            world.execute_commit(late);
             world.check()?;
-            expect(share(world, EAST) == tasks_of(2), "taken once")
+            ensure(share(world, EAST) == quota_for_tasks(2), "taken once")
         },
-        Mistake::NoConditions,
+        InjectedBug::IgnoresConditions,
     );
 }
 
 #[test]
-fn limit_lowered_when_every_cell_is_at_it_and_machines_are_partitioned_waits_for_proofs() {
-    play(
+fn limit_lowered_when_all_of_it_is_in_use_and_machines_are_partitioned_waits_for_ended_tasks() {
+    run_case(
         |world| {
             give(world, HOME, EAST, 4);
-            pass(world, HOME, EAST);
-            pass(world, EAST, HOME);
+            send_and_handle_message(world, HOME, EAST);
+            send_and_handle_message(world, EAST, HOME);
             for at in [HOME, EAST] {
-                allow_all(world, at);
+                allot_whole_share(world, at);
                 (0..4).for_each(|_| world.start_task(at, BLUE));
             }
-            world.want(BLUE, 2);
+            world.request_limit(BLUE, 2);
             for _ in 0..3 {
-                world.step(HOME, |world, by| world.change_limit(by, BLUE));
-                pass(world, HOME, EAST);
-                world.step(EAST, world::World::share);
+                world.run_step(HOME, |world, by| world.change_limit(by, BLUE));
+                send_and_handle_message(world, HOME, EAST);
+                world.run_step(EAST, world::World::rebalance);
                 world.check()?;
             }
-            // No task is proven gone, so the old limit stays in force.
+            // No task is known to have ended, so the old limit stays in force.
             let limit = world.stores[HOME].cell.value.limits["blue"];
-            expect(limit == tasks_of(8), "the old limit is in force")?;
+            ensure(limit == quota_for_tasks(8), "the old limit is in force")?;
             (0..4).for_each(|_| world.end_task(EAST, BLUE));
             (0..3).for_each(|_| world.end_task(HOME, BLUE));
             world.settle();
             world.check_settled()
         },
-        Mistake::LowersAtOnce,
+        InjectedBug::LowersLimitAtOnce,
     );
 }
 
 #[test]
 fn limit_raised_when_its_recall_is_in_transit_keeps_the_sum() {
-    play(
+    run_case(
         |world| {
             give(world, HOME, EAST, 6);
-            pass(world, HOME, EAST);
-            pass(world, EAST, HOME);
-            world.want(BLUE, 3);
-            world.step(HOME, |world, by| world.change_limit(by, BLUE));
-            pass(world, HOME, EAST);
-            // The room that is recalled is in transit when the limit is raised again.
-            world.step(EAST, world::World::share);
-            world.want(BLUE, 9);
-            world.step(HOME, |world, by| world.change_limit(by, BLUE));
+            send_and_handle_message(world, HOME, EAST);
+            send_and_handle_message(world, EAST, HOME);
+            world.request_limit(BLUE, 3);
+            world.run_step(HOME, |world, by| world.change_limit(by, BLUE));
+            send_and_handle_message(world, HOME, EAST);
+            // The recalled quota is in transit when the limit is raised again.
+            world.run_step(EAST, world::World::rebalance);
+            world.request_limit(BLUE, 9);
+            world.run_step(HOME, |world, by| world.change_limit(by, BLUE));
             world.check()?;
-            pass(world, EAST, HOME);
-            world.step(HOME, |world, by| world.change_limit(by, BLUE));
+            send_and_handle_message(world, EAST, HOME);
+            world.run_step(HOME, |world, by| world.change_limit(by, BLUE));
             world.check()?;
             world.settle();
             world.check_settled()
         },
-        Mistake::LowersAtOnce,
+        InjectedBug::LowersLimitAtOnce,
     );
 }
 
 #[test]
 fn shares_when_the_home_is_partitioned_move_between_others() {
-    play(
+    run_case(
         |world| {
             give(world, HOME, EAST, 8);
-            pass(world, HOME, EAST);
-            pass(world, EAST, HOME);
-            world.want(BLUE, 1);
-            world.stores[HOME].outage = true;
-            allow_all(world, EAST);
+            send_and_handle_message(world, HOME, EAST);
+            send_and_handle_message(world, EAST, HOME);
+            world.request_limit(BLUE, 1);
+            world.stores[HOME].is_down = true;
+            allot_whole_share(world, EAST);
             (0..2).for_each(|_| world.start_task(EAST, BLUE));
-            world.step(EAST, |world, by| world.set_quota_share(by, BLUE, 2));
+            world.run_step(EAST, |world, by| world.set_quota_share(by, BLUE, 2));
             give(world, EAST, WEST, 5);
-            pass(world, EAST, WEST);
-            pass(world, WEST, EAST);
+            send_and_handle_message(world, EAST, WEST);
+            send_and_handle_message(world, WEST, EAST);
             world.check()?;
-            expect(share(world, WEST) == tasks_of(5), "moved without the home")?;
-            // What is in use stays.
+            ensure(
+                share(world, WEST) == quota_for_tasks(5),
+                "quota moves without the home",
+            )?;
+            // Quota in use isn't given.
             give(world, EAST, WEST, 2);
             world.check()?;
-            world.stores[HOME].outage = false;
+            world.stores[HOME].is_down = false;
             world.settle();
             world.check_settled()
         },
-        Mistake::GivesWhatIsUsed,
+        InjectedBug::GivesHeldQuota,
     );
 }
 
 #[test]
 fn transfers_over_a_flapping_link_keep_the_sum() {
-    play(
+    run_case(
         |world| {
             for round in 0..40 {
                 give(world, HOME, EAST, 1);
                 give(world, EAST, HOME, 1);
-                // Each direction works now and then, and brings old messages as well.
+                // Each direction works only in some rounds, and old messages are delivered again.
                 let (from, to) = if round % 3 == 0 {
                     (EAST, HOME)
                 } else {
                     (HOME, EAST)
                 };
                 if round % 4 != 0 {
-                    pass(world, from, to);
+                    send_and_handle_message(world, from, to);
                 }
                 let old = world.messages.len().saturating_sub(round % 5 + 1);
                 world.deliver(old, 0);
-                world.step(EAST, |world, by| world.act_on(by, HOME));
-                world.step(HOME, |world, by| world.act_on(by, EAST));
+                world.run_step(EAST, |world, by| world.handle_last_message(by, HOME));
+                world.run_step(HOME, |world, by| world.handle_last_message(by, EAST));
                 world.check()?;
             }
             world.settle();
             world.check_settled()
         },
-        Mistake::AnyNumber,
+        InjectedBug::AcceptsAnyNumber,
     );
 }
 
 #[test]
-fn transfer_when_the_takers_store_is_out_is_accepted_once() {
-    play(
+fn transfer_when_the_receivers_store_is_unavailable_is_taken_once() {
+    run_case(
         |world| {
             give(world, HOME, EAST, 3);
-            world.stores[EAST].outage = true;
-            // Its leader goes on acting on what it read before; nothing of it is carried out.
+            world.stores[EAST].is_down = true;
+            // The cell's leader continues with the records it read before; no commit is executed.
             for _ in 0..5 {
-                pass(world, HOME, EAST);
+                send_and_handle_message(world, HOME, EAST);
                 world.check()?;
             }
-            let tried = world.commits.len();
-            expect(world.in_transit("blue") == tasks_of(3), "in transit")?;
-            world.stores[EAST].outage = false;
-            for commit in 0..tried {
-                world.carry_out(commit);
+            let commits_sent = world.commits.len();
+            ensure(world.in_transit("blue") == quota_for_tasks(3), "in transit")?;
+            world.stores[EAST].is_down = false;
+            for commit in 0..commits_sent {
+                world.execute_commit(commit);
                 give(world, EAST, WEST, 1);
                 world.check()?;
             }
-            expect(
-                share(world, EAST) == tasks_of(2),
-                "taken once, and one given",
+            ensure(
+                share(world, EAST) == quota_for_tasks(2),
+                "taken once, and one task given",
             )
         },
-        Mistake::NoConditions,
+        InjectedBug::IgnoresConditions,
     );
 }
 
 #[test]
 fn share_when_a_cell_has_two_leaders_is_not_used_and_given() {
-    play(
+    run_case(
         |world| {
-            allow_all(world, HOME);
-            world.step(HOME, |world, by| world.set_quota_share(by, BLUE, 0));
-            // One has counted nothing in use and gives; the other lets the shard use it all.
-            world.refresh(LeaderOf::first(HOME));
-            world.refresh(LeaderOf::second(HOME));
-            world.set_quota_share(LeaderOf::second(HOME), BLUE, 8);
-            world.carry_out(world.commits.len() - 1);
+            allot_whole_share(world, HOME);
+            world.run_step(HOME, |world, by| world.set_quota_share(by, BLUE, 0));
+            // One leader sees no quota in use and gives some. The other one allots all of it to the
+            // shard.
+            world.read_records(LeaderId::first(HOME));
+            world.read_records(LeaderId::second(HOME));
+            world.set_quota_share(LeaderId::second(HOME), BLUE, 8);
+            world.execute_commit(world.commits.len() - 1);
             (0..8).for_each(|_| world.start_task(HOME, BLUE));
-            world.give(LeaderOf::first(HOME), EAST, BLUE, 6);
-            world.carry_out(world.commits.len() - 1);
+            world.give(LeaderId::first(HOME), EAST, BLUE, 6);
+            world.execute_commit(world.commits.len() - 1);
             world.check()
         },
-        Mistake::NoShardCondition,
+        InjectedBug::OmitsShardCondition,
     );
 }
 
-// ---- files and messages
+// Cells files and messages.
 
-fn teams(entries: &[(&str, &str, u64)]) -> BTreeMap<String, HomeTeam> {
+fn home_teams(entries: &[(&str, &str, u64)]) -> BTreeMap<String, HomeTeam> {
     let team = |(name, home, since): &(&str, &str, u64)| {
         let home = HomeTeam {
             home: home.to_string(),
             since: *since,
-            limit: tasks_of(8),
+            limit: quota_for_tasks(8),
         };
         (name.to_string(), home)
     };
@@ -346,37 +363,37 @@
 #[test]
 fn old_cells_file_when_a_cell_comes_back_is_refused() {
     let (here, other) = ("here".to_string(), "other".to_string());
-    let first = teams(&[("blue", "here", 1)]);
+    let first = home_teams(&[("blue", "here", 1)]);
     let record = CellRecord::create(&here, 1, &first);
-    assert_eq!(record.share("blue"), tasks_of(8));
-    // A newer file brings a team; the older one neither removes nor creates any.
-    let newer = teams(&[("blue", "here", 1), ("green", "here", 2)]);
+    assert_eq!(record.share("blue"), quota_for_tasks(8));
+    // A newer file adds a team. The older file neither removes nor adds teams.
+    let newer = home_teams(&[("blue", "here", 1), ("green", "here", 2)]);
     let adopted = record.adopt(&here, 2, &newer).expect("a newer file");
-    assert_eq!(adopted.share("green"), tasks_of(8));
+    assert_eq!(adopted.share("green"), quota_for_tasks(8));
     assert_eq!(refused(adopted.adopt(&here, 1, &first)), Refusal::OldFile);
     assert_eq!(refused(adopted.adopt(&here, 2, &newer)), Refusal::Unchanged);
-    // A team that is known elsewhere isn't created again where a file moves its home to.
-    let moved = teams(&[("blue", "other", 1), ("green", "other", 2)]);
+    // If a file moves the home of an existing team, the new home doesn't create the limit again.
+    let moved = home_teams(&[("blue", "other", 1), ("green", "other", 2)]);
     let theirs = CellRecord::create(&other, 1, &first);
     let theirs = theirs.adopt(&other, 3, &moved).expect("a newer file");
     assert_eq!(theirs.share("blue"), Amount::ZERO);
     assert!(!theirs.limits.contains_key("blue"));
-    // Nor by a cell that comes later than the team.
+    // A cell that is added later than the team doesn't create it either.
     let late = CellRecord::create(&other, 3, &moved);
     assert_eq!(late.share("green"), Amount::ZERO);
 }
 
 #[test]
-fn changes_that_must_not_be_made_are_refused() {
+fn invalid_changes_are_refused() {
     let here = "here".to_string();
     let record = CellRecord::create(
         &here,
         1,
-        &teams(&[("blue", "here", 1), ("red", "there", 1)]),
+        &home_teams(&[("blue", "here", 1), ("red", "there", 1)]),
     );
     let link = LinkRecord::default();
     let none = |_: &str| Amount::ZERO;
-    let amounts = |team: &str, tasks| vec![(team.to_string(), tasks_of(tasks))];
+    let amounts = |team: &str, tasks| vec![(team.to_string(), quota_for_tasks(tasks))];
     let give = |amounts| record.give(&link, amounts, none);
     assert_eq!(refused(give(Vec::new())), Refusal::Malformed);
     assert_eq!(refused(give(amounts("blue", 0))), Refusal::Malformed);
@@ -385,7 +402,7 @@
     let twice = [amounts("blue", 5), amounts("blue", 5)].concat();
     assert_eq!(refused(give(twice)), Refusal::Held);
     assert_eq!(
-        refused(record.give(&link, amounts("blue", 5), |_| tasks_of(4))),
+        refused(record.give(&link, amounts("blue", 5), |_| quota_for_tasks(4))),
         Refusal::Held
     );
     let transfer = |number, amounts| Transfer { number, amounts };
@@ -405,7 +422,7 @@
     let huge = vec![("blue".to_string(), Amount(0, u64::MAX))];
     assert_eq!(refused(take(transfer(1, huge))), Refusal::Overflow);
     assert_eq!(
-        refused(record.change_limit("red", tasks_of(1), Amount::ZERO)),
+        refused(record.change_limit("red", quota_for_tasks(1), Amount::ZERO)),
         Refusal::NotHome
     );
     assert_eq!(refused(link.clear_pending(7)), Refusal::Unchanged);
@@ -420,16 +437,16 @@
         taken: 3,
         transfer: Some(Transfer {
             number: 4,
-            amounts: vec![("blue".into(), tasks_of(2))],
+            amounts: vec![("blue".into(), quota_for_tasks(2))],
         }),
         needs: Vec::new(),
         recalls: Vec::new(),
     };
     let bytes = message::frame(&message).expect("a frame");
-    // These bytes are what other cells read: a change of them needs a new version.
-    let form: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
+    // Other cells decode these bytes: a change of the encoding needs a new version.
+    let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
     assert_eq!(
-        form,
+        hex,
         "0000001a010468657265057468657265010301040104626c756500d00f0000"
     );
     for cut in 0..bytes.len() {
@@ -447,18 +464,20 @@
     assert_eq!(changed(4, 9), Err(LinkError::Version(9)));
     assert_eq!(changed(0, 1), Err(LinkError::TooLarge));
     assert_eq!(changed(5, 0xff), Err(LinkError::Malformed));
-    // A shorter length leaves something behind the message, a longer one waits for more.
+    // With a shorter length, bytes are left after the message. With a longer one, the message is
+    // incomplete.
     assert_eq!(changed(3, 0x19), Err(LinkError::Malformed));
     assert_eq!(changed(3, 0x1b), Ok(None));
 }
 
-/// More teams need room than one transfer holds: those that have least of what they need go first.
-/// By name, the last teams of 120 waited for as long as the first ones needed a little more.
+/// When more teams need quota than one transfer holds, the teams that lack the largest fraction of
+/// their need come first. In order of names, the last of 120 teams waited for as long as the first
+/// ones needed a little more.
 #[test]
-fn gifts_when_one_transfer_holds_too_few_teams_go_to_those_that_lack_most() {
+fn transfer_with_too_few_places_goes_to_the_teams_that_lack_most() {
     let teams = (0..60).map(|n| {
         let view = TeamView {
-            share: tasks_of(50),
+            share: quota_for_tasks(50),
             ..TeamView::default()
         };
         (format!("team-{n:02}"), view)
@@ -469,10 +488,10 @@
         share: if team == "team-59" {
             Amount::ZERO
         } else {
-            tasks_of(9)
+            quota_for_tasks(9)
         },
-        more: tasks_of(2),
-        lacking: tasks_of(1),
+        more: quota_for_tasks(2),
+        lacking: quota_for_tasks(1),
     });
     let message = LinkMessage {
         from: "east".into(),
--- a/cells/tests/world/store.rs
+++ b/cells/tests/world/store.rs
@@ -1,46 +1,47 @@
-//! What one cell's store has, and the commits that change it.
+//! The store of one cell, and the commits that change it.
 
 use salttrestle_cells::ledger::{CellRecord, LinkRecord};
 use salttrestle_cells::{Amount, Cell, Team};
 use std::collections::BTreeMap;
 
-/// Quota shares of the only shard of a cell.
+/// The quota share of each team in the record of the cell's only shard.
 pub(crate) type QuotaShares = BTreeMap<Team, Amount>;
 
-/// A record with the revision of its last change.
+/// A record with the store's revision at its last change.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Versioned<T> {
     pub revision: u64,
     pub value: T,
 }
 
-/// One cell's records, and what its machines run.
+/// The records of one cell, and the quota that its tasks use.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Store {
     pub revision: u64,
     pub cell: Versioned<CellRecord>,
     pub links: BTreeMap<Cell, Versioned<LinkRecord>>,
-    /// The quota shares in the only shard's record.
+    /// The record of the cell's only shard.
     pub shard: Versioned<QuotaShares>,
     pub used: BTreeMap<Team, Amount>,
-    /// What the operators want as limits of the teams at home here.
-    pub wanted: BTreeMap<Team, Amount>,
-    /// The store refuses all requests.
-    pub outage: bool,
+    /// The limits that the operators request for the teams whose home is this cell.
+    pub requested_limits: BTreeMap<Team, Amount>,
+    /// Whether the store refuses all requests.
+    pub is_down: bool,
 }
 
 impl Store {
-    /// What a team's tasks use.
+    /// The quota that a team's tasks use.
     pub(crate) fn used(&self, team: &str) -> Amount {
         self.used.get(team).copied().unwrap_or_default()
     }
 
-    /// What the shard may use of a team.
+    /// The quota share of a team in the shard's record.
     pub(crate) fn quota_share(&self, team: &str) -> Amount {
         self.shard.value.get(team).copied().unwrap_or_default()
     }
 
-    /// Carries a commit out. A record that is only a condition keeps its revision.
+    /// Applies a commit whose conditions hold. A record that the commit doesn't change keeps its
+    /// revision.
     pub(crate) fn apply(&mut self, commit: Commit) {
         self.revision += 1;
         let revision = self.revision;
@@ -63,16 +64,16 @@
 #[derive(Clone, Debug)]
 pub(crate) struct LinkWrite {
     pub other: Cell,
-    /// The new record, on the condition that the old one has this revision.
+    /// The new record, and the revision that the old one must have.
     pub record: Versioned<LinkRecord>,
 }
 
-/// What a commit does with the shard's record.
+/// The part of a commit that concerns the shard's record.
 #[derive(Clone, Debug)]
 pub(crate) enum ShardWrite {
-    /// Nothing, on the condition that it has this revision.
+    /// Doesn't change the record, but requires that it has this revision.
     Unchanged { revision: u64 },
-    /// New quota shares, on the condition that the old ones have this revision.
+    /// Replaces the record, which must have this revision.
     Replace(Versioned<QuotaShares>),
 }
 
@@ -85,19 +86,20 @@
     }
 }
 
-/// A commit on its way. Each record that it writes is a condition as well.
+/// A commit that was sent to a store. It is conditional on the revision of each record that it
+/// contains.
 #[derive(Clone, Debug)]
 pub(crate) struct Commit {
-    /// The cell at whose store it is made.
-    pub at: usize,
+    /// The index of the cell whose store receives the commit.
+    pub at_cell: usize,
     pub cell: Option<Versioned<CellRecord>>,
     pub link: Option<LinkWrite>,
     pub shard: Option<ShardWrite>,
 }
 
 impl Commit {
-    /// Whether all records are as they were when it was made.
-    pub(crate) fn holds(&self, store: &Store) -> bool {
+    /// Whether all records in the commit have the revisions that it requires.
+    pub(crate) fn conditions_hold(&self, store: &Store) -> bool {
         let cell = self.cell.as_ref();
         let cell = cell.is_none_or(|cell| cell.revision == store.cell.revision);
         let link = self.link.as_ref();
--- a/cells/tests/world/violations.rs
+++ b/cells/tests/world/violations.rs
@@ -1,13 +1,14 @@
-//! What must hold at any time, and once all has settled.
+//! The invariants: those that must hold after every step, and those that must hold after a period
+//! without faults.
 
 use super::World;
 use salttrestle_cells::{Amount, Cell, Team};
 use thiserror::Error;
 
-/// What doesn't hold.
+/// An invariant that doesn't hold.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub(crate) enum Violation {
-    /// The shares and what is in transit aren't together the limit.
+    /// The shares and the amounts in transit don't add up to the limit.
     #[error("{team}: shares {shares:?}, in transit {in_transit:?}, limit {limit:?}")]
     Sum {
         team: Team,
@@ -23,29 +24,29 @@
         used: Amount,
         share: Amount,
     },
-    /// Something is still in transit though all has settled.
-    #[error("{team}: still in transit after all has settled")]
+    /// Quota is still in transit after a period without faults.
+    #[error("{team}: quota is still in transit after a period without faults")]
     InTransit { team: Team },
-    /// A limit isn't what the operators want though all has settled.
-    #[error("{team}: limit {limit:?}, wanted {wanted:?}")]
+    /// A limit isn't the requested one after a period without faults.
+    #[error("{team}: limit {limit:?}, requested {requested:?}")]
     Limit {
         team: Team,
         limit: Amount,
-        wanted: Amount,
+        requested: Amount,
     },
-    /// What a single case expects.
+    /// An expectation of a single test case.
     #[error("{0}")]
     Unexpected(&'static str),
 }
 
 impl World {
-    /// Room of a team that was given and isn't accepted yet.
+    /// The quota of a team that was given and hasn't been taken yet.
     pub(crate) fn in_transit(&self, team: &str) -> Amount {
         let mut sum = Amount::ZERO;
-        for (giver, store) in self.names.iter().zip(&self.stores) {
+        for (sender, store) in self.names.iter().zip(&self.stores) {
             for (to, link) in &store.links {
-                let taker = &self.stores[self.place_of(to)];
-                let taken = taker.links[giver].value.taken;
+                let receiver = &self.stores[self.index_of(to)];
+                let taken = receiver.links[sender].value.taken;
                 let pending = link.value.pending.iter();
                 let pending = pending.filter(|transfer| transfer.number > taken);
                 let amounts = pending.flat_map(|transfer| &transfer.amounts);
@@ -57,13 +58,13 @@
         sum
     }
 
-    /// All shares of a team.
-    fn shares(&self, team: &str) -> Amount {
+    /// The sum of a team's shares in all cells.
+    fn total_share(&self, team: &str) -> Amount {
         let shares = self.stores.iter().map(|store| store.cell.value.share(team));
         shares.fold(Amount::ZERO, Amount::saturating_add)
     }
 
-    /// Checks what must hold at any time.
+    /// Checks the invariants that must hold after every step.
     pub(crate) fn check(&self) -> Result<(), Violation> {
         for team in self.teams.keys() {
             self.check_sum(team)?;
@@ -73,9 +74,9 @@
     }
 
     fn check_sum(&self, team: &Team) -> Result<(), Violation> {
-        let home = self.place_of(&self.teams[team].home);
+        let home = self.index_of(&self.teams[team].home);
         let limit = self.stores[home].cell.value.limits[team];
-        let (shares, in_transit) = (self.shares(team), self.in_transit(team));
+        let (shares, in_transit) = (self.total_share(team), self.in_transit(team));
         if shares.saturating_add(in_transit) == limit {
             return Ok(());
         }
@@ -102,7 +103,7 @@
         Ok(())
     }
 
-    /// Checks what must hold once all has settled.
+    /// Checks the invariants that must hold after a period without faults.
     pub(crate) fn check_settled(&self) -> Result<(), Violation> {
         self.check()?;
         for team in self.teams.keys() {
@@ -111,12 +112,12 @@
                 return Err(Violation::InTransit { team });
             }
             let home = &self.stores[0];
-            let (limit, wanted) = (home.cell.value.limits[&team], home.wanted[&team]);
-            if limit != wanted {
+            let (limit, requested) = (home.cell.value.limits[&team], home.requested_limits[&team]);
+            if limit != requested {
                 return Err(Violation::Limit {
                     team,
                     limit,
-                    wanted,
+                    requested,
                 });
             }
         }
--- a/standby/src/lib.rs
+++ b/standby/src/lib.rs
@@ -7,12 +7,10 @@
 //!
 //! - [`detector`] decides whether this controller suspects the leader.
 //! - [`standby`] counts the controllers that suspect the leader. Once they are a majority, one of
-//!   them
-//!   may replace the leader's record at once, by a commit on the condition that the record is
+//!   them may replace the leader's record at once, by a commit on the condition that the record is
 //!   unchanged.
 //! - [`fence`] computes for how long such a successor must not call the cloud. Calls to the cloud
-//!   have
-//!   no preconditions, so their safety depends on the former leader's lease.
+//!   have no preconditions, so their safety depends on the former leader's lease.
 //! - [`hints`] contains what the leader tells the other controllers besides the records.
 //! - [`message`] defines the messages between controllers.
 //!
--- a/standby/tests/takeovers.rs
+++ b/standby/tests/takeovers.rs
@@ -1,9 +1,9 @@
-//! Any order of reads, commits, messages, pauses and ends, drawn and shrunk by proptest: no task runs
-//! twice or uncommitted, no token is given again, and the cloud is called by one leader after the
-//! other. Each planted mistake has to be found.
+//! Property test over random sequences of reads, commits, messages, pauses and process ends. No
+//! task may run twice or without a committed placement, no token may be issued again, and no leader
+//! may call the cloud after its successor has called it. Each injected bug has to be found.
 //!
-//! `STANDBY_CASES=200000 cargo test --release -p salttrestle-standby --test takeovers` draws more of
-//! them, from another seed each time.
+//! `STANDBY_CASES=200000 cargo test --release -p salttrestle-standby --test takeovers` runs more
+//! cases, with another seed each time.
 
 #[path = "../../tests/property/mod.rs"]
 mod property;
@@ -11,41 +11,43 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::TestCaseError;
-use world::{CONTROLLERS, MACHINES, Mistake, Violation, World};
+use world::{CONTROLLERS, InjectedBug, MACHINES, Violation, World};
 
-/// Names how many cases are drawn by hand.
+/// Environment variable that sets the number of cases and makes each run use a new seed.
 const CASES_VARIABLE: &str = "STANDBY_CASES";
-/// Cases in CI, and for a mistake to be found in.
-const CASES: u32 = 2_000;
-const MISTAKE_CASES: u32 = 4_000;
-const STEPS: usize = 160;
+/// Number of cases without an injected bug, unless [`CASES_VARIABLE`] is set.
+const PROPERTY_CASES: u32 = 2_000;
+/// Maximum number of cases in which an injected bug has to be found.
+const INJECTED_BUG_CASES: u32 = 4_000;
+/// Upper bound, exclusive, of the number of steps in a case.
+const STEPS_MAX: usize = 160;
 
-/// One step. Commits, messages and answers are numbers that are taken modulo how many there are.
+/// One step. Indexes of commits, messages and answers are taken modulo their number.
 #[derive(Clone, Debug)]
 enum Step {
-    Wait(u64),
-    Read(usize),
+    AdvanceClock(u64),
+    ReadRecords(usize),
     Tick(usize),
-    CarryOut(usize),
+    ExecuteCommit(usize),
     CallCloud(usize),
     Place {
         controller: usize,
         machine: usize,
     },
-    Heartbeat {
+    WorkerHeartbeat {
         machine: usize,
         controller: usize,
     },
-    Answer(usize),
-    Hint {
+    DeliverAnswer(usize),
+    SendHints {
         controller: usize,
-        lie: bool,
+        is_false: bool,
     },
     Deliver {
         message: usize,
-        copy: bool,
+        keep_copy: bool,
     },
-    LoseMessages,
+    DropMessages,
     Disconnect {
         controller: usize,
         from: usize,
@@ -56,12 +58,12 @@
     },
     Restart {
         controller: usize,
-        up: bool,
+        is_up: bool,
     },
-    /// Some time in which everything works.
-    Calm(usize),
-    /// The same for all but one controller, which still calls the cloud.
-    CalmWithout {
+    /// Rounds without faults.
+    RunRounds(usize),
+    /// Rounds without faults except for one controller, which only calls the cloud.
+    RunRoundsWithout {
         controller: usize,
         rounds: usize,
     },
@@ -72,140 +74,146 @@
     let machine = || 0..MACHINES;
     let index = || 0..1_000usize;
     let step = prop_oneof![
-        6 => (10..800u64).prop_map(Step::Wait),
-        4 => controller().prop_map(Step::Read),
+        6 => (10..800u64).prop_map(Step::AdvanceClock),
+        4 => controller().prop_map(Step::ReadRecords),
         4 => controller().prop_map(Step::Tick),
-        4 => index().prop_map(Step::CarryOut),
+        4 => index().prop_map(Step::ExecuteCommit),
         4 => controller().prop_map(Step::CallCloud),
         3 => (controller(), machine())
             .prop_map(|(controller, machine)| Step::Place { controller, machine }),
         4 => (machine(), controller())
-            .prop_map(|(machine, controller)| Step::Heartbeat { machine, controller }),
-        4 => index().prop_map(Step::Answer),
+            .prop_map(|(machine, controller)| Step::WorkerHeartbeat { machine, controller }),
+        4 => index().prop_map(Step::DeliverAnswer),
         2 => (controller(), any::<bool>())
-            .prop_map(|(controller, lie)| Step::Hint { controller, lie }),
-        4 => (index(), any::<bool>()).prop_map(|(message, copy)| Step::Deliver { message, copy }),
-        1 => Just(Step::LoseMessages),
+            .prop_map(|(controller, is_false)| Step::SendHints { controller, is_false }),
+        4 => (index(), any::<bool>())
+            .prop_map(|(message, keep_copy)| Step::Deliver { message, keep_copy }),
+        1 => Just(Step::DropMessages),
         1 => (controller(), controller())
             .prop_map(|(controller, from)| Step::Disconnect { controller, from }),
         2 => (controller(), any::<bool>())
             .prop_map(|(controller, pause)| Step::Pause { controller, pause }),
         1 => (controller(), any::<bool>())
-            .prop_map(|(controller, up)| Step::Restart { controller, up }),
-        4 => (1..30usize).prop_map(Step::Calm),
+            .prop_map(|(controller, is_up)| Step::Restart { controller, is_up }),
+        4 => (1..30usize).prop_map(Step::RunRounds),
         4 => (controller(), 1..30usize)
-            .prop_map(|(controller, rounds)| Step::CalmWithout { controller, rounds }),
+            .prop_map(|(controller, rounds)| Step::RunRoundsWithout { controller, rounds }),
     ];
-    prop::collection::vec(step, 1..STEPS)
+    prop::collection::vec(step, 1..STEPS_MAX)
 }
 
 fn take_step(world: &mut World, step: &Step) {
     match *step {
-        Step::Wait(ms) => world.wait(ms),
-        Step::Read(controller) => world.read(controller),
+        Step::AdvanceClock(ms) => world.advance_clock(ms),
+        Step::ReadRecords(controller) => world.read_records(controller),
         Step::Tick(controller) => world.tick(controller),
-        Step::CarryOut(commit) => world.carry_out(commit),
+        Step::ExecuteCommit(commit) => world.execute_commit(commit),
         Step::CallCloud(controller) => world.call_cloud(controller),
         Step::Place {
             controller,
             machine,
-        } => world.place(controller, machine),
-        Step::Heartbeat {
+        } => world.place_task(controller, machine),
+        Step::WorkerHeartbeat {
             machine,
             controller,
-        } => world.heartbeat(machine, controller),
-        Step::Answer(answer) => world.answer(answer),
-        Step::Hint { controller, lie } => world.hint(controller, lie),
-        Step::Deliver { message, copy } => world.deliver(message, copy),
-        Step::LoseMessages => world.lose_messages(),
+        } => world.send_worker_heartbeat(machine, controller),
+        Step::DeliverAnswer(answer) => world.deliver_answer(answer),
+        Step::SendHints {
+            controller,
+            is_false,
+        } => world.send_hints(controller, is_false),
+        Step::Deliver { message, keep_copy } => world.deliver(message, keep_copy),
+        Step::DropMessages => world.drop_messages(),
         Step::Disconnect { controller, from } => world.disconnect(controller, from),
         Step::Pause { controller, pause } => world.pause(controller, pause),
-        Step::Restart { controller, up } => world.restart(controller, up),
-        Step::Calm(rounds) => world.calm(None, rounds),
-        Step::CalmWithout { controller, rounds } => world.calm(Some(controller), rounds),
+        Step::Restart { controller, is_up } => world.restart(controller, is_up),
+        Step::RunRounds(rounds) => world.run_rounds(None, rounds),
+        Step::RunRoundsWithout { controller, rounds } => world.run_rounds(Some(controller), rounds),
     }
 }
 
-fn violation(world: &mut World) -> Result<(), TestCaseError> {
+fn check_violation(world: &mut World) -> Result<(), TestCaseError> {
     match world.violation.take() {
         Some(violation) => Err(TestCaseError::fail(violation.to_string())),
         None => Ok(()),
     }
 }
 
-fn play(steps: &[Step], mistake: Mistake) -> Result<(), TestCaseError> {
-    let mut world = World::new(mistake);
+fn run_case(steps: &[Step], bug: InjectedBug) -> Result<(), TestCaseError> {
+    let mut world = World::new(bug);
     for step in steps {
         take_step(&mut world, step);
-        violation(&mut world)?;
+        check_violation(&mut world)?;
     }
     world.settle();
-    violation(&mut world)
+    check_violation(&mut world)
 }
 
 #[test]
 fn any_order_of_steps_breaks_no_rule() {
-    property::assert_holds(CASES_VARIABLE, CASES, &steps(), |steps| {
-        play(&steps, Mistake::None)
+    property::assert_holds(CASES_VARIABLE, PROPERTY_CASES, &steps(), |steps| {
+        run_case(&steps, InjectedBug::None)
     });
 }
 
-fn assert_found(mistake: Mistake) {
-    property::assert_found(&mistake, MISTAKE_CASES, &steps(), |steps| {
-        play(&steps, mistake)
+fn assert_bug_found(bug: InjectedBug) {
+    property::assert_found(&bug, INJECTED_BUG_CASES, &steps(), |steps| {
+        run_case(&steps, bug)
     });
 }
 
 #[test]
 fn successor_that_calls_the_cloud_at_once_is_found() {
-    assert_found(Mistake::NoFence);
+    assert_bug_found(InjectedBug::CallsCloudAtOnce);
 }
 
 #[test]
-fn cloud_call_after_the_lease_is_found() {
-    assert_found(Mistake::CallsWithoutReading);
+fn cloud_call_without_a_recent_read_is_found() {
+    assert_bug_found(InjectedBug::CallsCloudWithoutRead);
 }
 
 #[test]
-fn orders_before_the_watch_has_caught_up_are_found() {
-    assert_found(Mistake::OrdersBeforeCaughtUp);
+fn placement_before_the_watch_has_caught_up_is_found() {
+    assert_bug_found(InjectedBug::PlacesBeforeCaughtUp);
 }
 
-/// A former leader that is paused, a successor whose lease ends soon after its commit, and the next
-/// one, which finds no record: it has to wait for the first one all the same.
-fn successor_of_a_successor(mistake: Mistake) -> Option<Violation> {
-    let mut world = World::new(mistake);
-    world.calm(None, 30);
-    let leader = world.leader().expect("one leads");
+/// A leader is replaced before its lease expires. The lease of the successor, requested before its
+/// commit, expires soon after the commit. The next leader finds no leader record, but still has to
+/// wait because the first leader may call the cloud.
+fn run_two_takeovers(bug: InjectedBug) -> Option<Violation> {
+    let mut world = World::new(bug);
+    world.run_rounds(None, 30);
+    let leader = world.find_leader().expect("a controller leads");
     let others: Vec<usize> = (0..CONTROLLERS).filter(|other| *other != leader).collect();
-    // Its heartbeats are lost, and a majority loses it; it has read its record just now.
+    // The leader's heartbeats are lost, so a majority suspects it. It continues to read its record.
     for _ in 0..20 {
-        world.wait(100);
-        world.read(leader);
+        world.advance_clock(100);
+        world.read_records(leader);
         for other in &others {
-            world.read(*other);
+            world.read_records(*other);
             world.tick(*other);
         }
         while world.deliver_between(&others) {}
-        world.forget_commits_but_one();
+        world.keep_first_commit();
     }
-    world.read(leader);
+    world.read_records(leader);
     world.tick(leader);
-    // The election that was asked for 2.5 s ago is carried out only now, and its leader ends.
-    world.wait(900);
-    world.read(leader);
-    world.carry_out(0);
-    let successor = world.leader_of_record().expect("a successor");
+    // The commit of an election whose lease was requested 2.5 s ago is executed only now, and the
+    // process of the new leader ends.
+    world.advance_clock(900);
+    world.read_records(leader);
+    world.execute_commit(0);
+    let successor = world.recorded_leader().expect("a successor leads");
     world.restart(successor, false);
     let last = others.into_iter().find(|other| *other != successor);
-    let last = last.expect("a third one");
-    while world.leader_of_record().is_some() {
-        world.wait(50);
+    let last = last.expect("a third controller");
+    while world.recorded_leader().is_some() {
+        world.advance_clock(50);
     }
-    world.read(last);
+    world.read_records(last);
     world.tick(last);
-    world.carry_out(usize::MAX);
-    world.read(last);
+    world.execute_commit(usize::MAX);
+    world.read_records(last);
     world.call_cloud(last);
     world.call_cloud(leader);
     world.violation
@@ -213,40 +221,40 @@
 
 #[test]
 fn wait_before_cloud_calls_outlives_a_successor() {
-    assert_eq!(successor_of_a_successor(Mistake::None), None);
-    let found = successor_of_a_successor(Mistake::FenceForgotten);
-    assert!(found.is_some(), "the mistake isn't found");
+    assert_eq!(run_two_takeovers(InjectedBug::None), None);
+    let found = run_two_takeovers(InjectedBug::IgnoresStoredFence);
+    assert!(found.is_some(), "the injected bug isn't found");
 }
 
-/// A leader has started the task, sends a hint that it has ended, and ends itself: its successor
-/// must not start it elsewhere.
-fn hint_of_an_ended_task(mistake: Mistake) -> Option<Violation> {
-    let mut world = World::new(mistake);
-    world.calm(None, 30);
-    let leader = world.leader().expect("one leads");
-    world.place(leader, 0);
-    world.carry_out(usize::MAX);
+/// A leader has started the task and its process ends. False hints in its name say that the task
+/// has ended. The successor must not start the task on another machine.
+fn run_takeover_with_false_hints(bug: InjectedBug) -> Option<Violation> {
+    let mut world = World::new(bug);
+    world.run_rounds(None, 30);
+    let leader = world.find_leader().expect("a controller leads");
+    world.place_task(leader, 0);
+    world.execute_commit(usize::MAX);
     for _ in 0..2 {
-        world.read(leader);
-        world.heartbeat(0, leader);
-        world.answer(0);
+        world.read_records(leader);
+        world.send_worker_heartbeat(0, leader);
+        world.deliver_answer(0);
     }
-    world.lose_messages();
+    world.drop_messages();
     world.restart(leader, false);
     for _ in 0..60 {
-        world.wait(100);
+        world.advance_clock(100);
         for successor in (0..CONTROLLERS).filter(|other| *other != leader) {
-            world.read(successor);
+            world.read_records(successor);
             world.tick(successor);
-            world.carry_out(0);
-            world.read(successor);
-            world.lie_to(successor, leader);
-            world.place(successor, 1);
-            world.carry_out(usize::MAX);
-            world.read(successor);
+            world.execute_commit(0);
+            world.read_records(successor);
+            world.deliver_false_hints(successor, leader);
+            world.place_task(successor, 1);
+            world.execute_commit(usize::MAX);
+            world.read_records(successor);
             for machine in 0..MACHINES {
-                world.heartbeat(machine, successor);
-                world.answer(0);
+                world.send_worker_heartbeat(machine, successor);
+                world.deliver_answer(0);
             }
         }
     }
@@ -254,8 +262,8 @@
 }
 
 #[test]
-fn hint_that_a_task_has_ended_changes_nothing() {
-    assert_eq!(hint_of_an_ended_task(Mistake::None), None);
-    let found = hint_of_an_ended_task(Mistake::HintBelieved);
-    assert!(found.is_some(), "the mistake isn't found");
+fn false_hint_that_a_task_has_ended_is_ignored() {
+    assert_eq!(run_takeover_with_false_hints(InjectedBug::None), None);
+    let found = run_takeover_with_false_hints(InjectedBug::TrustsHints);
+    assert!(found.is_some(), "the injected bug isn't found");
 }
--- a/standby/tests/world/messages.rs
+++ b/standby/tests/world/messages.rs
@@ -1,6 +1,6 @@
-//! Messages between controllers: late, lost, copied, overtaken, and wrong.
+//! Messages between controllers. They may be delayed, lost, duplicated, reordered or false.
 
-use super::{CONTROLLERS, Mistake, World, name};
+use super::{CONTROLLERS, InjectedBug, World, name};
 use salttrestle_standby::hints::Hints;
 use salttrestle_standby::message::Heartbeat;
 
@@ -9,12 +9,12 @@
     Heartbeat(Heartbeat),
     Hints {
         hints: Hints,
-        /// They say that the task has ended, which isn't so.
-        lie: bool,
+        /// Whether the hints say that the task has ended although it hasn't.
+        is_false: bool,
     },
 }
 
-/// A message on its way.
+/// A message in transit.
 #[derive(Clone, Debug)]
 pub(super) struct Envelope {
     to: usize,
@@ -33,74 +33,78 @@
         self.broadcast(from, &Message::Heartbeat(heartbeat.clone()));
     }
 
-    /// The leader sends hints; a lie says that the task has ended.
-    pub(crate) fn hint(&mut self, place: usize, lie: bool) {
-        let token = match &self.controllers[place].leadership {
-            Some(leadership) if self.acts(place) => leadership.token,
+    /// The leader sends hints. False hints say that the task has ended.
+    pub(crate) fn send_hints(&mut self, controller_index: usize, is_false: bool) {
+        let token = match &self.controllers[controller_index].leadership {
+            Some(leadership) if self.is_running(controller_index) => leadership.token,
             _ => return,
         };
         let hints = Hints {
-            from: name(place),
-            token: token - u64::from(lie),
+            from: name(controller_index),
+            token: token - u64::from(is_false),
             ..Hints::default()
         };
-        self.broadcast(place, &Message::Hints { hints, lie });
+        self.broadcast(controller_index, &Message::Hints { hints, is_false });
     }
 
-    /// A hint in the name of a controller says that the task has ended, and arrives at once.
-    pub(crate) fn lie_to(&mut self, to: usize, from: usize) {
+    /// Sends and delivers false hints in the name of a controller, which say that the task has
+    /// ended.
+    pub(crate) fn deliver_false_hints(&mut self, to: usize, from: usize) {
         let hints = Hints {
             from: name(from),
             ..Hints::default()
         };
-        let message = Message::Hints { hints, lie: true };
+        let message = Message::Hints {
+            hints,
+            is_false: true,
+        };
         self.messages.push(Envelope { to, message });
         self.deliver(self.messages.len() - 1, false);
     }
 
-    /// A message arrives, and perhaps a copy of it stays on its way.
-    pub(crate) fn deliver(&mut self, index: usize, copy: bool) {
+    /// Delivers a message. With `keep_copy` the message stays in transit, to be delivered again.
+    pub(crate) fn deliver(&mut self, index: usize, keep_copy: bool) {
         if self.messages.is_empty() {
             return;
         }
         let index = index % self.messages.len();
-        let Envelope { to, message } = match copy {
+        let Envelope { to, message } = match keep_copy {
             true => self.messages[index].clone(),
             false => self.messages.swap_remove(index),
         };
-        if !self.acts(to) {
+        if !self.is_running(to) {
             return;
         }
-        let (now, believes) = (self.now, self.mistake == Mistake::HintBelieved);
+        let (now, trusts_hints) = (self.now, self.bug == InjectedBug::TrustsHints);
         let controller = &mut self.controllers[to];
         match message {
             Message::Heartbeat(heartbeat) => controller.standby.on_heartbeat(now, &heartbeat),
-            Message::Hints { hints, lie } => {
+            Message::Hints { hints, is_false } => {
                 controller.standby.on_hints(now, hints);
-                if lie && believes {
-                    controller.view.run.value = None;
+                if is_false && trusts_hints {
+                    controller.view.placement.value = None;
                 }
             }
         }
     }
 
-    /// Delivers a message between these controllers and loses those to others; false if there is
-    /// none.
+    /// Drops the messages to all controllers but these, and delivers one of the others. Returns
+    /// false if there is none.
     pub(crate) fn deliver_between(&mut self, controllers: &[usize]) -> bool {
         self.messages
             .retain(|envelope| controllers.contains(&envelope.to));
-        let any = !self.messages.is_empty();
+        let has_messages = !self.messages.is_empty();
         self.deliver(0, false);
-        any
+        has_messages
     }
 
-    pub(crate) fn lose_messages(&mut self) {
+    pub(crate) fn drop_messages(&mut self) {
         self.messages.clear();
     }
 
-    /// The connection to a controller is lost.
-    pub(crate) fn disconnect(&mut self, place: usize, from: usize) {
-        let standby = &mut self.controllers[place].standby;
+    /// A controller loses its connection to the controller `from`.
+    pub(crate) fn disconnect(&mut self, controller_index: usize, from: usize) {
+        let standby = &mut self.controllers[controller_index].standby;
         standby.on_disconnected(self.now, &name(from));
     }
 }
--- a/standby/tests/world/mod.rs
+++ b/standby/tests/world/mod.rs
@@ -1,5 +1,6 @@
-//! Controllers, a store, one task, two workers and a cloud, as far as a takeover concerns them.
-//! Anything may be late, lost, copied or overtaken; controllers are paused, end and return.
+//! A simulation of takeovers with three controllers, a store, a cloud, two workers and one task.
+//! Commits and messages may be delayed, lost, duplicated or reordered. Controllers may be paused,
+//! end and start again.
 
 mod controllers;
 mod messages;
@@ -8,68 +9,69 @@
 
 use controllers::Controller;
 use messages::Envelope;
-use records::{Commit, Placed, Records};
+use records::{Commit, Placement, Records};
 use salttrestle_standby::{Config, Standby};
 use thiserror::Error;
 use workers::{Answer, Worker};
 
 pub(crate) const CONTROLLERS: usize = 3;
 pub(crate) const MACHINES: usize = 2;
-/// The leader's lease.
+/// Duration of the leader's lease.
 const LEADER_LEASE_MS: u64 = 3_000;
-/// Before anything has happened.
+/// The time at which the simulation starts.
 const START_MS: u64 = 100_000;
-/// Of the rounds in which everything works: their length, and after how many one must lead.
+/// Duration of a round without faults.
 const ROUND_MS: u64 = 100;
-const ROUNDS_TO_SETTLE: usize = 80;
+/// Number of rounds without faults after which one controller must lead.
+const SETTLE_ROUNDS: usize = 80;
 
-/// What a controller does wrong on purpose.
+/// A bug of the controllers that the checks have to find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Mistake {
+pub(crate) enum InjectedBug {
     None,
-    /// A successor calls the cloud at once.
-    NoFence,
-    /// A successor's successor knows nothing of the wait.
-    FenceForgotten,
-    /// The cloud is called on a renewed lease, without a recent read of the leader's record.
-    CallsWithoutReading,
-    /// A new owner places what it doesn't know to be placed, before its watch has caught up.
-    OrdersBeforeCaughtUp,
-    /// A hint that a task has ended is taken for a proof.
-    HintBelieved,
+    /// A new leader calls the cloud without waiting for the former one.
+    CallsCloudAtOnce,
+    /// A new leader ignores the wait that is stored with the highest token.
+    IgnoresStoredFence,
+    /// A leader calls the cloud after a recent lease renewal, without a recent read of its record.
+    CallsCloudWithoutRead,
+    /// A new shard owner ignores the placements in its view, as if its watch hadn't caught up.
+    PlacesBeforeCaughtUp,
+    /// A hint that a task has ended is treated as a proof.
+    TrustsHints,
 }
 
-/// A rule that was broken.
+/// An invariant that was violated.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub(crate) enum Violation {
-    #[error("{token} calls the cloud after {latest} did")]
-    OutdatedCloudCall { token: u64, latest: u64 },
-    #[error("token {0} is given again")]
-    TokenGivenAgain(u64),
-    #[error("attempt {attempt} starts uncommitted on {machine}")]
+    #[error("the leader with token {token} calls the cloud after the leader with token {latest}")]
+    StaleCloudCall { token: u64, latest: u64 },
+    #[error("token {0} is issued again")]
+    TokenReused(u64),
+    #[error("attempt {attempt} starts on machine {machine} without a committed placement")]
     UncommittedStart { machine: usize, attempt: u64 },
     #[error("the task runs twice")]
     RunsTwice,
-    #[error("{0} controllers lead after all has settled")]
+    #[error("{0} controllers lead after a period without faults")]
     NotOneLeader(usize),
 }
 
 pub(crate) struct World {
     now: u64,
-    mistake: Mistake,
+    bug: InjectedBug,
     records: Records,
-    /// When each lease at the store ends.
+    /// The expiry time of each lease in the store.
     leases: Vec<u64>,
     controllers: Vec<Controller>,
     messages: Vec<Envelope>,
     commits: Vec<Commit>,
     answers: Vec<Answer>,
     workers: Vec<Worker>,
-    /// Every placement that was ever committed.
-    committed: Vec<Placed>,
+    /// All placements that were ever committed.
+    committed_placements: Vec<Placement>,
     /// The highest token under which the cloud was called.
-    latest_call: u64,
-    /// The first rule that was broken.
+    latest_cloud_token: u64,
+    /// The first violation.
     pub(crate) violation: Option<Violation>,
 }
 
@@ -93,10 +95,10 @@
 }
 
 impl World {
-    pub(crate) fn new(mistake: Mistake) -> Self {
+    pub(crate) fn new(bug: InjectedBug) -> Self {
         Self {
             now: START_MS,
-            mistake,
+            bug,
             records: Records::default(),
             leases: Vec::new(),
             controllers: (0..CONTROLLERS).map(Controller::new).collect(),
@@ -104,18 +106,18 @@
             commits: Vec::new(),
             answers: Vec::new(),
             workers: vec![Worker::default(); MACHINES],
-            committed: Vec::new(),
-            latest_call: 0,
+            committed_placements: Vec::new(),
+            latest_cloud_token: 0,
             violation: None,
         }
     }
 
-    fn fail(&mut self, violation: Violation) {
+    fn record_violation(&mut self, violation: Violation) {
         self.violation.get_or_insert(violation);
     }
 
-    /// Time passes: leases at the store and those of workers expire.
-    pub(crate) fn wait(&mut self, ms: u64) {
+    /// Advances the clock, and expires leases in the store and of workers.
+    pub(crate) fn advance_clock(&mut self, ms: u64) {
         self.now += ms;
         let leader = self.records.leader.value.as_ref();
         if leader.is_some_and(|leader| self.now > self.leases[leader.lease]) {
@@ -126,44 +128,44 @@
         }
     }
 
-    /// A commit is carried out, unless its conditions have changed.
-    pub(crate) fn carry_out(&mut self, index: usize) {
+    /// Executes a commit if its conditions hold, and drops it otherwise.
+    pub(crate) fn execute_commit(&mut self, index: usize) {
         if self.commits.is_empty() {
             return;
         }
         let commit = self.commits.swap_remove(index % self.commits.len());
-        if !commit.holds(&self.records, &self.leases, self.now) {
+        if !commit.conditions_hold(&self.records, &self.leases, self.now) {
             return;
         }
-        if let Some(token) = commit.token_given_again(&self.records) {
-            return self.fail(Violation::TokenGivenAgain(token));
+        if let Some(token) = commit.reused_token(&self.records) {
+            return self.record_violation(Violation::TokenReused(token));
         }
-        self.committed.extend(commit.placement());
+        self.committed_placements.extend(commit.placement());
         self.records.apply(commit.change);
     }
 
-    /// Of the commits on their way only the first one is left.
-    pub(crate) fn forget_commits_but_one(&mut self) {
+    /// Drops all commits in transit but the first one.
+    pub(crate) fn keep_first_commit(&mut self) {
         self.commits.truncate(1);
     }
 
-    /// Who takes itself for the leader.
-    pub(crate) fn leader(&self) -> Option<usize> {
+    /// The first controller that considers itself the leader.
+    pub(crate) fn find_leader(&self) -> Option<usize> {
         let mut controllers = self.controllers.iter();
         controllers.position(|controller| controller.is_leader)
     }
 
-    /// Who leads by the record.
-    pub(crate) fn leader_of_record(&self) -> Option<usize> {
+    /// The controller that leads according to the leader's record.
+    pub(crate) fn recorded_leader(&self) -> Option<usize> {
         let leader = self.records.leader.value.as_ref()?;
         (0..CONTROLLERS).find(|controller| name(*controller) == leader.term.leader)
     }
 
-    /// Rounds in which all controllers but one act and hear each other; that one only calls the
-    /// cloud.
-    pub(crate) fn calm(&mut self, without: Option<usize>, rounds: usize) {
+    /// Runs rounds in which the controllers act and receive each other's messages. The controller
+    /// `without` only calls the cloud.
+    pub(crate) fn run_rounds(&mut self, without: Option<usize>, rounds: usize) {
         for _ in 0..rounds {
-            self.wait(ROUND_MS);
+            self.advance_clock(ROUND_MS);
             let acting = (0..CONTROLLERS).filter(|controller| Some(*controller) != without);
             for controller in acting {
                 self.act_in_round(controller);
@@ -175,49 +177,53 @@
     }
 
     fn act_in_round(&mut self, controller: usize) {
-        self.read(controller);
+        self.read_records(controller);
         self.tick(controller);
         for _ in 0..2 * CONTROLLERS {
             self.deliver(0, false);
         }
-        self.carry_out(usize::MAX);
-        self.read(controller);
-        self.heartbeat(controller % MACHINES, controller);
-        self.answer(usize::MAX);
+        self.execute_commit(usize::MAX);
+        self.read_records(controller);
+        self.send_worker_heartbeat(controller % MACHINES, controller);
+        self.deliver_answer(usize::MAX);
         self.call_cloud(controller);
     }
 
-    /// All run, messages arrive, nothing is late: one has to lead soon.
+    /// Resumes or starts all controllers and runs rounds without faults, after which one controller
+    /// has to lead.
     pub(crate) fn settle(&mut self) {
         self.commits.clear();
         for controller in 0..CONTROLLERS {
-            if self.controllers[controller].up {
+            if self.controllers[controller].is_up {
                 self.pause(controller, false);
             } else {
                 self.restart(controller, true);
             }
         }
-        for _ in 0..ROUNDS_TO_SETTLE {
-            self.wait(ROUND_MS);
+        for _ in 0..SETTLE_ROUNDS {
+            self.advance_clock(ROUND_MS);
             for controller in 0..CONTROLLERS {
                 self.settle_controller(controller);
             }
         }
-        let leaders = self.controllers.iter().filter(|other| other.is_leader);
+        let leaders = self
+            .controllers
+            .iter()
+            .filter(|controller| controller.is_leader);
         let leaders = leaders.count();
         if leaders != 1 {
-            self.fail(Violation::NotOneLeader(leaders));
+            self.record_violation(Violation::NotOneLeader(leaders));
         }
     }
 
     fn settle_controller(&mut self, controller: usize) {
-        self.read(controller);
+        self.read_records(controller);
         self.tick(controller);
         while !self.messages.is_empty() {
             self.deliver(0, false);
         }
         while !self.commits.is_empty() {
-            self.carry_out(0);
+            self.execute_commit(0);
         }
         self.call_cloud(controller);
     }
--- a/standby/tests/world/workers.rs
+++ b/standby/tests/world/workers.rs
@@ -1,19 +1,19 @@
-//! Workers: heartbeats, answers, and the one task.
+//! The workers: their heartbeats, the answers to them, and the task.
 
-use super::records::Placed;
+use super::records::Placement;
 use super::{LEADER_LEASE_MS, Violation, World};
 
-/// A worker's lease.
+/// Duration of a worker's lease.
 const WORKER_LEASE_MS: u64 = 10_000;
-/// How long the answer to a heartbeat is waited for.
-const ANSWER_MS: u64 = 4_000;
+/// Time for which a worker waits for the answer to a heartbeat.
+const ANSWER_TIMEOUT_MS: u64 = 4_000;
 
 #[derive(Clone, Debug, Default)]
 pub(super) struct Worker {
-    /// The highest token that it has seen.
-    newest_token: u64,
-    /// The attempt that it runs.
-    runs: Option<u64>,
+    /// The highest token that the worker has received.
+    highest_token: u64,
+    /// The attempt that the worker runs.
+    running_attempt: Option<u64>,
     lease_renewed_at: u64,
 }
 
@@ -21,81 +21,92 @@
     /// Kills the task if the lease has expired.
     pub(super) fn expire(&mut self, now: u64) {
         if now > self.lease_renewed_at + WORKER_LEASE_MS {
-            self.runs = None;
+            self.running_attempt = None;
         }
     }
 }
 
-/// An answer to a heartbeat, on its way.
+/// An answer to a heartbeat, in transit.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Answer {
     machine: usize,
     token: u64,
-    /// The attempt to be started.
+    /// The attempt that the worker has to start.
     start: Option<u64>,
-    /// When the heartbeat was sent.
+    /// When the worker sent the heartbeat.
     sent_at: u64,
 }
 
 impl World {
     /// A worker sends a heartbeat to a controller, which answers if it owns the shard.
-    pub(crate) fn heartbeat(&mut self, machine: usize, place: usize) {
-        if !self.acts(place) {
+    pub(crate) fn send_worker_heartbeat(&mut self, machine: usize, controller_index: usize) {
+        if !self.is_running(controller_index) {
             return;
         }
         let worker = &self.workers[machine];
-        let (newest, runs) = (worker.newest_token, worker.runs);
-        let controller = &self.controllers[place];
+        let (highest_token, running_attempt) = (worker.highest_token, worker.running_attempt);
+        let controller = &self.controllers[controller_index];
         let leadership = controller.leadership.as_ref();
-        let Some(leadership) = leadership.filter(|owner| owner.shard_token >= newest) else {
+        let Some(leadership) = leadership.filter(|owner| owner.shard_token >= highest_token) else {
             return;
         };
         let token = leadership.shard_token;
-        let acknowledged = token == newest;
-        let here = |placed: &Placed| placed.machine == machine;
-        let missing = |placed: &Placed| runs != Some(placed.attempt);
-        let fresh = self.now - controller.read_at < LEADER_LEASE_MS;
-        let own = leadership.own.filter(here).filter(missing);
-        let start = own.filter(|_| acknowledged && fresh);
-        // Placed by an earlier owner, and not there under the present token: proven gone.
-        let earlier = controller.view.run.value.filter(here);
-        let earlier = earlier.filter(|placed| placed.token() != token);
-        if acknowledged && earlier.as_ref().is_some_and(missing) {
-            self.commit_gone(place);
+        let has_acknowledged = token == highest_token;
+        let is_on_machine = |placement: &Placement| placement.machine == machine;
+        let is_not_running = |placement: &Placement| running_attempt != Some(placement.attempt);
+        let has_recent_view = self.now - controller.read_at < LEADER_LEASE_MS;
+        let own = leadership
+            .own_placement
+            .filter(is_on_machine)
+            .filter(is_not_running);
+        let start = own.filter(|_| has_acknowledged && has_recent_view);
+        // A worker that has acknowledged the present token ignores answers with older tokens. If it
+        // doesn't run an attempt of an earlier owner, it can't start that attempt any more.
+        let earlier = controller.view.placement.value.filter(is_on_machine);
+        let earlier = earlier.filter(|placement| placement.token() != token);
+        if has_acknowledged && earlier.as_ref().is_some_and(is_not_running) {
+            self.commit_task_gone(controller_index);
         }
         self.answers.push(Answer {
             machine,
             token,
-            start: start.map(|placed| placed.attempt),
+            start: start.map(|placement| placement.attempt),
             sent_at: self.now,
         });
     }
 
-    /// An answer reaches its worker, unless it is too late or under an outdated token.
-    pub(crate) fn answer(&mut self, index: usize) {
+    /// Delivers an answer to its worker, which ignores an answer that is too late or has an
+    /// outdated token.
+    pub(crate) fn deliver_answer(&mut self, index: usize) {
         if self.answers.is_empty() {
             return;
         }
         let answer = self.answers.swap_remove(index % self.answers.len());
         let worker = &mut self.workers[answer.machine];
-        if answer.token < worker.newest_token || self.now > answer.sent_at + ANSWER_MS {
+        if answer.token < worker.highest_token || self.now > answer.sent_at + ANSWER_TIMEOUT_MS {
             return;
         }
-        worker.newest_token = answer.token;
+        worker.highest_token = answer.token;
         worker.lease_renewed_at = answer.sent_at;
         if let Some(attempt) = answer.start {
-            worker.runs = Some(attempt);
+            worker.running_attempt = Some(attempt);
             self.check_start(answer.machine, attempt);
         }
     }
 
     fn check_start(&mut self, machine: usize, attempt: u64) {
-        if !self.committed.contains(&Placed { machine, attempt }) {
-            self.fail(Violation::UncommittedStart { machine, attempt });
+        if !self
+            .committed_placements
+            .contains(&Placement { machine, attempt })
+        {
+            self.record_violation(Violation::UncommittedStart { machine, attempt });
         }
-        let running = self.workers.iter().filter(|worker| worker.runs.is_some());
+        let running = self
+            .workers
+            .iter()
+            .filter(|worker| worker.running_attempt.is_some());
         if running.count() > 1 {
-            self.fail(Violation::RunsTwice);
+            self.record_violation(Violation::RunsTwice);
         }
     }
 }
