--- a/benches/controller.rs
+++ b/benches/controller.rs
@@ -253,7 +253,7 @@
             StoreRequest::List { .. } => Some(StoreResponse::Page {
                 entries: records(self.machines),
                 last: None,
-                more: false,
+                has_next: false,
                 revision: REVISION,
             }),
             StoreRequest::ReadRevision => Some(StoreResponse::Missing { revision: REVISION }),
--- a/fakes/src/cloud.rs
+++ b/fakes/src/cloud.rs
@@ -195,7 +195,7 @@
         let machines = machines.collect();
         CloudResponse::Page {
             machines,
-            more: listed.next().is_some(),
+            has_next: listed.next().is_some(),
         }
     }
 }
--- a/scale/src/hollow/cloud.rs
+++ b/scale/src/hollow/cloud.rs
@@ -162,9 +162,9 @@
         CloudResponse::ScaledOut(machines) => Response::ok(wire::encode(&CreatedBody { machines })),
         CloudResponse::PoolExhausted => Response::error(503, "no capacity"),
         CloudResponse::Deleted => Response::ok(Vec::new()),
-        CloudResponse::Page { machines, more } => Response::ok(wire::encode(&ListBody {
+        CloudResponse::Page { machines, has_next } => Response::ok(wire::encode(&ListBody {
             machines: machines.iter().map(machine_body).collect(),
-            has_next: *more,
+            has_next: *has_next,
         })),
         CloudResponse::Unavailable | CloudResponse::NoResponse => Response::error(503, "trouble"),
     }
--- a/scale/src/hollow/users/mod.rs
+++ b/scale/src/hollow/users/mod.rs
@@ -122,7 +122,7 @@
         let team = team_name(due.number as usize % load.teams);
         let job = submission::job(&id, due.class, &team, load);
         let id = JobId::from(id.as_str());
-        if let Ok((_, record)) = wire::submission(&job.body) {
+        if let Ok((_, record)) = wire::parse_submission(&job.body) {
             self.shared.checker().submitted(now, &id, record);
         }
         if due.class != SERVICE {
--- a/src/controller/api/cancellations.rs
+++ b/src/controller/api/cancellations.rs
@@ -23,7 +23,7 @@
         let overdue_at_peers = self
             .context
             .recent_heartbeats()
-            .flat_map(|heartbeat| heartbeat.overdue.iter().cloned());
+            .flat_map(|heartbeat| heartbeat.overdue_machines.iter().cloned());
         let overdue: BTreeSet<MachineId> =
             overdue_at_peers.chain(self.overdue_machines()).collect();
         let blocked = awaiting_end.filter(|query| {
--- a/src/controller/api/submissions.rs
+++ b/src/controller/api/submissions.rs
@@ -29,16 +29,16 @@
     /// Refuses a malformed submission. If it names a known job, the reply is the job's status, since
     /// a refusal would say that the job was never accepted.
     pub(crate) fn on_malformed(&mut self, request_id: RequestId, error: InvalidSubmission) {
-        info!("submission refused, reason={}", error.why);
+        info!("submission refused, reason={}", error.reason);
         match error.id {
             Some(id) => {
                 let intent = Intent::Refuse {
                     status: 400,
-                    reason: error.why,
+                    reason: error.reason,
                 };
                 self.on_status_query(request_id, id, intent);
             }
-            None => self.answer(request_id, Reply::ok(400, error_body(&error.why))),
+            None => self.answer(request_id, Reply::ok(400, error_body(&error.reason))),
         }
     }
 
@@ -62,7 +62,7 @@
         if let Some(reason) = self.unschedulable_reason(&record) {
             return self.refuse_submission(request_id, id, reason);
         }
-        let limits = self.settings.state_limits();
+        let limits = self.settings.store_limits();
         record.chunk_size = chunk_size(limits.value_bytes);
         record.shard = self.shard_for(&id);
         if let Some(reason) = self.oversize_reason(&record) {
@@ -98,7 +98,7 @@
 
     /// Why a job's record is too large for the store; `None` if it isn't.
     pub(crate) fn oversize_reason(&self, record: &JobRecord) -> Option<String> {
-        let bytes_max = self.settings.state_limits().value_bytes;
+        let bytes_max = self.settings.store_limits().value_bytes;
         let bytes = json_bytes(record);
         let reason =
             || format!("the job's description takes {bytes} bytes, of at most {bytes_max}");
@@ -226,7 +226,7 @@
     pub(crate) fn write_submissions(&mut self) {
         // A transaction commits or fails for all its jobs together, so after a conflict each job is
         // handled separately. Conflicts are rare, since only retries cause them.
-        let operations_max = self.settings.state_limits().txn_ops;
+        let operations_max = self.settings.store_limits().txn_ops;
         let batch_max = operations_max.min(TRANSACTION_SUBMISSIONS_MAX);
         while !self.api.submissions.is_empty() {
             // A transaction can write a key only once, so a job ID that is submitted twice starts
--- a/src/controller/autoscaling/demand.rs
+++ b/src/controller/autoscaling/demand.rs
@@ -104,8 +104,8 @@
         let by_queued = self.busy + self.queued.ceil() as u32;
         let by_running = self.running.ceil() as u32;
         let mut kept_machines = 0.0;
-        if self.urgent {
-            kept_machines = (self.keep - self.spare).max(0.0).ceil();
+        if self.has_services {
+            kept_machines = (self.reserved_room - self.free_room).max(0.0).ceil();
         }
         (by_queued.max(by_running) + kept_machines as u32).min(ceiling)
     }
@@ -122,10 +122,15 @@
         exhausted: &[ExhaustedPool],
         now: Time,
     ) -> BTreeMap<Pool, PoolCount> {
-        let mut slow_pools = self.find_slow_pools(catalog, settings.tuning.boot, now);
+        let mut slow_pools = self.find_slow_pools(catalog, settings.tuning.boot_timeout_ratio, now);
         let with_kept_room = |pool| {
             let count = PoolCount {
-                keep: self.headroom_machines(pool, catalog, settings.tuning.headroom, now),
+                reserved_room: self.headroom_machines(
+                    pool,
+                    catalog,
+                    settings.tuning.headroom_std_devs,
+                    now,
+                ),
                 ..PoolCount::default()
             };
             (pool, count)
@@ -165,7 +170,8 @@
             && machine.long_poll.is_none()
             && has_lease_expired
             && !is_partitioned;
-        is_silent || self.has_boot_exceeded(settings.tuning.boot, catalog, machine, now)
+        is_silent
+            || self.has_boot_exceeded(settings.tuning.boot_timeout_ratio, catalog, machine, now)
     }
 
     /// Adds the queued tasks of waiting jobs to `counts`, as far as each team's quota lets them
@@ -359,16 +365,16 @@
     count.running += machine.used.share_of(machine_type.resources);
     let free = 1.0 - machine.used.share_of(machine_type.resources);
     if free >= SPARE_FREE_FRACTION_MIN {
-        count.spare += free;
+        count.free_room += free;
     }
     // Batch tasks that checkpoint lose little when preempted, so the room that they use counts as
     // available to urgent starts.
     for Binding { record, .. } in machine.tasks.values() {
         let has_checkpoints = record.kind == JobKind::Batch && record.checkpoint_s > 0.0;
         if has_checkpoints && record.priority_class <= PriorityClass::Normal {
-            count.spare += record.resources.share_of(machine_type.resources);
+            count.free_room += record.resources.share_of(machine_type.resources);
         }
-        count.urgent |= record.kind == JobKind::Service;
+        count.has_services |= record.kind == JobKind::Service;
     }
 }
 
@@ -410,7 +416,7 @@
             *slow_pools.urgent_machines_queued.entry(pool).or_default() +=
                 counted_here / tasks_per_machine;
         }
-        count.urgent |= counted_here > 0.0 && record.kind == JobKind::Service;
+        count.has_services |= counted_here > 0.0 && record.kind == JobKind::Service;
         tasks_left -= counted_here;
         if Some(pool) == overflow_pool {
             return;
--- a/src/controller/autoscaling/machines.rs
+++ b/src/controller/autoscaling/machines.rs
@@ -38,12 +38,12 @@
         response: CloudResponse,
     ) {
         self.context.cloud.listing.under_way = false;
-        let CloudResponse::Page { machines, more } = response else {
+        let CloudResponse::Page { machines, has_next } = response else {
             return;
         };
         let mut listed = earlier_pages;
         listed.extend(machines);
-        if more && !listed.is_empty() {
+        if has_next && !listed.is_empty() {
             return self.context.request_next_page(listed);
         }
         let lag_s = self.context.settings.platform.facts.cloud.list_lag_s;
@@ -147,7 +147,7 @@
     /// ready, and scaled out again.
     pub(crate) fn decommission_abandoned(&mut self, context: &Context) {
         let now = context.now;
-        let boot_ratio = ABANDONED_OVERDUE_RATIO * context.settings.tuning.boot;
+        let boot_ratio = ABANDONED_OVERDUE_RATIO * context.settings.tuning.boot_timeout_ratio;
         let catalog = &context.cloud.catalog;
         let booting = self.machines.booting();
         let abandoned = booting
--- a/src/controller/autoscaling/plan.rs
+++ b/src/controller/autoscaling/plan.rs
@@ -141,7 +141,7 @@
             exhausted_pools: exhausted,
             ..ScalingPlanRecord::default()
         };
-        let value_bytes = self.settings.state_limits().value_bytes;
+        let value_bytes = self.settings.store_limits().value_bytes;
         scale.fill_plan(
             &mut plan,
             (value_bytes as f64 * PLAN_VALUE_FRACTION) as usize,
--- a/src/controller/autoscaling/reconcile.rs
+++ b/src/controller/autoscaling/reconcile.rs
@@ -131,7 +131,7 @@
             return;
         };
         let scale = &mut leadership.scale;
-        let window_s = self.settings.tuning.window * machine_type.ready_s;
+        let window_s = self.settings.tuning.scale_in_delay_boots * machine_type.ready_s;
         scale.record_wanted(pool, now, demand.wanted, window_s);
         // Shortfalls in particular zones count separately, since tasks restricted to a zone can't
         // use machines in other zones.
@@ -146,7 +146,7 @@
         let below_ceiling = self.settings.ceiling().saturating_sub(demand.provisioned);
         let gap = demand.gap.max(shortfall_by_zone.values().sum());
         let gap = gap.min(below_ceiling).saturating_sub(requested);
-        let gap = gap.min(self.settings.rise(gap));
+        let gap = gap.min(self.settings.scale_out_step_max(gap));
         if gap > 0 {
             let demand = ScaleOutDemand {
                 pool,
@@ -177,7 +177,7 @@
                     by_shard.insert(shard_counts.shard, *count);
                 }
             }
-            for (type_name, spot, zone, count) in &shard_counts.zones {
+            for (type_name, spot, zone, count) in &shard_counts.machines_by_zone {
                 if let Some(pool) = self.pool_by_type_name(type_name, *spot) {
                     *fleet
                         .existing_machines
@@ -185,7 +185,7 @@
                         .or_default() += count;
                 }
             }
-            for (type_name, spot, zone, count) in &shard_counts.pins {
+            for (type_name, spot, zone, count) in &shard_counts.zone_shortfalls {
                 if let Some(pool) = self.pool_by_type_name(type_name, *spot) {
                     *fleet
                         .zone_shortfalls
@@ -193,7 +193,7 @@
                         .or_default() += count;
                 }
             }
-            for (type_name, spot, id) in &shard_counts.empty {
+            for (type_name, spot, id) in &shard_counts.empty_machines {
                 if let Some(pool) = self.pool_by_type_name(type_name, *spot) {
                     fleet
                         .empty_machines
--- a/src/controller/context.rs
+++ b/src/controller/context.rs
@@ -89,7 +89,7 @@
 impl Context {
     /// Creates the state of a process that starts.
     pub(crate) fn new(settings: Settings, incarnation: u64) -> Self {
-        let cloud_rps = settings.platform.facts.cloud.rps * settings.tuning.budget_share;
+        let cloud_rps = settings.platform.facts.cloud.rps * settings.tuning.budget_fraction;
         let cloud_limit = TokenBucket::new(cloud_rps, cloud_rps * CLOUD_BURST_S);
         let standby = new_standby(&settings, incarnation);
         Self {
--- a/src/controller/forwarding.rs
+++ b/src/controller/forwarding.rs
@@ -223,7 +223,7 @@
             request_id: RequestId(forwarded.request_id),
         };
         self.context.forwarding.incoming.insert(request_id, pending);
-        let heartbeat = forwarded.report();
+        let heartbeat = forwarded.into_worker_heartbeat();
         let id = MachineId::from(heartbeat.machine.as_str());
         match owner_of_machine(&mut self.shards, &id) {
             Some(shard) => shard.on_heartbeat(&mut self.context, request_id, &id, heartbeat),
@@ -248,7 +248,7 @@
         {
             return None;
         }
-        if heartbeat.zone == self.settings.platform.site {
+        if heartbeat.zone == self.settings.platform.zone {
             return self.safer_controller(id);
         }
         let local = self.forwarders_in(&heartbeat.zone);
@@ -294,7 +294,7 @@
         {
             return None;
         }
-        let local = self.forwarders_in(&platform.site);
+        let local = self.forwarders_in(&platform.zone);
         let safe: Vec<&ControllerId> = local
             .into_iter()
             .filter(|controller_id| self.has_live_successor(controller_id))
@@ -439,7 +439,7 @@
     /// may still reach its owner.
     fn keepalive_reply(&self, heartbeat: &WorkerHeartbeat) -> Option<Reply> {
         let id = MachineId::from(heartbeat.machine.as_str());
-        if heartbeat.zone != self.settings.platform.site {
+        if heartbeat.zone != self.settings.platform.zone {
             return None;
         }
         let is_stale = self.is_stale();
--- a/src/controller/leadership/election.rs
+++ b/src/controller/leadership/election.rs
@@ -340,7 +340,7 @@
         let mut writes = Vec::new();
         // Two operations of the transaction are reserved for the records of the leader and of the
         // highest token.
-        let shards_max = self.settings.state_limits().txn_ops - 2;
+        let shards_max = self.settings.store_limits().txn_ops - 2;
         for shard in self.shards_to_take().into_iter().take(shards_max) {
             highest.0 += 1;
             let (version, record) = self.lease_to_self(shard, highest);
--- a/src/controller/machines/liveness.rs
+++ b/src/controller/machines/liveness.rs
@@ -203,8 +203,8 @@
         partitioned_zones: &BTreeSet<Rc<str>>,
     ) -> Vec<SilentMachine> {
         let lease_s = context.settings.platform.facts.workers.lease_s;
-        let usual_s = context.settings.silent_s(false);
-        let unreachable_controller_s = context.settings.silent_s(true);
+        let usual_s = context.settings.silence_max_s(false);
+        let unreachable_controller_s = context.settings.silence_max_s(true);
         let mut silent = Vec::new();
         for (id, machine) in self.machines.iter() {
             let silent_s = context
--- a/src/controller/peers/heartbeats.rs
+++ b/src/controller/peers/heartbeats.rs
@@ -43,7 +43,7 @@
             at_ms: self.context.now.0,
             echoes: self.context.echoes(),
             since_keepalive_ms: self.context.since_keepalive_ms(),
-            overdue: self.overdue_machines(),
+            overdue_machines: self.overdue_machines(),
         }
     }
 
--- a/src/controller/peers/links.rs
+++ b/src/controller/peers/links.rs
@@ -82,7 +82,7 @@
     pub(crate) fn no_keepalive_by_peers(&self, zone: &str, expires_at: Time, lease_s: f64) -> bool {
         let peers = self.settings.platform.peers.iter();
         // A peer whose zone is unknown may belong to any zone.
-        let mut zone_peers = peers.filter(|peer| peer.site == zone || peer.site.is_empty());
+        let mut zone_peers = peers.filter(|peer| peer.zone == zone || peer.zone.is_empty());
         zone_peers.all(|peer| {
             let Some((heartbeat, _)) = self.peers.heartbeats.get(&peer.controller_id) else {
                 return false;
@@ -124,6 +124,6 @@
     /// The controllers of a zone besides this one.
     pub(crate) fn peers_in_zone<'a>(&'a self, zone: &'a str) -> impl Iterator<Item = &'a Peer> {
         let peers = self.settings.platform.peers.iter();
-        peers.filter(move |peer| peer.site == zone)
+        peers.filter(move |peer| peer.zone == zone)
     }
 }
--- a/src/controller/quota/cells/changes.rs
+++ b/src/controller/quota/cells/changes.rs
@@ -45,10 +45,10 @@
     /// newer cells file, an incoming transfer, a limit, an outgoing transfer.
     pub(super) fn next_cell_change(&mut self, file: &CellsFile) -> Option<CellChange> {
         let Some(record) = self.store.mirror.cell.record.clone() else {
-            let record = CellRecord::found(&file.here, file.generation, &file.teams);
+            let record = CellRecord::found(&file.local_cell, file.generation, &file.teams);
             return Some(CellChange::of_cell(record, false, "first record".into()));
         };
-        match record.adopt(&file.here, file.generation, &file.teams) {
+        match record.adopt(&file.local_cell, file.generation, &file.teams) {
             Ok(adopted) => {
                 let reason = format!("generation {} of the cells file", file.generation);
                 return Some(CellChange::of_cell(adopted, false, reason));
--- a/src/controller/quota/cells/messages.rs
+++ b/src/controller/quota/cells/messages.rs
@@ -37,7 +37,7 @@
             return;
         };
         let is_expected =
-            message.to == file.here && file.others().any(|cell| *cell == message.from);
+            message.to == file.local_cell && file.other_cells().any(|cell| *cell == message.from);
         if !is_expected {
             self.cells.dropped_messages += 1;
             debug!(
@@ -77,7 +77,7 @@
         let views = self.team_views(record, file);
         let mut has_changed = false;
         let mut messages = Vec::new();
-        for to in file.others() {
+        for to in file.other_cells() {
             let message = self.message_to(to, record, views.as_ref(), file);
             has_changed |= self.cells.sent.get(to) != Some(&message);
             messages.push((to.clone(), message));
@@ -110,7 +110,7 @@
             limit: *limit,
         });
         LinkMessage {
-            from: file.here.clone(),
+            from: file.local_cell.clone(),
             to: to.clone(),
             generation: file.generation,
             taken: link.taken,
--- a/src/controller/quota/cells/status_log.rs
+++ b/src/controller/quota/cells/status_log.rs
@@ -19,7 +19,7 @@
         let Some(record) = &self.store.mirror.cell.record else {
             return;
         };
-        for cell in file.others() {
+        for cell in file.other_cells() {
             let age = self
                 .cells
                 .received
@@ -40,7 +40,7 @@
         let dropped = self.cells.dropped_messages;
         info!(
             "cell quota status, cell={} revision={revision} messages_dropped={dropped}",
-            file.here
+            file.local_cell
         );
         let views = self.team_views(record, file).unwrap_or_default();
         for (team, view) in &views {
--- a/src/controller/rate_limits/mod.rs
+++ b/src/controller/rate_limits/mod.rs
@@ -54,17 +54,17 @@
     pub(crate) fn of(settings: &Settings, role: Role) -> Self {
         let facts = &settings.platform.facts;
         let tuning = &settings.tuning;
-        let others = facts.count.saturating_sub(1);
+        let others = facts.controller_count.saturating_sub(1);
         let is_single_shard = role.shards <= 1;
         let is_sole_owner = others > 0 && is_single_shard && role.owns_shard;
         let fraction = match others {
             0 => 1.0,
             _ if !is_single_shard => 1.0 / f64::from(others + 1),
-            _ if is_sole_owner => tuning.budget_owner,
-            _ => (1.0 - tuning.budget_owner) / f64::from(others),
+            _ if is_sole_owner => tuning.budget_owner_fraction,
+            _ => (1.0 - tuning.budget_owner_fraction) / f64::from(others),
         };
-        let limits = settings.state_limits();
-        let all_changes = limits.write_rps * tuning.budget_share;
+        let limits = settings.store_limits();
+        let all_changes = limits.write_rps * tuning.budget_fraction;
         let mut changes = all_changes * fraction;
         if is_sole_owner {
             // Only this controller writes placements, results and ends, and the others seldom use
@@ -76,7 +76,7 @@
         }
         // Controllers that don't lead still read the cloud's catalog and delete machines, so they
         // get a share of the cloud's limit.
-        let all_calls = facts.cloud.rps * tuning.budget_share;
+        let all_calls = facts.cloud.rps * tuning.budget_fraction;
         let cloud = if others == 0 || is_single_shard {
             all_calls
         } else if role.is_leader {
@@ -85,7 +85,7 @@
             all_calls * OTHERS_CLOUD_FRACTION / f64::from(others)
         };
         Self {
-            requests: limits.rps * fraction * tuning.budget_share,
+            requests: limits.rps * fraction * tuning.budget_fraction,
             changes,
             cloud,
         }
--- a/src/controller/scheduling/consolidation.rs
+++ b/src/controller/scheduling/consolidation.rs
@@ -65,7 +65,7 @@
         let may_cordon =
             !self.is_mass_partition && !self.jobs_with_queued_tasks.iter().any(is_urgent);
         let underused = if may_cordon {
-            let headroom = context.settings.tuning.headroom;
+            let headroom = context.settings.tuning.headroom_std_devs;
             find_underused_machines(self, &context.cloud.catalog, headroom, context.now)
         } else {
             BTreeSet::new()
--- a/src/controller/scheduling/scoring.rs
+++ b/src/controller/scheduling/scoring.rs
@@ -102,7 +102,7 @@
             pools_without_spare_room: find_pools_without_spare_room(
                 shard,
                 catalog,
-                settings.tuning.headroom,
+                settings.tuning.headroom_std_devs,
                 now,
             ),
         }
--- a/src/controller/shard/commits.rs
+++ b/src/controller/shard/commits.rs
@@ -79,11 +79,11 @@
     /// The store's limits for transactions. The announced future limit on values applies as soon as
     /// the store has refused a value for its size.
     fn transaction_limits(&self) -> TransactionLimits {
-        let strict = self.settings.state_limits();
+        let strict = self.settings.store_limits();
         let value_bytes = if self.store.announced_limits_in_force {
             strict.value_bytes
         } else {
-            self.settings.platform.facts.state.value_bytes_now()
+            self.settings.platform.facts.store.current_value_bytes()
         };
         TransactionLimits {
             ops: strict.txn_ops,
--- a/src/controller/shard/completion.rs
+++ b/src/controller/shard/completion.rs
@@ -50,7 +50,7 @@
     /// deletion doesn't fit into the transaction are deleted later. Returns false if there is no
     /// budget for the transaction.
     fn write_job_end(&mut self, context: &mut Context, id: &JobId) -> bool {
-        let ops = context.settings.state_limits().txn_ops;
+        let ops = context.settings.store_limits().txn_ops;
         let Some(job_state) = self.jobs.get_mut(id) else {
             return true;
         };
@@ -94,7 +94,7 @@
 
     /// Deletes chunks of ended jobs, as many as fit into one transaction.
     fn delete_leftover_placements(&mut self, context: &mut Context) {
-        let ops = context.settings.state_limits().txn_ops;
+        let ops = context.settings.store_limits().txn_ops;
         if self.is_deleting_placements || self.leftover_placements.is_empty() {
             return;
         }
--- a/src/controller/shards/counts.rs
+++ b/src/controller/shards/counts.rs
@@ -32,9 +32,12 @@
             leadership
                 .deleted_machines
                 .retain(|_, at| now.since(*at) < DELETED_MACHINE_KEPT_S);
-            leadership
-                .deleted_machines
-                .extend(shard_counts.gone.iter().map(|id| (id.clone(), now)));
+            leadership.deleted_machines.extend(
+                shard_counts
+                    .deleted_machines
+                    .iter()
+                    .map(|id| (id.clone(), now)),
+            );
             leadership
                 .shard_counts
                 .insert(shard_counts.shard, (shard_counts, now));
@@ -110,10 +113,10 @@
             token: self.token,
             revision: self.shard_revision,
             pools: pools.collect(),
-            zones: zones.collect(),
-            pins: pins.collect(),
-            empty: empty.collect(),
-            gone: self
+            machines_by_zone: zones.collect(),
+            zone_shortfalls: pins.collect(),
+            empty_machines: empty.collect(),
+            deleted_machines: self
                 .deleted_machines
                 .keys()
                 .rev()
--- a/src/controller/shards/leases.rs
+++ b/src/controller/shards/leases.rs
@@ -69,7 +69,7 @@
         }
         let (mut writes, mut bytes) = (Vec::new(), 0);
         // One write is left for the record of the fencing token.
-        let records_max = self.settings.state_limits().txn_ops - 1;
+        let records_max = self.settings.store_limits().txn_ops - 1;
         for (shard, record) in after {
             let old = before.get(&shard);
             let is_full = writes.len() >= records_max || bytes >= TRANSACTION_BYTES_MAX;
@@ -124,7 +124,7 @@
 
     /// Maximum size of a shard's record in JSON bytes.
     pub(crate) fn shard_record_bytes_max(&self) -> usize {
-        let bytes = self.settings.state_limits().value_bytes;
+        let bytes = self.settings.store_limits().value_bytes;
         (bytes as f64 * RECORD_FILL_FRACTION_MAX) as usize
     }
 }
--- a/src/controller/shards/splitting.rs
+++ b/src/controller/shards/splitting.rs
@@ -28,7 +28,7 @@
             // The first measurement takes some seconds after the start of the process.
             let is_unavailable = self.context.process_age_s() > MEASUREMENT_WAIT_S;
             return if is_unavailable {
-                self.context.settings.shards_for(machines)
+                self.context.settings.shard_count_for(machines)
             } else {
                 shards
             };
@@ -38,7 +38,7 @@
         let needed = machines_per_owner.map_or(1, |machines_per_owner| {
             self.context
                 .settings
-                .shards_at(machines, machines_per_owner)
+                .shard_count_for_capacity(machines, machines_per_owner)
         });
         let Some(leadership) = &mut self.context.leadership else {
             return shards;
@@ -70,7 +70,7 @@
             .context
             .valid_counts()
             .iter()
-            .flat_map(|counts| &counts.zones)
+            .flat_map(|counts| &counts.machines_by_zone)
             .map(|(_, _, _, count)| count)
             .sum();
         let controllers = 1 + self
--- a/src/controller/store/watch.rs
+++ b/src/controller/store/watch.rs
@@ -101,7 +101,7 @@
         let StoreResponse::Page {
             entries: page,
             last,
-            more,
+            has_next,
             revision,
         } = response
         else {
@@ -119,7 +119,7 @@
         // page's revision and delivers the changes that the pages missed.
         let listed_at = *first_revision.get_or_insert(revision);
         entries.extend(page);
-        if let (true, Some(last)) = (more, last) {
+        if let (true, Some(last)) = (has_next, last) {
             self.request_list_page(now, outbox, last);
             return StoreEvent::None;
         }
@@ -171,11 +171,11 @@
         sent_at: Time,
     ) -> StoreEvent<P> {
         match response {
-            StoreResponse::Changes { revision, news } => {
-                self.write_rate.count_seen(news.len());
+            StoreResponse::Changes { revision, changes } => {
+                self.write_rate.count_seen(changes.len());
                 self.staleness.record_changes_known(sent_at);
                 let mirror = &mut self.mirror;
-                let changes = news.into_iter();
+                let changes = changes.into_iter();
                 let events: Vec<MirrorEvent> = changes
                     .filter_map(|change| mirror.apply(now, change))
                     .collect();
--- a/src/net/incoming.rs
+++ b/src/net/incoming.rs
@@ -85,7 +85,7 @@
             return;
         };
         let connection = ClientConnection {
-            decoder: Decoder::new(Side::Request, wire::BODY_MAX),
+            decoder: Decoder::new(Side::Request, wire::BODY_BYTES_MAX),
             pending: None,
             closes_after_response: false,
             is_worker: false,
--- a/src/net/outgoing.rs
+++ b/src/net/outgoing.rs
@@ -48,8 +48,8 @@
     /// The request as it goes onto the wire.
     fn to_http(&self) -> Call {
         match self {
-            Self::Store(request) => request.call(),
-            Self::Cloud(request) => request.call(),
+            Self::Store(request) => request.to_call(),
+            Self::Cloud(request) => request.to_call(),
         }
     }
 
@@ -73,8 +73,12 @@
     fn response(&self, call: CallId, message: &Message) -> Input {
         let status = message.status().unwrap_or(0);
         match self {
-            Self::Store(request) => Input::Store(call, request.reply(status, &message.body)),
-            Self::Cloud(request) => Input::Cloud(call, request.reply(status, &message.body)),
+            Self::Store(request) => {
+                Input::Store(call, request.parse_response(status, &message.body))
+            }
+            Self::Cloud(request) => {
+                Input::Cloud(call, request.parse_response(status, &message.body))
+            }
         }
     }
 }
@@ -129,7 +133,7 @@
 impl OutgoingRequests {
     pub(super) fn new(services: &Services) -> Self {
         Self {
-            store: ServicePool::new(services.state, STORE_CONNECTIONS_MAX),
+            store: ServicePool::new(services.store, STORE_CONNECTIONS_MAX),
             cloud: ServicePool::new(services.cloud, CLOUD_CONNECTIONS_MAX),
             calls: HashMap::new(),
             deadlines: BTreeSet::new(),
--- a/src/net/peer_links.rs
+++ b/src/net/peer_links.rs
@@ -41,7 +41,7 @@
     pub(super) fn new(settings: &Settings) -> Self {
         Self {
             peers: settings.platform.peers.clone(),
-            unsent_max: settings.peer_out_bytes(),
+            unsent_max: settings.unsent_bytes_max(),
             incoming: FramedConnections::new(Protocol::FromPeer),
             outgoing: HashMap::new(),
             by_peer: HashMap::new(),
--- a/src/net/routes.rs
+++ b/src/net/routes.rs
@@ -33,7 +33,7 @@
 pub(super) fn route(method: &str, path: &str, body: &[u8]) -> Result<Request, Refusal> {
     match (path, method) {
         ("/up", "GET") => Ok(Request::Up),
-        ("/work", "POST") => Ok(Request::Submit(wire::submission(body))),
+        ("/work", "POST") => Ok(Request::Submit(wire::parse_submission(body))),
         ("/agent/beat", "POST") => {
             let heartbeat = wire::decode(body).ok_or(NOT_A_HEARTBEAT)?;
             Ok(Request::Heartbeat(heartbeat))
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -17,7 +17,7 @@
 const STANDBY_VERSION: u8 = 5;
 /// Most bytes of one message. The longest are counts: names of machines within a bound,
 /// and a line for each pool, zone and team, of which there may be hundreds.
-pub const MESSAGE_MAX: usize = 256 * 1024;
+pub const MESSAGE_BYTES_MAX: usize = 256 * 1024;
 /// Bytes before a message: its length and the version.
 const HEADER_BYTES: usize = 5;
 
@@ -80,7 +80,8 @@
     pub since_keepalive_ms: u64,
     /// Machines of its shards that have tasks and don't heartbeat, within a bound: what is
     /// cancelled there can't be confirmed soon.
-    pub overdue: Vec<MachineId>,
+    #[serde(rename = "overdue")]
+    pub overdue_machines: Vec<MachineId>,
 }
 
 /// A worker's heartbeat, forwarded to its shard's owner.
@@ -132,7 +133,7 @@
     }
 
     /// The worker's heartbeat.
-    pub fn report(self) -> WorkerHeartbeat {
+    pub fn into_worker_heartbeat(self) -> WorkerHeartbeat {
         let tasks = self.tasks.into_iter();
         let tasks = tasks.map(|(task, attempt, status, cause)| HeartbeatTask {
             task,
@@ -184,13 +185,17 @@
     /// The count of each pool: its machine type, and whether it is a spot pool.
     pub pools: Vec<(String, bool, PoolCount)>,
     /// Machines by machine type, whether they are spot machines, and zone.
-    pub zones: Vec<(String, bool, String, u32)>,
+    #[serde(rename = "zones")]
+    pub machines_by_zone: Vec<(String, bool, String, u32)>,
     /// Machines that are lacking in a particular zone, where tasks may go nowhere else.
-    pub pins: Vec<(String, bool, String, u32)>,
+    #[serde(rename = "pins")]
+    pub zone_shortfalls: Vec<(String, bool, String, u32)>,
     /// Empty machines, in the order in which they are best given back.
-    pub empty: Vec<(String, bool, MachineId)>,
+    #[serde(rename = "empty")]
+    pub empty_machines: Vec<(String, bool, MachineId)>,
     /// Machines deleted lately.
-    pub gone: Vec<MachineId>,
+    #[serde(rename = "gone")]
+    pub deleted_machines: Vec<MachineId>,
     /// What each team uses, and what it would use if it could.
     pub teams: Vec<(String, TeamCount)>,
 }
@@ -207,11 +212,14 @@
     /// Machines, with those that are still to come.
     pub provisioned: u32,
     /// Machines' worth of room that is free on machines in use.
-    pub spare: f64,
+    #[serde(rename = "spare")]
+    pub free_room: f64,
     /// Machines' worth of room to be kept free for urgent starts.
-    pub keep: f64,
+    #[serde(rename = "keep")]
+    pub reserved_room: f64,
     /// Whether services run here, so that room is kept for the next ones.
-    pub urgent: bool,
+    #[serde(rename = "urgent")]
+    pub has_services: bool,
 }
 
 /// What a team uses of one shard, and what it would use if it could.
@@ -233,7 +241,7 @@
         Message::Standby(message) => (STANDBY_VERSION, message.encode()),
         other => (VERSION, postcard::to_stdvec(other).unwrap_or_default()),
     };
-    if body.is_empty() || body.len() > MESSAGE_MAX {
+    if body.is_empty() || body.len() > MESSAGE_BYTES_MAX {
         return Err(body.len());
     }
     let mut frame = Vec::with_capacity(body.len() + HEADER_BYTES);
@@ -248,7 +256,7 @@
 pub fn unframe(buffer: &mut Vec<u8>) -> Result<Option<Message>, FrameError> {
     while buffer.len() >= HEADER_BYTES {
         let size = u32::from_be_bytes([buffer[0], buffer[1], buffer[2], buffer[3]]) as usize;
-        if size > MESSAGE_MAX {
+        if size > MESSAGE_BYTES_MAX {
             return Err(FrameError::TooLarge);
         }
         if buffer.len() < size + HEADER_BYTES {
--- a/src/settings/cells.rs
+++ b/src/settings/cells.rs
@@ -21,7 +21,7 @@
     /// `cells.generation`: rises with every change of the file.
     pub generation: u64,
     /// `cells.here`: the cell that this controller belongs to.
-    pub here: Cell,
+    pub local_cell: Cell,
     /// `cell.CELL.MEMBER`: where each cell's controllers listen for other cells.
     pub cells: BTreeMap<Cell, BTreeMap<ControllerId, SocketAddrV4>>,
     /// `team.TEAM.home` and `team.TEAM.since`: the cell that makes a team's limit, and the
@@ -75,7 +75,7 @@
             .map_err(|error| SettingsError::whole_file(file, error))?;
         let mut table = Table { file, values };
         let generation = table.generation("cells.generation", None)?;
-        let here = table.text("cells.here")?;
+        let local_cell = table.text("cells.here")?;
         let cells = read_cells(&mut table)?;
         let teams = read_teams(&mut table, generation, platform, &cells)?;
         let floors = read_floors(&mut table, &teams, cells.len())?;
@@ -84,24 +84,24 @@
         }
         let cells_file = Self {
             generation,
-            here,
+            local_cell,
             cells,
             teams,
             floors,
         };
-        cells_file.check_here(file, platform)?;
+        cells_file.check_local_cell(file, platform)?;
         Ok(cells_file)
     }
 
-    fn check_here(&self, file: &str, platform: &Platform) -> Result<(), SettingsError> {
-        let Some(controller_ids) = self.cells.get(&self.here) else {
-            let reason = Reason::UnknownCell(self.here.clone());
+    fn check_local_cell(&self, file: &str, platform: &Platform) -> Result<(), SettingsError> {
+        let Some(controller_ids) = self.cells.get(&self.local_cell) else {
+            let reason = Reason::UnknownCell(self.local_cell.clone());
             return Err(SettingsError::new(file, "cells.here", reason));
         };
         let peers = platform.peers.iter().map(|peer| &peer.controller_id);
         for controller_id in peers.chain([&platform.controller_id]) {
             if !controller_ids.contains_key(controller_id) {
-                let key = format!("cell.{}.{controller_id}", self.here);
+                let key = format!("cell.{}.{controller_id}", self.local_cell);
                 return Err(SettingsError::new(file, &key, Reason::Missing));
             }
         }
@@ -110,12 +110,15 @@
 
     /// Where this controller listens for other cells.
     pub fn listen(&self, controller_id: &ControllerId) -> Option<SocketAddrV4> {
-        self.cells.get(&self.here)?.get(controller_id).copied()
+        self.cells
+            .get(&self.local_cell)?
+            .get(controller_id)
+            .copied()
     }
 
     /// The other cells.
-    pub fn others(&self) -> impl Iterator<Item = &Cell> {
-        self.cells.keys().filter(|cell| **cell != self.here)
+    pub fn other_cells(&self) -> impl Iterator<Item = &Cell> {
+        self.cells.keys().filter(|cell| **cell != self.local_cell)
     }
 }
 
--- a/src/settings/derived.rs
+++ b/src/settings/derived.rs
@@ -1,6 +1,6 @@
 //! Figures that follow from the settings: times, shares and counts.
 
-use crate::peer::MESSAGE_MAX;
+use crate::peer::MESSAGE_BYTES_MAX;
 use crate::settings::Settings;
 use crate::settings::state_limits::StrictestLimits;
 use salttrestle_standby::Config;
@@ -35,8 +35,8 @@
 
 impl Settings {
     /// The limits of the store by which everything is planned.
-    pub fn state_limits(&self) -> StrictestLimits {
-        self.platform.facts.state.strictest()
+    pub fn store_limits(&self) -> StrictestLimits {
+        self.platform.facts.store.strictest()
     }
 
     /// The times and bounds of the standby.
@@ -46,9 +46,9 @@
 
     /// Most bytes that wait to be written to one peer. All workers that one controller has
     /// connections for may have heartbeats forwarded at once, as a new owner appears.
-    pub fn peer_out_bytes(&self) -> usize {
+    pub fn unsent_bytes_max(&self) -> usize {
         let sockets = self.platform.facts.resources.max_sockets;
-        (2 * MESSAGE_MAX).max(sockets * FORWARDED_HEARTBEAT_BYTES)
+        (2 * MESSAGE_BYTES_MAX).max(sockets * FORWARDED_HEARTBEAT_BYTES)
     }
 
     /// Machines that one owner can serve with all of its processor.
@@ -66,7 +66,7 @@
         } else {
             LONG_POLL_SHARE
         };
-        let poll_s = self.tuning.report_hold * self.platform.facts.workers.report_s;
+        let poll_s = self.tuning.long_poll_fraction * self.platform.facts.workers.report_s;
         poll_s.min(WORKER_TIMEOUT_S * most)
     }
 
@@ -86,11 +86,11 @@
     /// How long a machine may be silent before it is deleted: a share of the lease or, where
     /// the controller that it reported to is well, a heartbeat that is late, one that finds no
     /// answer, and the next try.
-    pub fn silent_s(&self, mute: bool) -> f64 {
+    pub fn silence_max_s(&self, is_controller_unreachable: bool) -> f64 {
         let workers = &self.platform.facts.workers;
-        let of_lease = workers.lease_s * self.tuning.silent;
+        let of_lease = workers.lease_s * self.tuning.silence_leases;
         let tries = workers.report_s * LATE_HEARTBEAT + WORKER_TIMEOUT_S + WORKER_RETRY_PAUSE_S;
-        match mute {
+        match is_controller_unreachable {
             true => of_lease,
             false => of_lease.min(tries * SILENT_MARGIN),
         }
@@ -98,24 +98,24 @@
 
     /// Into how many shards a fleet is split: no more than its owners' processors need,
     /// and none smaller than is worth it.
-    pub fn shards_for(&self, machines: u32) -> usize {
-        self.shards_at(machines, self.machines_per_owner())
+    pub fn shard_count_for(&self, machines: u32) -> usize {
+        self.shard_count_for_capacity(machines, self.machines_per_owner())
     }
 
     /// The same, where so many machines would take all of an owner's processor.
-    pub fn shards_at(&self, machines: u32, machines_per_owner: f64) -> usize {
+    pub fn shard_count_for_capacity(&self, machines: u32, machines_per_owner: f64) -> usize {
         let machines = f64::from(machines);
-        let most = machines_per_owner * self.tuning.shard_cpu;
+        let most = machines_per_owner * self.tuning.owner_cpu_fraction;
         let needed = (machines / most).ceil();
-        needed.min((machines / self.tuning.shard_min).floor()) as usize
+        needed.min((machines / self.tuning.shard_machines_min).floor()) as usize
     }
 
     /// Most machines that one tick may add to a pool that lacks `gap`. Ten a tick took an
     /// empty fleet of hundreds more than a minute, in which nobody was served; a wrong
     /// count still shows in the next tick before all it asks for is rented.
-    pub fn rise(&self, gap: u32) -> u32 {
-        let share = f64::from(gap) * self.tuning.rise_share;
-        self.tuning.rise.max(share.ceil()) as u32
+    pub fn scale_out_step_max(&self, gap: u32) -> u32 {
+        let share = f64::from(gap) * self.tuning.scale_out_fraction;
+        self.tuning.scale_out_machines.max(share.ceil()) as u32
     }
 
     /// Most machines of one type: as set or, where nothing is set, as many as the
@@ -131,6 +131,6 @@
             .saturating_sub(NON_WORKER_SOCKETS)
             .max(1);
         let each = self.machines_per_owner().min(sockets as f64).max(1.0);
-        (each * f64::from(facts.count.max(1))) as u32
+        (each * f64::from(facts.controller_count.max(1))) as u32
     }
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -17,7 +17,7 @@
 pub use crate::settings::platform::{
     CloudLimits, ControllerResources, Facts, Objective, Peer, Platform, Services, Team, Workers,
 };
-pub use crate::settings::state_limits::{NextStateLimits, StateLimits, StrictestLimits};
+pub use crate::settings::state_limits::{NextStoreLimits, StoreLimits, StrictestLimits};
 pub use crate::settings::tuning::Tuning;
 use std::path::Path;
 use std::sync::Arc;
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -1,7 +1,7 @@
 //! What the platform hands over, as JSON.
 
 use crate::ids::ControllerId;
-use crate::settings::state_limits::StateLimits;
+use crate::settings::state_limits::StoreLimits;
 use crate::settings::{Reason, SettingsError};
 use serde::Deserialize;
 use std::net::SocketAddrV4;
@@ -16,7 +16,8 @@
     #[serde(rename = "member")]
     pub controller_id: ControllerId,
     /// Its zone.
-    pub site: String,
+    #[serde(rename = "site")]
+    pub zone: String,
     /// For users, workers and health checks.
     pub listen: SocketAddrV4,
     /// For the other controllers.
@@ -37,8 +38,8 @@
     #[serde(rename = "member")]
     pub controller_id: ControllerId,
     /// Its zone.
-    #[serde(default)]
-    pub site: String,
+    #[serde(rename = "site", default)]
+    pub zone: String,
     /// Where it listens for other controllers.
     pub endpoint: SocketAddrV4,
 }
@@ -49,14 +50,16 @@
     /// The cloud's interface.
     pub cloud: SocketAddrV4,
     /// The store.
-    pub state: SocketAddrV4,
+    #[serde(rename = "state")]
+    pub store: SocketAddrV4,
 }
 
 /// What is the same for all controllers.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Facts {
     /// Controllers.
-    pub count: u32,
+    #[serde(rename = "count")]
+    pub controller_count: u32,
     /// Zones in which there are controllers and machines.
     pub zones: Vec<String>,
     /// Teams whose jobs are accepted.
@@ -68,7 +71,8 @@
     /// Times of the workers.
     pub workers: Workers,
     /// Limits of the store.
-    pub state: StateLimits,
+    #[serde(rename = "state")]
+    pub store: StoreLimits,
     /// Limits of the cloud's interface.
     pub cloud: CloudLimits,
     /// What each controller's machine gives it.
@@ -173,7 +177,7 @@
                 Reason::Negative,
             ));
         }
-        facts.state.check(file)?;
+        facts.store.check(file)?;
         if facts.resources.max_sockets < SOCKETS_MIN {
             return Err(SettingsError::new(
                 file,
--- a/src/settings/state_limits.rs
+++ b/src/settings/state_limits.rs
@@ -5,7 +5,7 @@
 
 /// Limits of the store, as they are now and as they are announced to become.
 #[derive(Clone, Debug, Deserialize)]
-pub struct StateLimits {
+pub struct StoreLimits {
     /// Requests a second.
     pub rps: f64,
     /// Puts and deletes a second.
@@ -16,12 +16,12 @@
     pub txn_ops: usize,
     /// What these limits change to at some moment, without notice.
     #[serde(default)]
-    pub next: Option<NextStateLimits>,
+    pub next: Option<NextStoreLimits>,
 }
 
 /// Limits that the store will have later. Those that are left out stay as they are.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
-pub struct NextStateLimits {
+pub struct NextStoreLimits {
     /// Requests a second.
     #[serde(default)]
     pub rps: Option<f64>,
@@ -36,7 +36,7 @@
     pub txn_ops: Option<usize>,
 }
 
-impl StateLimits {
+impl StoreLimits {
     /// The stricter of the present and the announced limits: what fits into these is taken
     /// before and after the change.
     pub fn strictest(&self) -> StrictestLimits {
@@ -53,7 +53,7 @@
     }
 
     /// The limit on a value before any change, in bytes.
-    pub fn value_bytes_now(&self) -> usize {
+    pub fn current_value_bytes(&self) -> usize {
         kib(self.value_kb)
     }
 
--- a/src/settings/tuning.rs
+++ b/src/settings/tuning.rs
@@ -17,13 +17,13 @@
     /// `block.lease-s`: life of a shard's lease, in seconds.
     pub shard_lease_s: f64,
     /// `block.min-machines`: fewest machines of a shard.
-    pub shard_min: f64,
+    pub shard_machines_min: f64,
     /// `block.cpu`: share of the processor that a shard's owner may use.
-    pub shard_cpu: f64,
+    pub owner_cpu_fraction: f64,
     /// `standby.heartbeat-s`: between two heartbeats of the leader; 0 for no standby.
-    pub heartbeat_s: f64,
+    pub leader_heartbeat_s: f64,
     /// `standby.missed`: heartbeats missed before the leader is suspected.
-    pub missed: f64,
+    pub missed_heartbeats: f64,
     /// `standby.takeovers-per-minute`: most changes of leadership before the lease's end.
     pub takeovers_per_minute: f64,
     /// `standby.hints-s`: between two hints of the leader; 0 for none.
@@ -31,25 +31,25 @@
     /// `scale.tick-s`: the autoscaler's tick, in seconds.
     pub tick_s: f64,
     /// `scale.rise`: machines that one tick may add to a pool.
-    pub rise: f64,
+    pub scale_out_machines: f64,
     /// `scale.rise-share`: or this share of what the pool lacks.
-    pub rise_share: f64,
+    pub scale_out_fraction: f64,
     /// `scale.ceiling`: most machines of a type; 0 for as many as can be served.
     pub ceiling: f64,
     /// `scale.window`: how long a lower count must hold, in boot times.
-    pub window: f64,
+    pub scale_in_delay_boots: f64,
     /// `scale.headroom`: room kept free, in standard deviations of demand.
-    pub headroom: f64,
+    pub headroom_std_devs: f64,
     /// `budget.share`: part of the limits that the controllers use together.
-    pub budget_share: f64,
+    pub budget_fraction: f64,
     /// `budget.holder`: part of that for a shard's owner.
-    pub budget_owner: f64,
+    pub budget_owner_fraction: f64,
     /// `report.hold`: how long a heartbeat's answer may wait, in heartbeat intervals.
-    pub report_hold: f64,
+    pub long_poll_fraction: f64,
     /// `health.silent`: when a silent machine is deleted, in leases.
-    pub silent: f64,
+    pub silence_leases: f64,
     /// `health.boot`: when a booting machine is replaced, in usual boot times.
-    pub boot: f64,
+    pub boot_timeout_ratio: f64,
 }
 
 impl Tuning {
@@ -60,23 +60,23 @@
         let tuning = Self {
             leader_lease_s: num("leader.grant-s", 0.5, 60.0)?,
             shard_lease_s: num("block.lease-s", 1.0, 600.0)?,
-            shard_min: num("block.min-machines", 1.0, 1e6)?,
-            shard_cpu: num("block.cpu", 1e-6, 1.0)?,
-            heartbeat_s: num("standby.heartbeat-s", 0.0, 10.0)?,
-            missed: num("standby.missed", 2.0, 100.0)?,
+            shard_machines_min: num("block.min-machines", 1.0, 1e6)?,
+            owner_cpu_fraction: num("block.cpu", 1e-6, 1.0)?,
+            leader_heartbeat_s: num("standby.heartbeat-s", 0.0, 10.0)?,
+            missed_heartbeats: num("standby.missed", 2.0, 100.0)?,
             takeovers_per_minute: num("standby.takeovers-per-minute", 1.0, 60.0)?,
             hints_s: num("standby.hints-s", 0.0, 60.0)?,
             tick_s: num("scale.tick-s", 0.5, 300.0)?,
-            rise: num("scale.rise", 1.0, 50.0)?,
-            rise_share: num("scale.rise-share", 0.0, 1.0)?,
+            scale_out_machines: num("scale.rise", 1.0, 50.0)?,
+            scale_out_fraction: num("scale.rise-share", 0.0, 1.0)?,
             ceiling: num("scale.ceiling", 0.0, 1e6)?,
-            window: num("scale.window", 0.0, 100.0)?,
-            headroom: num("scale.headroom", 0.0, 10.0)?,
-            budget_share: num("budget.share", 0.05, 1.0)?,
-            budget_owner: num("budget.holder", 0.1, 0.9)?,
-            report_hold: num("report.hold", 0.0, 1.0)?,
-            silent: num("health.silent", 0.3, 100.0)?,
-            boot: num("health.boot", 1.5, 100.0)?,
+            scale_in_delay_boots: num("scale.window", 0.0, 100.0)?,
+            headroom_std_devs: num("scale.headroom", 0.0, 10.0)?,
+            budget_fraction: num("budget.share", 0.05, 1.0)?,
+            budget_owner_fraction: num("budget.holder", 0.1, 0.9)?,
+            long_poll_fraction: num("report.hold", 0.0, 1.0)?,
+            silence_leases: num("health.silent", 0.3, 100.0)?,
+            boot_timeout_ratio: num("health.boot", 1.5, 100.0)?,
         };
         match tuning.standby().check() {
             Ok(()) => Ok(tuning),
@@ -91,8 +91,8 @@
     pub fn standby(&self) -> Config {
         let ms = |s: f64| (s * 1000.0).round() as u64;
         Config {
-            heartbeat_ms: ms(self.heartbeat_s),
-            missed: self.missed as u32,
+            heartbeat_ms: ms(self.leader_heartbeat_s),
+            missed: self.missed_heartbeats as u32,
             takeovers_per_minute: self.takeovers_per_minute as u32,
             hints_ms: ms(self.hints_s),
             lease_ms: ms(self.leader_lease_s),
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -46,7 +46,7 @@
         /// The machines on it.
         machines: Vec<ListedMachine>,
         /// Whether there is another page.
-        more: bool,
+        has_next: bool,
     },
     /// 429, an outage, or an answer that makes no sense: ask again later.
     Unavailable,
@@ -219,7 +219,7 @@
 
 impl CloudRequest {
     /// The request as it goes onto the wire.
-    pub fn call(&self) -> Call {
+    pub fn to_call(&self) -> Call {
         match self {
             Self::Catalog => Call::get("/catalog"),
             Self::ScaleOut(record) => Call::post("/rentals", encode(&RentBody::from(record))),
@@ -234,7 +234,7 @@
     }
 
     /// Makes sense of the answer to this request.
-    pub fn reply(&self, status: u16, body: &[u8]) -> CloudResponse {
+    pub fn parse_response(&self, status: u16, body: &[u8]) -> CloudResponse {
         let reply = match (self, status) {
             (Self::Catalog, 200) => read_catalog(body),
             (Self::ScaleOut(_), 200) => {
@@ -261,7 +261,7 @@
     let body: ListBody = decode(body)?;
     Some(CloudResponse::Page {
         machines: body.machines,
-        more: body.has_next,
+        has_next: body.has_next,
     })
 }
 
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -17,11 +17,11 @@
 };
 pub use crate::wire::state::{Change, StoreRequest, StoreResponse, WATCH_MS, Write, record_value};
 pub use crate::wire::user::{
-    InvalidSubmission, JobStatus, error_body, job_status_body, submission,
+    InvalidSubmission, JobStatus, error_body, job_status_body, parse_submission,
 };
 pub use crate::wire::worker::{
     Cause, Command, HeartbeatTask, TaskStatus, WorkerHeartbeat, commands_body, redirect_body,
 };
 
 /// Most bytes of a body that is taken from or sent to users and workers.
-pub const BODY_MAX: usize = 64 * 1024;
+pub const BODY_BYTES_MAX: usize = 64 * 1024;
--- a/src/wire/state.rs
+++ b/src/wire/state.rs
@@ -96,7 +96,7 @@
         /// The path of the last one; nothing on an empty page.
         last: Option<String>,
         /// Whether there is another page.
-        more: bool,
+        has_next: bool,
         /// The revision that the page shows.
         revision: u64,
     },
@@ -119,7 +119,7 @@
         /// The revision up to which these are all.
         revision: u64,
         /// The changes that could be read.
-        news: Vec<Change>,
+        changes: Vec<Change>,
     },
     /// 410: too old to follow from.
     Compacted,
@@ -245,7 +245,7 @@
 
 impl StoreRequest {
     /// The request as it goes onto the wire.
-    pub fn call(&self) -> Call {
+    pub fn to_call(&self) -> Call {
         match self {
             Self::ReadRevision => Call::get(format!("/keys/{PREFIX}none")),
             Self::Get(key) => Call::get(format!("/keys/{key}")),
@@ -270,7 +270,7 @@
     }
 
     /// Makes sense of the answer to this request.
-    pub fn reply(&self, status: u16, body: &[u8]) -> StoreResponse {
+    pub fn parse_response(&self, status: u16, body: &[u8]) -> StoreResponse {
         if status == 429 || status == 503 {
             return StoreResponse::Refused;
         }
@@ -439,7 +439,7 @@
     Some(StoreResponse::Page {
         entries: entries.collect(),
         last,
-        more: body.has_next,
+        has_next: body.has_next,
         revision: body.revision,
     })
 }
@@ -449,7 +449,7 @@
     let changes = body.changes.into_iter().filter_map(ChangeEntry::read);
     Some(StoreResponse::Changes {
         revision: body.revision,
-        news: changes.collect(),
+        changes: changes.collect(),
     })
 }
 
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -116,7 +116,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidSubmission {
     /// The reason, as users read it.
-    pub why: String,
+    pub reason: String,
     /// The job's id, if that can be read.
     pub id: Option<JobId>,
 }
@@ -128,11 +128,11 @@
 }
 
 /// Reads and checks a submission. Chunk size and shard are for the controller to set.
-pub fn submission(body: &[u8]) -> Result<(JobId, JobRecord), InvalidSubmission> {
+pub fn parse_submission(body: &[u8]) -> Result<(JobId, JobRecord), InvalidSubmission> {
     read_submission(body).map_err(|error| {
         let named = ciborium::from_reader::<IdBody, _>(body).ok();
         InvalidSubmission {
-            why: error.to_string(),
+            reason: error.to_string(),
             id: named.and_then(|named| JobId::parse(&named.id)),
         }
     })
--- a/tests/malformed.rs
+++ b/tests/malformed.rs
@@ -171,10 +171,10 @@
 #[test]
 #[expect(clippy::too_many_lines, reason = "one table of cases")]
 fn malformed_submissions_are_refused() {
-    assert!(wire::submission(&wire::encode(&Value::Map(good()))).is_ok());
+    assert!(wire::parse_submission(&wire::encode(&Value::Map(good()))).is_ok());
     for field in ["builds", "quarter", "curtainS"] {
         assert!(
-            wire::submission(&with(field, None)).is_ok(),
+            wire::parse_submission(&with(field, None)).is_ok(),
             "{field} may be left out"
         );
     }
@@ -199,16 +199,16 @@
     ];
     for field in required {
         assert!(
-            wire::submission(&with(field, None)).is_err(),
+            wire::parse_submission(&with(field, None)).is_err(),
             "{field} is missing"
         );
         assert!(
-            wire::submission(&with(field, Some(Value::Null))).is_err(),
+            wire::parse_submission(&with(field, Some(Value::Null))).is_err(),
             "{field} is null"
         );
         let list = Value::Array(Vec::new());
         assert!(
-            wire::submission(&with(field, Some(list))).is_err(),
+            wire::parse_submission(&with(field, Some(list))).is_err(),
             "{field} is a list"
         );
     }
@@ -260,7 +260,10 @@
     ];
     for (field, value) in rows {
         let body = with(field, Some(value.clone()));
-        assert!(wire::submission(&body).is_err(), "{field} = {value:?}");
+        assert!(
+            wire::parse_submission(&body).is_err(),
+            "{field} = {value:?}"
+        );
     }
 }
 
@@ -282,9 +285,9 @@
         (vec![0x81; 5000], None),
     ];
     for (body, id) in rows {
-        let bad = wire::submission(&body).expect_err("malformed");
+        let bad = wire::parse_submission(&body).expect_err("malformed");
         let read = bad.id.as_ref().map(salttrestle::ids::JobId::as_str);
-        assert_eq!(read, id, "{}", bad.why);
+        assert_eq!(read, id, "{}", bad.reason);
     }
 }
 
@@ -304,7 +307,7 @@
     ];
     for body in rows {
         assert!(
-            wire::submission(&body).is_err(),
+            wire::parse_submission(&body).is_err(),
             "{:?}",
             &body[..body.len().min(20)]
         );
@@ -355,7 +358,7 @@
         at_ms: 7,
         echoes: vec![("n1".into(), 3, 5)],
         since_keepalive_ms: 9,
-        overdue: vec!["i-7".into()],
+        overdue_machines: vec!["i-7".into()],
     });
     let framed = peer::frame(&heartbeat).expect("a message of usual size");
     let mut buf = [framed.clone(), framed[..4].to_vec()].concat();
@@ -379,7 +382,7 @@
         incarnation: 1,
         request_id: 2,
         status: 200,
-        body: vec![0; peer::MESSAGE_MAX],
+        body: vec![0; peer::MESSAGE_BYTES_MAX],
         retry_after: None,
     });
     assert!(peer::frame(&large).is_err(), "too large to send");
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -77,7 +77,7 @@
     let strictest = |next: &str| {
         let text = PLATFORM.replace("\"txn_ops\":16", &format!("\"txn_ops\":16{next}"));
         let platform = Platform::parse(&text, "f.json").expect("good settings");
-        platform.facts.state.strictest()
+        platform.facts.store.strictest()
     };
     let present = strictest("");
     assert_eq!((present.txn_ops, present.value_bytes), (16, 8192));
@@ -105,11 +105,20 @@
         }
     };
     let usual = settings("0.1", "500");
-    assert_eq!((usual.shards_for(10), usual.shards_for(500)), (0, 1));
+    assert_eq!(
+        (usual.shard_count_for(10), usual.shard_count_for(500)),
+        (0, 1)
+    );
     // 1,333 machines would take all of the processor, of which 0.85 may be used.
-    assert_eq!((usual.shards_for(1100), usual.shards_for(1200)), (1, 2));
     assert_eq!(
-        (usual.shards_at(1200, 2000.0), usual.shards_at(1200, 700.0)),
+        (usual.shard_count_for(1100), usual.shard_count_for(1200)),
+        (1, 2)
+    );
+    assert_eq!(
+        (
+            usual.shard_count_for_capacity(1200, 2000.0),
+            usual.shard_count_for_capacity(1200, 700.0)
+        ),
         (1, 3)
     );
     assert_eq!(usual.ceiling(), 800, "two controllers' sockets");
@@ -123,12 +132,19 @@
     );
     let frame = peer::frame(&peer::Message::ForwardedHeartbeat(Box::new(heartbeat)));
     let bytes = frame.expect("short enough").len();
-    assert!(large.peer_out_bytes() >= 4000 * bytes, "{bytes} bytes");
-    assert_eq!(usual.peer_out_bytes(), 500 * 4096);
+    assert!(large.unsent_bytes_max() >= 4000 * bytes, "{bytes} bytes");
+    assert_eq!(usual.unsent_bytes_max(), 500 * 4096);
     let slow = settings("0.01", "500");
-    assert_eq!((slow.shards_for(100), slow.shards_for(120)), (1, 2));
+    assert_eq!(
+        (slow.shard_count_for(100), slow.shard_count_for(120)),
+        (1, 2)
+    );
     let slowest = settings("0.001", "500");
-    assert_eq!(slowest.shards_for(100), 2, "no smaller than is worth it");
+    assert_eq!(
+        slowest.shard_count_for(100),
+        2,
+        "no smaller than is worth it"
+    );
     assert_eq!(slow.ceiling(), 266, "two controllers' processors");
     assert!(Platform::parse(&PLATFORM.replace("\"cpu\":0.1", "\"cpu\":0"), "f").is_err());
 }
@@ -204,7 +220,7 @@
     let platform = Platform::parse(PLATFORM, "f.json").expect("good settings");
     let read = |text: &str| CellsFile::parse(text, "cells.properties", &platform);
     let good = read(CELLS).expect("a good file");
-    assert_eq!(good.others().collect::<Vec<_>>(), ["south"]);
+    assert_eq!(good.other_cells().collect::<Vec<_>>(), ["south"]);
     assert_eq!(good.teams["t"].limit, salttrestle_cells::Amount(0, 4000));
     let rows = [
         ("generation = 3", "generation = 0", "cells.generation"),
--- a/tests/sheltered_tasks.rs
+++ b/tests/sheltered_tasks.rs
@@ -47,14 +47,14 @@
         StoreRequest::List { .. } => Some(StoreResponse::Page {
             entries: records(),
             last: None,
-            more: false,
+            has_next: false,
             revision: REVISION,
         }),
         StoreRequest::ReadRevision => Some(StoreResponse::Missing { revision: REVISION }),
         StoreRequest::Watch { after: REVISION } if !news.is_empty() => {
             Some(StoreResponse::Changes {
                 revision: REVISION + 1,
-                news: news.to_vec(),
+                changes: news.to_vec(),
             })
         }
         _ => None,
--- a/tests/sim/digest.rs
+++ b/tests/sim/digest.rs
@@ -32,8 +32,8 @@
                 self.number(reply.retry_after.map_or(u64::MAX, u64::from));
                 self.bytes(&reply.body);
             }
-            Output::Store(call, request) => self.call(1, call.0, &request.call()),
-            Output::Cloud(call, request) => self.call(2, call.0, &request.call()),
+            Output::Store(call, request) => self.call(1, call.0, &request.to_call()),
+            Output::Cloud(call, request) => self.call(2, call.0, &request.to_call()),
             Output::CancelCall(call) => {
                 self.number(3);
                 self.number(call.0);
--- a/tests/sim/services.rs
+++ b/tests/sim/services.rs
@@ -129,7 +129,7 @@
         if ended && !waits {
             let response = StoreResponse::Changes {
                 revision: self.store.records.revision,
-                news: Vec::new(),
+                changes: Vec::new(),
             };
             self.respond(process, call, STORE_DELAY_MS, response);
         }
--- a/tests/sim/setup.rs
+++ b/tests/sim/setup.rs
@@ -13,7 +13,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use salttrestle::controller::store::records::Resources;
-use salttrestle::settings::NextStateLimits;
+use salttrestle::settings::NextStoreLimits;
 use salttrestle::wire::MachineType;
 use salttrestle_fakes::checker::Checker;
 use salttrestle_fakes::cloud::Cloud;
@@ -135,8 +135,8 @@
 }
 
 /// The limits of the line `next`.
-fn next_limits(line: &Arguments) -> NextStateLimits {
-    NextStateLimits {
+fn next_limits(line: &Arguments) -> NextStoreLimits {
+    NextStoreLimits {
         rps: None,
         write_rps: Some(line.number("write", 42.0)),
         value_kb: Some(line.number("kb", 2.0)),
--- a/tests/sim/store.rs
+++ b/tests/sim/store.rs
@@ -4,7 +4,7 @@
 use super::store_conditions::{misnamed_parts, unconditional};
 use salttrestle::controller::store::records::{Key, PREFIX, Record};
 use salttrestle::ids::CallId;
-use salttrestle::settings::NextStateLimits;
+use salttrestle::settings::NextStoreLimits;
 use salttrestle::wire::{Change, StoreRequest, StoreResponse, Write, record_value};
 use salttrestle_fakes::orders::Orders;
 use salttrestle_fakes::rate::RateLimit;
@@ -68,7 +68,7 @@
     }
 
     /// The limits fall. What is stored stays readable.
-    pub(crate) fn lower_limits(&mut self, now: u64, limits: NextStateLimits) {
+    pub(crate) fn lower_limits(&mut self, now: u64, limits: NextStoreLimits) {
         self.value_kb = limits.value_kb.unwrap_or(self.value_kb);
         self.transaction_writes = limits.txn_ops.unwrap_or(self.transaction_writes);
         self.write_limit = limits.write_rps.map(|rate| RateLimit::new(now, rate));
@@ -87,7 +87,10 @@
         };
         let news: Vec<Change> = changes.iter().filter_map(watched_change).collect();
         let revision = self.records.revision;
-        (!news.is_empty()).then_some(StoreResponse::Changes { revision, news })
+        (!news.is_empty()).then_some(StoreResponse::Changes {
+            revision,
+            changes: news,
+        })
     }
 
     /// Executes a request; `None` for a watch that has to wait.
@@ -143,14 +146,14 @@
     }
 
     fn list(&self, after: &str) -> StoreResponse {
-        let (page, more) = self.records.list(PREFIX, after, PAGE);
+        let (page, has_next) = self.records.list(PREFIX, after, PAGE);
         let entries = page.iter().filter_map(|(path, entry)| {
             Some((Key::parse(path)?, entry.revision, Some(entry.value.clone())))
         });
         StoreResponse::Page {
             entries: entries.collect(),
             last: page.last().map(|(path, _)| (*path).clone()),
-            more,
+            has_next,
             revision: self.records.revision,
         }
     }
--- a/tests/sim/submissions.rs
+++ b/tests/sim/submissions.rs
@@ -132,7 +132,7 @@
 
     /// The checker and the workers learn of a job that is about to be submitted.
     pub(super) fn add_spec(&mut self, id: &JobId, spec: JobSpec) {
-        if let Ok((_, record)) = wire::submission(&spec.body) {
+        if let Ok((_, record)) = wire::parse_submission(&spec.body) {
             self.checker.submitted(self.now, id, record);
         }
         self.specs.insert(id.clone(), spec);
--- a/tests/sim/users.rs
+++ b/tests/sim/users.rs
@@ -118,8 +118,10 @@
             Intent::Poll | Intent::Query => Request::Poll(job.clone()),
             Intent::Cancel => Request::Cancel(job.clone()),
             Intent::Probe => Request::Up,
-            Intent::Submit | Intent::Resubmit => Request::Submit(wire::submission(body()?)),
-            Intent::ResubmitMalformed => Request::Submit(wire::submission(&without_rank(body()?))),
+            Intent::Submit | Intent::Resubmit => Request::Submit(wire::parse_submission(body()?)),
+            Intent::ResubmitMalformed => {
+                Request::Submit(wire::parse_submission(&without_rank(body()?)))
+            }
         })
     }
 
--- a/tests/sim/world.rs
+++ b/tests/sim/world.rs
@@ -15,7 +15,7 @@
 use rand::RngExt;
 use rand::rngs::StdRng;
 use salttrestle::ids::JobId;
-use salttrestle::settings::NextStateLimits;
+use salttrestle::settings::NextStoreLimits;
 use salttrestle_fakes::checker::Checker;
 use salttrestle_fakes::cloud::Cloud;
 use salttrestle_fakes::worker::Worker;
@@ -45,7 +45,7 @@
 
     pub store: StoreService,
     /// Limits that the store will have.
-    pub(super) next_limits: Option<NextStateLimits>,
+    pub(super) next_limits: Option<NextStoreLimits>,
     pub cloud: Cloud,
     pub workers: BTreeMap<String, Worker>,
     pub(super) specs: HashMap<JobId, JobSpec>,
--- a/tests/stored_forms.rs
+++ b/tests/stored_forms.rs
@@ -218,7 +218,7 @@
         at_ms: 1000,
         echoes: vec![(ControllerId::from("trestlehand-1"), 8, 900)],
         since_keepalive_ms: 5000,
-        overdue: vec![machine()],
+        overdue_machines: vec![machine()],
     };
     check_message(&Message::PeerHeartbeat(heartbeat), HELLO);
     let report = WorkerHeartbeat {
@@ -254,10 +254,10 @@
         token: FencingToken(41),
         revision: 412,
         pools: vec![("g8".into(), false, PoolCount::default())],
-        zones: vec![("g8".into(), false, "a".into(), 3)],
-        pins: vec![("g8".into(), false, "b".into(), 1)],
-        empty: vec![("g8".into(), false, machine())],
-        gone: vec![machine()],
+        machines_by_zone: vec![("g8".into(), false, "a".into(), 3)],
+        zone_shortfalls: vec![("g8".into(), false, "b".into(), 1)],
+        empty_machines: vec![("g8".into(), false, machine())],
+        deleted_machines: vec![machine()],
         teams: vec![("vision".into(), TeamCount::default())],
     };
     check_message(&Message::ShardCounts(Box::new(shard_counts)), TALLY);
@@ -313,7 +313,7 @@
 fn limits_read(data: &ciborium::Value) -> LimitsRecord {
     let body = cbor!({"path" => "s/own/limits", "data" => data, "mark" => 7});
     let body = wire::encode(&body.expect("a map"));
-    match wire::StoreRequest::Get(Key::Limits).reply(200, &body) {
+    match wire::StoreRequest::Get(Key::Limits).parse_response(200, &body) {
         wire::StoreResponse::Found {
             record: Record::Limits(limits),
             revision: 7,
--- a/tests/wire_words.rs
+++ b/tests/wire_words.rs
@@ -29,7 +29,7 @@
             },
         ],
     };
-    let call = commit.call();
+    let call = commit.to_call();
     assert_eq!((call.method, call.path.as_str()), ("POST", "/commit"));
     let wanted = cbor!({
         "when" => [{"path" => "s/end/wk-1", "mark" => 0}],
@@ -40,7 +40,7 @@
     });
     let sent: Value = wire::decode(&call.body.expect("a body")).expect("CBOR");
     assert_eq!(sent, wanted.expect("a value"));
-    let grant = StoreRequest::GrantLease { ttl_ms: 3000 }.call();
+    let grant = StoreRequest::GrantLease { ttl_ms: 3000 }.to_call();
     let sent: Value = wire::decode(&grant.body.expect("a body")).expect("CBOR");
     assert_eq!(sent, cbor!({"ttlMs" => 3000}).expect("a value"));
 }
@@ -53,10 +53,10 @@
         record: Record::End(Ending::Done),
         revision: 412,
     };
-    assert_eq!(StoreRequest::Get(end()).reply(200, &found), read);
+    assert_eq!(StoreRequest::Get(end()).parse_response(200, &found), read);
     let missing = body(cbor!({"ledger" => 431}));
     assert_eq!(
-        StoreRequest::ReadRevision.reply(404, &missing),
+        StoreRequest::ReadRevision.parse_response(404, &missing),
         StoreResponse::Missing { revision: 431 }
     );
     let commit = StoreRequest::Transaction {
@@ -64,21 +64,24 @@
         writes: Vec::new(),
     };
     assert_eq!(
-        commit.reply(200, &body(cbor!({"ledger" => 432}))),
+        commit.parse_response(200, &body(cbor!({"ledger" => 432}))),
         StoreResponse::Committed { revision: 432 }
     );
     let conflict = body(cbor!({"failed" => ["s/end/wk-1"], "ledger" => 431}));
     assert_eq!(
-        commit.reply(409, &conflict),
+        commit.parse_response(409, &conflict),
         StoreResponse::Conflict {
             failed: vec![end()]
         }
     );
     let over = body(cbor!({"error" => "no such lease"}));
-    assert_eq!(commit.reply(400, &over), StoreResponse::LeaseNotFound);
+    assert_eq!(
+        commit.parse_response(400, &over),
+        StoreResponse::LeaseNotFound
+    );
     let large = body(cbor!({"error" => "value too large"}));
-    assert_eq!(commit.reply(400, &large), StoreResponse::Rejected);
-    assert_eq!(commit.reply(400, &[]), StoreResponse::Rejected);
+    assert_eq!(commit.parse_response(400, &large), StoreResponse::Rejected);
+    assert_eq!(commit.parse_response(400, &[]), StoreResponse::Rejected);
     let page = body(cbor!({
         "entries" => [{"path" => "s/end/wk-1", "data" => "Done", "mark" => 5}],
         "hasNext" => true, "ledger" => 431
@@ -86,29 +89,29 @@
     let listed = StoreResponse::Page {
         entries: vec![(end(), 5, Some(Record::End(Ending::Done)))],
         last: Some("s/end/wk-1".into()),
-        more: true,
+        has_next: true,
         revision: 431,
     };
     let list = StoreRequest::List { after: "s/".into() };
-    assert_eq!(list.reply(200, &page), listed);
+    assert_eq!(list.parse_response(200, &page), listed);
     let news = body(cbor!({"ledger" => 433, "news" => [
         {"write" => "s/end/wk-1", "data" => "Done", "mark" => 433},
         {"delete" => "s/job/wk-1", "mark" => 432}
     ]}));
     let followed = StoreResponse::Changes {
         revision: 433,
-        news: vec![
+        changes: vec![
             (end(), 433, Some(Record::End(Ending::Done))),
             (Key::Job(JobId::from("wk-1")), 432, None),
         ],
     };
     assert_eq!(
-        StoreRequest::Watch { after: 431 }.reply(200, &news),
+        StoreRequest::Watch { after: 431 }.parse_response(200, &news),
         followed
     );
     let granted = body(cbor!({"hold" => 7}));
     assert_eq!(
-        StoreRequest::GrantLease { ttl_ms: 3000 }.reply(200, &granted),
+        StoreRequest::GrantLease { ttl_ms: 3000 }.parse_response(200, &granted),
         StoreResponse::LeaseGranted(7)
     );
 }
@@ -122,7 +125,7 @@
         spot: true,
         count: 12,
     });
-    let sent: Value = wire::decode(&rent.call().body.expect("a body")).expect("CBOR");
+    let sent: Value = wire::decode(&rent.to_call().body.expect("a body")).expect("CBOR");
     let wanted = cbor!({
         "hire" => "r-17", "build" => "g8", "quarter" => "a", "borrowed" => true, "number" => 12
     });
@@ -130,18 +133,19 @@
     let rented = body(cbor!({"rigs" => ["i-000231"]}));
     let machines = vec![MachineId::from("i-000231")];
     assert_eq!(
-        rent.reply(200, &rented),
+        rent.parse_response(200, &rented),
         CloudResponse::ScaledOut(machines.clone())
     );
     let delete = CloudRequest::Delete(machines);
-    let sent: Value = wire::decode(&delete.call().body.expect("a body")).expect("CBOR");
+    let sent: Value = wire::decode(&delete.to_call().body.expect("a body")).expect("CBOR");
     assert_eq!(sent, cbor!({"rigs" => ["i-000231"]}).expect("a value"));
     let catalog = body(cbor!({"builds" => [{
         "name" => "g8", "cores" => 96, "accelerators" => 8, "memGb" => 768, "localGb" => 200,
         "fetchGbPerS" => 1.0, "rate" => 12.0, "lowPrice" => 4.5, "readyS" => 45,
         "quarters" => ["a", "b"]
     }]}));
-    let CloudResponse::Catalog(classes) = CloudRequest::Catalog.reply(200, &catalog) else {
+    let CloudResponse::Catalog(classes) = CloudRequest::Catalog.parse_response(200, &catalog)
+    else {
         panic!("no catalogue");
     };
     assert_eq!((classes[0].name.as_str(), classes[0].ready_s), ("g8", 45.0));
@@ -150,12 +154,12 @@
         "id" => "i-000231", "endpoint" => "10.1.0.232:9000", "build" => "g8", "quarter" => "a",
         "borrowed" => true, "stance" => "running", "ageS" => 61.5
     }], "hasNext" => false}));
-    let CloudResponse::Page { machines, more } =
-        (CloudRequest::List { after: None }).reply(200, &listed)
+    let CloudResponse::Page { machines, has_next } =
+        (CloudRequest::List { after: None }).parse_response(200, &listed)
     else {
         panic!("no list");
     };
-    assert!(!more && machines[0].spot);
+    assert!(!has_next && machines[0].spot);
     assert_eq!(
         (machines[0].id.as_str(), machines[0].age_s()),
         ("i-000231", 61.5)
