--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,4 +1,4 @@
-//! Names and moments as types of their own, so that one can't be mistaken for another.
+//! Types for identifiers and times, so that the compiler rejects one used in place of another.
 
 #![warn(missing_docs)]
 
@@ -13,7 +13,7 @@
         pub struct $name(pub Arc<str>);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -34,50 +34,50 @@
 }
 
 name_type!(
-    /// A job, as its user named it.
+    /// Id of a job, assigned by its user.
     JobId
 );
 name_type!(
-    /// A rented machine, as the cloud named it.
+    /// Id of a rented machine, assigned by the cloud.
     MachineId
 );
 name_type!(
-    /// A controller of the service, as the platform named it.
+    /// Id of a controller, assigned by the platform.
     ControllerId
 );
 name_type!(
-    /// An image: a model's weights with the engine that serves them.
+    /// Name of an image, which holds a model's weights and the engine that serves the model.
     Image
 );
 
-/// The longest job id that is accepted.
-const JOB_ID_MAX: usize = 64;
+/// Maximum length of a job id, in bytes.
+const JOB_ID_BYTES_MAX: usize = 64;
 
 impl JobId {
-    /// Accepts a job id only in the users' form: lower-case letters, a hyphen, digits.
-    /// Anything else could break out of the key it becomes a part of.
+    /// Parses a job id: lower-case letters, a hyphen and digits. Returns `None` for any other text,
+    /// which could inject separators into the store key that contains the id.
     pub fn parse(text: &str) -> Option<Self> {
         let (word, digits) = text.split_once('-')?;
         let is_valid = !word.is_empty()
             && !digits.is_empty()
-            && text.len() <= JOB_ID_MAX
+            && text.len() <= JOB_ID_BYTES_MAX
             && word.bytes().all(|byte| byte.is_ascii_lowercase())
             && digits.bytes().all(|byte| byte.is_ascii_digit());
         is_valid.then(|| Self(text.into()))
     }
 }
 
-/// One task of a job.
+/// Id of a task, with the text form `job/index`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
-    /// The job.
+    /// The job that the task belongs to.
     pub job: JobId,
-    /// Which of its tasks, from 0.
+    /// Index of the task in the job, counted from 0.
     pub index: u32,
 }
 
 impl TaskId {
-    /// Reads `job/index`.
+    /// Parses `job/index`. Returns `None` if the text has another form.
     pub fn parse(text: &str) -> Option<Self> {
         let (job, index) = text.rsplit_once('/')?;
         Some(Self {
@@ -93,66 +93,68 @@
     }
 }
 
-/// An attempt to run a task. Later attempts are always greater: the upper part is the fencing token
-/// under which the task was placed, and no two processes ever have the same token.
+/// An attempt to run a task. A later attempt always compares as greater: the upper bits are the
+/// fencing token under which the task was placed, and the lower bits count the attempts under that
+/// token. No two processes ever have the same token.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Default,
 )]
 pub struct Attempt(pub u64);
 
-/// The token of a shard's owner, under which it commands workers. It rises with every new owner, and
-/// no process uses one that an earlier process has used.
+/// The token that a shard's owner sends with its commands to workers. It increases with every new
+/// owner, and no process uses a token that an earlier process has used.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Default,
 )]
 pub struct FencingToken(pub u64);
 
 impl Attempt {
-    /// Bits for the attempts made under one token.
+    /// Number of lower bits, which count the attempts under one token.
     const COUNT_BITS: u32 = 28;
     const COUNT_MASK: u64 = (1 << Self::COUNT_BITS) - 1;
 
-    /// The `count`th attempt under `token`.
+    /// Returns attempt number `count` under `token`. Only the lower 28 bits of `count` are used.
     pub fn new(token: FencingToken, count: u64) -> Self {
         Self((token.0 << Self::COUNT_BITS) | (count & Self::COUNT_MASK))
     }
 
-    /// The token under which the task was placed.
+    /// Returns the token under which the task was placed.
     pub fn token(self) -> FencingToken {
         FencingToken(self.0 >> Self::COUNT_BITS)
     }
 }
 
-/// A user's, worker's or health check's request to this process.
+/// Id of a request that this process received from a user, a worker or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// A request of this process to the store or the cloud.
+/// Id of a request that this process sent to the store or the cloud.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// A moment on this process's steady clock, in milliseconds since its start.
+/// A time on this process's monotonic clock, in milliseconds since the process started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Time(pub u64);
 
 impl Time {
-    /// The moment `seconds` later.
+    /// Returns the time `seconds` later, rounded up to whole milliseconds. A negative number counts
+    /// as 0.
     pub fn after(self, seconds: f64) -> Self {
         Self(self.0 + (seconds.max(0.0) * 1000.0).ceil() as u64)
     }
 
-    /// The latest whole multiple of a pause that isn't after this moment. Timers that fire at
-    /// whole multiples fire together.
-    pub fn round_down(self, pause_ms: u64) -> Self {
-        Self(self.0 - self.0 % pause_ms)
+    /// Returns the latest whole multiple of an interval that isn't after this time. Timers that are
+    /// rounded to whole multiples of the same interval fire together.
+    pub fn round_down(self, interval_ms: u64) -> Self {
+        Self(self.0 - self.0 % interval_ms)
     }
 
-    /// The first whole multiple of a pause after this moment.
-    pub fn next_multiple(self, pause_ms: u64) -> Self {
-        Self(self.round_down(pause_ms).0 + pause_ms)
+    /// Returns the first whole multiple of an interval after this time.
+    pub fn next_multiple(self, interval_ms: u64) -> Self {
+        Self(self.round_down(interval_ms).0 + interval_ms)
     }
 
-    /// Seconds since `earlier`; 0 when that lies ahead.
+    /// Returns the seconds since `earlier`, or 0 if `earlier` is later than this time.
     pub fn since(self, earlier: Time) -> f64 {
         self.0.saturating_sub(earlier.0) as f64 / 1000.0
     }
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -1,7 +1,10 @@
-//! Messages between the controllers of a cell: `postcard` behind a length and a version.
-//! No rule depends on them; they only make the right thing come sooner.
+//! Messages between the controllers of a cell, encoded with `postcard` in frames that start with a
+//! length and a version.
 //!
-//! `postcard` writes fields and variants by their order: that stays, whatever their names become.
+//! Correctness doesn't depend on these messages. They only let controllers act sooner.
+//!
+//! `postcard` encodes fields and variants by their order, so the order must not change. Their names
+//! may.
 
 #![warn(missing_docs)]
 
@@ -11,14 +14,17 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Raised when a message changes its form; other versions are dropped.
-const VERSION: u8 = 4;
-/// The version of the frames of package `standby`. A release that doesn't know it drops them.
+/// Version of the message format. It is incremented with every change of the format, and frames of
+/// other versions are dropped.
+const MESSAGE_VERSION: u8 = 4;
+/// Version of the frames with messages of package `standby`. A release that doesn't know this
+/// version drops the frames.
 const STANDBY_VERSION: u8 = 5;
-/// Most bytes of one message. The longest are counts: names of machines within a bound,
-/// and a line for each pool, zone and team, of which there may be hundreds.
+/// Maximum size of one message without its header, in bytes. The longest messages are
+/// [`ShardCounts`], with a limited number of machine ids, and one entry for each pool, zone and
+/// team, of which there may be hundreds.
 pub const MESSAGE_BYTES_MAX: usize = 256 * 1024;
-/// Bytes before a message: its length and the version.
+/// Size of a frame's header in bytes: a length of 4 bytes and a version of 1 byte.
 const HEADER_BYTES: usize = 5;
 
 /// A message to a peer.
@@ -26,13 +32,13 @@
 pub enum Message {
     /// The sender's state, about once a second.
     PeerHeartbeat(PeerHeartbeat),
-    /// What the owner of a shard counts for the leader.
+    /// Counts of a shard, sent by its owner to the leader.
     ShardCounts(Box<ShardCounts>),
-    /// A worker's heartbeat, forwarded to the owner of its shard.
+    /// A worker's heartbeat, forwarded to the owner of the worker's shard.
     ForwardedHeartbeat(Box<ForwardedHeartbeat>),
-    /// The owner's response to one.
+    /// The owner's response to a forwarded heartbeat.
     ForwardedResponse(ForwardedResponse),
-    /// From package `standby`. Travels in frames of a version of its own.
+    /// A message of package `standby`, sent in frames with a version of their own.
     #[serde(skip)]
     Standby(Box<StandbyMessage>),
 }
@@ -40,58 +46,58 @@
 /// Why a peer's connection is closed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum FrameError {
-    /// Longer than any message.
+    /// The frame is longer than [`MESSAGE_BYTES_MAX`].
     #[error("message too large")]
     TooLarge,
-    /// Not a message.
+    /// The frame can't be decoded.
     #[error("malformed message")]
     Malformed,
-    /// A message of the standby that isn't accepted.
+    /// The frame has a message of package `standby` that is malformed or exceeds a limit.
     #[error("{0}")]
     Standby(#[from] MessageError),
 }
 
-/// A controller's state as it sees it, sent about once a second.
+/// The state of a controller from its own point of view, sent to all peers about once a second.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PeerHeartbeat {
     /// The sender.
     pub from: ControllerId,
-    /// Distinguishes this process from earlier ones of the same controller.
+    /// Identifies the sender's process; earlier processes of the same controller had other values.
     pub incarnation: u64,
-    /// Who leads, as far as it knows.
+    /// The leader, as far as the sender knows.
     pub leader: Option<ControllerId>,
-    /// Each shard, with its fencing token and its owner.
+    /// All shards, each with its fencing token and its owner.
     pub shards: Vec<(u32, FencingToken, ControllerId)>,
-    /// Whether the store has answered it lately.
+    /// Whether the sender's copy of the store's records is complete and recent enough to act on.
     pub is_fresh: bool,
-    /// How long ago it last knew all records of the store, in milliseconds.
+    /// Upper bound on the age of the sender's copy of the store's records, in milliseconds.
     pub staleness_ms: u64,
-    /// Whether a worker's heartbeat came to it lately, whichever shard is the worker's.
+    /// Whether the sender recently received a heartbeat from a worker of any shard.
     pub hears_workers: bool,
-    /// Whether it owns a shard whose workers' heartbeats have stopped coming to it.
+    /// Whether the sender owns a shard whose workers' heartbeats no longer arrive.
     pub workers_unreachable: bool,
-    /// Whether it can forward heartbeats to the owner.
+    /// Whether the sender can forward heartbeats of workers to the owners of their shards.
     pub can_forward: bool,
-    /// The sender's clock, in milliseconds.
+    /// Time on the sender's clock when it sent the heartbeat, in milliseconds.
     pub at_ms: u64,
-    /// Each peer, with the clock and the incarnation in the latest heartbeat from it.
+    /// For each peer, the `at_ms` and the `incarnation` of its latest heartbeat.
     pub echoes: Vec<(ControllerId, u64, u64)>,
-    /// How long ago it last kept a worker's lease alive in an owner's place, in milliseconds.
+    /// Time since the sender last renewed a worker's lease on an owner's behalf, in milliseconds.
     pub since_keepalive_ms: u64,
-    /// Machines of its shards that have tasks and don't heartbeat, within a bound: what is
-    /// cancelled there can't be confirmed soon.
+    /// A limited number of machines of the sender's shards that have tasks and whose heartbeats are
+    /// overdue. A cancellation of a job with tasks on them can't be confirmed soon.
     #[serde(rename = "overdue")]
     pub overdue_machines: Vec<MachineId>,
 }
 
-/// A worker's heartbeat, forwarded to its shard's owner.
+/// A worker's heartbeat, forwarded to the owner of the worker's shard.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ForwardedHeartbeat {
     /// The controller that forwards it.
     pub from: ControllerId,
-    /// That controller's process.
+    /// Incarnation of the process that forwards it.
     pub incarnation: u64,
-    /// That process's request, which the response names again.
+    /// Id of the worker's request at that process, which the response repeats.
     pub request_id: u64,
     machine: String,
     endpoint: String,
@@ -106,7 +112,7 @@
 }
 
 impl ForwardedHeartbeat {
-    /// Wraps a heartbeat for its way to the owner.
+    /// Wraps a heartbeat for forwarding.
     pub fn new(
         from: &ControllerId,
         incarnation: u64,
@@ -132,7 +138,7 @@
         }
     }
 
-    /// The worker's heartbeat.
+    /// Returns the worker's heartbeat.
     pub fn into_worker_heartbeat(self) -> WorkerHeartbeat {
         let tasks = self.tasks.into_iter();
         let tasks = tasks.map(|(task, attempt, status, cause)| HeartbeatTask {
@@ -159,87 +165,96 @@
 /// The owner's response to a forwarded heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ForwardedResponse {
-    /// The process that forwarded the heartbeat.
+    /// Incarnation of the process that forwarded the heartbeat.
     pub incarnation: u64,
-    /// That process's request.
+    /// Id of the worker's request at that process.
     pub request_id: u64,
-    /// The HTTP status for the worker.
+    /// HTTP status for the worker.
     pub status: u16,
-    /// The body for the worker.
+    /// Response body for the worker.
     pub body: Vec<u8>,
-    /// `Retry-After` for the worker, in seconds.
+    /// `Retry-After` header for the worker, in seconds.
     pub retry_after: Option<u32>,
 }
 
-/// What a shard's owner counts for the leader.
+/// The counts that a shard's owner sends to the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShardCounts {
     /// The shard's owner.
     pub from: ControllerId,
-    /// The shard.
+    /// Number of the shard.
     pub shard: u32,
     /// The owner's fencing token.
     pub token: FencingToken,
-    /// The revision of the shard's record under which this was counted.
+    /// Revision of the shard's record at the time of the count.
     pub revision: u64,
-    /// The count of each pool: its machine type, and whether it is a spot pool.
+    /// Counts by pool: machine type, whether it is a spot pool, and counts.
     pub pools: Vec<(String, bool, PoolCount)>,
-    /// Machines by machine type, whether they are spot machines, and zone.
+    /// Numbers of machines: machine type, whether they are spot machines, zone, and number.
     #[serde(rename = "zones")]
     pub machines_by_zone: Vec<(String, bool, String, u32)>,
-    /// Machines that are lacking in a particular zone, where tasks may go nowhere else.
+    /// Numbers of machines missing in a zone for tasks that may run in this zone only: machine
+    /// type, whether they are spot machines, zone, and number.
     #[serde(rename = "pins")]
     pub zone_shortfalls: Vec<(String, bool, String, u32)>,
-    /// Empty machines, in the order in which they are best given back.
+    /// Machines without tasks: machine type, whether it is a spot machine, and id. The machines to
+    /// scale in first come first.
     #[serde(rename = "empty")]
     pub empty_machines: Vec<(String, bool, MachineId)>,
-    /// Machines deleted lately.
+    /// Recently deleted machines.
     #[serde(rename = "gone")]
     pub deleted_machines: Vec<MachineId>,
-    /// What each team uses, and what it would use if it could.
+    /// Use and demand by team.
     pub teams: Vec<(String, TeamCount)>,
 }
 
-/// What a pass of the reconcile loop counts for one pool.
+/// Machines, use and demand of one pool in one shard. Fractional values are in machines: a task
+/// counts as the fraction of a machine that it uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PoolCount {
-    /// Machines' worth of tasks that wait for room.
+    /// Queued tasks, in machines.
     pub queued: f64,
-    /// Machines' worth of tasks that are placed.
+    /// Placed tasks, in machines.
     pub running: f64,
-    /// Machines with at least one task.
+    /// Number of machines with at least one task.
     pub busy: u32,
-    /// Machines, with those that are still to come.
+    /// Number of machines, including those that are still booting.
     pub provisioned: u32,
-    /// Machines' worth of room that is free on machines in use.
+    /// Room that urgent starts can use on machines with tasks, in machines.
     #[serde(rename = "spare")]
     pub free_room: f64,
-    /// Machines' worth of room to be kept free for urgent starts.
+    /// Room to keep free for urgent starts, in machines.
     #[serde(rename = "keep")]
     pub reserved_room: f64,
-    /// Whether services run here, so that room is kept for the next ones.
+    /// Whether services run or are queued in the pool, so that room is kept free for the next ones.
     #[serde(rename = "urgent")]
     pub has_services: bool,
 }
 
-/// What a team uses of one shard, and what it would use if it could.
+/// A team's use and demand in one shard.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TeamCount {
     /// CPUs in use.
     pub cpus: f64,
     /// GPUs in use.
     pub gpus: f64,
-    /// CPUs that it would use.
+    /// CPUs that the team would use if all its queued tasks ran.
     pub cpus_wanted: f64,
-    /// GPUs that it would use.
+    /// GPUs that the team would use if all its queued tasks ran.
     pub gpus_wanted: f64,
 }
 
-/// Frames a message; `Err` with its size if no peer would accept it.
+/// Encodes a message as a frame.
+///
+/// If no peer would accept the message, since it is longer than [`MESSAGE_BYTES_MAX`] or can't be
+/// encoded, returns `Err` with its size in bytes.
 pub fn frame(message: &Message) -> Result<Vec<u8>, usize> {
     let (version, body) = match message {
         Message::Standby(message) => (STANDBY_VERSION, message.encode()),
-        other => (VERSION, postcard::to_stdvec(other).unwrap_or_default()),
+        other => (
+            MESSAGE_VERSION,
+            postcard::to_stdvec(other).unwrap_or_default(),
+        ),
     };
     if body.is_empty() || body.len() > MESSAGE_BYTES_MAX {
         return Err(body.len());
@@ -251,8 +266,9 @@
     Ok(frame)
 }
 
-/// Removes the next whole message from a buffer; `Err` when the connection must be closed. Frames
-/// of unknown versions are passed over.
+/// Removes the next complete message from a buffer and returns it, or `None` if there is none yet.
+/// Frames of unknown versions are removed and skipped. After an error, the connection must be
+/// closed.
 pub fn unframe(buffer: &mut Vec<u8>) -> Result<Option<Message>, FrameError> {
     while buffer.len() >= HEADER_BYTES {
         let size = u32::from_be_bytes([buffer[0], buffer[1], buffer[2], buffer[3]]) as usize;
@@ -263,7 +279,7 @@
             return Ok(None);
         }
         let version = buffer[HEADER_BYTES - 1];
-        let message = read_body(version, &buffer[HEADER_BYTES..size + HEADER_BYTES]);
+        let message = decode_message(version, &buffer[HEADER_BYTES..size + HEADER_BYTES]);
         buffer.drain(..size + HEADER_BYTES);
         if let Some(message) = message? {
             return Ok(Some(message));
@@ -272,14 +288,14 @@
     Ok(None)
 }
 
-/// Reads what a frame holds; nothing if its version isn't known here.
-fn read_body(version: u8, body: &[u8]) -> Result<Option<Message>, FrameError> {
+/// Decodes the message in a frame. Returns `None` if the frame's version is unknown.
+fn decode_message(version: u8, body: &[u8]) -> Result<Option<Message>, FrameError> {
     match version {
         STANDBY_VERSION => {
             let message = StandbyMessage::decode(body)?;
             Ok(Some(Message::Standby(Box::new(message))))
         }
-        VERSION => {
+        MESSAGE_VERSION => {
             let message = postcard::from_bytes(body);
             message.map(Some).map_err(|_| FrameError::Malformed)
         }
--- a/src/settings/cells.rs
+++ b/src/settings/cells.rs
@@ -1,5 +1,5 @@
-//! The cells that share team limits, as Java-style properties: the same file for all cells but for
-//! `cells.here`.
+//! The cells file: a Java properties file with the cells that share team limits. It is the same for
+//! all cells except for `cells.here`.
 
 use crate::ids::ControllerId;
 use crate::settings::platform::{Platform, Team};
@@ -9,47 +9,48 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddrV4;
 
-/// Longest name of a cell: it is part of a key.
-const NAME_MAX: usize = 32;
-/// Most cells, and most teams with a limit: messages and records stay small.
+/// Maximum length of a cell's name, in bytes. The name is part of a key in the store.
+const NAME_BYTES_MAX: usize = 32;
+/// Maximum number of cells. It limits the size of messages and records.
 const CELLS_MAX: usize = 16;
+/// Maximum number of teams with a limit. It limits the size of messages and records.
 const TEAMS_MAX: usize = 256;
 
-/// The cells, where their controllers listen for each other, and the homes of teams.
+/// The cells, the addresses of their controllers, and the home cells of teams.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CellsFile {
-    /// `cells.generation`: rises with every change of the file.
+    /// `cells.generation`: increases with every change of the file.
     pub generation: u64,
     /// `cells.here`: the cell that this controller belongs to.
     pub local_cell: Cell,
-    /// `cell.CELL.MEMBER`: where each cell's controllers listen for other cells.
+    /// `cell.CELL.MEMBER`: the addresses at which each cell's controllers listen for other cells.
     pub cells: BTreeMap<Cell, BTreeMap<ControllerId, SocketAddrV4>>,
-    /// `team.TEAM.home` and `team.TEAM.since`: the cell that makes a team's limit, and the
-    /// generation with which the team came.
+    /// `team.TEAM.home` and `team.TEAM.since`: the cell that creates a team's limit, and the
+    /// generation of the file in which the team was added.
     pub teams: BTreeMap<String, HomeTeam>,
-    /// `team.TEAM.floor`: CPUs and GPUs that stay in each cell for urgent work while links are
-    /// cut.
+    /// `team.TEAM.floor`: CPUs and GPUs that each cell keeps for urgent work while links between
+    /// cells are down.
     pub floors: BTreeMap<String, Amount>,
 }
 
-/// The properties of one file, of which each is taken once.
-struct Table<'a> {
+/// The properties of one file. A property is removed when it is read, so that unknown keys remain.
+struct Properties<'a> {
     file: &'a str,
     values: HashMap<String, String>,
 }
 
-impl Table<'_> {
-    fn text(&mut self, key: &str) -> Result<String, SettingsError> {
+impl Properties<'_> {
+    fn take_text(&mut self, key: &str) -> Result<String, SettingsError> {
         let found = self.values.remove(key);
         let text = found.ok_or_else(|| self.error(key, Reason::Missing))?;
         Ok(text.trim().to_string())
     }
 
-    fn generation(&mut self, key: &str, default: Option<u64>) -> Result<u64, SettingsError> {
+    fn take_generation(&mut self, key: &str, default: Option<u64>) -> Result<u64, SettingsError> {
         if let (Some(default), false) = (default, self.values.contains_key(key)) {
             return Ok(default);
         }
-        let text = self.text(key)?;
+        let text = self.take_text(key)?;
         let number = text.parse().ok().filter(|number| *number > 0);
         number.ok_or_else(|| self.error(key, Reason::NotAGeneration(text)))
     }
@@ -58,10 +59,10 @@
         SettingsError::new(self.file, key, reason)
     }
 
-    /// The names in the keys that begin and end like this.
-    fn names(&self, prefix: &str, last: &str) -> Vec<String> {
+    /// Returns the parts between prefix and suffix of all keys that have both, sorted.
+    fn names(&self, prefix: &str, suffix: &str) -> Vec<String> {
         let keys = self.values.keys();
-        let names = keys.filter_map(|key| key.strip_prefix(prefix)?.strip_suffix(last));
+        let names = keys.filter_map(|key| key.strip_prefix(prefix)?.strip_suffix(suffix));
         let mut names: Vec<String> = names.map(String::from).collect();
         names.sort();
         names
@@ -69,18 +70,18 @@
 }
 
 impl CellsFile {
-    /// Reads a cells file and checks it against the platform's settings.
+    /// Parses a cells file and validates it against the platform's settings.
     pub fn parse(text: &str, file: &str, platform: &Platform) -> Result<Self, SettingsError> {
         let values = java_properties::read(text.as_bytes())
             .map_err(|error| SettingsError::whole_file(file, error))?;
-        let mut table = Table { file, values };
-        let generation = table.generation("cells.generation", None)?;
-        let local_cell = table.text("cells.here")?;
-        let cells = read_cells(&mut table)?;
-        let teams = read_teams(&mut table, generation, platform, &cells)?;
-        let floors = read_floors(&mut table, &teams, cells.len())?;
-        if let Some(key) = table.values.keys().min() {
-            return Err(table.error(key, Reason::UnknownKey));
+        let mut properties = Properties { file, values };
+        let generation = properties.take_generation("cells.generation", None)?;
+        let local_cell = properties.take_text("cells.here")?;
+        let cells = parse_cells(&mut properties)?;
+        let teams = parse_teams(&mut properties, generation, platform, &cells)?;
+        let floors = parse_floors(&mut properties, &teams, cells.len())?;
+        if let Some(key) = properties.values.keys().min() {
+            return Err(properties.error(key, Reason::UnknownKey));
         }
         let cells_file = Self {
             generation,
@@ -108,7 +109,7 @@
         Ok(())
     }
 
-    /// Where this controller listens for other cells.
+    /// Returns the address at which a controller of this cell listens for other cells.
     pub fn listen(&self, controller_id: &ControllerId) -> Option<SocketAddrV4> {
         self.cells
             .get(&self.local_cell)?
@@ -116,68 +117,69 @@
             .copied()
     }
 
-    /// The other cells.
+    /// Returns all cells except this one.
     pub fn other_cells(&self) -> impl Iterator<Item = &Cell> {
         self.cells.keys().filter(|cell| **cell != self.local_cell)
     }
 }
 
-fn is_name(text: &str) -> bool {
-    let plain = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-';
-    !text.is_empty() && text.len() <= NAME_MAX && text.bytes().all(plain)
+fn is_cell_name(text: &str) -> bool {
+    let is_allowed = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-';
+    !text.is_empty() && text.len() <= NAME_BYTES_MAX && text.bytes().all(is_allowed)
 }
 
-fn read_cells(
-    table: &mut Table,
+fn parse_cells(
+    properties: &mut Properties,
 ) -> Result<BTreeMap<Cell, BTreeMap<ControllerId, SocketAddrV4>>, SettingsError> {
     let mut cells: BTreeMap<Cell, BTreeMap<ControllerId, SocketAddrV4>> = BTreeMap::new();
-    for name in table.names("cell.", "") {
+    for name in properties.names("cell.", "") {
         let key = format!("cell.{name}");
-        let text = table.text(&key)?;
-        let Some((cell, controller_id)) = name.split_once('.').filter(|(cell, _)| is_name(cell))
+        let text = properties.take_text(&key)?;
+        let Some((cell, controller_id)) =
+            name.split_once('.').filter(|(cell, _)| is_cell_name(cell))
         else {
-            return Err(table.error(&key, Reason::NotACellMember));
+            return Err(properties.error(&key, Reason::NotACellMember));
         };
         let address: Result<SocketAddrV4, _> = text.parse();
-        let address = address.map_err(|_| table.error(&key, Reason::NotAnAddress(text)));
+        let address = address.map_err(|_| properties.error(&key, Reason::NotAnAddress(text)));
         let controller_ids = cells.entry(cell.to_string()).or_default();
         controller_ids.insert(ControllerId::from(controller_id), address?);
     }
     match cells.len() {
         2..=CELLS_MAX => Ok(cells),
-        _ => Err(table.error("cell", Reason::CellCount(CELLS_MAX))),
+        _ => Err(properties.error("cell", Reason::CellCount(CELLS_MAX))),
     }
 }
 
-fn read_teams(
-    table: &mut Table,
+fn parse_teams(
+    properties: &mut Properties,
     generation: u64,
     platform: &Platform,
     cells: &BTreeMap<Cell, BTreeMap<ControllerId, SocketAddrV4>>,
 ) -> Result<BTreeMap<String, HomeTeam>, SettingsError> {
     let teams = platform.facts.teams.iter();
-    let limited = teams.filter(|team| team.cpus_max > 0.0 || team.gpus_max > 0.0);
-    let limited: Vec<&Team> = limited.collect();
-    if limited.len() > TEAMS_MAX {
-        return Err(table.error("team", Reason::TooManyTeams(TEAMS_MAX)));
+    let limited_teams = teams.filter(|team| team.cpus_max > 0.0 || team.gpus_max > 0.0);
+    let limited_teams: Vec<&Team> = limited_teams.collect();
+    if limited_teams.len() > TEAMS_MAX {
+        return Err(properties.error("team", Reason::TooManyTeams(TEAMS_MAX)));
     }
-    for name in table.names("team.", ".home") {
-        if !limited.iter().any(|team| team.name == name) {
+    for name in properties.names("team.", ".home") {
+        if !limited_teams.iter().any(|team| team.name == name) {
             let key = format!("team.{name}.home");
-            return Err(table.error(&key, Reason::UnknownTeam));
+            return Err(properties.error(&key, Reason::UnknownTeam));
         }
     }
     let mut teams = BTreeMap::new();
-    for team in limited {
+    for team in limited_teams {
         let key = format!("team.{}.home", team.name);
-        let home = table.text(&key)?;
+        let home = properties.take_text(&key)?;
         if !cells.contains_key(&home) {
-            return Err(table.error(&key, Reason::UnknownCell(home)));
+            return Err(properties.error(&key, Reason::UnknownCell(home)));
         }
         let key = format!("team.{}.since", team.name);
-        let since = table.generation(&key, Some(1))?;
+        let since = properties.take_generation(&key, Some(1))?;
         if since > generation {
-            return Err(table.error(&key, Reason::AfterGeneration));
+            return Err(properties.error(&key, Reason::AfterGeneration));
         }
         let limit = Amount::rounded_down(team.cpus_max, team.gpus_max);
         teams.insert(team.name.clone(), HomeTeam { home, since, limit });
@@ -185,28 +187,31 @@
     Ok(teams)
 }
 
-fn read_floors(
-    table: &mut Table,
+fn parse_floors(
+    properties: &mut Properties,
     teams: &BTreeMap<String, HomeTeam>,
-    cells: usize,
+    cell_count: usize,
 ) -> Result<BTreeMap<String, Amount>, SettingsError> {
     let mut floors = BTreeMap::new();
-    for name in table.names("team.", ".floor") {
+    for name in properties.names("team.", ".floor") {
         let key = format!("team.{name}.floor");
-        let text = table.text(&key)?;
+        let text = properties.take_text(&key)?;
         let amounts = text.split(' ').filter_map(|amount| amount.parse().ok());
         let amounts: Vec<f64> = amounts.collect();
-        let good = |amount: &f64| amount.is_finite() && *amount >= 0.0;
+        let is_valid = |amount: &f64| amount.is_finite() && *amount >= 0.0;
         let [cpus, gpus] = amounts[..] else {
-            return Err(table.error(&key, Reason::NotAnAmount(text)));
+            return Err(properties.error(&key, Reason::NotAnAmount(text)));
         };
-        let Some(team) = teams.get(&name).filter(|_| good(&cpus) && good(&gpus)) else {
-            return Err(table.error(&key, Reason::InvalidFloor));
+        let Some(team) = teams
+            .get(&name)
+            .filter(|_| is_valid(&cpus) && is_valid(&gpus))
+        else {
+            return Err(properties.error(&key, Reason::InvalidFloor));
         };
         let floor = Amount::rounded_up(cpus, gpus);
-        let all = (0..cells).fold(Amount::ZERO, |sum, _| sum.plus(floor));
-        if !all.beyond(team.limit).is_zero() {
-            return Err(table.error(&key, Reason::FloorsExceedLimit(cells)));
+        let sum_of_floors = (0..cell_count).fold(Amount::ZERO, |sum, _| sum.plus(floor));
+        if !sum_of_floors.beyond(team.limit).is_zero() {
+            return Err(properties.error(&key, Reason::FloorsExceedLimit(cell_count)));
         }
         floors.insert(name, floor);
     }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,7 +1,7 @@
-//! What the platform hands over (JSON) and what operators set (properties).
+//! Settings of a controller: the platform's (JSON) and the operators' (Java properties).
 //!
-//! Both are checked when they are read: an error names file, key and reason. Figures that follow
-//! from them are worked out in `derived`.
+//! All files are validated when they are read. An error gives file, key and reason. Values that
+//! follow from several settings are computed in `derived`.
 
 #![warn(missing_docs)]
 
@@ -22,19 +22,19 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// Everything that a controller is started with.
+/// All settings of a controller.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// From the platform.
+    /// The platform's settings.
     pub platform: Platform,
-    /// From the operators.
+    /// The operators' settings.
     pub tuning: Tuning,
-    /// The cells that share team limits with this one, if there are any.
+    /// The cells that share team limits, if this cell shares any.
     pub cells: Option<Arc<CellsFile>>,
 }
 
 impl Settings {
-    /// Reads and checks all files.
+    /// Reads and validates all files. Without a properties file, the defaults apply.
     pub fn load(
         config: &Path,
         properties: Option<&Path>,
@@ -58,7 +58,7 @@
     }
 }
 
-/// A file, with the name that errors give it.
+/// A settings file, with the name to use in errors.
 struct SettingsFile {
     name: String,
     text: String,
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -1,4 +1,4 @@
-//! What the platform hands over, as JSON.
+//! The platform's settings, a JSON file.
 
 use crate::ids::ControllerId;
 use crate::settings::state_limits::StoreLimits;
@@ -6,138 +6,139 @@
 use serde::Deserialize;
 use std::net::SocketAddrV4;
 
-/// Fewest sockets with which a controller starts.
+/// Smallest accepted limit on the open sockets of a controller.
 const SOCKETS_MIN: usize = 32;
 
-/// The settings of one controller, as the platform hands them over.
+/// The settings that the platform passes to one controller.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Platform {
-    /// This controller's name.
+    /// Id of this controller.
     #[serde(rename = "member")]
     pub controller_id: ControllerId,
-    /// Its zone.
+    /// Zone of this controller.
     #[serde(rename = "site")]
     pub zone: String,
-    /// For users, workers and health checks.
+    /// Listen address for users, workers and health checks.
     pub listen: SocketAddrV4,
-    /// For the other controllers.
+    /// Listen address for the other controllers of the cell.
     pub peer_listen: SocketAddrV4,
-    /// The other controllers.
+    /// The other controllers of the cell.
     #[serde(rename = "siblings", default)]
     pub peers: Vec<Peer>,
-    /// Store and cloud.
+    /// Addresses of the store and the cloud.
     pub services: Services,
-    /// What is the same for all controllers.
+    /// Settings that are the same for all controllers of the cell.
     pub facts: Facts,
 }
 
-/// Another controller of the service.
+/// Another controller of the cell.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Peer {
-    /// Its name.
+    /// Id of the controller.
     #[serde(rename = "member")]
     pub controller_id: ControllerId,
-    /// Its zone.
+    /// Zone of the controller, or empty if it isn't known.
     #[serde(rename = "site", default)]
     pub zone: String,
-    /// Where it listens for other controllers.
+    /// Address at which it listens for other controllers.
     pub endpoint: SocketAddrV4,
 }
 
-/// Where the platform's own services are.
+/// Addresses of the platform's services.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Services {
-    /// The cloud's interface.
+    /// Address of the cloud's API.
     pub cloud: SocketAddrV4,
-    /// The store.
+    /// Address of the store.
     #[serde(rename = "state")]
     pub store: SocketAddrV4,
 }
 
-/// What is the same for all controllers.
+/// Settings that are the same for all controllers of the cell.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Facts {
-    /// Controllers.
+    /// Number of controllers.
     #[serde(rename = "count")]
     pub controller_count: u32,
-    /// Zones in which there are controllers and machines.
+    /// Zones with controllers and machines.
     pub zones: Vec<String>,
     /// Teams whose jobs are accepted.
     #[serde(default)]
     pub teams: Vec<Team>,
-    /// What is expected of classes of jobs.
+    /// Service-level objectives of job classes.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Times of the workers.
+    /// Intervals and time limits of workers.
     pub workers: Workers,
     /// Limits of the store.
     #[serde(rename = "state")]
     pub store: StoreLimits,
-    /// Limits of the cloud's interface.
+    /// Limits of the cloud's API.
     pub cloud: CloudLimits,
-    /// What each controller's machine gives it.
+    /// Resources of each controller.
     pub resources: ControllerResources,
 }
 
-/// A team, with what it is guaranteed and its limits; 0 for none.
+/// A team with its guaranteed quota and its limits; 0 stands for no guarantee and no limit.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Team {
-    /// Its name.
+    /// Name of the team.
     pub name: String,
-    /// CPUs guaranteed.
+    /// Guaranteed CPUs.
     #[serde(default)]
     pub cpus: f64,
-    /// Most CPUs in use at once.
+    /// Maximum number of CPUs in use at the same time.
     #[serde(default)]
     pub cpus_max: f64,
-    /// GPUs guaranteed.
+    /// Guaranteed GPUs.
     #[serde(default)]
     pub gpus: f64,
-    /// Most GPUs in use at once.
+    /// Maximum number of GPUs in use at the same time.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
-/// An aim on starting (`wait`) or finishing (`finished`) of one class.
+/// A service-level objective for the start (`wait`) or the end (`finished`) of jobs of one class.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Objective {
-    /// What is aimed at.
+    /// Kind of the objective: `wait` or `finished`.
     pub kind: String,
-    /// The class of jobs.
+    /// The job class.
     #[serde(default)]
     pub class: Option<String>,
-    /// Within which time, in seconds.
+    /// Time within which jobs of the class should start or end, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
 }
 
-/// Times of the workers, in seconds.
+/// Intervals and time limits of workers, in seconds.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Workers {
-    /// Between two heartbeats.
+    /// Interval between two heartbeats.
     pub report_s: f64,
-    /// After the last answered heartbeat a worker kills its tasks.
+    /// Duration of a worker's lease. A worker kills its tasks this long after its last answered
+    /// heartbeat.
     pub lease_s: f64,
-    /// In which a cancelled job's tasks have to be gone.
+    /// Time within which all tasks of a cancelled job must have stopped.
     pub cancel_s: f64,
 }
 
-/// Limits of the cloud's interface.
+/// Limits of the cloud's API.
 #[derive(Clone, Debug, Deserialize)]
 pub struct CloudLimits {
-    /// Requests a second.
+    /// Maximum number of requests per second.
     pub rps: f64,
-    /// By how much the list of machines lags, in seconds.
+    /// Maximum delay before a change shows in the list of machines, in seconds.
     pub list_lag_s: f64,
 }
 
-/// What a controller's machine gives it.
+/// Resources of a controller.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ControllerResources {
-    /// Share of a processor's core that each controller has.
+    /// CPU cores available to the controller, possibly a fraction of one.
     #[serde(default = "whole_core")]
     pub cpu: f64,
-    /// Most sockets that it may have open.
+    /// Maximum number of sockets that the controller may have open.
     pub max_sockets: usize,
 }
 
@@ -146,10 +147,10 @@
 }
 
 impl Platform {
-    /// Reads the platform's settings; unknown fields are ignored.
+    /// Parses and validates the platform's settings. Unknown fields are ignored.
     pub fn parse(text: &str, file: &str) -> Result<Self, SettingsError> {
         let platform: Self = serde_json::from_str(text).map_err(|error| {
-            let key = key_of(&error);
+            let key = error_key(&error);
             SettingsError::new(file, &key, error.into())
         })?;
         platform.check(file)?;
@@ -236,8 +237,8 @@
     }
 }
 
-/// The field a parser's message speaks of, where it names one.
-fn key_of(error: &serde_json::Error) -> String {
+/// Returns the field that a parser's message names, or the line if it names no field.
+fn error_key(error: &serde_json::Error) -> String {
     let text = error.to_string();
     match text.split('`').nth(1) {
         Some(name) => name.to_string(),
--- a/src/settings/state_limits.rs
+++ b/src/settings/state_limits.rs
@@ -1,60 +1,62 @@
-//! Limits of the store, now and later.
+//! Limits of the store: the current ones, and announced ones that may replace them.
 
 use crate::settings::{Reason, SettingsError};
 use serde::Deserialize;
 
-/// Limits of the store, as they are now and as they are announced to become.
+/// Limits of the store: the current ones, and the announced ones.
 #[derive(Clone, Debug, Deserialize)]
 pub struct StoreLimits {
-    /// Requests a second.
+    /// Maximum number of requests per second.
     pub rps: f64,
-    /// Puts and deletes a second.
+    /// Maximum number of puts and deletes per second.
     pub write_rps: f64,
-    /// KiB of a value, counted as JSON.
+    /// Maximum size of a value as JSON, in KiB.
     pub value_kb: f64,
-    /// Puts and deletes in one transaction.
+    /// Maximum number of puts and deletes in one transaction.
     pub txn_ops: usize,
-    /// What these limits change to at some moment, without notice.
+    /// Limits that will replace the current ones at some time, without further notice.
     #[serde(default)]
     pub next: Option<NextStoreLimits>,
 }
 
-/// Limits that the store will have later. Those that are left out stay as they are.
+/// Announced limits of the store. A limit that is `None` doesn't change.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 pub struct NextStoreLimits {
-    /// Requests a second.
+    /// Maximum number of requests per second.
     #[serde(default)]
     pub rps: Option<f64>,
-    /// Puts and deletes a second.
+    /// Maximum number of puts and deletes per second.
     #[serde(default)]
     pub write_rps: Option<f64>,
-    /// KiB of a value, counted as JSON.
+    /// Maximum size of a value as JSON, in KiB.
     #[serde(default)]
     pub value_kb: Option<f64>,
-    /// Puts and deletes in one transaction.
+    /// Maximum number of puts and deletes in one transaction.
     #[serde(default)]
     pub txn_ops: Option<usize>,
 }
 
 impl StoreLimits {
-    /// The stricter of the present and the announced limits: what fits into these is taken
-    /// before and after the change.
+    /// Returns the stricter of the current and the announced limits. The store accepts whatever is
+    /// within these limits, both before and after the change.
     pub fn strictest(&self) -> StrictestLimits {
         let next = self.next.unwrap_or_default();
-        let least = |now: f64, later: Option<f64>| later.map_or(now, |later| later.min(now));
+        let least = |current: f64, announced: Option<f64>| {
+            announced.map_or(current, |announced| announced.min(current))
+        };
         let value_kb = least(self.value_kb, next.value_kb);
         let txn_ops = next.txn_ops.map_or(self.txn_ops, |n| n.min(self.txn_ops));
         StrictestLimits {
             rps: least(self.rps, next.rps),
             write_rps: least(self.write_rps, next.write_rps),
-            value_bytes: kib(value_kb),
+            value_bytes: kib_to_bytes(value_kb),
             txn_ops,
         }
     }
 
-    /// The limit on a value before any change, in bytes.
+    /// Returns the current limit on the size of a value, in bytes.
     pub fn current_value_bytes(&self) -> usize {
-        kib(self.value_kb)
+        kib_to_bytes(self.value_kb)
     }
 
     pub(super) fn check(&self, file: &str) -> Result<(), SettingsError> {
@@ -86,23 +88,24 @@
     }
 }
 
-/// Limits by which values, transactions and rates are planned.
+/// Limits that the controllers observe, whether the announced limits are in force or not.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StrictestLimits {
-    /// Requests a second.
+    /// Maximum number of requests per second.
     pub rps: f64,
-    /// Puts and deletes a second.
+    /// Maximum number of puts and deletes per second.
     pub write_rps: f64,
-    /// Bytes of a value as JSON.
+    /// Maximum size of a value as JSON, in bytes.
     pub value_bytes: usize,
-    /// Puts and deletes in one transaction.
+    /// Maximum number of puts and deletes in one transaction.
     pub txn_ops: usize,
 }
 
-/// An election writes the leader's and the number's records and leases a shard, and a job's end
-/// is written with the deletion of its record and of chunks.
+/// Smallest accepted limit on the operations of a transaction. An election writes the records of
+/// the leader and of the highest fencing token, and leases a shard. A job's end is written together
+/// with the deletion of the job's record and of chunks.
 const TXN_OPS_MIN: usize = 4;
 
-fn kib(amount: f64) -> usize {
-    (amount * 1024.0) as usize
+fn kib_to_bytes(kib: f64) -> usize {
+    (kib * 1024.0) as usize
 }
--- a/src/wire/call.rs
+++ b/src/wire/call.rs
@@ -1,12 +1,12 @@
-//! A request to an outside service, before it is written as HTTP.
+//! Requests to the store and the cloud, in the form that the HTTP client sends.
 
-/// A request as it goes onto the wire.
+/// Method, path and body of an HTTP request to the store or the cloud.
 pub struct Call {
     /// The HTTP method.
     pub method: &'static str,
-    /// The path with its query.
+    /// The path, with the query string if there is one.
     pub path: String,
-    /// The body as CBOR, if the request has one.
+    /// The CBOR body, if the request has one.
     pub body: Option<Vec<u8>>,
 }
 
--- a/src/wire/cbor.rs
+++ b/src/wire/cbor.rs
@@ -1,13 +1,13 @@
-//! CBOR, in which all bodies are written.
+//! Encoding and decoding of CBOR, the format of all request and response bodies.
 
 use serde::de::{DeserializeOwned, Deserializer, Visitor};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Room for an encoded body, so that most are written without another allocation.
-const USUAL_BODY_BYTES: usize = 128;
+/// Initial capacity of the buffer for an encoded body. Most bodies fit without a reallocation.
+const BODY_CAPACITY_BYTES: usize = 128;
 
-/// A number that may come as an integer or with decimals.
+/// A number that a client may send as an integer or as a float.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Num(pub f64);
 
@@ -39,15 +39,15 @@
     }
 }
 
-/// Encodes a body.
+/// Encodes a value as a CBOR body.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    let mut body = Vec::with_capacity(USUAL_BODY_BYTES);
-    // Writing to memory can't fail, and our types hold nothing CBOR can't say.
+    let mut body = Vec::with_capacity(BODY_CAPACITY_BYTES);
+    // Writing to a `Vec` can't fail, and CBOR can represent every type that is encoded here.
     let _ = ciborium::into_writer(value, &mut body);
     body
 }
 
-/// Decodes a body that is one CBOR item and nothing behind it.
+/// Decodes a body. Returns `None` if the body isn't exactly one CBOR item of the expected type.
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Option<T> {
     let mut rest = body;
     let value = ciborium::from_reader(&mut rest).ok()?;
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -1,77 +1,80 @@
-//! Requests to the cloud and its responses.
+//! Requests to the cloud's API, and the responses.
 
 use crate::controller::store::records::{Resources, ScaleOutRecord};
 use crate::ids::MachineId;
 use crate::wire::{Call, Num, decode, encode};
 use serde::{Deserialize, Serialize};
 
-/// Most machines that one page of the list holds.
-const LIST_LIMIT: usize = 500;
-/// The error of a pool that is exhausted.
-const NO_CAPACITY: &str = "no capacity";
-/// Least rate at which images are taken to be fetched, in GB a second: divisors aren't 0.
+/// Maximum number of machines on one page of the machine list.
+const PAGE_MACHINES_MAX: usize = 500;
+/// The `error` in the body of a 503 that means that the pool is exhausted.
+const NO_CAPACITY_ERROR: &str = "no capacity";
+/// Lower bound on the rate at which images are fetched, in GB per second. It prevents division by
+/// 0.
 const FETCH_GB_S_MIN: f64 = 1e-3;
-/// Shortest time until a new machine is ready, in seconds.
+/// Lower bound on the usual boot time of a machine type, in seconds.
 const READY_S_MIN: f64 = 1.0;
 
 /// A request to the cloud.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudRequest {
-    /// Which machine types there are.
+    /// Lists the machine types.
     Catalog,
-    /// Rent machines; repeated under the same name until it is answered.
+    /// Rents machines. The request is repeated with the same name, its idempotency key, until the
+    /// cloud responds.
     ScaleOut(ScaleOutRecord),
-    /// Give machines back.
+    /// Deletes machines.
     Delete(Vec<MachineId>),
-    /// A page of the rented machines.
+    /// Reads a page of the rented machines.
     List {
-        /// The last machine of the page before; nothing for the first page.
+        /// The last machine of the previous page, or `None` for the first page.
         after: Option<MachineId>,
     },
 }
 
-/// What the cloud answered.
+/// The outcome of a request to the cloud.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudResponse {
-    /// The machine types.
+    /// The machine types that the cloud offers.
     Catalog(Vec<MachineType>),
-    /// The machines that a request rented.
+    /// The machines that a scale-out request rented.
     ScaledOut(Vec<MachineId>),
-    /// No capacity for this type, zone and kind.
+    /// The cloud has no capacity for this machine type in this zone, as spot or on demand.
     PoolExhausted,
-    /// The machines were given back.
+    /// The machines were deleted.
     Deleted,
     /// A page of the rented machines.
     Page {
-        /// The machines on it.
+        /// The machines on the page.
         machines: Vec<ListedMachine>,
         /// Whether there is another page.
         has_next: bool,
     },
-    /// 429, an outage, or an answer that makes no sense: ask again later.
+    /// The request failed and is retried later: the cloud responded with 429, had an outage, or
+    /// sent another unexpected status or body.
     Unavailable,
-    /// No answer came in time.
+    /// No response arrived in time. The cloud may have executed the request.
     NoResponse,
 }
 
-/// A machine type as the cloud describes it.
+/// A machine type of the cloud's catalog.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineType {
-    /// Its name.
+    /// Name of the machine type.
     pub name: String,
-    /// What a machine of it has for tasks.
+    /// Resources that one machine offers to tasks.
     pub resources: Resources,
-    /// Room for images, in GB.
+    /// Size of the machine's image cache, in GB.
     pub cache_gb: f64,
-    /// How fast images are fetched, in GB a second.
+    /// Rate at which the machine fetches images, in GB per second.
     pub fetch_gb_s: f64,
-    /// Price of a machine on demand.
+    /// Price of an on-demand machine.
     pub price: f64,
     /// Price of a spot machine.
     pub spot_price: f64,
-    /// Usual time from the request until a machine is ready, in seconds.
+    /// Usual time from the scale-out request until the machine is ready, in seconds.
     pub ready_s: f64,
-    /// Zones that have it.
+    /// Zones that offer the machine type.
     pub zones: Vec<String>,
 }
 
@@ -123,24 +126,24 @@
     }
 }
 
-/// A rented machine in the cloud's list.
+/// A rented machine, as the cloud lists it.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct ListedMachine {
-    /// The machine.
+    /// Id of the machine.
     pub id: String,
-    /// Where its worker can be reached, once that is known.
+    /// Address of the machine's worker, once the cloud knows it.
     #[serde(default)]
     pub endpoint: Option<String>,
-    /// The machine's type.
+    /// Name of the machine type.
     #[serde(rename = "build")]
     pub class: String,
-    /// Its zone.
+    /// Zone of the machine.
     #[serde(rename = "quarter")]
     pub zone: String,
-    /// Whether the cloud may take it back.
+    /// Whether this is a spot machine, which the cloud may preempt.
     #[serde(rename = "borrowed")]
     pub spot: bool,
-    /// How far it has come.
+    /// State of the machine.
     #[serde(rename = "stance")]
     pub status: MachineStatus,
     #[serde(rename = "ageS")]
@@ -148,26 +151,26 @@
 }
 
 impl ListedMachine {
-    /// For how many seconds the machine has been rented.
+    /// Time since the machine was rented, in seconds.
     pub fn age_s(&self) -> f64 {
         self.age.0
     }
 }
 
-/// How far a rented machine has come.
+/// State of a rented machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineStatus {
-    /// It boots.
+    /// The machine is booting.
     Starting,
-    /// It runs.
+    /// The machine is running.
     Running,
-    /// It won't run any more.
+    /// The machine has failed and won't run again.
     Failed,
 }
 
 #[derive(Deserialize)]
-struct RentedBody {
+struct ScaledOutBody {
     #[serde(rename = "rigs")]
     machines: Vec<MachineId>,
 }
@@ -186,7 +189,7 @@
 }
 
 #[derive(Serialize)]
-struct RentBody<'a> {
+struct ScaleOutBody<'a> {
     #[serde(rename = "hire")]
     name: &'a str,
     #[serde(rename = "build")]
@@ -199,7 +202,7 @@
     count: u32,
 }
 
-impl<'a> From<&'a ScaleOutRecord> for RentBody<'a> {
+impl<'a> From<&'a ScaleOutRecord> for ScaleOutBody<'a> {
     fn from(record: &'a ScaleOutRecord) -> Self {
         Self {
             name: &record.name,
@@ -218,27 +221,28 @@
 }
 
 impl CloudRequest {
-    /// The request as it goes onto the wire.
+    /// Returns the HTTP request.
     pub fn to_call(&self) -> Call {
         match self {
             Self::Catalog => Call::get("/catalog"),
-            Self::ScaleOut(record) => Call::post("/rentals", encode(&RentBody::from(record))),
+            Self::ScaleOut(record) => Call::post("/rentals", encode(&ScaleOutBody::from(record))),
             Self::Delete(machines) => {
                 Call::post("/rentals/delete", encode(&DeleteBody { machines }))
             }
             Self::List { after: Some(id) } => {
-                Call::get(format!("/rentals?after={id}&limit={LIST_LIMIT}"))
+                Call::get(format!("/rentals?after={id}&limit={PAGE_MACHINES_MAX}"))
             }
-            Self::List { after: None } => Call::get(format!("/rentals?limit={LIST_LIMIT}")),
+            Self::List { after: None } => Call::get(format!("/rentals?limit={PAGE_MACHINES_MAX}")),
         }
     }
 
-    /// Makes sense of the answer to this request.
+    /// Interprets the HTTP response to this request. A response with an unexpected status or body
+    /// gives [`CloudResponse::Unavailable`].
     pub fn parse_response(&self, status: u16, body: &[u8]) -> CloudResponse {
-        let reply = match (self, status) {
+        let response = match (self, status) {
             (Self::Catalog, 200) => read_catalog(body),
             (Self::ScaleOut(_), 200) => {
-                decode(body).map(|body: RentedBody| CloudResponse::ScaledOut(body.machines))
+                decode(body).map(|body: ScaledOutBody| CloudResponse::ScaledOut(body.machines))
             }
             (Self::ScaleOut(_), 503) if is_out_of_capacity(body) => {
                 Some(CloudResponse::PoolExhausted)
@@ -247,7 +251,7 @@
             (Self::List { .. }, 200) => read_page(body),
             _ => None,
         };
-        reply.unwrap_or(CloudResponse::Unavailable)
+        response.unwrap_or(CloudResponse::Unavailable)
     }
 }
 
@@ -266,5 +270,5 @@
 }
 
 fn is_out_of_capacity(body: &[u8]) -> bool {
-    decode(body).is_some_and(|body: ErrorBody| body.error == NO_CAPACITY)
+    decode(body).is_some_and(|body: ErrorBody| body.error == NO_CAPACITY_ERROR)
 }
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,5 +1,7 @@
-//! The bodies of every interface, one module for each. The only place with the protocol's themed
-//! words: types and fields have the field's terms, and serde renames them.
+//! The request and response bodies of every interface, with one module per interface.
+//!
+//! The names on the wire differ from the names in the code, and serde attributes map between them.
+//! The wire names appear in this module only.
 
 #![warn(missing_docs)]
 
@@ -23,5 +25,5 @@
     Cause, Command, HeartbeatTask, TaskStatus, WorkerHeartbeat, commands_body, redirect_body,
 };
 
-/// Most bytes of a body that is taken from or sent to users and workers.
+/// Maximum size of a request body from users and workers, in bytes.
 pub const BODY_BYTES_MAX: usize = 64 * 1024;
--- a/src/wire/state.rs
+++ b/src/wire/state.rs
@@ -1,4 +1,4 @@
-//! Requests to the store and its responses.
+//! Requests to the store, and the responses.
 
 use crate::controller::store::records::{Key, LimitsByTeam, LimitsRecord, PREFIX, Record};
 use crate::wire::{Call, Num, decode, encode};
@@ -6,27 +6,28 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// One change that a transaction makes.
+/// One write of a transaction.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Write {
-    /// Write a record.
+    /// Writes a record.
     Put {
-        /// Where.
+        /// Key of the record.
         key: Key,
-        /// What.
+        /// The new record.
         record: Record,
-        /// The lease with which the record ends, if it ends with one.
+        /// The lease that the record is attached to, if any. The store deletes the record when the
+        /// lease ends.
         lease_id: Option<u64>,
     },
-    /// Delete a record.
+    /// Deletes a record.
     Delete {
-        /// Which.
+        /// Key of the record.
         key: Key,
     },
 }
 
 impl Write {
-    /// Writes a record that ends with no lease.
+    /// Returns the write of a record that isn't attached to a lease.
     pub fn put(key: Key, record: Record) -> Self {
         Self::Put {
             key,
@@ -39,108 +40,109 @@
 /// A request to the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreRequest {
-    /// Reads a key that never exists: the answer is the present revision.
+    /// Reads a key that never exists, to get the store's current revision.
     ReadRevision,
     /// Reads one record.
     Get(Key),
-    /// Reads a page of all records.
+    /// Reads a page of the list of all records.
     List {
-        /// The last path of the page before; empty for the first page.
+        /// The last path of the previous page, or empty for the first page.
         after: String,
     },
-    /// Makes all writes at once, if all preconditions hold.
+    /// Applies all writes atomically if all preconditions hold.
     Transaction {
-        /// Records, and the revision that each must have; 0 for one that must not exist.
+        /// Keys, each with the revision that its record must have; 0 if there must be no record.
         preconditions: Vec<(Key, u64)>,
-        /// The changes.
+        /// The writes to apply.
         writes: Vec<Write>,
     },
-    /// Begins a lease.
+    /// Creates a lease.
     GrantLease {
-        /// Its life, in milliseconds.
+        /// Duration of the lease, in milliseconds.
         ttl_ms: u64,
     },
-    /// Renews a lease.
+    /// Extends a lease by its duration.
     RenewLease(u64),
-    /// Ends a lease now, and with it the records that hang on it.
+    /// Ends a lease at once. The store deletes the records that are attached to it.
     RevokeLease(u64),
-    /// Waits for changes.
+    /// Waits for changes of any record, for at most [`WATCH_MS`].
     Watch {
-        /// The revision after which changes are wanted.
+        /// The revision after which changes are requested.
         after: u64,
     },
 }
 
-/// One entry or change: its key, its revision, and the record unless it was deleted.
+/// An entry of a page or a change: key, revision, and the record, or `None` if it was deleted.
 pub type Change = (Key, u64, Option<Record>);
 
-/// What the store answered.
+/// The outcome of a request to the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreResponse {
-    /// A record.
+    /// The requested record exists.
     Found {
         /// The record.
         record: Record,
-        /// The revision at which it was written.
+        /// The revision at which the record was written.
         revision: u64,
     },
-    /// There is no such record.
+    /// The requested record doesn't exist.
     Missing {
-        /// The present revision.
+        /// The store's current revision.
         revision: u64,
     },
-    /// A page of all records.
+    /// A page of the list of all records.
     Page {
-        /// The records on it that could be read.
+        /// The entries of the page. Entries that can't be parsed are left out.
         entries: Vec<Change>,
-        /// The path of the last one; nothing on an empty page.
+        /// The path of the last entry on the page, parsed or not; `None` if the page is empty.
         last: Option<String>,
         /// Whether there is another page.
         has_next: bool,
-        /// The revision that the page shows.
+        /// The store's revision when it read the page.
         revision: u64,
     },
-    /// A transaction was made.
+    /// The transaction was committed.
     Committed {
-        /// Its revision.
+        /// The revision of the transaction.
         revision: u64,
     },
-    /// A transaction wasn't made: preconditions don't hold.
+    /// The transaction wasn't committed, since preconditions don't hold.
     Conflict {
-        /// The records whose preconditions don't hold.
+        /// The keys whose preconditions don't hold.
         failed: Vec<Key>,
     },
-    /// A lease began.
+    /// The lease with this id was created.
     LeaseGranted(u64),
-    /// A lease was renewed or revoked.
+    /// The lease was renewed or revoked.
     LeaseRenewed,
-    /// Changes, possibly none.
+    /// The changes since the requested revision, possibly none.
     Changes {
-        /// The revision up to which these are all.
+        /// The revision up to which the changes are complete.
         revision: u64,
-        /// The changes that could be read.
+        /// The changes in order. Changes that can't be parsed are left out.
         changes: Vec<Change>,
     },
-    /// 410: too old to follow from.
+    /// 410: the store no longer keeps the changes since the requested revision.
     Compacted,
-    /// A lease that is over.
+    /// The lease has ended.
     LeaseNotFound,
-    /// 400: not executed, and never will be as it is: beyond a limit of size.
+    /// 400: the transaction wasn't executed, since it exceeds a size limit. A retry of the same
+    /// transaction would fail again.
     Rejected,
-    /// 429 or 503: not executed.
+    /// 429 or 503: the request wasn't executed.
     Refused,
-    /// No answer: may have been executed, or may be yet.
+    /// No response arrived. The request may have been executed, or may still be executed.
     NoResponse,
-    /// An answer that makes no sense.
+    /// The response has an unexpected status, or a body that can't be read.
     Malformed,
 }
 
-/// How long the store lets a watch wait.
+/// Maximum time that the store holds a watch without changes, in milliseconds.
 pub const WATCH_MS: u64 = 10_000;
-/// Most records on one page.
-const PAGE_LIMIT: usize = 500;
-/// The error of a transaction that attaches a record to a lease which is over.
-const NO_LEASE: &str = "no such lease";
+/// Maximum number of records on one page.
+const PAGE_RECORDS_MAX: usize = 500;
+/// The `error` in the body of a 400 to a transaction that attaches a record to an ended lease.
+const NO_LEASE_ERROR: &str = "no such lease";
 
 #[derive(Serialize)]
 struct TransactionBody {
@@ -178,7 +180,7 @@
     ttl_ms: u64,
 }
 
-/// A record as the store keeps it.
+/// Returns the stored form of a record.
 pub fn record_value(record: &Record) -> Value {
     let value = match record {
         Record::Leader(record) => Value::serialized(record),
@@ -198,8 +200,8 @@
     value.unwrap_or(Value::Null)
 }
 
-/// Reads a record back; the key says what it is.
-fn record_from(key: &Key, data: Value) -> Option<Record> {
+/// Parses the stored form of a record. The key determines the type of the record.
+fn parse_record(key: &Key, data: Value) -> Option<Record> {
     match key {
         Key::Leader => data.deserialized().ok().map(Record::Leader),
         Key::FencingToken => data.deserialized().ok().map(Record::FencingToken),
@@ -210,7 +212,7 @@
             .ok()
             .map(|record| Record::Cell(Box::new(record))),
         Key::CellLink(_) => data.deserialized().ok().map(Record::CellLink),
-        // Operators write it: what can't be read has to show.
+        // Operators write this record, so a form that can't be parsed has to be reported.
         Key::Limits => Some(Record::Limits(read_limits(&data))),
         Key::Job(_) => data
             .deserialized()
@@ -221,19 +223,19 @@
     }
 }
 
-/// Team limits as operators write them: CPUs and GPUs of each team.
+/// The team limits that operators write: CPUs and GPUs by team.
 #[derive(Serialize)]
 struct LimitsBody {
     teams: LimitsByTeam,
 }
 
 #[derive(Deserialize)]
-struct LimitsRead {
+struct ParsedLimitsBody {
     teams: BTreeMap<String, (Num, Num)>,
 }
 
 fn read_limits(data: &Value) -> LimitsRecord {
-    match data.deserialized::<LimitsRead>() {
+    match data.deserialized::<ParsedLimitsBody>() {
         Ok(body) => {
             let teams = body.teams.into_iter();
             let teams = teams.map(|(team, (cpus, gpus))| (team, (cpus.0, gpus.0)));
@@ -244,13 +246,13 @@
 }
 
 impl StoreRequest {
-    /// The request as it goes onto the wire.
+    /// Returns the HTTP request.
     pub fn to_call(&self) -> Call {
         match self {
             Self::ReadRevision => Call::get(format!("/keys/{PREFIX}none")),
             Self::Get(key) => Call::get(format!("/keys/{key}")),
             Self::List { after } => Call::get(format!(
-                "/keys?prefix={PREFIX}&after={after}&limit={PAGE_LIMIT}"
+                "/keys?prefix={PREFIX}&after={after}&limit={PAGE_RECORDS_MAX}"
             )),
             Self::Transaction {
                 preconditions,
@@ -269,7 +271,8 @@
         }
     }
 
-    /// Makes sense of the answer to this request.
+    /// Interprets the HTTP response to this request. A response with an unexpected status or body
+    /// gives [`StoreResponse::Malformed`].
     pub fn parse_response(&self, status: u16, body: &[u8]) -> StoreResponse {
         if status == 429 || status == 503 {
             return StoreResponse::Refused;
@@ -407,7 +410,7 @@
 fn read_entry(key: &Key, body: &[u8]) -> Option<StoreResponse> {
     let body: EntryBody = decode(body)?;
     Some(StoreResponse::Found {
-        record: record_from(key, body.data)?,
+        record: parse_record(key, body.data)?,
         revision: body.revision,
     })
 }
@@ -420,10 +423,11 @@
     })
 }
 
-/// What a 400 to a transaction says: a lease is over, or a limit of size is passed.
+/// Returns the reason for a 400 to a transaction: an ended lease, or otherwise an exceeded size
+/// limit.
 fn read_rejection(body: &[u8]) -> StoreResponse {
     match decode(body) {
-        Some(ErrorBody { error }) if error == NO_LEASE => StoreResponse::LeaseNotFound,
+        Some(ErrorBody { error }) if error == NO_LEASE_ERROR => StoreResponse::LeaseNotFound,
         _ => StoreResponse::Rejected,
     }
 }
@@ -433,7 +437,7 @@
     let last = body.entries.last().map(|entry| entry.path.clone());
     let entries = body.entries.into_iter().filter_map(|entry| {
         let key = Key::parse(&entry.path)?;
-        let record = record_from(&key, entry.data)?;
+        let record = parse_record(&key, entry.data)?;
         Some((key, entry.revision, Some(record)))
     });
     Some(StoreResponse::Page {
@@ -446,7 +450,7 @@
 
 fn read_changes(body: &[u8]) -> Option<StoreResponse> {
     let body: ChangesBody = decode(body)?;
-    let changes = body.changes.into_iter().filter_map(ChangeEntry::read);
+    let changes = body.changes.into_iter().filter_map(ChangeEntry::parse);
     Some(StoreResponse::Changes {
         revision: body.revision,
         changes: changes.collect(),
@@ -454,11 +458,11 @@
 }
 
 impl ChangeEntry {
-    /// The change; nothing if it can't be read.
-    fn read(self) -> Option<Change> {
+    /// Returns the change, or `None` if its key or record can't be parsed.
+    fn parse(self) -> Option<Change> {
         if let Some(path) = self.written {
             let key = Key::parse(&path)?;
-            let record = record_from(&key, self.data?)?;
+            let record = parse_record(&key, self.data?)?;
             return Some((key, self.revision, Some(record)));
         }
         let key = Key::parse(&self.deleted?)?;
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -1,4 +1,4 @@
-//! Submissions, and what users are answered.
+//! Job submissions, and the response bodies for users.
 
 use crate::controller::store::records::{JobKind, JobRecord, PriorityClass, Resources};
 use crate::ids::{Image, JobId};
@@ -7,17 +7,18 @@
 use std::collections::BTreeSet;
 use thiserror::Error;
 
-/// Most tasks of one job.
+/// Maximum number of tasks of one job.
 const TASKS_MAX: u32 = 100_000;
-/// Longest name of a team, class, image, type or zone, and longest list of types: together they
-/// keep a job's record below the smallest value limit seen.
-const NAME_MAX: usize = 128;
-const TYPES_MAX: usize = 32;
-/// Larger amounts and durations than this are no honest input.
+/// Maximum length of the name of a team, class, image, machine type or zone. Together with
+/// [`MACHINE_TYPES_MAX`], it keeps a job's record below the smallest value limit seen so far.
+const NAME_BYTES_MAX: usize = 128;
+/// Maximum number of machine types that a job may list.
+const MACHINE_TYPES_MAX: usize = 32;
+/// Maximum of every amount and duration. Larger numbers are taken as invalid input.
 const AMOUNT_MAX: f64 = 1e9;
 
-/// A submission as users write it. The order of the fields is that in which the parser names those
-/// that are missing.
+/// The body of a submission. If several fields are missing, the parser names the first one in the
+/// order of this struct.
 #[derive(Deserialize)]
 struct SubmitBody {
     id: String,
@@ -26,9 +27,9 @@
     #[serde(rename = "crew")]
     team: String,
     #[serde(rename = "form")]
-    kind: JobKindWord,
+    kind: JobKindName,
     #[serde(rename = "rank")]
-    priority_class: PriorityClassWord,
+    priority_class: PriorityClassName,
     #[serde(rename = "verses")]
     tasks: u32,
     #[serde(rename = "cores")]
@@ -65,75 +66,77 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum JobKindWord {
+enum JobKindName {
     Batch,
     Service,
 }
 
-impl From<JobKindWord> for JobKind {
-    fn from(word: JobKindWord) -> Self {
-        match word {
-            JobKindWord::Batch => Self::Batch,
-            JobKindWord::Service => Self::Service,
+impl From<JobKindName> for JobKind {
+    fn from(name: JobKindName) -> Self {
+        match name {
+            JobKindName::Batch => Self::Batch,
+            JobKindName::Service => Self::Service,
         }
     }
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum PriorityClassWord {
+enum PriorityClassName {
     Critical,
     Urgent,
     Normal,
     Idle,
 }
 
-impl From<PriorityClassWord> for PriorityClass {
-    fn from(word: PriorityClassWord) -> Self {
-        match word {
-            PriorityClassWord::Critical => Self::Critical,
-            PriorityClassWord::Urgent => Self::Urgent,
-            PriorityClassWord::Normal => Self::Normal,
-            PriorityClassWord::Idle => Self::Idle,
+impl From<PriorityClassName> for PriorityClass {
+    fn from(name: PriorityClassName) -> Self {
+        match name {
+            PriorityClassName::Critical => Self::Critical,
+            PriorityClassName::Urgent => Self::Urgent,
+            PriorityClassName::Normal => Self::Normal,
+            PriorityClassName::Idle => Self::Idle,
         }
     }
 }
 
-/// Why a submission is malformed. Users read this.
+/// Why a submission is malformed. The text is sent to the user.
 #[derive(Debug, Error)]
 enum SubmissionError {
     #[error("malformed: {0}")]
     Unreadable(#[from] ciborium::de::Error<std::io::Error>),
     #[error("something follows the submission")]
     TrailingBytes,
-    /// The field, as users write it.
+    /// A field, under its name on the wire, has a value that isn't allowed.
     #[error("{0} is invalid")]
     InvalidField(&'static str),
 }
 
-/// Why a submission is malformed: the field, or what the parser said. Its id, if that can
-/// be read: the job may be known, and then its state is the answer.
+/// A malformed submission.
+///
+/// It has the job's id if that can be read, since the job may be known from an earlier submission.
+/// The user is then sent the state of that job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidSubmission {
-    /// The reason, as users read it.
+    /// The reason that is sent to the user: an invalid field or a parser's message.
     pub reason: String,
-    /// The job's id, if that can be read.
+    /// Id of the job, if it can be read.
     pub id: Option<JobId>,
 }
 
-/// What may still be read of a submission that is otherwise malformed.
+/// The one field that is read from a malformed submission.
 #[derive(Deserialize)]
 struct IdBody {
     id: String,
 }
 
-/// Reads and checks a submission. Chunk size and shard are for the controller to set.
+/// Parses and validates a submission. The controller sets the record's chunk size and shard later.
 pub fn parse_submission(body: &[u8]) -> Result<(JobId, JobRecord), InvalidSubmission> {
     read_submission(body).map_err(|error| {
-        let named = ciborium::from_reader::<IdBody, _>(body).ok();
+        let id_body = ciborium::from_reader::<IdBody, _>(body).ok();
         InvalidSubmission {
             reason: error.to_string(),
-            id: named.and_then(|named| JobId::parse(&named.id)),
+            id: id_body.and_then(|id_body| JobId::parse(&id_body.id)),
         }
     })
 }
@@ -144,35 +147,35 @@
     if !rest.is_empty() {
         return Err(SubmissionError::TrailingBytes);
     }
-    let id = job_id("id", &body.id)?;
+    let id = valid_job_id("id", &body.id)?;
     if body.tasks == 0 || body.tasks > TASKS_MAX {
         return Err(SubmissionError::InvalidField("verses"));
     }
-    let types = body.types.map(machine_types).transpose()?;
-    let dependencies = dependencies(&body.dependencies.unwrap_or_default())?;
-    let zone = |zone| name("quarter", zone);
-    let deadline_s = |seconds| amount("curtainS", seconds);
+    let types = body.types.map(valid_machine_types).transpose()?;
+    let dependencies = valid_dependencies(&body.dependencies.unwrap_or_default())?;
+    let zone = |zone| valid_name("quarter", zone);
+    let deadline_s = |seconds| valid_amount("curtainS", seconds);
     let record = JobRecord {
-        class: name("troupe", body.class)?,
-        team: name("crew", body.team)?,
+        class: valid_name("troupe", body.class)?,
+        team: valid_name("crew", body.team)?,
         kind: body.kind.into(),
         priority_class: body.priority_class.into(),
         count: body.tasks,
         resources: Resources {
-            cpus: amount("cores", body.cpus)?,
-            gpus: amount("accelerators", body.gpus)?,
-            mem: amount("memGb", body.mem_gb)?,
+            cpus: valid_amount("cores", body.cpus)?,
+            gpus: valid_amount("accelerators", body.gpus)?,
+            mem: valid_amount("memGb", body.mem_gb)?,
         },
-        image: Image::from(name("score", body.image)?.as_str()),
-        image_gb: amount("sizeGb", body.image_gb)?,
+        image: Image::from(valid_name("score", body.image)?.as_str()),
+        image_gb: valid_amount("sizeGb", body.image_gb)?,
         types,
         zone: body.zone.map(zone).transpose()?,
         zone_affinity: body.zone_affinity,
         zone_spread: body.zone_spread,
         spot: body.spot,
-        estimate_s: amount("reckonS", body.estimate_s)?,
-        checkpoint_s: amount("bookmarkS", body.checkpoint_s)?,
-        save_s: amount("stashS", body.save_s)?,
+        estimate_s: valid_amount("reckonS", body.estimate_s)?,
+        checkpoint_s: valid_amount("bookmarkS", body.checkpoint_s)?,
+        save_s: valid_amount("stashS", body.save_s)?,
         deadline_s: body.deadline_s.map(deadline_s).transpose()?,
         chunk_size: 1,
         shard: 0,
@@ -182,47 +185,50 @@
     Ok((id, record))
 }
 
-fn job_id(field: &'static str, text: &str) -> Result<JobId, SubmissionError> {
+fn valid_job_id(field: &'static str, text: &str) -> Result<JobId, SubmissionError> {
     JobId::parse(text).ok_or(SubmissionError::InvalidField(field))
 }
 
-fn name(field: &'static str, text: String) -> Result<String, SubmissionError> {
-    if text.is_empty() || text.len() > NAME_MAX || text.contains(char::is_control) {
+fn valid_name(field: &'static str, text: String) -> Result<String, SubmissionError> {
+    if text.is_empty() || text.len() > NAME_BYTES_MAX || text.contains(char::is_control) {
         return Err(SubmissionError::InvalidField(field));
     }
     Ok(text)
 }
 
-fn amount(field: &'static str, number: Num) -> Result<f64, SubmissionError> {
+fn valid_amount(field: &'static str, number: Num) -> Result<f64, SubmissionError> {
     if !(0.0..=AMOUNT_MAX).contains(&number.0) {
         return Err(SubmissionError::InvalidField(field));
     }
     Ok(number.0)
 }
 
-fn machine_types(types: Vec<String>) -> Result<Vec<String>, SubmissionError> {
-    if types.is_empty() || types.len() > TYPES_MAX {
+fn valid_machine_types(types: Vec<String>) -> Result<Vec<String>, SubmissionError> {
+    if types.is_empty() || types.len() > MACHINE_TYPES_MAX {
         return Err(SubmissionError::InvalidField("builds"));
     }
-    types.into_iter().map(|text| name("builds", text)).collect()
+    types
+        .into_iter()
+        .map(|text| valid_name("builds", text))
+        .collect()
 }
 
-/// The jobs that a submission depends on, each once, in order.
-fn dependencies(ids: &[String]) -> Result<Vec<JobId>, SubmissionError> {
-    let ids = ids.iter().map(|id| job_id("awaits", id));
+/// Returns the jobs that a submission depends on, without duplicates, sorted by id.
+fn valid_dependencies(ids: &[String]) -> Result<Vec<JobId>, SubmissionError> {
+    let ids = ids.iter().map(|id| valid_job_id("awaits", id));
     let ids: BTreeSet<JobId> = ids.collect::<Result<_, _>>()?;
     Ok(ids.into_iter().collect())
 }
 
-/// A job's status as users see it.
+/// The status of a job, as users see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobStatus {
-    /// No task has started.
+    /// No task has started yet.
     Queued,
-    /// A task has started.
+    /// At least one task has started.
     Running,
-    /// All tasks are complete.
+    /// All tasks have completed.
     Done,
     /// The job was cancelled.
     #[serde(rename = "withdrawn")]
@@ -238,7 +244,8 @@
     running: u32,
 }
 
-/// The answer to a submission, a status query or a cancellation.
+/// Returns the body of the response to a submission, a status query or a cancellation. `done` and
+/// `running` are numbers of tasks.
 pub fn job_status_body(id: &JobId, status: JobStatus, done: u32, running: u32) -> Vec<u8> {
     encode(&JobStatusBody {
         id: id.as_str(),
@@ -253,7 +260,7 @@
     error: &'a str,
 }
 
-/// The body of a refusal.
-pub fn error_body(why: &str) -> Vec<u8> {
-    encode(&ErrorBody { error: why })
+/// Returns the body of a response that refuses a request.
+pub fn error_body(reason: &str) -> Vec<u8> {
+    encode(&ErrorBody { error: reason })
 }
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -1,129 +1,129 @@
-//! Workers' heartbeats, and the commands in the answers.
+//! Heartbeats of workers, and the commands in the responses.
 
 use crate::ids::{Attempt, ControllerId, FencingToken};
 use crate::wire::{Num, encode};
 use serde::{Deserialize, Serialize};
 
-/// One worker's heartbeat.
+/// A heartbeat of a worker.
 #[derive(Clone, Debug, Deserialize)]
 pub struct WorkerHeartbeat {
-    /// The machine on which the worker runs, as the cloud named it.
+    /// Id of the machine that the worker runs on, as the cloud assigned it.
     #[serde(rename = "rig")]
     pub machine: String,
-    /// Where the worker can be reached.
+    /// Address of the worker.
     pub endpoint: String,
-    /// The machine's type.
+    /// Name of the machine type.
     #[serde(rename = "build")]
     pub class: String,
-    /// The machine's zone.
+    /// Zone of the machine.
     #[serde(rename = "quarter")]
     pub zone: String,
-    /// Whether the cloud may take the machine back.
+    /// Whether this is a spot machine, which the cloud may preempt.
     #[serde(rename = "borrowed")]
     pub spot: bool,
-    /// Distinguishes this process of the worker from earlier ones on the same machine.
+    /// Identifies the worker process; earlier processes on the same machine had other values.
     #[serde(rename = "shift")]
     pub agent_epoch: u64,
-    /// Rises with every heartbeat of one process.
+    /// Sequence number; it increases with every heartbeat of one worker process.
     #[serde(rename = "tally")]
     pub sequence: u64,
-    /// The fencing token of the latest commands that the worker took; 0 for none.
+    /// Fencing token of the latest commands that the worker accepted; 0 if there were none.
     #[serde(rename = "baton", default)]
     pub token: u64,
-    /// In how many seconds the cloud takes the machine back, if it has announced that.
+    /// Seconds until the cloud preempts the machine, if it has announced that.
     #[serde(rename = "warningS", default)]
     pub notice_s: Option<Num>,
-    /// The tasks on the machine.
+    /// Tasks that the worker knows of.
     #[serde(rename = "verses", default)]
     pub tasks: Vec<HeartbeatTask>,
 }
 
-/// One task in a heartbeat.
+/// The state of one task in a heartbeat.
 #[derive(Clone, Debug, Deserialize)]
 pub struct HeartbeatTask {
-    /// The task, as `job/index`.
+    /// Id of the task, as `job/index`.
     #[serde(rename = "verse")]
     pub task: String,
-    /// The attempt that the worker runs.
+    /// The attempt that this entry is about.
     #[serde(rename = "take")]
     pub attempt: Attempt,
-    /// How far it has come.
+    /// State of the attempt.
     #[serde(rename = "stance")]
     pub status: TaskStatus,
-    /// Why it ended, if it did.
+    /// Why the attempt ended; `None` if it hasn't ended.
     #[serde(default)]
     pub cause: Option<Cause>,
 }
 
-/// How far a task has come on its machine.
+/// State of an attempt of a task on its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskStatus {
-    /// The worker fetches the image.
+    /// The worker is fetching the image.
     Fetching,
-    /// The task runs.
+    /// The task is running.
     Running,
-    /// The task received a stop command and writes a checkpoint.
+    /// The task received a stop command and is writing a checkpoint.
     #[serde(rename = "flushing")]
     Checkpointing,
-    /// The task ended.
+    /// The attempt has ended.
     Ended,
 }
 
-/// Why a task ended.
+/// Why an attempt of a task ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// It is complete.
+    /// The task completed.
     Done,
-    /// It received a stop command.
+    /// A stop command ended the attempt.
     #[serde(rename = "halted")]
     Stopped,
-    /// It failed.
+    /// The task failed.
     Error,
-    /// The machine has no room for it.
+    /// The machine hasn't enough free resources for the task.
     Full,
-    /// Something that it needs is in use.
+    /// A resource that the task needs is in use.
     InUse,
-    /// The worker doesn't know of it.
+    /// The worker doesn't know the attempt.
     Unknown,
-    /// A cause that a later worker may know.
+    /// A cause that this release doesn't know; a later release of the worker may send one.
     #[serde(other)]
     Other,
 }
 
-/// A command to a worker.
+/// A command for a worker.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "cueKind", rename_all = "lowercase")]
 pub enum Command {
-    /// Start an attempt of a task.
+    /// Starts an attempt of a task.
     Start {
-        /// The task, as `job/index`.
+        /// Id of the task, as `job/index`.
         #[serde(rename = "verse")]
         task: String,
         /// The attempt to start.
         #[serde(rename = "take")]
         attempt: Attempt,
     },
-    /// Stop an attempt of a task.
+    /// Stops an attempt of a task.
     #[serde(rename = "halt")]
     Stop {
-        /// The task, as `job/index`.
+        /// Id of the task, as `job/index`.
         #[serde(rename = "verse")]
         task: String,
         /// The attempt to stop.
         #[serde(rename = "take")]
         attempt: Attempt,
-        /// How many seconds it has for a checkpoint.
+        /// Time that the task has to write a checkpoint, in seconds.
         #[serde(rename = "bowS")]
         grace_s: f64,
     },
-    /// Forget an attempt that has ended.
+    /// Removes an ended attempt from the worker's heartbeats.
     Clear {
-        /// The task, as `job/index`.
+        /// Id of the task, as `job/index`.
         #[serde(rename = "verse")]
         task: String,
-        /// The attempt to forget.
+        /// The attempt to remove.
         #[serde(rename = "take")]
         attempt: Attempt,
     },
@@ -137,7 +137,7 @@
     commands: &'a [Command],
 }
 
-/// The answer to a heartbeat: commands under a fencing token.
+/// Returns the body of the response to a heartbeat: commands under the owner's fencing token.
 pub fn commands_body(token: FencingToken, commands: &[Command]) -> Vec<u8> {
     encode(&CommandsBody { token, commands })
 }
@@ -148,9 +148,10 @@
     owner: Option<&'a str>,
 }
 
-/// The answer that sends a worker to another controller.
-pub fn redirect_body(to: Option<&ControllerId>) -> Vec<u8> {
+/// Returns the body of the response that redirects a worker to another controller. Without `owner`,
+/// it names no controller.
+pub fn redirect_body(owner: Option<&ControllerId>) -> Vec<u8> {
     encode(&RedirectBody {
-        owner: to.map(ControllerId::as_str),
+        owner: owner.map(ControllerId::as_str),
     })
 }
