--- a/benches/controller.rs
+++ b/benches/controller.rs
@@ -167,7 +167,7 @@
     WorkerHeartbeat {
         machine: machine(n),
         endpoint: "10.1.0.1:9000".into(),
-        class: "g8".into(),
+        type_name: "g8".into(),
         zone: "a".into(),
         spot: false,
         agent_epoch: 1,
--- a/scale/src/hollow/cloud.rs
+++ b/scale/src/hollow/cloud.rs
@@ -189,7 +189,7 @@
     MachineBody {
         id: &machine.id,
         endpoint: machine.endpoint.as_deref(),
-        class: &machine.class,
+        class: &machine.type_name,
         zone: &machine.zone,
         spot: machine.spot,
         status: match machine.status {
--- a/src/controller/autoscaling/machines.rs
+++ b/src/controller/autoscaling/machines.rs
@@ -63,7 +63,7 @@
             for machine in listed {
                 let id = MachineId::from(machine.id.as_str());
                 self.context
-                    .add_unassigned((id, machine.class, machine.zone, machine.spot));
+                    .add_unassigned((id, machine.type_name, machine.zone, machine.spot));
             }
         }
     }
@@ -240,7 +240,8 @@
             return;
         }
         if self.is_only_shard && !self.machines.contains_key(&id) {
-            let mut machine = Machine::new(catalog, &listed.class, &listed.zone, listed.spot, now);
+            let mut machine =
+                Machine::new(catalog, &listed.type_name, &listed.zone, listed.spot, now);
             let age_ms = (listed.age_s().max(0.0) * 1000.0) as u64;
             machine.known_since = Time(now.0.saturating_sub(age_ms));
             self.machines.insert(id.clone(), machine);
@@ -255,7 +256,7 @@
                     // From now on the machine counts as silent unless it sends heartbeats.
                     (machine.ready_since, machine.last_heartbeat) = (Some(now), now);
                 }
-                machine.set_machine_type(catalog, &listed.class, &listed.zone, listed.spot);
+                machine.set_machine_type(catalog, &listed.type_name, &listed.zone, listed.spot);
             });
         }
         if listed.status == MachineStatus::Failed {
--- a/src/controller/machines/heartbeats.rs
+++ b/src/controller/machines/heartbeats.rs
@@ -101,7 +101,7 @@
         heartbeat: &WorkerHeartbeat,
     ) {
         let now = context.now;
-        let (class, zone, spot) = (&heartbeat.class, &heartbeat.zone, heartbeat.spot);
+        let (class, zone, spot) = (&heartbeat.type_name, &heartbeat.zone, heartbeat.spot);
         if self.machines.contains_key(id) {
             // A known machine may lack its type if only its id was known, or if it was added before
             // the catalog was read.
--- a/src/controller/machines/liveness.rs
+++ b/src/controller/machines/liveness.rs
@@ -71,7 +71,7 @@
     /// replacement.
     pub(crate) fn is_partitioned_from_workers(&self, context: &Context) -> bool {
         let workers = &context.settings.platform.facts.workers;
-        let silence_max_s = workers.report_s * UNREACHABLE_HEARTBEAT_INTERVALS;
+        let silence_max_s = workers.heartbeat_s * UNREACHABLE_HEARTBEAT_INTERVALS;
         let ready_count = self
             .machines
             .values()
@@ -312,7 +312,7 @@
     /// partitioned. The zone's own controllers keep its workers alive.
     fn find_partitioned_zones(&self, context: &Context) -> BTreeSet<Rc<str>> {
         let silence_max_s =
-            context.settings.platform.facts.workers.report_s * PARTITION_MISSED_HEARTBEATS;
+            context.settings.platform.facts.workers.heartbeat_s * PARTITION_MISSED_HEARTBEATS;
         let mut zones: BTreeMap<&Rc<str>, (usize, usize)> = BTreeMap::new();
         let is_counted = |machine: &&Machine| {
             machine.ready_since.is_some()
--- a/src/controller/scheduling/constraints.rs
+++ b/src/controller/scheduling/constraints.rs
@@ -136,7 +136,7 @@
 /// heartbeat or a waiting long poll.
 pub(crate) fn is_schedulable(machine: &Machine, settings: &Settings, now: Time) -> bool {
     let heartbeat_age_max_s =
-        settings.platform.facts.workers.report_s * HEARTBEAT_AGE_MAX_INTERVALS;
+        settings.platform.facts.workers.heartbeat_s * HEARTBEAT_AGE_MAX_INTERVALS;
     machine.ready_since.is_some()
         && machine.decommission_at.is_none()
         && machine.preemption_at.is_none()
--- a/src/controller/scheduling/scoring.rs
+++ b/src/controller/scheduling/scoring.rs
@@ -215,7 +215,7 @@
     /// Returns the seconds until a command reaches a machine. Commands are sent at once if a long
     /// poll is waiting, and otherwise with the response to the next heartbeat.
     fn command_delay_s(&self, machine: &Machine) -> f64 {
-        let heartbeat_s = self.settings.platform.facts.workers.report_s;
+        let heartbeat_s = self.settings.platform.facts.workers.heartbeat_s;
         match machine.long_poll {
             Some(_) => 0.0,
             None => (heartbeat_s - self.now.since(machine.last_heartbeat)).max(0.0),
--- a/src/controller/shards/machine_assignment.rs
+++ b/src/controller/shards/machine_assignment.rs
@@ -80,7 +80,7 @@
     pub(crate) fn note_unassigned(&mut self, id: &MachineId, heartbeat: &WorkerHeartbeat) {
         let entry = (
             id.clone(),
-            heartbeat.class.clone(),
+            heartbeat.type_name.clone(),
             heartbeat.zone.clone(),
             heartbeat.spot,
         );
--- a/src/net/outgoing.rs
+++ b/src/net/outgoing.rs
@@ -17,7 +17,7 @@
 const STORE_TIMEOUT_S: f64 = 2.0;
 const CLOUD_TIMEOUT_S: f64 = 6.0;
 /// The store answers a watch within its own limit; the rest is for the way there and back.
-const WATCH_TIMEOUT_S: f64 = wire::WATCH_MS as f64 / 1000.0 + 2.0;
+const WATCH_TIMEOUT_S: f64 = wire::WATCH_WAIT_MS as f64 / 1000.0 + 2.0;
 /// Responses of the store have no limit of size. A watch that brings more than this at once is
 /// given up, and the connection with it.
 const RESPONSE_MAX: usize = 8 << 20;
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -101,7 +101,8 @@
     pub request_id: u64,
     machine: String,
     endpoint: String,
-    class: String,
+    #[serde(rename = "class")]
+    type_name: String,
     zone: String,
     spot: bool,
     agent_epoch: u64,
@@ -127,7 +128,7 @@
             request_id: request_id.0,
             machine: heartbeat.machine.clone(),
             endpoint: heartbeat.endpoint.clone(),
-            class: heartbeat.class.clone(),
+            type_name: heartbeat.type_name.clone(),
             zone: heartbeat.zone.clone(),
             spot: heartbeat.spot,
             agent_epoch: heartbeat.agent_epoch,
@@ -150,7 +151,7 @@
         WorkerHeartbeat {
             machine: self.machine,
             endpoint: self.endpoint,
-            class: self.class,
+            type_name: self.type_name,
             zone: self.zone,
             spot: self.spot,
             agent_epoch: self.agent_epoch,
--- a/src/settings/derived.rs
+++ b/src/settings/derived.rs
@@ -58,7 +58,7 @@
     /// Returns the number of machines that one owner can serve with all of its processor time.
     fn machines_per_owner(&self) -> f64 {
         let facts = &self.platform.facts;
-        facts.resources.cpu * facts.workers.report_s / HEARTBEAT_CPU_S
+        facts.resources.cpu * facts.workers.heartbeat_s / HEARTBEAT_CPU_S
     }
 
     /// Returns how long the response to a heartbeat without changes may wait for a command, in
@@ -70,7 +70,7 @@
         } else {
             LONG_POLL_FRACTION
         };
-        let poll_s = self.tuning.long_poll_fraction * self.platform.facts.workers.report_s;
+        let poll_s = self.tuning.long_poll_fraction * self.platform.facts.workers.heartbeat_s;
         poll_s.min(WORKER_TIMEOUT_S * timeout_fraction)
     }
 
@@ -78,7 +78,7 @@
     /// job's tasks have stopped, in seconds. Within this time, each machine sends a heartbeat,
     /// receives the stop command and confirms the stop.
     pub fn cancellation_wait_s(&self) -> f64 {
-        let heartbeat_s = self.platform.facts.workers.report_s * LATE_HEARTBEAT_RATIO;
+        let heartbeat_s = self.platform.facts.workers.heartbeat_s * LATE_HEARTBEAT_RATIO;
         (heartbeat_s + WORKER_RETRY_PAUSE_S * STOP_RETRY_PAUSES)
             .min(USER_TIMEOUT_S * CANCELLATION_WAIT_FRACTION)
     }
@@ -86,7 +86,7 @@
     /// Returns the time without a heartbeat after which a machine isn't expected to confirm
     /// anything soon, in seconds.
     pub fn overdue_s(&self) -> f64 {
-        self.platform.facts.workers.report_s * LATE_HEARTBEAT_RATIO * OVERDUE_LATE_HEARTBEATS
+        self.platform.facts.workers.heartbeat_s * LATE_HEARTBEAT_RATIO * OVERDUE_LATE_HEARTBEATS
     }
 
     /// Returns how long a machine may be silent before it is deleted, in seconds.
@@ -98,7 +98,7 @@
         let workers = &self.platform.facts.workers;
         let lease_part_s = workers.lease_s * self.tuning.silence_leases;
         let tries_s =
-            workers.report_s * LATE_HEARTBEAT_RATIO + WORKER_TIMEOUT_S + WORKER_RETRY_PAUSE_S;
+            workers.heartbeat_s * LATE_HEARTBEAT_RATIO + WORKER_TIMEOUT_S + WORKER_RETRY_PAUSE_S;
         match is_controller_unreachable {
             true => lease_part_s,
             false => lease_part_s.min(tries_s * SILENCE_MARGIN_RATIO),
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -15,7 +15,7 @@
 pub use crate::settings::cells::CellsFile;
 pub use crate::settings::error::{Reason, SettingsError};
 pub use crate::settings::platform::{
-    CloudLimits, ControllerResources, Facts, Objective, Peer, Platform, Services, Team, Workers,
+    CloudLimits, ControllerResources, Facts, Objective, Peer, Platform, Services, Team, WorkerTimes,
 };
 pub use crate::settings::state_limits::{NextStoreLimits, StoreLimits, StrictestLimits};
 pub use crate::settings::tuning::Tuning;
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -69,7 +69,7 @@
     #[serde(default)]
     pub objectives: Vec<Objective>,
     /// Intervals and time limits of workers.
-    pub workers: Workers,
+    pub workers: WorkerTimes,
     /// Limits of the store.
     #[serde(rename = "state")]
     pub store: StoreLimits,
@@ -113,9 +113,10 @@
 
 /// Intervals and time limits of workers, in seconds.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Workers {
+pub struct WorkerTimes {
     /// Interval between two heartbeats.
-    pub report_s: f64,
+    #[serde(rename = "report_s")]
+    pub heartbeat_s: f64,
     /// Duration of a worker's lease. A worker kills its tasks this long after its last answered
     /// heartbeat.
     pub lease_s: f64,
@@ -160,7 +161,7 @@
     fn check(&self, file: &str) -> Result<(), SettingsError> {
         let facts = &self.facts;
         let positive = [
-            ("facts.workers.report_s", facts.workers.report_s),
+            ("facts.workers.report_s", facts.workers.heartbeat_s),
             ("facts.workers.lease_s", facts.workers.lease_s),
             ("facts.workers.cancel_s", facts.workers.cancel_s),
             ("facts.cloud.rps", facts.cloud.rps),
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -136,7 +136,7 @@
     pub endpoint: Option<String>,
     /// Name of the machine type.
     #[serde(rename = "build")]
-    pub class: String,
+    pub type_name: String,
     /// Zone of the machine.
     #[serde(rename = "quarter")]
     pub zone: String,
@@ -193,7 +193,7 @@
     #[serde(rename = "hire")]
     name: &'a str,
     #[serde(rename = "build")]
-    class: &'a str,
+    type_name: &'a str,
     #[serde(rename = "quarter")]
     zone: &'a str,
     #[serde(rename = "borrowed")]
@@ -206,7 +206,7 @@
     fn from(record: &'a ScaleOutRecord) -> Self {
         Self {
             name: &record.name,
-            class: &record.class,
+            type_name: &record.class,
             zone: &record.zone,
             spot: record.spot,
             count: record.count,
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -17,7 +17,9 @@
 pub use crate::wire::cloud::{
     CloudRequest, CloudResponse, ListedMachine, MachineStatus, MachineType,
 };
-pub use crate::wire::state::{Change, StoreRequest, StoreResponse, WATCH_MS, Write, record_value};
+pub use crate::wire::state::{
+    Change, StoreRequest, StoreResponse, WATCH_WAIT_MS, Write, record_to_value,
+};
 pub use crate::wire::user::{
     InvalidSubmission, JobStatus, error_body, job_status_body, parse_submission,
 };
--- a/src/wire/state.rs
+++ b/src/wire/state.rs
@@ -65,7 +65,7 @@
     RenewLease(u64),
     /// Ends a lease at once. The store deletes the records that are attached to it.
     RevokeLease(u64),
-    /// Waits for changes of any record, for at most [`WATCH_MS`].
+    /// Waits for changes of any record, for at most [`WATCH_WAIT_MS`].
     Watch {
         /// The revision after which changes are requested.
         after: u64,
@@ -138,7 +138,7 @@
 }
 
 /// Maximum time that the store holds a watch without changes, in milliseconds.
-pub const WATCH_MS: u64 = 10_000;
+pub const WATCH_WAIT_MS: u64 = 10_000;
 /// Maximum number of records on one page.
 const PAGE_RECORDS_MAX: usize = 500;
 /// The `error` in the body of a 400 to a transaction that attaches a record to an ended lease.
@@ -181,7 +181,7 @@
 }
 
 /// Returns the stored form of a record.
-pub fn record_value(record: &Record) -> Value {
+pub fn record_to_value(record: &Record) -> Value {
     let value = match record {
         Record::Leader(record) => Value::serialized(record),
         Record::FencingToken(record) => Value::serialized(record),
@@ -266,7 +266,7 @@
             }
             Self::RevokeLease(lease_id) => Call::delete(format!("/grants/{lease_id}")),
             Self::Watch { after } => Call::get(format!(
-                "/follow?prefix={PREFIX}&after={after}&blockMs={WATCH_MS}"
+                "/follow?prefix={PREFIX}&after={after}&blockMs={WATCH_WAIT_MS}"
             )),
         }
     }
@@ -329,7 +329,7 @@
                 lease_id,
             } => Self::Put {
                 path: key.to_string(),
-                data: record_value(record),
+                data: record_to_value(record),
                 lease_id: *lease_id,
             },
             Write::Delete { key } => Self::Delete {
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -14,7 +14,7 @@
     pub endpoint: String,
     /// Name of the machine type.
     #[serde(rename = "build")]
-    pub class: String,
+    pub type_name: String,
     /// Zone of the machine.
     #[serde(rename = "quarter")]
     pub zone: String,
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -160,7 +160,7 @@
     wire::WorkerHeartbeat {
         machine: "i-000231".into(),
         endpoint: "10.1.0.232:9000".into(),
-        class: "g8".into(),
+        type_name: "g8".into(),
         zone: "port-of-spain".into(),
         spot: false,
         agent_epoch: 1,
--- a/tests/sheltered_tasks.rs
+++ b/tests/sheltered_tasks.rs
@@ -92,7 +92,7 @@
     WorkerHeartbeat {
         machine: "i-1".into(),
         endpoint: "127.0.0.1:9".into(),
-        class: "g8".into(),
+        type_name: "g8".into(),
         zone: "a".into(),
         spot: false,
         agent_epoch: 1,
--- a/tests/sim/store.rs
+++ b/tests/sim/store.rs
@@ -5,7 +5,7 @@
 use salttrestle::controller::store::records::{Key, PREFIX, Record};
 use salttrestle::ids::CallId;
 use salttrestle::settings::NextStoreLimits;
-use salttrestle::wire::{Change, StoreRequest, StoreResponse, Write, record_value};
+use salttrestle::wire::{Change, StoreRequest, StoreResponse, Write, record_to_value};
 use salttrestle_fakes::orders::Orders;
 use salttrestle_fakes::rate::RateLimit;
 use salttrestle_fakes::store::{self, CommitOutcome, Store};
@@ -198,7 +198,7 @@
             let Write::Put { key, record, .. } = write else {
                 continue;
             };
-            let size = serde_json::to_string(&record_value(record)).map_or(0, |text| text.len());
+            let size = serde_json::to_string(&record_to_value(record)).map_or(0, |text| text.len());
             if size as f64 <= self.value_kb * 1024.0 {
                 continue;
             }
--- a/tests/stored_forms.rs
+++ b/tests/stored_forms.rs
@@ -224,7 +224,7 @@
     let report = WorkerHeartbeat {
         machine: "i-000231".into(),
         endpoint: "10.1.0.232:9000".into(),
-        class: "g8".into(),
+        type_name: "g8".into(),
         zone: "a".into(),
         spot: true,
         agent_epoch: 1,
@@ -328,7 +328,7 @@
     let good = cbor!({"teams" => {"vision" => [64, 2.5]}, "note" => "June"});
     let limits = LimitsRecord::Teams([("vision".to_string(), (64.0, 2.5))].into());
     assert_eq!(limits_read(&good.expect("a map")), limits);
-    let value = wire::record_value(&Record::Limits(limits.clone()));
+    let value = wire::record_to_value(&Record::Limits(limits.clone()));
     assert_eq!(limits_read(&value), limits);
     let bad = [
         cbor!({}),
