--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -129,7 +129,7 @@
 pub struct CloudLimits {
     /// Maximum number of requests per second.
     pub rps: f64,
-    /// Maximum delay before a change shows in the list of machines, in seconds.
+    /// Delay until a change shows in the list of machines, in seconds.
     pub list_lag_s: f64,
 }
 
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -147,13 +147,13 @@
     #[serde(rename = "stance")]
     pub status: MachineStatus,
     #[serde(rename = "ageS")]
-    age: Num,
+    age_s: Num,
 }
 
 impl ListedMachine {
     /// Time since the machine was rented, in seconds.
     pub fn age_s(&self) -> f64 {
-        self.age.0
+        self.age_s.0
     }
 }
 
@@ -240,7 +240,7 @@
     /// gives [`CloudResponse::Unavailable`].
     pub fn parse_response(&self, status: u16, body: &[u8]) -> CloudResponse {
         let response = match (self, status) {
-            (Self::Catalog, 200) => read_catalog(body),
+            (Self::Catalog, 200) => parse_catalog(body),
             (Self::ScaleOut(_), 200) => {
                 decode(body).map(|body: ScaledOutBody| CloudResponse::ScaledOut(body.machines))
             }
@@ -248,20 +248,20 @@
                 Some(CloudResponse::PoolExhausted)
             }
             (Self::Delete(_), 200) => Some(CloudResponse::Deleted),
-            (Self::List { .. }, 200) => read_page(body),
+            (Self::List { .. }, 200) => parse_page(body),
             _ => None,
         };
         response.unwrap_or(CloudResponse::Unavailable)
     }
 }
 
-fn read_catalog(body: &[u8]) -> Option<CloudResponse> {
+fn parse_catalog(body: &[u8]) -> Option<CloudResponse> {
     let body: CatalogBody = decode(body)?;
     let types = body.types.into_iter().map(MachineType::from);
     Some(CloudResponse::Catalog(types.collect()))
 }
 
-fn read_page(body: &[u8]) -> Option<CloudResponse> {
+fn parse_page(body: &[u8]) -> Option<CloudResponse> {
     let body: ListBody = decode(body)?;
     Some(CloudResponse::Page {
         machines: body.machines,
--- a/src/wire/state.rs
+++ b/src/wire/state.rs
@@ -213,7 +213,7 @@
             .map(|record| Record::Cell(Box::new(record))),
         Key::CellLink(_) => data.deserialized().ok().map(Record::CellLink),
         // Operators write this record, so a form that can't be parsed has to be reported.
-        Key::Limits => Some(Record::Limits(read_limits(&data))),
+        Key::Limits => Some(Record::Limits(parse_limits(&data))),
         Key::Job(_) => data
             .deserialized()
             .ok()
@@ -234,7 +234,7 @@
     teams: BTreeMap<String, (Num, Num)>,
 }
 
-fn read_limits(data: &Value) -> LimitsRecord {
+fn parse_limits(data: &Value) -> LimitsRecord {
     match data.deserialized::<ParsedLimitsBody>() {
         Ok(body) => {
             let teams = body.teams.into_iter();
@@ -283,15 +283,15 @@
                     revision: body.revision,
                 })
             }
-            (Self::Get(key), 200) => read_entry(key, body),
-            (Self::List { .. }, 200) => read_page(body),
+            (Self::Get(key), 200) => parse_entry(key, body),
+            (Self::List { .. }, 200) => parse_page(body),
             (Self::Transaction { .. }, 200) => {
                 decode(body).map(|body: RevisionBody| StoreResponse::Committed {
                     revision: body.revision,
                 })
             }
-            (Self::Transaction { .. }, 409) => read_conflict(body),
-            (Self::Transaction { .. }, 400) => Some(read_rejection(body)),
+            (Self::Transaction { .. }, 409) => parse_conflict(body),
+            (Self::Transaction { .. }, 400) => Some(parse_rejection(body)),
             (Self::GrantLease { .. }, 200) => {
                 decode(body).map(|body: LeaseBody| StoreResponse::LeaseGranted(body.lease_id))
             }
@@ -299,7 +299,7 @@
                 Some(StoreResponse::LeaseRenewed)
             }
             (Self::RenewLease(_) | Self::RevokeLease(_), 404) => Some(StoreResponse::LeaseNotFound),
-            (Self::Watch { .. }, 200) => read_changes(body),
+            (Self::Watch { .. }, 200) => parse_changes(body),
             (Self::Watch { .. }, 410) => Some(StoreResponse::Compacted),
             _ => None,
         };
@@ -407,7 +407,7 @@
     changes: Vec<ChangeEntry>,
 }
 
-fn read_entry(key: &Key, body: &[u8]) -> Option<StoreResponse> {
+fn parse_entry(key: &Key, body: &[u8]) -> Option<StoreResponse> {
     let body: EntryBody = decode(body)?;
     Some(StoreResponse::Found {
         record: parse_record(key, body.data)?,
@@ -415,7 +415,7 @@
     })
 }
 
-fn read_conflict(body: &[u8]) -> Option<StoreResponse> {
+fn parse_conflict(body: &[u8]) -> Option<StoreResponse> {
     let body: ConflictBody = decode(body)?;
     let failed = body.failed.iter().filter_map(|path| Key::parse(path));
     Some(StoreResponse::Conflict {
@@ -425,14 +425,14 @@
 
 /// Returns the reason for a 400 to a transaction: an ended lease, or otherwise an exceeded size
 /// limit.
-fn read_rejection(body: &[u8]) -> StoreResponse {
+fn parse_rejection(body: &[u8]) -> StoreResponse {
     match decode(body) {
         Some(ErrorBody { error }) if error == NO_LEASE_ERROR => StoreResponse::LeaseNotFound,
         _ => StoreResponse::Rejected,
     }
 }
 
-fn read_page(body: &[u8]) -> Option<StoreResponse> {
+fn parse_page(body: &[u8]) -> Option<StoreResponse> {
     let body: PageBody = decode(body)?;
     let last = body.entries.last().map(|entry| entry.path.clone());
     let entries = body.entries.into_iter().filter_map(|entry| {
@@ -448,7 +448,7 @@
     })
 }
 
-fn read_changes(body: &[u8]) -> Option<StoreResponse> {
+fn parse_changes(body: &[u8]) -> Option<StoreResponse> {
     let body: ChangesBody = decode(body)?;
     let changes = body.changes.into_iter().filter_map(ChangeEntry::parse);
     Some(StoreResponse::Changes {
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -132,7 +132,7 @@
 
 /// Parses and validates a submission. The controller sets the record's chunk size and shard later.
 pub fn parse_submission(body: &[u8]) -> Result<(JobId, JobRecord), InvalidSubmission> {
-    read_submission(body).map_err(|error| {
+    decode_and_validate(body).map_err(|error| {
         let id_body = ciborium::from_reader::<IdBody, _>(body).ok();
         InvalidSubmission {
             reason: error.to_string(),
@@ -141,7 +141,7 @@
     })
 }
 
-fn read_submission(body: &[u8]) -> Result<(JobId, JobRecord), SubmissionError> {
+fn decode_and_validate(body: &[u8]) -> Result<(JobId, JobRecord), SubmissionError> {
     let mut rest = body;
     let body: SubmitBody = ciborium::from_reader(&mut rest)?;
     if !rest.is_empty() {
