--- a/src/settings/derived.rs
+++ b/src/settings/derived.rs
@@ -2,7 +2,7 @@
 
 use crate::peer::MESSAGE_BYTES_MAX;
 use crate::settings::Settings;
-use crate::settings::state_limits::StrictestLimits;
+use crate::settings::store_limits::StrictestLimits;
 use salttrestle_standby::Config;
 
 /// Processor time that a shard's owner spends on one heartbeat and all work that the heartbeat
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -9,7 +9,7 @@
 mod derived;
 mod error;
 mod platform;
-mod state_limits;
+mod store_limits;
 mod tuning;
 
 pub use crate::settings::cells::CellsFile;
@@ -17,7 +17,7 @@
 pub use crate::settings::platform::{
     CloudLimits, ControllerResources, Facts, Objective, Peer, Platform, Services, Team, WorkerTimes,
 };
-pub use crate::settings::state_limits::{NextStoreLimits, StoreLimits, StrictestLimits};
+pub use crate::settings::store_limits::{NextStoreLimits, StoreLimits, StrictestLimits};
 pub use crate::settings::tuning::Tuning;
 use std::path::Path;
 use std::sync::Arc;
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -1,7 +1,7 @@
 //! The platform's settings, a JSON file.
 
 use crate::ids::ControllerId;
-use crate::settings::state_limits::StoreLimits;
+use crate::settings::store_limits::StoreLimits;
 use crate::settings::{Reason, SettingsError};
 use serde::Deserialize;
 use std::net::SocketAddrV4;
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -8,7 +8,7 @@
 mod call;
 mod cbor;
 mod cloud;
-mod state;
+mod store;
 mod user;
 mod worker;
 
@@ -17,7 +17,7 @@
 pub use crate::wire::cloud::{
     CloudRequest, CloudResponse, ListedMachine, MachineStatus, MachineType,
 };
-pub use crate::wire::state::{
+pub use crate::wire::store::{
     Change, StoreRequest, StoreResponse, WATCH_WAIT_MS, Write, record_to_value,
 };
 pub use crate::wire::user::{
