--- a/benches/controller.rs
+++ b/benches/controller.rs
@@ -167,7 +167,7 @@
     WorkerHeartbeat {
         machine: machine(n),
         endpoint: "10.1.0.1:9000".into(),
-        class: "g8".into(),
+        type_name: "g8".into(),
         zone: "a".into(),
         spot: false,
         agent_epoch: 1,
@@ -253,7 +253,7 @@
             StoreRequest::List { .. } => Some(StoreResponse::Page {
                 entries: records(self.machines),
                 last: None,
-                more: false,
+                has_next: false,
                 revision: REVISION,
             }),
             StoreRequest::ReadRevision => Some(StoreResponse::Missing { revision: REVISION }),
--- a/src/controller/autoscaling/machines.rs
+++ b/src/controller/autoscaling/machines.rs
@@ -38,12 +38,12 @@
         response: CloudResponse,
     ) {
         self.context.cloud.listing.under_way = false;
-        let CloudResponse::Page { machines, more } = response else {
+        let CloudResponse::Page { machines, has_next } = response else {
             return;
         };
         let mut listed = earlier_pages;
         listed.extend(machines);
-        if more && !listed.is_empty() {
+        if has_next && !listed.is_empty() {
             return self.context.request_next_page(listed);
         }
         let lag_s = self.context.settings.platform.facts.cloud.list_lag_s;
@@ -63,7 +63,7 @@
             for machine in listed {
                 let id = MachineId::from(machine.id.as_str());
                 self.context
-                    .add_unassigned((id, machine.class, machine.zone, machine.spot));
+                    .add_unassigned((id, machine.type_name, machine.zone, machine.spot));
             }
         }
     }
@@ -147,7 +147,7 @@
     /// ready, and scaled out again.
     pub(crate) fn decommission_abandoned(&mut self, context: &Context) {
         let now = context.now;
-        let boot_ratio = ABANDONED_OVERDUE_RATIO * context.settings.tuning.boot;
+        let boot_ratio = ABANDONED_OVERDUE_RATIO * context.settings.tuning.boot_timeout_ratio;
         let catalog = &context.cloud.catalog;
         let booting = self.machines.booting();
         let abandoned = booting
@@ -240,7 +240,8 @@
             return;
         }
         if self.is_only_shard && !self.machines.contains_key(&id) {
-            let mut machine = Machine::new(catalog, &listed.class, &listed.zone, listed.spot, now);
+            let mut machine =
+                Machine::new(catalog, &listed.type_name, &listed.zone, listed.spot, now);
             let age_ms = (listed.age_s().max(0.0) * 1000.0) as u64;
             machine.known_since = Time(now.0.saturating_sub(age_ms));
             self.machines.insert(id.clone(), machine);
@@ -255,7 +256,7 @@
                     // From now on the machine counts as silent unless it sends heartbeats.
                     (machine.ready_since, machine.last_heartbeat) = (Some(now), now);
                 }
-                machine.set_machine_type(catalog, &listed.class, &listed.zone, listed.spot);
+                machine.set_machine_type(catalog, &listed.type_name, &listed.zone, listed.spot);
             });
         }
         if listed.status == MachineStatus::Failed {
--- a/src/controller/machines/liveness.rs
+++ b/src/controller/machines/liveness.rs
@@ -71,7 +71,7 @@
     /// replacement.
     pub(crate) fn is_partitioned_from_workers(&self, context: &Context) -> bool {
         let workers = &context.settings.platform.facts.workers;
-        let silence_max_s = workers.report_s * UNREACHABLE_HEARTBEAT_INTERVALS;
+        let silence_max_s = workers.heartbeat_s * UNREACHABLE_HEARTBEAT_INTERVALS;
         let ready_count = self
             .machines
             .values()
@@ -203,8 +203,8 @@
         partitioned_zones: &BTreeSet<Rc<str>>,
     ) -> Vec<SilentMachine> {
         let lease_s = context.settings.platform.facts.workers.lease_s;
-        let usual_s = context.settings.silent_s(false);
-        let unreachable_controller_s = context.settings.silent_s(true);
+        let usual_s = context.settings.silence_max_s(false);
+        let unreachable_controller_s = context.settings.silence_max_s(true);
         let mut silent = Vec::new();
         for (id, machine) in self.machines.iter() {
             let silent_s = context
@@ -312,7 +312,7 @@
     /// partitioned. The zone's own controllers keep its workers alive.
     fn find_partitioned_zones(&self, context: &Context) -> BTreeSet<Rc<str>> {
         let silence_max_s =
-            context.settings.platform.facts.workers.report_s * PARTITION_MISSED_HEARTBEATS;
+            context.settings.platform.facts.workers.heartbeat_s * PARTITION_MISSED_HEARTBEATS;
         let mut zones: BTreeMap<&Rc<str>, (usize, usize)> = BTreeMap::new();
         let is_counted = |machine: &&Machine| {
             machine.ready_since.is_some()
--- a/src/net/outgoing.rs
+++ b/src/net/outgoing.rs
@@ -17,7 +17,7 @@
 const STORE_TIMEOUT_S: f64 = 2.0;
 const CLOUD_TIMEOUT_S: f64 = 6.0;
 /// The store answers a watch within its own limit; the rest is for the way there and back.
-const WATCH_TIMEOUT_S: f64 = wire::WATCH_MS as f64 / 1000.0 + 2.0;
+const WATCH_TIMEOUT_S: f64 = wire::WATCH_WAIT_MS as f64 / 1000.0 + 2.0;
 /// Responses of the store have no limit of size. A watch that brings more than this at once is
 /// given up, and the connection with it.
 const RESPONSE_MAX: usize = 8 << 20;
@@ -48,8 +48,8 @@
     /// The request as it goes onto the wire.
     fn to_http(&self) -> Call {
         match self {
-            Self::Store(request) => request.call(),
-            Self::Cloud(request) => request.call(),
+            Self::Store(request) => request.to_call(),
+            Self::Cloud(request) => request.to_call(),
         }
     }
 
@@ -73,8 +73,12 @@
     fn response(&self, call: CallId, message: &Message) -> Input {
         let status = message.status().unwrap_or(0);
         match self {
-            Self::Store(request) => Input::Store(call, request.reply(status, &message.body)),
-            Self::Cloud(request) => Input::Cloud(call, request.reply(status, &message.body)),
+            Self::Store(request) => {
+                Input::Store(call, request.parse_response(status, &message.body))
+            }
+            Self::Cloud(request) => {
+                Input::Cloud(call, request.parse_response(status, &message.body))
+            }
         }
     }
 }
@@ -129,7 +133,7 @@
 impl OutgoingRequests {
     pub(super) fn new(services: &Services) -> Self {
         Self {
-            store: ServicePool::new(services.state, STORE_CONNECTIONS_MAX),
+            store: ServicePool::new(services.store, STORE_CONNECTIONS_MAX),
             cloud: ServicePool::new(services.cloud, CLOUD_CONNECTIONS_MAX),
             calls: HashMap::new(),
             deadlines: BTreeSet::new(),
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,12 +1,14 @@
-//! The bodies of every interface, one module for each. The only place with the protocol's themed
-//! words: types and fields have the field's terms, and serde renames them.
+//! The request and response bodies of every interface, with one module per interface.
+//!
+//! The names on the wire differ from the names in the code, and serde attributes map between them.
+//! The wire names appear in this module only.
 
 #![warn(missing_docs)]
 
 mod call;
 mod cbor;
 mod cloud;
-mod state;
+mod store;
 mod user;
 mod worker;
 
@@ -15,13 +17,15 @@
 pub use crate::wire::cloud::{
     CloudRequest, CloudResponse, ListedMachine, MachineStatus, MachineType,
 };
-pub use crate::wire::state::{Change, StoreRequest, StoreResponse, WATCH_MS, Write, record_value};
+pub use crate::wire::store::{
+    Change, StoreRequest, StoreResponse, WATCH_WAIT_MS, Write, record_to_value,
+};
 pub use crate::wire::user::{
-    InvalidSubmission, JobStatus, error_body, job_status_body, submission,
+    InvalidSubmission, JobStatus, error_body, job_status_body, parse_submission,
 };
 pub use crate::wire::worker::{
     Cause, Command, HeartbeatTask, TaskStatus, WorkerHeartbeat, commands_body, redirect_body,
 };
 
-/// Most bytes of a body that is taken from or sent to users and workers.
-pub const BODY_MAX: usize = 64 * 1024;
+/// Maximum size of a request body from users and workers, in bytes.
+pub const BODY_BYTES_MAX: usize = 64 * 1024;
--- a/tests/stored_forms.rs
+++ b/tests/stored_forms.rs
@@ -218,13 +218,13 @@
         at_ms: 1000,
         echoes: vec![(ControllerId::from("trestlehand-1"), 8, 900)],
         since_keepalive_ms: 5000,
-        overdue: vec![machine()],
+        overdue_machines: vec![machine()],
     };
     check_message(&Message::PeerHeartbeat(heartbeat), HELLO);
     let report = WorkerHeartbeat {
         machine: "i-000231".into(),
         endpoint: "10.1.0.232:9000".into(),
-        class: "g8".into(),
+        type_name: "g8".into(),
         zone: "a".into(),
         spot: true,
         agent_epoch: 1,
@@ -254,10 +254,10 @@
         token: FencingToken(41),
         revision: 412,
         pools: vec![("g8".into(), false, PoolCount::default())],
-        zones: vec![("g8".into(), false, "a".into(), 3)],
-        pins: vec![("g8".into(), false, "b".into(), 1)],
-        empty: vec![("g8".into(), false, machine())],
-        gone: vec![machine()],
+        machines_by_zone: vec![("g8".into(), false, "a".into(), 3)],
+        zone_shortfalls: vec![("g8".into(), false, "b".into(), 1)],
+        empty_machines: vec![("g8".into(), false, machine())],
+        deleted_machines: vec![machine()],
         teams: vec![("vision".into(), TeamCount::default())],
     };
     check_message(&Message::ShardCounts(Box::new(shard_counts)), TALLY);
@@ -313,7 +313,7 @@
 fn limits_read(data: &ciborium::Value) -> LimitsRecord {
     let body = cbor!({"path" => "s/own/limits", "data" => data, "mark" => 7});
     let body = wire::encode(&body.expect("a map"));
-    match wire::StoreRequest::Get(Key::Limits).reply(200, &body) {
+    match wire::StoreRequest::Get(Key::Limits).parse_response(200, &body) {
         wire::StoreResponse::Found {
             record: Record::Limits(limits),
             revision: 7,
@@ -328,7 +328,7 @@
     let good = cbor!({"teams" => {"vision" => [64, 2.5]}, "note" => "June"});
     let limits = LimitsRecord::Teams([("vision".to_string(), (64.0, 2.5))].into());
     assert_eq!(limits_read(&good.expect("a map")), limits);
-    let value = wire::record_value(&Record::Limits(limits.clone()));
+    let value = wire::record_to_value(&Record::Limits(limits.clone()));
     assert_eq!(limits_read(&value), limits);
     let bad = [
         cbor!({}),
