--- a/scale/src/hollow/connections.rs
+++ b/scale/src/hollow/connections.rs
@@ -269,7 +269,7 @@
         loop {
             match connection.decoder.next_message() {
                 Ok(Some(message)) => {
-                    closed |= message.close;
+                    closed |= message.closes_connection;
                     traffic.messages_in += 1;
                     let kind = EventKind::Message(message);
                     received.push(ConnectionEvent { key, role, kind });
--- a/scale/src/hollow/request.rs
+++ b/scale/src/hollow/request.rs
@@ -40,10 +40,10 @@
 impl<'a> StartLine<'a> {
     /// The start line of a message.
     pub(super) fn of(request: &'a Message) -> Self {
-        let target = request.start[1].as_str();
+        let target = request.start_line[1].as_str();
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
         Self {
-            method: &request.start[0],
+            method: &request.start_line[0],
             path,
             query: Query(query),
         }
--- a/scale/src/hollow/users/mod.rs
+++ b/scale/src/hollow/users/mod.rs
@@ -220,7 +220,7 @@
         };
         let controller = in_flight.controller;
         self.balancer
-            .release(controller, key, !response.close, connections);
+            .release(controller, key, !response.closes_connection, connections);
         self.complete(now, in_flight.request, Some(response), rng);
     }
 
--- a/src/http.rs
+++ b/src/http.rs
@@ -27,9 +27,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Message {
     /// The three parts of the start line.
-    pub start: [String; 3],
+    pub start_line: [String; 3],
     /// Whether the sender closes the connection after this message, or wants it closed.
-    pub close: bool,
+    pub closes_connection: bool,
     /// `Retry-After`, in seconds.
     pub retry_after: Option<u64>,
     /// The body; empty if there is none.
@@ -39,7 +39,7 @@
 impl Message {
     /// The status of a response.
     pub fn status(&self) -> Option<u16> {
-        self.start[1].parse().ok()
+        self.start_line[1].parse().ok()
     }
 }
 
@@ -103,12 +103,12 @@
     }
 
     /// Whether a message has begun and isn't whole yet.
-    pub fn midway(&self) -> bool {
+    pub fn has_partial_message(&self) -> bool {
         self.head.is_some() || !self.buffer.is_empty()
     }
 
     /// Whether more has piled up than one message may hold.
-    pub fn overfull(&self) -> bool {
+    pub fn is_overfull(&self) -> bool {
         self.buffer.len() > self.body_max + HEAD_MAX
     }
 
@@ -135,7 +135,7 @@
     }
 
     /// The message that ends because its sender closed the connection.
-    pub fn closed(&mut self) -> Option<Message> {
+    pub fn finish_at_close(&mut self) -> Option<Message> {
         match self.head.as_ref()?.body_end {
             BodyEnd::ConnectionClose => {
                 let body = std::mem::take(&mut self.buffer);
@@ -193,16 +193,16 @@
 struct Headers {
     content_length: Option<usize>,
     is_chunked: bool,
-    close: bool,
+    closes_connection: bool,
     retry_after: Option<u64>,
 }
 
 fn parse_head(text: &str, side: Side, body_max: usize) -> Result<Head, HttpError> {
     let mut lines = text.split("\r\n");
-    let start = start_line(lines.next().unwrap_or(""), side)?;
+    let start_line = parse_start_line(lines.next().unwrap_or(""), side)?;
     let version = match side {
-        Side::Request => &start[2],
-        Side::Response => &start[0],
+        Side::Request => &start_line[2],
+        Side::Response => &start_line[0],
     };
     let headers = parse_headers(lines, version)?;
     let body_end = match (headers.is_chunked, headers.content_length) {
@@ -211,14 +211,14 @@
         (true, None) => BodyEnd::Chunked,
         (false, Some(length)) if length > body_max => return Err(HttpError::TooLarge),
         (false, Some(length)) => BodyEnd::Length(length),
-        (false, None) if side == Side::Response && !is_bodiless(&start[1]) => {
+        (false, None) if side == Side::Response && !is_bodiless(&start_line[1]) => {
             BodyEnd::ConnectionClose
         }
         (false, None) => BodyEnd::Length(0),
     };
     let message = Message {
-        start,
-        close: headers.close,
+        start_line,
+        closes_connection: headers.closes_connection,
         retry_after: headers.retry_after,
         body: Vec::new(),
     };
@@ -232,7 +232,7 @@
     let mut headers = Headers {
         content_length: None,
         is_chunked: false,
-        close: version == "HTTP/1.0",
+        closes_connection: version == "HTTP/1.0",
         retry_after: None,
     };
     for line in lines {
@@ -268,9 +268,9 @@
     fn read_connection(&mut self, value: &str) {
         for option in value.split(',').map(str::trim) {
             if option.eq_ignore_ascii_case("close") {
-                self.close = true;
+                self.closes_connection = true;
             } else if option.eq_ignore_ascii_case("keep-alive") {
-                self.close = false;
+                self.closes_connection = false;
             }
         }
     }
@@ -288,7 +288,7 @@
     value.parse().map_err(|_| HttpError::TooLarge)
 }
 
-fn start_line(line: &str, side: Side) -> Result<[String; 3], HttpError> {
+fn parse_start_line(line: &str, side: Side) -> Result<[String; 3], HttpError> {
     let mut parts = line.splitn(3, ' ');
     let mut part = || parts.next().unwrap_or("").to_string();
     let start = [part(), part(), part()];
--- a/src/net/connections.rs
+++ b/src/net/connections.rs
@@ -232,7 +232,7 @@
             connection.is_write_watched = must_watch;
             let watched = self
                 .poller
-                .watch_writing(&connection.stream, id.0, must_watch);
+                .set_write_interest(&connection.stream, id.0, must_watch);
             if watched.is_err() {
                 return Outcome::Close;
             }
--- a/src/net/incoming.rs
+++ b/src/net/incoming.rs
@@ -44,7 +44,7 @@
 
     /// Whether it was quiet for too long, or is too slow with a request.
     fn is_timed_out(&self, quiet_s: f64) -> bool {
-        let is_slow = self.decoder.midway() && quiet_s > REQUEST_TIMEOUT_S;
+        let is_slow = self.decoder.has_partial_message() && quiet_s > REQUEST_TIMEOUT_S;
         self.pending.is_none() && (quiet_s > IDLE_TIMEOUT_S || is_slow)
     }
 }
@@ -188,7 +188,7 @@
         while let Some(connection) = self.connections.get_mut(&id) {
             if connection.pending.is_some() {
                 // Clients aren't expected to pipeline; what comes early waits, within a bound.
-                return match connection.decoder.overfull() {
+                return match connection.decoder.is_overfull() {
                     true => Outcome::Close,
                     false => Outcome::KeepOpen,
                 };
@@ -206,9 +206,9 @@
     }
 
     fn on_request(&mut self, context: &mut Context, id: ConnectionId, message: &Message) {
-        let path = message.start[1].split('?').next().unwrap_or("");
-        let mut routed = route(&message.start[0], path, &message.body);
-        let mut closes = message.close;
+        let path = message.start_line[1].split('?').next().unwrap_or("");
+        let mut routed = route(&message.start_line[0], path, &message.body);
+        let mut closes = message.closes_connection;
         if matches!(routed, Ok(Request::Heartbeat(_))) && !self.admit_worker(id) {
             routed = Err(TOO_MANY_WORKERS);
             closes = true;
--- a/src/net/outgoing.rs
+++ b/src/net/outgoing.rs
@@ -202,7 +202,7 @@
             (Ok(Some(message)), Some(call)) => {
                 connection.call = None;
                 self.finish(context, call, Some(&message));
-                if message.close {
+                if message.closes_connection {
                     return Outcome::Close;
                 }
                 self.reuse(context, id);
@@ -227,7 +227,7 @@
         pool.open -= 1;
         pool.idle.retain(|idle| *idle != id);
         if let Some(call) = connection.call {
-            let message = connection.decoder.closed();
+            let message = connection.decoder.finish_at_close();
             self.finish(context, call, message.as_ref());
         }
         self.send_queued(context, connection.service);
--- a/src/net/waiting.rs
+++ b/src/net/waiting.rs
@@ -66,7 +66,12 @@
     }
 
     /// Watches a connection for room to write as well, or no longer.
-    pub fn watch_writing(&self, stream: &TcpStream, key: usize, writing: bool) -> io::Result<()> {
+    pub fn set_write_interest(
+        &self,
+        stream: &TcpStream,
+        key: usize,
+        writing: bool,
+    ) -> io::Result<()> {
         let event = Event::new(key, true, writing);
         self.poller.modify_with_mode(stream, event, PollMode::Level)
     }
--- a/tests/malformed.rs
+++ b/tests/malformed.rs
@@ -117,7 +117,7 @@
     for b in bytes {
         d.feed(&[*b]);
         while let Some(m) = d.next_message().expect("good bytes") {
-            seen.push((m.start[1].clone(), m.body));
+            seen.push((m.start_line[1].clone(), m.body));
         }
     }
     let want = vec![
@@ -125,7 +125,7 @@
         ("/up".to_string(), Vec::new()),
     ];
     assert_eq!(seen, want);
-    assert!(!d.midway());
+    assert!(!d.has_partial_message());
 }
 
 #[test]
@@ -134,12 +134,15 @@
     d.feed(b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 7\r\nContent-Length: 0\r\n\r\n");
     let m = d.next_message().expect("good").expect("whole");
     assert_eq!(
-        (m.status(), m.retry_after, m.close),
+        (m.status(), m.retry_after, m.closes_connection),
         (Some(503), Some(7), false)
     );
     d.feed(b"HTTP/1.0 200 OK\r\n\r\nab");
     assert_eq!(d.next_message(), Ok(None));
-    assert_eq!(d.closed().expect("ends with its connection").body, b"ab");
+    assert_eq!(
+        d.finish_at_close().expect("ends with its connection").body,
+        b"ab"
+    );
     d.feed(b"HTTP/1.1 2x0 OK\r\n\r\n");
     assert_eq!(d.next_message(), Err(HttpError::Malformed));
 }
--- a/tests/waiting.rs
+++ b/tests/waiting.rs
@@ -76,7 +76,9 @@
 fn room_to_write_is_reported_only_while_it_is_watched() {
     let mut pair = pair();
     let watch = |pair: &Pair, writing| {
-        let set = pair.waiting.watch_writing(&pair.near, ACCEPTED, writing);
+        let set = pair
+            .waiting
+            .set_write_interest(&pair.near, ACCEPTED, writing);
         set.expect("set");
     };
     watch(&pair, true);
