--- a/src/http.rs
+++ b/src/http.rs
@@ -1,118 +1,127 @@
-//! HTTP/1.1 as far as the interfaces need it: an incremental parser and a writer.
-//! Every size is bounded, so that no peer can make a connection grow.
+//! The subset of HTTP/1.1 that the service's interfaces use: an incremental parser and a writer.
+//!
+//! The sizes of heads, bodies and chunk lines are bounded, so that no remote side can make a
+//! connection's buffer grow without limit.
 
 #![warn(missing_docs)]
 
 use thiserror::Error;
 
-/// Most bytes of a start line with its headers.
-const HEAD_MAX: usize = 8 * 1024;
-/// Most bytes of a line that gives a chunk's size.
-const CHUNK_LINE_MAX: usize = 64;
+/// Maximum size of a start line with its headers.
+const HEAD_BYTES_MAX: usize = 8 * 1024;
+/// Maximum size of a line that gives a chunk's size, and of a trailer.
+const CHUNK_LINE_BYTES_MAX: usize = 64;
 const LINE_END: &[u8] = b"\r\n";
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// Why a message isn't accepted.
+/// Why the [`Decoder`] rejects a message.
 #[derive(Debug, Error, PartialEq, Eq, Clone, Copy)]
 pub enum HttpError {
-    /// It isn't HTTP, or not in a form that is accepted here.
+    /// The bytes aren't HTTP, or use a form of HTTP that this parser doesn't support.
     #[error("malformed message")]
     Malformed,
-    /// It is longer than its reader accepts.
+    /// The head, the body or a number in the head exceeds its maximum size.
     #[error("message too large")]
     TooLarge,
 }
 
-/// A start line with the headers that matter here.
+/// A request or a response, with the headers that this service uses.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Message {
-    /// The three parts of the start line.
+    /// The three parts of the start line: method, path and version of a request; version, status
+    /// and reason phrase of a response.
     pub start_line: [String; 3],
-    /// Whether the sender closes the connection after this message, or wants it closed.
+    /// Whether the connection is to be closed after this message: `Connection: close`, or HTTP/1.0
+    /// without `Connection: keep-alive`.
     pub closes_connection: bool,
-    /// `Retry-After`, in seconds.
+    /// The value of `Retry-After` in seconds; `None` if the header is absent or isn't a number.
     pub retry_after: Option<u64>,
-    /// The body; empty if there is none.
+    /// The body; empty if the message has none.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// The status of a response.
+    /// The status code of a response; `None` for a request.
     pub fn status(&self) -> Option<u16> {
         self.start_line[1].parse().ok()
     }
 }
 
-/// Which messages a connection brings.
+/// Whether a [`Decoder`] parses requests or responses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Side {
-    /// Requests.
+    /// The connection delivers requests.
     Request,
-    /// Responses.
+    /// The connection delivers responses.
     Response,
 }
 
-/// Where a message's body ends.
+/// How the end of a message's body is determined.
 #[derive(Debug)]
 enum BodyEnd {
+    /// After this many bytes.
     Length(usize),
     Chunked,
     ConnectionClose,
 }
 
-/// A message whose head was read, and whose body is still to come.
+/// A message whose head is parsed and whose body isn't complete yet.
 #[derive(Debug)]
 struct Head {
     message: Message,
     body_end: BodyEnd,
 }
 
-/// A body, and how many bytes of the connection it took.
-struct ReadBody {
+/// A complete body, and the number of buffered bytes that encode it.
+struct DecodedBody {
     body: Vec<u8>,
     consumed: usize,
 }
 
-/// Collects the bytes of one connection and hands out whole messages.
+/// An incremental parser: buffers the bytes of one connection and returns complete messages.
 #[derive(Debug)]
 pub struct Decoder {
     side: Side,
-    body_max: usize,
+    body_bytes_max: usize,
     buffer: Vec<u8>,
-    /// How far the search for the end of the head has come, so that a message
-    /// that drips in byte by byte isn't searched from its start each time.
-    scanned: usize,
+    /// Number of buffered bytes already searched for the end of the head. A head that arrives
+    /// byte by byte isn't searched from its start each time.
+    scanned_bytes: usize,
     head: Option<Head>,
 }
 
 impl Decoder {
-    /// A decoder for messages with bodies of at most `body_max` bytes.
-    pub fn new(side: Side, body_max: usize) -> Self {
+    /// Creates a decoder for messages with bodies of at most `body_bytes_max` bytes.
+    pub fn new(side: Side, body_bytes_max: usize) -> Self {
         Self {
             side,
-            body_max,
+            body_bytes_max,
             buffer: Vec::new(),
-            scanned: 0,
+            scanned_bytes: 0,
             head: None,
         }
     }
 
-    /// Adds bytes as they came.
+    /// Appends bytes received on the connection.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether a message has begun and isn't whole yet.
+    /// Whether a message has begun that [`Decoder::next_message`] hasn't returned yet.
     pub fn has_partial_message(&self) -> bool {
         self.head.is_some() || !self.buffer.is_empty()
     }
 
-    /// Whether more has piled up than one message may hold.
+    /// Whether the buffer exceeds the maximum size of one message. The buffer grows while the
+    /// caller feeds bytes without taking messages out.
     pub fn is_overfull(&self) -> bool {
-        self.buffer.len() > self.body_max + HEAD_MAX
+        self.buffer.len() > self.body_bytes_max + HEAD_BYTES_MAX
     }
 
-    /// The next whole message, if it is all there.
+    /// Removes and returns the next message; `None` while it is incomplete.
+    ///
+    /// After an error the position of the next message is unknown, so the connection must be
+    /// closed.
     pub fn next_message(&mut self) -> Result<Option<Message>, HttpError> {
         if self.head.is_none() {
             self.head = self.read_head()?;
@@ -121,12 +130,12 @@
             return Ok(None);
         };
         let body = match head.body_end {
-            BodyEnd::Length(length) => self.buffer.get(..length).map(|body| ReadBody {
+            BodyEnd::Length(length) => self.buffer.get(..length).map(|body| DecodedBody {
                 body: body.to_vec(),
                 consumed: length,
             }),
-            BodyEnd::Chunked => read_chunked(&self.buffer, self.body_max)?,
-            BodyEnd::ConnectionClose if self.buffer.len() > self.body_max => {
+            BodyEnd::Chunked => decode_chunked(&self.buffer, self.body_bytes_max)?,
+            BodyEnd::ConnectionClose if self.buffer.len() > self.body_bytes_max => {
                 return Err(HttpError::TooLarge);
             }
             BodyEnd::ConnectionClose => None,
@@ -134,49 +143,50 @@
         Ok(body.and_then(|body| self.finish(body)))
     }
 
-    /// The message that ends because its sender closed the connection.
+    /// Returns the message whose body ends because its sender closed the connection; `None` if
+    /// the buffered message ends in another way and is therefore truncated.
     pub fn finish_at_close(&mut self) -> Option<Message> {
         match self.head.as_ref()?.body_end {
             BodyEnd::ConnectionClose => {
                 let body = std::mem::take(&mut self.buffer);
-                self.finish(ReadBody { body, consumed: 0 })
+                self.finish(DecodedBody { body, consumed: 0 })
             }
             BodyEnd::Length(_) | BodyEnd::Chunked => None,
         }
     }
 
-    fn finish(&mut self, read: ReadBody) -> Option<Message> {
+    fn finish(&mut self, read: DecodedBody) -> Option<Message> {
         let mut message = self.head.take()?.message;
         message.body = read.body;
         self.buffer.drain(..read.consumed);
-        self.scanned = 0;
+        self.scanned_bytes = 0;
         Some(message)
     }
 
-    /// The next message's head, if it is all there.
+    /// Removes and parses the next message's head; `None` while it is incomplete.
     fn read_head(&mut self) -> Result<Option<Head>, HttpError> {
         self.skip_blank_lines();
-        let from = self.scanned.saturating_sub(HEAD_END.len() - 1);
+        let from = self.scanned_bytes.saturating_sub(HEAD_END.len() - 1);
         let mut windows = self.buffer[from..].windows(HEAD_END.len());
         let Some(end) = windows.position(|window| window == HEAD_END) else {
-            self.scanned = self.buffer.len();
-            return match self.buffer.len() > HEAD_MAX {
+            self.scanned_bytes = self.buffer.len();
+            return match self.buffer.len() > HEAD_BYTES_MAX {
                 true => Err(HttpError::TooLarge),
                 false => Ok(None),
             };
         };
         let end = from + end;
-        if end > HEAD_MAX {
+        if end > HEAD_BYTES_MAX {
             return Err(HttpError::TooLarge);
         }
         let text = std::str::from_utf8(&self.buffer[..end]).map_err(|_| HttpError::Malformed)?;
-        let head = parse_head(text, self.side, self.body_max)?;
+        let head = parse_head(text, self.side, self.body_bytes_max)?;
         self.buffer.drain(..end + HEAD_END.len());
-        self.scanned = 0;
+        self.scanned_bytes = 0;
         Ok(Some(head))
     }
 
-    /// Empty lines before a message are allowed.
+    /// Skips empty lines before a start line, which the parser tolerates.
     fn skip_blank_lines(&mut self) {
         let bytes = self.buffer.iter();
         let blank = bytes
@@ -184,12 +194,12 @@
             .count();
         if blank > 0 {
             self.buffer.drain(..blank);
-            self.scanned = 0;
+            self.scanned_bytes = 0;
         }
     }
 }
 
-/// The headers that matter here.
+/// The headers that this service uses.
 struct Headers {
     content_length: Option<usize>,
     is_chunked: bool,
@@ -197,7 +207,7 @@
     retry_after: Option<u64>,
 }
 
-fn parse_head(text: &str, side: Side, body_max: usize) -> Result<Head, HttpError> {
+fn parse_head(text: &str, side: Side, body_bytes_max: usize) -> Result<Head, HttpError> {
     let mut lines = text.split("\r\n");
     let start_line = parse_start_line(lines.next().unwrap_or(""), side)?;
     let version = match side {
@@ -206,10 +216,11 @@
     };
     let headers = parse_headers(lines, version)?;
     let body_end = match (headers.is_chunked, headers.content_length) {
-        // Both at once is how requests are smuggled past a proxy.
+        // Request smuggling relies on a proxy and a server that disagree about which of the two
+        // headers determines the body's length.
         (true, Some(_)) => return Err(HttpError::Malformed),
         (true, None) => BodyEnd::Chunked,
-        (false, Some(length)) if length > body_max => return Err(HttpError::TooLarge),
+        (false, Some(length)) if length > body_bytes_max => return Err(HttpError::TooLarge),
         (false, Some(length)) => BodyEnd::Length(length),
         (false, None) if side == Side::Response && !is_bodiless(&start_line[1]) => {
             BodyEnd::ConnectionClose
@@ -241,31 +252,35 @@
         if name.is_empty() || !name.bytes().all(is_token_byte) {
             return Err(HttpError::Malformed);
         }
-        headers.read(&name.to_ascii_lowercase(), value)?;
+        headers.apply(&name.to_ascii_lowercase(), value)?;
     }
     Ok(headers)
 }
 
 impl Headers {
-    fn read(&mut self, name: &str, value: &str) -> Result<(), HttpError> {
+    /// Applies one header; `name` is in lower case.
+    fn apply(&mut self, name: &str, value: &str) -> Result<(), HttpError> {
         match name {
             "content-length" => {
-                let length = content_length(value)?;
-                if self.content_length.is_some_and(|earlier| earlier != length) {
+                let length = parse_content_length(value)?;
+                if self
+                    .content_length
+                    .is_some_and(|previous| previous != length)
+                {
                     return Err(HttpError::Malformed);
                 }
                 self.content_length = Some(length);
             }
             "transfer-encoding" if value.eq_ignore_ascii_case("chunked") => self.is_chunked = true,
             "transfer-encoding" => return Err(HttpError::Malformed),
-            "connection" => self.read_connection(value),
+            "connection" => self.apply_connection(value),
             "retry-after" => self.retry_after = value.parse().ok(),
             _ => {}
         }
         Ok(())
     }
 
-    fn read_connection(&mut self, value: &str) {
+    fn apply_connection(&mut self, value: &str) {
         for option in value.split(',').map(str::trim) {
             if option.eq_ignore_ascii_case("close") {
                 self.closes_connection = true;
@@ -276,12 +291,12 @@
     }
 }
 
-/// Whether responses of a status never have a body.
+/// Whether responses with this status never have a body.
 fn is_bodiless(status: &str) -> bool {
     status == "204" || status == "304" || status.starts_with('1')
 }
 
-fn content_length(value: &str) -> Result<usize, HttpError> {
+fn parse_content_length(value: &str) -> Result<usize, HttpError> {
     if value.is_empty() || !value.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(HttpError::Malformed);
     }
@@ -313,41 +328,42 @@
     }
 }
 
-/// Whether a byte may stand in a method or in a header's name.
+/// Whether a byte is allowed in a method or in a header's name.
 fn is_token_byte(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte)
 }
 
-/// Reads a chunked body from its start; `None` while it isn't whole.
-fn read_chunked(buffer: &[u8], body_max: usize) -> Result<Option<ReadBody>, HttpError> {
-    let (mut at, mut body) = (0, Vec::new());
+/// Decodes a chunked body from the start of a buffer; `None` while the body is incomplete.
+fn decode_chunked(buffer: &[u8], body_bytes_max: usize) -> Result<Option<DecodedBody>, HttpError> {
+    let (mut position, mut body) = (0, Vec::new());
     loop {
-        let Some(line_length) = find_line_end(&buffer[at..])? else {
+        let Some(line_length) = find_line_end(&buffer[position..])? else {
             return Ok(None);
         };
-        let size = chunk_size(&buffer[at..at + line_length])?;
-        at += line_length + LINE_END.len();
-        if size > body_max || body.len() + size > body_max {
+        let size = parse_chunk_size(&buffer[position..position + line_length])?;
+        position += line_length + LINE_END.len();
+        if size > body_bytes_max || body.len() + size > body_bytes_max {
             return Err(HttpError::TooLarge);
         }
         if size == 0 {
-            let consumed = skip_trailers(buffer, at)?;
-            return Ok(consumed.map(|consumed| ReadBody { body, consumed }));
+            let consumed = skip_trailers(buffer, position)?;
+            return Ok(consumed.map(|consumed| DecodedBody { body, consumed }));
         }
-        if buffer.len() < at + size + LINE_END.len() {
+        if buffer.len() < position + size + LINE_END.len() {
             return Ok(None);
         }
-        body.extend_from_slice(&buffer[at..at + size]);
-        at += size;
-        if !buffer[at..].starts_with(LINE_END) {
+        body.extend_from_slice(&buffer[position..position + size]);
+        position += size;
+        if !buffer[position..].starts_with(LINE_END) {
             return Err(HttpError::Malformed);
         }
-        at += LINE_END.len();
+        position += LINE_END.len();
     }
 }
 
-/// Reads the line before a chunk. What follows a semicolon there has no meaning here.
-fn chunk_size(line: &[u8]) -> Result<usize, HttpError> {
+/// Parses the line that gives a chunk's size. Chunk extensions, which follow a semicolon, are
+/// ignored.
+fn parse_chunk_size(line: &[u8]) -> Result<usize, HttpError> {
     let line = std::str::from_utf8(line).map_err(|_| HttpError::Malformed)?;
     let digits = line.split(';').next().unwrap_or("").trim();
     if digits.is_empty() || !digits.bytes().all(|byte| byte.is_ascii_hexdigit()) {
@@ -356,32 +372,33 @@
     usize::from_str_radix(digits, 16).map_err(|_| HttpError::TooLarge)
 }
 
-/// Where the trailers that begin at a place end, with the empty line after them; `None` while that
-/// hasn't come.
+/// Returns the position after the trailers that begin at `from` and the empty line that ends them;
+/// `None` while they are incomplete.
 fn skip_trailers(buffer: &[u8], from: usize) -> Result<Option<usize>, HttpError> {
-    let mut at = from;
-    while let Some(line_length) = find_line_end(&buffer[at..])? {
-        at += line_length + LINE_END.len();
+    let mut position = from;
+    while let Some(line_length) = find_line_end(&buffer[position..])? {
+        position += line_length + LINE_END.len();
         if line_length == 0 {
-            return Ok(Some(at));
+            return Ok(Some(position));
         }
     }
     Ok(None)
 }
 
-/// How long the first line is; `None` while its end hasn't come.
+/// Returns the length of the buffer's first line without its end; `None` while the line is
+/// incomplete. A line longer than [`CHUNK_LINE_BYTES_MAX`] is malformed.
 fn find_line_end(buffer: &[u8]) -> Result<Option<usize>, HttpError> {
     let found = buffer
         .windows(LINE_END.len())
-        .take(CHUNK_LINE_MAX)
+        .take(CHUNK_LINE_BYTES_MAX)
         .position(|window| window == LINE_END);
-    if found.is_none() && buffer.len() > CHUNK_LINE_MAX {
+    if found.is_none() && buffer.len() > CHUNK_LINE_BYTES_MAX {
         return Err(HttpError::Malformed);
     }
     Ok(found)
 }
 
-/// Writes a response; `Retry-After` goes with every 429 and 503.
+/// Encodes a response. `retry_after` is in seconds; callers set it on every 429 and 503.
 pub fn response(status: u16, retry_after: Option<u32>, close: bool, body: &[u8]) -> Vec<u8> {
     let reason = match status {
         200 => "OK",
@@ -415,7 +432,7 @@
     message
 }
 
-/// Writes a request.
+/// Encodes a request.
 pub fn request(method: &str, path: &str, host: &str, body: Option<&[u8]>) -> Vec<u8> {
     let mut message = format!("{method} {path} HTTP/1.1\r\nHost: {host}\r\n");
     if let Some(body) = body {
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,4 +1,5 @@
-//! What the process measures of itself, and the log line that shows which limit is near.
+//! Metrics of the process itself, and the periodic log line that shows operators which limit is
+//! nearly reached.
 
 #![warn(missing_docs)]
 
@@ -7,56 +8,58 @@
 use hdrhistogram::Histogram;
 use std::time::{Duration, Instant};
 
-/// Pause between two log lines, in seconds.
+/// Interval between two log lines, in seconds.
 const LOG_INTERVAL_S: f64 = 30.0;
-/// Longest time that the histograms distinguish, in microseconds; anything longer counts as this.
-const LONGEST_US: u64 = 60_000_000;
-/// Significant digits of the histograms.
-const DIGITS: u8 = 2;
-
-/// Timers that fire later than this, on average, mean that the processor is full, whatever the
-/// process itself did.
-const LATE_TIMER: Duration = Duration::from_millis(100);
-/// Over how long the processor's utilization is measured.
+/// Largest duration that the histograms record, in microseconds; longer ones count as this one.
+const HISTOGRAM_MAX_US: u64 = 60_000_000;
+/// Decimal digits of precision of the histograms.
+const HISTOGRAM_DIGITS: u8 = 2;
+
+/// A mean timer delay above this means that the processor is saturated, whatever the process itself
+/// did.
+const SATURATED_TIMER_DELAY: Duration = Duration::from_millis(100);
+/// Time over which the processor's utilization is averaged.
 const UTILIZATION_INTERVAL: Duration = Duration::from_secs(1);
 
-/// For which share of its time the process doesn't wait: it computes, or it waits for its share of
-/// the processor.
+/// The fraction of its time in which the process doesn't wait for events: it computes, or it waits
+/// to be scheduled on the processor.
 struct ProcessorUtilization {
-    /// When the present measurement began.
-    since: Instant,
+    /// When the current measurement began.
+    interval_start: Instant,
+    /// Time spent waiting for events since `interval_start`.
     waited: Duration,
+    /// Timers that fired since `interval_start`.
     timers: TimerDelays,
-    /// Measurements since the last log line.
-    measured: Measurements,
+    /// UtilizationSummary since the last log line.
+    since_log_line: UtilizationSummary,
 }
 
-/// Timers that fired, and how late they did, in all.
+/// The number of timers that fired, and the sum of their delays.
 #[derive(Clone, Copy, Default)]
 struct TimerDelays {
     count: u32,
-    late: Duration,
+    total_delay: Duration,
 }
 
 impl TimerDelays {
-    fn show_full_processor(self) -> bool {
-        self.count > 0 && self.late / self.count > LATE_TIMER
+    fn show_saturated_processor(self) -> bool {
+        self.count > 0 && self.total_delay / self.count > SATURATED_TIMER_DELAY
     }
 }
 
-/// Shares of the processor, measured one after the other.
+/// The mean and the maximum of successive utilization measurements.
 #[derive(Clone, Copy, Default)]
-struct Measurements {
+struct UtilizationSummary {
     sum: f64,
     count: u32,
-    largest: f64,
+    max: f64,
 }
 
-impl Measurements {
-    fn add(&mut self, share: f64) {
-        self.sum += share;
+impl UtilizationSummary {
+    fn add(&mut self, utilization: f64) {
+        self.sum += utilization;
         self.count += 1;
-        self.largest = self.largest.max(share);
+        self.max = self.max.max(utilization);
     }
 
     fn mean(self) -> f64 {
@@ -65,192 +68,200 @@
 }
 
 impl ProcessorUtilization {
-    fn new(since: Instant) -> Self {
+    fn new(interval_start: Instant) -> Self {
         Self {
-            since,
+            interval_start,
             waited: Duration::ZERO,
             timers: TimerDelays::default(),
-            measured: Measurements::default(),
+            since_log_line: UtilizationSummary::default(),
         }
     }
 
-    /// The share since the last measurement, if that is long enough ago.
+    /// Returns the utilization since the last measurement, between 0 and 1; `None` until
+    /// [`UTILIZATION_INTERVAL`] has passed.
     fn measure(&mut self, now: Instant) -> Option<f64> {
-        let passed = now.duration_since(self.since);
-        if passed < UTILIZATION_INTERVAL {
+        let elapsed = now.duration_since(self.interval_start);
+        if elapsed < UTILIZATION_INTERVAL {
             return None;
         }
-        let share = match self.timers.show_full_processor() {
+        let utilization = match self.timers.show_saturated_processor() {
             true => 1.0,
-            false => 1.0 - self.waited.as_secs_f64() / passed.as_secs_f64(),
+            false => 1.0 - self.waited.as_secs_f64() / elapsed.as_secs_f64(),
         };
-        self.since = now;
+        self.interval_start = now;
         self.waited = Duration::ZERO;
         self.timers = TimerDelays::default();
-        self.measured.add(share);
-        Some(share)
+        self.since_log_line.add(utilization);
+        Some(utilization)
     }
 
-    /// The measurements since the last log line, as that shows them.
-    fn log_text(&mut self) -> String {
-        let measured = std::mem::take(&mut self.measured);
-        let (mean, largest) = (measured.mean(), measured.largest);
-        format!("{mean:.2} busy ({largest:.2} at most)")
+    /// Formats and resets the measurements since the last log line.
+    fn take_log_text(&mut self) -> String {
+        let summary = std::mem::take(&mut self.since_log_line);
+        let (mean, max) = (summary.mean(), summary.max);
+        format!("{mean:.2} busy ({max:.2} at most)")
     }
 }
 
-/// What was sent over connections of one kind.
+/// Messages and bytes sent over connections of one kind.
 #[derive(Clone, Copy, Debug, Default)]
-struct Sent {
+struct SentTraffic {
     messages: u64,
     bytes: u64,
 }
 
-impl Sent {
+impl SentTraffic {
     fn add(&mut self, bytes: usize) {
         self.messages += 1;
         self.bytes += bytes as u64;
     }
 
-    fn log_text(self, passed_s: f64) -> String {
-        let messages = self.messages as f64 / passed_s;
-        let kilobytes = self.bytes as f64 / 1000.0 / passed_s;
+    fn log_text(self, elapsed_s: f64) -> String {
+        let messages = self.messages as f64 / elapsed_s;
+        let kilobytes = self.bytes as f64 / 1000.0 / elapsed_s;
         format!("{messages:.1} messages and {kilobytes:.2} KB a second")
     }
 }
 
-/// The measurements of one process.
+/// The metrics of one controller process.
 pub struct Metrics {
-    /// Time that one input took, in microseconds.
-    steps: Histogram<u32>,
-    /// Time that the store took to answer a transaction, in microseconds.
-    commits: Histogram<u32>,
-    /// Responses by which the store or the cloud refused a call.
-    refused: u32,
-    /// Most writes that waited at once.
-    queued: usize,
+    /// Time in which the controller handled each input, in microseconds.
+    steps_us: Histogram<u32>,
+    /// Time in which the store answered each transaction, in microseconds.
+    commits_us: Histogram<u32>,
+    /// Calls that the store or the cloud refused with status 429 or 503.
+    refused_calls: u32,
+    /// Largest number of writes that were queued at the same time.
+    queued_writes_max: usize,
     utilization: ProcessorUtilization,
-    /// To other controllers of this cell, and to those of other cells.
-    to_peers: Sent,
-    to_cells: Sent,
-    /// What was counted up to the last log line, and when that was.
-    load_before: Load,
-    since: Time,
+    /// Sent to other controllers of this cell.
+    to_peers: SentTraffic,
+    /// Sent to controllers of other cells.
+    to_cells: SentTraffic,
+    /// The controller's counters at the last log line.
+    load_at_last_line: Load,
+    /// When the last log line was written or, before the first one, when the process started.
+    interval_start: Time,
 }
 
-fn histogram() -> Histogram<u32> {
-    Histogram::new_with_max(LONGEST_US, DIGITS).expect("bounds that hdrhistogram accepts")
+fn new_histogram() -> Histogram<u32> {
+    Histogram::new_with_max(HISTOGRAM_MAX_US, HISTOGRAM_DIGITS)
+        .expect("hdrhistogram accepts these bounds")
 }
 
-fn milliseconds(microseconds: u64) -> f64 {
+fn to_milliseconds(microseconds: u64) -> f64 {
     microseconds as f64 / 1000.0
 }
 
 impl Metrics {
-    /// Metrics of a process that starts now, by both of its clocks.
-    pub fn new(now: Time, started: Instant) -> Self {
+    /// Creates the metrics of a process that starts now. `now` and `started_at` are the same
+    /// moment, by the controller's clock and by the operating system's.
+    pub fn new(now: Time, started_at: Instant) -> Self {
         Self {
-            steps: histogram(),
-            commits: histogram(),
-            refused: 0,
-            queued: 0,
-            utilization: ProcessorUtilization::new(started),
-            to_peers: Sent::default(),
-            to_cells: Sent::default(),
-            load_before: Load::default(),
-            since: now,
+            steps_us: new_histogram(),
+            commits_us: new_histogram(),
+            refused_calls: 0,
+            queued_writes_max: 0,
+            utilization: ProcessorUtilization::new(started_at),
+            to_peers: SentTraffic::default(),
+            to_cells: SentTraffic::default(),
+            load_at_last_line: Load::default(),
+            interval_start: now,
         }
     }
 
-    /// The controller processed one input.
-    pub fn step(&mut self, took: Duration) {
-        self.steps.saturating_record(took.as_micros() as u64);
+    /// Records the time in which the controller handled one input.
+    pub fn record_step(&mut self, duration: Duration) {
+        self.steps_us.saturating_record(duration.as_micros() as u64);
     }
 
-    /// The process waited for sockets or for a timer.
-    pub fn waited(&mut self, time: Duration) {
-        self.utilization.waited += time;
+    /// Records the time that the process waited for sockets or for a timer.
+    pub fn record_wait(&mut self, duration: Duration) {
+        self.utilization.waited += duration;
     }
 
-    /// A timer fired so much later than it was due.
-    pub fn timer_fired(&mut self, late: Duration) {
+    /// Records that a timer fired `delay` after it was due.
+    pub fn record_timer(&mut self, delay: Duration) {
         self.utilization.timers.count += 1;
-        self.utilization.timers.late += late;
+        self.utilization.timers.total_delay += delay;
     }
 
-    /// The share of its time for which the process was busy, about once a second.
-    pub fn processor_utilization(&mut self, now: Instant) -> Option<f64> {
+    /// Returns the fraction of its time in which the process was busy, between 0 and 1, about once
+    /// a second; `None` in between.
+    pub fn measure_utilization(&mut self, now: Instant) -> Option<f64> {
         self.utilization.measure(now)
     }
 
-    /// The store answered a transaction, or failed to.
-    pub fn commit(&mut self, took_s: f64) {
-        self.commits.saturating_record((took_s * 1e6) as u64);
+    /// Records the time in which a transaction was answered by the store or failed.
+    pub fn record_commit(&mut self, duration_s: f64) {
+        self.commits_us.saturating_record((duration_s * 1e6) as u64);
     }
 
-    /// The store or the cloud refused a call.
-    pub fn refused(&mut self) {
-        self.refused += 1;
+    /// Counts a call that the store or the cloud refused.
+    pub fn record_refused_call(&mut self) {
+        self.refused_calls += 1;
     }
 
-    /// A message was sent to a peer.
-    pub fn sent_to_peer(&mut self, bytes: usize) {
+    /// Counts a message sent to a peer.
+    pub fn record_sent_to_peer(&mut self, bytes: usize) {
         self.to_peers.add(bytes);
     }
 
-    /// A message was sent to a controller of another cell.
-    pub fn sent_to_cell(&mut self, bytes: usize) {
+    /// Counts a message sent to a controller of another cell.
+    pub fn record_sent_to_cell(&mut self, bytes: usize) {
         self.to_cells.add(bytes);
     }
 
-    /// The log line for the time since the last one, when it is due. `sockets` of `sockets_max` are
-    /// open.
-    pub fn log_line(
+    /// Returns the log line for the interval since the last one and begins the next interval;
+    /// `None` until the line is due. `sockets` is the number of open connections, of at most
+    /// `sockets_max`.
+    pub fn take_log_line(
         &mut self,
         now: Time,
         load: &Load,
         sockets: usize,
         sockets_max: usize,
     ) -> Option<String> {
-        self.queued = self.queued.max(load.queued);
-        let passed_s = now.since(self.since);
-        if passed_s < LOG_INTERVAL_S {
+        self.queued_writes_max = self.queued_writes_max.max(load.queued);
+        let elapsed_s = now.since(self.interval_start);
+        if elapsed_s < LOG_INTERVAL_S {
             return None;
         }
         let line = format!(
             "load: {}; {}; {}; {} writes queued at most; {} machines looked at for {} tasks placed; \
              {sockets} of {sockets_max} sockets; {} to siblings, {} to other cells",
-            self.utilization.log_text(),
-            self.times_text(passed_s),
-            self.limits_text(load, passed_s),
-            self.queued,
-            load.machines_scanned - self.load_before.machines_scanned,
-            load.placed - self.load_before.placed,
-            self.to_peers.log_text(passed_s),
-            self.to_cells.log_text(passed_s),
+            self.utilization.take_log_text(),
+            self.durations_text(elapsed_s),
+            self.limits_text(load, elapsed_s),
+            self.queued_writes_max,
+            load.machines_scanned - self.load_at_last_line.machines_scanned,
+            load.placed - self.load_at_last_line.placed,
+            self.to_peers.log_text(elapsed_s),
+            self.to_cells.log_text(elapsed_s),
         );
         self.begin_interval(now, load);
         Some(line)
     }
 
-    /// How long steps and commits took.
-    fn times_text(&self, passed_s: f64) -> String {
-        let (steps, commits) = (&self.steps, &self.commits);
+    /// Formats the durations of steps and commits.
+    fn durations_text(&self, elapsed_s: f64) -> String {
+        let (steps, commits) = (&self.steps_us, &self.commits_us);
         format!(
             "{:.0} steps/s of {:.2} ms ({:.2} at p99, {:.1} at most); commits {:.0} ms ({:.0} at p99)",
-            steps.len() as f64 / passed_s,
+            steps.len() as f64 / elapsed_s,
             steps.mean() / 1000.0,
-            milliseconds(steps.value_at_quantile(0.99)),
-            milliseconds(steps.max()),
+            to_milliseconds(steps.value_at_quantile(0.99)),
+            to_milliseconds(steps.max()),
             commits.mean() / 1000.0,
-            milliseconds(commits.value_at_quantile(0.99)),
+            to_milliseconds(commits.value_at_quantile(0.99)),
         )
     }
 
-    /// What was used of this controller's shares of the limits.
-    fn limits_text(&self, load: &Load, passed_s: f64) -> String {
-        let before = &self.load_before;
-        let rate = |now: f64, before: f64| (now - before) / passed_s;
+    /// Formats the rates of requests, changes and cloud calls, with this controller's share of
+    /// each limit.
+    fn limits_text(&self, load: &Load, elapsed_s: f64) -> String {
+        let before = &self.load_at_last_line;
+        let rate = |total: f64, total_before: f64| (total - total_before) / elapsed_s;
         format!(
             "{:.1} of {:.0} requests, {:.1} of {:.0} changes, {:.2} of {:.1} cloud calls a second; \
              {} refused",
@@ -260,18 +271,18 @@
             load.changes_rate,
             rate(load.cloud, before.cloud),
             load.cloud_rate,
-            self.refused,
+            self.refused_calls,
         )
     }
 
     fn begin_interval(&mut self, now: Time, load: &Load) {
-        self.steps.reset();
-        self.commits.reset();
-        self.refused = 0;
-        self.queued = 0;
-        self.to_peers = Sent::default();
-        self.to_cells = Sent::default();
-        self.load_before = load.clone();
-        self.since = now;
+        self.steps_us.reset();
+        self.commits_us.reset();
+        self.refused_calls = 0;
+        self.queued_writes_max = 0;
+        self.to_peers = SentTraffic::default();
+        self.to_cells = SentTraffic::default();
+        self.load_at_last_line = load.clone();
+        self.interval_start = now;
     }
 }
--- a/src/net/cell_links.rs
+++ b/src/net/cell_links.rs
@@ -96,7 +96,7 @@
                 continue;
             };
             match context.connections.send(id, &frame) {
-                Outcome::KeepOpen => context.metrics.sent_to_cell(frame.len()),
+                Outcome::KeepOpen => context.metrics.record_sent_to_cell(frame.len()),
                 Outcome::Close => self.close(context, id),
             }
         }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -148,7 +148,7 @@
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
                 Err(error) => return Err(error),
             }
-            self.context.metrics.waited(began.elapsed());
+            self.context.metrics.record_wait(began.elapsed());
             for event in &events {
                 match ListenerKind::from_key(event.key) {
                     Some(kind) => self.accept(kind),
@@ -183,7 +183,7 @@
         if let Some(due) = self.next_sweep {
             let late_ms = now.0.saturating_sub(due.0);
             let late = Duration::from_millis(late_ms);
-            self.context.metrics.timer_fired(late);
+            self.context.metrics.record_timer(late);
         }
         self.next_sweep = Some(now.next_multiple(SWEEP_MS));
         self.outgoing.end_overdue(&mut self.context, now);
@@ -191,7 +191,7 @@
         if self.termination.load(Ordering::Relaxed) {
             self.context.inputs.push_back(Input::Shutdown);
         }
-        let utilization = self.context.metrics.processor_utilization(Instant::now());
+        let utilization = self.context.metrics.measure_utilization(Instant::now());
         if let Some(share) = utilization {
             let input = Input::ProcessorUtilization(share);
             self.context.inputs.push_back(input);
@@ -216,7 +216,7 @@
         let began = Instant::now();
         let now = self.context.clock.now();
         let outputs = self.controller.step(now, input);
-        self.context.metrics.step(began.elapsed());
+        self.context.metrics.record_step(began.elapsed());
         for output in outputs {
             self.carry_out(output);
         }
@@ -246,7 +246,7 @@
         let load = self.controller.load();
         let sockets = self.context.connections.count();
         let metrics = &mut self.context.metrics;
-        let Some(line) = metrics.log_line(now, &load, sockets, self.sockets_max) else {
+        let Some(line) = metrics.take_log_line(now, &load, sockets, self.sockets_max) else {
             return;
         };
         info!("{line}");
--- a/src/net/outgoing.rs
+++ b/src/net/outgoing.rs
@@ -317,10 +317,10 @@
             OutgoingRequest::Store(StoreRequest::Transaction { .. })
         ) {
             let took_s = context.clock.now().since(call.began);
-            context.metrics.commit(took_s);
+            context.metrics.record_commit(took_s);
         }
         if message.is_some_and(|message| matches!(message.status(), Some(429 | 503))) {
-            context.metrics.refused();
+            context.metrics.record_refused_call();
         }
         context.inputs.push_back(match message {
             Some(message) => call.request.response(id, message),
--- a/src/net/peer_links.rs
+++ b/src/net/peer_links.rs
@@ -106,7 +106,7 @@
             };
             match context.connections.queue(id, frame) {
                 Outcome::KeepOpen => {
-                    context.metrics.sent_to_peer(frame.len());
+                    context.metrics.record_sent_to_peer(frame.len());
                     self.unflushed.insert(id);
                 }
                 Outcome::Close => self.close(context, id),
