--- a/src/http.rs
+++ b/src/http.rs
@@ -140,25 +140,25 @@
             }
             BodyEnd::ConnectionClose => None,
         };
-        Ok(body.and_then(|body| self.finish(body)))
+        Ok(body.and_then(|body| self.finish_message(body)))
     }
 
-    /// Returns the message whose body ends because its sender closed the connection; `None` if
-    /// the buffered message ends in another way and is therefore truncated.
+    /// Returns the message whose body ends because its sender closed the connection. `None` if no
+    /// message has begun, or if the buffered message ends in another way and is therefore truncated.
     pub fn finish_at_close(&mut self) -> Option<Message> {
         match self.head.as_ref()?.body_end {
             BodyEnd::ConnectionClose => {
                 let body = std::mem::take(&mut self.buffer);
-                self.finish(DecodedBody { body, consumed: 0 })
+                self.finish_message(DecodedBody { body, consumed: 0 })
             }
             BodyEnd::Length(_) | BodyEnd::Chunked => None,
         }
     }
 
-    fn finish(&mut self, read: DecodedBody) -> Option<Message> {
+    fn finish_message(&mut self, decoded: DecodedBody) -> Option<Message> {
         let mut message = self.head.take()?.message;
-        message.body = read.body;
-        self.buffer.drain(..read.consumed);
+        message.body = decoded.body;
+        self.buffer.drain(..decoded.consumed);
         self.scanned_bytes = 0;
         Some(message)
     }
