--- a/src/http.rs
+++ b/src/http.rs
@@ -144,7 +144,8 @@
     }
 
     /// Returns the message whose body ends because its sender closed the connection. `None` if no
-    /// message has begun, or if the buffered message ends in another way and is therefore truncated.
+    /// message has begun, or if the buffered message ends in another way and is therefore
+    /// truncated.
     pub fn finish_at_close(&mut self) -> Option<Message> {
         match self.head.as_ref()?.body_end {
             BodyEnd::ConnectionClose => {
