--- a/tests/property/mod.rs
+++ b/tests/property/mod.rs
@@ -1,42 +1,43 @@
-//! Property tests over drawn orders of steps: from a fixed seed in CI, and more of them by hand from
-//! another seed each time. Included by the packages whose tests draw such orders.
+//! Property tests over random sequences of steps. CI uses a fixed seed; a manual run can use more
+//! cases and a new seed each time. Packages with such tests include this module by its path.
 
 use proptest::prelude::Strategy;
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestError, TestRng, TestRunner};
 use std::fmt::Debug;
 use std::hash::{BuildHasher, RandomState};
 
-/// How many cases are drawn, and from what.
-struct Draw {
+/// The number of cases and the random generator from which they are drawn.
+struct CaseSource {
     cases: u32,
     rng: TestRng,
 }
 
-impl Draw {
-    /// Cases that are the same in each run.
+impl CaseSource {
+    /// Draws the same cases in each run.
     fn fixed(cases: u32) -> Self {
         let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
         Self { cases, rng }
     }
 
-    /// Cases of another seed in each run.
-    fn fresh(cases: u32) -> Self {
+    /// Draws cases from a new random seed in each run.
+    fn randomly_seeded(cases: u32) -> Self {
         let seed = RandomState::new().hash_one(0u8).to_le_bytes();
         let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &seed.repeat(4));
         Self { cases, rng }
     }
 
-    /// Fresh cases, as many as a variable says, or fixed ones if it isn't set.
-    fn by_hand_or_fixed(variable: &str, cases: u32) -> Self {
-        let by_hand = std::env::var(variable).ok();
-        match by_hand.and_then(|text| text.parse().ok()) {
-            Some(cases) => Self::fresh(cases),
+    /// Draws as many randomly seeded cases as the environment variable says, or the fixed cases if
+    /// the variable is not set.
+    fn from_variable_or_fixed(variable: &str, cases: u32) -> Self {
+        let cases_wanted = std::env::var(variable).ok();
+        match cases_wanted.and_then(|text| text.parse().ok()) {
+            Some(cases) => Self::randomly_seeded(cases),
             None => Self::fixed(cases),
         }
     }
 
-    /// Plays all cases; the first failure is shrunk.
-    fn play<S: Strategy>(
+    /// Runs the test with all cases. The first failing case is shrunk.
+    fn run_cases<S: Strategy>(
         self,
         strategy: &S,
         test: impl Fn(S::Value) -> Result<(), TestCaseError>,
@@ -50,30 +51,35 @@
     }
 }
 
-/// Fails unless all cases pass: the fixed ones, or as many fresh ones as the variable says.
+/// Panics unless the test passes for all cases: the fixed ones, or as many randomly seeded ones as
+/// the environment variable says.
 pub(crate) fn assert_holds<S: Strategy>(
     variable: &str,
     cases: u32,
     strategy: &S,
     test: impl Fn(S::Value) -> Result<(), TestCaseError>,
 ) {
-    let draw = Draw::by_hand_or_fixed(variable, cases);
-    if let Err(failure) = draw.play(strategy, test) {
+    let source = CaseSource::from_variable_or_fixed(variable, cases);
+    if let Err(failure) = source.run_cases(strategy, test) {
         panic!("{failure}");
     }
 }
 
-/// Fails unless one of the fixed cases finds a mistake that is planted in the test.
+/// Panics unless one of the fixed cases detects a deliberate mistake in the tested steps, to show
+/// that the property can fail.
 pub(crate) fn assert_found<Step: Debug, S: Strategy<Value = Vec<Step>>>(
     mistake: &impl Debug,
     cases: u32,
     strategy: &S,
     test: impl Fn(Vec<Step>) -> Result<(), TestCaseError>,
 ) {
-    let failure = Draw::fixed(cases).play(strategy, test);
-    let failure = failure.expect_err("the mistake isn't found");
+    let failure = CaseSource::fixed(cases).run_cases(strategy, test);
+    let failure = failure.expect_err("no case detected the mistake");
     let TestError::Fail(reason, steps) = failure else {
         panic!("{failure}");
     };
-    println!("{mistake:?} after {} steps: {reason}", steps.len());
+    println!(
+        "mistake detected: mistake={mistake:?} steps={} reason={reason}",
+        steps.len()
+    );
 }
--- a/tests/scenario_runs/checker_rules.rs
+++ b/tests/scenario_runs/checker_rules.rs
@@ -1,4 +1,4 @@
-//! Violations on purpose: the checker must see each rule broken.
+//! Tests of the checker: each provokes a violation of one rule, which the checker must report.
 
 use crate::sim::scenario::Scenario;
 use crate::sim::world::World;
@@ -6,10 +6,11 @@
 use salttrestle::ids::{JobId, TaskId};
 use salttrestle_fakes::checker::{Checker, JobAnswer, Place};
 
-/// What breaks a rule.
+/// Breaks a rule.
 type Violation = fn(&mut Checker);
 
-/// Each rule, and what breaks it.
+/// The rules, as text that the reported violation must contain, each with a function that breaks
+/// it.
 const VIOLATIONS: [(&str, Violation); 18] = [
     ("ran_twice", |checker| {
         checker.starts(1, &task(0), place("m1", "a"));
@@ -31,9 +32,12 @@
                 .cpus = 0.0;
             checker.starts(1, task, place("m1", "a"));
         }
-        assert!(checker.broken.is_empty(), "two are allowed");
+        assert!(checker.broken.is_empty(), "two GPUs are within the limit");
         checker.set_limit(2, "t", (0.0, 3.0));
-        assert!(checker.broken.is_empty(), "three are");
+        assert!(
+            checker.broken.is_empty(),
+            "the raised limit allows three GPUs"
+        );
         checker.set_limit(3, "t", (0.0, 1.0));
     }),
     ("wrong_place", |checker| {
@@ -81,7 +85,7 @@
         checker.cancel_asked(1, &needed);
         checker.said(2, &needed, JobAnswer::Cancelled);
         checker.said(35_000, &job, JobAnswer::Queued);
-        assert!(checker.broken.is_empty(), "there is a moment left");
+        assert!(checker.broken.is_empty(), "the time limit is not over yet");
         checker.said(36_000, &job, JobAnswer::Queued);
     }),
     ("nothing_ran", |checker| checker.check_end(1)),
@@ -98,17 +102,23 @@
     ("unanswered", |checker| {
         let answered = [(JobId::from("j-1"), 10_000)].into();
         checker.check_answers(84_000, 5_000, &answered);
-        assert!(checker.broken.is_empty(), "there is a second left");
+        assert!(
+            checker.broken.is_empty(),
+            "the time limit ends a second later"
+        );
         checker.check_answers(86_000, 5_000, &answered);
     }),
     ("left_waiting", |checker| {
         let roomy = [JobId::from("j-1")].into();
         checker.check_waiting(1_000, &roomy);
-        // A moment without room begins the time anew.
+        // A check without room resets the waiting time.
         checker.check_waiting(50_000, &Default::default());
         checker.check_waiting(60_000, &roomy);
         checker.check_waiting(149_000, &roomy);
-        assert!(checker.broken.is_empty(), "there is a second left");
+        assert!(
+            checker.broken.is_empty(),
+            "the time limit ends a second later"
+        );
         checker.check_waiting(151_000, &roomy);
     }),
     ("starved: class c, largest of class c", |checker| {
@@ -117,7 +127,7 @@
     }),
 ];
 
-/// One trial for each rule.
+/// Creates one trial per rule.
 pub(crate) fn trials() -> Vec<Trial> {
     let trials = VIOLATIONS.iter().map(|(rule, violate)| {
         Trial::test(format!("checker sees {rule}"), move || {
@@ -126,14 +136,17 @@
             let broken = checker.broken;
             match broken.iter().any(|broken| broken.contains(rule)) {
                 true => Ok(()),
-                false => Err(Failed::from(format!("not seen: {broken:?}"))),
+                false => Err(Failed::from(format!(
+                    "the checker missed the violation: reported={broken:?}"
+                ))),
             }
         })
     });
     trials.collect()
 }
 
-/// One job `j-1` of four one-GPU tasks in a team of at most two GPUs, accepted.
+/// A checker with one accepted job `j-1` of four tasks with one GPU each, in a team with a limit of
+/// two GPUs.
 fn checker() -> Checker {
     let text = "type g8\nteam t gpus_max=2\nat 1 submit j-1 count=4 scatter types=g8\nend 1.5";
     let mut world = World::new(&Scenario::parse(text));
--- a/tests/scenario_runs/expectations.rs
+++ b/tests/scenario_runs/expectations.rs
@@ -1,4 +1,4 @@
-//! What the `expect` lines of a scenario ask of a run.
+//! Evaluation of a scenario's `expect` lines after a run.
 
 use crate::sim::scenario::{Arguments, milliseconds};
 use crate::sim::world::World;
@@ -6,46 +6,47 @@
 use salttrestle_fakes::checker::JobView;
 use thiserror::Error;
 
-/// Why an expectation isn't met.
+/// The reason why an expectation fails.
 #[derive(Debug, Error)]
 pub(crate) enum ExpectationError {
-    /// It is about a job that the scenario doesn't submit.
-    #[error("{0} was never submitted")]
+    /// The expectation names a job that the scenario doesn't submit.
+    #[error("expectation names a job that was never submitted: job={0}")]
     NeverSubmitted(JobId),
-    /// It isn't so.
-    #[error("expected: {line}")]
+    /// A condition is false.
+    #[error("expectation not met: {line}")]
     Unmet {
-        /// The line behind `expect`.
+        /// The arguments of the `expect` line.
         line: String,
     },
-    /// It was more often, or less often.
-    #[error("expected: {line}, was {count}")]
+    /// A count is above its maximum or below its minimum.
+    #[error("expectation not met: {line}: count={count}")]
     Count {
-        /// The line behind `expect`.
+        /// The arguments of the `expect` line.
         line: String,
-        /// How often it was.
+        /// The actual count.
         count: usize,
     },
-    /// No such expectation is known.
-    #[error("unknown expectation {0}")]
+    /// The kind of expectation is unknown.
+    #[error("unknown expectation: {0}")]
     Unknown(String),
 }
 
-/// An `expect` line and the run that it is about.
+/// An `expect` line and the completed run that it applies to.
 pub(crate) struct Expectation<'a> {
     world: &'a World,
     line: &'a Arguments,
 }
 
 impl<'a> Expectation<'a> {
-    /// An expectation of a run that is over.
+    /// Creates an expectation of a completed run.
     pub(crate) fn new(world: &'a World, line: &'a Arguments) -> Self {
         Self { world, line }
     }
 
-    /// Whether the run is as the line says.
+    /// Checks the run against the line. A number of an `…-at-most` line is an upper bound; a number
+    /// of any other count is a lower bound.
     pub(crate) fn check(&self) -> Result<(), ExpectationError> {
-        if let Some(most) = self.count_at_most() {
+        if let Some(most) = self.upper_bounded_count() {
             return self.expect_count(most, |most, limit| most <= limit);
         }
         match self.holds()? {
@@ -69,7 +70,7 @@
         job.ok_or(ExpectationError::NeverSubmitted(id))
     }
 
-    /// The span in the fourth word, as in `done j-1 by 60`; without it any time will do.
+    /// The time in milliseconds of the fourth word, as in `done j-1 by 60`; unlimited without it.
     fn span_ms(&self) -> u64 {
         let seconds = self.line.optional_word(3);
         seconds.map_or(u64::MAX, |seconds| {
@@ -77,7 +78,7 @@
         })
     }
 
-    /// Whether a condition holds that isn't a count; `None` for what isn't one.
+    /// Whether a condition holds; `None` if the line is not a condition but a count.
     fn holds(&self) -> Result<Option<bool>, ExpectationError> {
         let world = self.world;
         Ok(Some(match self.kind() {
@@ -93,9 +94,9 @@
             "no-status" => !self.has_status(),
             "refused" => world.refused_within(&self.line.job(1), self.line.parsed(2)),
             "takeovers" if self.line.words().len() == 2 => {
-                world.tokens.len() > self.line.parsed::<usize>(1)
+                world.owner_tokens.len() > self.line.parsed::<usize>(1)
             }
-            "no-takeover" => world.tokens.len() == 1,
+            "no-takeover" => world.owner_tokens.len() == 1,
             "blocks" => self.shards() == self.line.parsed::<usize>(1),
             _ => return Ok(None),
         }))
@@ -106,8 +107,8 @@
         started.is_some_and(|at| at - job.submitted_at <= self.span_ms())
     }
 
-    /// Whether all replicas of a service are on machines at the end, but for those, `but=8`, that
-    /// are just then moved from a machine that is emptied.
+    /// Whether all replicas of a service are on machines at the end of the run. With `but=8`, up to
+    /// eight may be missing, because they are being moved from a machine that is drained.
     fn runs(&self, job: &JobView) -> bool {
         let id = self.line.job(1);
         let tasks = self.world.checker.running.keys();
@@ -130,26 +131,26 @@
         keys.filter(|key| key.contains("own/block/")).count()
     }
 
-    /// What is counted by an expectation that bounds it from above.
-    fn count_at_most(&self) -> Option<usize> {
+    /// The count of an expectation with an upper bound; `None` for other expectations.
+    fn upper_bounded_count(&self) -> Option<usize> {
         let world = self.world;
         Some(match self.kind() {
-            "killed-at-most" => world.killed,
-            "deleted-tasks-at-most" => world.deleted_tasks,
+            "killed-at-most" => world.lease_expiry_kills,
+            "deleted-tasks-at-most" => world.tasks_on_deleted_machines,
             "replaced-at-most" => world.store.orders.duties.replaced,
             "failures-at-most" => world.observed.task_failures,
             "sick-machines-at-most" => world.workers.values().filter(|w| w.faulty).count(),
-            "rejected-at-most" => world.store.rejected,
-            "limited-at-most" => world.store.limited,
+            "rejected-at-most" => world.store.rejected_transactions,
+            "limited-at-most" => world.store.rate_limited_transactions,
             "starts-at-most" => world.checker.starts as usize,
-            "numbers-at-most" => world.tokens.len(),
+            "numbers-at-most" => world.owner_tokens.len(),
             "machines-at-most" => world.workers.len(),
             "rented-at-most" => world.cloud.rigs.len(),
             _ => return None,
         })
     }
 
-    /// `expect confirmed 3 from=20 to=40`: it took place that often at least.
+    /// Checks a lower bound, as in `expect confirmed 3 from=20 to=40`.
     fn check_at_least(&self) -> Result<(), ExpectationError> {
         let count = match self.kind() {
             "first-machines" => Some(self.first_machines()),
@@ -160,14 +161,14 @@
         self.expect_count(count, |count, limit| count >= limit)
     }
 
-    /// Machines that the scenario began with and that are still there.
+    /// The number of initial machines that still exist.
     fn first_machines(&self) -> usize {
         let machines = self.world.cloud.rigs.values();
         let first = machines.filter(|machine| machine.rented == 0);
         first.filter(|machine| machine.gone.is_none()).count()
     }
 
-    /// Compares a count with the one in the line's second word.
+    /// Compares a count with the bound in the line's second word.
     fn expect_count(
         &self,
         count: usize,
--- a/tests/scenario_runs/mod.rs
+++ b/tests/scenario_runs/mod.rs
@@ -1,4 +1,4 @@
-//! What the scenario tests consist of: one module for each kind of trial, and how one is played.
+//! The trials of the scenario tests: one module per kind of trial, and the code that runs them.
 
 pub(crate) mod checker_rules;
 mod expectations;
--- a/tests/scenario_runs/play.rs
+++ b/tests/scenario_runs/play.rs
@@ -1,4 +1,4 @@
-//! Plays a scenario, and gathers what it broke.
+//! Runs a scenario and collects its violations and unmet expectations.
 
 use super::expectations::Expectation;
 use crate::sim::scenario::Scenario;
@@ -6,7 +6,7 @@
 use libtest_mimic::Failed;
 use thiserror::Error;
 
-/// A run that didn't go as it must.
+/// The violations and unmet expectations of a run.
 #[derive(Debug, Error)]
 #[error("{}", .0.join("\n"))]
 pub(crate) struct RunError(Vec<String>);
@@ -19,14 +19,14 @@
     error: RunError,
 }
 
-/// Plays a scenario with each of the seeds that it names.
-pub(crate) fn with_its_seeds(name: &str, scenario: &Scenario) -> Result<(), Failed> {
+/// Runs a scenario with each seed of its `seeds` line, or once if there is none.
+pub(crate) fn run_with_seeds(name: &str, scenario: &Scenario) -> Result<(), Failed> {
     let Some(seeds) = scenario.first("seeds") else {
-        return Ok(once(name, scenario)?);
+        return Ok(run_once(name, scenario)?);
     };
     for seed in seeds.words() {
         let run = format!("{name}/{seed}");
-        once(&run, &scenario.with_seed(seed)).map_err(|error| SeedError {
+        run_once(&run, &scenario.with_seed(seed)).map_err(|error| SeedError {
             seed: seed.clone(),
             error,
         })?;
@@ -34,8 +34,8 @@
     Ok(())
 }
 
-/// Plays a scenario once.
-pub(crate) fn once(name: &str, scenario: &Scenario) -> Result<(), RunError> {
+/// Runs a scenario once.
+pub(crate) fn run_once(name: &str, scenario: &Scenario) -> Result<(), RunError> {
     let mut world = World::new(scenario);
     world.run();
     world.digest.record(name);
--- a/tests/scenario_runs/random_faults.rs
+++ b/tests/scenario_runs/random_faults.rs
@@ -1,4 +1,4 @@
-//! Randomized fault runs: days on which two or three faults are concurrent, drawn from a seed.
+//! Randomized fault tests: scenarios with two or three concurrent faults, drawn from a seed.
 
 use super::play;
 use crate::sim::scenario::Scenario;
@@ -6,12 +6,12 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// Names the seeds of more days by hand: `TROUBLE_SEEDS=1..500`.
+/// The environment variable that selects other seeds for a manual run: `TROUBLE_SEEDS=1..500`.
 const SEEDS_VARIABLE: &str = "TROUBLE_SEEDS";
-/// The seeds of every other run.
+/// The seeds that are used if [`SEEDS_VARIABLE`] is not set.
 const SEEDS: std::ops::Range<u64> = 1..25;
 
-/// What may go wrong. Each begins within the seconds in which all are concurrent.
+/// The faults that are drawn. All start between seconds 38 and 55, so that they overlap.
 const FAULTS: [&str; 24] = [
     "kill leader down=4",
     "kill leader down=0.4",
@@ -39,13 +39,14 @@
     "machine 2 mute for=25",
 ];
 
-/// A day for each seed, and one amid an upgrade for each other seed: these take longer.
+/// Creates one trial per seed, and an upgrade trial for each odd seed only, because upgrade trials
+/// take longer.
 pub(crate) fn trials() -> Vec<Trial> {
     let mut trials = Vec::new();
     for seed in seeds() {
-        trials.push(trial("troubles", seed, day(seed)));
+        trials.push(trial("troubles", seed, random_scenario(seed)));
         if !seed.is_multiple_of(2) {
-            trials.push(trial("upgrade", seed, day_of_upgrade(seed)));
+            trials.push(trial("upgrade", seed, upgrade_scenario(seed)));
         }
     }
     trials
@@ -59,17 +60,17 @@
     from.parse().expect("a seed")..to.parse().expect("a seed")
 }
 
-fn trial(kind: &'static str, seed: u64, day: String) -> Trial {
+fn trial(kind: &'static str, seed: u64, scenario: String) -> Trial {
     Trial::test(format!("{kind} of seed {seed}"), move || {
         let run = format!("{kind}/{seed}");
-        play::once(&run, &Scenario::parse(&day))
-            .map_err(|error| Failed::from(format!("seed {seed}: {error}\n{day}")))
+        play::run_once(&run, &Scenario::parse(&scenario))
+            .map_err(|error| Failed::from(format!("seed {seed}: {error}\n{scenario}")))
     })
 }
 
-/// A day on which two or three faults are concurrent, with pipelines, cancellations, users who ask
-/// after each change and malformed requests; every other one has an outage of the store besides.
-fn day(seed: u64) -> String {
+/// A scenario with two or three concurrent faults, pipelines, cancellations, users who send queries
+/// after each status change, and malformed requests. Even seeds also have a store outage.
+fn random_scenario(seed: u64) -> String {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut text = format!(
         "seed {seed}\ntype g8\nteam t gpus_max=24\nteam u gpus_max=12\nroom g8 a 10\nroom g8 b 10\n\
@@ -100,10 +101,11 @@
     format!("at {from} outage state\nat {to} restore state\n")
 }
 
-/// The same day amid an upgrade: jobs accepted under large limits have records that outgrow the
-/// later ones, which the controllers know of only when they have come back, and which then hold.
-fn day_of_upgrade(seed: u64) -> String {
-    let day = day(seed)
+/// The same scenario during an upgrade to lower store limits. Controllers learn of the next limits
+/// only when they restart, and the limits take effect after that. Jobs accepted before have records
+/// that exceed the lower limits.
+fn upgrade_scenario(seed: u64) -> String {
+    let scenario = random_scenario(seed)
         .replace("g8 a ", "g8 port-of-spain ")
         .replace("g8 b ", "g8 san-fernando ")
         .replace("zone=b", "zone=san-fernando")
@@ -114,6 +116,6 @@
          at 18 submit j-1 count=62 run=70 gpus=0 cpus=1\n\
          at 18 submit s-3 service count=60 rank=urgent gpus=0 cpus=1\n\
          at 26~4 upgrade 0\nat 32~4 upgrade 1\nat 38~4 upgrade 2\nat 43~10 limits-fall\n\
-         {day}expect runs s-3 but=8\n"
+         {scenario}expect runs s-3 but=8\n"
     )
 }
--- a/tests/scenario_runs/work_per_change.rs
+++ b/tests/scenario_runs/work_per_change.rs
@@ -1,31 +1,31 @@
-//! What a controller does must follow what changes, not how much there is.
+//! Tests that a controller's work depends on the amount of change and not on the fleet size.
 
 use crate::sim::scenario::Scenario;
 use crate::sim::world::World;
 use libtest_mimic::Failed;
 use thiserror::Error;
 
-/// Tasks that the burst has.
+/// The number of tasks of the burst: 40 jobs of 4 tasks each.
 const BURST_TASKS: u64 = 160;
 
-/// Why the work isn't as little as it must be.
+/// The reason why the test fails.
 #[derive(Debug, Error)]
 enum WorkError {
-    #[error("only {0} tasks placed")]
+    #[error("too few tasks of the burst were placed: tasks={0}")]
     FewPlaced(u64),
-    #[error("{small} machines looked at, then {large}")]
+    #[error("machines scanned grow with the fleet: small_fleet={small} large_fleet={large}")]
     Grows { small: u64, large: u64 },
 }
 
-/// What the controllers of a run have done for placements.
+/// The placement work of all controllers of a run.
 struct PlacementWork {
     machines_scanned: u64,
     placed: u64,
 }
 
 impl PlacementWork {
-    /// Until a run's end.
-    fn of(scenario: &str) -> Self {
+    /// Runs a scenario and adds up the work of the controllers that run at its end.
+    fn measure(scenario: &str) -> Self {
         let mut world = World::new(&Scenario::parse(scenario));
         world.run();
         let controllers = world.hosts.iter().filter_map(|h| h.controller.as_ref());
@@ -39,7 +39,7 @@
     }
 }
 
-/// A burst at 40 s on a fleet of which all but a few machines are full.
+/// A scenario with a burst at 40 s on a fleet of which all but ten machines are full.
 fn burst(machines: u32, end: u32) -> String {
     let mut text = format!(
         "type g8\nteam t\nreport 2.5\nstate rps=600 write=250 kb=8 ops=16\nroom g8 a {machines}\n\
@@ -52,19 +52,20 @@
     text
 }
 
-/// How many machines an owner looks at to place the burst.
+/// The number of machines that the shard owner scans to place the burst.
 fn machines_scanned(machines: u32) -> Result<u64, WorkError> {
-    let before = PlacementWork::of(&burst(machines, 39));
-    let after = PlacementWork::of(&burst(machines, 75));
+    let before = PlacementWork::measure(&burst(machines, 39));
+    let after = PlacementWork::measure(&burst(machines, 75));
     if after.placed < before.placed + BURST_TASKS {
         return Err(WorkError::FewPlaced(after.placed - before.placed));
     }
     Ok(after.machines_scanned - before.machines_scanned)
 }
 
-/// A placement once looked at every machine there is. At four times the size, what a burst costs
-/// must hardly grow.
-pub(crate) fn machines_scanned_when_the_fleet_grows_hardly_rise() -> Result<(), Failed> {
+/// Guards against a placement that scans every machine of the fleet, as it once did. With a fleet
+/// of four times the size, the machines scanned for the same burst must stay below twice the
+/// number.
+pub(crate) fn machines_scanned_hardly_grow_with_fleet() -> Result<(), Failed> {
     let (small, large) = (machines_scanned(50)?, machines_scanned(200)?);
     if small == 0 || large >= 2 * small {
         return Err(WorkError::Grows { small, large }.into());
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,5 +1,5 @@
-//! Plays every scenario file, randomized fault runs, and violations on purpose, which the checker
-//! must see.
+//! The scenario tests: every scenario file, randomized fault tests, tests of the checker itself,
+//! and a test of the work per change.
 
 mod scenario_runs;
 mod sim;
@@ -8,7 +8,7 @@
 use scenario_runs::{checker_rules, files, random_faults, work_per_change};
 
 fn main() {
-    // RUST_LOG=info shows what the controllers log; for one scenario, name it.
+    // RUST_LOG=info shows the log lines of the controllers. A test name selects a single scenario.
     env_logger::init();
     let arguments = Arguments::from_args();
     let mut trials = files::trials();
@@ -16,7 +16,7 @@
     trials.extend(random_faults::trials());
     trials.push(Trial::test(
         "work follows what changes",
-        work_per_change::machines_scanned_when_the_fleet_grows_hardly_rise,
+        work_per_change::machines_scanned_hardly_grow_with_fleet,
     ));
     libtest_mimic::run(&arguments, trials).exit();
 }
--- a/tests/sim/cancellations.rs
+++ b/tests/sim/cancellations.rs
@@ -1,4 +1,4 @@
-//! Users who cancel and ask at the worst moments.
+//! Cancellations and status queries timed to race with acceptance, execution and completion.
 
 use super::event::Event;
 use super::scenario::Arguments;
@@ -8,19 +8,20 @@
 use salttrestle_fakes::checker::JobAnswer;
 use std::collections::BTreeSet;
 
-/// Most machines that hang under one line's cancellations.
+/// The largest number of machines that one `cancel-now` command pauses.
 const HUNG_MACHINES_MAX: usize = 8;
 
 impl World {
-    /// Users ask at all controllers within milliseconds after a change of a job, and repeat its
-    /// submission; some cancel at once.
+    /// While `close-looks` is active, sends status queries and a repeated submission to every
+    /// controller within milliseconds of a status change, to catch controllers that answer from
+    /// stale state. Some batch jobs are also cancelled as soon as they are accepted.
     pub(super) fn query_after_change(&mut self, job: &JobId, answer: JobAnswer) {
         if self.now >= self.faults.query_changes_until {
             return;
         }
         for controller in 0..self.hosts.len() {
             for intent in [Intent::Query, Intent::Resubmit, Intent::Query] {
-                let at = self.now + self.random(8);
+                let at = self.now + self.random_below(8);
                 self.observed.status_queries += 1;
                 let job = job.clone();
                 let request = Event::UserRequestTo {
@@ -28,47 +29,49 @@
                     intent,
                     controller,
                 };
-                self.at(at, request);
+                self.schedule_at(at, request);
             }
         }
         let service = self.specs[job].task.service;
         if answer == JobAnswer::Queued
             && !service
-            && self.strikes(|faults| faults.cancel_at_acceptance)
+            && self.is_hit_by_fault(|faults| faults.cancel_at_acceptance)
         {
-            self.user_request(job, Intent::Cancel);
+            self.send_user_request(job, Intent::Cancel);
         }
     }
 
-    /// A job's last task may have ended: some are cancelled at this moment.
+    /// Cancels some jobs at the moment at which their last task ends. Called after each task ends.
     pub(super) fn cancel_at_completion(&mut self, id: &JobId) {
         let job = &self.checker.jobs[id];
         let complete = job.finished.len() as u32 == job.record.count;
-        if complete && self.strikes(|faults| faults.cancel_at_completion) {
+        if complete && self.is_hit_by_fault(|faults| faults.cancel_at_completion) {
             self.observed.cancelled_at_completion += 1;
-            self.user_request(id, Intent::Cancel);
+            self.send_user_request(id, Intent::Cancel);
         }
     }
 
-    /// Cancels jobs that run, within a fifth of a second; some of their machines hang.
+    /// Handles `cancel-now`: cancels random running jobs within 200 ms. With `hang=`, also pauses
+    /// a machine of each of the first [`HUNG_MACHINES_MAX`] jobs.
     pub(super) fn cancel_running(&mut self, arguments: &Arguments) {
         let count = arguments.number("count", 5.0) as usize;
         let hang_ms = arguments.span_ms("hang", 0.0);
         let hangs = arguments.number("hang", 0.0) > 0.0;
         let mut running = self.running_jobs(arguments.value("of").unwrap_or(""));
         for nth in 0..count.min(running.len()) {
-            let pick = self.random(running.len() as u64) as usize;
-            let job = running.swap_remove(pick);
+            let index = self.random_below(running.len() as u64) as usize;
+            let job = running.swap_remove(index);
             if hangs && nth < HUNG_MACHINES_MAX {
                 self.hang_machine_of(&job, hang_ms);
             }
-            let at = self.now + self.random(200);
+            let at = self.now + self.random_below(200);
             let intent = Intent::Cancel;
-            self.at(at, Event::UserRequest { job, intent });
+            self.schedule_at(at, Event::UserRequest { job, intent });
         }
     }
 
-    /// Jobs with tasks on machines for which no cancellation was requested.
+    /// Jobs whose ids start with the prefix, that have tasks on machines, and for which no
+    /// cancellation was requested.
     fn running_jobs(&self, prefix: &str) -> Vec<JobId> {
         let running = self.checker.running.keys().map(|task| task.job.clone());
         let running: BTreeSet<JobId> = running.collect();
--- a/tests/sim/checks.rs
+++ b/tests/sim/checks.rs
@@ -1,28 +1,29 @@
-//! What the checker looks at twice a second: rules on what takes time to show.
+//! Periodic checks of rules whose violations are not tied to a single event, such as a job that
+//! waits too long.
 
 use super::event::Event;
 use super::world::World;
 use salttrestle::controller::store::records::{JobRecord, Resources};
 use salttrestle_fakes::worker::Worker;
 
-/// Between two looks of the checker.
+/// The interval between two runs of the periodic checks.
 const CHECK_INTERVAL_MS: u64 = 500;
 
 impl World {
-    /// Looks at every rule that needs no event to be broken.
-    pub(super) fn check(&mut self) {
+    /// Runs all periodic checks and schedules the next run.
+    pub(super) fn run_periodic_checks(&mut self) {
         self.audit_controllers();
-        self.note_waiting_for_dependencies();
+        self.record_waiting_for_dependencies();
         let now = self.now;
         self.checker.check_cancelled(now);
         self.check_waiting();
         self.check_answers();
         self.check_limits();
-        self.measure_utilization();
-        self.after(CHECK_INTERVAL_MS, Event::Check);
+        self.report_utilization();
+        self.schedule_after(CHECK_INTERVAL_MS, Event::Check);
     }
 
-    /// Each controller compares its indexes with what they are made from.
+    /// Reports each controller whose indexes disagree with the state that they are derived from.
     fn audit_controllers(&mut self) {
         let controllers = self
             .hosts
@@ -34,7 +35,7 @@
             .extend(defects.map(|defect| defect.to_string()));
     }
 
-    fn note_waiting_for_dependencies(&mut self) {
+    fn record_waiting_for_dependencies(&mut self) {
         let queues = self.hosts.iter();
         let queues = queues.filter_map(|host| host.controller.as_ref()?.queue());
         let waiting = queues.map(|queue| queue.waiting_for_dependencies).max();
@@ -43,25 +44,27 @@
     }
 
     fn check_answers(&mut self) {
-        let (now, calm) = (self.now, self.calm_at);
-        self.checker.check_answers(now, calm, &self.answered);
+        let (now, faults_end_at) = (self.now, self.faults_end_at);
+        self.checker
+            .check_answers(now, faults_end_at, &self.last_answered_at);
     }
 
-    /// Jobs of which no task runs though a machine that fits has room for one.
+    /// Passes to the checker the jobs of which no task runs although a suitable machine has room
+    /// for one. Starts only when the script's faults are over.
     fn check_waiting(&mut self) {
-        if self.now < self.calm_at {
+        if self.now < self.faults_end_at {
             return;
         }
         let jobs = self.checker.jobs.iter().filter(|(id, job)| {
-            let over = job.notified.done || self.checker.cancel_asked_upstream(id).is_some();
-            let held = self.checker.open_dependency(&job.record).is_some();
-            let runs = self.checker.running.keys().any(|task| task.job == **id);
-            let left = (job.finished.len() as u32) < job.record.count;
+            let is_over = job.notified.done || self.checker.cancel_asked_upstream(id).is_some();
+            let has_open_dependency = self.checker.open_dependency(&job.record).is_some();
+            let is_running = self.checker.running.keys().any(|task| task.job == **id);
+            let has_tasks_left = (job.finished.len() as u32) < job.record.count;
             job.notified.accepted
-                && !over
-                && !held
-                && !runs
-                && left
+                && !is_over
+                && !has_open_dependency
+                && !is_running
+                && has_tasks_left
                 && self.checker.within_limit(&job.record)
         });
         let with_room = jobs.filter(|(id, job)| {
@@ -79,11 +82,11 @@
     }
 
     fn machine_has_room(&self, worker: &Worker, record: &JobRecord) -> bool {
-        let healthy =
+        let is_healthy =
             !worker.faulty && worker.preempted_at.is_none() && worker.paused_until <= self.now;
-        let market = record.spot || !worker.spot;
+        let is_market_allowed = record.spot || !worker.spot;
         let zone = record.zone.as_ref();
-        let zone = zone.is_none_or(|zone| *zone == worker.zone);
+        let is_zone_allowed = zone.is_none_or(|zone| *zone == worker.zone);
         let mut used = Resources::default();
         for task in worker.tasks.keys() {
             if let Some(job) = self.checker.jobs.get(&task.job) {
@@ -96,6 +99,6 @@
         let fits = machine_type.is_some_and(|machine_type| {
             record.allows(&machine_type.name) && machine_type.resources.holds(used)
         });
-        healthy && market && zone && fits
+        is_healthy && is_market_allowed && is_zone_allowed && fits
     }
 }
--- a/tests/sim/controllers.rs
+++ b/tests/sim/controllers.rs
@@ -1,4 +1,4 @@
-//! Controllers: how their processes start, are fed, and end.
+//! The controller processes of a run: start, input, wake-up, and end.
 
 use super::event::{Event, Process};
 use super::links::PeerConnection;
@@ -10,73 +10,75 @@
 
 /// A host that runs one controller at a time.
 pub(crate) struct ControllerHost {
-    /// Its process, if it runs.
+    /// The running controller process; `None` while the process is down.
     pub controller: Option<Controller>,
-    /// Rises with each start and each end of a process.
+    /// Increases at each start and each end of a process.
     pub incarnation: u64,
-    /// Its clock against the simulated one, in milliseconds, and its drift.
-    pub clock_offset: u64,
+    /// How far the host's clock is ahead of simulated time at the start, in milliseconds.
+    pub clock_offset_ms: u64,
+    /// The drift of the host's clock, as a fraction of simulated time; negative if it runs slow.
     pub clock_drift: f64,
-    /// Requests that it hasn't answered.
-    pub requests: Vec<u64>,
-    /// The store refuses it until then.
-    pub refused_until: u64,
-    /// Its process is paused until then, while its clock runs on.
+    /// Ids of the requests that the process has not answered.
+    pub open_requests: Vec<u64>,
+    /// The store refuses this host's requests until this time.
+    pub store_refuses_until: u64,
+    /// The process is paused until this time. The clock keeps running.
     pub paused_until: u64,
-    /// The earliest wake-up that is scheduled.
-    pub next_wake: Option<u64>,
-    /// It shuts down gracefully, and starts again after so long.
-    pub down_after_shutdown: Option<u64>,
-    /// Whether its settings announce the limits to come. Before, it acts as the version that
-    /// knew nothing of them: it accepts jobs whose records outgrow these.
+    /// The time of the earliest scheduled wake-up.
+    pub next_wake_at: Option<u64>,
+    /// Set during a graceful shutdown: how long the host stays down before it starts a process
+    /// again, in milliseconds.
+    pub restart_delay_ms: Option<u64>,
+    /// Whether the settings announce the store's next limits. A controller without them behaves
+    /// like the version before the upgrade: it accepts jobs whose records exceed these limits.
     pub announces_limits: bool,
 }
 
 impl ControllerHost {
     fn local_time(&self, now: u64) -> u64 {
-        self.clock_offset + (now as f64 * (1.0 + self.clock_drift)) as u64
+        self.clock_offset_ms + (now as f64 * (1.0 + self.clock_drift)) as u64
     }
 
-    /// Whether the store refuses its requests now.
-    pub(crate) fn is_refused(&self, now: u64) -> bool {
-        self.refused_until > now
+    /// Whether the store refuses this host's requests now.
+    pub(crate) fn is_refused_by_store(&self, now: u64) -> bool {
+        self.store_refuses_until > now
     }
 }
 
 impl World {
-    /// The controller that leads; of several that think so, the one with the highest token.
+    /// The leading controller. If several believe that they lead, the one with the highest token.
     pub(crate) fn leader(&self) -> Option<usize> {
         let token = |controller: usize| {
             let controller = self.hosts[controller].controller.as_ref();
             controller.and_then(Controller::highest_shard_token)
         };
         let leaders = (0..self.hosts.len()).filter(|controller| token(*controller).is_some());
-        // Of equal ones the last, as `max_by_key` has it.
+        // `max_by_key` returns the last of several equal maxima.
         leaders.max_by_key(|controller| token(*controller))
     }
 
-    /// A controller's process starts.
+    /// Starts a controller process.
     pub(super) fn start_controller(&mut self, controller: usize) {
         let settings = self.settings(controller);
         let host = &mut self.hosts[controller];
         host.incarnation += 1;
-        host.next_wake = None;
+        host.next_wake_at = None;
         host.paused_until = 0;
         let incarnation = host.incarnation * 10 + controller as u64;
         host.controller = Some(Controller::new(settings, incarnation));
-        self.feed(controller, Input::Tick);
+        self.handle_input(controller, Input::Tick);
     }
 
     fn settings(&self, controller: usize) -> Settings {
         let platform = self.platform_of(controller).to_string();
         Settings {
-            platform: Platform::parse(&platform, "scenario").expect("good settings"),
-            tuning: Tuning::parse(Some(("scenario", &self.tuning))).expect("good tuning"),
+            platform: Platform::parse(&platform, "scenario").expect("valid platform settings"),
+            tuning: Tuning::parse(Some(("scenario", &self.tuning))).expect("valid tuning"),
             cells: None,
         }
     }
 
-    /// The platform file of one controller.
+    /// The platform settings of one controller.
     fn platform_of(&self, controller: usize) -> serde_json::Value {
         let zone = |controller: usize| &self.zones[controller % self.zones.len()];
         let peers = (0..self.controller_ids.len()).filter(|peer| *peer != controller);
@@ -98,66 +100,66 @@
         platform
     }
 
-    /// Tells the leader how busy its processor is, while the scenario says so.
-    pub(super) fn measure_utilization(&mut self) {
-        let busy = self.busy;
-        if self.now < busy.until
+    /// Reports a processor utilization to the leader while a `busy` command is active.
+    pub(super) fn report_utilization(&mut self) {
+        let utilization = self.leader_utilization;
+        if self.now < utilization.until
             && let Some(leader) = self.leader()
         {
-            self.feed(leader, Input::ProcessorUtilization(busy.share));
+            self.handle_input(leader, Input::ProcessorUtilization(utilization.share));
         }
     }
 
-    /// A controller's process is killed, and the next one starts after so long.
-    pub(super) fn kill(&mut self, controller: usize, down_ms: u64) {
+    /// Kills a controller process and schedules the start of the next one.
+    pub(super) fn kill_controller(&mut self, controller: usize, down_ms: u64) {
         if self.hosts[controller].controller.take().is_none() {
             return;
         }
         self.hosts[controller].incarnation += 1;
-        // Its host closes its connections.
+        // The host closes the connections of the killed process.
         for peer in (0..self.hosts.len()).filter(|peer| *peer != controller) {
-            self.set_link(peer, controller, LinkEvent::Lost);
+            self.report_link_event(peer, controller, LinkEvent::Lost);
             let to = controller;
             self.refused_links.insert(PeerConnection { from: peer, to });
         }
-        let process = self.process(controller);
+        let process = self.current_process(controller);
         self.store
             .watches
             .retain(|watch| watch.process.controller != controller || watch.process == process);
-        for request in std::mem::take(&mut self.hosts[controller].requests) {
-            self.deliver(request, None);
+        for request in std::mem::take(&mut self.hosts[controller].open_requests) {
+            self.deliver_answer(request, None);
         }
-        self.after(down_ms, Event::Start(controller));
+        self.schedule_after(down_ms, Event::Start(controller));
     }
 
-    /// An input reaches the process that it was sent to, if that still runs.
-    pub(super) fn input_arrives(&mut self, process: Process, input: Input) {
-        if self.process(process.controller) == process {
-            self.feed(process.controller, input);
+    /// Delivers an input to the process that it was sent to, if that process still runs.
+    pub(super) fn deliver_input(&mut self, process: Process, input: Input) {
+        if self.current_process(process.controller) == process {
+            self.handle_input(process.controller, input);
         }
     }
 
-    /// A wake-up is due. An earlier one may have taken its place: without this each of them began a
-    /// row of its own, which never ended.
-    pub(super) fn wake(&mut self, process: Process) {
+    /// Handles a wake-up unless an earlier one has replaced it. Without this check, each replaced
+    /// wake-up would schedule its own endless chain of further wake-ups.
+    pub(super) fn handle_wake(&mut self, process: Process) {
         let host = &mut self.hosts[process.controller];
-        let due = host.next_wake.is_some_and(|at| at <= self.now);
+        let due = host.next_wake_at.is_some_and(|at| at <= self.now);
         if host.incarnation == process.incarnation && due {
-            host.next_wake = None;
-            self.feed(process.controller, Input::Tick);
+            host.next_wake_at = None;
+            self.handle_input(process.controller, Input::Tick);
         }
     }
 
-    /// Gives a controller an input, and carries what it sends.
-    pub(super) fn feed(&mut self, controller: usize, input: Input) {
+    /// Passes an input to a controller, schedules its next wake-up, and routes its outputs.
+    pub(super) fn handle_input(&mut self, controller: usize, input: Input) {
         if let Input::Request(request, _) = &input {
             if self.hosts[controller].controller.is_none() {
                 let request = request.0;
-                return self.deliver(request, None);
+                return self.deliver_answer(request, None);
             }
-            self.hosts[controller].requests.push(request.0);
+            self.hosts[controller].open_requests.push(request.0);
         }
-        let process = self.process(controller);
+        let process = self.current_process(controller);
         let host = &mut self.hosts[controller];
         let local = host.local_time(self.now);
         let Some(state) = &mut host.controller else {
@@ -165,26 +167,26 @@
         };
         let outputs = state.step(Time(local), input);
         let wake_ms = state.wake_at().0.saturating_sub(local).max(1);
-        let takes_over = state
+        let is_new_owner = state
             .highest_shard_token()
-            .is_some_and(|token| self.tokens.insert(token.0));
+            .is_some_and(|token| self.owner_tokens.insert(token.0));
         self.schedule_wake(process, self.now + wake_ms);
         for output in outputs {
             self.digest
                 .add(self.now, controller, process.incarnation, &output);
             self.send(process, output);
         }
-        if takes_over {
-            self.note_takeover();
+        if is_new_owner {
+            self.record_takeover();
         }
         self.end_after_shutdown(controller);
     }
 
     fn schedule_wake(&mut self, process: Process, at: u64) {
-        let next = &mut self.hosts[process.controller].next_wake;
+        let next = &mut self.hosts[process.controller].next_wake_at;
         if next.is_none_or(|next| at < next) {
             *next = Some(at);
-            self.at(at, Event::Wake(process));
+            self.schedule_at(at, Event::Wake(process));
         }
     }
 
@@ -194,8 +196,8 @@
             .controller
             .as_ref()
             .is_some_and(Controller::shutdown_complete);
-        if complete && let Some(down_ms) = host.down_after_shutdown.take() {
-            self.kill(controller, down_ms);
+        if complete && let Some(down_ms) = host.restart_delay_ms.take() {
+            self.kill_controller(controller, down_ms);
         }
     }
 }
--- a/tests/sim/event.rs
+++ b/tests/sim/event.rs
@@ -1,4 +1,4 @@
-//! Everything that happens at a moment of simulated time.
+//! The events of a run and how they are dispatched.
 
 use super::scenario::Line;
 use super::users::Intent;
@@ -7,22 +7,23 @@
 use salttrestle::ids::{CallId, JobId};
 use salttrestle::wire::{CloudRequest, StoreRequest};
 
-/// One process of a controller: what was meant for an earlier one doesn't reach the next.
+/// One process of a controller. Inputs that were sent to an earlier process don't reach the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Process {
-    /// The controller, by its place among all.
+    /// The index of the controller.
     pub controller: usize,
-    /// Rises with each start and each end.
+    /// The host's incarnation when the input was sent. It increases at each start and each end of
+    /// a process.
     pub incarnation: u64,
 }
 
-/// Something that happens at a moment.
+/// An event in the queue of a run.
 pub(crate) enum Event {
     /// An input reaches a controller.
     Input { process: Process, input: Input },
-    /// A controller has asked to be woken.
+    /// A controller's requested wake-up is due.
     Wake(Process),
-    /// A controller's process starts.
+    /// A controller process starts.
     Start(usize),
     /// A request reaches the store.
     StoreRequest {
@@ -36,21 +37,21 @@
         call: CallId,
         request: CloudRequest,
     },
-    /// A watch has waited for changes as long as it may.
+    /// A watch has reached the store's time limit without changes.
     WatchTimeout { process: Process, call: CallId },
-    /// A machine comes up.
+    /// A machine has booted.
     MachineUp(String),
-    /// A worker does what is due.
+    /// A worker runs its tasks and sends a heartbeat if one is due.
     WorkerTick(String),
-    /// The answer to a heartbeat reaches its worker; without a reply the connection failed.
+    /// The answer to a heartbeat reaches its worker. `reply` is `None` if the connection failed.
     HeartbeatAnswer {
         machine: String,
         request: u64,
         reply: Option<Reply>,
     },
-    /// A user sends a request to any controller.
+    /// A user sends a request to a random running controller.
     UserRequest { job: JobId, intent: Intent },
-    /// A user sends a request to this controller.
+    /// A user sends a request to a given controller.
     UserRequestTo {
         job: JobId,
         intent: Intent,
@@ -58,24 +59,25 @@
     },
     /// A user stops waiting for an answer.
     UserTimeout(u64),
-    /// A line of the script is due.
+    /// A line of the script is due, given by its index.
     Script(usize),
-    /// A line that another one has scheduled.
+    /// A command that another command has scheduled.
     Line(Line),
-    /// A transaction that got no answer is carried out after all.
+    /// A delayed transaction is executed after its sender's timeout.
     LateTransaction(StoreRequest),
-    /// A user sends an odd request.
+    /// A user sends a malformed request.
     MalformedRequest,
-    /// A partition is over.
+    /// A partition ends, given by its id.
     PartitionEnds(u64),
-    /// Leases at the store end up to a tenth of a second late.
+    /// The store expires leases. It does so every 100 ms, so that leases end up to 100 ms late.
     ExpireLeases,
-    /// The checker looks at what takes time to show.
+    /// The periodic checks run.
     Check,
 }
 
 impl World {
-    /// When a paused controller goes on, if this event has to wait for that.
+    /// When the event's controller resumes, if the controller is paused. Only inputs and wake-ups
+    /// are deferred.
     fn deferred_until(&self, event: &Event) -> Option<u64> {
         let (Event::Input { process, .. } | Event::Wake(process)) = event else {
             return None;
@@ -84,50 +86,50 @@
         (until > self.now).then_some(until)
     }
 
-    /// Lets an event happen.
+    /// Handles an event, or defers it while its controller is paused.
     pub(super) fn handle(&mut self, event: Event) {
         if let Some(until) = self.deferred_until(&event) {
-            return self.at(until, event);
+            return self.schedule_at(until, event);
         }
         match event {
-            Event::Input { process, input } => self.input_arrives(process, input),
-            Event::Wake(process) => self.wake(process),
+            Event::Input { process, input } => self.deliver_input(process, input),
+            Event::Wake(process) => self.handle_wake(process),
             Event::Start(controller) => self.start_controller(controller),
             Event::StoreRequest {
                 process,
                 call,
                 request,
-            } => self.store_executes(process, call, request),
+            } => self.execute_store_request(process, call, request),
             Event::CloudRequest {
                 process,
                 call,
                 request,
-            } => self.cloud_executes(process, call, &request),
-            Event::WatchTimeout { process, call } => self.end_watch(process, call),
+            } => self.execute_cloud_request(process, call, &request),
+            Event::WatchTimeout { process, call } => self.time_out_watch(process, call),
             Event::MachineUp(machine) => self.start_worker(&machine),
             Event::WorkerTick(machine) => self.worker_tick(&machine),
             Event::HeartbeatAnswer {
                 machine,
                 request,
                 reply,
-            } => self.heartbeat_answered(&machine, request, reply),
-            Event::UserRequest { job, intent } => self.user_request(&job, intent),
+            } => self.handle_heartbeat_answer(&machine, request, reply),
+            Event::UserRequest { job, intent } => self.send_user_request(&job, intent),
             Event::UserRequestTo {
                 job,
                 intent,
                 controller,
-            } => self.user_request_to(&job, intent, controller),
-            Event::UserTimeout(request) => self.user_timeout(request),
+            } => self.send_user_request_to(&job, intent, controller),
+            Event::UserTimeout(request) => self.handle_user_timeout(request),
             Event::Script(index) => {
                 let line = self.script[index].clone();
-                self.command(&line);
+                self.run_command(&line);
             }
-            Event::Line(line) => self.command(&line),
-            Event::LateTransaction(request) => self.carry_out_late(&request),
+            Event::Line(line) => self.run_command(&line),
+            Event::LateTransaction(request) => self.execute_late_transaction(&request),
             Event::MalformedRequest => self.send_malformed_request(),
             Event::PartitionEnds(id) => self.end_partition(id),
             Event::ExpireLeases => self.expire_leases(),
-            Event::Check => self.check(),
+            Event::Check => self.run_periodic_checks(),
         }
     }
 }
--- a/tests/sim/faults.rs
+++ b/tests/sim/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that strike a share of what happens while they last.
+//! Faults that affect a fraction of operations for a limited time, and faults of machines.
 
 use super::event::Event;
 use super::requests::RequestOrigin;
@@ -7,8 +7,8 @@
 use salttrestle::controller::events::{Input, Request};
 use salttrestle::wire::WorkerHeartbeat;
 
-/// Commands that end at once, so that nothing of them is still under way when their moment is over.
-const WITHOUT_DURATION: [&str; 13] = [
+/// Commands that start no fault. Their duration doesn't postpone the end of the script's faults.
+const COMMANDS_WITHOUT_FAULT: [&str; 13] = [
     "submit",
     "withdraw",
     "poll",
@@ -24,94 +24,98 @@
     "pipelines",
 ];
 
-/// A fault that strikes this share of what it is about, until then.
+/// A fault that affects a fraction of the matching operations until a given time.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ActiveFault {
+    /// The fraction of operations that the fault affects, 0 to 1.
     pub share: f64,
+    /// When the fault ends, in milliseconds.
     pub until: u64,
 }
 
-/// The faults under way, and the users' behaviour that goes with them.
+/// The active faults and the unusual user behaviour that accompanies them.
 #[derive(Default)]
 pub(crate) struct ActiveFaults {
-    /// Transactions get no answer, and are carried out 2 to 12 s later.
+    /// Transactions get no answer and are executed 2 to 12 s later.
     pub late_transactions: ActiveFault,
-    /// Transactions are carried out, and their answers lost.
+    /// Transactions are executed, but their answers are lost.
     pub lost_answers: ActiveFault,
-    /// The store answers late.
+    /// Answers of the store are delayed.
     pub slow_store: ActiveFault,
-    /// Heartbeats come again, up to well over a lease later.
+    /// Heartbeats are delivered a second time, 2 s to more than a lease's length later.
     pub late_heartbeats: ActiveFault,
-    /// Heartbeats are kept, and given to every controller when the next leader begins.
+    /// Heartbeats are recorded and delivered again to every controller at the next takeover.
     pub replayed_heartbeats: ActiveFault,
-    /// Jobs are cancelled at the moment at which their last task ends.
+    /// Jobs are cancelled when their last task ends.
     pub cancel_at_completion: ActiveFault,
-    /// Jobs are cancelled as their users learn that they are accepted.
+    /// Jobs are cancelled when their users learn that they are accepted.
     pub cancel_at_acceptance: ActiveFault,
-    /// Users ask at all controllers right after each change of a job, until then.
+    /// Until this time, users query all controllers right after each status change of a job.
     pub query_changes_until: u64,
-    /// Users send malformed requests until then.
+    /// Until this time, users send malformed requests.
     pub malformed_until: u64,
-    /// Jobs that were submitted so far in malformed requests.
+    /// The number of jobs submitted so far in malformed requests.
     pub malformed_jobs: u32,
-    kept_heartbeats: Vec<WorkerHeartbeat>,
+    recorded_heartbeats: Vec<WorkerHeartbeat>,
 }
 
-/// Every heartbeat comes again at each controller after this delay, until then.
+/// Every heartbeat is also delivered to each controller after a delay, until a given time.
 pub(crate) struct HeartbeatCopies {
-    pub delay: u64,
+    /// The delay of a copy, in milliseconds.
+    pub delay_ms: u64,
+    /// When copying ends, in milliseconds.
     pub until: u64,
 }
 
-/// How long a line's fault lasts; lines that bring none last for no time.
-pub(crate) fn duration_ms(line: &Line) -> u64 {
-    if WITHOUT_DURATION.contains(&line.keyword.as_str()) {
+/// How long the fault of a script line lasts, in milliseconds; 0 for commands that start no fault.
+pub(crate) fn fault_duration_ms(line: &Line) -> u64 {
+    if COMMANDS_WITHOUT_FAULT.contains(&line.keyword.as_str()) {
         return 0;
     }
     let arguments = &line.arguments;
-    let lasts_s = arguments.number("for", 10.0);
-    let lasts_s = lasts_s.max(arguments.number("down", 3.0));
-    milliseconds(lasts_s.max(arguments.number("hang", 0.0)))
+    let duration_s = arguments.number("for", 10.0);
+    let duration_s = duration_s.max(arguments.number("down", 3.0));
+    milliseconds(duration_s.max(arguments.number("hang", 0.0)))
 }
 
 impl World {
-    /// The fault of a line with `share=`, until its time is over.
-    pub(super) fn fault(&self, arguments: &Arguments, default_share: f64) -> ActiveFault {
+    /// The fault that a command with `share=` and `for=` describes.
+    pub(super) fn fault_from(&self, arguments: &Arguments, default_share: f64) -> ActiveFault {
         ActiveFault {
             share: arguments.number("share", default_share),
-            until: self.until(arguments),
+            until: self.end_of_command(arguments),
         }
     }
 
-    /// Whether a fault strikes just now.
-    pub(super) fn strikes(&mut self, fault: impl Fn(&ActiveFaults) -> ActiveFault) -> bool {
+    /// Draws whether an active fault affects the current operation.
+    pub(super) fn is_hit_by_fault(&mut self, fault: impl Fn(&ActiveFaults) -> ActiveFault) -> bool {
         let fault = fault(&self.faults);
-        self.now < fault.until && self.happens(fault.share)
+        self.now < fault.until && self.occurs_with_probability(fault.share)
     }
 
-    /// Draws whether something happens that does so in this share of all cases.
-    pub(super) fn happens(&mut self, share: f64) -> bool {
-        self.random(1000) < (share * 1000.0) as u64
+    /// Draws true with this probability, in steps of a thousandth.
+    pub(super) fn occurs_with_probability(&mut self, probability: f64) -> bool {
+        self.random_below(1000) < (probability * 1000.0) as u64
     }
 
-    /// Copies of a heartbeat, as far as faults make any.
+    /// Makes the copies of a heartbeat that the active faults call for.
     pub(super) fn copy_heartbeat(&mut self, heartbeat: &WorkerHeartbeat) {
         if let Some(copies) = &self.heartbeat_copies
             && self.now < copies.until
         {
-            let delay = copies.delay;
+            let delay = copies.delay_ms;
             for controller in 0..self.hosts.len() {
                 self.send_heartbeat_copy(controller, delay, heartbeat.clone());
             }
         }
-        if self.strikes(|faults| faults.late_heartbeats) {
-            let delay = 2000 + self.random(self.lease_ms * 3 / 2);
-            let controller = self.random(self.hosts.len() as u64) as usize;
+        if self.is_hit_by_fault(|faults| faults.late_heartbeats) {
+            let delay = 2000 + self.random_below(self.lease_ms * 3 / 2);
+            let controller = self.random_below(self.hosts.len() as u64) as usize;
             self.observed.late_heartbeats += 1;
             self.send_heartbeat_copy(controller, delay, heartbeat.clone());
         }
-        if self.strikes(|faults| faults.replayed_heartbeats) {
-            self.faults.kept_heartbeats.push(heartbeat.clone());
+        if self.is_hit_by_fault(|faults| faults.replayed_heartbeats) {
+            self.faults.recorded_heartbeats.push(heartbeat.clone());
         }
     }
 
@@ -121,25 +125,28 @@
         self.send_input(controller, delay, input);
     }
 
-    /// A shard has an owner under a new token: kept heartbeats come everywhere at once.
-    pub(super) fn note_takeover(&mut self) {
+    /// Records that a shard has an owner under a new token, and delivers the recorded heartbeats to
+    /// every controller within 40 ms.
+    pub(super) fn record_takeover(&mut self) {
         let now = self.now;
         self.observed.takeovers.push(now);
-        for heartbeat in std::mem::take(&mut self.faults.kept_heartbeats) {
+        for heartbeat in std::mem::take(&mut self.faults.recorded_heartbeats) {
             for controller in 0..self.hosts.len() {
-                let delay = 1 + self.random(40);
+                let delay = 1 + self.random_below(40);
                 self.observed.replayed_heartbeats += 1;
                 self.send_heartbeat_copy(controller, delay, heartbeat.clone());
             }
         }
     }
 
-    /// A machine is lost, preempted, made faulty, paused or partitioned, as a line says.
-    pub(super) fn strike_machine(&mut self, machine: &str, arguments: &Arguments) {
+    /// Applies the faults that a `machine` or `zone` command names: machine loss (`die`), pause
+    /// (`hang`), lost heartbeats (`mute`), partition (`cut`), lost answers (`deaf`), failing tasks
+    /// (`sick`) and spot preemption (`taken`).
+    pub(super) fn apply_machine_fault(&mut self, machine: &str, arguments: &Arguments) {
         if arguments.has("die") {
             return self.kill_machine(machine);
         }
-        let (now, until) = (self.now, self.until(arguments));
+        let (now, until) = (self.now, self.end_of_command(arguments));
         let Some(worker) = self.workers.get_mut(machine) else {
             return;
         };
@@ -164,7 +171,7 @@
         }
     }
 
-    /// A machine dies. The cloud still lists it as running for half a minute.
+    /// Ends a machine. The cloud still lists the machine as running for 30 s.
     fn kill_machine(&mut self, machine: &str) {
         self.end_worker(machine);
         let failed_at = self.now + 30_000;
@@ -173,9 +180,9 @@
         }
     }
 
-    /// Users begin to send malformed requests.
-    pub(super) fn begin_malformed_requests(&mut self, until: u64) {
+    /// Starts the stream of malformed requests.
+    pub(super) fn start_malformed_requests(&mut self, until: u64) {
         self.faults.malformed_until = until;
-        self.after(1, Event::MalformedRequest);
+        self.schedule_after(1, Event::MalformedRequest);
     }
 }
--- a/tests/sim/limits.rs
+++ b/tests/sim/limits.rs
@@ -1,33 +1,33 @@
-//! Operators who change team limits at run time, and when a change is in force.
+//! Changes of team limits by operators at run time, and the check of when a change is in force.
 
 use super::scenario::{Arguments, milliseconds};
 use super::world::World;
 use salttrestle::controller::store::records::{Key, LimitsByTeam, LimitsRecord, Record};
 use salttrestle_fakes::store::{CommitOutcome, Write};
 
-/// A lowered limit has stopped new starts within this time.
-const IN_FORCE_S: f64 = 5.0;
-/// Room for rounding when the quota shares of several shards are added.
-const SLACK: f64 = 1e-6;
+/// The time within which a lowered limit must prevent starts beyond it.
+const LIMIT_IN_FORCE_S: f64 = 5.0;
+/// Tolerance for rounding errors when the quota shares of several shards are added.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// A change that isn't in force yet.
+/// A limit change that is not in force yet.
 struct PendingChange {
     made_at: u64,
     team: String,
 }
 
-/// What operators have set, and what became of it.
+/// The limits that operators have set, and how long each change took.
 #[derive(Default)]
 pub(crate) struct LimitChanges {
-    set: LimitsByTeam,
-    /// The limits of the settings, of teams whose limits were changed.
-    of_settings: LimitsByTeam,
+    operator_limits: LimitsByTeam,
+    /// The limits from the settings, for teams whose limits were changed.
+    settings_limits: LimitsByTeam,
     pending: Vec<PendingChange>,
-    /// How long each change took to come into force.
-    pub took: Vec<u64>,
+    /// How long each change took to come into force, in milliseconds.
+    pub durations_ms: Vec<u64>,
 }
 
-/// A limit as a line gives it: CPUs and GPUs.
+/// The limit that a command gives: CPUs and GPUs.
 fn limit_of(arguments: &Arguments) -> (f64, f64) {
     let amount = |key| arguments.number(key, 0.0);
     (amount("cpus"), amount("gpus"))
@@ -49,23 +49,26 @@
         self.answer_watches();
     }
 
-    /// `limits t gpus=4 cpus=0`: a team's limit from now on, or that of a team that doesn't exist.
+    /// Handles `limits t gpus=4 cpus=0`: writes a team's new limit. The team may be unknown, to
+    /// test that its limit is refused.
     pub(super) fn set_limits(&mut self, arguments: &Arguments) {
         let (team, limit) = (arguments.word(0), limit_of(arguments));
-        self.limit_changes.set.insert(team.into(), limit);
-        let record = LimitsRecord::Teams(self.limit_changes.set.clone());
+        self.limit_changes
+            .operator_limits
+            .insert(team.into(), limit);
+        let record = LimitsRecord::Teams(self.limit_changes.operator_limits.clone());
         self.write_limits(Some(record));
         let Some(before) = self.checker.limits.get(team).copied() else {
-            // It is refused, and mustn't be part of what comes next.
-            self.limit_changes.set.remove(team);
+            // The controllers refuse a limit of an unknown team. Later records must not contain it.
+            self.limit_changes.operator_limits.remove(team);
             return;
         };
         self.limit_changes.pending.push(PendingChange {
             made_at: self.now,
             team: team.into(),
         });
-        let of_settings = &mut self.limit_changes.of_settings;
-        of_settings.entry(team.into()).or_insert(before);
+        let settings_limits = &mut self.limit_changes.settings_limits;
+        settings_limits.entry(team.into()).or_insert(before);
         // Until the change is in force, the old limit may still be used.
         let most = (before.0.max(limit.0), before.1.max(limit.1));
         self.checker.limits.insert(team.into(), most);
@@ -74,32 +77,35 @@
             format!("cpus={}", limit.0),
             format!("gpus={}", limit.1),
         ];
-        self.command_after(milliseconds(IN_FORCE_S), "limit-holds", words);
+        self.schedule_command(milliseconds(LIMIT_IN_FORCE_S), "limit-holds", words);
     }
 
-    /// A change is so old that no start may go beyond it any more, unless a later one raised it.
-    pub(super) fn limit_in_force(&mut self, arguments: &Arguments) {
+    /// Makes the checker enforce a limit when [`LIMIT_IN_FORCE_S`] have passed since the change,
+    /// unless a later change has replaced it.
+    pub(super) fn enforce_limit(&mut self, arguments: &Arguments) {
         let (team, limit) = (arguments.word(0), limit_of(arguments));
-        if self.limit_changes.set.get(team) == Some(&limit) {
+        if self.limit_changes.operator_limits.get(team) == Some(&limit) {
             self.checker.limits.insert(team.into(), limit);
         }
     }
 
-    /// The record of the limits can't be read from now on.
+    /// Handles `limits-spoilt`: replaces the limits record by one that can't be parsed.
     pub(super) fn make_limits_unreadable(&mut self) {
         let record = LimitsRecord::Unreadable("invalid type".into());
         self.write_limits(Some(record));
     }
 
-    /// The record of the limits is deleted: those of the settings hold again.
+    /// Handles `limits-gone`: deletes the limits record, so that the limits from the settings apply
+    /// again.
     pub(super) fn delete_limits(&mut self) {
         self.write_limits(None);
-        self.limit_changes.set.clear();
-        let of_settings = self.limit_changes.of_settings.clone();
-        self.checker.limits.extend(of_settings);
+        self.limit_changes.operator_limits.clear();
+        let settings_limits = self.limit_changes.settings_limits.clone();
+        self.checker.limits.extend(settings_limits);
     }
 
-    /// Notes which changes the shards' records show by now.
+    /// Records the changes that have come into force: the quota shares in the shard records add up
+    /// to no more than the limit, and with a single shard to exactly the limit.
     pub(super) fn check_limits(&mut self) {
         let entries = self.store.records.entries.values();
         let shares = entries.filter_map(|entry| match &entry.value {
@@ -108,14 +114,15 @@
         });
         let shares: Vec<_> = shares.collect();
         let changes = &mut self.limit_changes;
-        let set = &changes.set;
+        let operator_limits = &changes.operator_limits;
         let in_force = |team: &str| {
             let of_team = shares.iter().filter_map(|shard| shard.get(team));
             let sum = of_team.fold((0.0, 0.0), |sum, share| (sum.0 + share.0, sum.1 + share.1));
-            let Some(limit) = set.get(team) else {
+            let Some(limit) = operator_limits.get(team) else {
                 return false;
             };
-            let within = sum.0 <= limit.0 + SLACK && sum.1 <= limit.1 + SLACK;
+            let within =
+                sum.0 <= limit.0 + ROUNDING_TOLERANCE && sum.1 <= limit.1 + ROUNDING_TOLERANCE;
             within && (shares.len() > 1 || sum == *limit)
         };
         let pending = std::mem::take(&mut changes.pending);
@@ -125,6 +132,6 @@
         changes.pending = pending;
         let now = self.now;
         let took = done.iter().map(|change| now - change.made_at);
-        changes.took.extend(took);
+        changes.durations_ms.extend(took);
     }
 }
--- a/tests/sim/links.rs
+++ b/tests/sim/links.rs
@@ -1,10 +1,10 @@
-//! Links of controllers to the store, the cloud, workers and peers, and their partitions.
+//! Network links of controllers to the store, the cloud, workers and peers, and their partitions.
 
 use super::event::{Event, Process};
 use super::world::World;
 use salttrestle::controller::events::{Input, LinkEvent};
 
-/// What is at the other end of a controller's link.
+/// The remote end of a controller's link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LinkEnd {
     Store,
@@ -14,7 +14,7 @@
 }
 
 impl LinkEnd {
-    /// As scenarios name it.
+    /// Parses the name that scenarios use.
     pub(crate) fn parse(word: &str) -> Self {
         match word {
             "state" => Self::Store,
@@ -26,25 +26,25 @@
     }
 }
 
-/// A controller can't reach what is at the other end.
+/// A partition between a controller and a link's remote end.
 #[derive(Debug)]
 pub(crate) struct Partition {
     pub id: u64,
     pub controller: usize,
     pub end: LinkEnd,
-    /// Messages are kept until it is over, in place of being lost.
+    /// Whether messages are held until the partition ends instead of being lost.
     pub holds_messages: bool,
-    /// Only the workers of this zone.
+    /// Restricts a partition from workers to those of one zone.
     pub zone: Option<String>,
 }
 
-/// What a partition keeps until it is over.
+/// A message that is held until a partition ends.
 pub(crate) struct HeldMessage {
     partition: u64,
     event: Event,
 }
 
-/// A connection from one controller to another.
+/// A connection from one controller to another, by their indexes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct PeerConnection {
     pub from: usize,
@@ -52,7 +52,7 @@
 }
 
 impl World {
-    /// Partitions a link until then.
+    /// Partitions a link until a given time.
     pub(super) fn partition(
         &mut self,
         controller: usize,
@@ -70,17 +70,17 @@
             holds_messages,
             zone: zone.map(String::from),
         });
-        self.at(until, Event::PartitionEnds(id));
+        self.schedule_at(until, Event::PartitionEnds(id));
     }
 
-    /// The partition of a link, if it is partitioned.
+    /// The partition of a link, if there is one.
     pub(super) fn partition_of(&self, controller: usize, end: LinkEnd) -> Option<&Partition> {
         let mut partitions = self.partitions.iter();
         partitions.find(|partition| partition.end == end && partition.controller == controller)
     }
 
-    /// Whether a worker and a controller can't reach each other.
-    pub(super) fn worker_partitioned(&self, controller: usize, machine: &str) -> bool {
+    /// Whether a partition separates a worker and a controller.
+    pub(super) fn is_partitioned_from_worker(&self, controller: usize, machine: &str) -> bool {
         let zone = self.workers.get(machine).map(|worker| &worker.zone);
         let partitions = self.partitions.iter();
         let mut partitions = partitions.filter(|partition| {
@@ -89,43 +89,50 @@
         partitions.any(|partition| partition.zone.is_none() || partition.zone.as_ref() == zone)
     }
 
-    /// Sends over a link. If that is partitioned, the message is lost, or kept until the partition
-    /// is over.
-    pub(super) fn cross(&mut self, controller: usize, end: LinkEnd, delay: u64, event: Event) {
+    /// Sends an event over a link. If the link is partitioned, the event is lost, or held until the
+    /// partition ends.
+    pub(super) fn send_over_link(
+        &mut self,
+        controller: usize,
+        end: LinkEnd,
+        delay: u64,
+        event: Event,
+    ) {
         match self.partition_of(controller, end) {
-            None => self.after(delay, event),
+            None => self.schedule_after(delay, event),
             Some(partition) if partition.holds_messages => {
                 let held = HeldMessage {
                     partition: partition.id,
                     event,
                 };
-                self.held.push(held);
+                self.held_messages.push(held);
             }
             Some(_) => {}
         }
     }
 
-    /// A partition is over: what it has kept arrives.
+    /// Ends a partition and delivers the messages that it has held.
     pub(super) fn end_partition(&mut self, id: u64) {
         self.partitions.retain(|partition| partition.id != id);
-        for message in std::mem::take(&mut self.held) {
+        for message in std::mem::take(&mut self.held_messages) {
             if message.partition == id {
-                self.after(5, message.event);
+                self.schedule_after(5, message.event);
             } else {
-                self.held.push(message);
+                self.held_messages.push(message);
             }
         }
     }
 
-    /// A controller learns the state of its connection to a peer.
-    pub(super) fn set_link(&mut self, controller: usize, peer: usize, link: LinkEvent) {
+    /// Reports the state of a peer connection to a controller.
+    pub(super) fn report_link_event(&mut self, controller: usize, peer: usize, link: LinkEvent) {
         let input = Input::Link(self.controller_ids[peer].as_str().into(), link);
-        let process = self.process(controller);
-        self.after(1, Event::Input { process, input });
+        let process = self.current_process(controller);
+        self.schedule_after(1, Event::Input { process, input });
     }
 
-    /// The process that a controller runs now, or the next one if it runs none.
-    pub(super) fn process(&self, controller: usize) -> Process {
+    /// The current process of a controller host. While none runs, the identity of the time between
+    /// two processes, which has an incarnation of its own.
+    pub(super) fn current_process(&self, controller: usize) -> Process {
         Process {
             controller,
             incarnation: self.hosts[controller].incarnation,
--- a/tests/sim/malformed_requests.rs
+++ b/tests/sim/malformed_requests.rs
@@ -1,39 +1,41 @@
-//! Users who send odd requests: ones that change nothing, and jobs that must be refused.
+//! Malformed requests of users: repeated requests that must change nothing, and jobs that must be
+//! refused.
 
 use super::event::Event;
-use super::submissions::{JobSpec, edited};
+use super::submissions::{JobSpec, edit_submission};
 use super::users::Intent;
 use super::world::World;
 use ciborium::Value;
 use salttrestle::ids::JobId;
 
-/// Between two odd requests.
+/// The interval between two malformed requests.
 const INTERVAL_MS: u64 = 300;
-/// More memory than any machine has.
+/// More memory than any machine type has.
 const UNFIT_MEMORY_GB: f64 = 1e6;
 
 impl World {
-    /// A repeat of an unfinished job's submission, as it was or with a field missing, a
-    /// cancellation of a done job, a job that fits no machine, one that lacks a field.
+    /// Sends one of five requests at random: an unfinished job's submission, repeated as it was or
+    /// without a field; a cancellation of a completed job; a new job that fits no machine; or a new
+    /// job without a field.
     pub(super) fn send_malformed_request(&mut self) {
         if self.now >= self.faults.malformed_until {
             return;
         }
-        self.after(INTERVAL_MS, Event::MalformedRequest);
+        self.schedule_after(INTERVAL_MS, Event::MalformedRequest);
         self.observed.malformed_requests += 1;
-        let (jobs, intent) = match self.random(5) {
+        let (jobs, intent) = match self.random_below(5) {
             0 => (self.known_jobs(false), Intent::Resubmit),
             1 => (self.known_jobs(false), Intent::ResubmitMalformed),
             2 => (self.known_jobs(true), Intent::Cancel),
             kind => return self.submit_malformed_job(kind == 3),
         };
         if !jobs.is_empty() {
-            let pick = self.random(jobs.len() as u64) as usize;
-            self.user_request(&jobs[pick], intent);
+            let index = self.random_below(jobs.len() as u64) as usize;
+            self.send_user_request(&jobs[index], intent);
         }
     }
 
-    /// Accepted jobs that aren't cancelled, those that are done or those that aren't.
+    /// Accepted jobs that are not cancelled and whose completion state equals `done`.
     fn known_jobs(&self, done: bool) -> Vec<JobId> {
         let jobs = self.checker.jobs.iter();
         let jobs = jobs.filter(|(_, job)| {
@@ -44,7 +46,8 @@
         jobs.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Another job's submission under a new name: it fits no machine, or lacks a field.
+    /// Submits a malformed copy of an existing job under a new id: one that fits no machine if
+    /// `unfit`, else one that lacks a field.
     fn submit_malformed_job(&mut self, unfit: bool) {
         self.faults.malformed_jobs += 1;
         let id = JobId::from(format!("odd-{}", self.faults.malformed_jobs).as_str());
@@ -52,20 +55,20 @@
         let Some((model_id, model)) = model else {
             return;
         };
-        log::debug!("{id} after {model_id}");
+        log::debug!("submitting a malformed job: job={id} copied_from={model_id}");
         let spec = JobSpec {
-            body: malformed(&model.body, &id, unfit),
+            body: malformed_submission(&model.body, &id, unfit),
             ..model.clone()
         };
         self.add_spec(&id, spec);
         self.checker.expect_refusal(&id);
-        self.user_request(&id, Intent::Submit);
+        self.send_user_request(&id, Intent::Submit);
     }
 }
 
-/// A submission under another name that can't run, or that lacks a field.
-fn malformed(body: &[u8], id: &JobId, unfit: bool) -> Vec<u8> {
-    edited(body, |fields| {
+/// A copy of a submission with a new id that fits no machine if `unfit`, else lacks `rank`.
+fn malformed_submission(body: &[u8], id: &JobId, unfit: bool) -> Vec<u8> {
+    edit_submission(body, |fields| {
         fields.insert("id".into(), Value::Text(id.to_string()));
         if unfit {
             fields.insert("memGb".into(), Value::Float(UNFIT_MEMORY_GB));
--- a/tests/sim/mod.rs
+++ b/tests/sim/mod.rs
@@ -1,5 +1,6 @@
-//! Real controllers in simulated time, with test doubles of the store, the cloud, workers and users
-//! around them. A checker judges every rule by what users are answered and what machines run.
+//! A deterministic simulation: real controllers in simulated time, with test doubles of the store,
+//! the cloud, workers and users. A checker verifies every rule from the outside, by the answers
+//! that users get and the tasks that machines run.
 
 mod cancellations;
 mod checks;
--- a/tests/sim/observed.rs
+++ b/tests/sim/observed.rs
@@ -1,5 +1,5 @@
-//! What a run has shown of faults and of what they fell on: by this a scenario proves that the
-//! faults which it is about were concurrent, and that it didn't pass by missing them.
+//! Counts of what took place in a run. With these a scenario proves that the faults that it tests
+//! did occur and overlapped, so that it can't pass because they missed their targets.
 
 use super::scenario::{Arguments, milliseconds};
 use super::users::Intent;
@@ -13,71 +13,71 @@
 /// A cancellation that was answered 503.
 pub(crate) struct RefusedCancellation {
     pub job: JobId,
-    /// How long the answer took.
+    /// How long the answer took, in milliseconds.
     pub waited_ms: u64,
 }
 
-/// How often what took place.
+/// What took place in a run, and how often.
 #[derive(Default)]
 pub(crate) struct Observed {
-    /// Transactions that got no answer and were carried out later.
+    /// Transactions that got no answer and were executed later.
     pub late_transactions: usize,
-    /// Transactions that were carried out, and their answers lost.
+    /// Transactions that were executed and whose answers were lost.
     pub lost_answers: usize,
-    /// Heartbeats that came again late.
+    /// Copies of heartbeats that were delivered late.
     pub late_heartbeats: usize,
-    /// Heartbeats that came again as a leader began.
+    /// Heartbeats that were delivered again at a takeover.
     pub replayed_heartbeats: usize,
-    /// Questions right after a change of a job.
+    /// Status queries and repeated submissions sent right after a status change of a job.
     pub status_queries: usize,
     pub malformed_requests: usize,
-    /// Jobs that were cancelled as their last task ended.
+    /// Jobs that were cancelled when their last task ended.
     pub cancelled_at_completion: usize,
-    /// Most jobs that an owner counted at once as waiting for their dependencies.
+    /// The largest number of jobs that a shard owner counted at once as waiting for dependencies.
     pub waiting_for_dependencies: usize,
     /// Tasks that failed.
     pub task_failures: usize,
-    /// When takeovers were.
+    /// The times of takeovers, in milliseconds.
     pub takeovers: Vec<u64>,
-    /// Cancellations that wait for their answers, and since when.
+    /// When each unanswered cancellation was sent, by request id.
     pub pending_cancellations: BTreeMap<u64, u64>,
     pub refused_cancellations: Vec<RefusedCancellation>,
 }
 
-/// A stretch of time, its ends included.
+/// A time interval in milliseconds, including both ends.
 struct Window {
     from: u64,
     to: u64,
 }
 
 impl Window {
-    fn of(arguments: &Arguments) -> Self {
+    fn parse(arguments: &Arguments) -> Self {
         Self {
             from: arguments.span_ms("from", 0.0),
             to: arguments.span_ms("to", 1e6),
         }
     }
 
-    fn has(&self, moment: u64) -> bool {
-        (self.from..=self.to).contains(&moment)
+    fn contains(&self, time_ms: u64) -> bool {
+        (self.from..=self.to).contains(&time_ms)
     }
 
-    fn count(&self, moments: impl Iterator<Item = u64>) -> usize {
-        moments.filter(|moment| self.has(*moment)).count()
+    fn count(&self, times_ms: impl Iterator<Item = u64>) -> usize {
+        times_ms.filter(|time_ms| self.contains(*time_ms)).count()
     }
 }
 
 impl World {
-    /// How often something took place; `None` for what isn't known. `from=` and `to=` bound the
-    /// moments, `in=` the seconds that it took, `class=` is the class of the jobs counted.
-    pub(crate) fn count(&self, what: &str, arguments: &Arguments) -> Option<usize> {
-        let count = self.count_fault(what, arguments);
-        count.or_else(|| self.count_jobs(what, arguments))
+    /// How often something took place, or `None` if the name is unknown. `from=` and `to=` restrict
+    /// the times counted, `in=` is the longest duration in seconds, `class=` the job class counted.
+    pub(crate) fn count(&self, name: &str, arguments: &Arguments) -> Option<usize> {
+        let count = self.count_fault(name, arguments);
+        count.or_else(|| self.count_jobs(name, arguments))
     }
 
-    fn count_fault(&self, what: &str, arguments: &Arguments) -> Option<usize> {
+    fn count_fault(&self, name: &str, arguments: &Arguments) -> Option<usize> {
         let observed = &self.observed;
-        Some(match what {
+        Some(match name {
             "late-writes" => observed.late_transactions,
             "lost-answers" => observed.lost_answers,
             "late-reports" => observed.late_heartbeats,
@@ -86,19 +86,19 @@
             "odd" => observed.malformed_requests,
             "waiting-for-others" => observed.waiting_for_dependencies,
             "cancelled-at-end" => observed.cancelled_at_completion,
-            "rejected" => self.store.rejected,
+            "rejected" => self.store.rejected_transactions,
             "in-parts" => self.jobs_in_parts(),
             "in-force" => self.limits_in_force_within(arguments.span_ms("in", 5.0)),
-            "takeovers" => Window::of(arguments).count(observed.takeovers.iter().copied()),
-            // Leaders whose record still existed as the next one replaced it.
+            "takeovers" => Window::parse(arguments).count(observed.takeovers.iter().copied()),
+            // Leaders whose record still existed when the next leader replaced it.
             "replaced" => self.store.orders.duties.replaced,
             _ => return None,
         })
     }
 
-    fn count_jobs(&self, what: &str, arguments: &Arguments) -> Option<usize> {
-        let window = Window::of(arguments);
-        // How long something may have taken to be counted.
+    fn count_jobs(&self, name: &str, arguments: &Arguments) -> Option<usize> {
+        let window = Window::parse(arguments);
+        // The longest duration that is counted.
         let at_most = |default_s: f64| arguments.span_ms("in", default_s);
         let any_time_s = 1e6;
         let of_class = |job: &&JobView| {
@@ -106,26 +106,26 @@
             class.is_none_or(|class| job.record.class == class)
         };
         let jobs = self.checker.jobs.values().filter(of_class);
-        Some(match what {
+        Some(match name {
             "cancels" => window.count(jobs.filter_map(|job| job.cancel_asked)),
             "confirmed" => window.count(jobs.filter_map(|job| job.notified.cancelled_at)),
-            // Cancellations confirmed so soon after they were first asked for.
+            // Cancellations confirmed within `in=` seconds (3 by default) after the first request.
             "prompt" => {
                 let cancelled =
                     jobs.filter_map(|job| Some((job.cancel_asked?, job.notified.cancelled_at?)));
                 let prompt = cancelled.filter(|(asked, told)| told - asked <= at_most(3.0));
                 window.count(prompt.map(|(asked, _)| asked))
             }
-            // Jobs that were cancelled with one that they depend on, after their users learnt it.
+            // Jobs cancelled because a dependency was, counted when their users learned of it.
             "cascaded" => window.count(self.checker.cascading_cancellations()),
-            // Jobs that waited for others, and started so soon after the last one was done.
+            // Jobs that started within `in=` seconds after their last dependency was done.
             "released" => {
                 let releases = self.checker.releases();
                 let soon = releases.filter(|release| release.took_ms <= at_most(any_time_s));
                 window.count(soon.map(|release| release.at))
             }
             "ended" => window.count(jobs.filter_map(|job| job.done_notified_at)),
-            // Jobs of which a task was on a machine so soon after their submission.
+            // Jobs whose first task was on a machine within `in=` seconds after the submission.
             "begun" => {
                 let begun = jobs.filter_map(|job| Some(job.first_start? - job.submitted_at));
                 begun.filter(|took| *took <= at_most(any_time_s)).count()
@@ -138,12 +138,12 @@
         })
     }
 
-    fn limits_in_force_within(&self, most_ms: u64) -> usize {
-        let took = self.limit_changes.took.iter();
-        took.filter(|took| **took <= most_ms).count()
+    fn limits_in_force_within(&self, bound_ms: u64) -> usize {
+        let took = self.limit_changes.durations_ms.iter();
+        took.filter(|took| **took <= bound_ms).count()
     }
 
-    /// Jobs of which a record was split into parts.
+    /// Jobs of which a placement record was split into parts.
     fn jobs_in_parts(&self) -> usize {
         let changes = self.store.records.history.iter();
         let parts = changes.filter_map(|change| match (Key::parse(&change.path)?, &change.value) {
@@ -155,8 +155,8 @@
         parts.collect::<BTreeSet<JobId>>().len()
     }
 
-    /// Notes how long a cancellation took that is answered 503.
-    pub(super) fn note_refusal(
+    /// Records how long the answer to a cancellation took, if the answer is 503.
+    pub(super) fn record_refused_cancellation(
         &mut self,
         request: u64,
         job: &JobId,
@@ -175,7 +175,8 @@
         }
     }
 
-    /// Whether a job's cancellation was answered 503, each time within so many seconds.
+    /// Whether a job's cancellation was answered 503 at least once, each time within this many
+    /// seconds.
     pub(crate) fn refused_within(&self, job: &JobId, seconds: f64) -> bool {
         let refusals = self.observed.refused_cancellations.iter();
         let mut refusals = refusals
--- a/tests/sim/outputs.rs
+++ b/tests/sim/outputs.rs
@@ -1,4 +1,4 @@
-//! What becomes of everything that a controller sends.
+//! Routes the outputs of controllers to the store, the cloud, peers, workers and users.
 
 use super::event::{Event, Process};
 use super::links::{LinkEnd, PeerConnection};
@@ -8,26 +8,28 @@
 use salttrestle::peer::Message;
 use salttrestle::wire::{CloudRequest, CloudResponse, StoreRequest, StoreResponse};
 
-/// How long a controller waits for the answer to a watch, to another request to the store, and to
-/// one to the cloud.
+/// A controller's timeout for a watch.
 const WATCH_TIMEOUT_MS: u64 = 12_000;
+/// A controller's timeout for every other request to the store.
 const STORE_TIMEOUT_MS: u64 = 2000;
+/// A controller's timeout for a request to the cloud.
 const CLOUD_TIMEOUT_MS: u64 = 6000;
-/// How long a message is on its way to the cloud, and to a peer.
+/// The one-way delay of a message to or from the cloud.
 pub(super) const CLOUD_DELAY_MS: u64 = 50;
+/// The one-way delay of a message to a peer.
 const PEER_DELAY_MS: u64 = 2;
 
 impl World {
-    /// Carries an output of a controller's process to where it goes.
+    /// Routes an output of a controller process to its destination.
     pub(super) fn send(&mut self, process: Process, output: Output) {
         match output {
             Output::Answer(request, reply) => {
-                self.controller_answers(process.controller, request.0, reply);
+                self.handle_controller_answer(process.controller, request.0, reply);
             }
             Output::Store(call, request) => self.send_to_store(process, call, request),
             Output::Cloud(call, request) => self.send_to_cloud(process, call, request),
             Output::Peer(to, message) => self.send_to_peers(process.controller, to, &message),
-            // Links here need no connection.
+            // Simulated links have no connections to re-establish.
             Output::Reconnect(_) => {}
             Output::CancelCall(call) => {
                 self.store.watches.retain(|watch| {
@@ -35,8 +37,10 @@
                 });
             }
             Output::Cell(to, _) => {
-                let what = format!("a message to cell {to}, though no limits are shared");
-                self.checker.broken.push(what);
+                let violation = format!(
+                    "unexpected message: cell={to} reason=no limits are shared between cells"
+                );
+                self.checker.broken.push(violation);
             }
         }
     }
@@ -47,34 +51,34 @@
             _ => STORE_TIMEOUT_MS,
         };
         let input = Input::Store(call, StoreResponse::NoResponse);
-        self.after(timeout_ms, Event::Input { process, input });
+        self.schedule_after(timeout_ms, Event::Input { process, input });
         let transaction = matches!(request, StoreRequest::Transaction { .. });
-        if transaction && self.strikes(|faults| faults.late_transactions) {
-            let delay = 2000 + self.random(10_000);
-            return self.after(delay, Event::LateTransaction(request));
+        if transaction && self.is_hit_by_fault(|faults| faults.late_transactions) {
+            let delay = 2000 + self.random_below(10_000);
+            return self.schedule_after(delay, Event::LateTransaction(request));
         }
-        let delay = 2 + self.random(4);
+        let delay = 2 + self.random_below(4);
         let event = Event::StoreRequest {
             process,
             call,
             request,
         };
-        self.cross(process.controller, LinkEnd::Store, delay, event);
+        self.send_over_link(process.controller, LinkEnd::Store, delay, event);
     }
 
     fn send_to_cloud(&mut self, process: Process, call: CallId, request: CloudRequest) {
-        self.note_cloud_call(process.controller, &request);
+        self.record_cloud_call(process.controller, &request);
         let input = Input::Cloud(call, CloudResponse::NoResponse);
-        self.after(CLOUD_TIMEOUT_MS, Event::Input { process, input });
+        self.schedule_after(CLOUD_TIMEOUT_MS, Event::Input { process, input });
         let event = Event::CloudRequest {
             process,
             call,
             request,
         };
-        self.cross(process.controller, LinkEnd::Cloud, CLOUD_DELAY_MS, event);
+        self.send_over_link(process.controller, LinkEnd::Cloud, CLOUD_DELAY_MS, event);
     }
 
-    /// Sends a message to one peer, or to all.
+    /// Sends a message to one peer, or to all peers if `to` is `None`.
     fn send_to_peers(&mut self, from: usize, to: Option<ControllerId>, message: &Message) {
         for peer in (0..self.hosts.len()).filter(|peer| *peer != from) {
             let named = |to: &ControllerId| to.as_str() == self.controller_ids[peer];
@@ -89,17 +93,17 @@
         let ended = self.hosts[to].controller.is_none();
         if ended || self.now < self.peers_refuse_until {
             self.refused_links.insert(connection);
-            return self.set_link(from, to, LinkEvent::Refused);
+            return self.report_link_event(from, to, LinkEvent::Refused);
         }
         if self.partition_of(to, LinkEnd::Peers).is_some() {
             return;
         }
         if self.refused_links.remove(&connection) {
-            self.set_link(from, to, LinkEvent::Up);
+            self.report_link_event(from, to, LinkEvent::Up);
         }
-        let process = self.process(to);
+        let process = self.current_process(to);
         let input = Input::Peer(message.clone());
         let event = Event::Input { process, input };
-        self.cross(from, LinkEnd::Peers, PEER_DELAY_MS, event);
+        self.send_over_link(from, LinkEnd::Peers, PEER_DELAY_MS, event);
     }
 }
--- a/tests/sim/requests.rs
+++ b/tests/sim/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of workers and users to controllers, and the way back of their answers.
+//! Requests of workers and users to controllers, and the routing of answers to their senders.
 
 use super::event::Event;
 use super::users::Intent;
@@ -6,33 +6,34 @@
 use salttrestle::controller::events::{Input, Reply};
 use salttrestle::ids::{JobId, RequestId};
 
-/// Who waits for a request's answer.
+/// The sender of a request, to whom the answer goes.
 pub(crate) enum RequestOrigin {
-    /// A machine's worker, which has sent a heartbeat.
+    /// The worker of a machine, for a heartbeat.
     Worker(String),
-    /// A job's user.
+    /// The user of a job.
     User { job: JobId, intent: Intent },
-    /// Nobody: it is a late copy.
+    /// A copy of an earlier heartbeat; its answer is dropped.
     Copy,
 }
 
 impl World {
-    /// A new request's id.
+    /// Registers a request and returns its id.
     pub(super) fn new_request(&mut self, origin: RequestOrigin) -> RequestId {
         self.last_request += 1;
-        self.origins.insert(self.last_request, origin);
+        self.request_origins.insert(self.last_request, origin);
         RequestId(self.last_request)
     }
 
-    /// Sends an input to the process that a controller runs now.
+    /// Sends an input to the process that a controller host runs now.
     pub(super) fn send_input(&mut self, controller: usize, delay: u64, input: Input) {
-        let process = self.process(controller);
-        self.after(delay, Event::Input { process, input });
+        let process = self.current_process(controller);
+        self.schedule_after(delay, Event::Input { process, input });
     }
 
-    /// A worker sends a request to a controller, if it reaches that.
+    /// Sends a worker's request to a controller. A partition drops the request; a controller that
+    /// is down refuses the connection.
     pub(super) fn send_from_worker(&mut self, machine: &str, controller: usize, input: Input) {
-        if self.worker_partitioned(controller, machine) {
+        if self.is_partitioned_from_worker(controller, machine) {
             return;
         }
         if self.hosts[controller].controller.is_some() {
@@ -44,45 +45,50 @@
                 request: request.0,
                 reply: None,
             };
-            self.after(1, refused);
+            self.schedule_after(1, refused);
         }
     }
 
-    /// A controller answers a request.
-    pub(super) fn controller_answers(&mut self, controller: usize, request: u64, reply: Reply) {
-        let open = &mut self.hosts[controller].requests;
+    /// Routes a controller's answer to a request. A partition drops answers to workers.
+    pub(super) fn handle_controller_answer(
+        &mut self,
+        controller: usize,
+        request: u64,
+        reply: Reply,
+    ) {
+        let open = &mut self.hosts[controller].open_requests;
         open.retain(|other| *other != request);
-        if let Some(RequestOrigin::Worker(machine)) = self.origins.get(&request)
-            && self.worker_partitioned(controller, machine)
+        if let Some(RequestOrigin::Worker(machine)) = self.request_origins.get(&request)
+            && self.is_partitioned_from_worker(controller, machine)
         {
             return;
         }
-        self.deliver(request, Some(reply));
+        self.deliver_answer(request, Some(reply));
     }
 
-    /// Brings an answer to who waits for it; without a reply the connection failed.
-    pub(super) fn deliver(&mut self, request: u64, reply: Option<Reply>) {
-        match self.origins.remove(&request) {
+    /// Delivers an answer to the sender of the request. `reply` is `None` if the connection failed.
+    pub(super) fn deliver_answer(&mut self, request: u64, reply: Option<Reply>) {
+        match self.request_origins.remove(&request) {
             Some(RequestOrigin::Worker(machine)) => {
                 let answer = Event::HeartbeatAnswer {
                     machine,
                     request,
                     reply,
                 };
-                self.after(1, answer);
+                self.schedule_after(1, answer);
             }
             Some(RequestOrigin::User { job, intent }) => {
-                self.note_refusal(request, &job, intent, reply.as_ref());
-                self.user_answered(job, intent, reply);
+                self.record_refused_cancellation(request, &job, intent, reply.as_ref());
+                self.handle_user_answer(job, intent, reply);
             }
             Some(RequestOrigin::Copy) | None => {}
         }
     }
 
-    /// A user has waited for an answer as long as users do.
-    pub(super) fn user_timeout(&mut self, request: u64) {
-        if let Some(RequestOrigin::User { job, intent }) = self.origins.remove(&request) {
-            self.user_answered(job, intent, None);
+    /// Handles a user's timeout, unless the request was answered before.
+    pub(super) fn handle_user_timeout(&mut self, request: u64) {
+        if let Some(RequestOrigin::User { job, intent }) = self.request_origins.remove(&request) {
+            self.handle_user_answer(job, intent, None);
         }
     }
 }
--- a/tests/sim/scenario.rs
+++ b/tests/sim/scenario.rs
@@ -1,42 +1,42 @@
-//! The language of scenario files: one command a line, its arguments behind it, and `#` before a
-//! comment.
+//! The format of scenario files: one command per line, a keyword followed by its arguments. `#`
+//! starts a comment.
 
 use salttrestle::ids::JobId;
 use std::str::FromStr;
 
-/// Milliseconds of a span that scenarios give in seconds.
+/// Converts seconds, the unit of scenario files, to whole milliseconds.
 pub(crate) fn milliseconds(seconds: f64) -> u64 {
     (seconds * 1000.0) as u64
 }
 
-/// The words behind a line's keyword, some of them `key=value`.
+/// The arguments after a line's keyword: plain words and `key=value` pairs.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Arguments(Vec<String>);
 
 impl Arguments {
-    /// All words, in their order.
+    /// All words, in order.
     pub(crate) fn words(&self) -> &[String] {
         &self.0
     }
 
-    /// The word at a place that the line must have.
+    /// The word at this index. Panics if there is none.
     pub(crate) fn word(&self, index: usize) -> &str {
         &self.0[index]
     }
 
-    /// The word at a place that the line may have.
+    /// The word at this index, if there is one.
     pub(crate) fn optional_word(&self, index: usize) -> Option<&str> {
         self.0.get(index).map(String::as_str)
     }
 
-    /// The word at a place, read as a number.
+    /// The word at this index, parsed as a number. Panics if it is none.
     pub(crate) fn parsed<T: FromStr>(&self, index: usize) -> T {
         let word = self.word(index);
         let parsed = word.parse();
         parsed.unwrap_or_else(|_| panic!("{word} isn't a number"))
     }
 
-    /// The word at a place, as a job's name.
+    /// The word at this index, as a job id.
     pub(crate) fn job(&self, index: usize) -> JobId {
         JobId::from(self.word(index))
     }
@@ -54,7 +54,7 @@
         Some(values.map(String::from).collect())
     }
 
-    /// The number of `key=number`.
+    /// The number of `key=number`, or the default. Panics if the value is not a number.
     pub(crate) fn number(&self, key: &str, default: f64) -> f64 {
         self.value(key).map_or(default, |text| {
             text.parse()
@@ -62,28 +62,28 @@
         })
     }
 
-    /// The span of `key=seconds`, in milliseconds.
+    /// The duration of `key=seconds`, in milliseconds.
     pub(crate) fn span_ms(&self, key: &str, default_s: f64) -> u64 {
         milliseconds(self.number(key, default_s))
     }
 
-    /// Whether a word without a value is among them.
+    /// Whether the arguments contain this word.
     pub(crate) fn has(&self, word: &str) -> bool {
         self.0.iter().any(|other| other == word)
     }
 }
 
-/// One line: what to do, and with what.
+/// One line of a scenario file.
 #[derive(Clone, Debug)]
 pub(crate) struct Line {
     /// The first word.
     pub keyword: String,
-    /// The words behind it.
+    /// The words after the keyword.
     pub arguments: Arguments,
 }
 
 impl Line {
-    /// A line of a keyword and its arguments.
+    /// Builds a line from a keyword and its arguments.
     pub(crate) fn new(keyword: &str, arguments: Vec<String>) -> Self {
         Self {
             keyword: keyword.into(),
@@ -91,24 +91,24 @@
         }
     }
 
-    fn of_words(mut words: impl Iterator<Item = String>) -> Option<Self> {
+    fn from_words(mut words: impl Iterator<Item = String>) -> Option<Self> {
         let keyword = words.next()?;
         Some(Self::new(&keyword, words.collect()))
     }
 
     fn parse(text: &str) -> Option<Self> {
         let code = text.split('#').next().unwrap_or("");
-        Self::of_words(code.split_whitespace().map(String::from))
+        Self::from_words(code.split_whitespace().map(String::from))
     }
 
     /// The command of an `at` line: the words after its time.
     pub(crate) fn command(&self) -> Self {
         let words = self.arguments.words()[1..].iter().cloned();
-        Self::of_words(words).expect("a command behind the time")
+        Self::from_words(words).expect("a command after the time of an `at` line")
     }
 }
 
-/// A scenario file's lines, without comments.
+/// The lines of a scenario file, without comments.
 #[derive(Clone, Debug)]
 pub(crate) struct Scenario {
     lines: Vec<Line>,
@@ -122,7 +122,8 @@
         }
     }
 
-    /// The same scenario with this seed.
+    /// The same scenario with another seed. The `seed` line goes first, so that it takes
+    /// precedence.
     pub(crate) fn with_seed(&self, seed: &str) -> Self {
         let seed = Line::new("seed", vec![seed.into()]);
         Self {
@@ -148,7 +149,8 @@
             .filter(move |line| line.keyword == keyword)
     }
 
-    /// The number behind a keyword.
+    /// The first argument of the first line with a keyword, as a number, or the default if there is
+    /// no such line.
     pub(crate) fn number(&self, keyword: &str, default: f64) -> f64 {
         self.first(keyword)
             .map_or(default, |arguments| arguments.parsed(0))
--- a/tests/sim/script.rs
+++ b/tests/sim/script.rs
@@ -1,4 +1,4 @@
-//! The commands of a scenario's script.
+//! Execution of the commands of a scenario's script.
 
 use super::event::Event;
 use super::faults::{ActiveFault, HeartbeatCopies};
@@ -10,53 +10,53 @@
 use salttrestle::ids::JobId;
 use salttrestle_fakes::cloud::SlowBoots;
 
-/// How long a killed controller stays down unless the line says it, in seconds.
+/// How long a killed controller stays down by default, in seconds.
 const DOWN_S: f64 = 3.0;
 
 impl World {
-    /// How long a line's command lasts.
-    pub(super) fn span_ms(&self, arguments: &Arguments) -> u64 {
+    /// The duration of a command, `for=` seconds, in milliseconds.
+    pub(super) fn command_duration_ms(&self, arguments: &Arguments) -> u64 {
         arguments.span_ms("for", 10.0)
     }
 
-    /// When a line's command is over.
-    pub(super) fn until(&self, arguments: &Arguments) -> u64 {
-        self.now + self.span_ms(arguments)
+    /// When a command that starts now ends, in milliseconds.
+    pub(super) fn end_of_command(&self, arguments: &Arguments) -> u64 {
+        self.now + self.command_duration_ms(arguments)
     }
 
-    /// Carries out a line of the script.
-    pub(super) fn command(&mut self, line: &Line) {
+    /// Executes a command. Panics if the command is unknown.
+    pub(super) fn run_command(&mut self, line: &Line) {
         let keyword = line.keyword.as_str();
         let arguments = &line.arguments;
-        let known = self.user_command(keyword, arguments)
+        let is_known = self.user_command(keyword, arguments)
             || self.controller_command(keyword, arguments)
             || self.store_command(keyword, arguments)
             || self.cloud_command(keyword, arguments)
             || self.machine_command(keyword, arguments)
             || self.fault_command(keyword, arguments);
-        assert!(known, "unknown command {keyword}");
+        assert!(is_known, "unknown command {keyword}");
     }
 
-    /// What users and operators do. False for other commands.
+    /// Executes commands of users and operators. Returns false for other commands.
     fn user_command(&mut self, keyword: &str, arguments: &Arguments) -> bool {
         match keyword {
             "submit" => self.submit(arguments),
-            "withdraw" => self.user_request(&arguments.job(0), Intent::Cancel),
-            "poll" => self.user_request(&arguments.job(0), Intent::Poll),
-            "mangled" => self.user_request(&arguments.job(0), Intent::ResubmitMalformed),
-            "again" => self.user_request(&arguments.job(0), Intent::Submit),
+            "withdraw" => self.send_user_request(&arguments.job(0), Intent::Cancel),
+            "poll" => self.send_user_request(&arguments.job(0), Intent::Poll),
+            "mangled" => self.send_user_request(&arguments.job(0), Intent::ResubmitMalformed),
+            "again" => self.send_user_request(&arguments.job(0), Intent::Submit),
             "probe" => {
                 let name = format!("up-{}", arguments.word(0));
                 let controller = self.controller_named(arguments.word(0));
                 let job = JobId::from(name.as_str());
-                self.user_request_to(&job, Intent::Probe, controller);
+                self.send_user_request_to(&job, Intent::Probe, controller);
             }
             "cancel-now" => self.cancel_running(arguments),
             "stream" => self.stream(arguments),
             "pipelines" => self.pipelines(arguments),
             "poll-storm" => self.status_query_storm(arguments),
             "limits" => self.set_limits(arguments),
-            "limit-holds" => self.limit_in_force(arguments),
+            "limit-holds" => self.enforce_limit(arguments),
             "limits-spoilt" => self.make_limits_unreadable(),
             "limits-gone" => self.delete_limits(),
             _ => return false,
@@ -64,38 +64,39 @@
         true
     }
 
-    /// What becomes of controllers and their links. False for other commands.
+    /// Executes commands on controllers and their links. Returns false for other commands.
     fn controller_command(&mut self, keyword: &str, arguments: &Arguments) -> bool {
-        let until = self.until(arguments);
+        let until = self.end_of_command(arguments);
         match keyword {
             "kill" => {
                 let down_ms = arguments.span_ms("down", DOWN_S);
                 for controller in self.controllers_named(arguments.word(0)) {
-                    self.kill(controller, down_ms);
+                    self.kill_controller(controller, down_ms);
                 }
             }
-            // It shuts down gracefully, hands over, and starts again.
+            // The controller shuts down gracefully, hands over, and starts again.
             "drain" => {
                 let controller = self.controller_named(arguments.word(0));
                 let down_ms = arguments.span_ms("down", DOWN_S);
-                self.hosts[controller].down_after_shutdown = Some(down_ms);
-                self.feed(controller, Input::Shutdown);
+                self.hosts[controller].restart_delay_ms = Some(down_ms);
+                self.handle_input(controller, Input::Shutdown);
             }
-            // It ends, and starts again with settings that announce the limits to come.
+            // The controller is killed and starts again with settings that announce the next
+            // limits.
             "upgrade" => {
                 let controller = self.controller_named(arguments.word(0));
                 self.hosts[controller].announces_limits = true;
-                self.kill(controller, arguments.span_ms("down", DOWN_S));
+                self.kill_controller(controller, arguments.span_ms("down", DOWN_S));
             }
             "freeze" => {
                 let controller = self.controller_named(arguments.word(0));
                 self.hosts[controller].paused_until = until;
             }
-            // Whoever leads by then measures that its processor is so busy.
-            "busy" => self.busy = self.fault(arguments, 0.95),
+            // Each leader in this time measures this processor utilization.
+            "busy" => self.leader_utilization = self.fault_from(arguments, 0.95),
             "refuse" => {
                 let controller = self.controller_named(arguments.word(0));
-                self.hosts[controller].refused_until = until;
+                self.hosts[controller].store_refuses_until = until;
             }
             "cut" => self.partition_controller(arguments, until),
             "part" => self.partition_zone(arguments, until),
@@ -105,7 +106,7 @@
         true
     }
 
-    /// What becomes of the store. False for other commands.
+    /// Executes commands on the store. Returns false for other commands.
     fn store_command(&mut self, keyword: &str, arguments: &Arguments) -> bool {
         let now = self.now;
         match keyword {
@@ -115,13 +116,15 @@
                 self.answer_watches();
             }
             "limits-fall" => {
-                let next = self.next_limits.expect("next limits");
+                let next = self
+                    .next_limits
+                    .expect("a `next` line with the lower limits");
                 self.store.lower_limits(now, next);
             }
-            "lose-commits" => self.lose_answers = arguments.parsed(0),
+            "lose-commits" => self.answers_to_lose = arguments.parsed(0),
             "throttle" => {
                 self.throttle.requests_per_second = arguments.number("rps", 50.0) as u32;
-                self.throttle.until = self.until(arguments);
+                self.throttle.until = self.end_of_command(arguments);
             }
             "forget-log" => self.store.records.kept = arguments.parsed(0),
             _ => return false,
@@ -129,9 +132,9 @@
         true
     }
 
-    /// What becomes of the cloud. False for other commands.
+    /// Executes commands on the cloud. Returns false for other commands.
     fn cloud_command(&mut self, keyword: &str, arguments: &Arguments) -> bool {
-        let until = self.until(arguments);
+        let until = self.end_of_command(arguments);
         match keyword {
             "outage" => self.cloud.outage = true,
             "restore" => self.cloud.outage = false,
@@ -150,14 +153,14 @@
         true
     }
 
-    /// So many machines of a type, zone and market can be had.
+    /// Sets how many machines of a type, zone and market the cloud can provide.
     pub(super) fn set_capacity(&mut self, arguments: &Arguments) {
         let (machine_type, zone) = (arguments.word(0), arguments.word(1));
         let pool = (machine_type.into(), zone.into(), arguments.has("spot"));
         self.cloud.capacity.insert(pool, arguments.parsed(2));
     }
 
-    /// What becomes of machines. False for other commands.
+    /// Executes commands on machines. Returns false for other commands.
     fn machine_command(&mut self, keyword: &str, arguments: &Arguments) -> bool {
         let machines = match keyword {
             "machine" => self.machines_named(arguments.word(0)),
@@ -165,44 +168,46 @@
             _ => return false,
         };
         for machine in machines {
-            self.strike_machine(&machine, arguments);
+            self.apply_machine_fault(&machine, arguments);
         }
         true
     }
 
-    /// Faults that strike a share of what happens. False for other commands.
+    /// Executes commands that start a fault of a fraction of operations. Returns false for other
+    /// commands.
     fn fault_command(&mut self, keyword: &str, arguments: &Arguments) -> bool {
-        let until = self.until(arguments);
-        let fault = self.fault(arguments, 0.3);
+        let until = self.end_of_command(arguments);
+        let fault = self.fault_from(arguments, 0.3);
         match keyword {
             "copies" => {
-                let delay = arguments.span_ms("delay", 5.0);
-                self.heartbeat_copies = Some(HeartbeatCopies { delay, until });
+                let delay_ms = arguments.span_ms("delay", 5.0);
+                self.heartbeat_copies = Some(HeartbeatCopies { delay_ms, until });
             }
             "late-writes" => self.faults.late_transactions = fault,
             "lost-answers" => self.faults.lost_answers = fault,
             "late-reports" => self.faults.late_heartbeats = fault,
             "keep-reports" => self.faults.replayed_heartbeats = fault,
             "slow-state" => self.faults.slow_store = fault,
-            "cancel-at-end" => self.faults.cancel_at_completion = self.fault(arguments, 0.5),
+            "cancel-at-end" => self.faults.cancel_at_completion = self.fault_from(arguments, 0.5),
             "close-looks" => {
                 let share = arguments.number("cancel", 0.0);
                 self.faults.query_changes_until = until;
                 self.faults.cancel_at_acceptance = ActiveFault { share, until };
             }
-            "odd" => self.begin_malformed_requests(until),
+            "odd" => self.start_malformed_requests(until),
             _ => return false,
         }
         true
     }
 
-    /// The controller that a line names: by its place, `leader`, or `other` for the one behind it.
+    /// The controller that a command names: an index, `leader`, or `other` for the controller after
+    /// the leader.
     fn controller_named(&self, word: &str) -> usize {
         let leader = || self.leader().unwrap_or(0);
         match word {
             "leader" => leader(),
             "other" => (leader() + 1) % self.hosts.len(),
-            place => place.parse().expect("a controller"),
+            place => place.parse().expect("a controller index"),
         }
     }
 
@@ -213,7 +218,8 @@
         }
     }
 
-    /// The machines that a line names: `all`, `spot`, or so many that run most tasks.
+    /// The machines that a command names: `all`, `spot`, `busiest` for the machine with the most
+    /// tasks, or a number of machines in descending order of their task counts.
     fn machines_named(&self, word: &str) -> Vec<String> {
         let mut busiest: Vec<&String> = self.workers.keys().collect();
         busiest.sort_by_key(|machine| std::cmp::Reverse(self.workers[*machine].tasks.len()));
@@ -224,7 +230,9 @@
             "spot" => machines
                 .filter(|machine| self.workers[machine].spot)
                 .collect(),
-            count => machines.take(count.parse().expect("a count")).collect(),
+            count => machines
+                .take(count.parse().expect("a count of machines"))
+                .collect(),
         }
     }
 
@@ -234,7 +242,7 @@
         workers.map(|(machine, _)| machine.clone()).collect()
     }
 
-    /// A controller is partitioned from all that the line lists.
+    /// Partitions a controller from all link ends that the command lists.
     fn partition_controller(&mut self, arguments: &Arguments, until: u64) {
         let controller = self.controller_named(arguments.word(0));
         let holds_messages = arguments.has("hold");
@@ -249,7 +257,7 @@
         }
     }
 
-    /// The workers of a zone are partitioned from the controllers that the line lists.
+    /// Partitions the workers of a zone from the controllers that the command lists.
     fn partition_zone(&mut self, arguments: &Arguments, until: u64) {
         let zone = arguments.word(0);
         for controller in arguments.list("from").expect("from=") {
@@ -258,8 +266,8 @@
         }
     }
 
-    /// A line's command that is due after a while.
-    pub(super) fn command_after(&mut self, delay: u64, keyword: &str, words: Vec<String>) {
-        self.after(delay, Event::Line(Line::new(keyword, words)));
+    /// Schedules a command after a delay.
+    pub(super) fn schedule_command(&mut self, delay: u64, keyword: &str, words: Vec<String>) {
+        self.schedule_after(delay, Event::Line(Line::new(keyword, words)));
     }
 }
--- a/tests/sim/setup.rs
+++ b/tests/sim/setup.rs
@@ -1,9 +1,9 @@
-//! How a run is made from a scenario's lines.
+//! Construction of a run from a scenario's lines.
 
 use super::controllers::ControllerHost;
 use super::digest::OutputDigest;
 use super::event::Event;
-use super::faults::{ActiveFault, ActiveFaults, duration_ms};
+use super::faults::{ActiveFault, ActiveFaults, fault_duration_ms};
 use super::limits::LimitChanges;
 use super::observed::Observed;
 use super::scenario::{Arguments, Line, Scenario, milliseconds};
@@ -19,22 +19,26 @@
 use salttrestle_fakes::cloud::Cloud;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// The first clock that a controller reads, and by how much the next one's is ahead.
+/// The clock of the first controller at the start of a run.
 const CLOCK_START_MS: u64 = 10_000_000;
-const CLOCK_STEP_MS: u64 = 1000;
-/// Between the starts of two controllers.
-const START_STEP_MS: u64 = 10;
-/// The first looks of the checker, and at which leases at the store are over.
+/// How far the clock of each further controller is ahead of the previous one.
+const CLOCK_OFFSET_STEP_MS: u64 = 1000;
+/// The interval between the starts of two controllers.
+const START_INTERVAL_MS: u64 = 10;
+/// The time of the first periodic checks.
 const FIRST_CHECK_MS: u64 = 500;
+/// The time at which the store first expires leases.
 const FIRST_EXPIRY_MS: u64 = 100;
-/// A leased worker's kill, its heartbeats, and the bound on cancellations, in seconds.
+/// Default length of a worker's lease: a worker without a renewal for this long kills its tasks.
 const LEASE_S: f64 = 10.0;
+/// Default interval between heartbeats.
 const HEARTBEAT_S: f64 = 1.0;
-const CANCEL_S: f64 = 35.0;
-/// By how much the cloud's list of machines lags, in seconds.
+/// Default bound on the time from a confirmed cancellation until the job's tasks are gone.
+const CANCEL_BOUND_S: f64 = 35.0;
+/// Default lag of the cloud's list of machines.
 const LIST_LAG_S: f64 = 4.0;
 
-/// The zones of a scenario that names none.
+/// The zones that a scenario names, or `a` and `b`.
 fn zones(scenario: &Scenario) -> Vec<String> {
     match scenario.first("zones") {
         Some(zones) => zones.words().to_vec(),
@@ -42,18 +46,18 @@
     }
 }
 
-fn controllers(scenario: &Scenario) -> usize {
+fn controller_count(scenario: &Scenario) -> usize {
     scenario.number("nodes", 3.0) as usize
 }
 
-/// The store's limits on a value and on a transaction.
+/// The store's limits on the size of a value and on the writes of a transaction.
 struct StoreLimits {
     value_kb: f64,
     transaction_writes: usize,
 }
 
 impl StoreLimits {
-    fn of(scenario: &Scenario) -> Self {
+    fn parse(scenario: &Scenario) -> Self {
         let line = scenario.first("state").cloned().unwrap_or_default();
         Self {
             value_kb: line.number("kb", 8.0),
@@ -62,17 +66,17 @@
     }
 }
 
-/// The platform file, as far as all controllers share it.
+/// The platform settings that all controllers share.
 fn platform(scenario: &Scenario) -> serde_json::Value {
     let zones = zones(scenario);
     let store = scenario.first("state").cloned().unwrap_or_default();
-    let limits = StoreLimits::of(scenario);
+    let limits = StoreLimits::parse(scenario);
     let facts = serde_json::json!({
-        "count": controllers(scenario), "zones": zones,
-        "teams": scenario.all("team").map(team).collect::<Vec<_>>(), "objectives": [],
+        "count": controller_count(scenario), "zones": zones,
+        "teams": scenario.all("team").map(team_settings).collect::<Vec<_>>(), "objectives": [],
         "workers": {"report_s": scenario.number("report", HEARTBEAT_S),
                     "lease_s": scenario.number("lease", LEASE_S),
-                    "cancel_s": scenario.number("cancel", CANCEL_S)},
+                    "cancel_s": scenario.number("cancel", CANCEL_BOUND_S)},
         "state": {"rps": store.number("rps", 150.0), "write_rps": store.number("write", 60.0),
                   "value_kb": limits.value_kb, "txn_ops": limits.transaction_writes},
         "cloud": {"rps": scenario.number("cloud", 4.0),
@@ -85,13 +89,13 @@
     })
 }
 
-fn team(line: &Arguments) -> serde_json::Value {
+fn team_settings(line: &Arguments) -> serde_json::Value {
     let amount = |key| line.number(key, 0.0);
     serde_json::json!({"name": line.word(0), "cpus": amount("cpus"), "gpus": amount("gpus"),
         "cpus_max": amount("cpus_max"), "gpus_max": amount("gpus_max")})
 }
 
-/// What each team may use at most: CPUs and GPUs.
+/// The limit of each team: CPUs and GPUs.
 fn team_limits(scenario: &Scenario) -> BTreeMap<String, (f64, f64)> {
     let limits = scenario.all("team").map(|line| {
         let limit = (line.number("cpus_max", 0.0), line.number("gpus_max", 0.0));
@@ -100,7 +104,8 @@
     limits.collect()
 }
 
-/// The tuning file. The machines that a scenario begins with wait for its jobs.
+/// The tuning settings: the scenario's `set` lines after a default for `scale.window`, so that the
+/// machines that a scenario begins with are kept until its jobs arrive.
 fn tuning(scenario: &Scenario) -> String {
     let lines = scenario.all("set");
     let lines = lines.map(|line| format!("{} = {}\n", line.word(0), line.word(1)));
@@ -134,7 +139,7 @@
     }
 }
 
-/// The limits of the line `next`.
+/// The store's next limits, from the `next` line.
 fn next_limits(line: &Arguments) -> NextStateLimits {
     NextStateLimits {
         rps: None,
@@ -144,29 +149,29 @@
     }
 }
 
-fn host(scenario: &Scenario, place: usize) -> ControllerHost {
+fn new_host(scenario: &Scenario, place: usize) -> ControllerHost {
     let drift = scenario.number("drift", 0.0);
     let next = scenario.first("next");
     ControllerHost {
         controller: None,
         incarnation: 0,
-        clock_offset: CLOCK_START_MS + CLOCK_STEP_MS * place as u64,
+        clock_offset_ms: CLOCK_START_MS + CLOCK_OFFSET_STEP_MS * place as u64,
         clock_drift: if place.is_multiple_of(2) {
             drift
         } else {
             -drift
         },
-        requests: Vec::new(),
-        refused_until: 0,
+        open_requests: Vec::new(),
+        store_refuses_until: 0,
         paused_until: 0,
-        next_wake: None,
-        down_after_shutdown: None,
+        next_wake_at: None,
+        restart_delay_ms: None,
         announces_limits: next.is_some_and(|line| !line.has("later")),
     }
 }
 
 impl World {
-    /// A run of a scenario; its `at` lines become the script.
+    /// Creates a run of a scenario. Its `at` lines become the script.
     pub(crate) fn new(scenario: &Scenario) -> Self {
         let mut world = Self::empty(scenario);
         for line in scenario.all("room") {
@@ -176,29 +181,29 @@
             world.add_machines(line);
         }
         for line in scenario.lines_of("at") {
-            world.schedule(line);
+            world.schedule_line(line);
         }
         for controller in 0..world.hosts.len() {
-            let delay = START_STEP_MS * controller as u64;
-            world.after(delay, Event::Start(controller));
+            let delay = START_INTERVAL_MS * controller as u64;
+            world.schedule_after(delay, Event::Start(controller));
         }
-        world.after(FIRST_CHECK_MS, Event::Check);
-        world.after(FIRST_EXPIRY_MS, Event::ExpireLeases);
+        world.schedule_after(FIRST_CHECK_MS, Event::Check);
+        world.schedule_after(FIRST_EXPIRY_MS, Event::ExpireLeases);
         world
     }
 
-    /// A run in which nothing is scheduled.
+    /// Creates a run without scheduled events.
     fn empty(scenario: &Scenario) -> Self {
-        let controllers = controllers(scenario);
-        let limits = StoreLimits::of(scenario);
-        let cancel_ms = milliseconds(scenario.number("cancel", CANCEL_S));
+        let controllers = controller_count(scenario);
+        let limits = StoreLimits::parse(scenario);
+        let cancel_ms = milliseconds(scenario.number("cancel", CANCEL_BOUND_S));
         Self {
             now: 0,
             queue: BTreeMap::new(),
             sequence: 0,
             rng: StdRng::seed_from_u64(scenario.number("seed", 1.0) as u64),
             hosts: (0..controllers)
-                .map(|place| host(scenario, place))
+                .map(|place| new_host(scenario, place))
                 .collect(),
             controller_ids: (0..controllers).map(|n| format!("node-{n}")).collect(),
             zones: zones(scenario),
@@ -209,53 +214,54 @@
             cloud: cloud(scenario),
             workers: BTreeMap::new(),
             specs: HashMap::new(),
-            origins: HashMap::new(),
+            request_origins: HashMap::new(),
             last_request: 0,
             partitions: Vec::new(),
-            held: Vec::new(),
+            held_messages: Vec::new(),
             peers_refuse_until: 0,
             refused_links: BTreeSet::new(),
-            busy: ActiveFault::default(),
+            leader_utilization: ActiveFault::default(),
             heartbeat_copies: None,
-            lose_answers: 0,
+            answers_to_lose: 0,
             throttle: Throttle::default(),
             faults: ActiveFaults::default(),
-            calm_at: 0,
+            faults_end_at: 0,
             script: Vec::new(),
-            end: milliseconds(scenario.number("end", 120.0)),
+            end_at: milliseconds(scenario.number("end", 120.0)),
             lease_ms: milliseconds(scenario.number("lease", LEASE_S)),
             heartbeat_ms: milliseconds(scenario.number("report", HEARTBEAT_S)),
             checker: Checker::new(cancel_ms, team_limits(scenario)),
             limit_changes: LimitChanges::default(),
             observed: Observed::default(),
             statuses: BTreeSet::new(),
-            answered: BTreeMap::new(),
-            tokens: BTreeSet::new(),
-            killed: 0,
-            deleted_tasks: 0,
+            last_answered_at: BTreeMap::new(),
+            owner_tokens: BTreeSet::new(),
+            lease_expiry_kills: 0,
+            tasks_on_deleted_machines: 0,
             digest: OutputDigest::default(),
         }
     }
 
-    /// `machines g8 a 2`: machines that are there from the start.
+    /// Handles `machines g8 a 2`: adds machines that run from the start.
     fn add_machines(&mut self, line: &Arguments) {
         let (machine_type, zone) = (line.word(0), line.word(1));
         for _ in 0..line.parsed::<u32>(2) {
             let spot = line.has("spot");
             let id = self.cloud.add(0, machine_type, zone, spot, Some(1));
-            self.after(1, Event::MachineUp(id.to_string()));
+            self.schedule_after(1, Event::MachineUp(id.to_string()));
         }
     }
 
-    /// `at 40~3 kill leader`: some time in those 3 s, another one with each seed.
-    fn schedule(&mut self, line: &Line) {
+    /// Schedules a line such as `at 40~3 kill leader`: the command runs at a time drawn from the
+    /// 3 s that start at second 40, which depends on the seed.
+    fn schedule_line(&mut self, line: &Line) {
         let time = line.arguments.word(0);
         let (from, span) = time.split_once('~').unwrap_or((time, "0"));
-        let span = milliseconds(span.parse().expect("a span"));
-        let at = milliseconds(from.parse().expect("a time")) + self.random(span);
+        let span = milliseconds(span.parse().expect("a span in seconds"));
+        let at = milliseconds(from.parse().expect("a time in seconds")) + self.random_below(span);
         let command = line.command();
-        self.calm_at = self.calm_at.max(at + duration_ms(&command));
+        self.faults_end_at = self.faults_end_at.max(at + fault_duration_ms(&command));
         self.script.push(command);
-        self.at(at, Event::Script(self.script.len() - 1));
+        self.schedule_at(at, Event::Script(self.script.len() - 1));
     }
 }
--- a/tests/sim/store.rs
+++ b/tests/sim/store.rs
@@ -1,7 +1,7 @@
-//! The store, as PROTOCOL describes it.
+//! The simulated store, as specified by PROTOCOL.
 
 use super::event::Process;
-use super::store_conditions::{misnamed_parts, unconditional};
+use super::store_conditions::{misnamed_parts, unconditional_writes};
 use salttrestle::controller::store::records::{Key, PREFIX, Record};
 use salttrestle::ids::CallId;
 use salttrestle::settings::NextStateLimits;
@@ -10,78 +10,81 @@
 use salttrestle_fakes::rate::RateLimit;
 use salttrestle_fakes::store::{self, CommitOutcome, Store};
 
-/// Changes that the store keeps for watches.
-const CHANGES_KEPT: usize = 10_000;
-/// Entries in one page of a list.
-const PAGE: usize = 50;
+/// The number of changes that the store keeps for watches.
+const CHANGES_KEPT_MAX: usize = 10_000;
+/// The largest number of entries in one page of a list.
+const PAGE_ENTRIES_MAX: usize = 50;
 
 /// A watch that waits for changes.
 pub(crate) struct PendingWatch {
     pub process: Process,
     pub call: CallId,
-    /// The revision after which it wants them.
+    /// The watch waits for changes after this revision.
     pub after: u64,
+    /// When the store ends the watch without changes, in milliseconds.
     pub until: u64,
 }
 
-/// The store as controllers reach it: its records, limits, outages and pending watches.
+/// The store service: records, limits, outages and pending watches.
 pub(crate) struct StoreService {
     pub records: Store<Record>,
     pub watches: Vec<PendingWatch>,
     pub outage: bool,
     value_kb: f64,
     transaction_writes: usize,
-    /// Changes a second, once limits have fallen.
+    /// The limit on writes per second, once the limits have been lowered.
     write_limit: Option<RateLimit>,
-    /// Transactions beyond a size that has fallen.
-    pub rejected: usize,
-    /// Transactions beyond the changes a second.
-    pub limited: usize,
-    /// Requests that went beyond a limit of size, or that lack a condition on what they rest on.
-    pub defects: Vec<String>,
-    /// Judges orders by what was committed before.
+    /// Transactions rejected because a value exceeds the lowered size limit.
+    pub rejected_transactions: usize,
+    /// Transactions refused because of the limit on writes per second.
+    pub rate_limited_transactions: usize,
+    /// Violations: requests beyond a size limit, without a required precondition, or with a record
+    /// under the wrong kind of key.
+    pub violations: Vec<String>,
+    /// Checks that workers start only what was committed before.
     pub orders: Orders,
 }
 
 impl StoreService {
-    /// An empty store with these limits on a value's size and on the writes of a transaction.
+    /// Creates an empty store with these limits on a value's size and on a transaction's writes.
     pub(crate) fn new(value_kb: f64, transaction_writes: usize) -> Self {
         Self {
-            records: Store::new(CHANGES_KEPT),
+            records: Store::new(CHANGES_KEPT_MAX),
             watches: Vec::new(),
             outage: false,
             value_kb,
             transaction_writes,
             write_limit: None,
-            rejected: 0,
-            limited: 0,
-            defects: Vec::new(),
+            rejected_transactions: 0,
+            rate_limited_transactions: 0,
+            violations: Vec::new(),
             orders: Orders::default(),
         }
     }
 
-    /// Ends leases whose time is over.
+    /// Expires leases. During an outage, leases don't expire.
     pub(crate) fn expire(&mut self, now: u64) {
         if !self.outage {
             self.records.expire(now);
         }
     }
 
-    /// The limits fall. What is stored stays readable.
+    /// Lowers the limits. Stored values beyond the new limits stay readable.
     pub(crate) fn lower_limits(&mut self, now: u64, limits: NextStateLimits) {
         self.value_kb = limits.value_kb.unwrap_or(self.value_kb);
         self.transaction_writes = limits.txn_ops.unwrap_or(self.transaction_writes);
         self.write_limit = limits.write_rps.map(|rate| RateLimit::new(now, rate));
     }
 
-    /// The store answers again, and all leases have their full time.
+    /// Ends an outage. All leases are renewed for their full time to live.
     pub(crate) fn end_outage(&mut self, now: u64) {
         self.outage = false;
         self.records.renew_all(now);
     }
 
-    /// The changes after a revision, if there are any.
-    pub(crate) fn news(&self, after: u64) -> Option<StoreResponse> {
+    /// The answer to a watch: the changes after a revision, or that the revision is compacted.
+    /// `None` if there are no changes.
+    pub(crate) fn watch_response(&self, after: u64) -> Option<StoreResponse> {
         let Some(changes) = self.records.changes_after(after) else {
             return Some(StoreResponse::Compacted);
         };
@@ -90,7 +93,7 @@
         (!news.is_empty()).then_some(StoreResponse::Changes { revision, news })
     }
 
-    /// Executes a request; `None` for a watch that has to wait.
+    /// Executes a request. Returns `None` for a watch that has to wait.
     pub(crate) fn execute(&mut self, now: u64, request: &StoreRequest) -> Option<StoreResponse> {
         if self.outage {
             return match request {
@@ -100,13 +103,15 @@
         }
         self.expire(now);
         let response = match request {
-            StoreRequest::Watch { after } => return self.news(*after),
+            StoreRequest::Watch { after } => return self.watch_response(*after),
             StoreRequest::ReadRevision => StoreResponse::Missing {
                 revision: self.records.revision,
             },
             StoreRequest::Get(key) => self.get(key),
             StoreRequest::List { after } => self.list(after),
-            StoreRequest::Transaction { writes, .. } if self.is_limited(now, writes.len()) => {
+            StoreRequest::Transaction { writes, .. }
+                if self.is_write_rate_exceeded(now, writes.len()) =>
+            {
                 StoreResponse::Refused
             }
             StoreRequest::Transaction {
@@ -122,11 +127,11 @@
         Some(response)
     }
 
-    /// Whether so many writes are more than the store takes just now, since its limits have fallen.
-    fn is_limited(&mut self, now: u64, writes: usize) -> bool {
+    /// Counts writes against the lowered write limit and returns whether they exceed it.
+    fn is_write_rate_exceeded(&mut self, now: u64, writes: usize) -> bool {
         let limit = self.write_limit.as_mut();
         let limited = limit.is_some_and(|limit| !limit.take(now, writes as f64));
-        self.limited += usize::from(limited);
+        self.rate_limited_transactions += usize::from(limited);
         limited
     }
 
@@ -143,7 +148,7 @@
     }
 
     fn list(&self, after: &str) -> StoreResponse {
-        let (page, more) = self.records.list(PREFIX, after, PAGE);
+        let (page, more) = self.records.list(PREFIX, after, PAGE_ENTRIES_MAX);
         let entries = page.iter().filter_map(|(path, entry)| {
             Some((Key::parse(path)?, entry.revision, Some(entry.value.clone())))
         });
@@ -159,16 +164,17 @@
         if writes.len() > self.transaction_writes
             || preconditions.len() > 4 * self.transaction_writes
         {
-            self.defects.push(format!(
-                "{} writes, {} conditions",
+            self.violations.push(format!(
+                "transaction exceeds its limits: writes={} preconditions={}",
                 writes.len(),
                 preconditions.len()
             ));
         }
-        self.defects.extend(unconditional(preconditions, writes));
-        self.defects.extend(misnamed_parts(writes));
-        if self.rejects_size(writes) {
-            self.rejected += 1;
+        self.violations
+            .extend(unconditional_writes(preconditions, writes));
+        self.violations.extend(misnamed_parts(writes));
+        if self.exceeds_lowered_size_limit(writes) {
+            self.rejected_transactions += 1;
             return StoreResponse::Rejected;
         }
         let conditions = preconditions.iter();
@@ -178,7 +184,7 @@
         let writes_of_store = writes.iter().map(stored_write).collect();
         match self.records.commit(&conditions, writes_of_store) {
             CommitOutcome::Committed(revision) => {
-                self.note_committed(writes);
+                self.record_committed(writes);
                 StoreResponse::Committed { revision }
             }
             CommitOutcome::NoSuchLease => StoreResponse::LeaseNotFound,
@@ -188,9 +194,9 @@
         }
     }
 
-    /// Whether a value is too large for a limit that has fallen. Beyond the limit that held from
-    /// the start, a value is a defect.
-    fn rejects_size(&mut self, writes: &[Write]) -> bool {
+    /// Whether a value exceeds the lowered size limit. Before the limits are lowered, a value
+    /// beyond the limit is a violation.
+    fn exceeds_lowered_size_limit(&mut self, writes: &[Write]) -> bool {
         for write in writes {
             let Write::Put { key, record, .. } = write else {
                 continue;
@@ -202,13 +208,15 @@
             if self.write_limit.is_some() {
                 return true;
             }
-            self.defects.push(format!("{key} has {size} bytes"));
+            self.violations.push(format!(
+                "value exceeds the size limit: key={key} bytes={size}"
+            ));
         }
         false
     }
 
-    /// The judge of orders learns what was committed.
-    fn note_committed(&mut self, writes: &[Write]) {
+    /// Tells the checker of orders which shard tokens and placements were committed.
+    fn record_committed(&mut self, writes: &[Write]) {
         for write in writes {
             match write {
                 Write::Put {
@@ -233,13 +241,13 @@
     }
 }
 
-/// A change as a watch gets it.
+/// Converts a change to the form in which a watch gets it.
 fn watched_change(change: &store::Change<Record>) -> Option<Change> {
     let key = Key::parse(&change.path)?;
     Some((key, change.revision, change.value.clone()))
 }
 
-/// A write as the store takes it.
+/// Converts a write to the form of the store double.
 fn stored_write(write: &Write) -> store::Write<Record> {
     match write {
         Write::Put {
--- a/tests/sim/store_conditions.rs
+++ b/tests/sim/store_conditions.rs
@@ -1,11 +1,12 @@
-//! What every transaction must be conditional on, and how its records must be named. Some of these
-//! conditions overlap, so that no run shows by its outcome that one of them is missing.
+//! The preconditions that every transaction must have, and the keys that its records must have.
+//! Some preconditions overlap, so that a missing one doesn't change the outcome of any run.
 
 use salttrestle::controller::store::chunks::ChunkLayout;
 use salttrestle::controller::store::records::{Key, Record};
 use salttrestle::wire::Write;
 
-/// Records that say of themselves that they are parts under the number of a chunk, or the reverse.
+/// Reports placement records with a part size under the number of a chunk, or without one under the
+/// number of a part.
 pub(crate) fn misnamed_parts(writes: &[Write]) -> Vec<String> {
     let misnamed = writes.iter().filter_map(|write| match write {
         Write::Put {
@@ -13,7 +14,7 @@
             record: Record::Placements(run),
             ..
         } if run.part_size.is_some() != ChunkLayout::is_part(*chunk) => Some(format!(
-            "chunk {chunk} of {id} has part {:?}",
+            "placement record under the wrong kind of key: job={id} chunk={chunk} part_size={:?}",
             run.part_size
         )),
         _ => None,
@@ -21,14 +22,14 @@
     misnamed.collect()
 }
 
-/// Writes that a transaction makes without a condition on what they rest on.
-pub(crate) fn unconditional(preconditions: &[(Key, u64)], writes: &[Write]) -> Vec<String> {
+/// Reports the writes of a transaction that lack a required precondition.
+pub(crate) fn unconditional_writes(preconditions: &[(Key, u64)], writes: &[Write]) -> Vec<String> {
     let lacking = writes
         .iter()
         .filter(|write| !is_conditional(preconditions, write));
     let lacking = lacking.map(|write| {
         let (Write::Put { key, .. } | Write::Delete { key }) = write;
-        format!("{key} is written without a condition that it rests on")
+        format!("write lacks a required precondition: key={key}")
     });
     lacking.collect()
 }
--- a/tests/sim/submissions.rs
+++ b/tests/sim/submissions.rs
@@ -1,4 +1,4 @@
-//! What users submit, and what workers learn of it.
+//! The jobs that users submit, and the behaviour of their tasks on workers.
 
 use super::scenario::{Arguments, milliseconds};
 use super::users::Intent;
@@ -9,43 +9,43 @@
 use salttrestle_fakes::worker::{TaskSpec, TaskSpecs};
 use std::collections::{BTreeMap, HashMap};
 
-/// Gigabytes of an image that a worker fetches in a second.
+/// The rate at which a worker fetches an image, in gigabytes per second.
 const FETCH_GB_S: f64 = 5.0;
-/// Seconds between two points at which a task that can save its progress has done so.
+/// The checkpoint interval of a task that can save its progress, in seconds.
 const CHECKPOINT_S: f64 = 10.0;
 
 /// A job as its user knows it.
 #[derive(Clone, Debug)]
 pub(crate) struct JobSpec {
-    /// The submission.
+    /// The encoded submission.
     pub body: Vec<u8>,
-    /// What its tasks do on a worker.
+    /// The behaviour of the job's tasks on a worker.
     pub task: TaskSpec,
     pub dependencies: Vec<JobId>,
-    /// It is submitted only when all its dependencies are over.
-    pub late: bool,
-    /// It is submitted without waiting until its dependencies are accepted.
-    pub hasty: bool,
+    /// Whether the job is submitted only when all its dependencies have ended.
+    pub waits_for_dependency_ends: bool,
+    /// Whether the job is submitted without waiting until its dependencies are accepted.
+    pub skips_dependency_wait: bool,
 }
 
 impl JobSpec {
-    /// The job of a `submit` line.
-    fn of_line(arguments: &Arguments) -> Self {
+    /// The job that a `submit` command describes.
+    fn from_arguments(arguments: &Arguments) -> Self {
         let dependencies = arguments.list("needs").unwrap_or_default();
         Self {
-            body: submission(arguments, &dependencies),
+            body: encode_submission(arguments, &dependencies),
             task: task_spec(arguments),
             dependencies: dependencies
                 .iter()
                 .map(|id| JobId::from(id.as_str()))
                 .collect(),
-            late: arguments.has("late"),
-            hasty: arguments.has("hasty"),
+            waits_for_dependency_ends: arguments.has("late"),
+            skips_dependency_wait: arguments.has("hasty"),
         }
     }
 }
 
-/// The jobs that a run's users have submitted, for their workers.
+/// The submitted jobs of a run, from which workers look up the behaviour of tasks.
 pub(crate) struct SubmittedJobs<'a>(pub &'a HashMap<JobId, JobSpec>);
 
 impl TaskSpecs for SubmittedJobs<'_> {
@@ -58,7 +58,7 @@
     arguments.value("image").unwrap_or("img-1")
 }
 
-/// Seconds that a stopped task takes to save its progress; none if it can't.
+/// The time that a stopped task takes to save its progress, in seconds; 0 if it can't save it.
 fn save_s(arguments: &Arguments) -> f64 {
     arguments.number("save", 0.0)
 }
@@ -82,8 +82,8 @@
     }
 }
 
-/// A submission as it goes onto the wire.
-fn submission(arguments: &Arguments, dependencies: &[String]) -> Vec<u8> {
+/// Encodes a submission for the wire.
+fn encode_submission(arguments: &Arguments, dependencies: &[String]) -> Vec<u8> {
     let save_s = save_s(arguments);
     let body = cbor!({
         "id" => arguments.word(0), "troupe" => arguments.value("class").unwrap_or("c"),
@@ -105,32 +105,35 @@
     wire::encode(&body.expect("a map"))
 }
 
-/// The same submission with some of its fields changed.
-pub(crate) fn edited(body: &[u8], edit: impl FnOnce(&mut BTreeMap<String, Value>)) -> Vec<u8> {
+/// Decodes a submission, edits its fields, and encodes the result.
+pub(crate) fn edit_submission(
+    body: &[u8],
+    edit: impl FnOnce(&mut BTreeMap<String, Value>),
+) -> Vec<u8> {
     let mut fields = wire::decode(body).expect("a submission");
     edit(&mut fields);
     wire::encode(&fields)
 }
 
-/// The same submission with a field missing.
+/// Removes the required field `rank` from a submission.
 pub(crate) fn without_rank(body: &[u8]) -> Vec<u8> {
-    edited(body, |fields| {
+    edit_submission(body, |fields| {
         fields.remove("rank");
     })
 }
 
 impl World {
-    /// A user submits the job of a line.
+    /// Handles `submit`. With `unfit`, the checker expects that the job is refused.
     pub(super) fn submit(&mut self, arguments: &Arguments) {
         let id = arguments.job(0);
-        self.add_spec(&id, JobSpec::of_line(arguments));
+        self.add_spec(&id, JobSpec::from_arguments(arguments));
         if arguments.has("unfit") {
             self.checker.expect_refusal(&id);
         }
-        self.user_request(&id, Intent::Submit);
+        self.send_user_request(&id, Intent::Submit);
     }
 
-    /// The checker and the workers learn of a job that is about to be submitted.
+    /// Registers a job with the checker and the workers before its submission.
     pub(super) fn add_spec(&mut self, id: &JobId, spec: JobSpec) {
         if let Ok((_, record)) = wire::submission(&spec.body) {
             self.checker.submitted(self.now, id, record);
--- a/tests/sim/users.rs
+++ b/tests/sim/users.rs
@@ -1,4 +1,4 @@
-//! Users: submit, ask, cancel, and try again as PROTOCOL says they do.
+//! Simulated users: they submit, poll, cancel and retry as specified by PROTOCOL.
 
 use super::event::Event;
 use super::requests::RequestOrigin;
@@ -10,31 +10,32 @@
 use salttrestle_fakes::checker::JobAnswer;
 use salttrestle_fakes::user::{POLL_MS, POLL_WAIT_MS, WAIT_MS, read_answer, retry_ms};
 
-/// Before a user tries again what can't be asked for yet: a cancellation of a job that isn't
-/// accepted, a submission whose dependencies aren't.
-const CANCEL_AGAIN_MS: u64 = 500;
-const SUBMIT_AGAIN_MS: u64 = 100;
+/// How long a user waits before the next attempt to cancel a job that is not accepted yet.
+const CANCEL_RETRY_MS: u64 = 500;
+/// How long a user waits before the next attempt to submit a job whose dependencies aren't ready.
+const SUBMIT_RETRY_MS: u64 = 100;
 
-/// What a user wants.
+/// The purpose of a user's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Intent {
-    /// That a job is accepted, and then to follow it.
+    /// Submit a job, and poll its status after it is accepted.
     Submit,
-    /// To follow a job until it is over.
+    /// Poll a job's status until the job has ended.
     Poll,
+    /// Cancel a job.
     Cancel,
-    /// One status query that isn't followed by others.
+    /// A single status query.
     Query,
-    /// A submission of a known job once more, as it was.
+    /// Repeat a job's submission unchanged.
     Resubmit,
-    /// The same with a field missing.
+    /// Repeat a job's submission without a required field.
     ResubmitMalformed,
-    /// The load balancer's question whether a controller is healthy.
+    /// The load balancer's health check of a controller.
     Probe,
 }
 
 impl Intent {
-    /// How long the answer is waited for.
+    /// How long a user waits for the answer, in milliseconds.
     fn timeout_ms(self) -> u64 {
         match self {
             Self::Poll | Self::Query => POLL_WAIT_MS,
@@ -44,53 +45,57 @@
 }
 
 impl World {
-    /// A user sends a request to any controller that runs, once it may.
-    pub(super) fn user_request(&mut self, job: &JobId, intent: Intent) {
-        if let Some(delay) = self.too_early(job, intent) {
+    /// Sends a user's request to a random running controller, or retries later if the request is
+    /// premature.
+    pub(super) fn send_user_request(&mut self, job: &JobId, intent: Intent) {
+        if let Some(delay) = self.delay_before_request(job, intent) {
             let job = job.clone();
-            return self.after(delay, Event::UserRequest { job, intent });
+            return self.schedule_after(delay, Event::UserRequest { job, intent });
         }
         // The load balancer passes over controllers that don't answer `/up`.
         let running = (0..self.hosts.len()).filter(|n| self.hosts[*n].controller.is_some());
         let running: Vec<usize> = running.collect();
-        let pick = self.random(running.len() as u64) as usize;
-        // With no controller there, the request times out.
-        let controller = running.get(pick).copied().unwrap_or(0);
-        self.user_request_to(job, intent, controller);
+        let index = self.random_below(running.len() as u64) as usize;
+        // If no controller runs, the request times out.
+        let controller = running.get(index).copied().unwrap_or(0);
+        self.send_user_request_to(job, intent, controller);
     }
 
-    /// After which pause a user tries again what can't be asked for yet.
-    fn too_early(&self, job: &JobId, intent: Intent) -> Option<u64> {
+    /// The delay in milliseconds until a premature request is tried again; `None` if it may be sent
+    /// now.
+    fn delay_before_request(&self, job: &JobId, intent: Intent) -> Option<u64> {
         match intent {
             // Users cancel only jobs that are accepted.
             Intent::Cancel => {
                 let view = self.checker.jobs.get(job);
                 let accepted = view.is_none_or(|view| view.notified.accepted);
-                (!accepted).then_some(CANCEL_AGAIN_MS)
+                (!accepted).then_some(CANCEL_RETRY_MS)
+            }
+            Intent::Submit => {
+                (!self.dependencies_permit_submission(job)).then_some(SUBMIT_RETRY_MS)
             }
-            Intent::Submit => (!self.dependencies_allow(job)).then_some(SUBMIT_AGAIN_MS),
             _ => None,
         }
     }
 
-    /// Whether a job's user submits it by now: each of its dependencies is accepted or, of a job
-    /// that comes late, over.
-    fn dependencies_allow(&self, job: &JobId) -> bool {
+    /// Whether a job's dependencies permit its submission: each must be accepted or, for a job with
+    /// `late`, have ended.
+    fn dependencies_permit_submission(&self, job: &JobId) -> bool {
         let Some(spec) = self.specs.get(job) else {
             return true;
         };
         let ready = |dependency: &JobId| {
             let view = self.checker.jobs.get(dependency);
-            view.is_some_and(|view| match spec.late {
+            view.is_some_and(|view| match spec.waits_for_dependency_ends {
                 true => view.notified.done || view.notified.cancelled_at.is_some(),
                 false => view.notified.accepted,
             })
         };
-        spec.hasty || spec.dependencies.iter().all(ready)
+        spec.skips_dependency_wait || spec.dependencies.iter().all(ready)
     }
 
-    /// A user sends a request to this controller.
-    pub(super) fn user_request_to(&mut self, job: &JobId, intent: Intent, controller: usize) {
+    /// Sends a user's request to a given controller.
+    pub(super) fn send_user_request_to(&mut self, job: &JobId, intent: Intent, controller: usize) {
         let Some(request) = self.request_of(job, intent) else {
             return;
         };
@@ -99,19 +104,22 @@
             intent,
         };
         let id = self.new_request(origin);
-        log::debug!("{} {intent:?} {job} at controller {controller}", self.now);
+        log::debug!(
+            "user sends a request: job={job} intent={intent:?} controller={controller} at_ms={}",
+            self.now
+        );
         if intent == Intent::Cancel {
             let now = self.now;
             self.checker.cancel_asked(now, job);
             self.observed.pending_cancellations.insert(id.0, now);
         }
-        self.after(intent.timeout_ms(), Event::UserTimeout(id.0));
+        self.schedule_after(intent.timeout_ms(), Event::UserTimeout(id.0));
         if self.hosts[controller].controller.is_some() {
             self.send_input(controller, 1, Input::Request(id, request));
         }
     }
 
-    /// A request as it goes onto the wire; `None` for a submission of a job that isn't known.
+    /// The request for an intent; `None` for a submission of an unknown job.
     fn request_of(&self, job: &JobId, intent: Intent) -> Option<Request> {
         let body = || Some(&self.specs.get(job)?.body);
         Some(match intent {
@@ -123,11 +131,13 @@
         })
     }
 
-    /// A user got an answer, or stopped waiting for one.
-    pub(super) fn user_answered(&mut self, job: JobId, intent: Intent, reply: Option<Reply>) {
+    /// Handles an answer, or a timeout if `reply` is `None`.
+    pub(super) fn handle_user_answer(&mut self, job: JobId, intent: Intent, reply: Option<Reply>) {
         let now = self.now;
         let status = reply.as_ref().map_or(0, |reply| reply.status);
-        log::debug!("{now} {intent:?} {job}: {status}");
+        log::debug!(
+            "user request answered or timed out: job={job} intent={intent:?} status={status} at_ms={now}"
+        );
         self.statuses.insert((job.clone(), status));
         if let Some(reply) = &reply {
             self.check_retry_after(reply);
@@ -137,25 +147,26 @@
             .and_then(|reply| read_answer(reply.status, &reply.body));
         if let Some(answer) = answer {
             let changed = self.checker.said(now, &job, answer);
-            self.answered.insert(job.clone(), now);
+            self.last_answered_at.insert(job.clone(), now);
             if changed {
                 self.query_after_change(&job, answer);
             }
         }
         let retry_after = reply.and_then(|reply| reply.retry_after);
-        self.user_goes_on(job, intent, answer, retry_after);
+        self.schedule_next_user_request(job, intent, answer, retry_after);
     }
 
-    /// An answer that asks for a retry must say when.
+    /// Reports an answer 429 or 503 without `Retry-After`.
     fn check_retry_after(&mut self, reply: &Reply) {
         if matches!(reply.status, 429 | 503) && reply.retry_after.is_none() {
-            let what = format!("{} without Retry-After", reply.status);
-            self.checker.broken.push(what);
+            let violation = format!("answer lacks Retry-After: status={}", reply.status);
+            self.checker.broken.push(violation);
         }
     }
 
-    /// What a user does next: asks how a job goes until it is over, and repeats what wasn't done.
-    fn user_goes_on(
+    /// Schedules a user's next request: polls until the job has ended, and retries a submission or
+    /// cancellation that got no final answer.
+    fn schedule_next_user_request(
         &mut self,
         job: JobId,
         intent: Intent,
@@ -167,18 +178,18 @@
             Some(JobAnswer::Done | JobAnswer::Cancelled | JobAnswer::Refused)
         );
         match intent {
-            Intent::Submit if answer.is_some() && !over => self.poll_later(job),
-            Intent::Poll if !over => self.poll_later(job),
+            Intent::Submit if answer.is_some() && !over => self.schedule_poll(job),
+            Intent::Poll if !over => self.schedule_poll(job),
             Intent::Submit | Intent::Cancel if answer.is_none() => {
                 let delay = retry_ms(retry_after.map(u64::from));
-                self.after(delay, Event::UserRequest { job, intent });
+                self.schedule_after(delay, Event::UserRequest { job, intent });
             }
             _ => {}
         }
     }
 
-    fn poll_later(&mut self, job: JobId) {
+    fn schedule_poll(&mut self, job: JobId) {
         let intent = Intent::Poll;
-        self.after(POLL_MS, Event::UserRequest { job, intent });
+        self.schedule_after(POLL_MS, Event::UserRequest { job, intent });
     }
 }
--- a/tests/sim/workers.rs
+++ b/tests/sim/workers.rs
@@ -1,5 +1,5 @@
-//! Workers in simulated time: what their heartbeats and answers meet on the way, and what the
-//! checker sees of their tasks.
+//! Workers in simulated time: delivery of their heartbeats and answers under faults, and the
+//! reports of their tasks to the checker.
 
 use super::event::Event;
 use super::requests::RequestOrigin;
@@ -10,12 +10,12 @@
 use salttrestle_fakes::checker::Place;
 use salttrestle_fakes::worker::{ANSWER_MS, TaskEvent, Worker};
 
-/// Between two moments at which a worker does what is due.
+/// The interval between two steps of a worker.
 const TICK_MS: u64 = 100;
 const ENDPOINT: &str = "10.1.0.1:9000";
 
 impl World {
-    /// A machine has come up, and its worker begins.
+    /// Starts the worker of a machine that has booted, unless the machine is gone.
     pub(super) fn start_worker(&mut self, machine: &str) {
         let rented = self.cloud.rigs.get(machine);
         let Some(rented) = rented.filter(|rented| rented.gone.is_none()) else {
@@ -25,10 +25,10 @@
         let (class, zone) = (&rented.class, &rented.zone);
         let worker = Worker::new(self.now, class, zone, rented.spot, controller);
         self.workers.insert(machine.into(), worker);
-        self.after(1, Event::WorkerTick(machine.into()));
+        self.schedule_after(1, Event::WorkerTick(machine.into()));
     }
 
-    /// A machine is gone, with all that runs on it.
+    /// Removes a machine's worker and all its tasks.
     pub(super) fn end_worker(&mut self, machine: &str) {
         if let Some(worker) = self.workers.remove(machine) {
             for task in worker.tasks.keys() {
@@ -37,7 +37,8 @@
         }
     }
 
-    /// A worker does what is due.
+    /// Runs a step of a worker: preemption, lease expiry, tasks and heartbeat. A paused worker only
+    /// checks for preemption and lease expiry.
     pub(super) fn worker_tick(&mut self, machine: &str) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(machine) else {
@@ -52,18 +53,18 @@
             true => Vec::new(),
             false => worker.run_tasks(now, &SubmittedJobs(&self.specs)),
         };
-        self.after(TICK_MS, Event::WorkerTick(machine.into()));
-        self.killed += killed.len();
+        self.schedule_after(TICK_MS, Event::WorkerTick(machine.into()));
+        self.lease_expiry_kills += killed.len();
         for task in killed {
             self.checker.stops(&task, machine);
         }
-        self.note_tasks(machine, events);
+        self.record_task_events(machine, events);
         if !hung {
             self.send_heartbeat(machine);
         }
     }
 
-    /// The cloud takes a spot machine back.
+    /// Ends a spot machine that the cloud preempts.
     fn preempt_machine(&mut self, machine: &str) {
         self.end_worker(machine);
         let now = self.now;
@@ -72,8 +73,8 @@
         }
     }
 
-    /// The checker and the judge of orders learn what happened to a worker's tasks.
-    fn note_tasks(&mut self, machine: &str, events: Vec<TaskEvent>) {
+    /// Reports the events of a worker's tasks to the checker and to the checker of orders.
+    fn record_task_events(&mut self, machine: &str, events: Vec<TaskEvent>) {
         let now = self.now;
         for event in events {
             match event {
@@ -111,11 +112,11 @@
         }
     }
 
-    /// A worker sends a heartbeat if one is due.
+    /// Sends a heartbeat if one is due.
     fn send_heartbeat(&mut self, machine: &str) {
         let now = self.now;
         let interval = self.heartbeat_ms;
-        let jitter = self.random(interval / 2);
+        let jitter = self.random_below(interval / 2);
         let controllers = self.hosts.len();
         let Some(worker) = self.workers.get_mut(machine) else {
             return;
@@ -139,8 +140,13 @@
         }
     }
 
-    /// An answer to a heartbeat has come to its worker's machine.
-    pub(super) fn heartbeat_answered(&mut self, machine: &str, request: u64, reply: Option<Reply>) {
+    /// Handles an answer to a heartbeat. An answer that is lost or late is dropped.
+    pub(super) fn handle_heartbeat_answer(
+        &mut self,
+        machine: &str,
+        request: u64,
+        reply: Option<Reply>,
+    ) {
         let now = self.now;
         let controllers = self.hosts.len();
         let Some(worker) = self.workers.get_mut(machine) else {
@@ -154,7 +160,7 @@
             return;
         }
         if worker.paused_until > now {
-            // It reads the answer when it goes on.
+            // A paused worker reads the answer when it resumes.
             let at = worker.paused_until;
             let machine = machine.into();
             let again = Event::HeartbeatAnswer {
@@ -162,7 +168,7 @@
                 request,
                 reply,
             };
-            return self.at(at, again);
+            return self.schedule_at(at, again);
         }
         let Some(reply) = reply else {
             return worker.unanswered(now, controllers);
@@ -170,7 +176,7 @@
         let answer = (reply.status, reply.body.as_slice());
         let jobs = SubmittedJobs(&self.specs);
         match worker.answered(now, sent, answer, &self.controller_ids, &jobs) {
-            Ok(events) => self.note_tasks(machine, events),
+            Ok(events) => self.record_task_events(machine, events),
             Err(defect) => self.checker.broken.push(defect),
         }
     }
--- a/tests/sim/world.rs
+++ b/tests/sim/world.rs
@@ -1,4 +1,4 @@
-//! A run in simulated time: a queue of events, and all that they change.
+//! A run in simulated time: the event queue and the state that events change.
 
 use super::controllers::ControllerHost;
 use super::digest::OutputDigest;
@@ -21,22 +21,22 @@
 use salttrestle_fakes::worker::Worker;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// An event's place in the queue: by its moment, then in the order in which events were scheduled.
+/// The queue position of an event: by time, then in the order in which events were scheduled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Due {
     at: u64,
     sequence: u64,
 }
 
-/// A run. Moments and spans are in milliseconds.
+/// A run of a scenario. Times and durations are in milliseconds.
 pub(crate) struct World {
     pub now: u64,
     pub(super) queue: BTreeMap<Due, Event>,
-    /// Counts events and partitions.
+    /// The last sequence number given to an event or a partition.
     pub(super) sequence: u64,
     pub(super) rng: StdRng,
 
-    /// The controllers, each in a zone, in turn.
+    /// The controller hosts, assigned to zones in round-robin order.
     pub hosts: Vec<ControllerHost>,
     pub(super) controller_ids: Vec<String>,
     pub(super) zones: Vec<String>,
@@ -44,56 +44,56 @@
     pub(super) tuning: String,
 
     pub store: StoreService,
-    /// Limits that the store will have.
+    /// The limits that the store will have after `limits-fall`.
     pub(super) next_limits: Option<NextStateLimits>,
     pub cloud: Cloud,
     pub workers: BTreeMap<String, Worker>,
     pub(super) specs: HashMap<JobId, JobSpec>,
-    /// Who waits for the answers to which requests.
-    pub(super) origins: HashMap<u64, RequestOrigin>,
+    /// The sender of each unanswered request, by request id.
+    pub(super) request_origins: HashMap<u64, RequestOrigin>,
     pub(super) last_request: u64,
 
     pub(super) partitions: Vec<Partition>,
-    pub(super) held: Vec<HeldMessage>,
-    /// Controllers refuse each other's connections until then.
+    pub(super) held_messages: Vec<HeldMessage>,
+    /// Until this time, controllers refuse each other's connections.
     pub(super) peers_refuse_until: u64,
-    /// Connections between controllers that were refused last.
+    /// Connections between controllers whose last attempt was refused.
     pub(super) refused_links: BTreeSet<PeerConnection>,
-    /// For which share of its time the leader's processor is busy.
-    pub(super) busy: ActiveFault,
+    /// The utilization of the leader's processor that is reported while a `busy` command is active.
+    pub(super) leader_utilization: ActiveFault,
     pub(super) heartbeat_copies: Option<HeartbeatCopies>,
-    /// The answers to the next so many transactions are lost.
-    pub(super) lose_answers: u32,
+    /// The answers to this many further committed transactions are lost.
+    pub(super) answers_to_lose: u32,
     pub(super) throttle: Throttle,
     pub(super) faults: ActiveFaults,
-    /// When the last fault of the script is over.
-    pub(super) calm_at: u64,
+    /// When the last fault of the script ends.
+    pub(super) faults_end_at: u64,
 
     pub(super) script: Vec<Line>,
-    pub(super) end: u64,
+    pub(super) end_at: u64,
     pub(super) lease_ms: u64,
     pub(super) heartbeat_ms: u64,
 
     pub checker: Checker,
     pub(super) limit_changes: LimitChanges,
     pub observed: Observed,
-    /// The statuses that requests about jobs were answered with; 0 for none.
+    /// The statuses of answers to requests about jobs; 0 for no answer.
     pub statuses: BTreeSet<(JobId, u16)>,
-    /// When a question about a job was last answered.
-    pub(super) answered: BTreeMap<JobId, u64>,
+    /// When a request about a job was last answered.
+    pub(super) last_answered_at: BTreeMap<JobId, u64>,
     /// The tokens under which shards were owned.
-    pub tokens: BTreeSet<u64>,
+    pub owner_tokens: BTreeSet<u64>,
     /// Tasks killed because a lease expired.
-    pub killed: usize,
+    pub lease_expiry_kills: usize,
     /// Tasks that were on machines when these were deleted.
-    pub deleted_tasks: usize,
-    /// Over all that the controllers send.
+    pub tasks_on_deleted_machines: usize,
+    /// The digest of all outputs of the controllers.
     pub digest: OutputDigest,
 }
 
 impl World {
-    /// Schedules an event for a moment.
-    pub(super) fn at(&mut self, at: u64, event: Event) {
+    /// Schedules an event at a time, or now if that time has passed.
+    pub(super) fn schedule_at(&mut self, at: u64, event: Event) {
         self.sequence += 1;
         let due = Due {
             at: at.max(self.now),
@@ -102,13 +102,13 @@
         self.queue.insert(due, event);
     }
 
-    /// Schedules an event for a while from now.
-    pub(super) fn after(&mut self, delay: u64, event: Event) {
-        self.at(self.now + delay, event);
+    /// Schedules an event after a delay.
+    pub(super) fn schedule_after(&mut self, delay: u64, event: Event) {
+        self.schedule_at(self.now + delay, event);
     }
 
-    /// Draws a number below a bound; 0 if that is 0.
-    pub(super) fn random(&mut self, below: u64) -> u64 {
+    /// Draws a random number below a bound; 0 if the bound is 0.
+    pub(super) fn random_below(&mut self, below: u64) -> u64 {
         if below == 0 {
             0
         } else {
@@ -116,20 +116,20 @@
         }
     }
 
-    /// Plays to the end, and gathers all violations in the checker.
+    /// Runs to the end and collects all violations in the checker.
     pub(crate) fn run(&mut self) {
         while let Some((due, event)) = self.queue.pop_first() {
-            if due.at > self.end {
+            if due.at > self.end_at {
                 break;
             }
             self.now = due.at;
-            log::trace!("{}", due.at);
+            log::trace!("event: at_ms={}", due.at);
             self.handle(event);
         }
         let now = self.now;
         self.checker.check_end(now);
         let orders = &mut self.store.orders;
-        let violations = std::mem::take(&mut self.store.defects).into_iter();
+        let violations = std::mem::take(&mut self.store.violations).into_iter();
         let violations = violations.chain(std::mem::take(&mut orders.duties.broken));
         let violations = violations.chain(std::mem::take(&mut orders.broken));
         self.checker.broken.extend(violations);
