--- a/tests/property/mod.rs
+++ b/tests/property/mod.rs
@@ -29,8 +29,8 @@
     /// Draws as many randomly seeded cases as the environment variable says, or the fixed cases if
     /// the variable is not set.
     fn from_variable_or_fixed(variable: &str, cases: u32) -> Self {
-        let cases_wanted = std::env::var(variable).ok();
-        match cases_wanted.and_then(|text| text.parse().ok()) {
+        let requested_cases = std::env::var(variable).ok();
+        match requested_cases.and_then(|text| text.parse().ok()) {
             Some(cases) => Self::randomly_seeded(cases),
             None => Self::fixed(cases),
         }
--- a/tests/scenario_runs/expectations.rs
+++ b/tests/scenario_runs/expectations.rs
@@ -46,8 +46,8 @@
     /// Checks the run against the line. A number of an `…-at-most` line is an upper bound; a number
     /// of any other count is a lower bound.
     pub(crate) fn check(&self) -> Result<(), ExpectationError> {
-        if let Some(most) = self.upper_bounded_count() {
-            return self.expect_count(most, |most, limit| most <= limit);
+        if let Some(count) = self.upper_bounded_count() {
+            return self.expect_count(count, |count, bound| count <= bound);
         }
         match self.holds()? {
             Some(true) => Ok(()),
@@ -158,7 +158,7 @@
         };
         let unknown = || ExpectationError::Unknown(self.kind().into());
         let count = count.ok_or_else(unknown)?;
-        self.expect_count(count, |count, limit| count >= limit)
+        self.expect_count(count, |count, bound| count >= bound)
     }
 
     /// The number of initial machines that still exist.
@@ -172,9 +172,9 @@
     fn expect_count(
         &self,
         count: usize,
-        good: impl Fn(usize, usize) -> bool,
+        is_within: impl Fn(usize, usize) -> bool,
     ) -> Result<(), ExpectationError> {
-        match good(count, self.line.parsed(1)) {
+        match is_within(count, self.line.parsed(1)) {
             true => Ok(()),
             false => Err(ExpectationError::Count {
                 line: self.text(),
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -15,7 +15,7 @@
     trials.extend(checker_rules::trials());
     trials.extend(random_faults::trials());
     trials.push(Trial::test(
-        "work follows what changes",
+        "placement work hardly grows with the fleet",
         work_per_change::machines_scanned_hardly_grow_with_fleet,
     ));
     libtest_mimic::run(&arguments, trials).exit();
--- a/tests/sim/cancellations.rs
+++ b/tests/sim/cancellations.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 
 /// The largest number of machines that one `cancel-now` command pauses.
-const HUNG_MACHINES_MAX: usize = 8;
+const PAUSED_MACHINES_MAX: usize = 8;
 
 impl World {
     /// While `close-looks` is active, sends status queries and a repeated submission to every
@@ -32,9 +32,9 @@
                 self.schedule_at(at, request);
             }
         }
-        let service = self.specs[job].task.service;
+        let is_service = self.specs[job].task.service;
         if answer == JobAnswer::Queued
-            && !service
+            && !is_service
             && self.is_hit_by_fault(|faults| faults.cancel_at_acceptance)
         {
             self.send_user_request(job, Intent::Cancel);
@@ -44,25 +44,25 @@
     /// Cancels some jobs at the moment at which their last task ends. Called after each task ends.
     pub(super) fn cancel_at_completion(&mut self, id: &JobId) {
         let job = &self.checker.jobs[id];
-        let complete = job.finished.len() as u32 == job.record.count;
-        if complete && self.is_hit_by_fault(|faults| faults.cancel_at_completion) {
+        let is_complete = job.finished.len() as u32 == job.record.count;
+        if is_complete && self.is_hit_by_fault(|faults| faults.cancel_at_completion) {
             self.observed.cancelled_at_completion += 1;
             self.send_user_request(id, Intent::Cancel);
         }
     }
 
     /// Handles `cancel-now`: cancels random running jobs within 200 ms. With `hang=`, also pauses
-    /// a machine of each of the first [`HUNG_MACHINES_MAX`] jobs.
+    /// a machine of each of the first [`PAUSED_MACHINES_MAX`] jobs.
     pub(super) fn cancel_running(&mut self, arguments: &Arguments) {
         let count = arguments.number("count", 5.0) as usize;
         let hang_ms = arguments.span_ms("hang", 0.0);
-        let hangs = arguments.number("hang", 0.0) > 0.0;
+        let has_hang = arguments.number("hang", 0.0) > 0.0;
         let mut running = self.running_jobs(arguments.value("of").unwrap_or(""));
         for nth in 0..count.min(running.len()) {
             let index = self.random_below(running.len() as u64) as usize;
             let job = running.swap_remove(index);
-            if hangs && nth < HUNG_MACHINES_MAX {
-                self.hang_machine_of(&job, hang_ms);
+            if has_hang && nth < PAUSED_MACHINES_MAX {
+                self.pause_machine_of(&job, hang_ms);
             }
             let at = self.now + self.random_below(200);
             let intent = Intent::Cancel;
@@ -75,13 +75,13 @@
     fn running_jobs(&self, prefix: &str) -> Vec<JobId> {
         let running = self.checker.running.keys().map(|task| task.job.clone());
         let running: BTreeSet<JobId> = running.collect();
-        let wanted = |id: &JobId| {
+        let is_cancellable = |id: &JobId| {
             id.as_str().starts_with(prefix) && self.checker.jobs[id].cancel_asked.is_none()
         };
-        running.into_iter().filter(wanted).collect()
+        running.into_iter().filter(is_cancellable).collect()
     }
 
-    fn hang_machine_of(&mut self, job: &JobId, hang_ms: u64) {
+    fn pause_machine_of(&mut self, job: &JobId, hang_ms: u64) {
         let mut running = self.checker.running.iter();
         let places = running.find(|(task, _)| task.job == *job);
         let machine = places.map(|(_, places)| places[0].machine.clone());
--- a/tests/sim/checks.rs
+++ b/tests/sim/checks.rs
@@ -29,18 +29,18 @@
             .hosts
             .iter()
             .filter_map(|host| host.controller.as_ref());
-        let defects = controllers.filter_map(|controller| controller.audit().err());
+        let errors = controllers.filter_map(|controller| controller.audit().err());
         self.checker
             .broken
-            .extend(defects.map(|defect| defect.to_string()));
+            .extend(errors.map(|error| error.to_string()));
     }
 
     fn record_waiting_for_dependencies(&mut self) {
         let queues = self.hosts.iter();
         let queues = queues.filter_map(|host| host.controller.as_ref()?.queue());
         let waiting = queues.map(|queue| queue.waiting_for_dependencies).max();
-        let most = &mut self.observed.waiting_for_dependencies;
-        *most = waiting.unwrap_or(0).max(*most);
+        let maximum = &mut self.observed.waiting_for_dependencies;
+        *maximum = waiting.unwrap_or(0).max(*maximum);
     }
 
     fn check_answers(&mut self) {
@@ -50,7 +50,7 @@
     }
 
     /// Passes to the checker the jobs of which no task runs although a suitable machine has room
-    /// for one. Starts only when the script's faults are over.
+    /// for one. Does nothing until the script's faults are over.
     fn check_waiting(&mut self) {
         if self.now < self.faults_end_at {
             return;
@@ -67,13 +67,13 @@
                 && has_tasks_left
                 && self.checker.within_limit(&job.record)
         });
-        let with_room = jobs.filter(|(id, job)| {
-            let crash_loops = self.specs[*id].task.broken;
-            !crash_loops && self.has_room(&job.record)
+        let jobs_with_room = jobs.filter(|(id, job)| {
+            let is_crash_looping = self.specs[*id].task.broken;
+            !is_crash_looping && self.has_room(&job.record)
         });
-        let with_room = with_room.map(|(id, _)| id.clone()).collect();
+        let jobs_with_room = jobs_with_room.map(|(id, _)| id.clone()).collect();
         let now = self.now;
-        self.checker.check_waiting(now, &with_room);
+        self.checker.check_waiting(now, &jobs_with_room);
     }
 
     fn has_room(&self, record: &JobRecord) -> bool {
--- a/tests/sim/controllers.rs
+++ b/tests/sim/controllers.rs
@@ -92,8 +92,8 @@
         platform["listen"] = format!("10.0.0.{}:8080", controller + 1).into();
         platform["peer_listen"] = format!("10.0.0.{}:8081", controller + 1).into();
         platform["siblings"] = peers.collect::<Vec<_>>().into();
-        let announced = self.hosts[controller].announces_limits;
-        if let Some(next) = self.next_limits.filter(|_| announced) {
+        let is_announced = self.hosts[controller].announces_limits;
+        if let Some(next) = self.next_limits.filter(|_| is_announced) {
             platform["facts"]["state"]["next"] = serde_json::json!({"write_rps": next.write_rps,
                 "value_kb": next.value_kb, "txn_ops": next.txn_ops});
         }
@@ -143,8 +143,8 @@
     /// wake-up would schedule its own endless chain of further wake-ups.
     pub(super) fn handle_wake(&mut self, process: Process) {
         let host = &mut self.hosts[process.controller];
-        let due = host.next_wake_at.is_some_and(|at| at <= self.now);
-        if host.incarnation == process.incarnation && due {
+        let is_due = host.next_wake_at.is_some_and(|at| at <= self.now);
+        if host.incarnation == process.incarnation && is_due {
             host.next_wake_at = None;
             self.handle_input(process.controller, Input::Tick);
         }
@@ -161,12 +161,12 @@
         }
         let process = self.current_process(controller);
         let host = &mut self.hosts[controller];
-        let local = host.local_time(self.now);
+        let local_ms = host.local_time(self.now);
         let Some(state) = &mut host.controller else {
             return;
         };
-        let outputs = state.step(Time(local), input);
-        let wake_ms = state.wake_at().0.saturating_sub(local).max(1);
+        let outputs = state.step(Time(local_ms), input);
+        let wake_ms = state.wake_at().0.saturating_sub(local_ms).max(1);
         let is_new_owner = state
             .highest_shard_token()
             .is_some_and(|token| self.owner_tokens.insert(token.0));
@@ -192,11 +192,11 @@
 
     fn end_after_shutdown(&mut self, controller: usize) {
         let host = &mut self.hosts[controller];
-        let complete = host
+        let is_complete = host
             .controller
             .as_ref()
             .is_some_and(Controller::shutdown_complete);
-        if complete && let Some(down_ms) = host.restart_delay_ms.take() {
+        if is_complete && let Some(down_ms) = host.restart_delay_ms.take() {
             self.kill_controller(controller, down_ms);
         }
     }
--- a/tests/sim/load.rs
+++ b/tests/sim/load.rs
@@ -37,16 +37,16 @@
 }
 
 impl Stage {
-    /// The `submit` command of the job. `late` delays the submission until the dependencies have
+    /// The `submit` command of the job. `is_late` delays the submission until the dependencies have
     /// ended.
-    fn submission(&self, arguments: &Arguments, late: bool) -> Line {
+    fn submission(&self, arguments: &Arguments, is_late: bool) -> Line {
         let mut words = vec![self.name.clone()];
         words.extend_from_slice(&arguments.words()[1..]);
         words.push(format!("rank={}", self.priority_class));
         if !self.dependencies.is_empty() {
             words.push(format!("needs={}", self.dependencies.join(",")));
         }
-        if late {
+        if is_late {
             words.push(String::from("late"));
         }
         Line::new("submit", words)
@@ -84,9 +84,9 @@
             words.extend_from_slice(&arguments.words()[1..]);
             self.schedule_at(at, Event::Line(Line::new("submit", words)));
             if self.occurs_with_probability(arguments.number("cancelled", 0.0)) {
-                let later = at + 500 + self.random_below(arguments.span_ms("run", 20.0));
+                let cancel_at = at + 500 + self.random_below(arguments.span_ms("run", 20.0));
                 let intent = Intent::Cancel;
-                self.schedule_at(later, Event::UserRequest { job, intent });
+                self.schedule_at(cancel_at, Event::UserRequest { job, intent });
             }
         }
     }
@@ -99,19 +99,19 @@
         for nth in 0..pipelines.count {
             let at = pipelines.due_at(nth);
             let stages = pipeline(arguments.word(0), nth);
-            let late = self.occurs_with_probability(arguments.number("late", 0.0));
+            let is_late = self.occurs_with_probability(arguments.number("late", 0.0));
             for (index, stage) in stages.iter().enumerate() {
-                let last = index + 1 == stages.len();
-                let line = stage.submission(arguments, late && last);
+                let is_last = index + 1 == stages.len();
+                let line = stage.submission(arguments, is_late && is_last);
                 self.schedule_at(at, Event::Line(line));
             }
             if self.occurs_with_probability(arguments.number("cancelled", 0.0)) {
                 let stage = &stages[self.random_below(stages.len() as u64) as usize];
                 let run_s = arguments.number("run", 20.0);
-                let later = at + 500 + self.random_below(milliseconds(4.0 * run_s));
+                let cancel_at = at + 500 + self.random_below(milliseconds(4.0 * run_s));
                 let job = JobId::from(stage.name.as_str());
                 let intent = Intent::Cancel;
-                self.schedule_at(later, Event::UserRequest { job, intent });
+                self.schedule_at(cancel_at, Event::UserRequest { job, intent });
             }
         }
     }
--- a/tests/sim/observed.rs
+++ b/tests/sim/observed.rs
@@ -99,7 +99,7 @@
     fn count_jobs(&self, name: &str, arguments: &Arguments) -> Option<usize> {
         let window = Window::parse(arguments);
         // The longest duration that is counted.
-        let at_most = |default_s: f64| arguments.span_ms("in", default_s);
+        let duration_bound_ms = |default_s: f64| arguments.span_ms("in", default_s);
         let any_time_s = 1e6;
         let of_class = |job: &&JobView| {
             let class = arguments.value("class");
@@ -113,7 +113,8 @@
             "prompt" => {
                 let cancelled =
                     jobs.filter_map(|job| Some((job.cancel_asked?, job.notified.cancelled_at?)));
-                let prompt = cancelled.filter(|(asked, told)| told - asked <= at_most(3.0));
+                let prompt =
+                    cancelled.filter(|(asked, told)| told - asked <= duration_bound_ms(3.0));
                 window.count(prompt.map(|(asked, _)| asked))
             }
             // Jobs cancelled because a dependency was, counted when their users learned of it.
@@ -121,18 +122,23 @@
             // Jobs that started within `in=` seconds after their last dependency was done.
             "released" => {
                 let releases = self.checker.releases();
-                let soon = releases.filter(|release| release.took_ms <= at_most(any_time_s));
+                let soon =
+                    releases.filter(|release| release.took_ms <= duration_bound_ms(any_time_s));
                 window.count(soon.map(|release| release.at))
             }
             "ended" => window.count(jobs.filter_map(|job| job.done_notified_at)),
             // Jobs whose first task was on a machine within `in=` seconds after the submission.
             "begun" => {
                 let begun = jobs.filter_map(|job| Some(job.first_start? - job.submitted_at));
-                begun.filter(|took| *took <= at_most(any_time_s)).count()
+                begun
+                    .filter(|took| *took <= duration_bound_ms(any_time_s))
+                    .count()
             }
             "accepted" => {
                 let accepted = jobs.filter_map(|job| Some(job.accepted_at? - job.submitted_at));
-                accepted.filter(|took| *took <= at_most(any_time_s)).count()
+                accepted
+                    .filter(|took| *took <= duration_bound_ms(any_time_s))
+                    .count()
             }
             _ => return None,
         })
@@ -163,14 +169,14 @@
         intent: Intent,
         reply: Option<&Reply>,
     ) {
-        let asked = self.observed.pending_cancellations.remove(&request);
-        let refused = reply.is_some_and(|reply| reply.status == 503);
-        if let (Intent::Cancel, true, Some(asked)) = (intent, refused, asked) {
+        let asked_at = self.observed.pending_cancellations.remove(&request);
+        let is_refused = reply.is_some_and(|reply| reply.status == 503);
+        if let (Intent::Cancel, true, Some(asked_at)) = (intent, is_refused, asked_at) {
             self.observed
                 .refused_cancellations
                 .push(RefusedCancellation {
                     job: job.clone(),
-                    waited_ms: self.now - asked,
+                    waited_ms: self.now - asked_at,
                 });
         }
     }
--- a/tests/sim/outputs.rs
+++ b/tests/sim/outputs.rs
@@ -52,8 +52,8 @@
         };
         let input = Input::Store(call, StoreResponse::NoResponse);
         self.schedule_after(timeout_ms, Event::Input { process, input });
-        let transaction = matches!(request, StoreRequest::Transaction { .. });
-        if transaction && self.is_hit_by_fault(|faults| faults.late_transactions) {
+        let is_transaction = matches!(request, StoreRequest::Transaction { .. });
+        if is_transaction && self.is_hit_by_fault(|faults| faults.late_transactions) {
             let delay = 2000 + self.random_below(10_000);
             return self.schedule_after(delay, Event::LateTransaction(request));
         }
@@ -81,8 +81,8 @@
     /// Sends a message to one peer, or to all peers if `to` is `None`.
     fn send_to_peers(&mut self, from: usize, to: Option<ControllerId>, message: &Message) {
         for peer in (0..self.hosts.len()).filter(|peer| *peer != from) {
-            let named = |to: &ControllerId| to.as_str() == self.controller_ids[peer];
-            if to.as_ref().is_none_or(named) {
+            let is_addressed = |to: &ControllerId| to.as_str() == self.controller_ids[peer];
+            if to.as_ref().is_none_or(is_addressed) {
                 self.send_to_peer(from, peer, message);
             }
         }
@@ -90,8 +90,8 @@
 
     fn send_to_peer(&mut self, from: usize, to: usize, message: &Message) {
         let connection = PeerConnection { from, to };
-        let ended = self.hosts[to].controller.is_none();
-        if ended || self.now < self.peers_refuse_until {
+        let is_down = self.hosts[to].controller.is_none();
+        if is_down || self.now < self.peers_refuse_until {
             self.refused_links.insert(connection);
             return self.report_link_event(from, to, LinkEvent::Refused);
         }
--- a/tests/sim/script.rs
+++ b/tests/sim/script.rs
@@ -110,7 +110,7 @@
     fn store_command(&mut self, keyword: &str, arguments: &Arguments) -> bool {
         let now = self.now;
         match keyword {
-            "outage" if arguments.word(0) == "state" => self.store.outage = true,
+            "outage" if arguments.word(0) == "state" => self.store.has_outage = true,
             "restore" if arguments.word(0) == "state" => {
                 self.store.end_outage(now);
                 self.answer_watches();
--- a/tests/sim/services.rs
+++ b/tests/sim/services.rs
@@ -11,11 +11,11 @@
 use salttrestle::wire::{CloudRequest, StoreRequest, StoreResponse};
 
 /// How long the store holds a watch without changes.
-const WATCH_MS: u64 = 10_000;
+const WATCH_HOLD_MS: u64 = 10_000;
 /// The shortest delay of a store answer.
 const STORE_DELAY_MS: u64 = 2;
 /// The bound of the random extra delay of an answer while the store is slow.
-const SLOW_STORE_MS: u64 = 400;
+const SLOW_STORE_EXTRA_MS: u64 = 400;
 /// The interval at which the store expires leases.
 const EXPIRY_INTERVAL_MS: u64 = 100;
 
@@ -52,18 +52,18 @@
         request: StoreRequest,
     ) {
         let now = self.now;
-        let refused = self.hosts[process.controller].is_refused_by_store(now)
+        let is_refused = self.hosts[process.controller].is_refused_by_store(now)
             || self.throttle.count_and_refuse(now);
         match request {
             StoreRequest::Watch { after } => {
                 // A refused watch is held without an answer, as in an outage.
-                let news = (!refused).then(|| self.store.execute(now, &request));
+                let news = (!is_refused).then(|| self.store.execute(now, &request));
                 match news.flatten() {
                     Some(response) => self.answer_from_store(process, call, response),
                     None => self.add_pending_watch(process, call, after),
                 }
             }
-            _ if refused => self.answer_from_store(process, call, StoreResponse::Refused),
+            _ if is_refused => self.answer_from_store(process, call, StoreResponse::Refused),
             _ => self.answer_store_request(process, call, &request),
         }
         self.record_leader();
@@ -74,10 +74,10 @@
         let Some(response) = self.store.execute(self.now, request) else {
             return;
         };
-        let committed = matches!(request, StoreRequest::Transaction { .. })
+        let is_committed = matches!(request, StoreRequest::Transaction { .. })
             && matches!(response, StoreResponse::Committed { .. });
-        let counted = committed && self.answers_to_lose > 0;
-        if counted || committed && self.is_hit_by_fault(|faults| faults.lost_answers) {
+        let is_counted = is_committed && self.answers_to_lose > 0;
+        if is_counted || is_committed && self.is_hit_by_fault(|faults| faults.lost_answers) {
             self.answers_to_lose = self.answers_to_lose.saturating_sub(1);
             self.observed.lost_answers += 1;
             return;
@@ -86,8 +86,9 @@
     }
 
     fn answer_from_store(&mut self, process: Process, call: CallId, response: StoreResponse) {
-        let slow = self.is_hit_by_fault(|faults| faults.slow_store);
-        let delay = STORE_DELAY_MS + self.random_below(if slow { SLOW_STORE_MS } else { 0 });
+        let is_slow = self.is_hit_by_fault(|faults| faults.slow_store);
+        let delay =
+            STORE_DELAY_MS + self.random_below(if is_slow { SLOW_STORE_EXTRA_MS } else { 0 });
         self.send_response(process, call, delay, response);
     }
 
@@ -108,21 +109,21 @@
             process,
             call,
             after,
-            until: self.now + WATCH_MS,
+            until: self.now + WATCH_HOLD_MS,
         };
         self.store.watches.push(watch);
-        self.schedule_after(WATCH_MS, Event::WatchTimeout { process, call });
+        self.schedule_after(WATCH_HOLD_MS, Event::WatchTimeout { process, call });
     }
 
     /// Answers the pending watches for which the store has changes.
     pub(super) fn answer_watches(&mut self) {
-        if self.store.outage {
+        if self.store.has_outage {
             return;
         }
         for watch in std::mem::take(&mut self.store.watches) {
-            let refused = self.hosts[watch.process.controller].is_refused_by_store(self.now);
+            let is_refused = self.hosts[watch.process.controller].is_refused_by_store(self.now);
             let news = self.store.watch_response(watch.after);
-            match news.filter(|_| !refused) {
+            match news.filter(|_| !is_refused) {
                 Some(news) => self.send_response(watch.process, watch.call, STORE_DELAY_MS, news),
                 None => self.store.watches.push(watch),
             }
@@ -131,16 +132,17 @@
 
     /// Ends a watch that has reached the store's time limit, with an empty answer.
     pub(super) fn time_out_watch(&mut self, process: Process, call: CallId) {
-        let before = self.store.watches.len();
+        let watches_before = self.store.watches.len();
         let now = self.now;
         self.store
             .watches
             .retain(|watch| watch.process != process || watch.call != call || watch.until > now);
-        let ended = self.store.watches.len() < before;
+        let has_ended = self.store.watches.len() < watches_before;
         // If the store refuses the controller when the time limit ends, the watch gets no answer, as
         // in an outage: an empty answer would claim that nothing has changed.
-        let waits = self.store.outage || self.hosts[process.controller].is_refused_by_store(now);
-        if ended && !waits {
+        let must_wait =
+            self.store.has_outage || self.hosts[process.controller].is_refused_by_store(now);
+        if has_ended && !must_wait {
             let response = StoreResponse::Changes {
                 revision: self.store.records.revision,
                 news: Vec::new(),
@@ -181,8 +183,10 @@
     /// Tells the checker of cloud calls which controller rents or deletes machines. With several
     /// shards the calls are not checked, because each owner deletes its own machines.
     pub(super) fn record_cloud_call(&mut self, controller: usize, request: &CloudRequest) {
-        let several = self.store.records.entries.contains_key("s/own/block/1");
-        if !several && matches!(request, CloudRequest::ScaleOut(_) | CloudRequest::Delete(_)) {
+        let has_several_shards = self.store.records.entries.contains_key("s/own/block/1");
+        if !has_several_shards
+            && matches!(request, CloudRequest::ScaleOut(_) | CloudRequest::Delete(_))
+        {
             let duties = &mut self.store.orders.duties;
             duties.cloud_changed(self.now, &self.controller_ids[controller]);
         }
@@ -197,14 +201,14 @@
         request: &CloudRequest,
     ) {
         let now = self.now;
-        let before = self.cloud.rigs.len();
+        let rented_before = self.cloud.rigs.len();
         let (reply, deleted) = self.cloud.execute(now, request);
         for machine in deleted {
             let tasks = self.workers.get(&machine).map_or(0, |w| w.tasks.len());
             self.tasks_on_deleted_machines += tasks;
             self.end_worker(&machine);
         }
-        let rented = self.cloud.rigs.iter().skip(before);
+        let rented = self.cloud.rigs.iter().skip(rented_before);
         let rented = rented.filter_map(|(id, machine)| Some((id.clone(), machine.boots?)));
         let rented: Vec<(String, u64)> = rented.collect();
         for (machine, up_at) in rented {
--- a/tests/sim/store.rs
+++ b/tests/sim/store.rs
@@ -29,7 +29,7 @@
 pub(crate) struct StoreService {
     pub records: Store<Record>,
     pub watches: Vec<PendingWatch>,
-    pub outage: bool,
+    pub has_outage: bool,
     value_kb: f64,
     transaction_writes: usize,
     /// The limit on writes per second, once the limits have been lowered.
@@ -51,7 +51,7 @@
         Self {
             records: Store::new(CHANGES_KEPT_MAX),
             watches: Vec::new(),
-            outage: false,
+            has_outage: false,
             value_kb,
             transaction_writes,
             write_limit: None,
@@ -64,7 +64,7 @@
 
     /// Expires leases. During an outage, leases don't expire.
     pub(crate) fn expire(&mut self, now: u64) {
-        if !self.outage {
+        if !self.has_outage {
             self.records.expire(now);
         }
     }
@@ -78,7 +78,7 @@
 
     /// Ends an outage. All leases are renewed for their full time to live.
     pub(crate) fn end_outage(&mut self, now: u64) {
-        self.outage = false;
+        self.has_outage = false;
         self.records.renew_all(now);
     }
 
@@ -95,7 +95,7 @@
 
     /// Executes a request. Returns `None` for a watch that has to wait.
     pub(crate) fn execute(&mut self, now: u64, request: &StoreRequest) -> Option<StoreResponse> {
-        if self.outage {
+        if self.has_outage {
             return match request {
                 StoreRequest::Watch { .. } => None,
                 _ => Some(StoreResponse::Refused),
@@ -130,9 +130,9 @@
     /// Counts writes against the lowered write limit and returns whether they exceed it.
     fn is_write_rate_exceeded(&mut self, now: u64, writes: usize) -> bool {
         let limit = self.write_limit.as_mut();
-        let limited = limit.is_some_and(|limit| !limit.take(now, writes as f64));
-        self.rate_limited_transactions += usize::from(limited);
-        limited
+        let is_exceeded = limit.is_some_and(|limit| !limit.take(now, writes as f64));
+        self.rate_limited_transactions += usize::from(is_exceeded);
+        is_exceeded
     }
 
     fn get(&self, key: &Key) -> StoreResponse {
@@ -234,8 +234,8 @@
     }
 }
 
-fn lease_response(known: bool) -> StoreResponse {
-    match known {
+fn lease_response(is_known: bool) -> StoreResponse {
+    match is_known {
         true => StoreResponse::LeaseRenewed,
         false => StoreResponse::LeaseNotFound,
     }
--- a/tests/sim/store_conditions.rs
+++ b/tests/sim/store_conditions.rs
@@ -35,25 +35,30 @@
 }
 
 fn is_conditional(preconditions: &[(Key, u64)], write: &Write) -> bool {
-    let on = |wanted: &dyn Fn(&Key) -> bool| preconditions.iter().any(|(key, _)| wanted(key));
-    let shard = on(&|key| matches!(key, Key::Shard(_)));
-    let leader = on(&|key| *key == Key::Leader);
-    let (key, put) = match write {
+    let is_conditional_on =
+        |wanted: &dyn Fn(&Key) -> bool| preconditions.iter().any(|(key, _)| wanted(key));
+    let has_shard = is_conditional_on(&|key| matches!(key, Key::Shard(_)));
+    let has_leader = is_conditional_on(&|key| *key == Key::Leader);
+    let (key, is_put) = match write {
         Write::Put { key, .. } => (key, true),
         Write::Delete { key } => (key, false),
     };
-    let itself = on(&|other| other == key);
-    match (key, put) {
+    let has_own_key = is_conditional_on(&|other| other == key);
+    match (key, is_put) {
         (Key::Placements(id, _), true) => {
-            itself && shard && on(&|key| *key == Key::Job(id.clone()))
+            has_own_key && has_shard && is_conditional_on(&|key| *key == Key::Job(id.clone()))
         }
-        (Key::Placements(..), false) => shard,
-        (Key::Job(_), true) => itself,
-        (Key::Job(id), false) => itself && shard && on(&|key| *key == Key::End(id.clone())),
-        (Key::End(id), true) => itself && shard && on(&|key| *key == Key::Job(id.clone())),
-        (Key::Shard(_) | Key::FencingToken, true) => itself && leader,
-        (Key::Leader, true) => itself,
-        (Key::Plan, true) => leader,
+        (Key::Placements(..), false) => has_shard,
+        (Key::Job(_), true) => has_own_key,
+        (Key::Job(id), false) => {
+            has_own_key && has_shard && is_conditional_on(&|key| *key == Key::End(id.clone()))
+        }
+        (Key::End(id), true) => {
+            has_own_key && has_shard && is_conditional_on(&|key| *key == Key::Job(id.clone()))
+        }
+        (Key::Shard(_) | Key::FencingToken, true) => has_own_key && has_leader,
+        (Key::Leader, true) => has_own_key,
+        (Key::Plan, true) => has_leader,
         _ => false,
     }
 }
--- a/tests/sim/submissions.rs
+++ b/tests/sim/submissions.rs
@@ -14,7 +14,7 @@
 /// The checkpoint interval of a task that can save its progress, in seconds.
 const CHECKPOINT_S: f64 = 10.0;
 
-/// A job as its user knows it.
+/// A job's submission and the behaviour of its tasks.
 #[derive(Clone, Debug)]
 pub(crate) struct JobSpec {
     /// The encoded submission.
--- a/tests/sim/users.rs
+++ b/tests/sim/users.rs
@@ -68,8 +68,8 @@
             // Users cancel only jobs that are accepted.
             Intent::Cancel => {
                 let view = self.checker.jobs.get(job);
-                let accepted = view.is_none_or(|view| view.notified.accepted);
-                (!accepted).then_some(CANCEL_RETRY_MS)
+                let is_accepted = view.is_none_or(|view| view.notified.accepted);
+                (!is_accepted).then_some(CANCEL_RETRY_MS)
             }
             Intent::Submit => {
                 (!self.dependencies_permit_submission(job)).then_some(SUBMIT_RETRY_MS)
@@ -84,14 +84,14 @@
         let Some(spec) = self.specs.get(job) else {
             return true;
         };
-        let ready = |dependency: &JobId| {
+        let is_ready = |dependency: &JobId| {
             let view = self.checker.jobs.get(dependency);
             view.is_some_and(|view| match spec.waits_for_dependency_ends {
                 true => view.notified.done || view.notified.cancelled_at.is_some(),
                 false => view.notified.accepted,
             })
         };
-        spec.skips_dependency_wait || spec.dependencies.iter().all(ready)
+        spec.skips_dependency_wait || spec.dependencies.iter().all(is_ready)
     }
 
     /// Sends a user's request to a given controller.
@@ -146,9 +146,9 @@
             .as_ref()
             .and_then(|reply| read_answer(reply.status, &reply.body));
         if let Some(answer) = answer {
-            let changed = self.checker.said(now, &job, answer);
+            let has_changed = self.checker.said(now, &job, answer);
             self.last_answered_at.insert(job.clone(), now);
-            if changed {
+            if has_changed {
                 self.query_after_change(&job, answer);
             }
         }
@@ -173,13 +173,13 @@
         answer: Option<JobAnswer>,
         retry_after: Option<u32>,
     ) {
-        let over = matches!(
+        let is_over = matches!(
             answer,
             Some(JobAnswer::Done | JobAnswer::Cancelled | JobAnswer::Refused)
         );
         match intent {
-            Intent::Submit if answer.is_some() && !over => self.schedule_poll(job),
-            Intent::Poll if !over => self.schedule_poll(job),
+            Intent::Submit if answer.is_some() && !is_over => self.schedule_poll(job),
+            Intent::Poll if !is_over => self.schedule_poll(job),
             Intent::Submit | Intent::Cancel if answer.is_none() => {
                 let delay = retry_ms(retry_after.map(u64::from));
                 self.schedule_after(delay, Event::UserRequest { job, intent });
--- a/tests/sim/workers.rs
+++ b/tests/sim/workers.rs
@@ -48,8 +48,8 @@
             return self.preempt_machine(machine);
         }
         let killed = worker.check_lease(now, self.lease_ms);
-        let hung = worker.paused_until > now;
-        let events = match hung {
+        let is_paused = worker.paused_until > now;
+        let events = match is_paused {
             true => Vec::new(),
             false => worker.run_tasks(now, &SubmittedJobs(&self.specs)),
         };
@@ -59,7 +59,7 @@
             self.checker.stops(&task, machine);
         }
         self.record_task_events(machine, events);
-        if !hung {
+        if !is_paused {
             self.send_heartbeat(machine);
         }
     }
@@ -128,13 +128,13 @@
         let body = worker.report_body(machine, ENDPOINT, now);
         let heartbeat: WorkerHeartbeat = wire::decode(&body).expect("a heartbeat");
         let controller = worker.controller;
-        let unreachable = worker.partitioned_until > now || worker.heartbeats_lost_until > now;
+        let is_unreachable = worker.partitioned_until > now || worker.heartbeats_lost_until > now;
         let request = self.new_request(RequestOrigin::Worker(machine.into()));
         if let Some(worker) = self.workers.get_mut(machine) {
             worker.flight = Some((request.0, now));
         }
         self.copy_heartbeat(&heartbeat);
-        if !unreachable {
+        if !is_unreachable {
             let input = Input::Request(request, Request::Heartbeat(heartbeat));
             self.send_from_worker(machine, controller, input);
         }
@@ -155,20 +155,20 @@
         let Some((_, sent)) = worker.flight.filter(|(waited, _)| *waited == request) else {
             return;
         };
-        let unreachable = worker.answers_lost_until > now || worker.partitioned_until > now;
-        if now > sent + ANSWER_MS || unreachable {
+        let is_unreachable = worker.answers_lost_until > now || worker.partitioned_until > now;
+        if now > sent + ANSWER_MS || is_unreachable {
             return;
         }
         if worker.paused_until > now {
             // A paused worker reads the answer when it resumes.
             let at = worker.paused_until;
             let machine = machine.into();
-            let again = Event::HeartbeatAnswer {
+            let deferred = Event::HeartbeatAnswer {
                 machine,
                 request,
                 reply,
             };
-            return self.schedule_at(at, again);
+            return self.schedule_at(at, deferred);
         }
         let Some(reply) = reply else {
             return worker.unanswered(now, controllers);
--- a/tests/sim/world.rs
+++ b/tests/sim/world.rs
@@ -85,7 +85,7 @@
     pub owner_tokens: BTreeSet<u64>,
     /// Tasks killed because a lease expired.
     pub lease_expiry_kills: usize,
-    /// Tasks that were on machines when these were deleted.
+    /// Tasks that were on machines when the machines were deleted.
     pub tasks_on_deleted_machines: usize,
     /// The digest of all outputs of the controllers.
     pub digest: OutputDigest,
