--- a/tests/scenario_runs/expectations.rs
+++ b/tests/scenario_runs/expectations.rs
@@ -49,7 +49,7 @@
         if let Some(count) = self.upper_bounded_count() {
             return self.expect_count(count, |count, bound| count <= bound);
         }
-        match self.holds()? {
+        match self.check_condition()? {
             Some(true) => Ok(()),
             Some(false) => Err(ExpectationError::Unmet { line: self.text() }),
             None => self.check_at_least(),
@@ -79,7 +79,7 @@
     }
 
     /// Whether a condition holds; `None` if the line is not a condition but a count.
-    fn holds(&self) -> Result<Option<bool>, ExpectationError> {
+    fn check_condition(&self) -> Result<Option<bool>, ExpectationError> {
         let world = self.world;
         Ok(Some(match self.kind() {
             "done" => self
@@ -87,9 +87,9 @@
                 .done_notified_at
                 .is_some_and(|at| at <= self.span_ms()),
             "withdrawn" => self.job()?.notified.cancelled_at.is_some(),
-            "started" => self.started_in_time(self.job()?),
+            "started" => self.has_started_in_time(self.job()?),
             "waiting" => self.job()?.first_start.is_none(),
-            "runs" => self.runs(self.job()?),
+            "runs" => self.has_all_replicas(self.job()?),
             "status" => self.has_status(),
             "no-status" => !self.has_status(),
             "refused" => world.refused_within(&self.line.job(1), self.line.parsed(2)),
@@ -97,19 +97,19 @@
                 world.owner_tokens.len() > self.line.parsed::<usize>(1)
             }
             "no-takeover" => world.owner_tokens.len() == 1,
-            "blocks" => self.shards() == self.line.parsed::<usize>(1),
+            "blocks" => self.count_shards() == self.line.parsed::<usize>(1),
             _ => return Ok(None),
         }))
     }
 
-    fn started_in_time(&self, job: &JobView) -> bool {
+    fn has_started_in_time(&self, job: &JobView) -> bool {
         let started = job.first_start;
         started.is_some_and(|at| at - job.submitted_at <= self.span_ms())
     }
 
     /// Whether all replicas of a service are on machines at the end of the run. With `but=8`, up to
     /// eight may be missing, because they are being moved from a machine that is drained.
-    fn runs(&self, job: &JobView) -> bool {
+    fn has_all_replicas(&self, job: &JobView) -> bool {
         let id = self.line.job(1);
         let tasks = self.world.checker.running.keys();
         let running = tasks.filter(|task| task.job == id).count() as u32;
@@ -126,7 +126,7 @@
         self.world.statuses.contains(&status)
     }
 
-    fn shards(&self) -> usize {
+    fn count_shards(&self) -> usize {
         let keys = self.world.store.records.entries.keys();
         keys.filter(|key| key.contains("own/block/")).count()
     }
@@ -153,7 +153,7 @@
     /// Checks a lower bound, as in `expect confirmed 3 from=20 to=40`.
     fn check_at_least(&self) -> Result<(), ExpectationError> {
         let count = match self.kind() {
-            "first-machines" => Some(self.first_machines()),
+            "first-machines" => Some(self.count_initial_machines()),
             kind => self.world.count(kind, self.line),
         };
         let unknown = || ExpectationError::Unknown(self.kind().into());
@@ -162,7 +162,7 @@
     }
 
     /// The number of initial machines that still exist.
-    fn first_machines(&self) -> usize {
+    fn count_initial_machines(&self) -> usize {
         let machines = self.world.cloud.rigs.values();
         let first = machines.filter(|machine| machine.rented == 0);
         first.filter(|machine| machine.gone.is_none()).count()
--- a/tests/sim/checks.rs
+++ b/tests/sim/checks.rs
@@ -69,14 +69,14 @@
         });
         let jobs_with_room = jobs.filter(|(id, job)| {
             let is_crash_looping = self.specs[*id].task.broken;
-            !is_crash_looping && self.has_room(&job.record)
+            !is_crash_looping && self.any_machine_has_room(&job.record)
         });
         let jobs_with_room = jobs_with_room.map(|(id, _)| id.clone()).collect();
         let now = self.now;
         self.checker.check_waiting(now, &jobs_with_room);
     }
 
-    fn has_room(&self, record: &JobRecord) -> bool {
+    fn any_machine_has_room(&self, record: &JobRecord) -> bool {
         let mut workers = self.workers.values();
         workers.any(|worker| self.machine_has_room(worker, record))
     }
--- a/tests/sim/controllers.rs
+++ b/tests/sim/controllers.rs
@@ -70,7 +70,7 @@
     }
 
     fn settings(&self, controller: usize) -> Settings {
-        let platform = self.platform_of(controller).to_string();
+        let platform = self.platform_settings_of(controller).to_string();
         Settings {
             platform: Platform::parse(&platform, "scenario").expect("valid platform settings"),
             tuning: Tuning::parse(Some(("scenario", &self.tuning))).expect("valid tuning"),
@@ -79,7 +79,7 @@
     }
 
     /// The platform settings of one controller.
-    fn platform_of(&self, controller: usize) -> serde_json::Value {
+    fn platform_settings_of(&self, controller: usize) -> serde_json::Value {
         let zone = |controller: usize| &self.zones[controller % self.zones.len()];
         let peers = (0..self.controller_ids.len()).filter(|peer| *peer != controller);
         let peers = peers.map(|peer| {
@@ -174,7 +174,7 @@
         for output in outputs {
             self.digest
                 .add(self.now, controller, process.incarnation, &output);
-            self.send(process, output);
+            self.route_output(process, output);
         }
         if is_new_owner {
             self.record_takeover();
--- a/tests/sim/faults.rs
+++ b/tests/sim/faults.rs
@@ -120,7 +120,7 @@
     }
 
     fn send_heartbeat_copy(&mut self, controller: usize, delay: u64, heartbeat: WorkerHeartbeat) {
-        let request = self.new_request(RequestOrigin::Copy);
+        let request = self.register_request(RequestOrigin::Copy);
         let input = Input::Request(request, Request::Heartbeat(heartbeat));
         self.send_input(controller, delay, input);
     }
@@ -143,29 +143,29 @@
     /// (`hang`), lost heartbeats (`mute`), partition (`cut`), lost answers (`deaf`), failing tasks
     /// (`sick`) and spot preemption (`taken`).
     pub(super) fn apply_machine_fault(&mut self, machine: &str, arguments: &Arguments) {
-        if arguments.has("die") {
+        if arguments.contains("die") {
             return self.kill_machine(machine);
         }
         let (now, until) = (self.now, self.end_of_command(arguments));
         let Some(worker) = self.workers.get_mut(machine) else {
             return;
         };
-        if arguments.has("hang") {
+        if arguments.contains("hang") {
             worker.pause(now, until);
         }
-        if arguments.has("mute") {
+        if arguments.contains("mute") {
             worker.heartbeats_lost_until = until;
         }
-        if arguments.has("cut") {
+        if arguments.contains("cut") {
             worker.partitioned_until = until;
         }
-        if arguments.has("deaf") {
+        if arguments.contains("deaf") {
             worker.answers_lost_until = until;
         }
-        if arguments.has("sick") {
+        if arguments.contains("sick") {
             worker.faulty = true;
         }
-        if arguments.has("taken") {
+        if arguments.contains("taken") {
             worker.preempted_at = Some(now + arguments.span_ms("notice", 0.0));
             worker.status_changed = true;
         }
--- a/tests/sim/load.rs
+++ b/tests/sim/load.rs
@@ -73,7 +73,7 @@
 
 impl World {
     /// Handles `stream`: submits jobs at a steady rate and cancels some while they run.
-    pub(super) fn stream(&mut self, arguments: &Arguments) {
+    pub(super) fn start_stream(&mut self, arguments: &Arguments) {
         let rate = arguments.number("rate", 4.0);
         let jobs = SteadyRate::new(self.now, rate, self.command_duration_ms(arguments));
         for nth in 0..jobs.count {
@@ -93,7 +93,7 @@
 
     /// Handles `pipelines`: submits pipelines at a steady rate. In some pipelines a random job is
     /// cancelled; in some, the last job is submitted only when the others have ended.
-    pub(super) fn pipelines(&mut self, arguments: &Arguments) {
+    pub(super) fn start_pipelines(&mut self, arguments: &Arguments) {
         let rate = arguments.number("rate", 0.5);
         let pipelines = SteadyRate::new(self.now, rate, self.command_duration_ms(arguments));
         for nth in 0..pipelines.count {
@@ -117,7 +117,7 @@
     }
 
     /// Handles `poll-storm`: sends `rate` status queries per second about random jobs.
-    pub(super) fn status_query_storm(&mut self, arguments: &Arguments) {
+    pub(super) fn start_status_query_storm(&mut self, arguments: &Arguments) {
         let rate = arguments.number("rate", 50.0);
         let queries = SteadyRate::new(self.now, rate, self.command_duration_ms(arguments));
         let jobs: Vec<JobId> = self.checker.jobs.keys().cloned().collect();
--- a/tests/sim/observed.rs
+++ b/tests/sim/observed.rs
@@ -87,8 +87,8 @@
             "waiting-for-others" => observed.waiting_for_dependencies,
             "cancelled-at-end" => observed.cancelled_at_completion,
             "rejected" => self.store.rejected_transactions,
-            "in-parts" => self.jobs_in_parts(),
-            "in-force" => self.limits_in_force_within(arguments.span_ms("in", 5.0)),
+            "in-parts" => self.count_jobs_in_parts(),
+            "in-force" => self.count_limits_in_force_within(arguments.span_ms("in", 5.0)),
             "takeovers" => Window::parse(arguments).count(observed.takeovers.iter().copied()),
             // Leaders whose record still existed when the next leader replaced it.
             "replaced" => self.store.orders.duties.replaced,
@@ -144,13 +144,13 @@
         })
     }
 
-    fn limits_in_force_within(&self, bound_ms: u64) -> usize {
+    fn count_limits_in_force_within(&self, bound_ms: u64) -> usize {
         let took = self.limit_changes.durations_ms.iter();
         took.filter(|took| **took <= bound_ms).count()
     }
 
     /// Jobs of which a placement record was split into parts.
-    fn jobs_in_parts(&self) -> usize {
+    fn count_jobs_in_parts(&self) -> usize {
         let changes = self.store.records.history.iter();
         let parts = changes.filter_map(|change| match (Key::parse(&change.path)?, &change.value) {
             (Key::Placements(id, _), Some(Record::Placements(run))) if run.part_size.is_some() => {
--- a/tests/sim/outputs.rs
+++ b/tests/sim/outputs.rs
@@ -21,7 +21,7 @@
 
 impl World {
     /// Routes an output of a controller process to its destination.
-    pub(super) fn send(&mut self, process: Process, output: Output) {
+    pub(super) fn route_output(&mut self, process: Process, output: Output) {
         match output {
             Output::Answer(request, reply) => {
                 self.handle_controller_answer(process.controller, request.0, reply);
--- a/tests/sim/requests.rs
+++ b/tests/sim/requests.rs
@@ -18,7 +18,7 @@
 
 impl World {
     /// Registers a request and returns its id.
-    pub(super) fn new_request(&mut self, origin: RequestOrigin) -> RequestId {
+    pub(super) fn register_request(&mut self, origin: RequestOrigin) -> RequestId {
         self.last_request += 1;
         self.request_origins.insert(self.last_request, origin);
         RequestId(self.last_request)
--- a/tests/sim/scenario.rs
+++ b/tests/sim/scenario.rs
@@ -68,7 +68,7 @@
     }
 
     /// Whether the arguments contain this word.
-    pub(crate) fn has(&self, word: &str) -> bool {
+    pub(crate) fn contains(&self, word: &str) -> bool {
         self.0.iter().any(|other| other == word)
     }
 }
--- a/tests/sim/script.rs
+++ b/tests/sim/script.rs
@@ -28,17 +28,17 @@
     pub(super) fn run_command(&mut self, line: &Line) {
         let keyword = line.keyword.as_str();
         let arguments = &line.arguments;
-        let is_known = self.user_command(keyword, arguments)
-            || self.controller_command(keyword, arguments)
-            || self.store_command(keyword, arguments)
-            || self.cloud_command(keyword, arguments)
-            || self.machine_command(keyword, arguments)
-            || self.fault_command(keyword, arguments);
+        let is_known = self.run_user_command(keyword, arguments)
+            || self.run_controller_command(keyword, arguments)
+            || self.run_store_command(keyword, arguments)
+            || self.run_cloud_command(keyword, arguments)
+            || self.run_machine_command(keyword, arguments)
+            || self.run_fault_command(keyword, arguments);
         assert!(is_known, "unknown command {keyword}");
     }
 
     /// Executes commands of users and operators. Returns false for other commands.
-    fn user_command(&mut self, keyword: &str, arguments: &Arguments) -> bool {
+    fn run_user_command(&mut self, keyword: &str, arguments: &Arguments) -> bool {
         match keyword {
             "submit" => self.submit(arguments),
             "withdraw" => self.send_user_request(&arguments.job(0), Intent::Cancel),
@@ -52,9 +52,9 @@
                 self.send_user_request_to(&job, Intent::Probe, controller);
             }
             "cancel-now" => self.cancel_running(arguments),
-            "stream" => self.stream(arguments),
-            "pipelines" => self.pipelines(arguments),
-            "poll-storm" => self.status_query_storm(arguments),
+            "stream" => self.start_stream(arguments),
+            "pipelines" => self.start_pipelines(arguments),
+            "poll-storm" => self.start_status_query_storm(arguments),
             "limits" => self.set_limits(arguments),
             "limit-holds" => self.enforce_limit(arguments),
             "limits-spoilt" => self.make_limits_unreadable(),
@@ -65,7 +65,7 @@
     }
 
     /// Executes commands on controllers and their links. Returns false for other commands.
-    fn controller_command(&mut self, keyword: &str, arguments: &Arguments) -> bool {
+    fn run_controller_command(&mut self, keyword: &str, arguments: &Arguments) -> bool {
         let until = self.end_of_command(arguments);
         match keyword {
             "kill" => {
@@ -107,7 +107,7 @@
     }
 
     /// Executes commands on the store. Returns false for other commands.
-    fn store_command(&mut self, keyword: &str, arguments: &Arguments) -> bool {
+    fn run_store_command(&mut self, keyword: &str, arguments: &Arguments) -> bool {
         let now = self.now;
         match keyword {
             "outage" if arguments.word(0) == "state" => self.store.has_outage = true,
@@ -133,7 +133,7 @@
     }
 
     /// Executes commands on the cloud. Returns false for other commands.
-    fn cloud_command(&mut self, keyword: &str, arguments: &Arguments) -> bool {
+    fn run_cloud_command(&mut self, keyword: &str, arguments: &Arguments) -> bool {
         let until = self.end_of_command(arguments);
         match keyword {
             "outage" => self.cloud.outage = true,
@@ -156,12 +156,12 @@
     /// Sets how many machines of a type, zone and market the cloud can provide.
     pub(super) fn set_capacity(&mut self, arguments: &Arguments) {
         let (machine_type, zone) = (arguments.word(0), arguments.word(1));
-        let pool = (machine_type.into(), zone.into(), arguments.has("spot"));
+        let pool = (machine_type.into(), zone.into(), arguments.contains("spot"));
         self.cloud.capacity.insert(pool, arguments.parsed(2));
     }
 
     /// Executes commands on machines. Returns false for other commands.
-    fn machine_command(&mut self, keyword: &str, arguments: &Arguments) -> bool {
+    fn run_machine_command(&mut self, keyword: &str, arguments: &Arguments) -> bool {
         let machines = match keyword {
             "machine" => self.machines_named(arguments.word(0)),
             "zone" => self.machines_of_zone(arguments.word(0)),
@@ -175,7 +175,7 @@
 
     /// Executes commands that start a fault of a fraction of operations. Returns false for other
     /// commands.
-    fn fault_command(&mut self, keyword: &str, arguments: &Arguments) -> bool {
+    fn run_fault_command(&mut self, keyword: &str, arguments: &Arguments) -> bool {
         let until = self.end_of_command(arguments);
         let fault = self.fault_from(arguments, 0.3);
         match keyword {
@@ -207,7 +207,7 @@
         match word {
             "leader" => leader(),
             "other" => (leader() + 1) % self.hosts.len(),
-            place => place.parse().expect("a controller index"),
+            index => index.parse().expect("a controller index"),
         }
     }
 
@@ -245,7 +245,7 @@
     /// Partitions a controller from all link ends that the command lists.
     fn partition_controller(&mut self, arguments: &Arguments, until: u64) {
         let controller = self.controller_named(arguments.word(0));
-        let holds_messages = arguments.has("hold");
+        let holds_messages = arguments.contains("hold");
         for end in arguments.list("from").expect("from=") {
             self.partition(
                 controller,
--- a/tests/sim/setup.rs
+++ b/tests/sim/setup.rs
@@ -149,14 +149,14 @@
     }
 }
 
-fn new_host(scenario: &Scenario, place: usize) -> ControllerHost {
+fn new_host(scenario: &Scenario, index: usize) -> ControllerHost {
     let drift = scenario.number("drift", 0.0);
     let next = scenario.first("next");
     ControllerHost {
         controller: None,
         incarnation: 0,
-        clock_offset_ms: CLOCK_START_MS + CLOCK_OFFSET_STEP_MS * place as u64,
-        clock_drift: if place.is_multiple_of(2) {
+        clock_offset_ms: CLOCK_START_MS + CLOCK_OFFSET_STEP_MS * index as u64,
+        clock_drift: if index.is_multiple_of(2) {
             drift
         } else {
             -drift
@@ -166,7 +166,7 @@
         paused_until: 0,
         next_wake_at: None,
         restart_delay_ms: None,
-        announces_limits: next.is_some_and(|line| !line.has("later")),
+        announces_limits: next.is_some_and(|line| !line.contains("later")),
     }
 }
 
@@ -203,7 +203,7 @@
             sequence: 0,
             rng: StdRng::seed_from_u64(scenario.number("seed", 1.0) as u64),
             hosts: (0..controllers)
-                .map(|place| new_host(scenario, place))
+                .map(|index| new_host(scenario, index))
                 .collect(),
             controller_ids: (0..controllers).map(|n| format!("node-{n}")).collect(),
             zones: zones(scenario),
@@ -246,7 +246,7 @@
     fn add_machines(&mut self, line: &Arguments) {
         let (machine_type, zone) = (line.word(0), line.word(1));
         for _ in 0..line.parsed::<u32>(2) {
-            let spot = line.has("spot");
+            let spot = line.contains("spot");
             let id = self.cloud.add(0, machine_type, zone, spot, Some(1));
             self.schedule_after(1, Event::MachineUp(id.to_string()));
         }
--- a/tests/sim/submissions.rs
+++ b/tests/sim/submissions.rs
@@ -39,8 +39,8 @@
                 .iter()
                 .map(|id| JobId::from(id.as_str()))
                 .collect(),
-            waits_for_dependency_ends: arguments.has("late"),
-            skips_dependency_wait: arguments.has("hasty"),
+            waits_for_dependency_ends: arguments.contains("late"),
+            skips_dependency_wait: arguments.contains("hasty"),
         }
     }
 }
@@ -54,7 +54,7 @@
     }
 }
 
-fn image_of(arguments: &Arguments) -> &str {
+fn image_name(arguments: &Arguments) -> &str {
     arguments.value("image").unwrap_or("img-1")
 }
 
@@ -73,12 +73,12 @@
 
 fn task_spec(arguments: &Arguments) -> TaskSpec {
     TaskSpec {
-        image: image_of(arguments).into(),
+        image: image_name(arguments).into(),
         run_ms: milliseconds(run_s(arguments)),
         fetch_ms: milliseconds(image_gb(arguments) / FETCH_GB_S),
         save_ms: milliseconds(save_s(arguments)),
-        service: arguments.has("service"),
-        broken: arguments.has("broken"),
+        service: arguments.contains("service"),
+        broken: arguments.contains("broken"),
     }
 }
 
@@ -88,16 +88,16 @@
     let body = cbor!({
         "id" => arguments.word(0), "troupe" => arguments.value("class").unwrap_or("c"),
         "crew" => arguments.value("team").unwrap_or("t"),
-        "form" => if arguments.has("service") { "service" } else { "batch" },
+        "form" => if arguments.contains("service") { "service" } else { "batch" },
         "rank" => arguments.value("rank").unwrap_or("normal"),
         "verses" => arguments.number("count", 1.0) as u64,
         "cores" => arguments.number("cpus", 4.0),
         "accelerators" => arguments.number("gpus", 1.0),
         "memGb" => arguments.number("mem", 8.0),
-        "score" => image_of(arguments), "sizeGb" => image_gb(arguments),
+        "score" => image_name(arguments), "sizeGb" => image_gb(arguments),
         "builds" => arguments.list("types"), "quarter" => arguments.value("zone"),
-        "samePlace" => arguments.has("one-zone"), "scatter" => arguments.has("scatter"),
-        "borrowed" => arguments.has("spot"), "reckonS" => run_s(arguments),
+        "samePlace" => arguments.contains("one-zone"), "scatter" => arguments.contains("scatter"),
+        "borrowed" => arguments.contains("spot"), "reckonS" => run_s(arguments),
         "bookmarkS" => if save_s > 0.0 { CHECKPOINT_S } else { 0.0 }, "stashS" => save_s,
         "curtainS" => Option::<f64>::None,
         "awaits" => (!dependencies.is_empty()).then_some(dependencies)
@@ -127,7 +127,7 @@
     pub(super) fn submit(&mut self, arguments: &Arguments) {
         let id = arguments.job(0);
         self.add_spec(&id, JobSpec::from_arguments(arguments));
-        if arguments.has("unfit") {
+        if arguments.contains("unfit") {
             self.checker.expect_refusal(&id);
         }
         self.send_user_request(&id, Intent::Submit);
--- a/tests/sim/users.rs
+++ b/tests/sim/users.rs
@@ -96,14 +96,14 @@
 
     /// Sends a user's request to a given controller.
     pub(super) fn send_user_request_to(&mut self, job: &JobId, intent: Intent, controller: usize) {
-        let Some(request) = self.request_of(job, intent) else {
+        let Some(request) = self.build_request(job, intent) else {
             return;
         };
         let origin = RequestOrigin::User {
             job: job.clone(),
             intent,
         };
-        let id = self.new_request(origin);
+        let id = self.register_request(origin);
         log::debug!(
             "user sends a request: job={job} intent={intent:?} controller={controller} at_ms={}",
             self.now
@@ -120,7 +120,7 @@
     }
 
     /// The request for an intent; `None` for a submission of an unknown job.
-    fn request_of(&self, job: &JobId, intent: Intent) -> Option<Request> {
+    fn build_request(&self, job: &JobId, intent: Intent) -> Option<Request> {
         let body = || Some(&self.specs.get(job)?.body);
         Some(match intent {
             Intent::Poll | Intent::Query => Request::Poll(job.clone()),
--- a/tests/sim/workers.rs
+++ b/tests/sim/workers.rs
@@ -129,7 +129,7 @@
         let heartbeat: WorkerHeartbeat = wire::decode(&body).expect("a heartbeat");
         let controller = worker.controller;
         let is_unreachable = worker.partitioned_until > now || worker.heartbeats_lost_until > now;
-        let request = self.new_request(RequestOrigin::Worker(machine.into()));
+        let request = self.register_request(RequestOrigin::Worker(machine.into()));
         if let Some(worker) = self.workers.get_mut(machine) {
             worker.flight = Some((request.0, now));
         }
--- a/tests/sim/world.rs
+++ b/tests/sim/world.rs
@@ -23,7 +23,7 @@
 
 /// The queue position of an event: by time, then in the order in which events were scheduled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Due {
+pub(super) struct QueuePosition {
     at: u64,
     sequence: u64,
 }
@@ -31,7 +31,7 @@
 /// A run of a scenario. Times and durations are in milliseconds.
 pub(crate) struct World {
     pub now: u64,
-    pub(super) queue: BTreeMap<Due, Event>,
+    pub(super) queue: BTreeMap<QueuePosition, Event>,
     /// The last sequence number given to an event or a partition.
     pub(super) sequence: u64,
     pub(super) rng: StdRng,
@@ -95,11 +95,11 @@
     /// Schedules an event at a time, or now if that time has passed.
     pub(super) fn schedule_at(&mut self, at: u64, event: Event) {
         self.sequence += 1;
-        let due = Due {
+        let position = QueuePosition {
             at: at.max(self.now),
             sequence: self.sequence,
         };
-        self.queue.insert(due, event);
+        self.queue.insert(position, event);
     }
 
     /// Schedules an event after a delay.
@@ -118,12 +118,12 @@
 
     /// Runs to the end and collects all violations in the checker.
     pub(crate) fn run(&mut self) {
-        while let Some((due, event)) = self.queue.pop_first() {
-            if due.at > self.end_at {
+        while let Some((position, event)) = self.queue.pop_first() {
+            if position.at > self.end_at {
                 break;
             }
-            self.now = due.at;
-            log::trace!("event: at_ms={}", due.at);
+            self.now = position.at;
+            log::trace!("event: at_ms={}", position.at);
             self.handle(event);
         }
         let now = self.now;
