--- a/scale/src/axis.rs
+++ b/scale/src/axis.rs
@@ -62,7 +62,7 @@
     }
 
     /// The same experiment with another value.
-    pub fn set(self, experiment: &Experiment, value: f64) -> Experiment {
+    pub fn with_value(self, experiment: &Experiment, value: f64) -> Experiment {
         let mut changed = experiment.clone();
         let tasks = Self::Tasks.value(experiment);
         let (cell, load) = (&mut changed.cells[0], &mut changed.load);
--- a/scale/src/controllers/settings.rs
+++ b/scale/src/controllers/settings.rs
@@ -120,8 +120,8 @@
     for (index, cell) in experiment.cells.iter().enumerate() {
         for controller in 0..cell.controllers {
             let address = match index == own_cell {
-                true => addresses[index].links[controller],
-                false => addresses[index].proxy(own_cell, controller),
+                true => addresses[index].cell_links[controller],
+                false => addresses[index].proxy_address(own_cell, controller),
             };
             let id = controller_id(cell, controller);
             text += &format!("cell.{}.{id} = {address}\n", cell.name);
--- a/scale/src/hollow/cell.rs
+++ b/scale/src/hollow/cell.rs
@@ -313,7 +313,9 @@
                 if self.plan.single
                     && let Ok(leader) = record.value.deserialized()
                 {
-                    self.shared.takeovers().leader_written(Some(&leader));
+                    self.shared
+                        .takeover_observer()
+                        .leader_written(Some(&leader));
                 }
             }
             CELL => self.observe_cell(now, record),
@@ -322,7 +324,9 @@
                     && let Some(Key::Placements(job, _)) = Key::parse(path)
                     && let Ok(placement) = record.value.deserialized()
                 {
-                    self.shared.takeovers().placement_written(&job, &placement);
+                    self.shared
+                        .takeover_observer()
+                        .placement_written(&job, &placement);
                 }
             }
         }
@@ -330,19 +334,19 @@
 
     fn observe_shard(&self, now: u64, record: &WrittenRecord) {
         if let Ok(view) = record.value.deserialized() {
-            let mut limits = self.shared.limits();
+            let mut limits = self.shared.limit_observer();
             limits.shard_written(now, self.plan.index, view);
         }
         if self.plan.single
             && let Ok(shard) = record.value.deserialized()
         {
-            self.shared.takeovers().shard_written(now, &shard);
+            self.shared.takeover_observer().shard_written(now, &shard);
         }
     }
 
     fn observe_cell(&self, now: u64, record: &WrittenRecord) {
         if let Ok(record) = record.value.deserialized() {
-            let limits = self.shared.limits().cell_written(now, &record);
+            let limits = self.shared.limit_observer().cell_written(now, &record);
             let mut checker = self.shared.checker();
             for (team, limit) in limits {
                 checker.set_limit(now, &team, limit);
@@ -361,7 +365,9 @@
             )
         {
             let controller_id = &self.plan.controller_ids[controller];
-            self.shared.takeovers().cloud_changed(now, controller_id);
+            self.shared
+                .takeover_observer()
+                .cloud_changed(now, controller_id);
         }
         let (reply, deleted) = self.cloud.execute(now, &operation);
         for id in deleted {
@@ -382,18 +388,18 @@
     fn sample(&self) -> CellSample {
         CellSample {
             leader: self.store.text_field(LEADER, "member"),
-            owner: self.store.text_field(SHARD, "holder"),
-            workers: self.workers.running(),
-            joined: self.workers.joined(),
+            shard_owner: self.store.text_field(SHARD, "holder"),
+            running_workers: self.workers.running(),
+            joined_workers: self.workers.joined(),
             healthy_controllers: self.users.healthy_controllers(),
-            tasks: self.workers.tasks(),
+            running_tasks: self.workers.tasks(),
             open_jobs: self.users.open_jobs,
-            keys: self.store.keys(),
+            stored_keys: self.store.keys(),
             user_failures: self.users.failures,
             lease_kills: self.workers.lease_kills,
             store: self.store.counts,
             traffic: self.connections.traffic(),
-            cpu: thread_cpu().unwrap_or_default(),
+            thread_cpu: thread_cpu().unwrap_or_default(),
         }
     }
 }
--- a/scale/src/hollow/commands.rs
+++ b/scale/src/hollow/commands.rs
@@ -44,19 +44,19 @@
     /// Id of the leader.
     pub leader: Option<String>,
     /// Id of the first shard's owner.
-    pub owner: Option<String>,
+    pub shard_owner: Option<String>,
     /// Workers whose machines run.
-    pub workers: usize,
+    pub running_workers: usize,
     /// Workers that have been answered under a fencing token.
-    pub joined: usize,
+    pub joined_workers: usize,
     /// Controllers whose latest health probe succeeded.
     pub healthy_controllers: usize,
     /// Running tasks.
-    pub tasks: usize,
+    pub running_tasks: usize,
     /// Batch and urgent jobs that haven't ended.
     pub open_jobs: usize,
     /// Keys at the store.
-    pub keys: usize,
+    pub stored_keys: usize,
     /// Requests of users that failed.
     pub user_failures: u64,
     /// Tasks killed by the expiry of their worker's lease.
@@ -66,5 +66,5 @@
     /// Traffic by kind of connection.
     pub traffic: Vec<KindTraffic>,
     /// Processor time of the cell's thread.
-    pub cpu: CpuTime,
+    pub thread_cpu: CpuTime,
 }
--- a/scale/src/hollow/jobs.rs
+++ b/scale/src/hollow/jobs.rs
@@ -5,11 +5,11 @@
 use std::collections::HashMap;
 
 /// The class of services.
-pub const SERVICE: &str = "standing";
+pub const SERVICE_CLASS: &str = "standing";
 /// The class of batch jobs.
-pub const BATCH: &str = "batch";
+pub const BATCH_CLASS: &str = "batch";
 /// The class of urgent jobs, of one task each.
-pub const URGENT: &str = "urgent";
+pub const URGENT_CLASS: &str = "urgent";
 
 /// A job as it was submitted.
 pub(super) struct Job {
--- a/scale/src/hollow/mod.rs
+++ b/scale/src/hollow/mod.rs
@@ -17,7 +17,7 @@
 
 pub use cell::HollowCell;
 pub use commands::{CellSample, Command};
-pub use jobs::{BATCH, SERVICE, URGENT};
+pub use jobs::{BATCH_CLASS, SERVICE_CLASS, URGENT_CLASS};
 pub use plan::CellPlan;
 pub use shared::SharedState;
 pub use store::StoreCounts;
--- a/scale/src/hollow/shared.rs
+++ b/scale/src/hollow/shared.rs
@@ -39,12 +39,12 @@
     }
 
     /// The observer of team limits and their changes.
-    pub fn limits(&self) -> MutexGuard<'_, LimitObserver> {
+    pub fn limit_observer(&self) -> MutexGuard<'_, LimitObserver> {
         lock(&self.limits)
     }
 
     /// The observer of takeovers and commands, in runs of a single cell.
-    pub fn takeovers(&self) -> MutexGuard<'_, TakeoverObserver> {
+    pub fn takeover_observer(&self) -> MutexGuard<'_, TakeoverObserver> {
         lock(&self.takeovers)
     }
 
--- a/scale/src/hollow/users/arrivals.rs
+++ b/scale/src/hollow/users/arrivals.rs
@@ -1,6 +1,6 @@
 //! When jobs are submitted: a steady rate for each class.
 
-use crate::hollow::jobs::{BATCH, SERVICE, URGENT};
+use crate::hollow::jobs::{BATCH_CLASS, SERVICE_CLASS, URGENT_CLASS};
 use crate::hollow::plan::CellPlan;
 
 /// Shortest ramp, in seconds, over which services are submitted.
@@ -63,9 +63,9 @@
         };
         let urgent_per_s = load.urgent_per_s * plan.worker_share;
         self.streams = vec![
-            stream(SERVICE, services_per_s, first_service_ms, ramp_end_ms),
-            stream(BATCH, batch_per_s, ramp_end_ms, load_end_ms),
-            stream(URGENT, urgent_per_s, ramp_end_ms, load_end_ms),
+            stream(SERVICE_CLASS, services_per_s, first_service_ms, ramp_end_ms),
+            stream(BATCH_CLASS, batch_per_s, ramp_end_ms, load_end_ms),
+            stream(URGENT_CLASS, urgent_per_s, ramp_end_ms, load_end_ms),
         ];
     }
 
@@ -81,7 +81,7 @@
     pub(super) fn next_due(&mut self, now: u64) -> Option<DueJob> {
         let batch_factor = self.batch_factor;
         self.streams.iter_mut().find_map(|stream| {
-            let factor = if stream.class == BATCH {
+            let factor = if stream.class == BATCH_CLASS {
                 batch_factor
             } else {
                 1.0
--- a/scale/src/hollow/users/mod.rs
+++ b/scale/src/hollow/users/mod.rs
@@ -5,7 +5,7 @@
 mod submission;
 
 use super::connections::Connections;
-use super::jobs::{Jobs, SERVICE};
+use super::jobs::{Jobs, SERVICE_CLASS};
 use super::plan::CellPlan;
 use super::shared::SharedState;
 use super::timers::Timers;
@@ -125,7 +125,7 @@
         if let Ok((_, record)) = wire::submission(&job.body) {
             self.shared.checker().submitted(now, &id, record);
         }
-        if due.class != SERVICE {
+        if due.class != SERVICE_CLASS {
             self.open_jobs += 1;
         }
         self.jobs.insert(id.clone(), job);
--- a/scale/src/hollow/users/submission.rs
+++ b/scale/src/hollow/users/submission.rs
@@ -1,7 +1,7 @@
 //! The jobs that users submit.
 
 use crate::experiment::Load;
-use crate::hollow::jobs::{BATCH, Job, SERVICE};
+use crate::hollow::jobs::{BATCH_CLASS, Job, SERVICE_CLASS};
 use salttrestle::wire;
 use salttrestle_fakes::worker::TaskSpec;
 use serde::Serialize;
@@ -69,12 +69,12 @@
     fn of_class(class: &str, load: &Load) -> Self {
         let [replica_cpus, replica_gpus] = load.replica_resources;
         match class {
-            SERVICE => Self {
+            SERVICE_CLASS => Self {
                 tasks: load.replicas,
                 cpus: replica_cpus,
                 gpus: replica_gpus,
             },
-            BATCH => Self {
+            BATCH_CLASS => Self {
                 tasks: load.tasks_per_job,
                 cpus: load.batch_cpus,
                 gpus: 0.0,
@@ -91,15 +91,15 @@
 /// A job of a class, as a team submits it.
 pub(super) fn job(id: &str, class: &str, team: &str, load: &Load) -> Job {
     let shape = Shape::of_class(class, load);
-    let service = class == SERVICE;
+    let service = class == SERVICE_CLASS;
     let body = wire::encode(&SubmissionBody {
         id,
         class,
         team,
         kind: if service { "service" } else { "batch" },
         priority: match class {
-            SERVICE => "critical",
-            BATCH => "normal",
+            SERVICE_CLASS => "critical",
+            BATCH_CLASS => "normal",
             _ => "urgent",
         },
         tasks: shape.tasks,
--- a/scale/src/hollow/workers.rs
+++ b/scale/src/hollow/workers.rs
@@ -1,7 +1,7 @@
 //! The hollow workers of one cell: fake workers that heartbeat over real connections.
 
 use super::connections::{Connections, Role};
-use super::jobs::{Jobs, URGENT};
+use super::jobs::{Jobs, URGENT_CLASS};
 use super::plan::CellPlan;
 use super::shared::SharedState;
 use crate::observers::WorkerStart;
@@ -273,7 +273,7 @@
             .answered(now, sent_ms, response, controller_ids, jobs)
             .map_err(|error| InvalidResponse(error.to_string()))?;
         if self.plan.single && worker.token > token {
-            let mut takeovers = self.shared.takeovers();
+            let mut takeovers = self.shared.takeover_observer();
             takeovers.token_acknowledged(now, worker.token);
         }
         if worker.controller != controller
@@ -316,10 +316,10 @@
                         newest_token: worker.token,
                         task: &task,
                         attempt,
-                        urgent: job.is_some_and(|job| job.record.class == URGENT),
+                        urgent: job.is_some_and(|job| job.record.class == URGENT_CLASS),
                     };
                     if self.plan.single {
-                        self.shared.takeovers().started(now, &start);
+                        self.shared.takeover_observer().started(now, &start);
                     }
                 }
                 TaskEvent::Started(task) => checker.starts(now, &task, place(id, worker)),
--- a/scale/src/layout.rs
+++ b/scale/src/layout.rs
@@ -30,7 +30,7 @@
     /// Where each controller listens for its peers.
     pub peers: Vec<SocketAddrV4>,
     /// Where each controller listens for other cells.
-    pub links: Vec<SocketAddrV4>,
+    pub cell_links: Vec<SocketAddrV4>,
 }
 
 impl CellAddresses {
@@ -55,7 +55,7 @@
                 .collect(),
             controllers: of_controllers(USER_PORT),
             peers: of_controllers(PEER_PORT),
-            links: of_controllers(CELL_PORT),
+            cell_links: of_controllers(CELL_PORT),
         }
     }
 
@@ -68,8 +68,11 @@
     }
 
     /// Where the proxy listens for messages of the cell `from` to one of this cell's controllers.
-    pub fn proxy(&self, from: usize, controller: usize) -> SocketAddrV4 {
-        SocketAddrV4::new(*self.links[controller].ip(), FIRST_PROXY_PORT + from as u16)
+    pub fn proxy_address(&self, from: usize, controller: usize) -> SocketAddrV4 {
+        SocketAddrV4::new(
+            *self.cell_links[controller].ip(),
+            FIRST_PROXY_PORT + from as u16,
+        )
     }
 }
 
--- a/scale/src/observers/limits.rs
+++ b/scale/src/observers/limits.rs
@@ -39,16 +39,16 @@
     home_limits: LimitsByTeam,
     pending: Vec<PendingChange>,
     /// Milliseconds until each raised limit was set by the team's home cell.
-    pub raised_ms: Vec<u64>,
+    pub raise_latencies_ms: Vec<u64>,
     /// Milliseconds until the quota shares of all cells were within each lowered limit.
-    pub lowered_ms: Vec<u64>,
+    pub lower_latencies_ms: Vec<u64>,
     /// Changes that a later one of the same team replaced before they were in force.
-    pub replaced: u64,
+    pub replaced_count: u64,
 }
 
 impl LimitObserver {
     /// An operator requests a change of a team's limit.
-    pub fn change_requested(
+    pub fn record_change_request(
         &mut self,
         now: u64,
         team: &str,
@@ -57,7 +57,7 @@
     ) {
         let pending = self.pending.len();
         self.pending.retain(|change| change.team != team);
-        self.replaced += (pending - self.pending.len()) as u64;
+        self.replaced_count += (pending - self.pending.len()) as u64;
         let raised = limit.1 > previous.1 || limit.0 > previous.0;
         self.pending.push(PendingChange {
             team: team.into(),
@@ -90,7 +90,7 @@
     }
 
     /// Number of changes that aren't in force.
-    pub fn pending(&self) -> usize {
+    pub fn pending_count(&self) -> usize {
         self.pending.len()
     }
 
@@ -103,8 +103,8 @@
         for change in in_force {
             let latency_ms = now - change.requested_ms;
             match change.direction {
-                Direction::Raised => self.raised_ms.push(latency_ms),
-                Direction::Lowered => self.lowered_ms.push(latency_ms),
+                Direction::Raised => self.raise_latencies_ms.push(latency_ms),
+                Direction::Lowered => self.lower_latencies_ms.push(latency_ms),
             }
         }
     }
--- a/scale/src/observers/takeovers.rs
+++ b/scale/src/observers/takeovers.rs
@@ -26,14 +26,14 @@
     /// The ends of leaders so far.
     pub rows: Vec<TakeoverRow>,
     /// Checks all commands to workers and the cloud.
-    pub orders: Orders,
+    pub command_checker: Orders,
     /// The fencing token of the first shard's owner.
     shard_token: u64,
 }
 
 impl TakeoverObserver {
     /// The leader was just ended.
-    pub fn leader_ended(&mut self, now: u64, kind: LeaderEnd) {
+    pub fn record_leader_end(&mut self, now: u64, kind: LeaderEnd) {
         self.rows.push(TakeoverRow {
             kind,
             at_ms: now,
@@ -64,24 +64,26 @@
     /// The leader's record was written, or is gone.
     pub fn leader_written(&mut self, leader: Option<&LeaderRecord>) {
         let leader = leader.map(|leader| (leader.token.0, leader.controller_id.as_str()));
-        self.orders.duties.leader_is(leader);
+        self.command_checker.duties.leader_is(leader);
     }
 
     /// The first shard's record was written.
     pub fn shard_written(&mut self, now: u64, shard: &ShardRecord) {
         self.shard_token = shard.token.0;
-        self.orders.held(shard.token.0);
+        self.command_checker.held(shard.token.0);
         self.record_first(now, shard.token.0, |row| &mut row.elected_ms);
     }
 
     /// A placement record of a job was written.
     pub fn placement_written(&mut self, job: &JobId, placement: &PlacementRecord) {
-        self.orders.committed(job, placement);
+        self.command_checker.committed(job, placement);
     }
 
     /// The cloud was changed by a controller.
     pub fn cloud_changed(&mut self, now: u64, controller_id: &str) {
-        self.orders.duties.cloud_changed(now, controller_id);
+        self.command_checker
+            .duties
+            .cloud_changed(now, controller_id);
     }
 
     /// A worker has learned a newer token from a response.
@@ -98,7 +100,7 @@
             attempt,
             urgent,
         } = *start;
-        self.orders
+        self.command_checker
             .started(now, machine, newest_token, task, attempt);
         let token = attempt.token().0;
         self.record_first(now, token, |row| &mut row.started_ms);
@@ -114,8 +116,11 @@
         kinds.dedup();
         let mut rows: Vec<Row> = self.rows.iter().cloned().map(Row::Takeover).collect();
         for kind in kinds {
-            let of_kind: Vec<&TakeoverRow> =
-                self.rows.iter().filter(|row| row.kind == kind).collect();
+            let of_kind: Vec<&TakeoverRow> = self
+                .takeovers
+                .iter()
+                .filter(|row| row.kind == kind)
+                .collect();
             rows.extend(STEPS.map(|(step, latency)| {
                 let what = format!("{kind:?}: {step}").to_lowercase();
                 let latencies = of_kind.iter().filter_map(|row| latency(row));
@@ -126,12 +131,12 @@
     }
 
     /// Number of takeovers that took longer than this until the first start, or had none.
-    pub fn late(&self, within_s: f64) -> usize {
+    pub fn count_late(&self, within_s: f64) -> usize {
         let in_time = |row: &&TakeoverRow| {
             let started = row.started_ms;
             started.is_some_and(|ms| ms as f64 <= within_s * 1000.0)
         };
-        self.rows.len() - self.rows.iter().filter(in_time).count()
+        self.rows.len() - self.takeovers.iter().filter(in_time).count()
     }
 }
 
--- a/scale/src/procfs.rs
+++ b/scale/src/procfs.rs
@@ -77,6 +77,6 @@
 }
 
 /// Number of open files of a process, sockets included; `None` once it has ended.
-pub fn process_files(pid: u32) -> Option<usize> {
+pub fn count_open_files(pid: u32) -> Option<usize> {
     Some(fs::read_dir(format!("/proc/{pid}/fd")).ok()?.count())
 }
--- a/scale/src/run/faults.rs
+++ b/scale/src/run/faults.rs
@@ -232,7 +232,9 @@
         };
         let controller = &mut installation.controllers[leader];
         info!("leader ended controller={} kind={kind:?}", controller.id);
-        shared.takeovers().leader_ended(shared.now_ms(), kind);
+        shared
+            .takeover_observer()
+            .record_leader_end(shared.now_ms(), kind);
         match kind {
             LeaderEnd::Kill => {
                 controller.kill();
--- a/scale/src/run/installation.rs
+++ b/scale/src/run/installation.rs
@@ -68,8 +68,8 @@
     fn link_cells(&mut self, addresses: &[CellAddresses]) -> io::Result<()> {
         for from in 0..addresses.len() {
             for (to, target) in addresses.iter().enumerate().filter(|(to, _)| *to != from) {
-                for (controller, link) in target.links.iter().enumerate() {
-                    let listen = target.proxy(from, controller);
+                for (controller, link) in target.cell_links.iter().enumerate() {
+                    let listen = target.proxy_address(from, controller);
                     self.links.forward(Direction { from, to }, listen, *link)?;
                 }
             }
--- a/scale/src/run/limit_changes.rs
+++ b/scale/src/run/limit_changes.rs
@@ -63,8 +63,8 @@
         let previous = shared.checker().limits.get(&name).copied();
         let previous = previous.unwrap_or_default();
         shared
-            .limits()
-            .change_requested(now, &name, limit, previous);
+            .limit_observer()
+            .record_change_request(now, &name, limit, previous);
         let home = &cells[home_cell(experiment, team)];
         home.send(Command::SetLimit { team: name, limit });
     }
--- a/scale/src/run/measurement.rs
+++ b/scale/src/run/measurement.rs
@@ -110,8 +110,8 @@
         let row = SampleRow {
             at_s,
             starts: starts - self.starts,
-            tasks: cells.iter().map(|cell| cell.tasks).sum(),
-            workers: cells.iter().map(|cell| cell.workers).sum(),
+            tasks: cells.iter().map(|cell| cell.running_tasks).sum(),
+            workers: cells.iter().map(|cell| cell.running_workers).sum(),
             changes: changes - self.changes,
         };
         (self.starts, self.changes) = (starts, changes);
--- a/scale/src/run/mod.rs
+++ b/scale/src/run/mod.rs
@@ -93,7 +93,7 @@
             loop {
                 let sample = cell.sample()?;
                 let led = sample.leader.is_some() && sample.healthy_controllers > 0;
-                if led && sample.joined >= planned.workers {
+                if led && sample.joined_workers >= planned.workers {
                     break;
                 }
                 if began.elapsed().as_secs_f64() > READY_S {
--- a/scale/src/run/objectives.rs
+++ b/scale/src/run/objectives.rs
@@ -1,7 +1,7 @@
 //! The objectives of an experiment that a run has missed.
 
 use super::outcome::RunOutcome;
-use crate::hollow::URGENT;
+use crate::hollow::URGENT_CLASS;
 use crate::results::LatencyRow;
 use salttrestle_fakes::checker::{Checker, JobView};
 
@@ -36,7 +36,7 @@
     };
     let jobs = checker.jobs.values();
     let urgent: Vec<&JobView> = jobs
-        .filter(|job| job.record.class == URGENT && job.cancel_asked.is_none())
+        .filter(|job| job.record.class == URGENT_CLASS && job.cancel_asked.is_none())
         .collect();
     let started = urgent.iter().filter(|job| in_time(job)).count();
     let all = urgent.len();
@@ -46,9 +46,9 @@
 
 fn missed_takeovers(run: &RunOutcome) -> Vec<String> {
     let mut missed = Vec::new();
-    let takeovers = run.shared.takeovers();
+    let takeovers = run.shared.takeover_observer();
     if let Some(within_s) = run.experiment.objectives.takeover_within_s {
-        let (late, all) = (takeovers.late(within_s), takeovers.rows.len());
+        let (late, all) = (takeovers.count_late(within_s), takeovers.rows.len());
         if late > 0 {
             missed.push(format!("{late} of {all} takeovers took over {within_s} s"));
         }
@@ -62,10 +62,10 @@
     let Some(within_s) = run.experiment.objectives.limits_within_s else {
         return Vec::new();
     };
-    let limits = run.shared.limits();
+    let limits = run.shared.limit_observer();
     let latencies = [
-        ("raised", &limits.raised_ms),
-        ("lowered", &limits.lowered_ms),
+        ("raised", &limits.raise_latencies_ms),
+        ("lowered", &limits.lower_latencies_ms),
     ];
     let mut missed = Vec::new();
     for (direction, latencies_ms) in latencies {
@@ -76,10 +76,10 @@
             ));
         }
     }
-    if limits.pending() > 0 {
+    if limits.pending_count() > 0 {
         missed.push(format!(
             "{} changes of limits never came into force",
-            limits.pending()
+            limits.pending_count()
         ));
     }
     missed
--- a/scale/src/run/report.rs
+++ b/scale/src/run/report.rs
@@ -4,8 +4,10 @@
 use super::objectives;
 use super::outcome::RunOutcome;
 use crate::controllers::Controller;
-use crate::hollow::{BATCH, CellSample, KindTraffic, SERVICE, SharedState, URGENT};
-use crate::procfs::{CpuTime, process_files, process_memory};
+use crate::hollow::{
+    BATCH_CLASS, CellSample, KindTraffic, SERVICE_CLASS, SharedState, URGENT_CLASS,
+};
+use crate::procfs::{CpuTime, count_open_files, process_memory};
 use crate::results::{
     HollowRow, LateJobRow, LatencyRow, ProcessRow, Results, Row, RunRow, StoreRow, TrafficRow,
 };
@@ -31,7 +33,7 @@
     }
     let checker = run.shared.checker();
     rows.extend(job_latency_rows(&checker));
-    rows.extend(run.shared.takeovers().result_rows());
+    rows.extend(run.shared.takeover_observer().result_rows());
     rows.extend(late_job_rows(run, &checker));
     rows.extend(run.samples.iter().cloned().map(Row::Sample));
     drop(checker);
@@ -61,11 +63,11 @@
             Row::Process(ProcessRow {
                 cell: run.installation.cells[controller.cell].name.clone(),
                 controller_id: controller.id.clone(),
-                owner: to.cells[controller.cell].owner.as_ref() == Some(&controller.id),
+                owner: to.cells[controller.cell].shard_owner.as_ref() == Some(&controller.id),
                 user_cores: cores(|cpu| cpu.user_s),
                 system_cores: cores(|cpu| cpu.system_s),
                 memory_mb: peak_memory_mb(controller),
-                files: controller.pid().and_then(process_files).unwrap_or(0),
+                files: controller.pid().and_then(count_open_files).unwrap_or(0),
                 restarted: used.is_none(),
             })
         });
@@ -100,11 +102,11 @@
             changes: rate(store.changes),
             conflicts: rate(store.conflicts),
             rejected: rate(store.rejected),
-            keys: to.keys,
+            keys: to.stored_keys,
         }),
         Row::Hollow(HollowRow {
             cell: name.clone(),
-            cores: to.cpu.since(from.cpu).total_s() / window_s,
+            cores: to.thread_cpu.since(from.thread_cpu).total_s() / window_s,
         }),
     ];
     let traffic = from.traffic.iter().zip(&to.traffic);
@@ -128,7 +130,7 @@
 /// Latencies from submission to acceptance and to the first start, by class of job.
 fn job_latency_rows(checker: &Checker) -> Vec<Row> {
     let mut rows = Vec::new();
-    for class in [BATCH, URGENT, SERVICE] {
+    for class in [BATCH_CLASS, URGENT_CLASS, SERVICE_CLASS] {
         let mut add = |event: &str, at: fn(&JobView) -> Option<u64>| {
             let jobs = checker.jobs.values();
             let of_class = jobs.filter(|job| job.record.class == class);
@@ -151,7 +153,7 @@
     let seconds = |ms: u64| ms as f64 / 1000.0;
     let waited_s = |job: &JobView| job.first_start.map(|at| seconds(at - job.submitted_at));
     let late = checker.jobs.iter().filter(|(_, job)| {
-        job.record.class == URGENT && waited_s(job).is_none_or(|waited| waited > within_s)
+        job.record.class == URGENT_CLASS && waited_s(job).is_none_or(|waited| waited > within_s)
     });
     let rows = late.map(|(id, job)| {
         Row::LateJob(LateJobRow {
@@ -166,15 +168,15 @@
 
 /// Latencies of changes of limits.
 fn limit_rows(shared: &SharedState) -> [Row; 2] {
-    let limits = shared.limits();
+    let limits = shared.limit_observer();
     info!(
         "limit changes observed replaced={} pending={}",
-        limits.replaced,
-        limits.pending()
+        limits.replaced_count,
+        limits.pending_count()
     );
     [
-        ("limits raised", &limits.raised_ms),
-        ("limits lowered", &limits.lowered_ms),
+        ("limits raised", &limits.raise_latencies_ms),
+        ("limits lowered", &limits.lower_latencies_ms),
     ]
     .map(|(what, latencies)| Row::Latency(LatencyRow::new(what, latencies.iter().copied())))
 }
@@ -228,8 +230,8 @@
     let checked = checker.broken.iter().take(VIOLATIONS_MAX).cloned();
     let crashed = run.installation.crashed.iter();
     let crashed = crashed.map(|id| format!("{id} has ended by itself"));
-    let takeovers = run.shared.takeovers();
-    let orders = &takeovers.orders;
+    let takeovers = run.shared.takeover_observer();
+    let orders = &takeovers.command_checker;
     info!("tasks started again count={}", orders.repeats.len());
     for repeat in orders.repeats.iter().take(VIOLATIONS_MAX) {
         info!("task started again task=\"{repeat}\"");
--- a/scale/src/sweep.rs
+++ b/scale/src/sweep.rs
@@ -72,7 +72,7 @@
         for repeat in 0..self.repeats {
             for AxisValues { axis, values } in &self.axes {
                 runs.extend(values.iter().map(|value| {
-                    let mut experiment = axis.set(base, *value);
+                    let mut experiment = axis.with_value(base, *value);
                     experiment.seed = base.seed + repeat as u64;
                     PlannedRun {
                         axis: *axis,
