--- a/scale/src/observers/takeovers.rs
+++ b/scale/src/observers/takeovers.rs
@@ -116,11 +116,8 @@
         kinds.dedup();
         let mut rows: Vec<Row> = self.rows.iter().cloned().map(Row::Takeover).collect();
         for kind in kinds {
-            let of_kind: Vec<&TakeoverRow> = self
-                .takeovers
-                .iter()
-                .filter(|row| row.kind == kind)
-                .collect();
+            let of_kind: Vec<&TakeoverRow> =
+                self.rows.iter().filter(|row| row.kind == kind).collect();
             rows.extend(STEPS.map(|(step, latency)| {
                 let what = format!("{kind:?}: {step}").to_lowercase();
                 let latencies = of_kind.iter().filter_map(|row| latency(row));
@@ -136,7 +133,7 @@
             let started = row.started_ms;
             started.is_some_and(|ms| ms as f64 <= within_s * 1000.0)
         };
-        self.rows.len() - self.takeovers.iter().filter(in_time).count()
+        self.rows.len() - self.rows.iter().filter(in_time).count()
     }
 }
 
