--- a/scale/src/controllers/process.rs
+++ b/scale/src/controllers/process.rs
@@ -29,7 +29,7 @@
     program: PathBuf,
     child: Option<Child>,
     /// It was sent SIGTERM and hasn't been restarted since.
-    terminating: bool,
+    is_terminating: bool,
 }
 
 /// Whether a process ended by itself before it was restarted.
@@ -56,7 +56,7 @@
             log: paths.folder.join(format!("{id}.log")),
             program: paths.program.into(),
             child: None,
-            terminating: false,
+            is_terminating: false,
             id,
         })
     }
@@ -109,7 +109,7 @@
 
     /// Asks the process to terminate. `restart` starts it again.
     pub fn terminate(&mut self) {
-        self.terminating = true;
+        self.is_terminating = true;
         self.signal(Signal::TERM);
     }
 
@@ -123,13 +123,13 @@
 
     /// Starts the process again, and kills one that was asked to terminate and still runs.
     pub fn restart(&mut self) -> io::Result<Termination> {
-        let terminating = std::mem::take(&mut self.terminating);
-        let ended = self.child.as_mut().is_none_or(has_exited);
-        if terminating {
+        let is_terminating = std::mem::take(&mut self.is_terminating);
+        let has_ended = self.child.as_mut().is_none_or(has_exited);
+        if is_terminating {
             self.kill();
         }
         self.start()?;
-        Ok(match terminating && !ended {
+        Ok(match is_terminating && !has_ended {
             true => Termination::Ignored,
             false => Termination::Complied,
         })
@@ -137,7 +137,7 @@
 
     /// Whether the process has ended though it was neither killed nor asked to terminate.
     pub fn has_crashed(&mut self) -> bool {
-        !self.terminating && self.child.as_mut().is_some_and(has_exited)
+        !self.is_terminating && self.child.as_mut().is_some_and(has_exited)
     }
 }
 
--- a/scale/src/controllers/settings.rs
+++ b/scale/src/controllers/settings.rs
@@ -12,8 +12,8 @@
 /// Requests per second that the fake cloud admits.
 const CLOUD_RPS: f64 = 20.0;
 /// The fleet keeps its size: an empty machine is deleted only after so many boot times.
-const PROPERTIES: &str = "scale.window = 100\n";
-const WITHOUT_STANDBY: &str = "standby.heartbeat-s = 0\nstandby.hints-s = 0\n";
+const CONTROLLER_PROPERTIES: &str = "scale.window = 100\n";
+const STANDBY_OFF_PROPERTIES: &str = "standby.heartbeat-s = 0\nstandby.hints-s = 0\n";
 
 /// The files that a controller is started with.
 pub(super) struct SettingsFiles {
@@ -36,15 +36,15 @@
         let cell = &experiment.cells[index.cell];
         let id = controller_id(cell, index.controller);
         let config = folder.join(format!("{id}.json"));
-        let platform = platform(experiment, index, &addresses[index.cell]);
+        let platform = platform_settings(experiment, index, &addresses[index.cell]);
         std::fs::write(&config, platform.to_string())?;
         let properties = folder.join("controllers.properties");
-        std::fs::write(&properties, own_properties(experiment))?;
+        std::fs::write(&properties, controller_properties(experiment))?;
         let cells = match &experiment.sharing {
             None => None,
             Some(sharing) => {
                 let path = folder.join(format!("cells-{}.properties", cell.name));
-                let text = cells_file(experiment, sharing, index.cell, addresses);
+                let text = cells_settings(experiment, sharing, index.cell, addresses);
                 std::fs::write(&path, text)?;
                 Some(path)
             }
@@ -57,16 +57,20 @@
     }
 }
 
-fn own_properties(experiment: &Experiment) -> String {
+fn controller_properties(experiment: &Experiment) -> String {
     let takeovers = experiment.takeovers.as_ref();
     match takeovers.is_none_or(|takeovers| takeovers.standby) {
-        true => PROPERTIES.into(),
-        false => format!("{PROPERTIES}{WITHOUT_STANDBY}"),
+        true => CONTROLLER_PROPERTIES.into(),
+        false => format!("{CONTROLLER_PROPERTIES}{STANDBY_OFF_PROPERTIES}"),
     }
 }
 
 /// The settings that a platform would provide.
-fn platform(experiment: &Experiment, index: ControllerIndex, addresses: &CellAddresses) -> Value {
+fn platform_settings(
+    experiment: &Experiment,
+    index: ControllerIndex,
+    addresses: &CellAddresses,
+) -> Value {
     let cell = &experiment.cells[index.cell];
     let zone = |controller: usize| &cell.zones[controller % cell.zones.len()];
     let others = (0..cell.controllers).filter(|other| *other != index.controller);
@@ -81,12 +85,12 @@
         "peer_listen": addresses.peers[index.controller].to_string(),
         "siblings": siblings.collect::<Vec<_>>(),
         "services": {"cloud": cloud, "state": addresses.store.to_string()},
-        "facts": facts(experiment, index.cell)
+        "facts": platform_facts(experiment, index.cell)
     })
 }
 
 /// What a platform states of the fleet and its outside services.
-fn facts(experiment: &Experiment, cell: usize) -> Value {
+fn platform_facts(experiment: &Experiment, cell: usize) -> Value {
     let (service, load) = (&experiment.service, &experiment.load);
     let cell = &experiment.cells[cell];
     let teams = (0..load.teams).map(|team| {
@@ -107,7 +111,7 @@
 }
 
 /// The cells file of one cell's controllers: other cells are reached through the proxy.
-fn cells_file(
+fn cells_settings(
     experiment: &Experiment,
     sharing: &Sharing,
     own_cell: usize,
--- a/scale/src/hollow/cell.rs
+++ b/scale/src/hollow/cell.rs
@@ -1,15 +1,15 @@
 //! The loop of one hollow cell: commands, timers, and the events of its connections.
 
-use super::cloud::{MACHINE_TYPE, decode_request, encode_response, fake_cloud};
+use super::cloud::{MACHINE_TYPE, decode_request, encode_response, new_cloud};
 use super::commands::{CellSample, Command};
 use super::connections::{ConnectionEvent, Connections, EventKind, Role};
 use super::plan::CellPlan;
 use super::request::Response;
 use super::shared::SharedState;
-use super::store::{CELL, DelayedResponse, LEADER, SHARD, StoreService, WrittenRecord};
+use super::store::{CELL_KEY, LEADER_KEY, SHARD_KEY, StoreService, WatchResponse, WrittenRecord};
 use super::timers::Timers;
 use super::users::Users;
-use super::workers::{Machine, MachineStop, ROUND_MS, Workers};
+use super::workers::{Machine, MachineStop, VISIT_INTERVAL_MS, Workers};
 use crate::procfs::thread_cpu;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
@@ -25,11 +25,11 @@
 use std::time::Duration;
 
 /// Milliseconds between two steps of the timers.
-const STEP_MS: u64 = 10;
+const TIMER_INTERVAL_MS: u64 = 10;
 /// The cloud's latency, in milliseconds.
 const CLOUD_LATENCY_MS: u64 = 50;
 /// A failed machine is listed as running for so long, in milliseconds.
-const LISTED_RUNNING_MS: u64 = 30_000;
+const FAILURE_LISTED_AFTER_MS: u64 = 30_000;
 /// What a client is asked to wait after a rejected request, in seconds.
 const RETRY_AFTER_S: u32 = 1;
 
@@ -52,17 +52,17 @@
     rng: StdRng,
     /// Responses by the time at which they are sent, by a sequence number.
     responses: Timers<u64, Outgoing>,
-    last_response: u64,
+    last_response_number: u64,
     /// Machines that boot, by id.
-    boots: Timers<String, ()>,
+    pending_boots: Timers<String, ()>,
     /// Machines that fail, by id.
-    failures: Timers<String, ()>,
+    pending_failures: Timers<String, ()>,
     /// When the store's outage ends.
     outage_end_ms: Option<u64>,
     /// The limits that operators have set.
     operator_limits: LimitsByTeam,
     /// When the timers were last stepped.
-    stepped_ms: u64,
+    last_step_ms: u64,
 }
 
 impl HollowCell {
@@ -76,17 +76,17 @@
         let mut cell = Self {
             connections: Connections::new(addresses.store, &addresses.clouds)?,
             store: StoreService::new(&plan.service),
-            cloud: fake_cloud(&plan),
+            cloud: new_cloud(&plan),
             workers: Workers::new(plan.clone(), shared.clone()),
             users: Users::new(plan.clone(), shared.clone()),
             rng: StdRng::seed_from_u64(plan.seed),
             responses: Timers::new(),
-            last_response: 0,
-            boots: Timers::new(),
-            failures: Timers::new(),
+            last_response_number: 0,
+            pending_boots: Timers::new(),
+            pending_failures: Timers::new(),
             outage_end_ms: None,
             operator_limits: LimitsByTeam::new(),
-            stepped_ms: 0,
+            last_step_ms: 0,
             plan,
             shared,
             commands,
@@ -99,7 +99,7 @@
         let zones = self.plan.zones.iter().cycle();
         for zone in zones.take(self.plan.workers) {
             let id = self.cloud.add(0, MACHINE_TYPE, zone, false, Some(0));
-            self.boots.insert(0, id.to_string(), ());
+            self.pending_boots.insert(0, id.to_string(), ());
         }
     }
 
@@ -112,15 +112,15 @@
                 return Ok(());
             }
             self.send_responses(now);
-            self.step(now);
-            let step_ms = self.stepped_ms + STEP_MS;
+            self.step_timers(now);
+            let next_step_ms = self.last_step_ms + TIMER_INTERVAL_MS;
             let next_ms = self.responses.next_ms();
-            let next_ms = next_ms.map_or(step_ms, |next_ms| next_ms.min(step_ms));
+            let next_ms = next_ms.map_or(next_step_ms, |next_ms| next_ms.min(next_step_ms));
             let timeout_ms = next_ms.saturating_sub(self.shared.now_ms());
             self.connections
                 .wait(Duration::from_millis(timeout_ms), &mut received)?;
             for event in received.drain(..) {
-                self.handle(event);
+                self.handle_event(event);
             }
         }
     }
@@ -133,12 +133,12 @@
                     return ControlFlow::Break(());
                 }
                 Err(TryRecvError::Empty) => return ControlFlow::Continue(()),
-                Ok(command) => self.execute(now, command),
+                Ok(command) => self.execute_command(now, command),
             }
         }
     }
 
-    fn execute(&mut self, now: u64, command: Command) {
+    fn execute_command(&mut self, now: u64, command: Command) {
         match command {
             Command::StartLoad => self.users.start_load(now),
             Command::FailMachines {
@@ -158,18 +158,18 @@
             }
             Command::Sample(reply_to) => {
                 // The run may have given up waiting.
-                let _ = reply_to.send(self.sample());
+                let _ = reply_to.send(self.take_sample());
             }
             Command::Stop => {}
         }
     }
 
     fn schedule_failures(&mut self, now: u64, count: usize, zone: Option<&str>, over_ms: u64) {
-        let mut machines = self.workers.machines(zone);
+        let mut machines = self.workers.running_machines(zone);
         machines.shuffle(&mut self.rng);
         for id in machines.into_iter().take(count) {
             let at_ms = now + self.rng.random_range(0..=over_ms);
-            self.failures.insert(at_ms, id, ());
+            self.pending_failures.insert(at_ms, id, ());
         }
     }
 
@@ -181,12 +181,12 @@
     }
 
     /// Steps the timers of machines, store, workers and users, if a step is due.
-    fn step(&mut self, now: u64) {
-        if now < self.stepped_ms + STEP_MS {
+    fn step_timers(&mut self, now: u64) {
+        if now < self.last_step_ms + TIMER_INTERVAL_MS {
             return;
         }
-        let elapsed_ms = (now - self.stepped_ms).min(ROUND_MS);
-        self.stepped_ms = now;
+        let elapsed_ms = (now - self.last_step_ms).min(VISIT_INTERVAL_MS);
+        self.last_step_ms = now;
         self.boot_machines(now);
         self.fail_machines(now);
         if self.outage_end_ms.is_some_and(|end_ms| now >= end_ms) {
@@ -194,40 +194,40 @@
             self.store.end_outage(now);
         }
         self.answer_watches(now);
-        let share = elapsed_ms as f64 / ROUND_MS as f64;
+        let fraction = elapsed_ms as f64 / VISIT_INTERVAL_MS as f64;
         let (connections, jobs) = (&mut self.connections, &self.users.jobs);
         self.workers
-            .tick(now, share, connections, jobs, &mut self.rng);
+            .tick(now, fraction, connections, jobs, &mut self.rng);
         self.users.tick(now, connections, &mut self.rng);
     }
 
     fn boot_machines(&mut self, now: u64) {
-        while let Some((id, ())) = self.boots.pop_due(now) {
-            let rig = self.cloud.rigs.get(&id);
-            if let Some(rig) = rig.filter(|rig| rig.gone.is_none()) {
+        while let Some((id, ())) = self.pending_boots.pop_due(now) {
+            let rented = self.cloud.rigs.get(&id);
+            if let Some(rented) = rented.filter(|rented| rented.gone.is_none()) {
                 let machine = Machine {
                     id: &id,
-                    machine_type: &rig.class,
-                    zone: &rig.zone,
-                    spot: rig.spot,
+                    machine_type: &rented.class,
+                    zone: &rented.zone,
+                    spot: rented.spot,
                 };
-                self.workers.boot(now, &machine);
+                self.workers.add(now, &machine);
             }
         }
     }
 
     fn fail_machines(&mut self, now: u64) {
-        while let Some((id, ())) = self.failures.pop_due(now) {
+        while let Some((id, ())) = self.pending_failures.pop_due(now) {
             self.workers
-                .stop(&mut self.connections, &id, MachineStop::Failed);
-            if let Some(rig) = self.cloud.rigs.get_mut(&id) {
-                rig.failed = Some(now + LISTED_RUNNING_MS);
+                .stop_machine(&mut self.connections, &id, MachineStop::Failed);
+            if let Some(rented) = self.cloud.rigs.get_mut(&id) {
+                rented.failed = Some(now + FAILURE_LISTED_AFTER_MS);
             }
         }
     }
 
     fn answer_watches(&mut self, now: u64) {
-        for DelayedResponse {
+        for WatchResponse {
             connection,
             response,
         } in self.store.answer_watches(now)
@@ -242,91 +242,95 @@
     }
 
     fn send_at(&mut self, at_ms: u64, connection: usize, response: &Response) {
-        let rejected = matches!(response.status, 429 | 503);
-        let retry_after = rejected.then_some(RETRY_AFTER_S);
+        let is_rejected = matches!(response.status, 429 | 503);
+        let retry_after = is_rejected.then_some(RETRY_AFTER_S);
         let bytes = http::response(response.status, retry_after, false, &response.body);
-        self.last_response += 1;
+        self.last_response_number += 1;
         let outgoing = Outgoing { connection, bytes };
-        self.responses.insert(at_ms, self.last_response, outgoing);
+        self.responses
+            .insert(at_ms, self.last_response_number, outgoing);
     }
 
-    fn handle(&mut self, event: ConnectionEvent) {
+    fn handle_event(&mut self, event: ConnectionEvent) {
         let now = self.shared.now_ms();
         match event.kind {
-            EventKind::Message(message) => self.received(now, event.key, event.role, &message),
-            EventKind::Closed => self.closed(now, event.key, event.role),
+            EventKind::Message(message) => {
+                self.handle_message(now, event.key, event.role, &message);
+            }
+            EventKind::Closed => self.handle_close(now, event.key, event.role),
         }
     }
 
-    fn received(&mut self, now: u64, key: usize, role: Role, message: &Message) {
+    fn handle_message(&mut self, now: u64, key: usize, role: Role, message: &Message) {
         let connections = &mut self.connections;
         match role {
-            Role::Store => self.store_request(now, key, message),
-            Role::Cloud(controller) => self.cloud_request(now, key, controller, message),
+            Role::Store => self.handle_store_request(now, key, message),
+            Role::Cloud(controller) => self.handle_cloud_request(now, key, controller, message),
             Role::Worker(index) => {
                 let jobs = &self.users.jobs;
-                let responded = self
+                let result = self
                     .workers
-                    .responded(now, index, message, connections, jobs);
-                if let Err(error) = responded {
+                    .handle_response(now, index, message, connections, jobs);
+                if let Err(error) = result {
                     self.shared.checker().broken.push(error.to_string());
                 }
             }
-            Role::User(_) => self
-                .users
-                .responded(now, key, message, connections, &mut self.rng),
+            Role::User(_) => {
+                self.users
+                    .handle_response(now, key, message, connections, &mut self.rng);
+            }
             Role::Probe(controller) => {
                 self.users
-                    .probed(controller, key, message.status(), connections);
+                    .handle_probe_result(controller, key, message.status(), connections);
             }
         }
     }
 
-    fn closed(&mut self, now: u64, key: usize, role: Role) {
+    fn handle_close(&mut self, now: u64, key: usize, role: Role) {
         match role {
-            Role::Store => self.store.disconnected(key),
+            Role::Store => self.store.drop_watches(key),
             Role::Cloud(_) => {}
-            Role::Worker(index) => self.workers.closed(now, index, key),
-            Role::User(_) => self.users.closed(now, key, &mut self.rng),
+            Role::Worker(index) => self.workers.handle_close(now, index, key),
+            Role::User(_) => self.users.handle_close(now, key, &mut self.rng),
             Role::Probe(controller) => {
                 self.users
-                    .probed(controller, key, None, &mut self.connections);
+                    .handle_probe_result(controller, key, None, &mut self.connections);
             }
         }
     }
 
-    fn store_request(&mut self, now: u64, key: usize, request: &Message) {
-        if let Some(response) = self.store.execute(now, key, request) {
+    fn handle_store_request(&mut self, now: u64, key: usize, request: &Message) {
+        if let Some(response) = self.store.handle_request(now, key, request) {
             self.send_store_response(now, key, &response);
         }
-        for record in self.store.take_written() {
-            self.observe(now, &record);
+        for record in self.store.take_observed_writes() {
+            self.observe_record(now, &record);
         }
         self.answer_watches(now);
     }
 
     /// Passes a written record to the observers and the checker.
-    fn observe(&self, now: u64, record: &WrittenRecord) {
+    fn observe_record(&self, now: u64, record: &WrittenRecord) {
         match record.path.as_str() {
-            SHARD => self.observe_shard(now, record),
-            LEADER => {
-                if self.plan.single
+            SHARD_KEY => self.observe_shard(now, record),
+            LEADER_KEY => {
+                if self.plan.is_only_cell
                     && let Ok(leader) = record.value.deserialized()
                 {
                     self.shared
                         .takeover_observer()
-                        .leader_written(Some(&leader));
+                        .record_leader_write(Some(&leader));
                 }
             }
-            CELL => self.observe_cell(now, record),
+            CELL_KEY => self.observe_cell(now, record),
             path => {
-                if self.plan.single
+                if self.plan.is_only_cell
                     && let Some(Key::Placements(job, _)) = Key::parse(path)
                     && let Ok(placement) = record.value.deserialized()
                 {
                     self.shared
                         .takeover_observer()
-                        .placement_written(&job, &placement);
+                        .record_placement_write(&job, &placement);
                 }
             }
         }
@@ -335,18 +339,20 @@
     fn observe_shard(&self, now: u64, record: &WrittenRecord) {
         if let Ok(view) = record.value.deserialized() {
             let mut limits = self.shared.limit_observer();
-            limits.shard_written(now, self.plan.index, view);
+            limits.record_shard_write(now, self.plan.index, view);
         }
-        if self.plan.single
+        if self.plan.is_only_cell
             && let Ok(shard) = record.value.deserialized()
         {
-            self.shared.takeover_observer().shard_written(now, &shard);
+            self.shared
+                .takeover_observer()
+                .record_shard_write(now, &shard);
         }
     }
 
     fn observe_cell(&self, now: u64, record: &WrittenRecord) {
         if let Ok(record) = record.value.deserialized() {
-            let limits = self.shared.limit_observer().cell_written(now, &record);
+            let limits = self.shared.limit_observer().record_cell_write(now, &record);
             let mut checker = self.shared.checker();
             for (team, limit) in limits {
                 checker.set_limit(now, &team, limit);
@@ -354,11 +360,11 @@
         }
     }
 
-    fn cloud_request(&mut self, now: u64, key: usize, controller: usize, request: &Message) {
+    fn handle_cloud_request(&mut self, now: u64, key: usize, controller: usize, request: &Message) {
         let Some(operation) = decode_request(request) else {
             return self.send_at(now, key, &Response::error(400, "malformed"));
         };
-        if self.plan.single
+        if self.plan.is_only_cell
             && matches!(
                 operation,
                 CloudRequest::ScaleOut(_) | CloudRequest::Delete(_)
@@ -367,35 +373,38 @@
             let controller_id = &self.plan.controller_ids[controller];
             self.shared
                 .takeover_observer()
-                .cloud_changed(now, controller_id);
+                .record_cloud_change(now, controller_id);
         }
         let (reply, deleted) = self.cloud.execute(now, &operation);
         for id in deleted {
             self.workers
-                .stop(&mut self.connections, &id, MachineStop::Deleted);
+                .stop_machine(&mut self.connections, &id, MachineStop::Deleted);
         }
         if let CloudResponse::ScaledOut(machines) = &reply {
             for id in machines {
-                let rig = self.cloud.rigs.get(id.as_str());
-                if let Some(at_ms) = rig.and_then(|rig| rig.boots).filter(|at_ms| *at_ms > now) {
-                    self.boots.insert(at_ms, id.to_string(), ());
+                let rented = self.cloud.rigs.get(id.as_str());
+                if let Some(at_ms) = rented
+                    .and_then(|rented| rented.boots)
+                    .filter(|at_ms| *at_ms > now)
+                {
+                    self.pending_boots.insert(at_ms, id.to_string(), ());
                 }
             }
         }
         self.send_at(now + CLOUD_LATENCY_MS, key, &encode_response(&reply));
     }
 
-    fn sample(&self) -> CellSample {
+    fn take_sample(&self) -> CellSample {
         CellSample {
-            leader: self.store.text_field(LEADER, "member"),
-            shard_owner: self.store.text_field(SHARD, "holder"),
-            running_workers: self.workers.running(),
-            joined_workers: self.workers.joined(),
-            healthy_controllers: self.users.healthy_controllers(),
-            running_tasks: self.workers.tasks(),
+            leader: self.store.text_field(LEADER_KEY, "member"),
+            shard_owner: self.store.text_field(SHARD_KEY, "holder"),
+            running_workers: self.workers.running_count(),
+            joined_workers: self.workers.joined_count(),
+            healthy_controllers: self.users.healthy_controller_count(),
+            running_tasks: self.workers.running_task_count(),
             open_jobs: self.users.open_jobs,
-            stored_keys: self.store.keys(),
-            user_failures: self.users.failures,
+            stored_keys: self.store.key_count(),
+            user_failures: self.users.failed_requests,
             lease_kills: self.workers.lease_kills,
             store: self.store.counts,
             traffic: self.connections.traffic(),
--- a/scale/src/hollow/cloud.rs
+++ b/scale/src/hollow/cloud.rs
@@ -15,7 +15,7 @@
 /// The only machine type.
 pub(super) const MACHINE_TYPE: &str = "hollow-rig";
 /// Price of a machine per hour; nothing depends on it.
-const PRICE: f64 = 10.0;
+const PRICE_PER_H: f64 = 10.0;
 const CACHE_GB: f64 = 200.0;
 const FETCH_GB_S: f64 = 5.0;
 
@@ -99,15 +99,15 @@
 }
 
 /// The fake cloud of a cell.
-pub(super) fn fake_cloud(plan: &CellPlan) -> Cloud {
+pub(super) fn new_cloud(plan: &CellPlan) -> Cloud {
     let [cpus, gpus, mem] = plan.service.machine;
     let machine_type = MachineType {
         name: MACHINE_TYPE.into(),
         resources: Resources { cpus, gpus, mem },
         cache_gb: CACHE_GB,
         fetch_gb_s: FETCH_GB_S,
-        price: PRICE,
-        spot_price: PRICE,
+        price: PRICE_PER_H,
+        spot_price: PRICE_PER_H,
         ready_s: plan.service.boot_s,
         zones: plan.zones.clone(),
     };
@@ -127,7 +127,7 @@
 
 /// Decodes a request; `None` if it is malformed.
 pub(super) fn decode_request(request: &Message) -> Option<CloudRequest> {
-    let start = StartLine::of(request);
+    let start = StartLine::parse(request);
     match (start.method, start.path) {
         ("GET", "/catalog") => Some(CloudRequest::Catalog),
         ("GET", "/rentals") => {
@@ -153,8 +153,8 @@
 }
 
 /// Encodes a response.
-pub(super) fn encode_response(reply: &CloudResponse) -> Response {
-    match reply {
+pub(super) fn encode_response(response: &CloudResponse) -> Response {
+    match response {
         CloudResponse::Catalog(types) => {
             let types = types.iter().map(type_body).collect();
             Response::ok(wire::encode(&CatalogBody { types }))
--- a/scale/src/hollow/connections.rs
+++ b/scale/src/hollow/connections.rs
@@ -9,13 +9,13 @@
 use std::net::{SocketAddr, SocketAddrV4, TcpListener, TcpStream};
 use std::time::Duration;
 
-const STORE_LISTENER: usize = 0;
+const STORE_LISTENER_KEY: usize = 0;
 /// The first of the cloud's listeners, of which there is one for each controller.
-const FIRST_CLOUD_LISTENER: usize = 1;
-const FIRST_CONNECTION: usize = 1_000;
-const READ_BYTES: usize = 64 * 1024;
+const FIRST_CLOUD_LISTENER_KEY: usize = 1;
+const FIRST_CONNECTION_KEY: usize = 1_000;
+const READ_BUFFER_BYTES: usize = 64 * 1024;
 /// Longest body of a message, in bytes.
-const BODY_MAX: usize = 8 << 20;
+const BODY_BYTES_MAX: usize = 8 << 20;
 
 /// What a connection is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -76,7 +76,7 @@
     /// Bytes that wait until the socket accepts them.
     unsent: Vec<u8>,
     /// The poller reports when the socket is writable.
-    awaits_writable: bool,
+    has_write_interest: bool,
 }
 
 /// All connections of one cell's hollow side.
@@ -85,7 +85,7 @@
     events: Events,
     store_listener: TcpListener,
     cloud_listeners: Vec<TcpListener>,
-    open: HashMap<usize, Connection>,
+    connections: HashMap<usize, Connection>,
     next_key: usize,
     buffer: Vec<u8>,
     /// Traffic by kind, in the order of `ConnectionKind::ALL`.
@@ -96,20 +96,20 @@
     /// Listens for the cell's controllers.
     pub(super) fn new(store: SocketAddrV4, clouds: &[SocketAddrV4]) -> io::Result<Self> {
         let poller = Poller::new()?;
-        let store_listener = listen(&poller, store, STORE_LISTENER)?;
+        let store_listener = listen(&poller, store, STORE_LISTENER_KEY)?;
         let cloud_listeners = clouds
             .iter()
             .enumerate()
-            .map(|(index, cloud)| listen(&poller, *cloud, FIRST_CLOUD_LISTENER + index));
+            .map(|(index, cloud)| listen(&poller, *cloud, FIRST_CLOUD_LISTENER_KEY + index));
         let cloud_listeners = cloud_listeners.collect::<io::Result<_>>()?;
         Ok(Self {
             poller,
             events: Events::new(),
             store_listener,
             cloud_listeners,
-            open: HashMap::new(),
-            next_key: FIRST_CONNECTION,
-            buffer: vec![0; READ_BYTES],
+            connections: HashMap::new(),
+            next_key: FIRST_CONNECTION_KEY,
+            buffer: vec![0; READ_BUFFER_BYTES],
             traffic: [Traffic::default(); ConnectionKind::ALL.len()],
         })
     }
@@ -123,14 +123,14 @@
             Err(error) if is_in_progress(&error) => {}
             Err(error) => return Err(error),
         }
-        self.add(socket.into(), role)
+        self.register(socket.into(), role)
     }
 
     #[expect(
         unsafe_code,
         reason = "the poller keeps the descriptor of a socket it doesn't own"
     )]
-    fn add(&mut self, stream: TcpStream, role: Role) -> io::Result<usize> {
+    fn register(&mut self, stream: TcpStream, role: Role) -> io::Result<usize> {
         let _ = stream.set_nodelay(true);
         let key = self.next_key;
         self.next_key += 1;
@@ -143,17 +143,17 @@
         let connection = Connection {
             stream,
             role,
-            decoder: Decoder::new(role.side(), BODY_MAX),
+            decoder: Decoder::new(role.side(), BODY_BYTES_MAX),
             unsent: Vec::new(),
-            awaits_writable: false,
+            has_write_interest: false,
         };
-        self.open.insert(key, connection);
+        self.connections.insert(key, connection);
         Ok(key)
     }
 
     /// Sends a message, now or as soon as the socket is writable.
     pub(super) fn send(&mut self, key: usize, bytes: &[u8]) {
-        let Some(connection) = self.open.get_mut(&key) else {
+        let Some(connection) = self.connections.get_mut(&key) else {
             return;
         };
         let traffic = &mut self.traffic[connection.role.kind() as usize];
@@ -165,7 +165,7 @@
 
     /// Writes as much as the socket accepts. A failed connection is found when it is read.
     fn flush(&mut self, key: usize) {
-        let Some(connection) = self.open.get_mut(&key) else {
+        let Some(connection) = self.connections.get_mut(&key) else {
             return;
         };
         while !connection.unsent.is_empty() {
@@ -176,10 +176,10 @@
                 Err(_) => break,
             }
         }
-        let pending = !connection.unsent.is_empty();
-        if pending != connection.awaits_writable {
-            connection.awaits_writable = pending;
-            let interest = PollEvent::new(key, true, pending);
+        let has_unsent = !connection.unsent.is_empty();
+        if has_unsent != connection.has_write_interest {
+            connection.has_write_interest = has_unsent;
+            let interest = PollEvent::new(key, true, has_unsent);
             let stream = &connection.stream;
             let _ = self
                 .poller
@@ -189,14 +189,14 @@
 
     /// Closes a connection.
     pub(super) fn close(&mut self, key: usize) {
-        if let Some(connection) = self.open.remove(&key) {
+        if let Some(connection) = self.connections.remove(&key) {
             let _ = self.poller.delete(&connection.stream);
         }
     }
 
     /// Stops reading a connection and leaves it open, as a failed machine does.
-    pub(super) fn silence(&self, key: usize) {
-        if let Some(connection) = self.open.get(&key) {
+    pub(super) fn stop_reading(&self, key: usize) {
+        if let Some(connection) = self.connections.get(&key) {
             let _ = self.poller.delete(&connection.stream);
         }
     }
@@ -224,9 +224,9 @@
         let events: Vec<PollEvent> = self.events.iter().collect();
         for event in events {
             match event.key {
-                STORE_LISTENER => self.accept(Role::Store)?,
-                key if key < FIRST_CONNECTION => {
-                    self.accept(Role::Cloud(key - FIRST_CLOUD_LISTENER))?;
+                STORE_LISTENER_KEY => self.accept(Role::Store)?,
+                key if key < FIRST_CONNECTION_KEY => {
+                    self.accept(Role::Cloud(key - FIRST_CLOUD_LISTENER_KEY))?;
                 }
                 key => {
                     if event.writable {
@@ -250,7 +250,7 @@
             match listener.accept() {
                 Ok((stream, _)) => {
                     stream.set_nonblocking(true)?;
-                    self.add(stream, role)?;
+                    self.register(stream, role)?;
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(()),
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
@@ -260,28 +260,28 @@
     }
 
     fn read(&mut self, key: usize, received: &mut Vec<ConnectionEvent>) {
-        let Some(connection) = self.open.get_mut(&key) else {
+        let Some(connection) = self.connections.get_mut(&key) else {
             return;
         };
         let role = connection.role;
         let traffic = &mut self.traffic[role.kind() as usize];
-        let mut closed = connection.receive(&mut self.buffer, traffic);
+        let mut is_closed = connection.receive(&mut self.buffer, traffic);
         loop {
             match connection.decoder.next_message() {
                 Ok(Some(message)) => {
-                    closed |= message.close;
+                    is_closed |= message.close;
                     traffic.messages_in += 1;
                     let kind = EventKind::Message(message);
                     received.push(ConnectionEvent { key, role, kind });
                 }
                 Ok(None) => break,
                 Err(_) => {
-                    closed = true;
+                    is_closed = true;
                     break;
                 }
             }
         }
-        if closed {
+        if is_closed {
             self.close(key);
             let kind = EventKind::Closed;
             received.push(ConnectionEvent { key, role, kind });
--- a/scale/src/hollow/jobs.rs
+++ b/scale/src/hollow/jobs.rs
@@ -14,7 +14,7 @@
 /// A job as it was submitted.
 pub(super) struct Job {
     /// The encoded submission.
-    pub(super) body: Vec<u8>,
+    pub(super) submission: Vec<u8>,
     /// What workers know of its tasks.
     pub(super) spec: TaskSpec,
 }
@@ -33,7 +33,7 @@
 
     /// A job's encoded submission.
     pub(super) fn submission(&self, id: &JobId) -> Option<&[u8]> {
-        self.jobs.get(id).map(|job| job.body.as_slice())
+        self.jobs.get(id).map(|job| job.submission.as_slice())
     }
 
     /// Whether a job is known and no service, so that it ends by itself.
--- a/scale/src/hollow/plan.rs
+++ b/scale/src/hollow/plan.rs
@@ -32,7 +32,7 @@
     /// The course of the run.
     pub phases: Phases,
     /// Whether it is the only cell: then its commands are checked as well.
-    pub single: bool,
+    pub is_only_cell: bool,
     /// The seed of its random draws.
     pub seed: u64,
 }
@@ -57,7 +57,7 @@
             service: experiment.service.clone(),
             load: experiment.load.clone(),
             phases: experiment.phases.clone(),
-            single: experiment.cells.len() == 1,
+            is_only_cell: experiment.cells.len() == 1,
             seed: experiment.seed + index as u64,
         }
     }
--- a/scale/src/hollow/request.rs
+++ b/scale/src/hollow/request.rs
@@ -39,7 +39,7 @@
 
 impl<'a> StartLine<'a> {
     /// The start line of a message.
-    pub(super) fn of(request: &'a Message) -> Self {
+    pub(super) fn parse(request: &'a Message) -> Self {
         let target = request.start[1].as_str();
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
         Self {
--- a/scale/src/hollow/shared.rs
+++ b/scale/src/hollow/shared.rs
@@ -9,7 +9,7 @@
 
 /// What all cells share.
 pub struct SharedState {
-    began: Instant,
+    started_at: Instant,
     checker: Mutex<Checker>,
     ended_jobs: Mutex<BTreeSet<JobId>>,
     limits: Mutex<LimitObserver>,
@@ -20,7 +20,7 @@
     /// The clock begins now.
     pub fn new(checker: Checker) -> Self {
         Self {
-            began: Instant::now(),
+            started_at: Instant::now(),
             checker: Mutex::new(checker),
             ended_jobs: Mutex::default(),
             limits: Mutex::default(),
@@ -30,7 +30,7 @@
 
     /// Milliseconds since the begin.
     pub fn now_ms(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+        self.started_at.elapsed().as_millis() as u64
     }
 
     /// The checker, which sees the events of all cells in their order.
@@ -49,7 +49,7 @@
     }
 
     /// Records that a job's user knows its end; false if that was known before.
-    pub fn record_ended(&self, job: &JobId) -> bool {
+    pub fn record_job_end(&self, job: &JobId) -> bool {
         lock(&self.ended_jobs).insert(job.clone())
     }
 }
--- a/scale/src/hollow/store/mod.rs
+++ b/scale/src/hollow/store/mod.rs
@@ -21,26 +21,26 @@
 use watches::{PendingWatch, WatchRequest};
 
 /// Changes that are kept for watches.
-const HISTORY: usize = 10_000;
+const WATCH_HISTORY_CHANGES_MAX: usize = 10_000;
 /// Most entries of one page of a list.
-const PAGE_MAX: usize = 1_000;
+const PAGE_ENTRIES_MAX: usize = 1_000;
 /// Most preconditions of a transaction, as a multiple of its writes.
-const PRECONDITIONS_PER_WRITE: usize = 4;
+const PRECONDITIONS_PER_WRITE_MAX: usize = 4;
 
 /// The key of the first shard's record.
-pub(super) const SHARD: &str = "s/own/block/0";
+pub(super) const SHARD_KEY: &str = "s/own/block/0";
 /// The key of the cell's own record, with the limits that it sets.
-pub(super) const CELL: &str = "s/own/cell";
+pub(super) const CELL_KEY: &str = "s/own/cell";
 /// The key of the leader's record.
-pub(super) const LEADER: &str = "s/own/leader";
+pub(super) const LEADER_KEY: &str = "s/own/leader";
 /// The prefix of the placement records.
-const PLACEMENTS: &str = "s/run/";
+const PLACEMENT_PREFIX: &str = "s/run/";
 /// The key of the limits that operators set.
-const LIMITS: &str = "s/own/limits";
+const LIMITS_KEY: &str = "s/own/limits";
 
 /// Whether writes of a key are observed.
 fn is_observed(path: &str) -> bool {
-    [SHARD, CELL, LEADER].contains(&path) || path.starts_with(PLACEMENTS)
+    [SHARD_KEY, CELL_KEY, LEADER_KEY].contains(&path) || path.starts_with(PLACEMENT_PREFIX)
 }
 
 /// Counters of one store.
@@ -106,7 +106,7 @@
 
 impl Transaction {
     /// The observed records that it writes.
-    fn observed(&self) -> Vec<WrittenRecord> {
+    fn observed_writes(&self) -> Vec<WrittenRecord> {
         let writes = self.writes.iter();
         let observed = writes.filter_map(|write| match write {
             Write::Put { path, value, .. } if is_observed(path) => Some(WrittenRecord {
@@ -126,7 +126,7 @@
 }
 
 /// A response to a request that came over this connection.
-pub(super) struct DelayedResponse {
+pub(super) struct WatchResponse {
     pub(super) connection: usize,
     pub(super) response: Response,
 }
@@ -138,27 +138,27 @@
     write_limit: RateLimit,
     value_bytes_max: usize,
     writes_max: usize,
-    watches: Vec<PendingWatch>,
-    outage: bool,
+    pending_watches: Vec<PendingWatch>,
+    is_down: bool,
     /// Its counters.
     pub(super) counts: StoreCounts,
     /// Observed records that were written since they were last taken.
-    written: Vec<WrittenRecord>,
+    observed_writes: Vec<WrittenRecord>,
 }
 
 impl StoreService {
     /// An empty store.
     pub(super) fn new(service: &Service) -> Self {
         Self {
-            store: Store::new(HISTORY),
+            store: Store::new(WATCH_HISTORY_CHANGES_MAX),
             request_limit: RateLimit::new(0, service.store_rps),
             write_limit: RateLimit::new(0, service.store_write_rps),
             value_bytes_max: (service.store_value_kb * 1024.0) as usize,
             writes_max: service.store_txn_ops,
-            watches: Vec::new(),
-            outage: false,
+            pending_watches: Vec::new(),
+            is_down: false,
             counts: StoreCounts::default(),
-            written: Vec::new(),
+            observed_writes: Vec::new(),
         }
     }
 
@@ -166,7 +166,7 @@
     pub(super) fn set_limits(&mut self, teams: &LimitsByTeam) {
         let value = Value::serialized(&LimitsBody { teams }).unwrap_or(Value::Null);
         let write = Write::Put {
-            path: LIMITS.into(),
+            path: LIMITS_KEY.into(),
             value: Rc::new(value),
             lease: None,
         };
@@ -174,35 +174,35 @@
     }
 
     /// Takes the observed records that were written since the last call.
-    pub(super) fn take_written(&mut self) -> Vec<WrittenRecord> {
-        std::mem::take(&mut self.written)
+    pub(super) fn take_observed_writes(&mut self) -> Vec<WrittenRecord> {
+        std::mem::take(&mut self.observed_writes)
     }
 
     /// Begins an outage.
     pub(super) fn begin_outage(&mut self) {
-        self.outage = true;
+        self.is_down = true;
     }
 
     /// Ends an outage. Leases are renewed, since nobody could renew them meanwhile.
     pub(super) fn end_outage(&mut self, now: u64) {
-        if std::mem::replace(&mut self.outage, false) {
+        if std::mem::replace(&mut self.is_down, false) {
             self.store.renew_all(now);
         }
     }
 
     /// Executes a request; `None` for a watch that has to wait.
-    pub(super) fn execute(
+    pub(super) fn handle_request(
         &mut self,
         now: u64,
         connection: usize,
         request: &Message,
     ) -> Option<Response> {
         self.counts.requests += 1;
-        let start = StartLine::of(request);
+        let start = StartLine::parse(request);
         if start.path == "/follow" {
-            return self.watch(now, connection, &WatchRequest::parse(start.query));
+            return self.handle_watch(now, connection, &WatchRequest::parse(start.query));
         }
-        if self.outage {
+        if self.is_down {
             return Some(Response::error(503, "trouble"));
         }
         if !self.request_limit.take(now, 1.0) {
@@ -215,7 +215,7 @@
             ("GET", path) => self.get(path.strip_prefix("/keys/").unwrap_or("")),
             ("POST", "/commit") => self.commit(now, &request.body),
             ("POST", "/grants") => self.grant_lease(now, &request.body),
-            (method, path) => self.change_lease(now, method, path),
+            (method, path) => self.renew_or_revoke_lease(now, method, path),
         })
     }
 
@@ -238,9 +238,9 @@
     fn list(&self, query: Query) -> Response {
         let prefix = query.text("prefix").unwrap_or("");
         let after = query.text("after").unwrap_or("");
-        let limit = query
-            .number("limit")
-            .map_or(PAGE_MAX, |limit| (limit as usize).min(PAGE_MAX));
+        let limit = query.number("limit").map_or(PAGE_ENTRIES_MAX, |limit| {
+            (limit as usize).min(PAGE_ENTRIES_MAX)
+        });
         let (page, has_next) = self.store.list(prefix, after, limit);
         let entries = page.iter().map(|(path, entry)| EntryBody {
             path,
@@ -259,8 +259,8 @@
             // Not counted as rejected: no limit was exceeded.
             return Response::error(400, "malformed");
         };
-        match self.admit(now, body) {
-            Ok(transaction) => self.apply(transaction),
+        match self.check_limits(now, body) {
+            Ok(transaction) => self.commit_transaction(transaction),
             Err(error) => {
                 self.counts.rejected += 1;
                 Response::error(error.status(), &error.to_string())
@@ -269,15 +269,15 @@
     }
 
     /// Checks a transaction against the limits.
-    fn admit(&mut self, now: u64, body: CommitBody) -> Result<Transaction, CommitError> {
-        let preconditions_max = PRECONDITIONS_PER_WRITE * self.writes_max;
+    fn check_limits(&mut self, now: u64, body: CommitBody) -> Result<Transaction, CommitError> {
+        let preconditions_max = PRECONDITIONS_PER_WRITE_MAX * self.writes_max;
         if body.writes.len() > self.writes_max || body.preconditions.len() > preconditions_max {
             return Err(CommitError::TooManyOperations);
         }
         if !self.write_limit.take(now, body.writes.len() as f64) {
             return Err(CommitError::TooManyChanges);
         }
-        let writes = body.writes.into_iter().map(|write| self.read_write(write));
+        let writes = body.writes.into_iter().map(|write| self.parse_write(write));
         let writes = writes.collect::<Result<_, _>>()?;
         let preconditions = body.preconditions.into_iter();
         Ok(Transaction {
@@ -288,7 +288,7 @@
         })
     }
 
-    fn read_write(&self, body: WriteBody) -> Result<Write<Rc<Value>>, CommitError> {
+    fn parse_write(&self, body: WriteBody) -> Result<Write<Rc<Value>>, CommitError> {
         match (body.put, body.data, body.delete) {
             (Some(path), Some(data), None) => {
                 let bytes = serde_json::to_vec(&data).map_or(0, |json| json.len());
@@ -306,15 +306,15 @@
         }
     }
 
-    fn apply(&mut self, transaction: Transaction) -> Response {
-        let observed = transaction.observed();
+    fn commit_transaction(&mut self, transaction: Transaction) -> Response {
+        let observed = transaction.observed_writes();
         let changes = transaction.writes.len() as u64;
         let outcome = self
             .store
             .commit(&transaction.preconditions, transaction.writes);
         match outcome {
             CommitOutcome::Committed(revision) => {
-                self.written.extend(observed);
+                self.observed_writes.extend(observed);
                 self.counts.commits += 1;
                 self.counts.changes += changes;
                 self.store.compact();
@@ -341,69 +341,78 @@
     }
 
     /// Extends or releases a lease.
-    fn change_lease(&mut self, now: u64, method: &str, path: &str) -> Response {
+    fn renew_or_revoke_lease(&mut self, now: u64, method: &str, path: &str) -> Response {
         let Some(rest) = path.strip_prefix("/grants/") else {
             return Response::error(400, "malformed");
         };
-        let (id, extend) = match rest.strip_suffix("/extend") {
+        let (id, is_renewal) = match rest.strip_suffix("/extend") {
             Some(id) => (id, true),
             None => (rest, false),
         };
-        let known = match (method, extend, id.parse()) {
+        let exists = match (method, is_renewal, id.parse()) {
             ("POST", true, Ok(id)) => self.store.extend(now, id),
             ("DELETE", false, Ok(id)) => self.store.release(id),
             _ => return Response::error(400, "malformed"),
         };
-        match known {
+        match exists {
             true => Response::ok(Vec::new()),
             false => Response::error(404, "no such lease"),
         }
     }
 
     /// Answers a watch, or registers it. During an outage it waits without an answer.
-    fn watch(&mut self, now: u64, connection: usize, request: &WatchRequest) -> Option<Response> {
+    fn handle_watch(
+        &mut self,
+        now: u64,
+        connection: usize,
+        request: &WatchRequest,
+    ) -> Option<Response> {
         self.counts.watches += 1;
-        if !self.outage {
-            if let Some(response) = watches::events(&self.store, request.prefix, request.after) {
+        if !self.is_down {
+            if let Some(response) =
+                watches::changes_response(&self.store, request.prefix, request.after_revision)
+            {
                 return Some(response);
             }
             if request.wait_ms == 0 {
-                return Some(watches::no_events(&self.store));
+                return Some(watches::empty_response(&self.store));
             }
         }
-        self.watches.push(PendingWatch {
+        self.pending_watches.push(PendingWatch {
             connection,
             prefix: request.prefix.into(),
-            after: request.after,
+            after_revision: request.after_revision,
             deadline_ms: now + request.wait_ms,
         });
         None
     }
 
     /// Expires leases, and answers the watches that have events or whose deadline has passed.
-    pub(super) fn answer_watches(&mut self, now: u64) -> Vec<DelayedResponse> {
-        if self.outage {
+    pub(super) fn answer_watches(&mut self, now: u64) -> Vec<WatchResponse> {
+        if self.is_down {
             return Vec::new();
         }
         self.store.expire(now);
         let mut responses = Vec::new();
-        for watch in std::mem::take(&mut self.watches) {
-            let events = watches::events(&self.store, &watch.prefix, watch.after);
-            let expired = now >= watch.deadline_ms;
-            match events.or_else(|| expired.then(|| watches::no_events(&self.store))) {
-                Some(response) => responses.push(DelayedResponse {
+        for watch in std::mem::take(&mut self.pending_watches) {
+            let events =
+                watches::changes_response(&self.store, &watch.prefix, watch.after_revision);
+            let has_expired = now >= watch.deadline_ms;
+            match events.or_else(|| has_expired.then(|| watches::empty_response(&self.store))) {
+                Some(response) => responses.push(WatchResponse {
                     connection: watch.connection,
                     response,
                 }),
-                None => self.watches.push(watch),
+                None => self.pending_watches.push(watch),
             }
         }
         responses
     }
 
     /// Drops the watches of a connection that is closed.
-    pub(super) fn disconnected(&mut self, connection: usize) {
-        self.watches.retain(|watch| watch.connection != connection);
+    pub(super) fn drop_watches(&mut self, connection: usize) {
+        self.pending_watches
+            .retain(|watch| watch.connection != connection);
     }
 
     /// A text field of a record.
@@ -417,7 +426,7 @@
     }
 
     /// Number of keys that are stored.
-    pub(super) fn keys(&self) -> usize {
+    pub(super) fn key_count(&self) -> usize {
         self.store.entries.len()
     }
 }
--- a/scale/src/hollow/store/watches.rs
+++ b/scale/src/hollow/store/watches.rs
@@ -8,13 +8,13 @@
 use std::rc::Rc;
 
 /// Longest wait of a watch, in milliseconds.
-const WAIT_MAX_MS: u64 = 60_000;
+const WATCH_WAIT_MAX_MS: u64 = 60_000;
 
 /// What a watch asks for.
 pub(super) struct WatchRequest<'a> {
     pub(super) prefix: &'a str,
     /// Only changes after this revision.
-    pub(super) after: u64,
+    pub(super) after_revision: u64,
     pub(super) wait_ms: u64,
 }
 
@@ -22,8 +22,8 @@
     pub(super) fn parse(query: Query<'a>) -> Self {
         Self {
             prefix: query.text("prefix").unwrap_or(""),
-            after: query.number("after").unwrap_or(0),
-            wait_ms: query.number("blockMs").unwrap_or(0).min(WAIT_MAX_MS),
+            after_revision: query.number("after").unwrap_or(0),
+            wait_ms: query.number("blockMs").unwrap_or(0).min(WATCH_WAIT_MAX_MS),
         }
     }
 }
@@ -32,36 +32,40 @@
 pub(super) struct PendingWatch {
     pub(super) connection: usize,
     pub(super) prefix: String,
-    pub(super) after: u64,
+    pub(super) after_revision: u64,
     pub(super) deadline_ms: u64,
 }
 
 /// The response with the changes after a revision, if there are any.
-pub(super) fn events(store: &Store<Rc<Value>>, prefix: &str, after: u64) -> Option<Response> {
-    let Some(changes) = store.changes_after(after) else {
+pub(super) fn changes_response(
+    store: &Store<Rc<Value>>,
+    prefix: &str,
+    after_revision: u64,
+) -> Option<Response> {
+    let Some(changes) = store.changes_after(after_revision) else {
         return Some(Response::error(410, "too old"));
     };
-    let watched = changes
+    let matching = changes
         .iter()
         .filter(|change| change.path.starts_with(prefix));
-    let events: Vec<EventBody> = watched.map(event).collect();
+    let events: Vec<EventBody> = matching.map(to_event_body).collect();
     if events.is_empty() {
         return None;
     }
-    Some(encode(store, events))
+    Some(encode_events(store, events))
 }
 
 /// The response to a watch whose time is over.
-pub(super) fn no_events(store: &Store<Rc<Value>>) -> Response {
-    encode(store, Vec::new())
+pub(super) fn empty_response(store: &Store<Rc<Value>>) -> Response {
+    encode_events(store, Vec::new())
 }
 
-fn encode(store: &Store<Rc<Value>>, events: Vec<EventBody>) -> Response {
+fn encode_events(store: &Store<Rc<Value>>, events: Vec<EventBody>) -> Response {
     let revision = store.revision;
     Response::ok(wire::encode(&EventsBody { revision, events }))
 }
 
-fn event(change: &Change<Rc<Value>>) -> EventBody<'_> {
+fn to_event_body(change: &Change<Rc<Value>>) -> EventBody<'_> {
     let revision = change.revision;
     match &change.value {
         Some(value) => EventBody::Put {
--- a/scale/src/hollow/users/arrivals.rs
+++ b/scale/src/hollow/users/arrivals.rs
@@ -6,15 +6,15 @@
 /// Shortest ramp, in seconds, over which services are submitted.
 const RAMP_MIN_S: f64 = 0.1;
 /// Lowest rate by which the first service's time is rounded.
-const RATE_MIN: f64 = 0.001;
+const RATE_MIN_PER_S: f64 = 0.001;
 
 /// Jobs of one class that are submitted at a steady rate. Times are in milliseconds.
-struct Stream {
+struct JobStream {
     class: &'static str,
-    per_s: f64,
+    rate_per_s: f64,
     next_ms: f64,
     end_ms: f64,
-    count: u64,
+    submitted: u64,
 }
 
 /// A job that is due to be submitted.
@@ -27,7 +27,7 @@
 
 /// The jobs of a cell, by their times.
 pub(super) struct Arrivals {
-    streams: Vec<Stream>,
+    streams: Vec<JobStream>,
     /// The rate of batch jobs, as a multiple of the initial one.
     batch_factor: f64,
 }
@@ -42,7 +42,7 @@
     }
 
     /// The load begins: services over the ramp, then batch and urgent jobs.
-    pub(super) fn begin(&mut self, now: u64, plan: &CellPlan) {
+    pub(super) fn start(&mut self, now: u64, plan: &CellPlan) {
         let (load, phases) = (&plan.load, &plan.phases);
         let now = now as f64;
         let ramp_end_ms = now + phases.ramp_s * 1000.0;
@@ -53,13 +53,13 @@
         let services_per_s = services / phases.ramp_s.max(RAMP_MIN_S);
         let batch_per_s = load.starts_per_s * plan.worker_share / f64::from(load.tasks_per_job);
         // Half an interval later, so that rounding changes nothing in the number of services.
-        let first_service_ms = now + 0.5 * 1000.0 / services_per_s.max(RATE_MIN);
-        let stream = |class, per_s, next_ms, end_ms| Stream {
+        let first_service_ms = now + 0.5 * 1000.0 / services_per_s.max(RATE_MIN_PER_S);
+        let stream = |class, rate_per_s, next_ms, end_ms| JobStream {
             class,
-            per_s,
+            rate_per_s,
             next_ms,
             end_ms,
-            count: 0,
+            submitted: 0,
         };
         let urgent_per_s = load.urgent_per_s * plan.worker_share;
         self.streams = vec![
@@ -78,7 +78,7 @@
     }
 
     /// The next job that is due.
-    pub(super) fn next_due(&mut self, now: u64) -> Option<DueJob> {
+    pub(super) fn pop_due(&mut self, now: u64) -> Option<DueJob> {
         let batch_factor = self.batch_factor;
         self.streams.iter_mut().find_map(|stream| {
             let factor = if stream.class == BATCH_CLASS {
@@ -86,22 +86,22 @@
             } else {
                 1.0
             };
-            stream.next_due(now as f64, factor)
+            stream.pop_due(now as f64, factor)
         })
     }
 }
 
-impl Stream {
-    fn next_due(&mut self, now: f64, factor: f64) -> Option<DueJob> {
-        let per_s = self.per_s * factor;
-        if per_s <= 0.0 || self.next_ms > now || self.next_ms >= self.end_ms {
+impl JobStream {
+    fn pop_due(&mut self, now: f64, factor: f64) -> Option<DueJob> {
+        let rate_per_s = self.rate_per_s * factor;
+        if rate_per_s <= 0.0 || self.next_ms > now || self.next_ms >= self.end_ms {
             return None;
         }
-        self.next_ms += 1000.0 / per_s;
-        self.count += 1;
+        self.next_ms += 1000.0 / rate_per_s;
+        self.submitted += 1;
         Some(DueJob {
             class: self.class,
-            number: self.count,
+            number: self.submitted,
         })
     }
 }
--- a/scale/src/hollow/users/balancer.rs
+++ b/scale/src/hollow/users/balancer.rs
@@ -9,18 +9,18 @@
 use std::net::SocketAddrV4;
 
 /// Between two probes of a controller, and how long one may take, in milliseconds.
-const PROBE_MS: u64 = 1000;
+const PROBE_INTERVAL_MS: u64 = 1000;
 /// Most idle connections of users that are kept open to one controller.
-const IDLE_MAX: usize = 64;
+const IDLE_CONNECTIONS_MAX: usize = 64;
 
 /// One controller, as the balancer sees it.
 struct Backend {
     address: SocketAddrV4,
     /// The connection of the probe in flight.
-    probe: Option<usize>,
+    probe_connection: Option<usize>,
     next_probe_ms: u64,
-    healthy: bool,
-    idle: Vec<usize>,
+    is_healthy: bool,
+    idle_connections: Vec<usize>,
 }
 
 /// The load balancer of a cell's users.
@@ -33,10 +33,10 @@
     pub(super) fn new(controllers: &[SocketAddrV4]) -> Self {
         let backends = controllers.iter().map(|address| Backend {
             address: *address,
-            probe: None,
-            next_probe_ms: PROBE_MS,
-            healthy: false,
-            idle: Vec::new(),
+            probe_connection: None,
+            next_probe_ms: PROBE_INTERVAL_MS,
+            is_healthy: false,
+            idle_connections: Vec::new(),
         });
         Self {
             backends: backends.collect(),
@@ -44,29 +44,29 @@
     }
 
     /// Probes the controllers that are due. One that hasn't answered the probe before is unhealthy.
-    pub(super) fn probe(&mut self, now: u64, connections: &mut Connections) {
+    pub(super) fn send_due_probes(&mut self, now: u64, connections: &mut Connections) {
         for (controller, backend) in self.backends.iter_mut().enumerate() {
             if now < backend.next_probe_ms {
                 continue;
             }
-            if let Some(key) = backend.probe.take() {
+            if let Some(key) = backend.probe_connection.take() {
                 connections.close(key);
-                backend.healthy = false;
+                backend.is_healthy = false;
             }
-            backend.next_probe_ms = now + PROBE_MS;
+            backend.next_probe_ms = now + PROBE_INTERVAL_MS;
             match connections.connect(backend.address, Role::Probe(controller)) {
                 Ok(key) => {
-                    backend.probe = Some(key);
+                    backend.probe_connection = Some(key);
                     let host = backend.address.to_string();
                     connections.send(key, &http::request("GET", "/up", &host, None));
                 }
-                Err(_) => backend.healthy = false,
+                Err(_) => backend.is_healthy = false,
             }
         }
     }
 
     /// A probe was answered, or its connection is closed (`None`).
-    pub(super) fn probed(
+    pub(super) fn handle_probe_result(
         &mut self,
         controller: usize,
         key: usize,
@@ -74,23 +74,23 @@
         connections: &mut Connections,
     ) {
         let backend = &mut self.backends[controller];
-        if backend.probe == Some(key) {
-            backend.probe = None;
-            backend.healthy = status == Some(200);
+        if backend.probe_connection == Some(key) {
+            backend.probe_connection = None;
+            backend.is_healthy = status == Some(200);
             connections.close(key);
         }
     }
 
     /// Number of healthy controllers.
-    pub(super) fn healthy(&self) -> usize {
+    pub(super) fn healthy_count(&self) -> usize {
         let backends = self.backends.iter();
-        backends.filter(|backend| backend.healthy).count()
+        backends.filter(|backend| backend.is_healthy).count()
     }
 
     /// A random healthy controller.
-    pub(super) fn pick(&self, rng: &mut StdRng) -> Option<usize> {
+    pub(super) fn pick_healthy(&self, rng: &mut StdRng) -> Option<usize> {
         let backends = self.backends.iter().enumerate();
-        let healthy = backends.filter(|(_, backend)| backend.healthy);
+        let healthy = backends.filter(|(_, backend)| backend.is_healthy);
         let healthy: Vec<usize> = healthy.map(|(index, _)| index).collect();
         match healthy.len() {
             0 => None,
@@ -104,13 +104,13 @@
     }
 
     /// An idle connection to a controller, or a new one.
-    pub(super) fn connection(
+    pub(super) fn take_connection(
         &mut self,
         controller: usize,
         connections: &mut Connections,
     ) -> io::Result<usize> {
         let backend = &mut self.backends[controller];
-        match backend.idle.pop() {
+        match backend.idle_connections.pop() {
             Some(key) => Ok(key),
             None => connections.connect(backend.address, Role::User(controller)),
         }
@@ -118,15 +118,15 @@
 
     /// Keeps a connection for the next request, or closes it if it can't be reused or there are
     /// enough.
-    pub(super) fn release(
+    pub(super) fn release_connection(
         &mut self,
         controller: usize,
         key: usize,
-        reusable: bool,
+        is_reusable: bool,
         connections: &mut Connections,
     ) {
-        let idle = &mut self.backends[controller].idle;
-        if reusable && idle.len() < IDLE_MAX {
+        let idle = &mut self.backends[controller].idle_connections;
+        if is_reusable && idle.len() < IDLE_CONNECTIONS_MAX {
             idle.push(key);
         } else {
             connections.close(key);
@@ -134,9 +134,9 @@
     }
 
     /// A connection is closed.
-    pub(super) fn closed(&mut self, key: usize) {
+    pub(super) fn remove_connection(&mut self, key: usize) {
         for backend in &mut self.backends {
-            backend.idle.retain(|idle| *idle != key);
+            backend.idle_connections.retain(|idle| *idle != key);
         }
     }
 }
--- a/scale/src/hollow/users/mod.rs
+++ b/scale/src/hollow/users/mod.rs
@@ -62,14 +62,14 @@
     arrivals: Arrivals,
     balancer: Balancer,
     /// Requests that are due at a time, by a sequence number.
-    requests: Timers<u64, Request>,
-    last_request: u64,
+    scheduled_requests: Timers<u64, Request>,
+    last_request_number: u64,
     /// Requests in flight, by connection.
     in_flight: HashMap<usize, InFlight>,
     /// Batch and urgent jobs whose end their users don't know.
     pub(super) open_jobs: usize,
     /// Requests without a valid response.
-    pub(super) failures: u64,
+    pub(super) failed_requests: u64,
 }
 
 impl Users {
@@ -81,17 +81,17 @@
             shared,
             jobs: Jobs::default(),
             arrivals: Arrivals::new(),
-            requests: Timers::new(),
-            last_request: 0,
+            scheduled_requests: Timers::new(),
+            last_request_number: 0,
             in_flight: HashMap::new(),
             open_jobs: 0,
-            failures: 0,
+            failed_requests: 0,
         }
     }
 
     /// The load begins.
     pub(super) fn start_load(&mut self, now: u64) {
-        self.arrivals.begin(now, &self.plan);
+        self.arrivals.start(now, &self.plan);
     }
 
     /// Changes the rate of batch jobs, as a multiple of the initial one.
@@ -100,18 +100,18 @@
     }
 
     /// Number of controllers whose latest health probe succeeded.
-    pub(super) fn healthy_controllers(&self) -> usize {
-        self.balancer.healthy()
+    pub(super) fn healthy_controller_count(&self) -> usize {
+        self.balancer.healthy_count()
     }
 
     /// Sends all requests and probes that are due.
     pub(super) fn tick(&mut self, now: u64, connections: &mut Connections, rng: &mut StdRng) {
-        while let Some(due) = self.arrivals.next_due(now) {
+        while let Some(due) = self.arrivals.pop_due(now) {
             self.submit(now, &due);
         }
-        self.balancer.probe(now, connections);
-        self.time_out(now, connections);
-        while let Some((_, request)) = self.requests.pop_due(now) {
+        self.balancer.send_due_probes(now, connections);
+        self.expire_requests(now, connections);
+        while let Some((_, request)) = self.scheduled_requests.pop_due(now) {
             self.send(now, request, connections, rng);
         }
     }
@@ -120,9 +120,9 @@
         let load = &self.plan.load;
         let id = format!("{}{}-{}", self.plan.name, due.class, due.number);
         let team = team_name(due.number as usize % load.teams);
-        let job = submission::job(&id, due.class, &team, load);
+        let job = submission::build_job(&id, due.class, &team, load);
         let id = JobId::from(id.as_str());
-        if let Ok((_, record)) = wire::submission(&job.body) {
+        if let Ok((_, record)) = wire::submission(&job.submission) {
             self.shared.checker().submitted(now, &id, record);
         }
         if due.class != SERVICE_CLASS {
@@ -133,9 +133,10 @@
     }
 
     fn schedule(&mut self, at_ms: u64, job: JobId, operation: Operation) {
-        self.last_request += 1;
+        self.last_request_number += 1;
         let request = Request { job, operation };
-        self.requests.insert(at_ms, self.last_request, request);
+        self.scheduled_requests
+            .insert(at_ms, self.last_request_number, request);
     }
 
     fn send(
@@ -145,14 +146,14 @@
         connections: &mut Connections,
         rng: &mut StdRng,
     ) {
-        let Some(controller) = self.balancer.pick(rng) else {
-            return self.complete(now, request, None, rng);
+        let Some(controller) = self.balancer.pick_healthy(rng) else {
+            return self.complete_request(now, request, None, rng);
         };
-        let Ok(key) = self.balancer.connection(controller, connections) else {
-            return self.complete(now, request, None, rng);
+        let Ok(key) = self.balancer.take_connection(controller, connections) else {
+            return self.complete_request(now, request, None, rng);
         };
         let host = self.balancer.address(controller).to_string();
-        let bytes = self.encode(now, &request, &host);
+        let bytes = self.encode_request(now, &request, &host);
         connections.send(key, &bytes);
         let deadline_ms = now + request.operation.timeout_ms();
         let in_flight = InFlight {
@@ -164,7 +165,7 @@
     }
 
     /// The request as it is sent. A cancellation counts from now on.
-    fn encode(&self, now: u64, request: &Request, host: &str) -> Vec<u8> {
+    fn encode_request(&self, now: u64, request: &Request, host: &str) -> Vec<u8> {
         let id = &request.job;
         match request.operation {
             Operation::Submit => {
@@ -180,34 +181,35 @@
     }
 
     /// Abandons the requests whose deadline has passed, and schedules their retries.
-    fn time_out(&mut self, now: u64, connections: &mut Connections) {
+    fn expire_requests(&mut self, now: u64, connections: &mut Connections) {
         let in_flight = self.in_flight.iter();
-        let expired: Vec<usize> = in_flight
+        let expired_keys: Vec<usize> = in_flight
             .filter(|(_, in_flight)| now >= in_flight.deadline_ms)
             .map(|(key, _)| *key)
             .collect();
-        for key in expired {
+        for key in expired_keys {
             connections.close(key);
             if let Some(InFlight { request, .. }) = self.in_flight.remove(&key) {
-                self.failures += 1;
+                self.failed_requests += 1;
                 self.schedule(now + retry_ms(None), request.job, request.operation);
             }
         }
     }
 
     /// A health probe was answered, or its connection is closed (`None`).
-    pub(super) fn probed(
+    pub(super) fn handle_probe_result(
         &mut self,
         controller: usize,
         key: usize,
         status: Option<u16>,
         connections: &mut Connections,
     ) {
-        self.balancer.probed(controller, key, status, connections);
+        self.balancer
+            .handle_probe_result(controller, key, status, connections);
     }
 
     /// A response was received.
-    pub(super) fn responded(
+    pub(super) fn handle_response(
         &mut self,
         now: u64,
         key: usize,
@@ -220,20 +222,20 @@
         };
         let controller = in_flight.controller;
         self.balancer
-            .release(controller, key, !response.close, connections);
-        self.complete(now, in_flight.request, Some(response), rng);
+            .release_connection(controller, key, !response.close, connections);
+        self.complete_request(now, in_flight.request, Some(response), rng);
     }
 
     /// A connection is closed, and with it the response that was awaited.
-    pub(super) fn closed(&mut self, now: u64, key: usize, rng: &mut StdRng) {
-        self.balancer.closed(key);
+    pub(super) fn handle_close(&mut self, now: u64, key: usize, rng: &mut StdRng) {
+        self.balancer.remove_connection(key);
         if let Some(in_flight) = self.in_flight.remove(&key) {
-            self.complete(now, in_flight.request, None, rng);
+            self.complete_request(now, in_flight.request, None, rng);
         }
     }
 
     /// A request has ended, with or without a response.
-    fn complete(
+    fn complete_request(
         &mut self,
         now: u64,
         request: Request,
@@ -243,7 +245,7 @@
         let observation =
             response.and_then(|message| read_answer(message.status()?, &message.body));
         let Some(observation) = observation else {
-            self.failures += 1;
+            self.failed_requests += 1;
             let retry_after_s = response.and_then(|message| message.retry_after);
             let retry_at = now + retry_ms(retry_after_s);
             return self.schedule(retry_at, request.job, request.operation);
@@ -251,24 +253,24 @@
         self.shared.checker().said(now, &request.job, observation);
         match observation {
             JobAnswer::Done | JobAnswer::Cancelled | JobAnswer::Refused => {
-                self.job_ended(&request.job);
+                self.record_job_end(&request.job);
             }
             JobAnswer::Queued | JobAnswer::Running | JobAnswer::Unknown => {
-                self.follow_up(now, request, rng);
+                self.schedule_next_request(now, request, rng);
             }
         }
     }
 
-    fn job_ended(&mut self, job: &JobId) {
+    fn record_job_end(&mut self, job: &JobId) {
         // A cancellation and a poll may both report the end.
-        let is_new = self.shared.record_ended(job);
+        let is_new = self.shared.record_job_end(job);
         if is_new && self.jobs.is_finite(job) {
             self.open_jobs -= 1;
         }
     }
 
     /// Schedules the next request for a job that hasn't ended.
-    fn follow_up(&mut self, now: u64, request: Request, rng: &mut StdRng) {
+    fn schedule_next_request(&mut self, now: u64, request: Request, rng: &mut StdRng) {
         let Request { job, operation } = request;
         match operation {
             Operation::Submit => {
--- a/scale/src/hollow/users/submission.rs
+++ b/scale/src/hollow/users/submission.rs
@@ -10,9 +10,9 @@
 const IMAGE: &str = "img-hollow";
 const IMAGE_GB: f64 = 0.5;
 /// How long a worker takes to fetch the image, in milliseconds.
-const FETCH_MS: u64 = 100;
+const IMAGE_FETCH_MS: u64 = 100;
 /// Memory of a task, in GB.
-const TASK_GB: f64 = 4.0;
+const TASK_MEMORY_GB: f64 = 4.0;
 
 /// A submission, with the protocol's names.
 #[derive(Serialize)]
@@ -59,13 +59,13 @@
 }
 
 /// The number and the size of a job's tasks.
-struct Shape {
+struct JobShape {
     tasks: u32,
     cpus: f64,
     gpus: f64,
 }
 
-impl Shape {
+impl JobShape {
     fn of_class(class: &str, load: &Load) -> Self {
         let [replica_cpus, replica_gpus] = load.replica_resources;
         match class {
@@ -89,14 +89,14 @@
 }
 
 /// A job of a class, as a team submits it.
-pub(super) fn job(id: &str, class: &str, team: &str, load: &Load) -> Job {
-    let shape = Shape::of_class(class, load);
-    let service = class == SERVICE_CLASS;
-    let body = wire::encode(&SubmissionBody {
+pub(super) fn build_job(id: &str, class: &str, team: &str, load: &Load) -> Job {
+    let shape = JobShape::of_class(class, load);
+    let is_service = class == SERVICE_CLASS;
+    let submission = wire::encode(&SubmissionBody {
         id,
         class,
         team,
-        kind: if service { "service" } else { "batch" },
+        kind: if is_service { "service" } else { "batch" },
         priority: match class {
             SERVICE_CLASS => "critical",
             BATCH_CLASS => "normal",
@@ -105,7 +105,7 @@
         tasks: shape.tasks,
         cpus: shape.cpus,
         gpus: shape.gpus,
-        mem_gb: TASK_GB,
+        mem_gb: TASK_MEMORY_GB,
         image: IMAGE,
         image_gb: IMAGE_GB,
         machine_types: None,
@@ -113,7 +113,7 @@
         same_zone: false,
         zone_spread: false,
         spot: false,
-        estimate_s: if service { 0.0 } else { load.run_s },
+        estimate_s: if is_service { 0.0 } else { load.run_s },
         checkpoint_s: 0.0,
         save_s: 0.0,
         deadline_s: None,
@@ -121,10 +121,10 @@
     let spec = TaskSpec {
         image: IMAGE.into(),
         run_ms: (load.run_s * 1000.0) as u64,
-        fetch_ms: FETCH_MS,
+        fetch_ms: IMAGE_FETCH_MS,
         save_ms: 0,
-        service,
+        service: is_service,
         broken: false,
     };
-    Job { body, spec }
+    Job { submission, spec }
 }
--- a/scale/src/hollow/workers.rs
+++ b/scale/src/hollow/workers.rs
@@ -17,7 +17,7 @@
 use thiserror::Error;
 
 /// Each worker is visited once in this time, in milliseconds.
-pub(super) const ROUND_MS: u64 = 100;
+pub(super) const VISIT_INTERVAL_MS: u64 = 100;
 /// The address that workers give for direct commands, which the service doesn't send.
 const ENDPOINT: &str = "127.0.0.1:9";
 
@@ -49,7 +49,7 @@
     worker: Worker,
     connection: Option<usize>,
     /// Its machine has stopped and sends nothing any more.
-    stopped: bool,
+    is_stopped: bool,
 }
 
 /// The hollow workers of one cell.
@@ -57,10 +57,10 @@
     plan: Arc<CellPlan>,
     shared: Arc<SharedState>,
     workers: Vec<HollowWorker>,
-    by_id: HashMap<String, usize>,
+    index_by_machine: HashMap<String, usize>,
     /// The worker that was visited last.
-    cursor: usize,
-    heartbeats: u64,
+    last_visited: usize,
+    heartbeats_sent: u64,
     /// Tasks killed by the expiry of their worker's lease.
     pub(super) lease_kills: u64,
 }
@@ -72,18 +72,18 @@
             plan,
             shared,
             workers: Vec::new(),
-            by_id: HashMap::new(),
-            cursor: 0,
-            heartbeats: 0,
+            index_by_machine: HashMap::new(),
+            last_visited: 0,
+            heartbeats_sent: 0,
             lease_kills: 0,
         }
     }
 
     /// A machine has booted. Workers begin with one controller after another.
-    pub(super) fn boot(&mut self, now: u64, machine: &Machine) {
+    pub(super) fn add(&mut self, now: u64, machine: &Machine) {
         let index = self.workers.len();
-        let controller = index % self.controllers();
-        self.by_id.insert(machine.id.into(), index);
+        let controller = index % self.controller_count();
+        self.index_by_machine.insert(machine.id.into(), index);
         let Machine {
             machine_type, zone, ..
         } = machine;
@@ -91,59 +91,66 @@
             id: machine.id.into(),
             worker: Worker::new(now, machine_type, zone, machine.spot, controller),
             connection: None,
-            stopped: false,
+            is_stopped: false,
         });
     }
 
-    fn controllers(&self) -> usize {
+    fn controller_count(&self) -> usize {
         self.plan.addresses.controllers.len()
     }
 
     /// The workers whose machines run.
-    fn live(&self) -> impl Iterator<Item = &HollowWorker> {
-        self.workers.iter().filter(|worker| !worker.stopped)
+    fn running_workers(&self) -> impl Iterator<Item = &HollowWorker> {
+        self.workers.iter().filter(|worker| !worker.is_stopped)
     }
 
     /// Number of workers whose machines run.
-    pub(super) fn running(&self) -> usize {
-        self.live().count()
+    pub(super) fn running_count(&self) -> usize {
+        self.running_workers().count()
     }
 
     /// Number of workers that have been answered under a fencing token.
-    pub(super) fn joined(&self) -> usize {
-        let joined = |live: &&HollowWorker| live.worker.token > 0;
-        self.live().filter(joined).count()
+    pub(super) fn joined_count(&self) -> usize {
+        let has_joined = |running: &&HollowWorker| running.worker.token > 0;
+        self.running_workers().filter(has_joined).count()
     }
 
     /// Number of running tasks.
-    pub(super) fn tasks(&self) -> usize {
-        let tasks = self.live().flat_map(|live| live.worker.tasks.values());
+    pub(super) fn running_task_count(&self) -> usize {
+        let tasks = self
+            .running_workers()
+            .flat_map(|running| running.worker.tasks.values());
         tasks
             .filter(|task| task.state == TaskState::Running)
             .count()
     }
 
     /// Ids of the machines that run, of one zone or of all.
-    pub(super) fn machines(&self, zone: Option<&str>) -> Vec<String> {
-        self.live()
-            .filter(|live| zone.is_none_or(|zone| zone == live.worker.zone))
-            .map(|live| live.id.clone())
+    pub(super) fn running_machines(&self, zone: Option<&str>) -> Vec<String> {
+        self.running_workers()
+            .filter(|running| zone.is_none_or(|zone| zone == running.worker.zone))
+            .map(|running| running.id.clone())
             .collect()
     }
 
     /// A machine stops, with all tasks on it.
-    pub(super) fn stop(&mut self, connections: &mut Connections, id: &str, stop: MachineStop) {
-        let Some(index) = self.by_id.get(id).copied() else {
+    pub(super) fn stop_machine(
+        &mut self,
+        connections: &mut Connections,
+        id: &str,
+        stop: MachineStop,
+    ) {
+        let Some(index) = self.index_by_machine.get(id).copied() else {
             return;
         };
         let worker = &mut self.workers[index];
         if let Some(key) = worker.connection {
             match stop {
                 MachineStop::Deleted => connections.close(key),
-                MachineStop::Failed => connections.silence(key),
+                MachineStop::Failed => connections.stop_reading(key),
             }
         }
-        if std::mem::replace(&mut worker.stopped, true) {
+        if std::mem::replace(&mut worker.is_stopped, true) {
             return;
         }
         let mut checker = self.shared.checker();
@@ -152,26 +159,26 @@
         }
     }
 
-    /// Visits this share of the workers, one after another.
+    /// Visits this fraction of the workers, one after another.
     pub(super) fn tick(
         &mut self,
         now: u64,
-        share: f64,
+        fraction: f64,
         connections: &mut Connections,
         jobs: &Jobs,
         rng: &mut StdRng,
     ) {
-        let count = (self.workers.len() as f64 * share).ceil() as usize;
+        let count = (self.workers.len() as f64 * fraction).ceil() as usize;
         for _ in 0..count.min(self.workers.len()) {
-            self.cursor = (self.cursor + 1) % self.workers.len();
-            if !self.workers[self.cursor].stopped {
-                self.visit(now, self.cursor, connections, jobs, rng);
+            self.last_visited = (self.last_visited + 1) % self.workers.len();
+            if !self.workers[self.last_visited].is_stopped {
+                self.step_worker(now, self.last_visited, connections, jobs, rng);
             }
         }
     }
 
     /// Runs a worker's tasks, and sends its heartbeat if it is due.
-    fn visit(
+    fn step_worker(
         &mut self,
         now: u64,
         index: usize,
@@ -179,7 +186,7 @@
         jobs: &Jobs,
         rng: &mut StdRng,
     ) {
-        let controllers = self.controllers();
+        let controller_count = self.controller_count();
         let HollowWorker {
             worker, connection, ..
         } = &mut self.workers[index];
@@ -191,9 +198,9 @@
         if timed_out && let Some(key) = connection.take() {
             connections.close(key);
         }
-        let heartbeat_due = worker.report_due(now, controllers);
-        self.lease_expired(index, &killed);
-        self.check(now, index, events);
+        let heartbeat_due = worker.report_due(now, controller_count);
+        self.record_lease_kills(index, &killed);
+        self.report_events(now, index, events);
         if heartbeat_due {
             let interval_ms = self.plan.heartbeat_ms;
             let jitter_ms = rng.random_range(0..interval_ms / 2);
@@ -202,7 +209,7 @@
         }
     }
 
-    fn lease_expired(&mut self, index: usize, killed: &[TaskId]) {
+    fn record_lease_kills(&mut self, index: usize, killed: &[TaskId]) {
         if killed.is_empty() {
             return;
         }
@@ -220,7 +227,7 @@
         interval_ms: u64,
         connections: &mut Connections,
     ) {
-        let controllers = self.controllers();
+        let controller_count = self.controller_count();
         let HollowWorker {
             id,
             worker,
@@ -234,11 +241,11 @@
             None => connections.connect(address, Role::Worker(index)),
         };
         let Ok(key) = opened else {
-            return worker.unanswered(now, controllers);
+            return worker.unanswered(now, controller_count);
         };
         *connection = Some(key);
-        self.heartbeats += 1;
-        worker.flight = Some((self.heartbeats, now));
+        self.heartbeats_sent += 1;
+        worker.flight = Some((self.heartbeats_sent, now));
         let body = worker.report_body(id, ENDPOINT, now);
         let host = address.to_string();
         connections.send(
@@ -248,7 +255,7 @@
     }
 
     /// A response to a worker's heartbeat was received.
-    pub(super) fn responded(
+    pub(super) fn handle_response(
         &mut self,
         now: u64,
         index: usize,
@@ -259,10 +266,10 @@
         let HollowWorker {
             worker,
             connection,
-            stopped,
+            is_stopped,
             ..
         } = &mut self.workers[index];
-        let Some((_, sent_ms)) = worker.flight.filter(|_| !*stopped) else {
+        let Some((_, sent_ms)) = worker.flight.filter(|_| !*is_stopped) else {
             return Ok(());
         };
         let (controller, token) = (worker.controller, worker.token);
@@ -272,22 +279,22 @@
         let events = worker
             .answered(now, sent_ms, response, controller_ids, jobs)
             .map_err(|error| InvalidResponse(error.to_string()))?;
-        if self.plan.single && worker.token > token {
+        if self.plan.is_only_cell && worker.token > token {
             let mut takeovers = self.shared.takeover_observer();
-            takeovers.token_acknowledged(now, worker.token);
+            takeovers.record_token_acknowledgement(now, worker.token);
         }
         if worker.controller != controller
             && let Some(key) = connection.take()
         {
             connections.close(key);
         }
-        self.check(now, index, events);
+        self.report_events(now, index, events);
         Ok(())
     }
 
     /// A worker's connection is closed.
-    pub(super) fn closed(&mut self, now: u64, index: usize, key: usize) {
-        let controllers = self.controllers();
+    pub(super) fn handle_close(&mut self, now: u64, index: usize, key: usize) {
+        let controller_count = self.controller_count();
         let HollowWorker {
             worker, connection, ..
         } = &mut self.workers[index];
@@ -296,12 +303,12 @@
         }
         *connection = None;
         if worker.flight.is_some() {
-            worker.unanswered(now, controllers);
+            worker.unanswered(now, controller_count);
         }
     }
 
     /// Passes the events of a worker's tasks to the checker.
-    fn check(&self, now: u64, index: usize, events: Vec<TaskEvent>) {
+    fn report_events(&self, now: u64, index: usize, events: Vec<TaskEvent>) {
         if events.is_empty() {
             return;
         }
@@ -316,13 +323,13 @@
                         newest_token: worker.token,
                         task: &task,
                         attempt,
-                        urgent: job.is_some_and(|job| job.record.class == URGENT_CLASS),
+                        is_urgent: job.is_some_and(|job| job.record.class == URGENT_CLASS),
                     };
-                    if self.plan.single {
-                        self.shared.takeover_observer().started(now, &start);
+                    if self.plan.is_only_cell {
+                        self.shared.takeover_observer().record_start(now, &start);
                     }
                 }
-                TaskEvent::Started(task) => checker.starts(now, &task, place(id, worker)),
+                TaskEvent::Started(task) => checker.starts(now, &task, place_of(id, worker)),
                 TaskEvent::Ended(task, cause) => {
                     if cause == Cause::Done {
                         checker.finishes(now, &task);
@@ -334,7 +341,7 @@
     }
 }
 
-fn place(machine: &str, worker: &Worker) -> Place {
+fn place_of(machine: &str, worker: &Worker) -> Place {
     Place {
         machine: machine.into(),
         class: worker.class.clone(),
--- a/scale/src/layout.rs
+++ b/scale/src/layout.rs
@@ -8,15 +8,15 @@
 const STORE_PORT: u16 = 2379;
 const CLOUD_PORT: u16 = 8443;
 /// Where a controller listens for other cells.
-const CELL_PORT: u16 = 8082;
+const CELL_LINK_PORT: u16 = 8082;
 /// Where the proxy listens in place of a controller: one port for each sending cell.
 const FIRST_PROXY_PORT: u16 = 8100;
 /// The last octet of the addresses of a cell's store and cloud.
-const SERVICES_HOST: u8 = 1;
+const SERVICES_OCTET: u8 = 1;
 /// The last octet of the address of a cell's first controller.
-const FIRST_CONTROLLER_HOST: u8 = 10;
+const FIRST_CONTROLLER_OCTET: u8 = 10;
 /// Concurrent runs of other processes have other networks, modulo this number.
-const NETWORKS: u32 = 200;
+const NETWORK_COUNT: u32 = 200;
 
 /// The addresses of one cell.
 #[derive(Clone, Debug)]
@@ -39,23 +39,23 @@
     pub fn new(network: Ipv4Addr, index: usize, controllers: usize) -> Self {
         let [first, second, _, _] = network.octets();
         let second = second.wrapping_add(index as u8);
-        let third = (std::process::id() % NETWORKS) as u8;
-        let address = |host: u8, port: u16| {
-            SocketAddrV4::new(Ipv4Addr::new(first, second, third, host), port)
+        let third = (std::process::id() % NETWORK_COUNT) as u8;
+        let address = |last_octet: u8, port: u16| {
+            SocketAddrV4::new(Ipv4Addr::new(first, second, third, last_octet), port)
         };
-        let of_controllers = |port: u16| {
+        let controller_addresses = |port: u16| {
             (0..controllers)
-                .map(|controller| address(FIRST_CONTROLLER_HOST + controller as u8, port))
+                .map(|controller| address(FIRST_CONTROLLER_OCTET + controller as u8, port))
                 .collect()
         };
         Self {
-            store: address(SERVICES_HOST, STORE_PORT),
+            store: address(SERVICES_OCTET, STORE_PORT),
             clouds: (0..controllers)
-                .map(|controller| address(SERVICES_HOST, CLOUD_PORT + controller as u16))
+                .map(|controller| address(SERVICES_OCTET, CLOUD_PORT + controller as u16))
                 .collect(),
-            controllers: of_controllers(USER_PORT),
-            peers: of_controllers(PEER_PORT),
-            cell_links: of_controllers(CELL_PORT),
+            controllers: controller_addresses(USER_PORT),
+            peers: controller_addresses(PEER_PORT),
+            cell_links: controller_addresses(CELL_LINK_PORT),
         }
     }
 
--- a/scale/src/link_proxy.rs
+++ b/scale/src/link_proxy.rs
@@ -13,7 +13,7 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// How long a connection to a controller may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-const READ_BYTES: usize = 16 * 1024;
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
 /// What a partition does with messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,16 +35,16 @@
 
 struct Partition {
     kind: PartitionKind,
-    until: Instant,
+    ends_at: Instant,
 }
 
 #[derive(Default)]
-struct State {
+struct ProxyState {
     partitions: Mutex<BTreeMap<Direction, Partition>>,
-    stopped: AtomicBool,
+    is_stopped: AtomicBool,
 }
 
-impl State {
+impl ProxyState {
     fn partitions(&self) -> MutexGuard<'_, BTreeMap<Direction, Partition>> {
         // A panicking thread leaves the map usable.
         self.partitions
@@ -52,21 +52,21 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn partition(&self, direction: Direction) -> Option<PartitionKind> {
+    fn active_partition(&self, direction: Direction) -> Option<PartitionKind> {
         let partitions = self.partitions();
         let partition = partitions.get(&direction)?;
-        (Instant::now() < partition.until).then_some(partition.kind)
+        (Instant::now() < partition.ends_at).then_some(partition.kind)
     }
 
-    fn stopped(&self) -> bool {
-        self.stopped.load(Ordering::Relaxed)
+    fn is_stopped(&self) -> bool {
+        self.is_stopped.load(Ordering::Relaxed)
     }
 }
 
 /// All links between cells. Its threads end with this value.
 #[derive(Default)]
 pub struct LinkProxy {
-    state: Arc<State>,
+    state: Arc<ProxyState>,
     threads: Vec<JoinHandle<()>>,
 }
 
@@ -81,7 +81,7 @@
         let listener = TcpListener::bind(listen)?;
         listener.set_nonblocking(true)?;
         let state = self.state.clone();
-        let accept = move || accept_all(&state, direction, &listener, target);
+        let accept = move || accept_connections(&state, direction, &listener, target);
         self.threads
             .push(std::thread::Builder::new().spawn(accept)?);
         Ok(())
@@ -89,32 +89,32 @@
 
     /// Partitions the link in one direction for a while.
     pub fn partition(&self, direction: Direction, kind: PartitionKind, duration: Duration) {
-        let until = Instant::now() + duration;
-        let partition = Partition { kind, until };
+        let ends_at = Instant::now() + duration;
+        let partition = Partition { kind, ends_at };
         self.state.partitions().insert(direction, partition);
     }
 }
 
 impl Drop for LinkProxy {
     fn drop(&mut self) {
-        self.state.stopped.store(true, Ordering::Relaxed);
+        self.state.is_stopped.store(true, Ordering::Relaxed);
         for thread in self.threads.drain(..) {
             let _ = thread.join();
         }
     }
 }
 
-fn accept_all(
-    state: &Arc<State>,
+fn accept_connections(
+    state: &Arc<ProxyState>,
     direction: Direction,
     listener: &TcpListener,
     target: SocketAddrV4,
 ) {
     let mut links: Vec<JoinHandle<()>> = Vec::new();
-    while !state.stopped() {
+    while !state.is_stopped() {
         match listener.accept() {
             // Connections that are accepted during a partition are dropped at once.
-            Ok((stream, _)) if state.partition(direction) != Some(PartitionKind::Drop) => {
+            Ok((stream, _)) if state.active_partition(direction) != Some(PartitionKind::Drop) => {
                 let state = state.clone();
                 let forward = move || {
                     // A failed connection is closed; the controllers reconnect.
@@ -134,7 +134,7 @@
 
 /// Forwards one connection's bytes until it ends, is partitioned, or the run has ended.
 fn forward_bytes(
-    state: &State,
+    state: &ProxyState,
     direction: Direction,
     mut from: TcpStream,
     target: SocketAddrV4,
@@ -143,9 +143,9 @@
     from.set_nonblocking(false)?;
     from.set_read_timeout(Some(CHECK_INTERVAL))?;
     to.set_nodelay(true)?;
-    let mut buffer = vec![0; READ_BYTES];
-    while !state.stopped() {
-        match state.partition(direction) {
+    let mut buffer = vec![0; READ_BUFFER_BYTES];
+    while !state.is_stopped() {
+        match state.active_partition(direction) {
             Some(PartitionKind::Drop) => return Ok(()),
             Some(PartitionKind::Delay) => {
                 std::thread::sleep(CHECK_INTERVAL);
--- a/scale/src/observers/limits.rs
+++ b/scale/src/observers/limits.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 /// Tolerance for rounding when quota shares are added up.
-const ROUNDING: f64 = 1e-6;
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 /// The part of a shard's record that is observed.
 #[derive(Deserialize)]
@@ -20,12 +20,12 @@
 struct PendingChange {
     team: String,
     limit: (f64, f64),
-    direction: Direction,
+    direction: ChangeDirection,
     requested_ms: u64,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Direction {
+enum ChangeDirection {
     Raised,
     Lowered,
 }
@@ -58,13 +58,13 @@
         let pending = self.pending.len();
         self.pending.retain(|change| change.team != team);
         self.replaced_count += (pending - self.pending.len()) as u64;
-        let raised = limit.1 > previous.1 || limit.0 > previous.0;
+        let is_raise = limit.1 > previous.1 || limit.0 > previous.0;
         self.pending.push(PendingChange {
             team: team.into(),
             limit,
-            direction: match raised {
-                true => Direction::Raised,
-                false => Direction::Lowered,
+            direction: match is_raise {
+                true => ChangeDirection::Raised,
+                false => ChangeDirection::Lowered,
             },
             requested_ms: now,
         });
@@ -72,14 +72,14 @@
     }
 
     /// A cell's shard record was written.
-    pub fn shard_written(&mut self, now: u64, cell: usize, shard: ShardView) {
+    pub fn record_shard_write(&mut self, now: u64, cell: usize, shard: ShardView) {
         self.quota_shares
             .insert(cell, shard.quota_shares.unwrap_or_default());
         self.complete_changes(now);
     }
 
     /// A cell's own record was written; returns the limits that it sets as a home.
-    pub fn cell_written(&mut self, now: u64, record: &CellRecord) -> LimitsByTeam {
+    pub fn record_cell_write(&mut self, now: u64, record: &CellRecord) -> LimitsByTeam {
         let limits = record.limits.iter();
         let limits: LimitsByTeam = limits
             .map(|(team, amounts)| (team.clone(), amounts.to_pair()))
@@ -103,20 +103,20 @@
         for change in in_force {
             let latency_ms = now - change.requested_ms;
             match change.direction {
-                Direction::Raised => self.raise_latencies_ms.push(latency_ms),
-                Direction::Lowered => self.lower_latencies_ms.push(latency_ms),
+                ChangeDirection::Raised => self.raise_latencies_ms.push(latency_ms),
+                ChangeDirection::Lowered => self.lower_latencies_ms.push(latency_ms),
             }
         }
     }
 
     fn is_in_force(&self, change: &PendingChange) -> bool {
-        if change.direction == Direction::Raised {
+        if change.direction == ChangeDirection::Raised {
             return self.home_limits.get(&change.team) == Some(&change.limit);
         }
         let shares = self.quota_shares.values();
         let (cpus, gpus) = shares
             .filter_map(|shares| shares.get(&change.team))
             .fold((0.0, 0.0), |sum, share| (sum.0 + share.0, sum.1 + share.1));
-        cpus <= change.limit.0 + ROUNDING && gpus <= change.limit.1 + ROUNDING
+        cpus <= change.limit.0 + ROUNDING_TOLERANCE && gpus <= change.limit.1 + ROUNDING_TOLERANCE
     }
 }
--- a/scale/src/observers/takeovers.rs
+++ b/scale/src/observers/takeovers.rs
@@ -17,7 +17,7 @@
     /// The attempt of the task, with the token under which it was started.
     pub attempt: Attempt,
     /// The task belongs to an urgent job.
-    pub urgent: bool,
+    pub is_urgent: bool,
 }
 
 /// Observes takeovers, and checks all commands for their fencing tokens.
@@ -62,49 +62,49 @@
     }
 
     /// The leader's record was written, or is gone.
-    pub fn leader_written(&mut self, leader: Option<&LeaderRecord>) {
+    pub fn record_leader_write(&mut self, leader: Option<&LeaderRecord>) {
         let leader = leader.map(|leader| (leader.token.0, leader.controller_id.as_str()));
         self.command_checker.duties.leader_is(leader);
     }
 
     /// The first shard's record was written.
-    pub fn shard_written(&mut self, now: u64, shard: &ShardRecord) {
+    pub fn record_shard_write(&mut self, now: u64, shard: &ShardRecord) {
         self.shard_token = shard.token.0;
         self.command_checker.held(shard.token.0);
         self.record_first(now, shard.token.0, |row| &mut row.elected_ms);
     }
 
     /// A placement record of a job was written.
-    pub fn placement_written(&mut self, job: &JobId, placement: &PlacementRecord) {
+    pub fn record_placement_write(&mut self, job: &JobId, placement: &PlacementRecord) {
         self.command_checker.committed(job, placement);
     }
 
     /// The cloud was changed by a controller.
-    pub fn cloud_changed(&mut self, now: u64, controller_id: &str) {
+    pub fn record_cloud_change(&mut self, now: u64, controller_id: &str) {
         self.command_checker
             .duties
             .cloud_changed(now, controller_id);
     }
 
     /// A worker has learned a newer token from a response.
-    pub fn token_acknowledged(&mut self, now: u64, token: u64) {
+    pub fn record_token_acknowledgement(&mut self, now: u64, token: u64) {
         self.record_first(now, token, |row| &mut row.token_acknowledged_ms);
     }
 
     /// A start has reached a worker.
-    pub fn started(&mut self, now: u64, start: &WorkerStart) {
+    pub fn record_start(&mut self, now: u64, start: &WorkerStart) {
         let WorkerStart {
             machine,
             newest_token,
             task,
             attempt,
-            urgent,
+            is_urgent,
         } = *start;
         self.command_checker
             .started(now, machine, newest_token, task, attempt);
         let token = attempt.token().0;
         self.record_first(now, token, |row| &mut row.started_ms);
-        if urgent {
+        if is_urgent {
             self.record_first(now, token, |row| &mut row.urgent_ms);
         }
     }
@@ -118,10 +118,10 @@
         for kind in kinds {
             let of_kind: Vec<&TakeoverRow> =
                 self.rows.iter().filter(|row| row.kind == kind).collect();
-            rows.extend(STEPS.map(|(step, latency)| {
-                let what = format!("{kind:?}: {step}").to_lowercase();
+            rows.extend(TAKEOVER_STEPS.map(|(step, latency)| {
+                let name = format!("{kind:?}: {step}").to_lowercase();
                 let latencies = of_kind.iter().filter_map(|row| latency(row));
-                Row::Latency(LatencyRow::new(&what, latencies))
+                Row::Latency(LatencyRow::new(&name, latencies))
             }));
         }
         rows
@@ -140,7 +140,7 @@
 type StepLatency = fn(&TakeoverRow) -> Option<u64>;
 
 /// The steps of a takeover, by their names in the results.
-const STEPS: [(&str, StepLatency); 4] = [
+const TAKEOVER_STEPS: [(&str, StepLatency); 4] = [
     ("elected", |row| row.elected_ms),
     ("number shown", |row| row.token_acknowledged_ms),
     ("first start", |row| row.started_ms),
--- a/scale/src/procfs.rs
+++ b/scale/src/procfs.rs
@@ -3,11 +3,11 @@
 use std::fs;
 
 /// Clock ticks a second in which processor time is counted.
-const TICKS_PER_S: f64 = 100.0;
+const CLOCK_TICKS_PER_S: f64 = 100.0;
 /// User time in a `stat` line, as a field behind the name.
-const USER_FIELD: usize = 11;
+const USER_TIME_FIELD: usize = 11;
 /// System time in a `stat` line, as a field behind the name.
-const SYSTEM_FIELD: usize = 12;
+const SYSTEM_TIME_FIELD: usize = 12;
 
 /// Processor time, in seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -33,24 +33,24 @@
     }
 }
 
-fn cpu_from_stat(text: &str) -> Option<CpuTime> {
-    let behind_name = text.rsplit_once(')')?.1;
-    let fields: Vec<&str> = behind_name.split_whitespace().collect();
-    let seconds = |at: usize| Some(fields.get(at)?.parse::<f64>().ok()? / TICKS_PER_S);
+fn parse_cpu_time(text: &str) -> Option<CpuTime> {
+    let after_name = text.rsplit_once(')')?.1;
+    let fields: Vec<&str> = after_name.split_whitespace().collect();
+    let seconds = |field: usize| Some(fields.get(field)?.parse::<f64>().ok()? / CLOCK_TICKS_PER_S);
     Some(CpuTime {
-        user_s: seconds(USER_FIELD)?,
-        system_s: seconds(SYSTEM_FIELD)?,
+        user_s: seconds(USER_TIME_FIELD)?,
+        system_s: seconds(SYSTEM_TIME_FIELD)?,
     })
 }
 
 /// The processor time of a process; `None` once it has ended.
 pub fn process_cpu(pid: u32) -> Option<CpuTime> {
-    cpu_from_stat(&fs::read_to_string(format!("/proc/{pid}/stat")).ok()?)
+    parse_cpu_time(&fs::read_to_string(format!("/proc/{pid}/stat")).ok()?)
 }
 
 /// The processor time of the calling thread.
 pub fn thread_cpu() -> Option<CpuTime> {
-    cpu_from_stat(&fs::read_to_string("/proc/thread-self/stat").ok()?)
+    parse_cpu_time(&fs::read_to_string("/proc/thread-self/stat").ok()?)
 }
 
 /// Resident memory of a process, in MiB.
