--- a/scale/src/axis.rs
+++ b/scale/src/axis.rs
@@ -1,24 +1,24 @@
-//! The axes along which the size of a cell is varied.
+//! Axes of a sweep, along which the size of a cell is varied.
 
 use crate::experiment::Experiment;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A size that is varied while the others are constant.
+/// A size that a sweep varies while it keeps the other sizes constant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Axis {
-    /// Workers of the cell, for a constant number of tasks.
+    /// Number of workers, with a constant number of service tasks.
     Workers,
-    /// Service tasks.
+    /// Number of service tasks, with a constant number of services.
     Tasks,
-    /// Batch task starts per second.
+    /// Starts of batch tasks per second.
     Starts,
-    /// Teams.
+    /// Number of teams.
     Teams,
-    /// Services, for a constant number of service tasks.
+    /// Number of services, with a constant number of service tasks.
     Jobs,
-    /// Controllers.
+    /// Number of controllers.
     Controllers,
 }
 
@@ -37,7 +37,7 @@
 }
 
 impl Axis {
-    /// Every axis.
+    /// All axes.
     pub const ALL: [Axis; 6] = [
         Axis::Workers,
         Axis::Tasks,
@@ -47,7 +47,7 @@
         Axis::Controllers,
     ];
 
-    /// Its value in an experiment of one cell.
+    /// Returns the value on this axis of an experiment with one cell.
     pub fn value(self, experiment: &Experiment) -> f64 {
         let (cell, load) = (&experiment.cells[0], &experiment.load);
         let tasks = load.service_tasks_per_worker * cell.workers as f64;
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The same experiment with another value.
+    /// Returns a copy of an experiment with another value on this axis.
     pub fn with_value(self, experiment: &Experiment, value: f64) -> Experiment {
         let mut changed = experiment.clone();
         let tasks = Self::Tasks.value(experiment);
@@ -72,7 +72,7 @@
                 load.service_tasks_per_worker = tasks / value;
             }
             Self::Tasks => {
-                // As many services as before, each with more tasks.
+                // The number of services stays, and the number of tasks of each changes.
                 let services = tasks / f64::from(load.replicas);
                 load.replicas = (value / services).round() as u32;
                 load.service_tasks_per_worker = value / cell.workers as f64;
--- a/scale/src/controllers/mod.rs
+++ b/scale/src/controllers/mod.rs
@@ -1,4 +1,5 @@
-//! The controllers: real processes of the service's program, with their settings files and logs.
+//! The controllers of a run: processes of the real salttrestle program, with their settings files
+//! and logs.
 
 mod process;
 mod settings;
--- a/scale/src/controllers/process.rs
+++ b/scale/src/controllers/process.rs
@@ -1,4 +1,4 @@
-//! One controller's process. Only processes that were started here are signalled here.
+//! The process of one controller. This module signals only processes that it has started.
 
 use super::settings::SettingsFiles;
 use crate::experiment::Experiment;
@@ -9,40 +9,44 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// Where a run finds its program and leaves its files.
+/// Paths that a run reads its program from and writes its files to.
 #[derive(Clone, Copy)]
 pub struct RunPaths<'a> {
-    /// The service's program.
+    /// The controller program.
     pub program: &'a Path,
-    /// The folder for settings and logs.
+    /// Folder for the settings files and logs of the controllers.
     pub folder: &'a Path,
 }
 
-/// One controller. Its process ends with this value.
+/// One controller. Dropping the value kills its process.
 pub struct Controller {
-    /// Its id.
+    /// Id of the controller.
     pub id: String,
-    /// Index of its cell.
+    /// Index of the controller's cell.
     pub cell: usize,
     settings: SettingsFiles,
     log: PathBuf,
     program: PathBuf,
     child: Option<Child>,
-    /// It was sent SIGTERM and hasn't been restarted since.
+    /// Whether the process was sent SIGTERM and hasn't been restarted since.
     is_terminating: bool,
 }
 
-/// Whether a process ended by itself before it was restarted.
+/// Whether a process ended after SIGTERM, as seen at its restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Termination {
-    /// It had ended, or hadn't been asked to.
+    /// The process had ended, or hadn't been sent SIGTERM.
     Complied,
-    /// It had been asked to terminate, still ran, and was killed.
+    /// The process had been sent SIGTERM, was still running, and was killed.
     Ignored,
 }
 
 impl Controller {
-    /// Writes a controller's files; `start` starts its process.
+    /// Writes the settings files of a controller. The process is started by [`Controller::start`].
+    ///
+    /// # Errors
+    ///
+    /// Fails if a file can't be written.
     pub fn prepare(
         experiment: &Experiment,
         index: ControllerIndex,
@@ -61,7 +65,12 @@
         })
     }
 
-    /// Starts the process, unless it runs.
+    /// Starts the process, unless it was started before and not killed since. Its log is appended
+    /// to.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the log can't be opened or the program can't be started.
     pub fn start(&mut self) -> io::Result<()> {
         if self.child.is_some() {
             return Ok(());
@@ -84,12 +93,12 @@
         Ok(())
     }
 
-    /// Its process id, while it runs.
+    /// Returns the id of the process; `None` if it isn't started or was killed.
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
-    /// Kills the process.
+    /// Kills the process with SIGKILL, and waits for its end.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -97,17 +106,17 @@
         }
     }
 
-    /// Suspends the process.
+    /// Suspends the process with SIGSTOP.
     pub fn suspend(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Resumes the process.
+    /// Resumes the process with SIGCONT.
     pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Asks the process to terminate. `restart` starts it again.
+    /// Sends SIGTERM to the process. [`Controller::restart`] starts it again.
     pub fn terminate(&mut self) {
         self.is_terminating = true;
         self.signal(Signal::TERM);
@@ -116,12 +125,17 @@
     fn signal(&self, signal: Signal) {
         let pid = self.pid().and_then(|pid| Pid::from_raw(pid as i32));
         if let Some(pid) = pid {
-            // A process that has just ended can't be signalled, and needn't be.
+            // Signalling fails if the process has just ended; there is nothing to do then.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Starts the process again, and kills one that was asked to terminate and still runs.
+    /// Starts the process again after a kill or SIGTERM. A process that is still running after
+    /// SIGTERM is killed first.
+    ///
+    /// # Errors
+    ///
+    /// Fails as [`Controller::start`] does.
     pub fn restart(&mut self) -> io::Result<Termination> {
         let is_terminating = std::mem::take(&mut self.is_terminating);
         let has_ended = self.child.as_mut().is_none_or(has_exited);
@@ -135,7 +149,7 @@
         })
     }
 
-    /// Whether the process has ended though it was neither killed nor asked to terminate.
+    /// Whether the process has ended though it was neither killed nor sent SIGTERM.
     pub fn has_crashed(&mut self) -> bool {
         !self.is_terminating && self.child.as_mut().is_some_and(has_exited)
     }
@@ -152,17 +166,22 @@
     }
 }
 
-/// The service's program: the given one, or the one that was built beside this program.
+/// Returns the path of the controller program: `named` if given, otherwise the program
+/// `salttrestle` in the folder of the current executable or in that folder's parent.
+///
+/// # Errors
+///
+/// Fails if no path is given and the program isn't found.
 pub fn find_program(named: Option<&Path>) -> io::Result<PathBuf> {
     if let Some(path) = named {
         return Ok(path.into());
     }
-    let own = std::env::current_exe()?;
-    let folders = own.ancestors().skip(1).take(2);
+    let executable = std::env::current_exe()?;
+    let folders = executable.ancestors().skip(1).take(2);
     let mut candidates = folders.map(|folder| folder.join("salttrestle"));
     let found = candidates.find(|path| path.is_file());
     found.ok_or_else(|| {
-        let why = "the program 'salttrestle' isn't built beside this one; see --controller";
-        io::Error::new(io::ErrorKind::NotFound, why)
+        let reason = "controller program 'salttrestle' not found, build it or pass --controller";
+        io::Error::new(io::ErrorKind::NotFound, reason)
     })
 }
--- a/scale/src/controllers/settings.rs
+++ b/scale/src/controllers/settings.rs
@@ -1,4 +1,4 @@
-//! The settings files of a controller.
+//! Writes the settings files of the controllers.
 
 use crate::experiment::{Experiment, Sharing};
 use crate::layout::{CellAddresses, ControllerIndex, controller_id, home_cell, team_name};
@@ -7,26 +7,29 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// How old the entries of the fake cloud's lists are.
+/// Staleness of the fake cloud's lists, both simulated and stated in the settings.
 pub const CLOUD_LIST_LAG: Duration = Duration::from_secs(3);
-/// Requests per second that the fake cloud admits.
+/// Request rate of the cloud per second, as stated in the settings. The fake cloud doesn't enforce
+/// it.
 const CLOUD_RPS: f64 = 20.0;
-/// The fleet keeps its size: an empty machine is deleted only after so many boot times.
+/// Properties of all controllers. The long scale-in window, in boot times, keeps the size of the
+/// fleet constant: an empty machine is deleted only after the window has passed.
 const CONTROLLER_PROPERTIES: &str = "scale.window = 100\n";
+/// Properties that turn off the warm standby.
 const STANDBY_OFF_PROPERTIES: &str = "standby.heartbeat-s = 0\nstandby.hints-s = 0\n";
 
-/// The files that a controller is started with.
+/// Paths of the settings files that a controller is started with.
 pub(super) struct SettingsFiles {
-    /// The platform's settings.
+    /// Platform settings, in JSON.
     pub(super) config: PathBuf,
-    /// The service's own properties, the same for all controllers.
+    /// Properties of the controller program, the same for all controllers.
     pub(super) properties: PathBuf,
-    /// The cells file, where cells share limits.
+    /// Cells file; `None` if the cells don't share team limits.
     pub(super) cells: Option<PathBuf>,
 }
 
 impl SettingsFiles {
-    /// Writes the files of one controller into a folder.
+    /// Writes the settings files of one controller into a folder.
     pub(super) fn write(
         experiment: &Experiment,
         index: ControllerIndex,
@@ -65,7 +68,7 @@
     }
 }
 
-/// The settings that a platform would provide.
+/// Builds the settings that a platform would provide to a controller.
 fn platform_settings(
     experiment: &Experiment,
     index: ControllerIndex,
@@ -89,7 +92,7 @@
     })
 }
 
-/// What a platform states of the fleet and its outside services.
+/// Builds the facts that a platform states about the fleet and about external services.
 fn platform_facts(experiment: &Experiment, cell: usize) -> Value {
     let (service, load) = (&experiment.service, &experiment.load);
     let cell = &experiment.cells[cell];
@@ -110,7 +113,8 @@
     })
 }
 
-/// The cells file of one cell's controllers: other cells are reached through the proxy.
+/// Builds the cells file for the controllers of one cell. It names the proxy's addresses for the
+/// controllers of other cells.
 fn cells_settings(
     experiment: &Experiment,
     sharing: &Sharing,
--- a/scale/src/hollow/cell.rs
+++ b/scale/src/hollow/cell.rs
@@ -1,4 +1,4 @@
-//! The loop of one hollow cell: commands, timers, and the events of its connections.
+//! The event loop of one hollow cell: runs commands, timers and connection events on one thread.
 
 use super::cloud::{MACHINE_TYPE, decode_request, encode_response, new_cloud};
 use super::commands::{CellSample, Command};
@@ -24,22 +24,23 @@
 use std::sync::mpsc::{Receiver, TryRecvError};
 use std::time::Duration;
 
-/// Milliseconds between two steps of the timers.
+/// Interval between two steps of the simulation, in milliseconds.
 const TIMER_INTERVAL_MS: u64 = 10;
-/// The cloud's latency, in milliseconds.
+/// Latency of each response of the cloud, in milliseconds.
 const CLOUD_LATENCY_MS: u64 = 50;
-/// A failed machine is listed as running for so long, in milliseconds.
+/// Delay until the cloud lists a failed machine as failed, in milliseconds. Until then it is listed
+/// as running.
 const FAILURE_LISTED_AFTER_MS: u64 = 30_000;
-/// What a client is asked to wait after a rejected request, in seconds.
+/// `Retry-After` of the store's and the cloud's rejections (status 429 or 503), in seconds.
 const RETRY_AFTER_S: u32 = 1;
 
-/// A framed response that is sent after the service's latency.
+/// An encoded HTTP response that is sent after the simulated latency of its service.
 struct Outgoing {
     connection: usize,
     bytes: Vec<u8>,
 }
 
-/// The hollow side of one cell.
+/// Everything around the controllers of one cell: store, cloud, workers and users.
 pub struct HollowCell {
     plan: Arc<CellPlan>,
     shared: Arc<SharedState>,
@@ -50,23 +51,28 @@
     workers: Workers,
     users: Users,
     rng: StdRng,
-    /// Responses by the time at which they are sent, by a sequence number.
+    /// Delayed responses by their time of sending; a sequence number keeps those of the same time
+    /// in order.
     responses: Timers<u64, Outgoing>,
     last_response_number: u64,
-    /// Machines that boot, by id.
+    /// Ids of booting machines, by the time at which they are up.
     pending_boots: Timers<String, ()>,
-    /// Machines that fail, by id.
+    /// Ids of machines that are going to fail, by the time of the failure.
     pending_failures: Timers<String, ()>,
-    /// When the store's outage ends.
+    /// End of the store's current outage, in milliseconds; `None` without an outage.
     outage_end_ms: Option<u64>,
-    /// The limits that operators have set.
+    /// Team limits that operators have set so far.
     operator_limits: LimitsByTeam,
-    /// When the timers were last stepped.
+    /// Time of the simulation's last step, in milliseconds.
     last_step_ms: u64,
 }
 
 impl HollowCell {
-    /// Builds a cell, and listens for its controllers.
+    /// Builds a cell with its initial machines, and opens the listeners of its store and cloud.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a listener can't be opened.
     pub fn new(
         plan: Arc<CellPlan>,
         shared: Arc<SharedState>,
@@ -103,7 +109,11 @@
         }
     }
 
-    /// Runs until the command to stop.
+    /// Runs the event loop until [`Command::Stop`] arrives or the sender of commands is dropped.
+    ///
+    /// # Errors
+    ///
+    /// Fails if waiting for events or accepting a connection fails.
     pub fn run(mut self) -> io::Result<()> {
         let mut received = Vec::new();
         loop {
@@ -125,7 +135,8 @@
         }
     }
 
-    /// Executes all commands that were received; breaks on the command to stop.
+    /// Executes all queued commands. Breaks if the loop has to stop: on [`Command::Stop`], or when
+    /// the sender of commands is dropped.
     fn execute_commands(&mut self, now: u64) -> ControlFlow<()> {
         loop {
             match self.commands.try_recv() {
@@ -157,13 +168,14 @@
                 self.answer_watches(now);
             }
             Command::Sample(reply_to) => {
-                // The run may have given up waiting.
+                // The receiver is gone if the run has timed out waiting for the sample.
                 let _ = reply_to.send(self.take_sample());
             }
             Command::Stop => {}
         }
     }
 
+    /// Schedules the failure of up to `count` random machines, at random times within `over_ms`.
     fn schedule_failures(&mut self, now: u64, count: usize, zone: Option<&str>, over_ms: u64) {
         let mut machines = self.workers.running_machines(zone);
         machines.shuffle(&mut self.rng);
@@ -173,14 +185,15 @@
         }
     }
 
-    /// Sends the responses that are due.
+    /// Sends all delayed responses that are due.
     fn send_responses(&mut self, now: u64) {
         while let Some((_, outgoing)) = self.responses.pop_due(now) {
             self.connections.send(outgoing.connection, &outgoing.bytes);
         }
     }
 
-    /// Steps the timers of machines, store, workers and users, if a step is due.
+    /// Advances machines, store, workers and users, if [`TIMER_INTERVAL_MS`] has passed since the
+    /// last step.
     fn step_timers(&mut self, now: u64) {
         if now < self.last_step_ms + TIMER_INTERVAL_MS {
             return;
@@ -241,6 +254,7 @@
         self.send_at(at_ms, connection, response);
     }
 
+    /// Encodes a response and schedules its sending.
     fn send_at(&mut self, at_ms: u64, connection: usize, response: &Response) {
         let is_rejected = matches!(response.status, 429 | 503);
         let retry_after = is_rejected.then_some(RETRY_AFTER_S);
@@ -309,7 +323,8 @@
         self.answer_watches(now);
     }
 
-    /// Passes a written record to the observers and the checker.
+    /// Passes a written record to the observers and the checker. Takeovers are observed only in
+    /// runs of a single cell.
     fn observe_record(&self, now: u64, record: &WrittenRecord) {
         match record.path.as_str() {
             SHARD_KEY => self.observe_shard(now, record),
--- a/scale/src/hollow/cloud.rs
+++ b/scale/src/hollow/cloud.rs
@@ -1,4 +1,5 @@
-//! The cloud of one cell: the fake cloud with one machine type, behind the protocol's requests.
+//! The cloud of one cell: decodes requests, and encodes the responses of a fake cloud that offers a
+//! single machine type.
 
 use super::plan::CellPlan;
 use super::request::{Response, StartLine};
@@ -12,11 +13,13 @@
 use salttrestle_fakes::cloud::Cloud;
 use serde::{Deserialize, Serialize};
 
-/// The only machine type.
+/// Name of the only machine type.
 pub(super) const MACHINE_TYPE: &str = "hollow-rig";
-/// Price of a machine per hour; nothing depends on it.
+/// Price of a machine per hour, on demand and spot. The experiments don't depend on it.
 const PRICE_PER_H: f64 = 10.0;
+/// Size of a machine's image cache, in GB.
 const CACHE_GB: f64 = 200.0;
+/// Rate at which a machine fetches images, in GB/s.
 const FETCH_GB_S: f64 = 5.0;
 
 #[derive(Deserialize)]
@@ -98,7 +101,7 @@
     age_s: f64,
 }
 
-/// The fake cloud of a cell.
+/// Builds a cell's fake cloud, whose spare capacity is spread evenly over the zones.
 pub(super) fn new_cloud(plan: &CellPlan) -> Cloud {
     let [cpus, gpus, mem] = plan.service.machine;
     let machine_type = MachineType {
@@ -125,7 +128,7 @@
     }
 }
 
-/// Decodes a request; `None` if it is malformed.
+/// Decodes a request; `None` if it is malformed or its path is unknown.
 pub(super) fn decode_request(request: &Message) -> Option<CloudRequest> {
     let start = StartLine::parse(request);
     match (start.method, start.path) {
@@ -152,7 +155,7 @@
     }
 }
 
-/// Encodes a response.
+/// Encodes a response with the status and the body of the cloud's protocol.
 pub(super) fn encode_response(response: &CloudResponse) -> Response {
     match response {
         CloudResponse::Catalog(types) => {
--- a/scale/src/hollow/commands.rs
+++ b/scale/src/hollow/commands.rs
@@ -1,70 +1,70 @@
-//! Commands to a hollow cell's thread, and the samples that it returns.
+//! Commands to the thread of a hollow cell, and the samples that it returns.
 
 use super::store::StoreCounts;
 use super::traffic::KindTraffic;
 use crate::procfs::CpuTime;
 use std::sync::mpsc::Sender;
 
-/// A command to a hollow cell's thread.
+/// A command to the thread of a hollow cell.
 pub enum Command {
-    /// Users begin to submit jobs.
+    /// Starts the load: users submit jobs at the rates of the experiment.
     StartLoad,
-    /// Machines fail.
+    /// Makes machines fail.
     FailMachines {
-        /// How many.
+        /// Number of machines.
         count: usize,
-        /// Only machines of this zone.
+        /// Zone of the machines; all zones if `None`.
         zone: Option<String>,
-        /// Milliseconds over which they fail.
+        /// Period over which the failures are spread, in milliseconds.
         over_ms: u64,
     },
-    /// The store answers no request for a while.
+    /// Starts an outage of the store: requests fail with status 503, and watches get no answer.
     StoreOutage {
-        /// For how many milliseconds.
+        /// Length of the outage, in milliseconds.
         for_ms: u64,
     },
-    /// Users submit batch jobs at this multiple of the initial rate.
+    /// Sets the rate of batch jobs, as a multiple of the initial rate.
     SetLoadFactor(f64),
-    /// Operators set a team's limit.
+    /// Sets a team's limit, as an operator does.
     SetLimit {
-        /// The team.
+        /// Name of the team.
         team: String,
-        /// CPUs and GPUs.
+        /// New limit: CPUs and GPUs.
         limit: (f64, f64),
     },
-    /// Return a sample.
+    /// Sends a sample to this channel.
     Sample(Sender<CellSample>),
-    /// End the thread.
+    /// Ends the event loop of the cell.
     Stop,
 }
 
-/// The state and the counters of one cell.
+/// State and counters of one cell at one moment.
 #[derive(Clone, Debug)]
 pub struct CellSample {
-    /// Id of the leader.
+    /// Id of the controller that the store's leader record names.
     pub leader: Option<String>,
-    /// Id of the first shard's owner.
+    /// Id of the controller that owns the first shard.
     pub shard_owner: Option<String>,
-    /// Workers whose machines run.
+    /// Number of workers whose machines are running.
     pub running_workers: usize,
-    /// Workers that have been answered under a fencing token.
+    /// Number of workers that have received a response with a fencing token.
     pub joined_workers: usize,
-    /// Controllers whose latest health probe succeeded.
+    /// Number of controllers whose latest health probe succeeded.
     pub healthy_controllers: usize,
-    /// Running tasks.
+    /// Number of running tasks.
     pub running_tasks: usize,
-    /// Batch and urgent jobs that haven't ended.
+    /// Number of batch and urgent jobs whose users haven't been told of their end.
     pub open_jobs: usize,
-    /// Keys at the store.
+    /// Number of keys in the store.
     pub stored_keys: usize,
-    /// Requests of users that failed.
+    /// Number of user requests without a valid response, since the start.
     pub user_failures: u64,
-    /// Tasks killed by the expiry of their worker's lease.
+    /// Number of tasks killed because their worker's lease expired, since the start.
     pub lease_kills: u64,
-    /// Counters of the store.
+    /// Counters of the store since the start.
     pub store: StoreCounts,
-    /// Traffic by kind of connection.
+    /// Traffic since the start, by kind of connection.
     pub traffic: Vec<KindTraffic>,
-    /// Processor time of the cell's thread.
+    /// CPU time that the cell's thread has used.
     pub thread_cpu: CpuTime,
 }
--- a/scale/src/hollow/connections.rs
+++ b/scale/src/hollow/connections.rs
@@ -1,4 +1,5 @@
-//! Connections of the hollow side, accepted and opened, with non-blocking reads and writes.
+//! Connections between a hollow cell and its controllers, in both directions, with non-blocking
+//! reads and writes.
 
 use super::traffic::{ConnectionKind, KindTraffic, Traffic};
 use polling::{Event as PollEvent, Events, PollMode, Poller};
@@ -9,15 +10,18 @@
 use std::net::{SocketAddr, SocketAddrV4, TcpListener, TcpStream};
 use std::time::Duration;
 
+/// Poller key of the store's listener.
 const STORE_LISTENER_KEY: usize = 0;
-/// The first of the cloud's listeners, of which there is one for each controller.
+/// Poller key of the cloud's first listener. The cloud has one listener for each controller, by
+/// which it identifies the caller.
 const FIRST_CLOUD_LISTENER_KEY: usize = 1;
+/// Lowest poller key of a connection; all keys below belong to listeners.
 const FIRST_CONNECTION_KEY: usize = 1_000;
 const READ_BUFFER_BYTES: usize = 64 * 1024;
-/// Longest body of a message, in bytes.
+/// Maximum size of a message's body, in bytes.
 const BODY_BYTES_MAX: usize = 8 << 20;
 
-/// What a connection is for.
+/// Who uses a connection, and for which service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Role {
     /// A controller calls the store.
@@ -26,7 +30,7 @@
     Cloud(usize),
     /// A worker, by its index, sends heartbeats.
     Worker(usize),
-    /// Users call a controller, by its index.
+    /// Users send requests to a controller, by its index.
     User(usize),
     /// The load balancer probes the health of a controller, by its index.
     Probe(usize),
@@ -53,19 +57,19 @@
 
 /// An event of a connection.
 pub(super) struct ConnectionEvent {
-    /// The connection.
+    /// Poller key of the connection.
     pub(super) key: usize,
-    /// What it is for.
+    /// Role of the connection.
     pub(super) role: Role,
-    /// What happened.
+    /// Kind of the event.
     pub(super) kind: EventKind,
 }
 
-/// What happened on a connection.
+/// Kinds of events of a connection.
 pub(super) enum EventKind {
     /// A complete message was received.
     Message(Message),
-    /// The connection is closed.
+    /// The connection was closed by the peer, has failed, or was closed after a protocol error.
     Closed,
 }
 
@@ -73,13 +77,13 @@
     stream: TcpStream,
     role: Role,
     decoder: Decoder,
-    /// Bytes that wait until the socket accepts them.
+    /// Bytes that the socket hasn't accepted yet.
     unsent: Vec<u8>,
-    /// The poller reports when the socket is writable.
+    /// Whether the poller reports when the socket becomes writable.
     has_write_interest: bool,
 }
 
-/// All connections of one cell's hollow side.
+/// All listeners and connections of one hollow cell.
 pub(super) struct Connections {
     poller: Poller,
     events: Events,
@@ -88,12 +92,12 @@
     connections: HashMap<usize, Connection>,
     next_key: usize,
     buffer: Vec<u8>,
-    /// Traffic by kind, in the order of `ConnectionKind::ALL`.
+    /// Traffic by kind of connection, in the order of [`ConnectionKind::ALL`].
     traffic: [Traffic; ConnectionKind::ALL.len()],
 }
 
 impl Connections {
-    /// Listens for the cell's controllers.
+    /// Opens the listeners of the cell's store and cloud.
     pub(super) fn new(store: SocketAddrV4, clouds: &[SocketAddrV4]) -> io::Result<Self> {
         let poller = Poller::new()?;
         let store_listener = listen(&poller, store, STORE_LISTENER_KEY)?;
@@ -114,7 +118,8 @@
         })
     }
 
-    /// Opens a connection to a controller, without waiting until it is established.
+    /// Starts to open a connection to a controller, and returns its key. Doesn't wait until the
+    /// connection is established.
     pub(super) fn connect(&mut self, to: SocketAddrV4, role: Role) -> io::Result<usize> {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
         socket.set_nonblocking(true)?;
@@ -134,7 +139,7 @@
         let _ = stream.set_nodelay(true);
         let key = self.next_key;
         self.next_key += 1;
-        // SAFETY: `close` takes the stream out of the poller before dropping it.
+        // SAFETY: `close` removes the stream from the poller before dropping it.
         unsafe {
             let interest = PollEvent::readable(key);
             self.poller
@@ -151,7 +156,7 @@
         Ok(key)
     }
 
-    /// Sends a message, now or as soon as the socket is writable.
+    /// Sends a message; what the socket doesn't accept now is sent when it becomes writable.
     pub(super) fn send(&mut self, key: usize, bytes: &[u8]) {
         let Some(connection) = self.connections.get_mut(&key) else {
             return;
@@ -163,7 +168,8 @@
         self.flush(key);
     }
 
-    /// Writes as much as the socket accepts. A failed connection is found when it is read.
+    /// Writes as much as the socket accepts. Write errors are ignored: the next read reports a
+    /// failed connection.
     fn flush(&mut self, key: usize) {
         let Some(connection) = self.connections.get_mut(&key) else {
             return;
@@ -187,21 +193,21 @@
         }
     }
 
-    /// Closes a connection.
+    /// Closes a connection, without an event.
     pub(super) fn close(&mut self, key: usize) {
         if let Some(connection) = self.connections.remove(&key) {
             let _ = self.poller.delete(&connection.stream);
         }
     }
 
-    /// Stops reading a connection and leaves it open, as a failed machine does.
+    /// Stops reading a connection but leaves it open: a failed machine doesn't close its sockets.
     pub(super) fn stop_reading(&self, key: usize) {
         if let Some(connection) = self.connections.get(&key) {
             let _ = self.poller.delete(&connection.stream);
         }
     }
 
-    /// Traffic by kind.
+    /// Returns the traffic since the start, by kind of connection.
     pub(super) fn traffic(&self) -> Vec<KindTraffic> {
         let kinds = ConnectionKind::ALL.into_iter().zip(self.traffic);
         kinds
@@ -209,7 +215,7 @@
             .collect()
     }
 
-    /// Waits for at most `timeout`, and appends the events of the connections.
+    /// Waits for events for at most `timeout`, and appends those of the connections to `received`.
     pub(super) fn wait(
         &mut self,
         timeout: Duration,
@@ -290,7 +296,7 @@
 }
 
 impl Connection {
-    /// Feeds the decoder with all bytes that can be read; true if the connection is closed.
+    /// Feeds all available bytes to the decoder. Returns true if the connection is closed.
     fn receive(&mut self, buffer: &mut [u8], traffic: &mut Traffic) -> bool {
         loop {
             match self.stream.read(buffer) {
@@ -309,7 +315,7 @@
     }
 }
 
-/// Whether a connection is being established.
+/// Whether a non-blocking connect is still in progress.
 fn is_in_progress(error: &io::Error) -> bool {
     error.raw_os_error() == Some(rustix::io::Errno::INPROGRESS.raw_os_error())
         || error.kind() == ErrorKind::WouldBlock
@@ -322,7 +328,7 @@
 fn listen(poller: &Poller, at: SocketAddrV4, key: usize) -> io::Result<TcpListener> {
     let listener = TcpListener::bind(at)?;
     listener.set_nonblocking(true)?;
-    // SAFETY: the listener lives as long as the poller, to the end of the cell.
+    // SAFETY: the listener lives as long as the poller: until the end of the cell.
     unsafe { poller.add_with_mode(&listener, PollEvent::readable(key), PollMode::Level)? };
     Ok(listener)
 }
--- a/scale/src/hollow/jobs.rs
+++ b/scale/src/hollow/jobs.rs
@@ -1,42 +1,41 @@
-//! The jobs that a cell's users have submitted.
+//! The jobs that the users of a cell have submitted, and the classes of jobs.
 
 use salttrestle::ids::{JobId, TaskId};
 use salttrestle_fakes::worker::{TaskSpec, TaskSpecs};
 use std::collections::HashMap;
 
-/// The class of services.
+/// Class of service jobs, as it stands in submissions, job ids and results.
 pub const SERVICE_CLASS: &str = "standing";
-/// The class of batch jobs.
+/// Class of batch jobs, as it stands in submissions, job ids and results.
 pub const BATCH_CLASS: &str = "batch";
-/// The class of urgent jobs, of one task each.
+/// Class of urgent jobs, as it stands in submissions, job ids and results. Each has one task.
 pub const URGENT_CLASS: &str = "urgent";
 
-/// A job as it was submitted.
+/// A submitted job.
 pub(super) struct Job {
-    /// The encoded submission.
+    /// Encoded body of the submission.
     pub(super) submission: Vec<u8>,
-    /// What workers know of its tasks.
+    /// How workers simulate the tasks of the job.
     pub(super) spec: TaskSpec,
 }
 
-/// The jobs that a cell's users have submitted.
+/// The submitted jobs of a cell, by id.
 #[derive(Default)]
 pub(super) struct Jobs {
     jobs: HashMap<JobId, Job>,
 }
 
 impl Jobs {
-    /// Adds a job.
     pub(super) fn insert(&mut self, id: JobId, job: Job) {
         self.jobs.insert(id, job);
     }
 
-    /// A job's encoded submission.
+    /// Returns the encoded submission of a job.
     pub(super) fn submission(&self, id: &JobId) -> Option<&[u8]> {
         self.jobs.get(id).map(|job| job.submission.as_slice())
     }
 
-    /// Whether a job is known and no service, so that it ends by itself.
+    /// Whether a job is known and ends by itself, which is true of all jobs but services.
     pub(super) fn is_finite(&self, id: &JobId) -> bool {
         self.jobs.get(id).is_some_and(|job| !job.spec.service)
     }
--- a/scale/src/hollow/mod.rs
+++ b/scale/src/hollow/mod.rs
@@ -1,5 +1,6 @@
-//! The hollow side of one cell: its workers, users, cloud and store, which speak the protocols with
-//! real controllers. One thread plays all of them.
+//! Hollow cells, which simulate everything around the controllers of a cell: workers, users, cloud
+//! and store. "Hollow" components speak the real protocols with real controllers over TCP, but run
+//! no tasks and own no machines. All components of a cell share one thread.
 
 mod cell;
 mod cloud;
--- a/scale/src/hollow/plan.rs
+++ b/scale/src/hollow/plan.rs
@@ -1,44 +1,45 @@
-//! What a hollow cell is built from.
+//! Parameters of a hollow cell.
 
 use crate::experiment::{Cell, Experiment, Load, Phases, Service};
 use crate::layout::{CellAddresses, controller_id};
 
-/// What a hollow cell is built from.
+/// Parameters of a hollow cell.
 pub struct CellPlan {
-    /// The cell's name.
+    /// Name of the cell.
     pub name: String,
-    /// Its index among all cells.
+    /// Index of the cell among all cells of the experiment.
     pub index: usize,
-    /// Its addresses.
+    /// Loopback addresses of the cell's programs.
     pub addresses: CellAddresses,
-    /// The ids of its controllers.
+    /// Ids of the cell's controllers, by index.
     pub controller_ids: Vec<String>,
-    /// Its zones.
+    /// Zones of the cell.
     pub zones: Vec<String>,
-    /// Number of its workers at the start.
+    /// Number of workers at the start.
     pub workers: usize,
-    /// Machines that its cloud can provide in addition.
+    /// Number of machines that the cloud can provide in addition to the initial ones.
     pub spare_machines: u32,
-    /// Its share of all workers.
+    /// Fraction of the experiment's workers that belong to this cell, from 0 to 1.
     pub worker_share: f64,
-    /// Milliseconds between two heartbeats of a worker.
+    /// Mean interval between two heartbeats of a worker, in milliseconds.
     pub heartbeat_ms: u64,
-    /// A worker's lease, in milliseconds.
+    /// Length of a worker's lease, in milliseconds.
     pub lease_ms: u64,
-    /// The settings of the service.
+    /// Service settings of the experiment.
     pub service: Service,
-    /// What its users submit.
+    /// Load settings of the experiment, for all cells together.
     pub load: Load,
-    /// The course of the run.
+    /// Phases of the run.
     pub phases: Phases,
-    /// Whether it is the only cell: then its commands are checked as well.
+    /// Whether the experiment has no other cell. Only then takeovers are observed and the fencing
+    /// tokens of commands are checked.
     pub is_only_cell: bool,
-    /// The seed of its random draws.
+    /// Seed of the cell's random numbers.
     pub seed: u64,
 }
 
 impl CellPlan {
-    /// The plan of one of an experiment's cells.
+    /// Derives the parameters of the cell at `index` from the experiment's settings.
     pub fn new(experiment: &Experiment, index: usize, addresses: CellAddresses) -> Self {
         let cell: &Cell = &experiment.cells[index];
         let milliseconds = |seconds: f64| (seconds * 1000.0) as u64;
--- a/scale/src/hollow/request.rs
+++ b/scale/src/hollow/request.rs
@@ -1,23 +1,23 @@
-//! The start line of a request, and the responses of hollow services.
+//! Parsing of a request's start line, and responses of the hollow store and cloud.
 
 use salttrestle::http::Message;
 use salttrestle::wire;
 
-/// A response before it is framed.
+/// A response of the store or the cloud, before it is encoded as HTTP.
 pub(super) struct Response {
-    /// The HTTP status.
+    /// HTTP status.
     pub(super) status: u16,
-    /// The encoded body.
+    /// Encoded body.
     pub(super) body: Vec<u8>,
 }
 
 impl Response {
-    /// A success.
+    /// A response with status 200.
     pub(super) fn ok(body: Vec<u8>) -> Self {
         Self { status: 200, body }
     }
 
-    /// An error with its reason.
+    /// An error response whose body holds the reason.
     pub(super) fn error(status: u16, reason: &str) -> Self {
         Self {
             status,
@@ -26,19 +26,19 @@
     }
 }
 
-/// The start line of a request.
+/// Method, path and query of a request.
 #[derive(Clone, Copy)]
 pub(super) struct StartLine<'a> {
-    /// The HTTP method.
+    /// HTTP method.
     pub(super) method: &'a str,
-    /// The path without its query.
+    /// Path of the target, without the query.
     pub(super) path: &'a str,
-    /// The query.
+    /// Query of the target; empty if there is none.
     pub(super) query: Query<'a>,
 }
 
 impl<'a> StartLine<'a> {
-    /// The start line of a message.
+    /// Parses the start line of a request.
     pub(super) fn parse(request: &'a Message) -> Self {
         let target = request.start[1].as_str();
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
@@ -50,18 +50,18 @@
     }
 }
 
-/// The query of a request's target.
+/// Query parameters of a request's target, without percent-decoding.
 #[derive(Clone, Copy)]
 pub(super) struct Query<'a>(&'a str);
 
 impl<'a> Query<'a> {
-    /// A parameter as text.
+    /// Returns a parameter as text; `None` if it is missing.
     pub(super) fn text(self, name: &str) -> Option<&'a str> {
         let mut pairs = self.0.split('&');
         pairs.find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
     }
 
-    /// A parameter as a number.
+    /// Returns a parameter as a number; `None` if it is missing or not a number.
     pub(super) fn number(self, name: &str) -> Option<u64> {
         self.text(name)?.parse().ok()
     }
--- a/scale/src/hollow/store/bodies.rs
+++ b/scale/src/hollow/store/bodies.rs
@@ -1,4 +1,5 @@
-//! Bodies of requests to the store and of its responses, with the protocol's names.
+//! Bodies of the store's requests and responses. Serde attributes map fields to the names of the
+//! protocol.
 
 use ciborium::Value;
 use salttrestle::controller::store::records::LimitsByTeam;
--- a/scale/src/hollow/store/mod.rs
+++ b/scale/src/hollow/store/mod.rs
@@ -1,4 +1,5 @@
-//! The store of one cell: the fake store behind the protocol's requests and limits.
+//! The store of one cell: serves a fake store over the protocol of the real one, and enforces its
+//! limits on rates and sizes.
 
 mod bodies;
 mod watches;
@@ -20,35 +21,35 @@
 use thiserror::Error;
 use watches::{PendingWatch, WatchRequest};
 
-/// Changes that are kept for watches.
+/// Number of latest changes that are kept for watches.
 const WATCH_HISTORY_CHANGES_MAX: usize = 10_000;
-/// Most entries of one page of a list.
+/// Maximum number of entries in one page of a list.
 const PAGE_ENTRIES_MAX: usize = 1_000;
-/// Most preconditions of a transaction, as a multiple of its writes.
+/// Maximum number of preconditions of a transaction, as a multiple of the maximum number of writes.
 const PRECONDITIONS_PER_WRITE_MAX: usize = 4;
 
-/// The key of the first shard's record.
+/// Key of the first shard's record.
 pub(super) const SHARD_KEY: &str = "s/own/block/0";
-/// The key of the cell's own record, with the limits that it sets.
+/// Key of the cell's own record, which holds the team limits that the cell sets as a home cell.
 pub(super) const CELL_KEY: &str = "s/own/cell";
-/// The key of the leader's record.
+/// Key of the leader's record.
 pub(super) const LEADER_KEY: &str = "s/own/leader";
-/// The prefix of the placement records.
+/// Key prefix of the placement records.
 const PLACEMENT_PREFIX: &str = "s/run/";
-/// The key of the limits that operators set.
+/// Key of the team limits that operators set.
 const LIMITS_KEY: &str = "s/own/limits";
 
-/// Whether writes of a key are observed.
+/// Whether writes of a key are passed to the observers.
 fn is_observed(path: &str) -> bool {
     [SHARD_KEY, CELL_KEY, LEADER_KEY].contains(&path) || path.starts_with(PLACEMENT_PREFIX)
 }
 
-/// Counters of one store.
+/// Counters of one store since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StoreCounts {
     /// Requests of every kind.
     pub requests: u64,
-    /// Watches among them.
+    /// Requests that are watches.
     #[serde(rename = "follows")]
     pub watches: u64,
     /// Committed transactions.
@@ -57,13 +58,14 @@
     pub changes: u64,
     /// Transactions whose preconditions failed.
     pub conflicts: u64,
-    /// Requests rejected for a rate or a size.
+    /// Requests rejected because they exceeded a limit on rates or sizes, or held a malformed
+    /// write.
     #[serde(rename = "refused")]
     pub rejected: u64,
 }
 
 impl StoreCounts {
-    /// The difference to earlier counters.
+    /// Returns the counts since an earlier reading of the counters.
     pub fn since(self, earlier: StoreCounts) -> StoreCounts {
         StoreCounts {
             requests: self.requests - earlier.requests,
@@ -76,7 +78,7 @@
     }
 }
 
-/// Why a transaction is rejected before it is tried.
+/// Why a transaction is rejected before its preconditions are evaluated.
 #[derive(Clone, Copy, Debug, Error)]
 enum CommitError {
     #[error("malformed")]
@@ -98,14 +100,14 @@
     }
 }
 
-/// A transaction that keeps to the limits.
+/// A transaction that has passed the check of the store's limits.
 struct Transaction {
     preconditions: Vec<(String, u64)>,
     writes: Vec<Write<Rc<Value>>>,
 }
 
 impl Transaction {
-    /// The observed records that it writes.
+    /// Returns the writes of observed keys. Deletes aren't observed.
     fn observed_writes(&self) -> Vec<WrittenRecord> {
         let writes = self.writes.iter();
         let observed = writes.filter_map(|write| match write {
@@ -119,19 +121,19 @@
     }
 }
 
-/// A record that was written.
+/// An observed record that was written.
 pub(super) struct WrittenRecord {
     pub(super) path: String,
     pub(super) value: Rc<Value>,
 }
 
-/// A response to a request that came over this connection.
+/// The response to a pending watch, and the connection that it is sent over.
 pub(super) struct WatchResponse {
     pub(super) connection: usize,
     pub(super) response: Response,
 }
 
-/// The store of one cell.
+/// The store of one cell, with its limits, pending watches and counters.
 pub(super) struct StoreService {
     store: Store<Rc<Value>>,
     request_limit: RateLimit,
@@ -140,14 +142,14 @@
     writes_max: usize,
     pending_watches: Vec<PendingWatch>,
     is_down: bool,
-    /// Its counters.
+    /// Counters since the start.
     pub(super) counts: StoreCounts,
-    /// Observed records that were written since they were last taken.
+    /// Observed records that were written since the last call of `take_observed_writes`.
     observed_writes: Vec<WrittenRecord>,
 }
 
 impl StoreService {
-    /// An empty store.
+    /// Builds an empty store with the limits of the experiment.
     pub(super) fn new(service: &Service) -> Self {
         Self {
             store: Store::new(WATCH_HISTORY_CHANGES_MAX),
@@ -162,7 +164,7 @@
         }
     }
 
-    /// Operators set limits.
+    /// Writes the team limits, as operators do.
     pub(super) fn set_limits(&mut self, teams: &LimitsByTeam) {
         let value = Value::serialized(&LimitsBody { teams }).unwrap_or(Value::Null);
         let write = Write::Put {
@@ -178,19 +180,19 @@
         std::mem::take(&mut self.observed_writes)
     }
 
-    /// Begins an outage.
+    /// Starts an outage.
     pub(super) fn begin_outage(&mut self) {
         self.is_down = true;
     }
 
-    /// Ends an outage. Leases are renewed, since nobody could renew them meanwhile.
+    /// Ends an outage, and renews all leases: during the outage no client could renew them.
     pub(super) fn end_outage(&mut self, now: u64) {
         if std::mem::replace(&mut self.is_down, false) {
             self.store.renew_all(now);
         }
     }
 
-    /// Executes a request; `None` for a watch that has to wait.
+    /// Handles a request. Returns `None` for a watch that waits for changes.
     pub(super) fn handle_request(
         &mut self,
         now: u64,
@@ -256,10 +258,10 @@
 
     fn commit(&mut self, now: u64, body: &[u8]) -> Response {
         let Some(body) = wire::decode::<CommitBody>(body) else {
-            // Not counted as rejected: no limit was exceeded.
+            // This request isn't counted as rejected, because it exceeded no limit.
             return Response::error(400, "malformed");
         };
-        match self.check_limits(now, body) {
+        match self.validate_commit(now, body) {
             Ok(transaction) => self.commit_transaction(transaction),
             Err(error) => {
                 self.counts.rejected += 1;
@@ -268,8 +270,9 @@
         }
     }
 
-    /// Checks a transaction against the limits.
-    fn check_limits(&mut self, now: u64, body: CommitBody) -> Result<Transaction, CommitError> {
+    /// Parses a transaction and checks it against the store's limits. The write rate is charged
+    /// even if a later check fails.
+    fn validate_commit(&mut self, now: u64, body: CommitBody) -> Result<Transaction, CommitError> {
         let preconditions_max = PRECONDITIONS_PER_WRITE_MAX * self.writes_max;
         if body.writes.len() > self.writes_max || body.preconditions.len() > preconditions_max {
             return Err(CommitError::TooManyOperations);
@@ -288,6 +291,7 @@
         })
     }
 
+    /// Parses a put or a delete, and checks the size of the value as JSON.
     fn parse_write(&self, body: WriteBody) -> Result<Write<Rc<Value>>, CommitError> {
         match (body.put, body.data, body.delete) {
             (Some(path), Some(data), None) => {
@@ -340,7 +344,7 @@
         Response::ok(wire::encode(&LeaseBody { lease }))
     }
 
-    /// Extends or releases a lease.
+    /// Renews a lease (`POST …/extend`) or revokes it (`DELETE`).
     fn renew_or_revoke_lease(&mut self, now: u64, method: &str, path: &str) -> Response {
         let Some(rest) = path.strip_prefix("/grants/") else {
             return Response::error(400, "malformed");
@@ -360,7 +364,8 @@
         }
     }
 
-    /// Answers a watch, or registers it. During an outage it waits without an answer.
+    /// Answers a watch at once if there are changes or if it doesn't wait; otherwise registers it.
+    /// During an outage every watch is registered and gets no answer.
     fn handle_watch(
         &mut self,
         now: u64,
@@ -387,7 +392,8 @@
         None
     }
 
-    /// Expires leases, and answers the watches that have events or whose deadline has passed.
+    /// Revokes expired leases, and returns the responses to watches that have changes or whose
+    /// deadline has passed. Returns none during an outage.
     pub(super) fn answer_watches(&mut self, now: u64) -> Vec<WatchResponse> {
         if self.is_down {
             return Vec::new();
@@ -409,13 +415,13 @@
         responses
     }
 
-    /// Drops the watches of a connection that is closed.
+    /// Drops the watches of a closed connection.
     pub(super) fn drop_watches(&mut self, connection: usize) {
         self.pending_watches
             .retain(|watch| watch.connection != connection);
     }
 
-    /// A text field of a record.
+    /// Returns a text field of a record; `None` if the key, the field or the text is missing.
     pub(super) fn text_field(&self, key: &str, field: &str) -> Option<String> {
         let entry = self.store.entries.get(key)?;
         let fields = entry.value.as_map()?;
@@ -425,7 +431,7 @@
         value.as_text().map(String::from)
     }
 
-    /// Number of keys that are stored.
+    /// Returns the number of keys in the store.
     pub(super) fn key_count(&self) -> usize {
         self.store.entries.len()
     }
--- a/scale/src/hollow/store/watches.rs
+++ b/scale/src/hollow/store/watches.rs
@@ -1,4 +1,4 @@
-//! Watches of the store: requests that wait for the next change below a prefix.
+//! Watches of the store: long-poll requests that wait for the next change of a key with a prefix.
 
 use super::bodies::{EventBody, EventsBody};
 use crate::hollow::request::{Query, Response};
@@ -7,14 +7,15 @@
 use salttrestle_fakes::store::{Change, Store};
 use std::rc::Rc;
 
-/// Longest wait of a watch, in milliseconds.
+/// Maximum wait of a watch, in milliseconds. Longer waits are shortened to this.
 const WATCH_WAIT_MAX_MS: u64 = 60_000;
 
-/// What a watch asks for.
+/// Parameters of a watch.
 pub(super) struct WatchRequest<'a> {
     pub(super) prefix: &'a str,
-    /// Only changes after this revision.
+    /// The watch returns changes after this revision.
     pub(super) after_revision: u64,
+    /// How long the watch waits for a change; 0 for an immediate answer.
     pub(super) wait_ms: u64,
 }
 
@@ -28,7 +29,7 @@
     }
 }
 
-/// A watch that waits for a change.
+/// A registered watch that waits for a change.
 pub(super) struct PendingWatch {
     pub(super) connection: usize,
     pub(super) prefix: String,
@@ -36,7 +37,8 @@
     pub(super) deadline_ms: u64,
 }
 
-/// The response with the changes after a revision, if there are any.
+/// Returns the response to a watch: the changes after a revision, or status 410 if these are no
+/// longer kept. Returns `None` if there is no change.
 pub(super) fn changes_response(
     store: &Store<Rc<Value>>,
     prefix: &str,
@@ -55,7 +57,7 @@
     Some(encode_events(store, events))
 }
 
-/// The response to a watch whose time is over.
+/// Returns the response to a watch that has timed out: no changes.
 pub(super) fn empty_response(store: &Store<Rc<Value>>) -> Response {
     encode_events(store, Vec::new())
 }
--- a/scale/src/hollow/timers.rs
+++ b/scale/src/hollow/timers.rs
@@ -1,15 +1,15 @@
-//! Values that become due at a time.
+//! A queue of values that become due at given times.
 
 use std::collections::BTreeMap;
 
-/// Values by the time at which they are due, in milliseconds, and among those of the same time by
-/// key.
+/// Values in the order of their due times, in milliseconds; values of the same time are in the
+/// order of their keys.
 pub(super) struct Timers<K, V> {
     entries: BTreeMap<(u64, K), V>,
 }
 
 impl<K: Ord, V> Timers<K, V> {
-    /// No timers.
+    /// Returns an empty queue.
     pub(super) fn new() -> Self {
         Self {
             entries: BTreeMap::new(),
@@ -21,12 +21,12 @@
         self.entries.insert((at_ms, key), value);
     }
 
-    /// When the next value is due.
+    /// Returns the due time of the next value.
     pub(super) fn next_ms(&self) -> Option<u64> {
         self.entries.first_key_value().map(|((at, _), _)| *at)
     }
 
-    /// Removes the next value, if it is due.
+    /// Removes and returns the next value with its key, if it is due.
     pub(super) fn pop_due(&mut self, now: u64) -> Option<(K, V)> {
         let entry = self.entries.first_entry()?;
         if entry.key().0 > now {
--- a/scale/src/hollow/traffic.rs
+++ b/scale/src/hollow/traffic.rs
@@ -1,8 +1,9 @@
-//! Traffic between the hollow side and the controllers, by kind of connection.
+//! Traffic between a hollow cell and its controllers, by kind of connection.
 
 use serde::{Deserialize, Serialize};
 
-/// Traffic over connections of one kind, counted where the hollow side reads and writes.
+/// Messages and bytes over connections of one kind, counted by the hollow cell as it reads and
+/// writes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Traffic {
     /// Messages from controllers.
@@ -16,7 +17,7 @@
 }
 
 impl Traffic {
-    /// The difference to an earlier count.
+    /// Returns the traffic since an earlier count.
     pub fn since(self, earlier: Traffic) -> Traffic {
         Traffic {
             messages_in: self.messages_in - earlier.messages_in,
@@ -30,20 +31,20 @@
 /// Kinds of connections whose traffic is counted separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionKind {
-    /// Controllers to the store.
+    /// Requests of controllers to the store.
     Store,
-    /// Controllers to the cloud.
+    /// Requests of controllers to the cloud.
     Cloud,
-    /// Workers to controllers.
+    /// Heartbeats of workers to controllers.
     Worker,
-    /// Users to controllers.
+    /// Requests of users to controllers.
     User,
-    /// The load balancer to controllers.
+    /// Health probes of the load balancer to controllers.
     Probe,
 }
 
 impl ConnectionKind {
-    /// Every kind, in the order of the results.
+    /// All kinds, in the order of the results.
     pub(super) const ALL: [Self; 5] = [
         Self::Store,
         Self::Cloud,
@@ -52,7 +53,7 @@
         Self::Probe,
     ];
 
-    /// Its name in the results.
+    /// Returns the name of the kind in the results.
     pub fn name(self) -> &'static str {
         match self {
             Self::Store => "state",
@@ -67,8 +68,8 @@
 /// Traffic over the connections of one kind.
 #[derive(Clone, Copy, Debug)]
 pub struct KindTraffic {
-    /// The kind.
+    /// Kind of the connections.
     pub kind: ConnectionKind,
-    /// The traffic.
+    /// Traffic over them.
     pub traffic: Traffic,
 }
--- a/scale/src/hollow/users/arrivals.rs
+++ b/scale/src/hollow/users/arrivals.rs
@@ -1,14 +1,16 @@
-//! When jobs are submitted: a steady rate for each class.
+//! Submission times of jobs: a constant rate for each class.
 
 use crate::hollow::jobs::{BATCH_CLASS, SERVICE_CLASS, URGENT_CLASS};
 use crate::hollow::plan::CellPlan;
 
-/// Shortest ramp, in seconds, over which services are submitted.
+/// Minimum period, in seconds, over which services are submitted, so that a ramp of 0 doesn't yield
+/// an infinite rate.
 const RAMP_MIN_S: f64 = 0.1;
-/// Lowest rate by which the first service's time is rounded.
+/// Lower bound of the rate from which the first service's submission time is derived, which keeps
+/// that time finite in a cell without services.
 const RATE_MIN_PER_S: f64 = 0.001;
 
-/// Jobs of one class that are submitted at a steady rate. Times are in milliseconds.
+/// Jobs of one class that are submitted at a constant rate. Times are in milliseconds.
 struct JobStream {
     class: &'static str,
     rate_per_s: f64,
@@ -17,23 +19,23 @@
     submitted: u64,
 }
 
-/// A job that is due to be submitted.
+/// A job that is due for submission.
 pub(super) struct DueJob {
-    /// Its class.
+    /// Class of the job.
     pub(super) class: &'static str,
-    /// Its number among the jobs of its class, from 1.
+    /// Number of the job within its class, from 1.
     pub(super) number: u64,
 }
 
-/// The jobs of a cell, by their times.
+/// The submission times of all jobs of a cell.
 pub(super) struct Arrivals {
     streams: Vec<JobStream>,
-    /// The rate of batch jobs, as a multiple of the initial one.
+    /// Rate of batch jobs, as a multiple of the initial rate.
     batch_factor: f64,
 }
 
 impl Arrivals {
-    /// No jobs until the load begins.
+    /// Returns arrivals without jobs, until `start` is called.
     pub(super) fn new() -> Self {
         Self {
             streams: Vec::new(),
@@ -41,7 +43,7 @@
         }
     }
 
-    /// The load begins: services over the ramp, then batch and urgent jobs.
+    /// Starts the load: services are submitted during the ramp, batch and urgent jobs after it.
     pub(super) fn start(&mut self, now: u64, plan: &CellPlan) {
         let (load, phases) = (&plan.load, &plan.phases);
         let now = now as f64;
@@ -52,7 +54,8 @@
         let services = (service_tasks / f64::from(load.replicas)).round();
         let services_per_s = services / phases.ramp_s.max(RAMP_MIN_S);
         let batch_per_s = load.starts_per_s * plan.worker_share / f64::from(load.tasks_per_job);
-        // Half an interval later, so that rounding changes nothing in the number of services.
+        // The first service comes half an interval after the start: then rounding errors can't
+        // change the number of services that fit into the ramp.
         let first_service_ms = now + 0.5 * 1000.0 / services_per_s.max(RATE_MIN_PER_S);
         let stream = |class, rate_per_s, next_ms, end_ms| JobStream {
             class,
@@ -69,7 +72,8 @@
         ];
     }
 
-    /// Changes the rate of batch jobs, as a multiple of the initial one.
+    /// Sets the rate of batch jobs, as a multiple of the initial rate. No stream catches up on jobs
+    /// that would have been due before now.
     pub(super) fn set_batch_factor(&mut self, now: u64, factor: f64) {
         self.batch_factor = factor;
         for stream in &mut self.streams {
@@ -77,7 +81,7 @@
         }
     }
 
-    /// The next job that is due.
+    /// Returns the next job that is due; `None` if no job is.
     pub(super) fn pop_due(&mut self, now: u64) -> Option<DueJob> {
         let batch_factor = self.batch_factor;
         self.streams.iter_mut().find_map(|stream| {
--- a/scale/src/hollow/users/balancer.rs
+++ b/scale/src/hollow/users/balancer.rs
@@ -1,5 +1,5 @@
-//! The load balancer of a cell's users: probes the controllers' health, and keeps connections to
-//! them open.
+//! The load balancer between the users and the controllers of a cell: probes the health of the
+//! controllers, and pools connections to them.
 
 use crate::hollow::connections::{Connections, Role};
 use rand::RngExt;
@@ -8,28 +8,28 @@
 use std::io;
 use std::net::SocketAddrV4;
 
-/// Between two probes of a controller, and how long one may take, in milliseconds.
+/// Interval between two health probes of a controller, and timeout of a probe, in milliseconds.
 const PROBE_INTERVAL_MS: u64 = 1000;
-/// Most idle connections of users that are kept open to one controller.
+/// Maximum number of idle connections that are kept open to one controller.
 const IDLE_CONNECTIONS_MAX: usize = 64;
 
-/// One controller, as the balancer sees it.
+/// The balancer's state of one controller.
 struct Backend {
     address: SocketAddrV4,
-    /// The connection of the probe in flight.
+    /// Connection of the probe in flight.
     probe_connection: Option<usize>,
     next_probe_ms: u64,
     is_healthy: bool,
     idle_connections: Vec<usize>,
 }
 
-/// The load balancer of a cell's users.
+/// The load balancer between the users and the controllers of a cell.
 pub(super) struct Balancer {
     backends: Vec<Backend>,
 }
 
 impl Balancer {
-    /// A balancer that knows of no healthy controller yet.
+    /// Builds a balancer; all controllers are unhealthy until their first successful probe.
     pub(super) fn new(controllers: &[SocketAddrV4]) -> Self {
         let backends = controllers.iter().map(|address| Backend {
             address: *address,
@@ -43,7 +43,8 @@
         }
     }
 
-    /// Probes the controllers that are due. One that hasn't answered the probe before is unhealthy.
+    /// Probes the controllers whose next probe is due. A controller that hasn't answered its
+    /// previous probe becomes unhealthy.
     pub(super) fn send_due_probes(&mut self, now: u64, connections: &mut Connections) {
         for (controller, backend) in self.backends.iter_mut().enumerate() {
             if now < backend.next_probe_ms {
@@ -65,7 +66,7 @@
         }
     }
 
-    /// A probe was answered, or its connection is closed (`None`).
+    /// Handles the status of a probe's response, or the close of its connection (`None`).
     pub(super) fn handle_probe_result(
         &mut self,
         controller: usize,
@@ -81,13 +82,13 @@
         }
     }
 
-    /// Number of healthy controllers.
+    /// Returns the number of healthy controllers.
     pub(super) fn healthy_count(&self) -> usize {
         let backends = self.backends.iter();
         backends.filter(|backend| backend.is_healthy).count()
     }
 
-    /// A random healthy controller.
+    /// Picks a random healthy controller; `None` if there is none.
     pub(super) fn pick_healthy(&self, rng: &mut StdRng) -> Option<usize> {
         let backends = self.backends.iter().enumerate();
         let healthy = backends.filter(|(_, backend)| backend.is_healthy);
@@ -98,12 +99,16 @@
         }
     }
 
-    /// A controller's address.
+    /// Returns the address of a controller.
     pub(super) fn address(&self, controller: usize) -> SocketAddrV4 {
         self.backends[controller].address
     }
 
-    /// An idle connection to a controller, or a new one.
+    /// Takes an idle connection to a controller from the pool, or opens a new one.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a new connection can't be opened.
     pub(super) fn take_connection(
         &mut self,
         controller: usize,
@@ -116,8 +121,7 @@
         }
     }
 
-    /// Keeps a connection for the next request, or closes it if it can't be reused or there are
-    /// enough.
+    /// Returns a connection to the pool, or closes it if it can't be reused or the pool is full.
     pub(super) fn release_connection(
         &mut self,
         controller: usize,
@@ -133,7 +137,7 @@
         }
     }
 
-    /// A connection is closed.
+    /// Removes a closed connection from the pool.
     pub(super) fn remove_connection(&mut self, key: usize) {
         for backend in &mut self.backends {
             backend.idle_connections.retain(|idle| *idle != key);
--- a/scale/src/hollow/users/mod.rs
+++ b/scale/src/hollow/users/mod.rs
@@ -1,4 +1,5 @@
-//! The users of one cell: they submit jobs, poll them, cancel some, and retry as the protocol says.
+//! The users of one cell. They submit jobs, poll their status, cancel some of them, and retry
+//! failed requests after the protocol's delays.
 
 mod arrivals;
 mod balancer;
@@ -22,7 +23,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// What a user requests of a job.
+/// Operations of a user on a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Operation {
     Submit,
@@ -31,7 +32,7 @@
 }
 
 impl Operation {
-    /// How long its response is awaited, in milliseconds.
+    /// Timeout of the request, in milliseconds.
     fn timeout_ms(self) -> u64 {
         match self {
             Self::Poll => POLL_WAIT_MS,
@@ -40,13 +41,13 @@
     }
 }
 
-/// A user's request.
+/// A request of a user.
 struct Request {
     job: JobId,
     operation: Operation,
 }
 
-/// A request whose response is awaited.
+/// A request that was sent and hasn't been answered yet.
 struct InFlight {
     request: Request,
     controller: usize,
@@ -57,23 +58,23 @@
 pub(super) struct Users {
     plan: Arc<CellPlan>,
     shared: Arc<SharedState>,
-    /// The jobs that they have submitted.
+    /// The submitted jobs.
     pub(super) jobs: Jobs,
     arrivals: Arrivals,
     balancer: Balancer,
-    /// Requests that are due at a time, by a sequence number.
+    /// Requests by their time of sending; a sequence number keeps those of the same time in order.
     scheduled_requests: Timers<u64, Request>,
     last_request_number: u64,
-    /// Requests in flight, by connection.
+    /// Requests in flight, by the key of their connection.
     in_flight: HashMap<usize, InFlight>,
-    /// Batch and urgent jobs whose end their users don't know.
+    /// Number of batch and urgent jobs whose users haven't been told of their end.
     pub(super) open_jobs: usize,
-    /// Requests without a valid response.
+    /// Number of requests without a valid response, each of which is retried.
     pub(super) failed_requests: u64,
 }
 
 impl Users {
-    /// Users who wait for the load to begin.
+    /// Builds users that submit nothing until `start_load` is called.
     pub(super) fn new(plan: Arc<CellPlan>, shared: Arc<SharedState>) -> Self {
         Self {
             balancer: Balancer::new(&plan.addresses.controllers),
@@ -89,22 +90,23 @@
         }
     }
 
-    /// The load begins.
+    /// Starts the load.
     pub(super) fn start_load(&mut self, now: u64) {
         self.arrivals.start(now, &self.plan);
     }
 
-    /// Changes the rate of batch jobs, as a multiple of the initial one.
+    /// Sets the rate of batch jobs, as a multiple of the initial rate.
     pub(super) fn set_load_factor(&mut self, now: u64, factor: f64) {
         self.arrivals.set_batch_factor(now, factor);
     }
 
-    /// Number of controllers whose latest health probe succeeded.
+    /// Returns the number of controllers whose latest health probe succeeded.
     pub(super) fn healthy_controller_count(&self) -> usize {
         self.balancer.healthy_count()
     }
 
-    /// Sends all requests and probes that are due.
+    /// Submits the jobs that are due, probes the controllers, retries requests that have timed out,
+    /// and sends all scheduled requests that are due.
     pub(super) fn tick(&mut self, now: u64, connections: &mut Connections, rng: &mut StdRng) {
         while let Some(due) = self.arrivals.pop_due(now) {
             self.submit(now, &due);
@@ -164,7 +166,8 @@
         self.in_flight.insert(key, in_flight);
     }
 
-    /// The request as it is sent. A cancellation counts from now on.
+    /// Encodes a request. The checker counts a cancellation as requested from the time at which it
+    /// is sent.
     fn encode_request(&self, now: u64, request: &Request, host: &str) -> Vec<u8> {
         let id = &request.job;
         match request.operation {
@@ -180,7 +183,7 @@
         }
     }
 
-    /// Abandons the requests whose deadline has passed, and schedules their retries.
+    /// Closes the connections of requests that have timed out, and schedules the retries.
     fn expire_requests(&mut self, now: u64, connections: &mut Connections) {
         let in_flight = self.in_flight.iter();
         let expired_keys: Vec<usize> = in_flight
@@ -196,7 +199,7 @@
         }
     }
 
-    /// A health probe was answered, or its connection is closed (`None`).
+    /// Handles the status of a health probe's response, or the close of its connection (`None`).
     pub(super) fn handle_probe_result(
         &mut self,
         controller: usize,
@@ -208,7 +211,7 @@
             .handle_probe_result(controller, key, status, connections);
     }
 
-    /// A response was received.
+    /// Handles a controller's response to a user.
     pub(super) fn handle_response(
         &mut self,
         now: u64,
@@ -226,7 +229,7 @@
         self.complete_request(now, in_flight.request, Some(response), rng);
     }
 
-    /// A connection is closed, and with it the response that was awaited.
+    /// Handles the close of a user's connection: a request in flight on it has failed.
     pub(super) fn handle_close(&mut self, now: u64, key: usize, rng: &mut StdRng) {
         self.balancer.remove_connection(key);
         if let Some(in_flight) = self.in_flight.remove(&key) {
@@ -234,7 +237,8 @@
         }
     }
 
-    /// A request has ended, with or without a response.
+    /// Completes a request: passes a valid response to the checker and schedules the next request
+    /// for the job, or schedules a retry.
     fn complete_request(
         &mut self,
         now: u64,
@@ -262,7 +266,7 @@
     }
 
     fn record_job_end(&mut self, job: &JobId) {
-        // A cancellation and a poll may both report the end.
+        // A poll and a cancellation of the same job may both report its end.
         let is_new = self.shared.record_job_end(job);
         if is_new && self.jobs.is_finite(job) {
             self.open_jobs -= 1;
--- a/scale/src/hollow/users/submission.rs
+++ b/scale/src/hollow/users/submission.rs
@@ -1,4 +1,4 @@
-//! The jobs that users submit.
+//! Builds the jobs that users submit.
 
 use crate::experiment::Load;
 use crate::hollow::jobs::{BATCH_CLASS, Job, SERVICE_CLASS};
@@ -6,15 +6,16 @@
 use salttrestle_fakes::worker::TaskSpec;
 use serde::Serialize;
 
-/// The image of every job.
+/// Container image of all jobs.
 const IMAGE: &str = "img-hollow";
+/// Size of the image, in GB.
 const IMAGE_GB: f64 = 0.5;
-/// How long a worker takes to fetch the image, in milliseconds.
+/// Time that a worker takes to fetch the image, in milliseconds.
 const IMAGE_FETCH_MS: u64 = 100;
-/// Memory of a task, in GB.
+/// Memory request of a task, in GB.
 const TASK_MEMORY_GB: f64 = 4.0;
 
-/// A submission, with the protocol's names.
+/// Body of a submission. Serde attributes map its fields to the names of the protocol.
 #[derive(Serialize)]
 struct SubmissionBody<'a> {
     id: &'a str,
@@ -58,7 +59,7 @@
     deadline_s: Option<f64>,
 }
 
-/// The number and the size of a job's tasks.
+/// Number of a job's tasks, and CPUs and GPUs of each.
 struct JobShape {
     tasks: u32,
     cpus: f64,
@@ -88,7 +89,7 @@
     }
 }
 
-/// A job of a class, as a team submits it.
+/// Builds a team's job of the given class.
 pub(super) fn build_job(id: &str, class: &str, team: &str, load: &Load) -> Job {
     let shape = JobShape::of_class(class, load);
     let is_service = class == SERVICE_CLASS;
--- a/scale/src/hollow/workers.rs
+++ b/scale/src/hollow/workers.rs
@@ -1,4 +1,4 @@
-//! The hollow workers of one cell: fake workers that heartbeat over real connections.
+//! The hollow workers of one cell: simulated workers that send heartbeats over TCP connections.
 
 use super::connections::{Connections, Role};
 use super::jobs::{Jobs, URGENT_CLASS};
@@ -16,12 +16,14 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Each worker is visited once in this time, in milliseconds.
+/// Interval at which each worker's state is advanced, in milliseconds. The workers take turns, so
+/// that the work is spread evenly over the interval.
 pub(super) const VISIT_INTERVAL_MS: u64 = 100;
-/// The address that workers give for direct commands, which the service doesn't send.
+/// Address that workers report for direct commands. Controllers don't connect to it: they send
+/// commands only in their responses to heartbeats.
 const ENDPOINT: &str = "127.0.0.1:9";
 
-/// A machine that a worker runs on.
+/// A machine that has booted, on which a worker runs.
 pub(super) struct Machine<'a> {
     pub(super) id: &'a str,
     pub(super) machine_type: &'a str,
@@ -29,26 +31,26 @@
     pub(super) spot: bool,
 }
 
-/// How a machine stops.
+/// Why a machine stops.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum MachineStop {
-    /// It was deleted: its connection is closed.
+    /// The cloud deleted the machine, which closes its connection.
     Deleted,
-    /// It failed: its connection stays open and silent.
+    /// The machine failed: its connection stays open, but nothing is sent or read any more.
     Failed,
 }
 
-/// A response to a heartbeat that no worker could interpret.
+/// A response to a heartbeat that doesn't follow the protocol.
 #[derive(Debug, Error)]
 #[error("{0}")]
 pub(super) struct InvalidResponse(String);
 
 struct HollowWorker {
-    /// Id of its machine.
+    /// Id of the machine that the worker runs on.
     id: String,
     worker: Worker,
     connection: Option<usize>,
-    /// Its machine has stopped and sends nothing any more.
+    /// Whether the machine has stopped. A stopped machine sends nothing.
     is_stopped: bool,
 }
 
@@ -58,15 +60,15 @@
     shared: Arc<SharedState>,
     workers: Vec<HollowWorker>,
     index_by_machine: HashMap<String, usize>,
-    /// The worker that was visited last.
+    /// Index of the worker whose state was advanced last.
     last_visited: usize,
     heartbeats_sent: u64,
-    /// Tasks killed by the expiry of their worker's lease.
+    /// Number of tasks killed because their worker's lease expired.
     pub(super) lease_kills: u64,
 }
 
 impl Workers {
-    /// A cell without workers.
+    /// Builds a cell without workers.
     pub(super) fn new(plan: Arc<CellPlan>, shared: Arc<SharedState>) -> Self {
         Self {
             plan,
@@ -79,7 +81,8 @@
         }
     }
 
-    /// A machine has booted. Workers begin with one controller after another.
+    /// Adds a worker on a machine that has booted. The first controllers of successive workers are
+    /// assigned in round-robin order.
     pub(super) fn add(&mut self, now: u64, machine: &Machine) {
         let index = self.workers.len();
         let controller = index % self.controller_count();
@@ -99,23 +102,23 @@
         self.plan.addresses.controllers.len()
     }
 
-    /// The workers whose machines run.
+    /// Iterates over the workers whose machines are running.
     fn running_workers(&self) -> impl Iterator<Item = &HollowWorker> {
         self.workers.iter().filter(|worker| !worker.is_stopped)
     }
 
-    /// Number of workers whose machines run.
+    /// Returns the number of workers whose machines are running.
     pub(super) fn running_count(&self) -> usize {
         self.running_workers().count()
     }
 
-    /// Number of workers that have been answered under a fencing token.
+    /// Returns the number of running workers that have received a response with a fencing token.
     pub(super) fn joined_count(&self) -> usize {
         let has_joined = |running: &&HollowWorker| running.worker.token > 0;
         self.running_workers().filter(has_joined).count()
     }
 
-    /// Number of running tasks.
+    /// Returns the number of running tasks.
     pub(super) fn running_task_count(&self) -> usize {
         let tasks = self
             .running_workers()
@@ -125,7 +128,7 @@
             .count()
     }
 
-    /// Ids of the machines that run, of one zone or of all.
+    /// Returns the ids of running machines in one zone, or in all zones if `None`.
     pub(super) fn running_machines(&self, zone: Option<&str>) -> Vec<String> {
         self.running_workers()
             .filter(|running| zone.is_none_or(|zone| zone == running.worker.zone))
@@ -133,7 +136,7 @@
             .collect()
     }
 
-    /// A machine stops, with all tasks on it.
+    /// Stops a machine and all tasks on it.
     pub(super) fn stop_machine(
         &mut self,
         connections: &mut Connections,
@@ -159,7 +162,8 @@
         }
     }
 
-    /// Visits this fraction of the workers, one after another.
+    /// Advances the state of the next workers in turn; `fraction` (0 to 1) of all workers, rounded
+    /// up.
     pub(super) fn tick(
         &mut self,
         now: u64,
@@ -177,7 +181,8 @@
         }
     }
 
-    /// Runs a worker's tasks, and sends its heartbeat if it is due.
+    /// Advances the state of a worker: checks its lease, runs its tasks, times out its request in
+    /// flight, and sends a heartbeat if one is due.
     fn step_worker(
         &mut self,
         now: u64,
@@ -254,7 +259,11 @@
         );
     }
 
-    /// A response to a worker's heartbeat was received.
+    /// Handles the response to a worker's heartbeat.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the body of a successful response doesn't follow the protocol.
     pub(super) fn handle_response(
         &mut self,
         now: u64,
@@ -292,7 +301,7 @@
         Ok(())
     }
 
-    /// A worker's connection is closed.
+    /// Handles the close of a worker's connection: a heartbeat in flight on it has failed.
     pub(super) fn handle_close(&mut self, now: u64, index: usize, key: usize) {
         let controller_count = self.controller_count();
         let HollowWorker {
@@ -307,7 +316,7 @@
         }
     }
 
-    /// Passes the events of a worker's tasks to the checker.
+    /// Reports the events of a worker's tasks to the checker and the takeover observer.
     fn report_events(&self, now: u64, index: usize, events: Vec<TaskEvent>) {
         if events.is_empty() {
             return;
--- a/scale/src/layout.rs
+++ b/scale/src/layout.rs
@@ -1,4 +1,4 @@
-//! The names and loopback addresses of the cells' programs.
+//! Names of controllers and teams, and loopback addresses of all programs of the cells.
 
 use crate::experiment::{Cell, Experiment};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -7,35 +7,37 @@
 const PEER_PORT: u16 = 8081;
 const STORE_PORT: u16 = 2379;
 const CLOUD_PORT: u16 = 8443;
-/// Where a controller listens for other cells.
+/// Port at which a controller listens for controllers of other cells.
 const CELL_LINK_PORT: u16 = 8082;
-/// Where the proxy listens in place of a controller: one port for each sending cell.
+/// First port at which the proxy listens in place of a controller. Each sending cell has a port of
+/// its own, at the offset of its index.
 const FIRST_PROXY_PORT: u16 = 8100;
-/// The last octet of the addresses of a cell's store and cloud.
+/// Last octet of the address of a cell's store and cloud.
 const SERVICES_OCTET: u8 = 1;
-/// The last octet of the address of a cell's first controller.
+/// Last octet of the address of a cell's first controller. Further controllers count up from it.
 const FIRST_CONTROLLER_OCTET: u8 = 10;
-/// Concurrent runs of other processes have other networks, modulo this number.
+/// Number of networks among which processes are spread by their id, so that concurrent runs rarely
+/// share addresses.
 const NETWORK_COUNT: u32 = 200;
 
-/// The addresses of one cell.
+/// Loopback addresses of one cell's programs.
 #[derive(Clone, Debug)]
 pub struct CellAddresses {
-    /// The store.
+    /// Address of the store.
     pub store: SocketAddrV4,
-    /// The cloud: an address for each controller, by which it knows its caller.
+    /// Addresses of the cloud, one for each controller: by them the cloud identifies its caller.
     pub clouds: Vec<SocketAddrV4>,
-    /// Where each controller listens for users and workers.
+    /// Address at which each controller listens for users and workers.
     pub controllers: Vec<SocketAddrV4>,
-    /// Where each controller listens for its peers.
+    /// Address at which each controller listens for its peers in the cell.
     pub peers: Vec<SocketAddrV4>,
-    /// Where each controller listens for other cells.
+    /// Address at which each controller listens for controllers of other cells.
     pub cell_links: Vec<SocketAddrV4>,
 }
 
 impl CellAddresses {
-    /// The addresses of the cell at `index`; they depend on the process, so that concurrent runs
-    /// don't collide.
+    /// Returns the addresses of the cell at `index`. They depend on the id of this process, so that
+    /// concurrent runs rarely collide.
     pub fn new(network: Ipv4Addr, index: usize, controllers: usize) -> Self {
         let [first, second, _, _] = network.octets();
         let second = second.wrapping_add(index as u8);
@@ -59,7 +61,7 @@
         }
     }
 
-    /// The addresses of all cells of an experiment.
+    /// Returns the addresses of all cells of an experiment.
     pub fn of_cells(experiment: &Experiment) -> Vec<Self> {
         let cells = experiment.cells.iter().enumerate();
         cells
@@ -67,7 +69,8 @@
             .collect()
     }
 
-    /// Where the proxy listens for messages of the cell `from` to one of this cell's controllers.
+    /// Returns the address at which the proxy listens for messages from the cell `from` to one of
+    /// this cell's controllers.
     pub fn proxy_address(&self, from: usize, controller: usize) -> SocketAddrV4 {
         SocketAddrV4::new(
             *self.cell_links[controller].ip(),
@@ -76,26 +79,26 @@
     }
 }
 
-/// A controller, by its cell and its place in it.
+/// Position of a controller: its cell, and its index within the cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ControllerIndex {
-    /// Index of its cell.
+    /// Index of the cell.
     pub cell: usize,
-    /// Its index within the cell.
+    /// Index of the controller within the cell.
     pub controller: usize,
 }
 
-/// The id of a cell's controller.
+/// Returns the id of one of a cell's controllers.
 pub fn controller_id(cell: &Cell, controller: usize) -> String {
     format!("{}-{controller}", cell.name)
 }
 
-/// The name of a team.
+/// Returns the name of a team.
 pub fn team_name(team: usize) -> String {
     format!("team-{team}")
 }
 
-/// The home cell of a team, which sets its limit.
+/// Returns the index of a team's home cell, which sets the team's limit.
 pub fn home_cell(experiment: &Experiment, team: usize) -> usize {
     team % experiment.cells.len()
 }
--- a/scale/src/link_proxy.rs
+++ b/scale/src/link_proxy.rs
@@ -1,5 +1,5 @@
-//! A proxy for the links between cells, which can partition them: in one direction or both, with
-//! messages dropped, or delayed until the partition ends.
+//! A TCP proxy for the links between cells, which simulates network partitions. A partition affects
+//! one direction of a link, and either drops its messages or delays them until the partition ends.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind, Read, Write};
@@ -9,27 +9,28 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// How often an idle link checks whether it is partitioned or the run has ended.
+/// Interval at which an idle link checks for a partition and for the end of the run.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// How long a connection to a controller may take.
+/// Timeout of connecting to a controller.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Size of the read buffer of each connection.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// What a partition does with messages.
+/// Effect of a partition on messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PartitionKind {
-    /// Connections are closed, and no new ones are accepted.
+    /// Connections are closed, and new ones are closed as soon as they are accepted.
     Drop,
     /// Messages are delayed until the partition ends.
     Delay,
 }
 
-/// From one cell to another, by their indices.
+/// Direction of a link between two cells, by the indices of the cells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Direction {
-    /// The sending cell.
+    /// Index of the sending cell.
     pub from: usize,
-    /// The receiving cell.
+    /// Index of the receiving cell.
     pub to: usize,
 }
 
@@ -46,12 +47,13 @@
 
 impl ProxyState {
     fn partitions(&self) -> MutexGuard<'_, BTreeMap<Direction, Partition>> {
-        // A panicking thread leaves the map usable.
+        // The map is usable even after a panic of a thread that held the lock.
         self.partitions
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Returns the kind of the current partition in a direction; `None` if there is none.
     fn active_partition(&self, direction: Direction) -> Option<PartitionKind> {
         let partitions = self.partitions();
         let partition = partitions.get(&direction)?;
@@ -63,7 +65,7 @@
     }
 }
 
-/// All links between cells. Its threads end with this value.
+/// Proxy for all links between cells. Dropping it ends its threads.
 #[derive(Default)]
 pub struct LinkProxy {
     state: Arc<ProxyState>,
@@ -71,7 +73,12 @@
 }
 
 impl LinkProxy {
-    /// Forwards connections to `listen` to `target`, as a link in this direction.
+    /// Forwards connections that arrive at `listen` to `target`. Partitions of `direction` apply to
+    /// them.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the proxy can't listen or the thread can't be started.
     pub fn forward(
         &mut self,
         direction: Direction,
@@ -87,7 +94,8 @@
         Ok(())
     }
 
-    /// Partitions the link in one direction for a while.
+    /// Partitions a link in one direction for `duration`. Replaces an earlier partition of the same
+    /// direction.
     pub fn partition(&self, direction: Direction, kind: PartitionKind, duration: Duration) {
         let ends_at = Instant::now() + duration;
         let partition = Partition { kind, ends_at };
@@ -104,6 +112,7 @@
     }
 }
 
+/// Accepts connections and forwards each in a thread of its own, until the proxy is dropped.
 fn accept_connections(
     state: &Arc<ProxyState>,
     direction: Direction,
@@ -113,11 +122,11 @@
     let mut links: Vec<JoinHandle<()>> = Vec::new();
     while !state.is_stopped() {
         match listener.accept() {
-            // Connections that are accepted during a partition are dropped at once.
+            // Connections that arrive during a `Drop` partition are closed at once.
             Ok((stream, _)) if state.active_partition(direction) != Some(PartitionKind::Drop) => {
                 let state = state.clone();
                 let forward = move || {
-                    // A failed connection is closed; the controllers reconnect.
+                    // A failed connection is closed, and the controllers reconnect.
                     let _ = forward_bytes(&state, direction, stream, target);
                 };
                 links.extend(std::thread::Builder::new().spawn(forward));
@@ -132,7 +141,8 @@
     }
 }
 
-/// Forwards one connection's bytes until it ends, is partitioned, or the run has ended.
+/// Forwards the bytes of one connection until it ends, a `Drop` partition begins, or the proxy is
+/// dropped. Only bytes from the side that has connected are forwarded.
 fn forward_bytes(
     state: &ProxyState,
     direction: Direction,
--- a/scale/src/observers/limits.rs
+++ b/scale/src/observers/limits.rs
@@ -1,17 +1,18 @@
-//! When a change of a team's limit comes into force, as seen at the stores of all cells.
+//! Measures how long a change of a team's limit takes to come into force, from the records in the
+//! stores of all cells.
 
 use salttrestle::controller::store::records::LimitsByTeam;
 use salttrestle_cells::ledger::CellRecord;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// Tolerance for rounding when quota shares are added up.
+/// Tolerance for rounding errors in sums of quota shares, in CPUs or GPUs.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// The part of a shard's record that is observed.
+/// The observed part of a shard's record.
 #[derive(Deserialize)]
 pub struct ShardView {
-    /// What each team may use in the shard.
+    /// Quota share of each team in the shard; `None` if the record holds none.
     #[serde(rename = "allowances", default)]
     pub quota_shares: Option<LimitsByTeam>,
 }
@@ -30,24 +31,26 @@
     Lowered,
 }
 
-/// The limits and quota shares of all cells, and the changes that aren't in force yet.
+/// Observes the limits and quota shares of all cells, and the changes that aren't in force yet.
 #[derive(Default)]
 pub struct LimitObserver {
-    /// Quota shares of each cell's first shard.
+    /// Quota shares of the first shard of each cell, by the cell's index.
     quota_shares: BTreeMap<usize, LimitsByTeam>,
-    /// The limits that the home cells have set.
+    /// Latest limits that the teams' home cells have set.
     home_limits: LimitsByTeam,
     pending: Vec<PendingChange>,
-    /// Milliseconds until each raised limit was set by the team's home cell.
+    /// For each raised limit, the time until the team's home cell had set it, in milliseconds.
     pub raise_latencies_ms: Vec<u64>,
-    /// Milliseconds until the quota shares of all cells were within each lowered limit.
+    /// For each lowered limit, the time until the sum of the cells' quota shares was within it, in
+    /// milliseconds.
     pub lower_latencies_ms: Vec<u64>,
-    /// Changes that a later one of the same team replaced before they were in force.
+    /// Number of changes that a later change of the same team replaced before they were in force.
     pub replaced_count: u64,
 }
 
 impl LimitObserver {
-    /// An operator requests a change of a team's limit.
+    /// Records an operator's request to change a team's limit. It counts as a raise if either CPUs
+    /// or GPUs rise.
     pub fn record_change_request(
         &mut self,
         now: u64,
@@ -71,14 +74,15 @@
         self.complete_changes(now);
     }
 
-    /// A cell's shard record was written.
+    /// Records a write of a cell's first shard record.
     pub fn record_shard_write(&mut self, now: u64, cell: usize, shard: ShardView) {
         self.quota_shares
             .insert(cell, shard.quota_shares.unwrap_or_default());
         self.complete_changes(now);
     }
 
-    /// A cell's own record was written; returns the limits that it sets as a home.
+    /// Records a write of a cell's own record. Returns the limits that the cell sets as a home
+    /// cell.
     pub fn record_cell_write(&mut self, now: u64, record: &CellRecord) -> LimitsByTeam {
         let limits = record.limits.iter();
         let limits: LimitsByTeam = limits
@@ -89,12 +93,12 @@
         limits
     }
 
-    /// Number of changes that aren't in force.
+    /// Returns the number of changes that aren't in force yet.
     pub fn pending_count(&self) -> usize {
         self.pending.len()
     }
 
-    /// Records the latency of each change that has come into force.
+    /// Records the latency of each pending change that has come into force.
     fn complete_changes(&mut self, now: u64) {
         let (in_force, pending): (Vec<_>, Vec<_>) = std::mem::take(&mut self.pending)
             .into_iter()
--- a/scale/src/observers/mod.rs
+++ b/scale/src/observers/mod.rs
@@ -1,5 +1,5 @@
-//! Observers: what is measured from outside the controllers, by what the stores, the workers and
-//! the users see.
+//! Observers, which measure the controllers from outside: by the records in the stores, and by the
+//! requests and commands that the cloud and the workers receive.
 
 mod limits;
 mod takeovers;
--- a/scale/src/observers/takeovers.rs
+++ b/scale/src/observers/takeovers.rs
@@ -1,4 +1,5 @@
-//! Takeovers: what each end of a leader costs, as seen by the store, the workers and the users.
+//! Measures takeovers: the latency from the end of a leader to each step of its replacement, as
+//! seen by the store and the workers.
 
 use crate::experiment::LeaderEnd;
 use crate::results::{LatencyRow, Row, TakeoverRow};
@@ -6,33 +7,33 @@
 use salttrestle::ids::{Attempt, JobId, TaskId};
 use salttrestle_fakes::orders::Orders;
 
-/// A task start that has reached a worker.
+/// A command to start a task that has reached a worker.
 pub struct WorkerStart<'a> {
-    /// The worker's machine.
+    /// Id of the worker's machine.
     pub machine: &'a str,
-    /// The newest fencing token that the worker knows.
+    /// Highest fencing token that the worker has received.
     pub newest_token: u64,
-    /// The task.
+    /// Id of the task.
     pub task: &'a TaskId,
-    /// The attempt of the task, with the token under which it was started.
+    /// Attempt of the task, which holds the fencing token of the command.
     pub attempt: Attempt,
-    /// The task belongs to an urgent job.
+    /// Whether the task belongs to an urgent job.
     pub is_urgent: bool,
 }
 
-/// Observes takeovers, and checks all commands for their fencing tokens.
+/// Measures takeovers, and checks the fencing tokens of all commands.
 #[derive(Default)]
 pub struct TakeoverObserver {
-    /// The ends of leaders so far.
+    /// One row for each end of a leader so far.
     pub rows: Vec<TakeoverRow>,
-    /// Checks all commands to workers and the cloud.
+    /// Checker of all commands to workers and the cloud.
     pub command_checker: Orders,
-    /// The fencing token of the first shard's owner.
+    /// Latest fencing token in the first shard's record.
     shard_token: u64,
 }
 
 impl TakeoverObserver {
-    /// The leader was just ended.
+    /// Records that the leader was just ended.
     pub fn record_leader_end(&mut self, now: u64, kind: LeaderEnd) {
         self.rows.push(TakeoverRow {
             kind,
@@ -45,8 +46,8 @@
         });
     }
 
-    /// Records the first time that an event took place under a newer token than that of the latest
-    /// leader that ended.
+    /// Records the latency of an event with a fencing token, unless it is recorded already. Events
+    /// with a token that isn't higher than the one at the latest end of a leader don't count.
     fn record_first(
         &mut self,
         now: u64,
@@ -61,37 +62,37 @@
         }
     }
 
-    /// The leader's record was written, or is gone.
+    /// Records a write of the leader's record, or its removal (`None`).
     pub fn record_leader_write(&mut self, leader: Option<&LeaderRecord>) {
         let leader = leader.map(|leader| (leader.token.0, leader.controller_id.as_str()));
         self.command_checker.duties.leader_is(leader);
     }
 
-    /// The first shard's record was written.
+    /// Records a write of the first shard's record.
     pub fn record_shard_write(&mut self, now: u64, shard: &ShardRecord) {
         self.shard_token = shard.token.0;
         self.command_checker.held(shard.token.0);
         self.record_first(now, shard.token.0, |row| &mut row.elected_ms);
     }
 
-    /// A placement record of a job was written.
+    /// Records a write of one of a job's placement records.
     pub fn record_placement_write(&mut self, job: &JobId, placement: &PlacementRecord) {
         self.command_checker.committed(job, placement);
     }
 
-    /// The cloud was changed by a controller.
+    /// Records that a controller has created or deleted machines at the cloud.
     pub fn record_cloud_change(&mut self, now: u64, controller_id: &str) {
         self.command_checker
             .duties
             .cloud_changed(now, controller_id);
     }
 
-    /// A worker has learned a newer token from a response.
+    /// Records that a worker has received a higher fencing token in a response.
     pub fn record_token_acknowledgement(&mut self, now: u64, token: u64) {
         self.record_first(now, token, |row| &mut row.token_acknowledged_ms);
     }
 
-    /// A start has reached a worker.
+    /// Records a command to start a task that has reached a worker.
     pub fn record_start(&mut self, now: u64, start: &WorkerStart) {
         let WorkerStart {
             machine,
@@ -109,7 +110,8 @@
         }
     }
 
-    /// The rows of the results: each takeover, and the latencies of its steps by kind.
+    /// Returns the rows of the results: one for each takeover, and the latencies of each step by
+    /// the kind of the leader's end.
     pub fn result_rows(&self) -> Vec<Row> {
         let mut kinds: Vec<LeaderEnd> = self.rows.iter().map(|row| row.kind).collect();
         kinds.sort();
@@ -127,7 +129,8 @@
         rows
     }
 
-    /// Number of takeovers that took longer than this until the first start, or had none.
+    /// Returns the number of takeovers whose first task start came later than `within_s` seconds
+    /// after the leader's end, or never.
     pub fn count_late(&self, within_s: f64) -> usize {
         let in_time = |row: &&TakeoverRow| {
             let started = row.started_ms;
@@ -139,7 +142,7 @@
 
 type StepLatency = fn(&TakeoverRow) -> Option<u64>;
 
-/// The steps of a takeover, by their names in the results.
+/// Steps of a takeover, with their names in the results.
 const TAKEOVER_STEPS: [(&str, StepLatency); 4] = [
     ("elected", |row| row.elected_ms),
     ("number shown", |row| row.token_acknowledged_ms),
--- a/scale/src/procfs.rs
+++ b/scale/src/procfs.rs
@@ -1,25 +1,25 @@
-//! Processor time, memory and open files of processes and threads, from `/proc`.
+//! CPU time, memory and open files of processes and threads, read from `/proc`.
 
 use std::fs;
 
-/// Clock ticks a second in which processor time is counted.
+/// Clock ticks per second (`USER_HZ`), the unit of CPU times in `stat` files.
 const CLOCK_TICKS_PER_S: f64 = 100.0;
-/// User time in a `stat` line, as a field behind the name.
+/// Index of the user time (`utime`) among the fields that follow the name in a `stat` file.
 const USER_TIME_FIELD: usize = 11;
-/// System time in a `stat` line, as a field behind the name.
+/// Index of the system time (`stime`) among the fields that follow the name in a `stat` file.
 const SYSTEM_TIME_FIELD: usize = 12;
 
-/// Processor time, in seconds.
+/// CPU time of a process or thread, in seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CpuTime {
-    /// In user mode.
+    /// Time in user mode.
     pub user_s: f64,
-    /// In the kernel.
+    /// Time in the kernel.
     pub system_s: f64,
 }
 
 impl CpuTime {
-    /// The difference to an earlier reading.
+    /// Returns the time since an earlier reading.
     pub fn since(self, earlier: CpuTime) -> CpuTime {
         CpuTime {
             user_s: self.user_s - earlier.user_s,
@@ -27,12 +27,14 @@
         }
     }
 
-    /// User and system time together.
+    /// Returns the sum of user and system time.
     pub fn total_s(self) -> f64 {
         self.user_s + self.system_s
     }
 }
 
+/// Parses the CPU time of a `stat` file. Splits after the last `)`, since the name of a process may
+/// hold spaces and parentheses.
 fn parse_cpu_time(text: &str) -> Option<CpuTime> {
     let after_name = text.rsplit_once(')')?.1;
     let fields: Vec<&str> = after_name.split_whitespace().collect();
@@ -43,12 +45,12 @@
     })
 }
 
-/// The processor time of a process; `None` once it has ended.
+/// Returns the CPU time of a process; `None` if it has ended.
 pub fn process_cpu(pid: u32) -> Option<CpuTime> {
     parse_cpu_time(&fs::read_to_string(format!("/proc/{pid}/stat")).ok()?)
 }
 
-/// The processor time of the calling thread.
+/// Returns the CPU time of the calling thread.
 pub fn thread_cpu() -> Option<CpuTime> {
     parse_cpu_time(&fs::read_to_string("/proc/thread-self/stat").ok()?)
 }
@@ -56,13 +58,13 @@
 /// Resident memory of a process, in MiB.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProcessMemory {
-    /// At present.
+    /// Current value.
     pub resident_mb: f64,
-    /// At its peak.
+    /// Peak since the start of the process.
     pub peak_mb: f64,
 }
 
-/// The resident memory of a process; `None` once it has ended.
+/// Returns the resident memory of a process; `None` if it has ended.
 pub fn process_memory(pid: u32) -> Option<ProcessMemory> {
     let text = fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     let megabytes = |name: &str| {
@@ -76,7 +78,8 @@
     })
 }
 
-/// Number of open files of a process, sockets included; `None` once it has ended.
+/// Returns the number of open file descriptors of a process, sockets included; `None` if it has
+/// ended.
 pub fn count_open_files(pid: u32) -> Option<usize> {
     Some(fs::read_dir(format!("/proc/{pid}/fd")).ok()?.count())
 }
