--- a/scale/src/controllers/process.rs
+++ b/scale/src/controllers/process.rs
@@ -32,7 +32,7 @@
     is_terminating: bool,
 }
 
-/// Whether a process ended after SIGTERM, as seen at its restart.
+/// Whether a process had ended after SIGTERM by the time of its restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Termination {
     /// The process had ended, or hadn't been sent SIGTERM.
--- a/scale/src/hollow/cell.rs
+++ b/scale/src/hollow/cell.rs
@@ -25,7 +25,7 @@
 use std::time::Duration;
 
 /// Interval between two steps of the simulation, in milliseconds.
-const TIMER_INTERVAL_MS: u64 = 10;
+const STEP_INTERVAL_MS: u64 = 10;
 /// Latency of each response of the cloud, in milliseconds.
 const CLOUD_LATENCY_MS: u64 = 50;
 /// Delay until the cloud lists a failed machine as failed, in milliseconds. Until then it is listed
@@ -122,8 +122,8 @@
                 return Ok(());
             }
             self.send_responses(now);
-            self.step_timers(now);
-            let next_step_ms = self.last_step_ms + TIMER_INTERVAL_MS;
+            self.step_simulation(now);
+            let next_step_ms = self.last_step_ms + STEP_INTERVAL_MS;
             let next_ms = self.responses.next_ms();
             let next_ms = next_ms.map_or(next_step_ms, |next_ms| next_ms.min(next_step_ms));
             let timeout_ms = next_ms.saturating_sub(self.shared.now_ms());
@@ -192,10 +192,10 @@
         }
     }
 
-    /// Advances machines, store, workers and users, if [`TIMER_INTERVAL_MS`] has passed since the
+    /// Advances machines, store, workers and users, if [`STEP_INTERVAL_MS`] has passed since the
     /// last step.
-    fn step_timers(&mut self, now: u64) {
-        if now < self.last_step_ms + TIMER_INTERVAL_MS {
+    fn step_simulation(&mut self, now: u64) {
+        if now < self.last_step_ms + STEP_INTERVAL_MS {
             return;
         }
         let elapsed_ms = (now - self.last_step_ms).min(VISIT_INTERVAL_MS);
@@ -390,12 +390,12 @@
                 .takeover_observer()
                 .record_cloud_change(now, controller_id);
         }
-        let (reply, deleted) = self.cloud.execute(now, &operation);
+        let (response, deleted) = self.cloud.execute(now, &operation);
         for id in deleted {
             self.workers
                 .stop_machine(&mut self.connections, &id, MachineStop::Deleted);
         }
-        if let CloudResponse::ScaledOut(machines) = &reply {
+        if let CloudResponse::ScaledOut(machines) = &response {
             for id in machines {
                 let rented = self.cloud.rigs.get(id.as_str());
                 if let Some(at_ms) = rented
@@ -406,7 +406,7 @@
                 }
             }
         }
-        self.send_at(now + CLOUD_LATENCY_MS, key, &encode_response(&reply));
+        self.send_at(now + CLOUD_LATENCY_MS, key, &encode_response(&response));
     }
 
     fn take_sample(&self) -> CellSample {
--- a/scale/src/hollow/store/mod.rs
+++ b/scale/src/hollow/store/mod.rs
@@ -21,7 +21,8 @@
 use thiserror::Error;
 use watches::{PendingWatch, WatchRequest};
 
-/// Number of latest changes that are kept for watches.
+/// Number of latest changes that are kept for watches. A watch of an older revision gets status
+/// 410.
 const WATCH_HISTORY_CHANGES_MAX: usize = 10_000;
 /// Maximum number of entries in one page of a list.
 const PAGE_ENTRIES_MAX: usize = 1_000;
--- a/scale/src/hollow/workers.rs
+++ b/scale/src/hollow/workers.rs
@@ -68,7 +68,7 @@
 }
 
 impl Workers {
-    /// Builds a cell without workers.
+    /// Returns an empty set of workers.
     pub(super) fn new(plan: Arc<CellPlan>, shared: Arc<SharedState>) -> Self {
         Self {
             plan,
@@ -162,8 +162,8 @@
         }
     }
 
-    /// Advances the state of the next workers in turn; `fraction` (0 to 1) of all workers, rounded
-    /// up.
+    /// Advances the state of a fraction of the workers (0 to 1, rounded up). Successive calls take
+    /// the workers in turn.
     pub(super) fn tick(
         &mut self,
         now: u64,
--- a/scale/src/layout.rs
+++ b/scale/src/layout.rs
@@ -3,9 +3,12 @@
 use crate::experiment::{Cell, Experiment};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
+/// Port at which a controller listens for users and workers.
 const USER_PORT: u16 = 8080;
+/// Port at which a controller listens for its peers in the cell.
 const PEER_PORT: u16 = 8081;
 const STORE_PORT: u16 = 2379;
+/// Port of the cloud for a cell's first controller. Further controllers use the next ports.
 const CLOUD_PORT: u16 = 8443;
 /// Port at which a controller listens for controllers of other cells.
 const CELL_LINK_PORT: u16 = 8082;
