--- a/scale/src/controllers/settings.rs
+++ b/scale/src/controllers/settings.rs
@@ -1,4 +1,4 @@
-//! The settings files of a controller.
+//! Writes the settings files of the controllers.
 
 use crate::experiment::{Experiment, Sharing};
 use crate::layout::{CellAddresses, ControllerIndex, controller_id, home_cell, team_name};
@@ -7,26 +7,29 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// How old the entries of the fake cloud's lists are.
+/// Staleness of the fake cloud's lists, both simulated and stated in the settings.
 pub const CLOUD_LIST_LAG: Duration = Duration::from_secs(3);
-/// Requests per second that the fake cloud admits.
+/// Request rate of the cloud per second, as stated in the settings. The fake cloud doesn't enforce
+/// it.
 const CLOUD_RPS: f64 = 20.0;
-/// The fleet keeps its size: an empty machine is deleted only after so many boot times.
-const PROPERTIES: &str = "scale.window = 100\n";
-const WITHOUT_STANDBY: &str = "standby.heartbeat-s = 0\nstandby.hints-s = 0\n";
+/// Properties of all controllers. The long scale-in window, in boot times, keeps the size of the
+/// fleet constant: an empty machine is deleted only after the window has passed.
+const CONTROLLER_PROPERTIES: &str = "scale.window = 100\n";
+/// Properties that turn off the warm standby.
+const STANDBY_OFF_PROPERTIES: &str = "standby.heartbeat-s = 0\nstandby.hints-s = 0\n";
 
-/// The files that a controller is started with.
+/// Paths of the settings files that a controller is started with.
 pub(super) struct SettingsFiles {
-    /// The platform's settings.
+    /// Platform settings, in JSON.
     pub(super) config: PathBuf,
-    /// The service's own properties, the same for all controllers.
+    /// Properties of the controller program, the same for all controllers.
     pub(super) properties: PathBuf,
-    /// The cells file, where cells share limits.
+    /// Cells file; `None` if the cells don't share team limits.
     pub(super) cells: Option<PathBuf>,
 }
 
 impl SettingsFiles {
-    /// Writes the files of one controller into a folder.
+    /// Writes the settings files of one controller into a folder.
     pub(super) fn write(
         experiment: &Experiment,
         index: ControllerIndex,
@@ -36,15 +39,15 @@
         let cell = &experiment.cells[index.cell];
         let id = controller_id(cell, index.controller);
         let config = folder.join(format!("{id}.json"));
-        let platform = platform(experiment, index, &addresses[index.cell]);
+        let platform = platform_settings(experiment, index, &addresses[index.cell]);
         std::fs::write(&config, platform.to_string())?;
         let properties = folder.join("controllers.properties");
-        std::fs::write(&properties, own_properties(experiment))?;
+        std::fs::write(&properties, controller_properties(experiment))?;
         let cells = match &experiment.sharing {
             None => None,
             Some(sharing) => {
                 let path = folder.join(format!("cells-{}.properties", cell.name));
-                let text = cells_file(experiment, sharing, index.cell, addresses);
+                let text = cells_settings(experiment, sharing, index.cell, addresses);
                 std::fs::write(&path, text)?;
                 Some(path)
             }
@@ -57,16 +60,20 @@
     }
 }
 
-fn own_properties(experiment: &Experiment) -> String {
+fn controller_properties(experiment: &Experiment) -> String {
     let takeovers = experiment.takeovers.as_ref();
     match takeovers.is_none_or(|takeovers| takeovers.standby) {
-        true => PROPERTIES.into(),
-        false => format!("{PROPERTIES}{WITHOUT_STANDBY}"),
+        true => CONTROLLER_PROPERTIES.into(),
+        false => format!("{CONTROLLER_PROPERTIES}{STANDBY_OFF_PROPERTIES}"),
     }
 }
 
-/// The settings that a platform would provide.
-fn platform(experiment: &Experiment, index: ControllerIndex, addresses: &CellAddresses) -> Value {
+/// Builds the settings that a platform would provide to a controller.
+fn platform_settings(
+    experiment: &Experiment,
+    index: ControllerIndex,
+    addresses: &CellAddresses,
+) -> Value {
     let cell = &experiment.cells[index.cell];
     let zone = |controller: usize| &cell.zones[controller % cell.zones.len()];
     let others = (0..cell.controllers).filter(|other| *other != index.controller);
@@ -81,12 +88,12 @@
         "peer_listen": addresses.peers[index.controller].to_string(),
         "siblings": siblings.collect::<Vec<_>>(),
         "services": {"cloud": cloud, "state": addresses.store.to_string()},
-        "facts": facts(experiment, index.cell)
+        "facts": platform_facts(experiment, index.cell)
     })
 }
 
-/// What a platform states of the fleet and its outside services.
-fn facts(experiment: &Experiment, cell: usize) -> Value {
+/// Builds the facts that a platform states about the fleet and about external services.
+fn platform_facts(experiment: &Experiment, cell: usize) -> Value {
     let (service, load) = (&experiment.service, &experiment.load);
     let cell = &experiment.cells[cell];
     let teams = (0..load.teams).map(|team| {
@@ -106,8 +113,9 @@
     })
 }
 
-/// The cells file of one cell's controllers: other cells are reached through the proxy.
-fn cells_file(
+/// Builds the cells file for the controllers of one cell. It names the proxy's addresses for the
+/// controllers of other cells.
+fn cells_settings(
     experiment: &Experiment,
     sharing: &Sharing,
     own_cell: usize,
@@ -120,8 +128,8 @@
     for (index, cell) in experiment.cells.iter().enumerate() {
         for controller in 0..cell.controllers {
             let address = match index == own_cell {
-                true => addresses[index].links[controller],
-                false => addresses[index].proxy(own_cell, controller),
+                true => addresses[index].cell_links[controller],
+                false => addresses[index].proxy_address(own_cell, controller),
             };
             let id = controller_id(cell, controller);
             text += &format!("cell.{}.{id} = {address}\n", cell.name);
--- a/scale/src/hollow/mod.rs
+++ b/scale/src/hollow/mod.rs
@@ -1,5 +1,6 @@
-//! The hollow side of one cell: its workers, users, cloud and store, which speak the protocols with
-//! real controllers. One thread plays all of them.
+//! Hollow cells, which simulate everything around the controllers of a cell: workers, users, cloud
+//! and store. "Hollow" components speak the real protocols with real controllers over TCP, but run
+//! no tasks and own no machines. All components of a cell share one thread.
 
 mod cell;
 mod cloud;
@@ -17,7 +18,7 @@
 
 pub use cell::HollowCell;
 pub use commands::{CellSample, Command};
-pub use jobs::{BATCH, SERVICE, URGENT};
+pub use jobs::{BATCH_CLASS, SERVICE_CLASS, URGENT_CLASS};
 pub use plan::CellPlan;
 pub use shared::SharedState;
 pub use store::StoreCounts;
--- a/scale/src/hollow/users/arrivals.rs
+++ b/scale/src/hollow/users/arrivals.rs
@@ -1,39 +1,41 @@
-//! When jobs are submitted: a steady rate for each class.
+//! Submission times of jobs: a constant rate for each class.
 
-use crate::hollow::jobs::{BATCH, SERVICE, URGENT};
+use crate::hollow::jobs::{BATCH_CLASS, SERVICE_CLASS, URGENT_CLASS};
 use crate::hollow::plan::CellPlan;
 
-/// Shortest ramp, in seconds, over which services are submitted.
+/// Minimum period, in seconds, over which services are submitted, so that a ramp of 0 doesn't yield
+/// an infinite rate.
 const RAMP_MIN_S: f64 = 0.1;
-/// Lowest rate by which the first service's time is rounded.
-const RATE_MIN: f64 = 0.001;
+/// Lower bound of the rate from which the first service's submission time is derived, which keeps
+/// that time finite in a cell without services.
+const RATE_MIN_PER_S: f64 = 0.001;
 
-/// Jobs of one class that are submitted at a steady rate. Times are in milliseconds.
-struct Stream {
+/// Jobs of one class that are submitted at a constant rate. Times are in milliseconds.
+struct JobStream {
     class: &'static str,
-    per_s: f64,
+    rate_per_s: f64,
     next_ms: f64,
     end_ms: f64,
-    count: u64,
+    submitted: u64,
 }
 
-/// A job that is due to be submitted.
+/// A job that is due for submission.
 pub(super) struct DueJob {
-    /// Its class.
+    /// Class of the job.
     pub(super) class: &'static str,
-    /// Its number among the jobs of its class, from 1.
+    /// Number of the job within its class, from 1.
     pub(super) number: u64,
 }
 
-/// The jobs of a cell, by their times.
+/// The submission times of all jobs of a cell.
 pub(super) struct Arrivals {
-    streams: Vec<Stream>,
-    /// The rate of batch jobs, as a multiple of the initial one.
+    streams: Vec<JobStream>,
+    /// Rate of batch jobs, as a multiple of the initial rate.
     batch_factor: f64,
 }
 
 impl Arrivals {
-    /// No jobs until the load begins.
+    /// Returns arrivals without jobs, until `start` is called.
     pub(super) fn new() -> Self {
         Self {
             streams: Vec::new(),
@@ -41,8 +43,8 @@
         }
     }
 
-    /// The load begins: services over the ramp, then batch and urgent jobs.
-    pub(super) fn begin(&mut self, now: u64, plan: &CellPlan) {
+    /// Starts the load: services are submitted during the ramp, batch and urgent jobs after it.
+    pub(super) fn start(&mut self, now: u64, plan: &CellPlan) {
         let (load, phases) = (&plan.load, &plan.phases);
         let now = now as f64;
         let ramp_end_ms = now + phases.ramp_s * 1000.0;
@@ -52,24 +54,26 @@
         let services = (service_tasks / f64::from(load.replicas)).round();
         let services_per_s = services / phases.ramp_s.max(RAMP_MIN_S);
         let batch_per_s = load.starts_per_s * plan.worker_share / f64::from(load.tasks_per_job);
-        // Half an interval later, so that rounding changes nothing in the number of services.
-        let first_service_ms = now + 0.5 * 1000.0 / services_per_s.max(RATE_MIN);
-        let stream = |class, per_s, next_ms, end_ms| Stream {
+        // The first service comes half an interval after the start: then rounding errors can't
+        // change the number of services that fit into the ramp.
+        let first_service_ms = now + 0.5 * 1000.0 / services_per_s.max(RATE_MIN_PER_S);
+        let stream = |class, rate_per_s, next_ms, end_ms| JobStream {
             class,
-            per_s,
+            rate_per_s,
             next_ms,
             end_ms,
-            count: 0,
+            submitted: 0,
         };
         let urgent_per_s = load.urgent_per_s * plan.worker_share;
         self.streams = vec![
-            stream(SERVICE, services_per_s, first_service_ms, ramp_end_ms),
-            stream(BATCH, batch_per_s, ramp_end_ms, load_end_ms),
-            stream(URGENT, urgent_per_s, ramp_end_ms, load_end_ms),
+            stream(SERVICE_CLASS, services_per_s, first_service_ms, ramp_end_ms),
+            stream(BATCH_CLASS, batch_per_s, ramp_end_ms, load_end_ms),
+            stream(URGENT_CLASS, urgent_per_s, ramp_end_ms, load_end_ms),
         ];
     }
 
-    /// Changes the rate of batch jobs, as a multiple of the initial one.
+    /// Sets the rate of batch jobs, as a multiple of the initial rate. No stream catches up on jobs
+    /// that would have been due before now.
     pub(super) fn set_batch_factor(&mut self, now: u64, factor: f64) {
         self.batch_factor = factor;
         for stream in &mut self.streams {
@@ -77,31 +81,31 @@
         }
     }
 
-    /// The next job that is due.
-    pub(super) fn next_due(&mut self, now: u64) -> Option<DueJob> {
+    /// Returns the next job that is due; `None` if no job is.
+    pub(super) fn pop_due(&mut self, now: u64) -> Option<DueJob> {
         let batch_factor = self.batch_factor;
         self.streams.iter_mut().find_map(|stream| {
-            let factor = if stream.class == BATCH {
+            let factor = if stream.class == BATCH_CLASS {
                 batch_factor
             } else {
                 1.0
             };
-            stream.next_due(now as f64, factor)
+            stream.pop_due(now as f64, factor)
         })
     }
 }
 
-impl Stream {
-    fn next_due(&mut self, now: f64, factor: f64) -> Option<DueJob> {
-        let per_s = self.per_s * factor;
-        if per_s <= 0.0 || self.next_ms > now || self.next_ms >= self.end_ms {
+impl JobStream {
+    fn pop_due(&mut self, now: f64, factor: f64) -> Option<DueJob> {
+        let rate_per_s = self.rate_per_s * factor;
+        if rate_per_s <= 0.0 || self.next_ms > now || self.next_ms >= self.end_ms {
             return None;
         }
-        self.next_ms += 1000.0 / per_s;
-        self.count += 1;
+        self.next_ms += 1000.0 / rate_per_s;
+        self.submitted += 1;
         Some(DueJob {
             class: self.class,
-            number: self.count,
+            number: self.submitted,
         })
     }
 }
--- a/scale/src/hollow/users/submission.rs
+++ b/scale/src/hollow/users/submission.rs
@@ -1,20 +1,21 @@
-//! The jobs that users submit.
+//! Builds the jobs that users submit.
 
 use crate::experiment::Load;
-use crate::hollow::jobs::{BATCH, Job, SERVICE};
+use crate::hollow::jobs::{BATCH_CLASS, Job, SERVICE_CLASS};
 use salttrestle::wire;
 use salttrestle_fakes::worker::TaskSpec;
 use serde::Serialize;
 
-/// The image of every job.
+/// Container image of all jobs.
 const IMAGE: &str = "img-hollow";
+/// Size of the image, in GB.
 const IMAGE_GB: f64 = 0.5;
-/// How long a worker takes to fetch the image, in milliseconds.
-const FETCH_MS: u64 = 100;
-/// Memory of a task, in GB.
-const TASK_GB: f64 = 4.0;
+/// Time that a worker takes to fetch the image, in milliseconds.
+const IMAGE_FETCH_MS: u64 = 100;
+/// Memory request of a task, in GB.
+const TASK_MEMORY_GB: f64 = 4.0;
 
-/// A submission, with the protocol's names.
+/// Body of a submission. Serde attributes map its fields to the names of the protocol.
 #[derive(Serialize)]
 struct SubmissionBody<'a> {
     id: &'a str,
@@ -58,23 +59,23 @@
     deadline_s: Option<f64>,
 }
 
-/// The number and the size of a job's tasks.
-struct Shape {
+/// Number of a job's tasks, and CPUs and GPUs of each.
+struct JobShape {
     tasks: u32,
     cpus: f64,
     gpus: f64,
 }
 
-impl Shape {
+impl JobShape {
     fn of_class(class: &str, load: &Load) -> Self {
         let [replica_cpus, replica_gpus] = load.replica_resources;
         match class {
-            SERVICE => Self {
+            SERVICE_CLASS => Self {
                 tasks: load.replicas,
                 cpus: replica_cpus,
                 gpus: replica_gpus,
             },
-            BATCH => Self {
+            BATCH_CLASS => Self {
                 tasks: load.tasks_per_job,
                 cpus: load.batch_cpus,
                 gpus: 0.0,
@@ -88,24 +89,24 @@
     }
 }
 
-/// A job of a class, as a team submits it.
-pub(super) fn job(id: &str, class: &str, team: &str, load: &Load) -> Job {
-    let shape = Shape::of_class(class, load);
-    let service = class == SERVICE;
-    let body = wire::encode(&SubmissionBody {
+/// Builds a team's job of the given class.
+pub(super) fn build_job(id: &str, class: &str, team: &str, load: &Load) -> Job {
+    let shape = JobShape::of_class(class, load);
+    let is_service = class == SERVICE_CLASS;
+    let submission = wire::encode(&SubmissionBody {
         id,
         class,
         team,
-        kind: if service { "service" } else { "batch" },
+        kind: if is_service { "service" } else { "batch" },
         priority: match class {
-            SERVICE => "critical",
-            BATCH => "normal",
+            SERVICE_CLASS => "critical",
+            BATCH_CLASS => "normal",
             _ => "urgent",
         },
         tasks: shape.tasks,
         cpus: shape.cpus,
         gpus: shape.gpus,
-        mem_gb: TASK_GB,
+        mem_gb: TASK_MEMORY_GB,
         image: IMAGE,
         image_gb: IMAGE_GB,
         machine_types: None,
@@ -113,7 +114,7 @@
         same_zone: false,
         zone_spread: false,
         spot: false,
-        estimate_s: if service { 0.0 } else { load.run_s },
+        estimate_s: if is_service { 0.0 } else { load.run_s },
         checkpoint_s: 0.0,
         save_s: 0.0,
         deadline_s: None,
@@ -121,10 +122,10 @@
     let spec = TaskSpec {
         image: IMAGE.into(),
         run_ms: (load.run_s * 1000.0) as u64,
-        fetch_ms: FETCH_MS,
+        fetch_ms: IMAGE_FETCH_MS,
         save_ms: 0,
-        service,
+        service: is_service,
         broken: false,
     };
-    Job { body, spec }
+    Job { submission, spec }
 }
--- a/scale/src/hollow/workers.rs
+++ b/scale/src/hollow/workers.rs
@@ -1,7 +1,7 @@
-//! The hollow workers of one cell: fake workers that heartbeat over real connections.
+//! The hollow workers of one cell: simulated workers that send heartbeats over TCP connections.
 
 use super::connections::{Connections, Role};
-use super::jobs::{Jobs, URGENT};
+use super::jobs::{Jobs, URGENT_CLASS};
 use super::plan::CellPlan;
 use super::shared::SharedState;
 use crate::observers::WorkerStart;
@@ -16,12 +16,14 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Each worker is visited once in this time, in milliseconds.
-pub(super) const ROUND_MS: u64 = 100;
-/// The address that workers give for direct commands, which the service doesn't send.
+/// Interval at which each worker's state is advanced, in milliseconds. The workers take turns, so
+/// that the work is spread evenly over the interval.
+pub(super) const VISIT_INTERVAL_MS: u64 = 100;
+/// Address that workers report for direct commands. Controllers don't connect to it: they send
+/// commands only in their responses to heartbeats.
 const ENDPOINT: &str = "127.0.0.1:9";
 
-/// A machine that a worker runs on.
+/// A machine that has booted, on which a worker runs.
 pub(super) struct Machine<'a> {
     pub(super) id: &'a str,
     pub(super) machine_type: &'a str,
@@ -29,27 +31,27 @@
     pub(super) spot: bool,
 }
 
-/// How a machine stops.
+/// Why a machine stops.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum MachineStop {
-    /// It was deleted: its connection is closed.
+    /// The cloud deleted the machine, which closes its connection.
     Deleted,
-    /// It failed: its connection stays open and silent.
+    /// The machine failed: its connection stays open, but nothing is sent or read any more.
     Failed,
 }
 
-/// A response to a heartbeat that no worker could interpret.
+/// A response to a heartbeat that doesn't follow the protocol.
 #[derive(Debug, Error)]
 #[error("{0}")]
 pub(super) struct InvalidResponse(String);
 
 struct HollowWorker {
-    /// Id of its machine.
+    /// Id of the machine that the worker runs on.
     id: String,
     worker: Worker,
     connection: Option<usize>,
-    /// Its machine has stopped and sends nothing any more.
-    stopped: bool,
+    /// Whether the machine has stopped. A stopped machine sends nothing.
+    is_stopped: bool,
 }
 
 /// The hollow workers of one cell.
@@ -57,33 +59,34 @@
     plan: Arc<CellPlan>,
     shared: Arc<SharedState>,
     workers: Vec<HollowWorker>,
-    by_id: HashMap<String, usize>,
-    /// The worker that was visited last.
-    cursor: usize,
-    heartbeats: u64,
-    /// Tasks killed by the expiry of their worker's lease.
+    index_by_machine: HashMap<String, usize>,
+    /// Index of the worker whose state was advanced last.
+    last_visited: usize,
+    heartbeats_sent: u64,
+    /// Number of tasks killed because their worker's lease expired.
     pub(super) lease_kills: u64,
 }
 
 impl Workers {
-    /// A cell without workers.
+    /// Returns an empty set of workers.
     pub(super) fn new(plan: Arc<CellPlan>, shared: Arc<SharedState>) -> Self {
         Self {
             plan,
             shared,
             workers: Vec::new(),
-            by_id: HashMap::new(),
-            cursor: 0,
-            heartbeats: 0,
+            index_by_machine: HashMap::new(),
+            last_visited: 0,
+            heartbeats_sent: 0,
             lease_kills: 0,
         }
     }
 
-    /// A machine has booted. Workers begin with one controller after another.
-    pub(super) fn boot(&mut self, now: u64, machine: &Machine) {
+    /// Adds a worker on a machine that has booted. The first controllers of successive workers are
+    /// assigned in round-robin order.
+    pub(super) fn add(&mut self, now: u64, machine: &Machine) {
         let index = self.workers.len();
-        let controller = index % self.controllers();
-        self.by_id.insert(machine.id.into(), index);
+        let controller = index % self.controller_count();
+        self.index_by_machine.insert(machine.id.into(), index);
         let Machine {
             machine_type, zone, ..
         } = machine;
@@ -91,59 +94,66 @@
             id: machine.id.into(),
             worker: Worker::new(now, machine_type, zone, machine.spot, controller),
             connection: None,
-            stopped: false,
+            is_stopped: false,
         });
     }
 
-    fn controllers(&self) -> usize {
+    fn controller_count(&self) -> usize {
         self.plan.addresses.controllers.len()
     }
 
-    /// The workers whose machines run.
-    fn live(&self) -> impl Iterator<Item = &HollowWorker> {
-        self.workers.iter().filter(|worker| !worker.stopped)
+    /// Iterates over the workers whose machines are running.
+    fn running_workers(&self) -> impl Iterator<Item = &HollowWorker> {
+        self.workers.iter().filter(|worker| !worker.is_stopped)
     }
 
-    /// Number of workers whose machines run.
-    pub(super) fn running(&self) -> usize {
-        self.live().count()
+    /// Returns the number of workers whose machines are running.
+    pub(super) fn running_count(&self) -> usize {
+        self.running_workers().count()
     }
 
-    /// Number of workers that have been answered under a fencing token.
-    pub(super) fn joined(&self) -> usize {
-        let joined = |live: &&HollowWorker| live.worker.token > 0;
-        self.live().filter(joined).count()
+    /// Returns the number of running workers that have received a response with a fencing token.
+    pub(super) fn joined_count(&self) -> usize {
+        let has_joined = |running: &&HollowWorker| running.worker.token > 0;
+        self.running_workers().filter(has_joined).count()
     }
 
-    /// Number of running tasks.
-    pub(super) fn tasks(&self) -> usize {
-        let tasks = self.live().flat_map(|live| live.worker.tasks.values());
+    /// Returns the number of running tasks.
+    pub(super) fn running_task_count(&self) -> usize {
+        let tasks = self
+            .running_workers()
+            .flat_map(|running| running.worker.tasks.values());
         tasks
             .filter(|task| task.state == TaskState::Running)
             .count()
     }
 
-    /// Ids of the machines that run, of one zone or of all.
-    pub(super) fn machines(&self, zone: Option<&str>) -> Vec<String> {
-        self.live()
-            .filter(|live| zone.is_none_or(|zone| zone == live.worker.zone))
-            .map(|live| live.id.clone())
+    /// Returns the ids of running machines in one zone, or in all zones if `None`.
+    pub(super) fn running_machines(&self, zone: Option<&str>) -> Vec<String> {
+        self.running_workers()
+            .filter(|running| zone.is_none_or(|zone| zone == running.worker.zone))
+            .map(|running| running.id.clone())
             .collect()
     }
 
-    /// A machine stops, with all tasks on it.
-    pub(super) fn stop(&mut self, connections: &mut Connections, id: &str, stop: MachineStop) {
-        let Some(index) = self.by_id.get(id).copied() else {
+    /// Stops a machine and all tasks on it.
+    pub(super) fn stop_machine(
+        &mut self,
+        connections: &mut Connections,
+        id: &str,
+        stop: MachineStop,
+    ) {
+        let Some(index) = self.index_by_machine.get(id).copied() else {
             return;
         };
         let worker = &mut self.workers[index];
         if let Some(key) = worker.connection {
             match stop {
                 MachineStop::Deleted => connections.close(key),
-                MachineStop::Failed => connections.silence(key),
+                MachineStop::Failed => connections.stop_reading(key),
             }
         }
-        if std::mem::replace(&mut worker.stopped, true) {
+        if std::mem::replace(&mut worker.is_stopped, true) {
             return;
         }
         let mut checker = self.shared.checker();
@@ -152,26 +162,28 @@
         }
     }
 
-    /// Visits this share of the workers, one after another.
+    /// Advances the state of a fraction of the workers (0 to 1, rounded up). Successive calls take
+    /// the workers in turn.
     pub(super) fn tick(
         &mut self,
         now: u64,
-        share: f64,
+        fraction: f64,
         connections: &mut Connections,
         jobs: &Jobs,
         rng: &mut StdRng,
     ) {
-        let count = (self.workers.len() as f64 * share).ceil() as usize;
+        let count = (self.workers.len() as f64 * fraction).ceil() as usize;
         for _ in 0..count.min(self.workers.len()) {
-            self.cursor = (self.cursor + 1) % self.workers.len();
-            if !self.workers[self.cursor].stopped {
-                self.visit(now, self.cursor, connections, jobs, rng);
+            self.last_visited = (self.last_visited + 1) % self.workers.len();
+            if !self.workers[self.last_visited].is_stopped {
+                self.step_worker(now, self.last_visited, connections, jobs, rng);
             }
         }
     }
 
-    /// Runs a worker's tasks, and sends its heartbeat if it is due.
-    fn visit(
+    /// Advances the state of a worker: checks its lease, runs its tasks, times out its request in
+    /// flight, and sends a heartbeat if one is due.
+    fn step_worker(
         &mut self,
         now: u64,
         index: usize,
@@ -179,7 +191,7 @@
         jobs: &Jobs,
         rng: &mut StdRng,
     ) {
-        let controllers = self.controllers();
+        let controller_count = self.controller_count();
         let HollowWorker {
             worker, connection, ..
         } = &mut self.workers[index];
@@ -191,9 +203,9 @@
         if timed_out && let Some(key) = connection.take() {
             connections.close(key);
         }
-        let heartbeat_due = worker.report_due(now, controllers);
-        self.lease_expired(index, &killed);
-        self.check(now, index, events);
+        let heartbeat_due = worker.report_due(now, controller_count);
+        self.record_lease_kills(index, &killed);
+        self.report_events(now, index, events);
         if heartbeat_due {
             let interval_ms = self.plan.heartbeat_ms;
             let jitter_ms = rng.random_range(0..interval_ms / 2);
@@ -202,7 +214,7 @@
         }
     }
 
-    fn lease_expired(&mut self, index: usize, killed: &[TaskId]) {
+    fn record_lease_kills(&mut self, index: usize, killed: &[TaskId]) {
         if killed.is_empty() {
             return;
         }
@@ -220,7 +232,7 @@
         interval_ms: u64,
         connections: &mut Connections,
     ) {
-        let controllers = self.controllers();
+        let controller_count = self.controller_count();
         let HollowWorker {
             id,
             worker,
@@ -234,11 +246,11 @@
             None => connections.connect(address, Role::Worker(index)),
         };
         let Ok(key) = opened else {
-            return worker.unanswered(now, controllers);
+            return worker.unanswered(now, controller_count);
         };
         *connection = Some(key);
-        self.heartbeats += 1;
-        worker.flight = Some((self.heartbeats, now));
+        self.heartbeats_sent += 1;
+        worker.flight = Some((self.heartbeats_sent, now));
         let body = worker.report_body(id, ENDPOINT, now);
         let host = address.to_string();
         connections.send(
@@ -247,8 +259,12 @@
         );
     }
 
-    /// A response to a worker's heartbeat was received.
-    pub(super) fn responded(
+    /// Handles the response to a worker's heartbeat.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the body of a successful response doesn't follow the protocol.
+    pub(super) fn handle_response(
         &mut self,
         now: u64,
         index: usize,
@@ -259,10 +275,10 @@
         let HollowWorker {
             worker,
             connection,
-            stopped,
+            is_stopped,
             ..
         } = &mut self.workers[index];
-        let Some((_, sent_ms)) = worker.flight.filter(|_| !*stopped) else {
+        let Some((_, sent_ms)) = worker.flight.filter(|_| !*is_stopped) else {
             return Ok(());
         };
         let (controller, token) = (worker.controller, worker.token);
@@ -272,22 +288,22 @@
         let events = worker
             .answered(now, sent_ms, response, controller_ids, jobs)
             .map_err(|error| InvalidResponse(error.to_string()))?;
-        if self.plan.single && worker.token > token {
-            let mut takeovers = self.shared.takeovers();
-            takeovers.token_acknowledged(now, worker.token);
+        if self.plan.is_only_cell && worker.token > token {
+            let mut takeovers = self.shared.takeover_observer();
+            takeovers.record_token_acknowledgement(now, worker.token);
         }
         if worker.controller != controller
             && let Some(key) = connection.take()
         {
             connections.close(key);
         }
-        self.check(now, index, events);
+        self.report_events(now, index, events);
         Ok(())
     }
 
-    /// A worker's connection is closed.
-    pub(super) fn closed(&mut self, now: u64, index: usize, key: usize) {
-        let controllers = self.controllers();
+    /// Handles the close of a worker's connection: a heartbeat in flight on it has failed.
+    pub(super) fn handle_close(&mut self, now: u64, index: usize, key: usize) {
+        let controller_count = self.controller_count();
         let HollowWorker {
             worker, connection, ..
         } = &mut self.workers[index];
@@ -296,12 +312,12 @@
         }
         *connection = None;
         if worker.flight.is_some() {
-            worker.unanswered(now, controllers);
+            worker.unanswered(now, controller_count);
         }
     }
 
-    /// Passes the events of a worker's tasks to the checker.
-    fn check(&self, now: u64, index: usize, events: Vec<TaskEvent>) {
+    /// Reports the events of a worker's tasks to the checker and the takeover observer.
+    fn report_events(&self, now: u64, index: usize, events: Vec<TaskEvent>) {
         if events.is_empty() {
             return;
         }
@@ -316,13 +332,13 @@
                         newest_token: worker.token,
                         task: &task,
                         attempt,
-                        urgent: job.is_some_and(|job| job.record.class == URGENT),
+                        is_urgent: job.is_some_and(|job| job.record.class == URGENT_CLASS),
                     };
-                    if self.plan.single {
-                        self.shared.takeovers().started(now, &start);
+                    if self.plan.is_only_cell {
+                        self.shared.takeover_observer().record_start(now, &start);
                     }
                 }
-                TaskEvent::Started(task) => checker.starts(now, &task, place(id, worker)),
+                TaskEvent::Started(task) => checker.starts(now, &task, place_of(id, worker)),
                 TaskEvent::Ended(task, cause) => {
                     if cause == Cause::Done {
                         checker.finishes(now, &task);
@@ -334,7 +350,7 @@
     }
 }
 
-fn place(machine: &str, worker: &Worker) -> Place {
+fn place_of(machine: &str, worker: &Worker) -> Place {
     Place {
         machine: machine.into(),
         class: worker.class.clone(),
