--- a/fakes/src/checker/dependencies.rs
+++ b/fakes/src/checker/dependencies.rs
@@ -1,42 +1,42 @@
-//! Jobs that depend on others: what is cancelled with them, and what starts after them.
+//! Dependencies between jobs: which cancellations cascade, and when a job may start.
 
 use super::{Checker, JobView};
 use salttrestle::controller::store::records::JobRecord;
 use salttrestle::ids::JobId;
 use std::collections::BTreeSet;
 
-/// A job whose last dependency is done.
+/// The release of a job: its last dependency is done. Times are in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Release {
-    /// When that was.
+    /// When the last dependency finished.
     pub released_at: u64,
-    /// How long it took then until a task started.
+    /// Time from the release to the first start of a task.
     pub start_delay_ms: u64,
 }
 
 impl Checker {
-    /// A job, and all that it depends on, directly or through others.
+    /// A job and all its direct and transitive dependencies.
     fn upstream_jobs(&self, id: &JobId) -> BTreeSet<JobId> {
-        let (mut left, mut found) = (vec![id.clone()], BTreeSet::new());
-        while let Some(id) = left.pop() {
+        let (mut pending, mut found) = (vec![id.clone()], BTreeSet::new());
+        while let Some(id) = pending.pop() {
             if let Some(job) = self.jobs.get(&id)
                 && found.insert(id)
             {
-                left.extend(job.record.dependencies.iter().cloned());
+                pending.extend(job.record.dependencies.iter().cloned());
             }
         }
         found
     }
 
-    /// When a user first asked to cancel a job or one that it depends on.
+    /// When a user first asked to cancel a job or one of its direct or transitive dependencies.
     pub fn upstream_cancel_requested_at(&self, id: &JobId) -> Option<u64> {
         let upstream = self.upstream_jobs(id);
         let asked = upstream.iter().map(|id| self.jobs[id].cancel_requested_at);
         asked.flatten().min()
     }
 
-    /// When a user first learnt that a job which this one depends on is cancelled, or when this one
-    /// was accepted after that.
+    /// When the first cancellation of one of a job's direct or transitive dependencies was confirmed
+    /// to a user, or when the job was accepted if that was later.
     pub(super) fn upstream_cancel_confirmed_at(&self, id: &JobId) -> Option<u64> {
         let mut upstream = self.upstream_jobs(id);
         upstream.remove(id);
@@ -46,13 +46,14 @@
         Some(first.max(self.jobs[id].accepted_at.unwrap_or(first)))
     }
 
-    /// A job that this one depends on and that isn't done, if there is one.
+    /// A direct dependency of a job that isn't done yet, if there is one.
     pub fn open_dependency(&self, record: &JobRecord) -> Option<JobId> {
         let done = |id: &&JobId| self.jobs.get(id).is_some_and(JobView::is_finished);
         record.dependencies.iter().find(|id| !done(id)).cloned()
     }
 
-    /// When jobs were called cancelled for which no cancellation was requested.
+    /// When users were told of cancellations that no user requested for that job itself: those that
+    /// cascade from a dependency.
     pub fn cascading_cancellations(&self) -> impl Iterator<Item = u64> {
         let jobs = self
             .jobs
@@ -61,7 +62,7 @@
         jobs.filter_map(|job| job.notified.cancelled_at)
     }
 
-    /// The jobs that depend on others, all of which are done, and that have started.
+    /// The releases of all jobs that have dependencies, all of them done, and have started a task.
     pub fn releases(&self) -> impl Iterator<Item = Release> {
         self.jobs.values().filter_map(|job| self.release(job))
     }
--- a/fakes/src/checker/job.rs
+++ b/fakes/src/checker/job.rs
@@ -1,4 +1,4 @@
-//! A job as it looks from outside the service.
+//! A job as its user and its machines observe it.
 
 use salttrestle::controller::store::records::JobRecord;
 use std::collections::BTreeSet;
@@ -16,87 +16,87 @@
     pub spot: bool,
 }
 
-/// What a user is answered about a job.
+/// The state of a job that a response tells its user.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobAnswer {
-    /// It waits.
+    /// The job waits to be started.
     Queued,
-    /// A task of it runs.
+    /// At least one task of the job runs.
     Running,
-    /// All its tasks are done.
+    /// All tasks of the job are done.
     Done,
-    /// It is cancelled.
+    /// The job is cancelled.
     Cancelled,
-    /// 404.
+    /// The job doesn't exist: status 404.
     Unknown,
-    /// 400 or 422.
+    /// The submission is invalid: status 400 or 422.
     Refused,
 }
 
 impl JobAnswer {
-    /// Whether the job is accepted by this answer.
+    /// Whether the answer says that the job has been accepted.
     pub(super) fn is_accepted(self) -> bool {
         !matches!(self, Self::Unknown | Self::Refused)
     }
 
-    /// Whether the job is over by this answer.
+    /// Whether the answer says that the job is done or cancelled.
     pub(super) fn is_over(self) -> bool {
         matches!(self, Self::Done | Self::Cancelled)
     }
 }
 
-/// What a job's user has been notified of.
+/// What a job's user has been told so far.
 #[derive(Clone, Debug, Default)]
 pub struct Notified {
-    /// That it is accepted.
-    pub accepted: bool,
-    /// That it is done.
-    pub done: bool,
-    /// When it was first called cancelled.
+    /// Whether the user was told that the job is accepted.
+    pub is_accepted: bool,
+    /// Whether the user was told that the job is done.
+    pub is_done: bool,
+    /// When the user was first told that the job is cancelled, in milliseconds.
     pub cancelled_at: Option<u64>,
 }
 
 impl Notified {
-    /// Whether the user knows that the job is over.
+    /// Whether the user was told that the job is done or cancelled.
     pub fn is_over(&self) -> bool {
-        self.done || self.cancelled_at.is_some()
+        self.is_done || self.cancelled_at.is_some()
     }
 
-    /// Whether an answer says the end that the user knows of.
+    /// Whether an answer repeats an outcome that the user was told before.
     pub(super) fn matches_outcome(&self, answer: JobAnswer) -> bool {
-        (self.done && answer == JobAnswer::Done)
+        (self.is_done && answer == JobAnswer::Done)
             || (self.cancelled_at.is_some() && answer == JobAnswer::Cancelled)
     }
 }
 
-/// A job as its user and its machines see it. Moments are in milliseconds.
+/// A job as its user and its machines observe it. Times are in milliseconds.
 pub struct JobView {
-    /// What was submitted.
+    /// The job as it was submitted.
     pub record: JobRecord,
-    /// What its user has been notified of.
+    /// What the job's user has been told so far.
     pub notified: Notified,
-    /// When its user first asked to cancel it.
+    /// When a user first asked to cancel the job.
     pub cancel_requested_at: Option<u64>,
-    /// It can't run, and mustn't be accepted.
+    /// Whether the job can't run, so that accepting it is a violation.
     pub must_be_refused: bool,
-    /// Its tasks that ever started.
+    /// Indexes of the tasks that have started at least once.
     pub started_tasks: BTreeSet<u32>,
-    /// Its tasks that have finished.
+    /// Indexes of the tasks that have finished.
     pub finished_tasks: BTreeSet<u32>,
-    /// When the last of its tasks finished.
+    /// When the last task of the job finished.
     pub finished_at: Option<u64>,
-    /// When it was first submitted.
+    /// When the job was first submitted.
     pub submitted_at: u64,
-    /// When its user was first notified that it is accepted.
+    /// When the user was first told that the job is accepted.
     pub accepted_at: Option<u64>,
-    /// When the first of its tasks started.
+    /// When the first task of the job started.
     pub first_started_at: Option<u64>,
-    /// When its user was first notified that it is done.
+    /// When the user was first told that the job is done.
     pub done_notified_at: Option<u64>,
 }
 
 impl JobView {
-    /// A job that is submitted now.
+    /// A job that is submitted at `now`.
     pub(super) fn new(now: u64, record: JobRecord) -> Self {
         Self {
             record,
@@ -113,26 +113,26 @@
         }
     }
 
-    /// Whether all of its tasks have finished.
+    /// Whether all tasks of the job have finished.
     pub fn is_finished(&self) -> bool {
         self.finished_tasks.len() as u32 == self.record.count
     }
 
-    /// Whether it is accepted and not over, as far as its user knows.
+    /// Whether the user was told that the job is accepted, and not yet that it is over.
     pub fn is_open(&self) -> bool {
-        self.notified.accepted && !self.notified.is_over()
+        self.notified.is_accepted && !self.notified.is_over()
     }
 
-    /// Its user gets an answer.
+    /// Updates what the user has been told by an answer.
     pub(super) fn notify(&mut self, now: u64, answer: JobAnswer) {
         if !answer.is_accepted() {
             return;
         }
         self.accepted_at.get_or_insert(now);
-        self.notified.accepted = true;
+        self.notified.is_accepted = true;
         match answer {
             JobAnswer::Done => {
-                self.notified.done = true;
+                self.notified.is_done = true;
                 self.done_notified_at.get_or_insert(now);
             }
             JobAnswer::Cancelled => {
--- a/fakes/src/checker/mod.rs
+++ b/fakes/src/checker/mod.rs
@@ -1,10 +1,11 @@
-//! The rules, judged from outside the service: by what users are answered and what machines run.
+//! Black-box checks of the service's invariants, from the responses to users and the tasks that
+//! machines run.
 //!
-//! Each violation begins with the name of its rule: `invented`, `forgotten`, `went_back`,
-//! `told_early`, `not_done`, `orphaned`, `odd_accepted` and `unanswered` are about answers
-//! (`answers`); `ran_twice`, `wrong_place`, `too_early`, `quota`, `started_cancelled` and
-//! `ran_cancelled` about tasks (`tasks`); `nothing_ran`, `unfinished`, `starved` and
-//! `left_waiting` about service (`service`).
+//! Each violation begins with a time in seconds and the name of its rule. `invented`, `forgotten`,
+//! `went_back`, `told_early`, `not_done`, `orphaned`, `odd_accepted` and `unanswered` are rules on
+//! answers (module `answers`); `ran_twice`, `wrong_place`, `too_early`, `quota`,
+//! `started_cancelled` and `ran_cancelled` on tasks (module `tasks`); `nothing_ran`, `unfinished`,
+//! `starved` and `left_waiting` on progress and fairness (module `service`).
 
 mod answers;
 mod dependencies;
@@ -19,35 +20,37 @@
 use salttrestle::ids::{JobId, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Room for rounding when amounts are added and taken away many times.
+/// Tolerance for rounding errors when resource amounts are added and subtracted many times.
 const ROUNDING_SLACK: f64 = 1e-6;
 
-/// Judges each rule by what users are answered and what machines run. Times are in milliseconds.
+/// Checks each rule against the responses to users and the tasks on machines. Times are in
+/// milliseconds.
 #[derive(Default)]
 pub struct Checker {
-    /// How long after a cancellation was confirmed tasks of the job may still be there.
+    /// The cancellation bound: how long after the confirmation of a cancellation tasks of the job
+    /// may still be on machines.
     pub cancel_ms: u64,
-    /// Each team's most CPUs and GPUs, 0 for no limit.
+    /// Each team's limits on CPUs and GPUs; 0 means no limit.
     pub limits: BTreeMap<String, (f64, f64)>,
     /// Every job that was submitted.
     pub jobs: BTreeMap<JobId, JobView>,
-    /// Where tasks run.
+    /// The places where each task runs; more than one is a violation.
     pub running: BTreeMap<TaskId, Vec<Place>>,
-    /// What each team's tasks use.
+    /// The resources that each team's tasks use on machines.
     used_by_team: BTreeMap<String, Resources>,
-    /// Jobs whose cancellation is confirmed and of which tasks are on machines.
+    /// Jobs whose cancellation is confirmed and that still have tasks on machines.
     cancelled_with_tasks: BTreeSet<JobId>,
-    /// Violations: when, of which rule, and by what.
+    /// One line for each violation: the time in seconds, the rule, and what broke it.
     pub violations: Vec<String>,
-    /// Tasks started in all.
+    /// Number of task starts, including repeated ones.
     pub start_count: u64,
-    /// Jobs left waiting though a machine has room, and since when.
+    /// Jobs that wait although a machine has room for one of their tasks, and since when.
     waiting_since: BTreeMap<JobId, u64>,
 }
 
 impl Checker {
-    /// A checker of a service whose cancelled tasks must be gone in so many milliseconds, with
-    /// what each team may use at most.
+    /// Creates a checker of a service that has a cancellation bound of `cancel_ms` and these limits
+    /// on teams; see [`Checker::cancel_ms`] and [`Checker::limits`].
     pub fn new(cancel_ms: u64, limits: BTreeMap<String, (f64, f64)>) -> Self {
         Self {
             cancel_ms,
@@ -61,7 +64,7 @@
         self.violations.push(format!("{at_s:.3} {rule}: {what}"));
     }
 
-    /// Whether tasks of a job are on machines.
+    /// Whether any task of a job is on a machine.
     fn has_running_tasks(&self, id: &JobId) -> bool {
         let mut tasks = self.running.range(first_task(id)..);
         tasks.next().is_some_and(|(task, _)| task.job == *id)
--- a/fakes/src/checker/service.rs
+++ b/fakes/src/checker/service.rs
@@ -1,5 +1,5 @@
-//! Rules on service: jobs end, no group of jobs is starved, and no job waits for long while a machine
-//! has room for it.
+//! Rules on progress and fairness: jobs end, no group of jobs is starved, and no job waits for long
+//! while a machine has room for it.
 
 use super::{Checker, JobView};
 use salttrestle::controller::store::records::JobKind;
@@ -7,38 +7,40 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// After the faults, no job waits for longer while a machine that fits has room.
+/// Longest time in milliseconds that a job may wait while a suitable machine has room for it, once
+/// the faults are over.
 const WAITING_MAX_MS: u64 = 90_000;
 
 impl Checker {
-    /// At the end: looks for jobs that were accepted and neither end nor run, and for groups that
-    /// were starved.
+    /// Checks at the end of a run that tasks were started at all, that accepted jobs have ended or,
+    /// for a service, started, and that no group of jobs was starved.
     pub fn check_end(&mut self, now: u64) {
         if self.start_count == 0 && !self.jobs.is_empty() {
             self.add_violation(now, "nothing_ran", "no task was started".into());
         }
         let unfinished = self.jobs.iter().filter(|(_, job)| {
-            let service = job.record.kind == JobKind::Service;
-            job.is_open() && !(service && job.first_started_at.is_some())
+            let is_service = job.record.kind == JobKind::Service;
+            job.is_open() && !(is_service && job.first_started_at.is_some())
         });
         let unfinished: Vec<String> = unfinished.map(|(id, _)| id.to_string()).collect();
         if !unfinished.is_empty() {
             self.add_violation(now, "unfinished", unfinished.join(", "));
         }
-        self.check_starved(now);
+        self.check_starvation(now);
     }
 
-    /// Looks for a class, a team, or the largest jobs of either of which less than half is served.
-    fn check_starved(&mut self, now: u64) {
+    /// Reports each job class and team of which less than half of the jobs is served, or less than
+    /// half of its largest jobs.
+    fn check_starvation(&mut self, now: u64) {
         let mut starved = Vec::new();
         for (name, mut jobs) in self.jobs_by_group() {
             if is_starved(&jobs) {
                 starved.push(name.clone());
             }
             jobs.sort_by_key(|job| Reverse(job.record.count));
-            let most = jobs.first().map_or(0, |job| job.record.count);
-            let largest = jobs.partition_point(|job| job.record.count == most);
-            if most > 1 && is_starved(&jobs[..largest]) {
+            let largest_count = jobs.first().map_or(0, |job| job.record.count);
+            let largest = jobs.partition_point(|job| job.record.count == largest_count);
+            if largest_count > 1 && is_starved(&jobs[..largest]) {
                 starved.push(format!("largest of {name}"));
             }
         }
@@ -47,11 +49,11 @@
         }
     }
 
-    /// The jobs of each class and of each team that were accepted and not cancelled.
+    /// The jobs that were accepted and that no user asked to cancel, by job class and by team.
     fn jobs_by_group(&self) -> BTreeMap<String, Vec<&JobView>> {
         let mut groups: BTreeMap<String, Vec<&JobView>> = BTreeMap::new();
         let wanted = self.jobs.iter().filter(|(id, job)| {
-            job.notified.accepted && self.upstream_cancel_requested_at(id).is_none()
+            job.notified.is_accepted && self.upstream_cancel_requested_at(id).is_none()
         });
         for (_, job) in wanted {
             let class = format!("class {}", job.record.class);
@@ -63,28 +65,29 @@
         groups
     }
 
-    /// Looks for jobs of which no task runs though a machine has had room for one for long;
-    /// `with_room` are those that it has room for now.
+    /// Reports jobs that have waited for too long while a machine had room for one of their tasks.
+    /// `with_room` are the waiting jobs for which a machine has room now.
     pub fn check_waiting(&mut self, now: u64, with_room: &BTreeSet<JobId>) {
         self.waiting_since.retain(|id, _| with_room.contains(id));
-        let mut left = Vec::new();
+        let mut overdue = Vec::new();
         for id in with_room {
             let since = *self.waiting_since.entry(id.clone()).or_insert(now);
             if now > since + WAITING_MAX_MS {
-                left.push(id.to_string());
+                overdue.push(id.to_string());
             }
         }
-        if !left.is_empty() {
-            self.add_violation(now, "left_waiting", left.join(", "));
+        if !overdue.is_empty() {
+            self.add_violation(now, "left_waiting", overdue.join(", "));
         }
     }
 }
 
-/// Whether less than half of some jobs is done or has had all its tasks started.
+/// Whether less than half of a group of jobs is served. A job is served once its user was told that
+/// it is done, or once all its tasks have been started.
 fn is_starved(jobs: &[&JobView]) -> bool {
     let served = jobs.iter().filter(|job| {
         let started = job.started_tasks.len() as u32;
-        job.notified.done || started == job.record.count
+        job.notified.is_done || started == job.record.count
     });
     2 * served.count() < jobs.len()
 }
--- a/fakes/src/checker/tasks.rs
+++ b/fakes/src/checker/tasks.rs
@@ -1,12 +1,13 @@
-//! Rules on tasks: each runs on one machine at a time, where it may, within its team's limit, after
-//! its dependencies, and not once its cancellation is confirmed.
+//! Rules on tasks: a task runs on one machine at a time, on a machine that its job's constraints
+//! allow, within its team's limit, after its job's dependencies, and not after its job's
+//! cancellation was confirmed.
 
 use super::{Checker, Place, ROUNDING_SLACK, first_task};
 use salttrestle::controller::store::records::JobRecord;
 use salttrestle::ids::TaskId;
 
 impl Checker {
-    /// A task is on a machine from now on.
+    /// Records that a task has started on a machine, and checks the start.
     pub fn record_start(&mut self, now: u64, task: &TaskId, place: Place) {
         self.start_count += 1;
         self.check_runs_once(now, task, &place);
@@ -21,15 +22,15 @@
         self.check_cancelled(now);
     }
 
-    /// A task is no longer on a machine.
+    /// Records that a task is no longer on a machine.
     pub fn record_stop(&mut self, task: &TaskId, machine: &str) {
         let Some(places) = self.running.get_mut(task) else {
             return;
         };
-        let before = places.len();
+        let count_before = places.len();
         places.retain(|place| place.machine != machine);
-        let (gone, empty) = (before - places.len(), places.is_empty());
-        if empty {
+        let (removed, is_empty) = (count_before - places.len(), places.is_empty());
+        if is_empty {
             self.running.remove(task);
         }
         if let Some(job) = self.jobs.get(&task.job) {
@@ -37,14 +38,14 @@
                 .used_by_team
                 .entry(job.record.team.clone())
                 .or_default();
-            used.add(job.record.resources, -(gone as f64));
+            used.add(job.record.resources, -(removed as f64));
         }
-        if empty && !self.has_running_tasks(&task.job) {
+        if is_empty && !self.has_running_tasks(&task.job) {
             self.cancelled_with_tasks.remove(&task.job);
         }
     }
 
-    /// A task has completed.
+    /// Records that a task has completed.
     pub fn record_completion(&mut self, now: u64, task: &TaskId) {
         if let Some(job) = self.jobs.get_mut(&task.job) {
             job.finished_tasks.insert(task.index);
@@ -54,7 +55,8 @@
         }
     }
 
-    /// Counts a task that has just started. True if its job's cancellation is confirmed.
+    /// Adds a started task to its job and its team's usage. Returns whether its job's cancellation
+    /// was confirmed before.
     fn count_start(&mut self, now: u64, task: &TaskId) -> bool {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return false;
@@ -96,7 +98,7 @@
         }
     }
 
-    /// The constraints of a job that a place for one of its tasks breaks.
+    /// The names of a job's constraints that a place for one of its tasks breaks.
     fn broken_constraints(
         &self,
         task: &TaskId,
@@ -124,7 +126,7 @@
         broken.map(|(name, _)| name).collect()
     }
 
-    /// Whether the team of a task that has just started uses more than its limit.
+    /// Checks that the team of a task that has just started is within its limit.
     fn check_quota(&mut self, now: u64, task: &TaskId) {
         let team = self.jobs.get(&task.job).map(|job| job.record.team.clone());
         if let Some(team) = team {
@@ -134,15 +136,16 @@
 
     fn check_team_limit(&mut self, now: u64, team: &str) {
         let used = self.used_by_team.get(team).copied().unwrap_or_default();
-        let most = self.limits.get(team).copied().unwrap_or_default();
-        let over = |used: f64, most: f64| most > 0.0 && used > most + ROUNDING_SLACK;
-        if over(used.cpus, most.0) || over(used.gpus, most.1) {
+        let limit = self.limits.get(team).copied().unwrap_or_default();
+        let exceeds = |used: f64, limit: f64| limit > 0.0 && used > limit + ROUNDING_SLACK;
+        if exceeds(used.cpus, limit.0) || exceeds(used.gpus, limit.1) {
             let what = format!("{team} uses {} CPUs, {} GPUs", used.cpus, used.gpus);
             self.add_violation(now, "quota", what);
         }
     }
 
-    /// Another limit of a team is in force from now on: what its tasks use must be within it.
+    /// Sets a team's limit on CPUs and GPUs. Reports a violation if the limit is new and the team's
+    /// tasks use more.
     pub fn set_limit(&mut self, now: u64, team: &str, limit: (f64, f64)) {
         if self.limits.insert(team.into(), limit) != Some(limit) {
             self.check_team_limit(now, team);
@@ -156,14 +159,15 @@
             .get(&record.team)
             .copied()
             .unwrap_or_default();
-        let most = self.limits.get(&record.team).copied().unwrap_or_default();
-        let fits =
-            |used: f64, need: f64, most: f64| most <= 0.0 || used + need <= most + ROUNDING_SLACK;
-        fits(used.cpus, record.resources.cpus, most.0)
-            && fits(used.gpus, record.resources.gpus, most.1)
+        let limit = self.limits.get(&record.team).copied().unwrap_or_default();
+        let fits = |used: f64, need: f64, limit: f64| {
+            limit <= 0.0 || used + need <= limit + ROUNDING_SLACK
+        };
+        fits(used.cpus, record.resources.cpus, limit.0)
+            && fits(used.gpus, record.resources.gpus, limit.1)
     }
 
-    /// Looks for tasks of cancelled jobs that are still somewhere after the bound.
+    /// Reports a cancelled job that still has tasks on machines after the cancellation bound.
     pub fn check_cancelled(&mut self, now: u64) {
         let late = self.cancelled_with_tasks.iter().find(|id| {
             let job = self.jobs.get(*id);
@@ -171,7 +175,7 @@
             confirmed.is_some_and(|at| now > at + self.cancel_ms)
         });
         if let Some(id) = late {
-            let what = format!("tasks of {id} are still there");
+            let what = format!("tasks of {id} are still on machines");
             self.add_violation(now, "ran_cancelled", what);
         }
     }
--- a/tests/sim/checks.rs
+++ b/tests/sim/checks.rs
@@ -53,11 +53,12 @@
             return;
         }
         let jobs = self.checker.jobs.iter().filter(|(id, job)| {
-            let over = job.notified.done || self.checker.upstream_cancel_requested_at(id).is_some();
+            let over =
+                job.notified.is_done || self.checker.upstream_cancel_requested_at(id).is_some();
             let held = self.checker.open_dependency(&job.record).is_some();
             let runs = self.checker.running.keys().any(|task| task.job == **id);
             let left = (job.finished_tasks.len() as u32) < job.record.count;
-            job.notified.accepted
+            job.notified.is_accepted
                 && !over
                 && !held
                 && !runs
--- a/tests/sim/malformed_requests.rs
+++ b/tests/sim/malformed_requests.rs
@@ -37,9 +37,9 @@
     fn known_jobs(&self, done: bool) -> Vec<JobId> {
         let jobs = self.checker.jobs.iter();
         let jobs = jobs.filter(|(_, job)| {
-            job.notified.accepted
+            job.notified.is_accepted
                 && job.notified.cancelled_at.is_none()
-                && job.notified.done == done
+                && job.notified.is_done == done
         });
         jobs.map(|(id, _)| id.clone()).collect()
     }
--- a/tests/sim/users.rs
+++ b/tests/sim/users.rs
@@ -67,7 +67,7 @@
             // Users cancel only jobs that are accepted.
             Intent::Cancel => {
                 let view = self.checker.jobs.get(job);
-                let accepted = view.is_none_or(|view| view.notified.accepted);
+                let accepted = view.is_none_or(|view| view.notified.is_accepted);
                 (!accepted).then_some(CANCEL_AGAIN_MS)
             }
             Intent::Submit => (!self.dependencies_allow(job)).then_some(SUBMIT_AGAIN_MS),
@@ -84,8 +84,8 @@
         let ready = |dependency: &JobId| {
             let view = self.checker.jobs.get(dependency);
             view.is_some_and(|view| match spec.late {
-                true => view.notified.done || view.notified.cancelled_at.is_some(),
-                false => view.notified.accepted,
+                true => view.notified.is_done || view.notified.cancelled_at.is_some(),
+                false => view.notified.is_accepted,
             })
         };
         spec.hasty || spec.dependencies.iter().all(ready)
