--- a/fakes/src/cloud.rs
+++ b/fakes/src/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud: rents machines, lists them late, and takes some back.
+//! Test double of the cloud: rents, lists and deletes machines. Its list lags behind.
 
 use ciborium::cbor;
 use salttrestle::controller::store::records::ScaleOutRecord;
@@ -6,57 +6,58 @@
 use salttrestle::wire::{CloudRequest, CloudResponse, ListedMachine, MachineType};
 use std::collections::BTreeMap;
 
-/// Most machines in one page of the list.
+/// Largest number of machines in one page of the list.
 const PAGE_MACHINES_MAX: usize = 500;
-/// How long a machine of an unknown type boots.
+/// Boot time of a machine whose type isn't in the catalog, in milliseconds.
 const UNKNOWN_BOOT_MS: u64 = 1000;
-/// Shortest boot while boots are fast, and how much longer one may take.
+/// Shortest boot time while boots are fast, and how much longer a boot may take, in milliseconds.
 const FAST_BOOT_MS: u64 = 200;
 const FAST_BOOT_SPREAD_MS: u64 = 1800;
 
-/// A machine that was rented. Times are in milliseconds.
+/// A rented machine. Times are in milliseconds.
 #[derive(Clone, Debug)]
 pub struct RentedMachine {
-    /// Its type.
+    /// The machine's type.
     pub class: String,
-    /// Its zone.
+    /// The machine's zone.
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot machine.
     pub spot: bool,
-    /// When it was rented.
+    /// When the machine was rented.
     pub rented_at: u64,
-    /// When it comes up; `None` if it never does.
+    /// When the machine comes up; `None` if it never does.
     pub up_at: Option<u64>,
-    /// From when on it is listed as failed: for a while a dead machine is listed as running.
+    /// When the list begins to show the machine as failed. A dead machine is listed as running until
+    /// then.
     pub listed_failed_at: Option<u64>,
-    /// When it was deleted or preempted.
+    /// When the machine was deleted or preempted.
     pub gone_at: Option<u64>,
 }
 
 impl RentedMachine {
-    /// Whether the list shows it as of this moment.
+    /// Whether a list as of `at` has the machine.
     fn is_listed(&self, at: u64) -> bool {
-        self.rented_at <= at && self.gone_at.is_none_or(|gone| gone > at)
+        self.rented_at <= at && self.gone_at.is_none_or(|gone_at| gone_at > at)
     }
 
-    /// Its status in a list as of this moment.
+    /// The machine's status in a list as of `at`.
     fn status(&self, at: u64) -> &'static str {
         match (self.listed_failed_at, self.up_at) {
-            (Some(failed), _) if failed <= at => "failed",
-            (_, Some(up)) if up <= at => "running",
+            (Some(failed_at), _) if failed_at <= at => "failed",
+            (_, Some(up_at)) if up_at <= at => "running",
             _ => "starting",
         }
     }
 }
 
-/// Boots take so many times as long as usual that begin until then.
+/// A fault by which boots take longer than usual.
 #[derive(Clone, Debug)]
 pub struct SlowBoots {
-    /// How many times as long.
+    /// Factor on the usual boot time.
     pub factor: f64,
-    /// Until when.
+    /// The fault affects machines that are rented before this time, in milliseconds.
     pub until: u64,
-    /// The only type of machines whose boots do; all if there is none.
+    /// The machine type that the fault affects; `None` for all types.
     pub machine_type: Option<String>,
 }
 
@@ -67,38 +68,39 @@
     }
 }
 
-/// The cloud.
+/// The cloud. Times are in milliseconds.
 #[derive(Default)]
 pub struct Cloud {
-    /// The types of machines that it has.
+    /// The machine types that can be rented.
     pub catalog: Vec<MachineType>,
-    /// Every machine that was ever rented, by name.
+    /// Every machine that was ever rented, by id.
     pub machines: BTreeMap<String, RentedMachine>,
-    /// What scale-out requests were answered, by their names.
+    /// The machines that answered each scale-out request, by the request's name.
     pub scale_out_answers: BTreeMap<String, Vec<MachineId>>,
-    /// Free machines by type, zone, and whether they are spot machines.
+    /// Number of machines that can still be rented, by type, zone, and whether they are spot
+    /// machines.
     pub capacity: BTreeMap<(String, String, bool), u32>,
-    /// It refuses all requests.
+    /// Whether the cloud answers every request as unavailable.
     pub is_down: bool,
-    /// By how much its list of machines lags.
+    /// How old the state is that the list of machines shows.
     pub list_lag_ms: u64,
-    /// The next so many machines never come up.
+    /// How many of the next rented machines never come up.
     pub failing_boots_left: u32,
-    /// Machines rented until then are up within two seconds.
+    /// Machines that are rented before this time are up within two seconds.
     pub fast_boots_until: u64,
-    /// Boots that take longer than usual.
+    /// The fault that makes boots slow, if it is active.
     pub slow_boots: Option<SlowBoots>,
 }
 
 impl Cloud {
-    /// Adds a machine that comes up at `boots`.
+    /// Adds a machine that comes up at `up_at`, or never, and returns its id.
     pub fn add_machine(
         &mut self,
         now: u64,
         class: &str,
         zone: &str,
         spot: bool,
-        boots: Option<u64>,
+        up_at: Option<u64>,
     ) -> MachineId {
         let id = format!("i-{:06}", self.machines.len());
         let machine = RentedMachine {
@@ -106,7 +108,7 @@
             zone: zone.into(),
             spot,
             rented_at: now,
-            up_at: boots,
+            up_at,
             listed_failed_at: None,
             gone_at: None,
         };
@@ -114,12 +116,12 @@
         MachineId::from(id.as_str())
     }
 
-    /// Executes a request. Deleted machines are returned besides.
-    pub fn execute(&mut self, now: u64, op: &CloudRequest) -> (CloudResponse, Vec<String>) {
+    /// Executes a request. Returns the response and the ids of the machines that it deleted.
+    pub fn execute(&mut self, now: u64, request: &CloudRequest) -> (CloudResponse, Vec<String>) {
         if self.is_down {
             return (CloudResponse::Unavailable, Vec::new());
         }
-        match op {
+        match request {
             CloudRequest::Catalog => (CloudResponse::Catalog(self.catalog.clone()), Vec::new()),
             CloudRequest::ScaleOut(request) => (self.rent_machines(now, request), Vec::new()),
             CloudRequest::Delete(ids) => (CloudResponse::Deleted, self.delete_machines(now, ids)),
@@ -127,8 +129,8 @@
         }
     }
 
-    /// Rents as many machines as can be had of those that are asked for. A request that comes again
-    /// under its name gets its first answer.
+    /// Rents the requested machines, or fewer if the pool has fewer left. A request that is repeated
+    /// under the same name gets the same response again.
     fn rent_machines(&mut self, now: u64, request: &ScaleOutRecord) -> CloudResponse {
         if let Some(machines) = self.scale_out_answers.get(&request.name) {
             return CloudResponse::ScaledOut(machines.clone());
@@ -153,7 +155,7 @@
         CloudResponse::ScaledOut(machines)
     }
 
-    /// How long a machine boots that is rented now.
+    /// Boot time in milliseconds of a machine that is rented now.
     fn boot_ms(&self, now: u64, machine_type: &str) -> u64 {
         if now < self.fast_boots_until {
             return FAST_BOOT_MS + now % FAST_BOOT_SPREAD_MS;
@@ -168,7 +170,7 @@
         }
     }
 
-    /// Deletes machines, and says which of them were there.
+    /// Deletes machines and returns the ids of those that existed.
     fn delete_machines(&mut self, now: u64, ids: &[MachineId]) -> Vec<String> {
         let mut deleted = Vec::new();
         for id in ids {
@@ -184,12 +186,12 @@
         deleted
     }
 
-    /// A page of the list, as of a while ago.
+    /// One page of the list, as of [`Cloud::list_lag_ms`] ago.
     fn list_machines(&self, now: u64, after: Option<&MachineId>) -> CloudResponse {
         let at = now.saturating_sub(self.list_lag_ms);
         let mut listed = self.machines.iter().filter(|(id, machine)| {
-            let behind = after.is_none_or(|after| id.as_str() > after.as_str());
-            behind && machine.is_listed(at)
+            let is_after = after.is_none_or(|after| id.as_str() > after.as_str());
+            is_after && machine.is_listed(at)
         });
         let page = listed.by_ref().take(PAGE_MACHINES_MAX);
         let machines = page.map(|(id, machine)| listed_machine(id, machine, at));
@@ -201,7 +203,8 @@
     }
 }
 
-/// A machine as the list shows it, read back from the wire's form.
+/// A machine as the list as of `at` shows it. It is encoded and decoded, since a field of
+/// [`ListedMachine`] is private.
 fn listed_machine(id: &str, machine: &RentedMachine, at: u64) -> ListedMachine {
     let age_s = (at - machine.rented_at) as f64 / 1000.0;
     let body = cbor!({
--- a/fakes/src/cloud_calls.rs
+++ b/fakes/src/cloud_calls.rs
@@ -1,32 +1,34 @@
-//! The duties that one controller has at a time, renting and deleting, seen from outside: by whose
-//! record the store had, and who called the cloud.
+//! Checks that only the leader rents and deletes machines, from the leader records in the store and
+//! the calls that reach the cloud.
 
 use std::collections::BTreeMap;
 
-/// A controller that calls the cloud, and the token under which it leads.
+/// A controller that called the cloud, and its token as a leader at that time.
 #[derive(Clone, Debug)]
 struct Caller {
     token: u64,
     controller_id: String,
 }
 
-/// Judges who calls the cloud: leaders one after the other. Times are in milliseconds.
+/// Checks that leaders call the cloud one after the other: once a leader has called it, no leader
+/// with a lower token may. Times are in milliseconds.
 #[derive(Clone, Debug, Default)]
 pub struct CloudCallChecker {
-    /// The latest token under which each controller led.
+    /// The latest token under which each controller was the leader.
     leader_tokens: BTreeMap<String, u64>,
-    /// Who changed something at the cloud under the highest token.
+    /// The caller with the highest token among those that rented or deleted machines.
     latest_caller: Option<Caller>,
-    /// The token of the latest leader's record; `None` while there is none.
+    /// The token of the current leader record; `None` while there is no record.
     leader_token: Option<u64>,
-    /// Records of leaders that still existed when the next one replaced them.
+    /// Number of leader records that still existed when a successor replaced them.
     pub replaced_records: usize,
-    /// Violations.
+    /// One line for each violation: the time in seconds and what was wrong.
     pub violations: Vec<String>,
 }
 
 impl CloudCallChecker {
-    /// The leader's record is as follows; `None` while there is none.
+    /// Records the token and the controller of the current leader record; `None` if there is no
+    /// record.
     pub fn record_leader(&mut self, leader: Option<(u64, &str)>) {
         if let Some((token, controller_id)) = leader {
             let replaces = self.leader_token.is_some_and(|before| before != token);
@@ -36,11 +38,11 @@
         self.leader_token = leader.map(|(token, _)| token);
     }
 
-    /// A controller rents or deletes.
+    /// Records that a controller rents or deletes machines, and checks that it may.
     pub fn record_cloud_change(&mut self, now: u64, controller_id: &str) {
         let at_s = now as f64 / 1e3;
         let Some(token) = self.leader_tokens.get(controller_id).copied() else {
-            let what = format!("{at_s:.3} duty: {controller_id} never led");
+            let what = format!("{at_s:.3} cloud call: {controller_id} was never the leader");
             return self.violations.push(what);
         };
         if let Some(latest) = self
@@ -50,7 +52,7 @@
         {
             let (by, under) = (&latest.controller_id, latest.token);
             return self.violations.push(format!(
-                "{at_s:.3} duty: {controller_id} calls the cloud under {token}, after {by} did under {under}"
+                "{at_s:.3} cloud call: {controller_id} under token {token}, after {by} under token {under}"
             ));
         }
         let controller_id = controller_id.into();
--- a/fakes/src/lib.rs
+++ b/fakes/src/lib.rs
@@ -1,10 +1,13 @@
-//! Test doubles of the outside systems that salttrestle talks to, without a network or a clock of
-//! their own: the caller hands in the time and carries the messages. The scenarios play them in
-//! simulated time, the scale run over TCP, so that both follow one reading of the protocol.
+//! Test doubles of the external systems that salttrestle talks to, and checkers of its invariants.
 //!
-//! [`store`], [`cloud`] and [`worker`] act; [`user`] and [`rate`] have what users and limits do.
-//! [`checker`] judges the rules that users and machines see, [`orders`] and [`duties`] those on
-//! what controllers send to workers and to the cloud.
+//! The doubles have neither a network nor a clock: the caller passes in the time and delivers the
+//! messages. The scenario tests run them in simulated time and the scale test over TCP, so that both
+//! share one implementation of the protocol.
+//!
+//! [`store`], [`cloud`] and [`worker`] are the doubles; [`user`] and [`rate`] have the parts that
+//! simulated users and rate limits share. [`checker`] checks the invariants that users and machines
+//! can observe; [`commands`] and [`cloud_calls`] check what controllers send to workers and to the
+//! cloud.
 
 #![warn(missing_docs)]
 
--- a/fakes/src/rate.rs
+++ b/fakes/src/rate.rs
@@ -1,6 +1,6 @@
-//! A limit on how much is taken a second, of which one second's worth may come at once.
+//! Rate limits that allow bursts of one second's worth.
 
-/// A token bucket that holds one second's worth.
+/// A token bucket that holds one second's worth of tokens.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RateLimit {
     per_second: f64,
@@ -9,7 +9,7 @@
 }
 
 impl RateLimit {
-    /// A full bucket.
+    /// A full bucket that refills with `per_second` tokens a second.
     pub fn new(now_ms: u64, per_second: f64) -> Self {
         Self {
             per_second,
@@ -18,10 +18,10 @@
         }
     }
 
-    /// Takes `amount` if there is so much, and says whether there was.
+    /// Takes `amount` tokens if there are that many, and returns whether it did.
     pub fn try_take(&mut self, now_ms: u64, amount: f64) -> bool {
-        let gained = now_ms.saturating_sub(self.updated_ms) as f64 / 1e3 * self.per_second;
-        self.tokens = (self.tokens + gained).min(self.per_second);
+        let refilled = now_ms.saturating_sub(self.updated_ms) as f64 / 1e3 * self.per_second;
+        self.tokens = (self.tokens + refilled).min(self.per_second);
         self.updated_ms = now_ms;
         if self.tokens < amount {
             return false;
--- a/fakes/src/store.rs
+++ b/fakes/src/store.rs
@@ -1,57 +1,57 @@
-//! The store: keys with revisions, transactions with preconditions, leases, and a
-//! history that can be watched.
+//! Test double of the store: keys with revisions, transactions with preconditions, leases, and a
+//! history of changes that can be watched.
 
 use std::collections::BTreeMap;
 
-/// What a key has.
+/// A key's value, revision and lease.
 #[derive(Clone, Debug)]
 pub struct Entry<V> {
     /// The value.
     pub value: V,
     /// The revision of the key's last change.
     pub revision: u64,
-    /// The lease that the key is attached to.
+    /// The id of the lease that the key is attached to.
     pub lease: Option<u64>,
 }
 
-/// One change of one key; without a value it is a deletion.
+/// A change of one key.
 #[derive(Clone, Debug)]
 pub struct Change<V> {
     /// The key.
     pub path: String,
     /// The revision of the transaction.
     pub revision: u64,
-    /// What was written.
+    /// The value that was written; `None` if the key was deleted.
     pub value: Option<V>,
 }
 
 /// One operation of a transaction.
 #[derive(Clone, Debug)]
 pub enum Write<V> {
-    /// Writes a value, and attaches the key to a lease or detaches it.
+    /// Writes a value, and attaches the key to a lease or detaches it from one.
     Put {
         /// The key.
         path: String,
-        /// Its new value.
+        /// The key's new value.
         value: V,
-        /// The lease to attach it to.
+        /// The id of the lease to attach the key to; `None` detaches it.
         lease: Option<u64>,
     },
-    /// Removes a key.
+    /// Deletes a key.
     Delete {
         /// The key.
         path: String,
     },
 }
 
-/// What became of a transaction.
+/// The outcome of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommitOutcome {
-    /// It was carried out under this revision.
+    /// The transaction was committed at this revision.
     Committed(u64),
-    /// These keys didn't have the revisions that it asked for.
+    /// Preconditions failed: these keys have other revisions.
     Conflict(Vec<String>),
-    /// It names a lease that has expired.
+    /// A write names a lease that doesn't exist or has expired.
     NoSuchLease,
 }
 
@@ -66,11 +66,11 @@
 pub struct Store<V> {
     /// The revision of the latest change.
     pub revision: u64,
-    /// All keys.
+    /// All existing keys.
     pub entries: BTreeMap<String, Entry<V>>,
-    /// All changes that are remembered, the oldest first.
+    /// The changes that haven't been compacted, oldest first.
     pub history: Vec<Change<V>>,
-    /// How many of the latest changes can be watched.
+    /// How many of the latest changes a watch can read.
     pub watchable_changes_max: usize,
     /// The highest revision whose changes have been compacted.
     compacted_revision: u64,
@@ -79,13 +79,13 @@
 }
 
 impl<V: Clone> Store<V> {
-    /// An empty store of which so many of the latest changes can be watched.
-    pub fn new(kept: usize) -> Self {
+    /// Creates an empty store; see [`Store::watchable_changes_max`].
+    pub fn new(watchable_changes_max: usize) -> Self {
         Self {
             revision: 0,
             entries: BTreeMap::new(),
             history: Vec::new(),
-            watchable_changes_max: kept,
+            watchable_changes_max,
             compacted_revision: 0,
             leases: BTreeMap::new(),
             last_lease_id: 0,
@@ -97,13 +97,14 @@
         self.entries.get(path).map_or(0, |entry| entry.revision)
     }
 
-    /// Carries a transaction out if each key has the revision that it asks for.
+    /// Commits a transaction if each key in `conditions` has the given revision, where 0 stands for a
+    /// key that doesn't exist. A transaction without writes changes no revision.
     pub fn commit(&mut self, conditions: &[(String, u64)], writes: Vec<Write<V>>) -> CommitOutcome {
-        let expired = |write: &Write<V>| match write {
+        let names_missing_lease = |write: &Write<V>| match write {
             Write::Put { lease, .. } => lease.is_some_and(|id| !self.leases.contains_key(&id)),
             Write::Delete { .. } => false,
         };
-        if writes.iter().any(expired) {
+        if writes.iter().any(names_missing_lease) {
             return CommitOutcome::NoSuchLease;
         }
         let failed = conditions
@@ -147,8 +148,8 @@
         });
     }
 
-    /// The entries with a prefix behind a key, in key order: at most `limit` of them, and whether
-    /// there are more.
+    /// The entries that have a prefix and come after a key, in key order: at most `limit` of them,
+    /// and whether there are more.
     pub fn list(
         &self,
         prefix: &str,
@@ -168,36 +169,37 @@
         (page, more)
     }
 
-    /// The changes after a revision; `None` if some of them aren't kept any more.
+    /// The changes after a revision; `None` if a watch can no longer read some of them.
     pub fn changes_after(&self, revision: u64) -> Option<&[Change<V>]> {
-        let oldest = self
+        let oldest_watchable = self
             .history
             .len()
             .saturating_sub(self.watchable_changes_max);
-        let dropped = match oldest {
+        let unwatchable_revision = match oldest_watchable {
             0 => self.compacted_revision,
             n => self.history[n - 1].revision,
         };
-        if dropped > revision {
+        if unwatchable_revision > revision {
             return None;
         }
-        let from = self
+        let start = self
             .history
             .partition_point(|change| change.revision <= revision);
-        Some(&self.history[from..])
+        Some(&self.history[start..])
     }
 
-    /// Frees the memory of changes that can't be watched any more.
+    /// Frees the memory of changes that a watch can no longer read, once there are as many of them
+    /// as of the others.
     pub fn compact(&mut self) {
         if self.history.len() < 2 * self.watchable_changes_max {
             return;
         }
-        let drop = self.history.len() - self.watchable_changes_max;
-        self.compacted_revision = self.history[drop - 1].revision;
-        self.history.drain(..drop);
+        let compacted = self.history.len() - self.watchable_changes_max;
+        self.compacted_revision = self.history[compacted - 1].revision;
+        self.history.drain(..compacted);
     }
 
-    /// Grants a lease.
+    /// Grants a lease and returns its id.
     pub fn grant_lease(&mut self, now_ms: u64, ttl_ms: u64) -> u64 {
         self.last_lease_id += 1;
         let lease = Lease {
@@ -208,7 +210,7 @@
         self.last_lease_id
     }
 
-    /// Renews a lease; false if it has expired.
+    /// Renews a lease. Returns false if the lease doesn't exist or has been revoked.
     pub fn renew_lease(&mut self, now_ms: u64, id: u64) -> bool {
         let Some(lease) = self.leases.get_mut(&id) else {
             return false;
@@ -217,16 +219,16 @@
         true
     }
 
-    /// Ends a lease now, with the keys attached to it; false if it had expired.
+    /// Revokes a lease and deletes the keys attached to it. Returns false if the lease doesn't exist.
     pub fn revoke_lease(&mut self, id: u64) -> bool {
-        let known = self.leases.remove(&id).is_some();
-        if known {
+        let existed = self.leases.remove(&id).is_some();
+        if existed {
             self.delete_attached_keys(id);
         }
-        known
+        existed
     }
 
-    /// Ends the leases that have expired.
+    /// Revokes the leases that have expired.
     pub fn revoke_expired_leases(&mut self, now_ms: u64) {
         let expired = self
             .leases
@@ -250,7 +252,7 @@
         }
     }
 
-    /// After an outage, all leases have their full time again.
+    /// Renews all leases, as the store does after an outage.
     pub fn renew_all_leases(&mut self, now_ms: u64) {
         for lease in self.leases.values_mut() {
             lease.expires_at_ms = now_ms + lease.ttl_ms;
--- a/fakes/src/user.rs
+++ b/fakes/src/user.rs
@@ -1,16 +1,16 @@
-//! How users read the answers that they get, and when they ask again.
+//! How users parse responses, and when they repeat requests.
 
 use crate::checker::JobAnswer;
 use salttrestle::wire;
 use serde::Deserialize;
 
-/// Between two questions about a job, in milliseconds.
+/// Interval between two status queries about a job, in milliseconds.
 pub const POLL_INTERVAL_MS: u64 = 5000;
-/// How long the answer to a question is waited for, in milliseconds.
+/// Timeout of a status query, in milliseconds.
 pub const POLL_TIMEOUT_MS: u64 = 2000;
-/// How long the answer to a submission or a cancellation is waited for, in milliseconds.
+/// Timeout of a submission or a cancellation, in milliseconds.
 pub const REQUEST_TIMEOUT_MS: u64 = 5000;
-/// Shortest and longest pause before a request is repeated, in seconds.
+/// Shortest and longest delay before a request is repeated, in seconds.
 const RETRY_MIN_S: u64 = 1;
 const RETRY_MAX_S: u64 = 30;
 
@@ -20,7 +20,8 @@
     status: String,
 }
 
-/// What an answer says about a job, if it says anything.
+/// Parses what a response says about a job. `None` if it says nothing, as for a server error, a
+/// malformed body or an unknown job status.
 pub fn parse_answer(status: u16, body: &[u8]) -> Option<JobAnswer> {
     match status {
         200 | 201 => parse_status(&wire::decode::<StatusBody>(body)?.status),
@@ -40,8 +41,9 @@
     }
 }
 
-/// How long to wait before a request is repeated, in milliseconds.
+/// Delay in milliseconds before a request is repeated; `retry_after_s` is the response's
+/// `Retry-After` header in seconds.
 pub fn retry_delay_ms(retry_after_s: Option<u64>) -> u64 {
-    let pause_s = retry_after_s.unwrap_or(0);
-    pause_s.clamp(RETRY_MIN_S, RETRY_MAX_S) * 1000
+    let delay_s = retry_after_s.unwrap_or(0);
+    delay_s.clamp(RETRY_MIN_S, RETRY_MAX_S) * 1000
 }
--- a/fakes/src/worker/messages.rs
+++ b/fakes/src/worker/messages.rs
@@ -1,10 +1,11 @@
-//! What a worker sends and is answered, in the words of the wire.
+//! Bodies of a worker's heartbeats and of the responses to them, with the field names of the wire
+//! format.
 
 use salttrestle::ids::Attempt;
 use salttrestle::wire::{Cause, TaskStatus};
 use serde::{Deserialize, Serialize};
 
-/// A heartbeat.
+/// The body of a heartbeat.
 #[derive(Serialize)]
 pub(super) struct HeartbeatBody<'a> {
     #[serde(rename = "rig")]
@@ -41,7 +42,8 @@
     pub(super) cause: Option<Cause>,
 }
 
-/// The answer of the owner, or of a controller in its place.
+/// The body of the response by the shard's owner, or by a controller that keeps the lease alive in
+/// its place.
 #[derive(Deserialize)]
 pub(super) struct AnswerBody {
     #[serde(rename = "baton")]
@@ -50,7 +52,7 @@
     pub(super) commands: Vec<CommandBody>,
 }
 
-/// A command in an answer.
+/// A command in a response.
 #[derive(Deserialize)]
 pub(super) struct CommandBody {
     #[serde(rename = "cueKind")]
@@ -63,9 +65,9 @@
     pub(super) grace_s: Option<f64>,
 }
 
-/// The answer that names another controller.
+/// The body of a response that redirects the worker to another controller.
 #[derive(Deserialize)]
 pub(super) struct RedirectBody {
     #[serde(rename = "conductor")]
-    pub(super) to: Option<String>,
+    pub(super) controller_id: Option<String>,
 }
--- a/fakes/src/worker/mod.rs
+++ b/fakes/src/worker/mod.rs
@@ -1,5 +1,5 @@
-//! A worker: its heartbeats, lease, agent epoch, token and tasks. It has no clock and no network: the
-//! caller hands in the time and carries heartbeats and answers.
+//! Test double of a worker: its heartbeats, lease, agent epoch, fencing token and tasks. It has no
+//! clock and no network: the caller passes in the time and delivers heartbeats and responses.
 
 mod messages;
 mod task;
@@ -11,13 +11,14 @@
 use salttrestle::wire::{self, Cause};
 use std::collections::BTreeMap;
 
-/// How long the answer to a heartbeat is waited for, in milliseconds.
+/// Timeout of a heartbeat request, in milliseconds.
 pub const ANSWER_TIMEOUT_MS: u64 = 4000;
-/// Pause before the next controller is tried, in milliseconds.
+/// Delay before the heartbeat to the next controller after a failed one, in milliseconds.
 const NEXT_CONTROLLER_DELAY_MS: u64 = 1000;
-/// Shortest time between two heartbeats, and before the first one of a new agent epoch, in milliseconds.
+/// Shortest time between two heartbeats, and before the first one of a new agent epoch, in
+/// milliseconds.
 const HEARTBEAT_GAP_MIN_MS: u64 = 500;
-/// A task of a service runs until it is stopped.
+/// Run time of a service's task, in milliseconds: it never ends before it is stopped.
 const SERVICE_RUN_MS: u64 = u64::MAX / 2;
 
 /// One worker. Times are in milliseconds.
@@ -29,58 +30,59 @@
     pub zone: String,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// The highest token that it has seen.
+    /// The highest fencing token that the worker has received.
     pub token: u64,
-    /// Rises whenever its lease expires.
+    /// Incremented whenever the worker's lease expires.
     pub agent_epoch: u64,
-    /// Rises with every heartbeat.
+    /// Incremented with each heartbeat.
     pub sequence: u64,
-    /// When the last answered heartbeat was sent.
+    /// When the latest heartbeat that a controller answered was sent; the lease runs from then.
     pub lease_renewed_at: u64,
-    /// Its tasks, including those that have exited, until they are cleared.
+    /// The worker's tasks; those that have ended stay until a command clears them.
     pub tasks: BTreeMap<TaskId, WorkerTask>,
-    /// The controller that it sends heartbeats to.
+    /// Index of the controller to which the worker sends its heartbeats.
     pub controller_index: usize,
-    /// The request in flight, and when it was sent.
+    /// The number of the request in flight, and when it was sent.
     pub request_in_flight: Option<(u64, u64)>,
-    /// When it sent its last heartbeat.
+    /// When the worker sent its last heartbeat.
     pub last_heartbeat_at: u64,
-    /// When it sends its next heartbeat, if nothing changes.
+    /// When the worker sends its next heartbeat if nothing changes before.
     pub next_heartbeat_at: u64,
-    /// Whether something has changed since the last heartbeat.
+    /// Whether the worker's status has changed since its last heartbeat.
     pub status_changed: bool,
-    /// The images that it has.
+    /// Names of the images that the worker has fetched.
     pub cached_images: Vec<String>,
-    /// It is paused until then.
+    /// The worker is paused until this time.
     pub paused_until: u64,
-    /// It is partitioned from all controllers, in both directions, until then.
+    /// The worker is partitioned from all controllers, in both directions, until this time.
     pub partitioned_until: u64,
-    /// It is unreachable for answers until then; its heartbeats arrive.
+    /// Responses to the worker are lost until this time; its heartbeats still arrive.
     pub answers_lost_until: u64,
-    /// It can reach no controller until then: its heartbeats are lost.
+    /// The worker's heartbeats to all controllers are lost until this time.
     pub heartbeats_lost_until: u64,
-    /// The machine is faulty: every task fails on it.
+    /// Whether the machine is faulty, so that every task fails on it.
     pub is_faulty: bool,
-    /// When the cloud preempts the machine.
+    /// When the cloud preempts the machine, once it has given notice.
     pub preempted_at: Option<u64>,
 }
 
 impl Worker {
-    /// The worker of a machine that has just come up.
-    pub fn new(now: u64, class: &str, zone: &str, spot: bool, controller: usize) -> Self {
+    /// Creates the worker of a machine that has just come up. It sends its first heartbeat to the
+    /// controller with index `controller_index`.
+    pub fn new(now: u64, class: &str, zone: &str, spot: bool, controller_index: usize) -> Self {
         Self {
             class: class.into(),
             zone: zone.into(),
             spot,
             agent_epoch: 1,
             lease_renewed_at: now,
-            controller_index: controller,
+            controller_index,
             next_heartbeat_at: now,
             ..Self::default()
         }
     }
 
-    /// Pauses until then; what its tasks still have to run isn't run meanwhile.
+    /// Pauses the worker until a time; its tasks make no progress until then.
     pub fn pause(&mut self, now: u64, until: u64) {
         self.paused_until = until;
         for task in self.tasks.values_mut() {
@@ -88,7 +90,8 @@
         }
     }
 
-    /// Kills and forgets all tasks if the lease has expired; these were the tasks.
+    /// If the worker's lease of `lease_ms` has expired, kills all tasks, begins a new agent epoch and
+    /// returns the killed tasks.
     pub fn check_lease(&mut self, now: u64, lease_ms: u64) -> Vec<TaskId> {
         if now <= self.lease_renewed_at + lease_ms {
             return Vec::new();
@@ -101,13 +104,13 @@
         std::mem::take(&mut self.tasks).into_keys().collect()
     }
 
-    /// Lets each task come as far as it has by now.
+    /// Changes the state of each task that is due by `now`.
     pub fn run_tasks(&mut self, now: u64, specs: &impl TaskSpecs) -> Vec<TaskEvent> {
         let due = self
             .tasks
             .iter()
-            .filter(|(_, on_worker)| on_worker.is_state_over(now));
-        let due = due.map(|(task, on_worker)| (task.clone(), on_worker.state));
+            .filter(|(_, worker_task)| worker_task.is_state_over(now));
+        let due = due.map(|(task, worker_task)| (task.clone(), worker_task.state));
         let due: Vec<(TaskId, TaskState)> = due.collect();
         let mut events = Vec::new();
         for (task, state) in due {
@@ -143,49 +146,49 @@
         } else {
             spec.run_ms
         };
-        if let Some(on_worker) = self.tasks.get_mut(&task) {
-            on_worker.state = TaskState::Running;
-            on_worker.state_ends_at = now + run_ms;
+        if let Some(worker_task) = self.tasks.get_mut(&task) {
+            worker_task.state = TaskState::Running;
+            worker_task.state_ends_at = now + run_ms;
         }
         events.push(TaskEvent::Started(task));
     }
 
     fn end_task(&mut self, task: TaskId, cause: Cause, events: &mut Vec<TaskEvent>) {
         self.status_changed = true;
-        if let Some(on_worker) = self.tasks.get_mut(&task) {
-            on_worker.state = TaskState::Ended(cause);
+        if let Some(worker_task) = self.tasks.get_mut(&task) {
+            worker_task.state = TaskState::Ended(cause);
         }
         events.push(TaskEvent::Ended(task, cause));
     }
 
-    /// Gives up on a heartbeat without an answer, and says whether the next one is due.
-    pub fn check_heartbeat_due(&mut self, now: u64, controllers: usize) -> bool {
-        if let Some((_, sent)) = self.request_in_flight {
-            if now < sent + ANSWER_TIMEOUT_MS {
+    /// Gives up a heartbeat that has timed out, and returns whether the next one is due.
+    pub fn check_heartbeat_due(&mut self, now: u64, controller_count: usize) -> bool {
+        if let Some((_, sent_at)) = self.request_in_flight {
+            if now < sent_at + ANSWER_TIMEOUT_MS {
                 return false;
             }
             self.request_in_flight = None;
-            self.try_next_controller(now, controllers);
+            self.try_next_controller(now, controller_count);
         }
-        let rested = now >= self.last_heartbeat_at + HEARTBEAT_GAP_MIN_MS;
-        rested && (self.status_changed || now >= self.next_heartbeat_at)
+        let gap_over = now >= self.last_heartbeat_at + HEARTBEAT_GAP_MIN_MS;
+        gap_over && (self.status_changed || now >= self.next_heartbeat_at)
     }
 
-    /// Begins a heartbeat; the next one is due after `interval` if nothing changes.
-    pub fn begin_heartbeat(&mut self, now: u64, interval: u64) {
-        self.next_heartbeat_at = now + interval;
+    /// Begins a heartbeat; the next one is due after `interval_ms` if nothing changes.
+    pub fn begin_heartbeat(&mut self, now: u64, interval_ms: u64) {
+        self.next_heartbeat_at = now + interval_ms;
         self.last_heartbeat_at = now;
         self.status_changed = false;
         self.sequence += 1;
     }
 
-    /// The heartbeat as it goes onto the wire.
+    /// The encoded body of the heartbeat.
     pub fn heartbeat_body(&self, machine: &str, endpoint: &str, now: u64) -> Vec<u8> {
-        let tasks = self.tasks.iter().map(|(task, on_worker)| {
-            let (state, cause) = on_worker.status();
+        let tasks = self.tasks.iter().map(|(task, worker_task)| {
+            let (state, cause) = worker_task.status();
             HeartbeatTask {
                 task: task.to_string(),
-                attempt: on_worker.attempt,
+                attempt: worker_task.attempt,
                 state,
                 cause,
             }
@@ -206,40 +209,44 @@
         })
     }
 
-    fn try_next_controller(&mut self, now: u64, controllers: usize) {
-        self.controller_index = (self.controller_index + 1) % controllers;
+    fn try_next_controller(&mut self, now: u64, controller_count: usize) {
+        self.controller_index = (self.controller_index + 1) % controller_count;
         self.next_heartbeat_at = now + NEXT_CONTROLLER_DELAY_MS;
     }
 
-    /// The heartbeat in flight got no answer: the connection failed.
-    pub fn on_connection_failed(&mut self, now: u64, controllers: usize) {
+    /// Drops the heartbeat in flight after its connection failed, and goes on to the next controller.
+    pub fn on_connection_failed(&mut self, now: u64, controller_count: usize) {
         self.request_in_flight = None;
-        self.try_next_controller(now, controllers);
+        self.try_next_controller(now, controller_count);
     }
 
-    /// The answer to the heartbeat that was sent at `sent` has come. `Err` says what no worker would
-    /// understand of it.
+    /// Handles the response to the heartbeat that was sent at `sent_at`.
+    ///
+    /// # Errors
+    ///
+    /// Returns a description of the part of the response that doesn't follow the protocol.
     pub fn on_answer(
         &mut self,
         now: u64,
-        sent: u64,
+        sent_at: u64,
         (status, body): (u16, &[u8]),
         controller_ids: &[String],
         specs: &impl TaskSpecs,
     ) -> Result<Vec<TaskEvent>, String> {
         self.request_in_flight = None;
         match status {
-            200 => return self.execute_commands(now, sent, body, specs),
+            200 => return self.execute_commands(now, sent_at, body, specs),
             421 => self.follow_redirect(now, body, controller_ids),
             _ => self.try_next_controller(now, controller_ids.len()),
         }
         Ok(Vec::new())
     }
 
-    /// Goes on to the controller that an answer names, or to the next one if that makes no sense.
+    /// Switches to the controller that a redirect names, or to the next one if the redirect names
+    /// none, an unknown one, or the one that sent it.
     fn follow_redirect(&mut self, now: u64, body: &[u8], controller_ids: &[String]) {
         let redirect: Option<RedirectBody> = wire::decode(body);
-        let named = redirect.and_then(|redirect| redirect.to);
+        let named = redirect.and_then(|redirect| redirect.controller_id);
         let named = named.and_then(|name| controller_ids.iter().position(|id| *id == name));
         match named.filter(|controller| *controller != self.controller_index) {
             Some(controller) => {
@@ -251,16 +258,17 @@
         }
     }
 
-    /// Carries out the commands of an answer, unless they are under an outdated token.
+    /// Renews the lease and executes the commands of a response, unless its token is missing or lower
+    /// than one that the worker has received before.
     fn execute_commands(
         &mut self,
         now: u64,
-        sent: u64,
+        sent_at: u64,
         body: &[u8],
         specs: &impl TaskSpecs,
     ) -> Result<Vec<TaskEvent>, String> {
         let Some(answer) = wire::decode::<AnswerBody>(body) else {
-            return Err("an answer can't be read".into());
+            return Err("heartbeat response is malformed".into());
         };
         let mut events = Vec::new();
         let token = answer.token.unwrap_or(0);
@@ -271,9 +279,9 @@
             self.token = token;
             self.status_changed = true;
         }
-        self.lease_renewed_at = self.lease_renewed_at.max(sent);
+        self.lease_renewed_at = self.lease_renewed_at.max(sent_at);
         for command in answer.commands {
-            let task = TaskId::parse(&command.task).ok_or("a task's name can't be read")?;
+            let task = TaskId::parse(&command.task).ok_or("command has a malformed task id")?;
             let attempt = Attempt(command.attempt);
             match command.kind.as_str() {
                 "start" => self.start_task(now, task, attempt, specs, &mut events),
@@ -282,15 +290,15 @@
                     self.stop_task(now, task, attempt, grace_ms, specs, &mut events);
                 }
                 "clear" => self.clear_task(&task, attempt),
-                other => return Err(format!("strange command {other}")),
+                other => return Err(format!("unknown command kind {other}")),
             }
         }
         Ok(events)
     }
 
     fn clear_task(&mut self, task: &TaskId, attempt: Attempt) {
-        let on_worker = self.tasks.get(task);
-        if on_worker.is_some_and(|found| found.attempt == attempt && found.has_ended()) {
+        let worker_task = self.tasks.get(task);
+        if worker_task.is_some_and(|found| found.attempt == attempt && found.has_ended()) {
             self.tasks.remove(task);
         }
     }
@@ -306,13 +314,13 @@
         let Some(spec) = specs.spec(&task) else {
             return;
         };
-        let busy = match self.tasks.get(&task) {
+        let has_other_attempt = match self.tasks.get(&task) {
             Some(found) if found.attempt == attempt => return,
             Some(found) => !found.has_ended(),
             None => false,
         };
         self.status_changed = true;
-        if busy {
+        if has_other_attempt {
             return;
         }
         let fetch_ms = match self.cached_images.contains(&spec.image) {
@@ -347,14 +355,14 @@
         let Some(found) = found.filter(|found| found.attempt == attempt) else {
             return;
         };
-        let saves = save_ms > 0 && grace_ms >= save_ms;
+        let can_save = save_ms > 0 && grace_ms >= save_ms;
         match found.state {
-            TaskState::Running if saves => {
+            TaskState::Running if can_save => {
                 found.state = TaskState::Saving;
                 found.state_ends_at = now + save_ms;
                 self.status_changed = true;
             }
-            TaskState::Saving if saves => {}
+            TaskState::Saving if can_save => {}
             TaskState::Ended(_) => {}
             _ => self.end_task(task, Cause::Stopped, events),
         }
--- a/fakes/src/worker/task.rs
+++ b/fakes/src/worker/task.rs
@@ -3,50 +3,51 @@
 use salttrestle::ids::{Attempt, TaskId};
 use salttrestle::wire::{Cause, TaskStatus};
 
-/// What a worker learns of a job from its user.
+/// How the tasks of a job behave on a worker.
 #[derive(Clone, Debug)]
 pub struct TaskSpec {
-    /// The image that its tasks run.
+    /// The image that the tasks run.
     pub image: String,
     /// How long a task runs, in milliseconds.
     pub run_ms: u64,
-    /// How long the image is fetched, in milliseconds.
+    /// How long fetching the image takes, in milliseconds.
     pub fetch_ms: u64,
-    /// How long a task that is stopped saves its progress, in milliseconds; 0: it never does.
+    /// How long a stopped task takes to save its progress, in milliseconds; 0 if it never saves.
     pub save_ms: u64,
-    /// Its tasks run until they are stopped.
+    /// Whether the tasks run until they are stopped, regardless of `run_ms`.
     pub is_service: bool,
-    /// It crash-loops: each of its tasks fails, wherever it runs.
+    /// Whether every task fails once it has its image, on any machine.
     pub crash_loops: bool,
 }
 
-/// Where workers look up the jobs whose tasks they are to start.
+/// Gives workers the specifications of the tasks that they are told to start.
 pub trait TaskSpecs {
-    /// What is known of the job that a task belongs to.
+    /// The specification for a task's job; `None` if the job is unknown.
     fn spec(&self, task: &TaskId) -> Option<&TaskSpec>;
 }
 
-/// How far a task has come on a worker.
+/// The state of a task on a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskState {
-    /// Waits for its image.
+    /// The task waits for its image.
     Fetching,
-    /// Runs.
+    /// The task runs.
     Running,
-    /// Was stopped, and saves its progress.
+    /// The task was stopped and saves its progress.
     Saving,
-    /// Has exited.
+    /// The task has ended for this cause.
     Ended(Cause),
 }
 
 /// A task on a worker.
 #[derive(Clone, Debug)]
 pub struct WorkerTask {
-    /// Its attempt.
+    /// The attempt under which the task was started.
     pub attempt: Attempt,
-    /// How far it has come.
+    /// The task's state.
     pub state: TaskState,
-    /// When that passes by itself.
+    /// When the task leaves this state without a command, in milliseconds; has no meaning once the
+    /// task has ended.
     pub state_ends_at: u64,
 }
 
@@ -55,12 +56,12 @@
         matches!(self.state, TaskState::Ended(_))
     }
 
-    /// Whether its state passes by itself by now.
+    /// Whether the task's state is due to change by `now` without a command.
     pub(super) fn is_state_over(&self, now: u64) -> bool {
         self.state_ends_at <= now && !self.has_ended()
     }
 
-    /// Its status in a heartbeat and, once it has ended, the cause.
+    /// The task's status in a heartbeat and, once the task has ended, the cause.
     pub(super) fn status(&self) -> (TaskStatus, Option<Cause>) {
         match self.state {
             TaskState::Fetching => (TaskStatus::Fetching, None),
@@ -71,13 +72,13 @@
     }
 }
 
-/// What happened to a task, in the order in which it happened.
+/// A change of a task on a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TaskEvent {
-    /// A start was carried out: it waits for its image, or has it.
+    /// The worker has accepted a start command; the task fetches its image unless it is cached.
     Accepted(TaskId, Attempt),
-    /// It has its image and is on the machine from now on.
+    /// The task has its image and runs on the machine from now on.
     Started(TaskId),
-    /// It is no longer on the machine.
+    /// The task no longer runs on the machine.
     Ended(TaskId, Cause),
 }
--- a/fakes/tests/commands.rs
+++ b/fakes/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The judge of orders sees each kind of violation, and none in a history without one.
+//! The checker of commands reports each kind of violation, and none in a valid history.
 
 use salttrestle::controller::store::records::PlacementRecord;
 use salttrestle::ids::{Attempt, FencingToken, JobId, MachineId, TaskId};
@@ -15,81 +15,83 @@
     Attempt::new(FencingToken(token), count)
 }
 
-/// An owner under 4, then one under 6, each with a placement of the task on the machine.
-fn history() -> CommandChecker {
-    let mut orders = CommandChecker::default();
+/// An owner with token 4, then one with token 6, each with a placement of the task on the machine.
+fn valid_history() -> CommandChecker {
+    let mut checker = CommandChecker::default();
     for token in [4, 6] {
-        orders.record_owner_token(token);
+        checker.record_owner_token(token);
         let placed = (3, attempt(token, 1), MachineId::from(MACHINE), "a".into());
         let run = PlacementRecord {
             placed: vec![placed],
             ..PlacementRecord::default()
         };
-        orders.record_placements(&JobId::from("j-1"), &run);
+        checker.record_placements(&JobId::from("j-1"), &run);
     }
-    orders
+    checker
 }
 
 #[test]
 fn history_without_violations_is_accepted() {
-    let mut orders = history();
-    orders.record_start(10, MACHINE, 4, &task(), attempt(4, 1));
-    orders.record_start(20, MACHINE, 6, &task(), attempt(6, 1));
-    assert_eq!(orders.violations, Vec::<String>::new());
-    assert_eq!(orders.restarts.len(), 1);
+    let mut checker = valid_history();
+    checker.record_start(10, MACHINE, 4, &task(), attempt(4, 1));
+    checker.record_start(20, MACHINE, 6, &task(), attempt(6, 1));
+    assert_eq!(checker.violations, Vec::<String>::new());
+    assert_eq!(checker.restarts.len(), 1);
     for (token, controller_id) in [(3, "n0"), (5, "n1"), (7, "n0")] {
-        orders
+        checker
             .cloud_calls
             .record_leader(Some((token, controller_id)));
-        orders.cloud_calls.record_cloud_change(token, controller_id);
+        checker
+            .cloud_calls
+            .record_cloud_change(token, controller_id);
     }
-    assert_eq!(orders.cloud_calls.violations, Vec::<String>::new());
+    assert_eq!(checker.cloud_calls.violations, Vec::<String>::new());
 }
 
 #[test]
 fn starts_that_break_a_rule_are_violations() {
     type Violation = fn(&mut CommandChecker);
     let rows: [(&str, Violation); 5] = [
-        ("never held", |orders| {
-            orders.record_start(1, MACHINE, 5, &task(), attempt(5, 1));
+        ("which never owned a shard", |checker| {
+            checker.record_start(1, MACHINE, 5, &task(), attempt(5, 1));
         }),
-        ("that knows 6", |orders| {
-            orders.record_start(1, MACHINE, 6, &task(), attempt(4, 1));
+        ("that knows token 6", |checker| {
+            checker.record_start(1, MACHINE, 6, &task(), attempt(4, 1));
         }),
-        ("committed for None", |orders| {
-            orders.record_start(1, MACHINE, 4, &task(), attempt(4, 2));
+        ("committed for None", |checker| {
+            checker.record_start(1, MACHINE, 4, &task(), attempt(4, 2));
         }),
-        ("committed for Some", |orders| {
-            orders.record_start(1, "i-2", 4, &task(), attempt(4, 1));
+        ("committed for Some", |checker| {
+            checker.record_start(1, "i-2", 4, &task(), attempt(4, 1));
         }),
-        ("an earlier attempt", |orders| {
-            orders.record_start(1, MACHINE, 6, &task(), attempt(6, 1));
-            orders.record_start(2, MACHINE, 4, &task(), attempt(4, 1));
+        ("an earlier attempt", |checker| {
+            checker.record_start(1, MACHINE, 6, &task(), attempt(6, 1));
+            checker.record_start(2, MACHINE, 4, &task(), attempt(4, 1));
         }),
     ];
     for (what, violate) in rows {
-        let mut orders = history();
-        violate(&mut orders);
-        let seen = orders.violations.iter().any(|broken| broken.contains(what));
-        assert!(seen, "{what}: {:?}", orders.violations);
+        let mut checker = valid_history();
+        violate(&mut checker);
+        let is_reported = checker.violations.iter().any(|found| found.contains(what));
+        assert!(is_reported, "{what}: {:?}", checker.violations);
     }
 }
 
 #[test]
 fn cloud_calls_of_leaders_out_of_order_are_violations() {
-    let mut orders = history();
-    let duties = &mut orders.cloud_calls;
-    duties.record_leader(Some((3, "n0")));
-    duties.record_leader(Some((5, "n1")));
-    duties.record_cloud_change(1, "n2");
-    assert!(duties.violations[0].contains("n2 never led"));
-    duties.record_cloud_change(2, "n0");
+    let mut checker = valid_history();
+    let cloud_calls = &mut checker.cloud_calls;
+    cloud_calls.record_leader(Some((3, "n0")));
+    cloud_calls.record_leader(Some((5, "n1")));
+    cloud_calls.record_cloud_change(1, "n2");
+    assert!(cloud_calls.violations[0].contains("n2 was never the leader"));
+    cloud_calls.record_cloud_change(2, "n0");
     assert_eq!(
-        duties.violations.len(),
+        cloud_calls.violations.len(),
         1,
-        "the former leader may, until the new one does"
+        "the former leader may call the cloud until its successor does"
     );
-    duties.record_cloud_change(3, "n1");
-    duties.record_cloud_change(4, "n0");
-    assert!(duties.violations[1].contains("n0 calls the cloud under 3"));
+    cloud_calls.record_cloud_change(3, "n1");
+    cloud_calls.record_cloud_change(4, "n0");
+    assert!(cloud_calls.violations[1].contains("n0 under token 3"));
 }
