--- a/benches/controller.rs
+++ b/benches/controller.rs
@@ -1,8 +1,8 @@
-//! What single events cost a controller's core, at three sizes of a fleet: time by criterion, and
-//! allocations, which are printed first.
+//! Measures what single events cost the controller's core, for three fleet sizes: the time by
+//! criterion, and the number of allocations, which is printed first.
 //!
-//! `cargo bench` plays all of it in some minutes. The controller is driven as the loop around it does,
-//! without sockets, so that the kernel's part is left out.
+//! `cargo bench` runs all of them in a few minutes. The controller gets its inputs as from its event
+//! loop but without sockets, so that time in the kernel isn't measured.
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use salttrestle::controller::Controller;
@@ -22,40 +22,41 @@
 use std::hint::black_box;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Sizes of the fleet, in machines.
-const FLEETS: [usize; 3] = [211, 320, 4000];
-const TASKS_A_MACHINE: usize = 4;
-const REPORT_MS: u64 = 800;
-const BOOT: u64 = 7;
-const NUMBER: FencingToken = FencingToken(4);
+/// The fleet sizes, in machines.
+const FLEET_MACHINES: [usize; 3] = [211, 320, 4000];
+const TASKS_PER_MACHINE: usize = 4;
+const HEARTBEAT_INTERVAL_MS: u64 = 800;
+const INCARNATION: u64 = 7;
+/// The fencing token of the shard's owner.
+const OWNER_TOKEN: FencingToken = FencingToken(4);
 const REVISION: u64 = 10;
-const HOLDER: &str = "n1";
+const OWNER: &str = "n1";
 
-/// Counts allocations.
-struct Counting;
+/// The system's allocator, with a count of the allocations.
+struct CountingAllocator;
 
 static ALLOCATIONS: AtomicU64 = AtomicU64::new(0);
 
-// SAFETY: everything is left to the system's allocator.
+// SAFETY: all calls are passed to the system's allocator unchanged.
 #[expect(
     unsafe_code,
-    reason = "an allocator that counts is unsafe by its trait"
+    reason = "counting allocations takes an implementation of the unsafe trait GlobalAlloc"
 )]
-unsafe impl GlobalAlloc for Counting {
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         ALLOCATIONS.fetch_add(1, Ordering::Relaxed);
-        // SAFETY: the caller keeps to the contract of `alloc`.
+        // SAFETY: the caller upholds the contract of `alloc`.
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, at: *mut u8, layout: Layout) {
-        // SAFETY: the caller keeps to the contract of `dealloc`.
+        // SAFETY: the caller upholds the contract of `dealloc`.
         unsafe { System.dealloc(at, layout) }
     }
 }
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 fn settings(controller_id: &str) -> Settings {
     let peers: Vec<_> = (0..5)
@@ -74,22 +75,22 @@
             "cloud": {"rps": 3, "list_lag_s": 3},
             "resources": {"cpu": 0.024, "mem_mb": 37, "max_sockets": 8000}}});
     Settings {
-        platform: Platform::parse(&platform.to_string(), "bench").expect("good settings"),
-        tuning: Tuning::parse(None).expect("good tuning"),
+        platform: Platform::parse(&platform.to_string(), "bench").expect("valid settings"),
+        tuning: Tuning::parse(None).expect("valid defaults"),
         cells: None,
     }
 }
 
-fn machine(n: usize) -> String {
+fn machine_id(n: usize) -> String {
     format!("i-{n:06}")
 }
 
-fn job(n: usize) -> JobId {
+fn job_id(n: usize) -> JobId {
     JobId::parse(&format!("wk-{n:06}")).expect("a job id")
 }
 
 fn attempt(n: usize, index: usize) -> Attempt {
-    Attempt::new(NUMBER, (n * TASKS_A_MACHINE + index) as u64)
+    Attempt::new(OWNER_TOKEN, (n * TASKS_PER_MACHINE + index) as u64)
 }
 
 fn job_record() -> JobRecord {
@@ -98,7 +99,7 @@
         team: "t".into(),
         kind: JobKind::Service,
         priority_class: PriorityClass::Urgent,
-        count: TASKS_A_MACHINE as u32,
+        count: TASKS_PER_MACHINE as u32,
         resources: Resources {
             cpus: 8.0,
             gpus: 1.0,
@@ -122,70 +123,75 @@
     }
 }
 
-/// An owner's records: each machine runs one job's tasks.
+/// The records of a shard and its owner: each machine runs all tasks of one job.
 fn records(machines: usize) -> Vec<Change> {
     let leader = LeaderRecord {
-        controller_id: HOLDER.into(),
-        incarnation: BOOT,
+        controller_id: OWNER.into(),
+        incarnation: INCARNATION,
         token: FencingToken(3),
         lease_id: 1,
         fenced_ms: None,
     };
     let shard = ShardRecord {
-        owner: HOLDER.into(),
-        incarnation: BOOT,
-        token: NUMBER,
+        owner: OWNER.into(),
+        incarnation: INCARNATION,
+        token: OWNER_TOKEN,
         machines: None,
         quota_shares: None,
     };
-    let mut all = vec![
+    let mut records = vec![
         (Key::Leader, 8, Some(Record::Leader(leader))),
         (Key::Shard(0), 8, Some(Record::Shard(shard))),
     ];
     for n in 0..machines {
-        let on = MachineId::from(machine(n).as_str());
-        let placed = 0..TASKS_A_MACHINE;
-        let placed = placed.map(|i| (i as u32, attempt(n, i), on.clone(), "a".to_string()));
-        let run = PlacementRecord {
+        let machine = MachineId::from(machine_id(n).as_str());
+        let placed = 0..TASKS_PER_MACHINE;
+        let placed = placed.map(|i| (i as u32, attempt(n, i), machine.clone(), "a".to_string()));
+        let placements = PlacementRecord {
             placed: placed.collect(),
             ..PlacementRecord::default()
         };
-        let record = Record::Job(Box::new(job_record()));
-        all.push((Key::Job(job(n)), 9, Some(record)));
-        all.push((Key::Placements(job(n), 0), 9, Some(Record::Placements(run))));
+        let job = Record::Job(Box::new(job_record()));
+        records.push((Key::Job(job_id(n)), 9, Some(job)));
+        records.push((
+            Key::Placements(job_id(n), 0),
+            9,
+            Some(Record::Placements(placements)),
+        ));
     }
-    all
+    records
 }
 
-fn report(n: usize, sequence: u64) -> WorkerHeartbeat {
-    let tasks = (0..TASKS_A_MACHINE).map(|index| HeartbeatTask {
-        task: format!("{}/{index}", job(n)),
+/// A heartbeat of the worker on machine `n`: all its tasks run.
+fn heartbeat(n: usize, sequence: u64) -> WorkerHeartbeat {
+    let tasks = (0..TASKS_PER_MACHINE).map(|index| HeartbeatTask {
+        task: format!("{}/{index}", job_id(n)),
         attempt: attempt(n, index),
         status: TaskStatus::Running,
         cause: None,
     });
     WorkerHeartbeat {
-        machine: machine(n),
+        machine: machine_id(n),
         endpoint: "10.1.0.1:9000".into(),
         class: "g8".into(),
         zone: "a".into(),
         spot: false,
         agent_epoch: 1,
         sequence,
-        token: NUMBER.0,
+        token: OWNER_TOKEN.0,
         notice_s: None,
         tasks: tasks.collect(),
     }
 }
 
-/// The same heartbeat as a worker sends it.
-fn report_body(n: usize) -> Vec<u8> {
-    let tasks = (0..TASKS_A_MACHINE).map(|index| {
-        serde_json::json!({"verse": format!("{}/{index}", job(n)), "take": attempt(n, index).0,
+/// The encoded body of the first heartbeat of the worker on machine `n`.
+fn heartbeat_body(n: usize) -> Vec<u8> {
+    let tasks = (0..TASKS_PER_MACHINE).map(|index| {
+        serde_json::json!({"verse": format!("{}/{index}", job_id(n)), "take": attempt(n, index).0,
             "stance": "running"})
     });
-    let body = serde_json::json!({"rig": machine(n), "endpoint": "10.1.0.1:9000", "build": "g8",
-        "quarter": "a", "borrowed": false, "shift": 1, "tally": 1, "baton": NUMBER.0,
+    let body = serde_json::json!({"rig": machine_id(n), "endpoint": "10.1.0.1:9000", "build": "g8",
+        "quarter": "a", "borrowed": false, "shift": 1, "tally": 1, "baton": OWNER_TOKEN.0,
         "warningS": null, "verses": tasks.collect::<Vec<_>>()});
     wire::encode(&body)
 }
@@ -207,40 +213,44 @@
     }]
 }
 
-/// A controller whose store answers at once and has no news of its own.
-struct Driven {
+/// A controller with a store that responds at once and whose records never change.
+struct BenchController {
     controller: Controller,
-    now: u64,
-    requests: u64,
+    now_ms: u64,
+    request_count: u64,
     machines: usize,
 }
 
-impl Driven {
+impl BenchController {
+    /// Creates a controller that has read the store and received two heartbeats of each worker.
     fn new(controller_id: &str, machines: usize) -> Self {
-        let mut driven = Self {
-            controller: Controller::new(settings(controller_id), BOOT),
-            now: 1000,
-            requests: 0,
+        let mut controller = Self {
+            controller: Controller::new(settings(controller_id), INCARNATION),
+            now_ms: 1000,
+            request_count: 0,
             machines,
         };
-        driven.feed(Input::Tick);
-        driven.report_round();
-        driven.report_round();
-        driven
+        controller.handle(Input::Tick);
+        controller.receive_heartbeat_of_each_worker();
+        controller.receive_heartbeat_of_each_worker();
+        controller
     }
 
-    fn feed(&mut self, input: Input) {
+    /// Passes an input to the controller, and then the responses to the requests that it sends.
+    fn handle(&mut self, input: Input) {
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
-            for output in self.controller.step(Time(self.now), input) {
-                inputs.extend(self.reply(output));
+            for output in self.controller.step(Time(self.now_ms), input) {
+                inputs.extend(self.response(output));
             }
         }
     }
 
-    fn reply(&self, output: Output) -> Option<Input> {
+    fn response(&self, output: Output) -> Option<Input> {
         match output {
-            Output::Store(call, op) => Some(Input::Store(call, self.state_reply(&op)?)),
+            Output::Store(call, request) => {
+                Some(Input::Store(call, self.store_response(&request)?))
+            }
             Output::Cloud(call, CloudRequest::Catalog) => {
                 Some(Input::Cloud(call, CloudResponse::Catalog(catalog())))
             }
@@ -248,8 +258,8 @@
         }
     }
 
-    fn state_reply(&self, op: &StoreRequest) -> Option<StoreResponse> {
-        match op {
+    fn store_response(&self, request: &StoreRequest) -> Option<StoreResponse> {
+        match request {
             StoreRequest::List { .. } => Some(StoreResponse::Page {
                 entries: records(self.machines),
                 last: None,
@@ -262,90 +272,100 @@
         }
     }
 
-    /// The next machine in turn sends a heartbeat that tells nothing new.
-    fn quiet_report(&mut self) {
-        self.requests += 1;
-        let n = self.requests as usize % self.machines;
-        self.now = 1000 + self.requests * REPORT_MS / self.machines as u64;
-        let request = Request::Heartbeat(report(n, self.requests));
-        self.feed(Input::Request(RequestId(self.requests), request));
+    /// Passes the controller a heartbeat without changes from the next worker in turn.
+    fn receive_unchanged_heartbeat(&mut self) {
+        self.request_count += 1;
+        let n = self.request_count as usize % self.machines;
+        self.now_ms = 1000 + self.request_count * HEARTBEAT_INTERVAL_MS / self.machines as u64;
+        let request = Request::Heartbeat(heartbeat(n, self.request_count));
+        self.handle(Input::Request(RequestId(self.request_count), request));
     }
 
-    fn report_round(&mut self) {
+    fn receive_heartbeat_of_each_worker(&mut self) {
         for _ in 0..self.machines {
-            self.quiet_report();
+            self.receive_unchanged_heartbeat();
         }
     }
 }
 
-/// Prints how many allocations one call makes, on average.
-fn allocations(name: &str, mut call: impl FnMut()) {
+/// Prints the average number of allocations per call.
+fn print_allocations(name: &str, mut call: impl FnMut()) {
     const CALLS: u64 = 1000;
     let before = ALLOCATIONS.load(Ordering::Relaxed);
     for _ in 0..CALLS {
         call();
     }
-    let made = ALLOCATIONS.load(Ordering::Relaxed) - before;
-    println!("{name}: {:.1} allocations", made as f64 / CALLS as f64);
+    let allocations = ALLOCATIONS.load(Ordering::Relaxed) - before;
+    println!(
+        "{name}: {:.1} allocations",
+        allocations as f64 / CALLS as f64
+    );
 }
 
-fn bench(c: &mut Criterion, name: &str, mut call: impl FnMut()) {
-    allocations(name, &mut call);
-    c.bench_function(name, |b| b.iter(&mut call));
+fn bench(criterion: &mut Criterion, name: &str, mut call: impl FnMut()) {
+    print_allocations(name, &mut call);
+    criterion.bench_function(name, |bencher| bencher.iter(&mut call));
 }
 
-fn encodings(c: &mut Criterion) {
-    let body = report_body(1);
-    bench(c, "decode a worker's report", || {
+fn bench_encodings(criterion: &mut Criterion) {
+    let body = heartbeat_body(1);
+    bench(criterion, "decode a worker's heartbeat", || {
         black_box(wire::decode::<WorkerHeartbeat>(&body));
     });
-    let report = report(1, 1);
-    let relayed = || {
-        let relayed = ForwardedHeartbeat::new(&HOLDER.into(), BOOT, RequestId(1), &report);
-        peer::frame(&Message::ForwardedHeartbeat(Box::new(relayed))).expect("short enough")
+    let heartbeat = heartbeat(1, 1);
+    let forwarded_frame = || {
+        let forwarded =
+            ForwardedHeartbeat::new(&OWNER.into(), INCARNATION, RequestId(1), &heartbeat);
+        peer::frame(&Message::ForwardedHeartbeat(Box::new(forwarded)))
+            .expect("a message within the size limit")
     };
-    bench(c, "frame a report for the holder", || {
-        black_box(relayed());
+    bench(criterion, "frame a heartbeat for the owner", || {
+        black_box(forwarded_frame());
     });
-    let frame = relayed();
-    bench(c, "read a report that was handed on", || {
+    let frame = forwarded_frame();
+    bench(criterion, "decode a forwarded heartbeat", || {
         let mut buffer = frame.clone();
         black_box(peer::unframe(&mut buffer)).expect("a frame");
     });
-    bench(c, "encode an answer without commands", || {
-        black_box(wire::commands_body(NUMBER, &[]));
+    bench(criterion, "encode a response without commands", || {
+        black_box(wire::commands_body(OWNER_TOKEN, &[]));
     });
 }
 
-fn events(c: &mut Criterion) {
-    for machines in FLEETS {
-        let mut owner = Driven::new(HOLDER, machines);
+fn bench_events(criterion: &mut Criterion) {
+    for machines in FLEET_MACHINES {
+        let mut owner = BenchController::new(OWNER, machines);
         assert_eq!(
             owner.controller.highest_shard_token(),
-            Some(NUMBER),
-            "it holds the block"
+            Some(OWNER_TOKEN),
+            "the controller owns the shard"
         );
-        bench(c, &format!("make a report, {machines} machines"), || {
-            black_box(report(1, 1));
-        });
-        let name = format!("quiet report at the holder, {machines} machines");
-        bench(c, &name, || owner.quiet_report());
-        let name = format!("step with nothing to do at the holder, {machines} machines");
-        bench(c, &name, || owner.feed(Input::Tick));
+        // The next benchmark builds a heartbeat as its input; this one shows that part of its cost.
+        bench(
+            criterion,
+            &format!("build a heartbeat, {machines} machines"),
+            || {
+                black_box(heartbeat(1, 1));
+            },
+        );
+        let name = format!("unchanged heartbeat at the owner, {machines} machines");
+        bench(criterion, &name, || owner.receive_unchanged_heartbeat());
+        let name = format!("idle step at the owner, {machines} machines");
+        bench(criterion, &name, || owner.handle(Input::Tick));
         let name = format!("start of a controller with these records, {machines} machines");
-        c.bench_function(&name, |b| {
-            b.iter(|| {
-                let mut other = Driven {
-                    controller: Controller::new(settings("n2"), BOOT),
-                    now: 1000,
-                    requests: 0,
+        criterion.bench_function(&name, |bencher| {
+            bencher.iter(|| {
+                let mut starting = BenchController {
+                    controller: Controller::new(settings("n2"), INCARNATION),
+                    now_ms: 1000,
+                    request_count: 0,
                     machines,
                 };
-                other.feed(Input::Tick);
+                starting.handle(Input::Tick);
             });
         });
     }
 }
 
-criterion_group!(benches, encodings, events);
+criterion_group!(benches, bench_encodings, bench_events);
 criterion_main!(benches);
--- a/fakes/src/checker/answers.rs
+++ b/fakes/src/checker/answers.rs
@@ -82,8 +82,11 @@
     pub fn record_answer(&mut self, now: u64, id: &JobId, answer: JobAnswer) -> bool {
         let Some(job) = self.jobs.get_mut(id) else {
             if answer.is_accepted() {
-                let what = format!("{id} was never submitted and is {answer:?}");
-                self.add_violation(now, "invented", what);
+                self.add_violation(
+                    now,
+                    "invented",
+                    format!("{id} was never submitted and is {answer:?}"),
+                );
             }
             return false;
         };
--- a/fakes/src/commands.rs
+++ b/fakes/src/commands.rs
@@ -87,8 +87,10 @@
     fn check_token(&mut self, now: u64, newest_token: u64, task: &TaskId, attempt: Attempt) {
         let token = attempt.token().0;
         if !self.owner_tokens.contains(&token) {
-            let what = format!("{task} under token {token}, which never owned a shard");
-            self.add_violation(now, what);
+            self.add_violation(
+                now,
+                format!("{task} under token {token}, which never owned a shard"),
+            );
         }
         if token != newest_token {
             let what =
--- a/tests/sheltered_tasks.rs
+++ b/tests/keepalive.rs
@@ -1,5 +1,5 @@
-//! What a controller answers a worker of its zone while it keeps the lease alive in the place of an
-//! owner that can't be reached.
+//! Keepalives: the responses by which a controller keeps alive the leases of workers in its own zone
+//! while it can't reach the owner of their shard.
 
 use salttrestle::controller::Controller;
 use salttrestle::controller::events::{Input, Output, Request};
@@ -20,6 +20,7 @@
     "state":{"rps":150,"write_rps":60,"value_kb":8,"txn_ops":16},
     "cloud":{"rps":4,"list_lag_s":8},"resources":{"cpu":1,"mem_mb":56,"max_sockets":64}}}"#;
 
+/// The records of a leader in the other zone that owns the only shard.
 fn records() -> Vec<Change> {
     let leader = LeaderRecord {
         controller_id: "n1".into(),
@@ -41,8 +42,8 @@
     ]
 }
 
-/// What the store answers; `None` for a request that gets no answer.
-fn store_response(request: &StoreRequest, news: &[Change]) -> Option<StoreResponse> {
+/// The store's response; `None` for a request that stays unanswered. A watch returns `changes`.
+fn store_response(request: &StoreRequest, changes: &[Change]) -> Option<StoreResponse> {
     match request {
         StoreRequest::List { .. } => Some(StoreResponse::Page {
             entries: records(),
@@ -51,21 +52,21 @@
             revision: REVISION,
         }),
         StoreRequest::ReadRevision => Some(StoreResponse::Missing { revision: REVISION }),
-        StoreRequest::Watch { after: REVISION } if !news.is_empty() => {
+        StoreRequest::Watch { after: REVISION } if !changes.is_empty() => {
             Some(StoreResponse::Changes {
                 revision: REVISION + 1,
-                news: news.to_vec(),
+                news: changes.to_vec(),
             })
         }
         _ => None,
     }
 }
 
-/// A controller of zone a that has read the owner's record and then these changes.
-fn controller(now: &mut u64, news: &[Change]) -> Controller {
+/// A controller of zone a that has read the owner's records and then `changes`. Advances `now`.
+fn controller(now: &mut u64, changes: &[Change]) -> Controller {
     let settings = Settings {
-        platform: Platform::parse(PLATFORM, "test").expect("good"),
-        tuning: Tuning::parse(None).expect("good"),
+        platform: Platform::parse(PLATFORM, "test").expect("valid settings"),
+        tuning: Tuning::parse(None).expect("valid defaults"),
         cells: None,
     };
     let mut controller = Controller::new(settings, 1);
@@ -78,7 +79,7 @@
         }
         for output in outputs {
             if let Output::Store(call, request) = output
-                && let Some(response) = store_response(&request, news)
+                && let Some(response) = store_response(&request, changes)
             {
                 responses.push((call, response));
             }
@@ -87,7 +88,7 @@
     controller
 }
 
-/// A heartbeat of a worker that runs a task of the owner's.
+/// A heartbeat of a worker in zone a that runs a task which the owner started.
 fn heartbeat() -> WorkerHeartbeat {
     WorkerHeartbeat {
         machine: "i-1".into(),
@@ -108,30 +109,31 @@
     }
 }
 
-/// The body of the answer to that heartbeat.
-fn answer(news: &[Change]) -> String {
+/// The body of the keepalive for the worker's heartbeat, by a controller that has read `changes`.
+fn keepalive_body(changes: &[Change]) -> String {
     let mut now = 10_000_000;
-    let mut controller = controller(&mut now, news);
+    let mut controller = controller(&mut now, changes);
     let input = Input::Request(RequestId(1), Request::Heartbeat(heartbeat()));
     let outputs = controller.step(Time(now), input);
-    let answered = outputs.iter().find_map(|output| match output {
+    let body = outputs.iter().find_map(|output| match output {
         Output::Answer(RequestId(1), reply) if reply.status == 200 => Some(reply.body.clone()),
         _ => None,
     });
-    String::from_utf8_lossy(&answered.expect("an answer")).into_owned()
+    String::from_utf8_lossy(&body.expect("a keepalive")).into_owned()
 }
 
-/// A job that the watch hasn't brought yet was once treated as over: its tasks, the last that the
-/// owner had started, were stopped, and started again by its successor.
+/// A keepalive must not stop tasks of a job that the controller doesn't know, since its watch of the
+/// store may lag behind. Such jobs were once treated as ended: the tasks that the owner had started
+/// last were stopped, and its successor started them again.
 #[test]
-fn heartbeat_with_a_task_of_an_unknown_job_stops_nothing() {
-    let body = answer(&[]);
+fn keepalive_stops_no_task_of_an_unknown_job() {
+    let body = keepalive_body(&[]);
     assert!(!body.contains("halt"), "{body}");
 }
 
 #[test]
-fn heartbeat_with_a_task_of_a_cancelled_job_stops_it() {
+fn keepalive_stops_the_task_of_a_cancelled_job() {
     let end = Key::End(JobId::from("wk-7"));
-    let body = answer(&[(end, REVISION + 1, Some(Record::End(Ending::Cancelled)))]);
+    let body = keepalive_body(&[(end, REVISION + 1, Some(Record::End(Ending::Cancelled)))]);
     assert!(body.contains("halt"), "{body}");
 }
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -1,5 +1,5 @@
-//! The real binary on loopback: it starts, refuses what it must, and stays up while
-//! nothing that it needs is there.
+//! Runs the real binary on loopback: it starts, rejects invalid requests and settings, and keeps
+//! running while its store, cloud and peers are unreachable.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -7,27 +7,31 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-struct Running(Child);
+/// A controller process that is killed at the end of its test.
+struct ControllerProcess(Child);
 
-impl Drop for Running {
+impl Drop for ControllerProcess {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
+/// A port that was free a moment ago.
 fn free_port() -> u16 {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     listener.local_addr().expect("an address").port()
 }
 
-fn config(name: &str, text: &str) -> PathBuf {
+fn write_config(name: &str, text: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, text).expect("a file");
     path
 }
 
-fn platform(listen: u16) -> String {
+/// The platform's settings for a controller that listens on a port; nothing listens on the ports of
+/// its store and its cloud.
+fn platform_json(listen: u16) -> String {
     let (peer, state, cloud) = (free_port(), free_port(), free_port());
     format!(
         r#"{{"member":"n0","site":"a","listen":"127.0.0.1:{listen}","peer_listen":"127.0.0.1:{peer}",
@@ -39,36 +43,36 @@
     )
 }
 
-fn program() -> Command {
+fn salttrestle() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_salttrestle"));
     command.stderr(Stdio::null()).stdout(Stdio::null());
     command
 }
 
-/// Sends bytes on a connection of their own and reads one answer, or all until the
-/// other side closes.
+/// Sends bytes on a new connection and reads until the end of a response's headers or until the
+/// other side closes the connection.
 fn exchange(port: u16, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(("127.0.0.1", port)).expect("a connection");
     stream
         .set_read_timeout(Some(Duration::from_secs(5)))
         .expect("a timeout");
     stream.write_all(bytes).expect("sent");
-    let (mut all, mut buffer) = (Vec::new(), [0; 4096]);
+    let (mut received, mut buffer) = (Vec::new(), [0; 4096]);
     while let Ok(count) = stream.read(&mut buffer) {
-        all.extend_from_slice(&buffer[..count]);
-        if count == 0 || all.windows(4).any(|w| w == b"\r\n\r\n") {
+        received.extend_from_slice(&buffer[..count]);
+        if count == 0 || received.windows(4).any(|w| w == b"\r\n\r\n") {
             break;
         }
     }
-    String::from_utf8_lossy(&all).into_owned()
+    String::from_utf8_lossy(&received).into_owned()
 }
 
 fn wait_until_listening(port: u16) {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     while TcpStream::connect(("127.0.0.1", port)).is_err() {
         assert!(
-            begun.elapsed() < Duration::from_secs(20),
-            "it doesn't listen"
+            started_at.elapsed() < Duration::from_secs(20),
+            "the controller doesn't listen"
         );
         std::thread::sleep(Duration::from_millis(20));
     }
@@ -76,15 +80,15 @@
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one table of cases")]
-fn answers_when_nothing_that_it_needs_is_there() {
+fn requests_are_answered_without_store_and_cloud() {
     let port = free_port();
-    let file = config("own.json", &platform(port));
-    let child = program()
+    let file = write_config("own.json", &platform_json(port));
+    let child = salttrestle()
         .arg("--config")
         .arg(file)
         .spawn()
-        .expect("it starts");
-    let mut running = Running(child);
+        .expect("the controller starts");
+    let mut controller = ControllerProcess(child);
     wait_until_listening(port);
     let post = |path: &str, body: &str| {
         format!(
@@ -113,51 +117,64 @@
         ),
     ];
     for (bytes, status) in &rows {
-        let answer = exchange(port, bytes.as_bytes());
+        let response = exchange(port, bytes.as_bytes());
         assert!(
-            answer.starts_with(&format!("HTTP/1.1 {status} ")),
-            "{bytes:?}: {answer}"
+            response.starts_with(&format!("HTTP/1.1 {status} ")),
+            "{bytes:?}: {response}"
         );
         if *status == "503" {
-            assert!(answer.contains("Retry-After: "), "{answer}");
+            assert!(response.contains("Retry-After: "), "{response}");
         }
         if bytes.starts_with("nonsense") {
-            assert!(answer.contains("Connection: close"), "{answer}");
+            assert!(response.contains("Connection: close"), "{response}");
         }
     }
-    // More quiet connections than it has sockets: the oldest make room.
-    let quiet: Vec<_> = (0..80)
+    // With more idle connections than the controller has sockets, it closes the oldest ones and
+    // still answers a new one.
+    let idle: Vec<_> = (0..80)
         .filter_map(|_| TcpStream::connect(("127.0.0.1", port)).ok())
         .collect();
-    let answer = exchange(port, b"GET /up HTTP/1.1\r\n\r\n");
+    let response = exchange(port, b"GET /up HTTP/1.1\r\n\r\n");
     assert!(
-        answer.starts_with("HTTP/1.1 503"),
-        "{answer} beside {}",
-        quiet.len()
+        response.starts_with("HTTP/1.1 503"),
+        "{response} with {} idle connections",
+        idle.len()
     );
     assert!(
-        running.0.try_wait().expect("its state").is_none(),
-        "it has ended"
+        controller.0.try_wait().expect("a status").is_none(),
+        "the controller has exited"
     );
 }
 
 #[test]
-fn settings_that_are_bad_end_the_start() {
-    let good = config("good.json", &platform(free_port()));
-    let bad = config("bad.json", "{\"member\": 1}");
-    let off = config("off.properties", "no.such-key = 1\n");
-    let run = |args: &[&std::ffi::OsStr]| program().args(args).status().expect("it runs").code();
-    let (config, check, over) = (
+fn startup_fails_with_invalid_settings() {
+    let valid = write_config("good.json", &platform_json(free_port()));
+    let invalid = write_config("bad.json", "{\"member\": 1}");
+    let unknown_key = write_config("off.properties", "no.such-key = 1\n");
+    let exit_code = |args: &[&std::ffi::OsStr]| {
+        salttrestle()
+            .args(args)
+            .status()
+            .expect("the program runs")
+            .code()
+    };
+    let (config, check, properties) = (
         "--config".as_ref(),
         "--check".as_ref(),
         "--properties".as_ref(),
     );
-    assert_eq!(run(&[check, config, good.as_os_str()]), Some(0));
-    assert_eq!(run(&[check, config, bad.as_os_str()]), Some(2));
-    assert_eq!(run(&[config, "/nonexistent".as_ref()]), Some(2));
+    assert_eq!(exit_code(&[check, config, valid.as_os_str()]), Some(0));
+    assert_eq!(exit_code(&[check, config, invalid.as_os_str()]), Some(2));
+    assert_eq!(exit_code(&[config, "/nonexistent".as_ref()]), Some(2));
     assert_eq!(
-        run(&[check, over, off.as_os_str(), config, good.as_os_str()]),
+        exit_code(&[
+            check,
+            properties,
+            unknown_key.as_os_str(),
+            config,
+            valid.as_os_str()
+        ]),
         Some(2)
     );
-    assert_eq!(run(&["--version".as_ref()]), Some(0));
+    assert_eq!(exit_code(&["--version".as_ref()]), Some(0));
 }
--- a/tests/malformed.rs
+++ b/tests/malformed.rs
@@ -1,20 +1,24 @@
-//! Malformed HTTP, CBOR and messages of peers: one row for every kind ever found.
+//! Malformed HTTP, CBOR and peer messages are rejected, and well-formed ones are accepted. The
+//! tables have a row for each kind of malformed input found so far.
 
 use ciborium::{Value, cbor};
 use salttrestle::http::{Decoder, HttpError, Side};
 use salttrestle::peer;
 use salttrestle::wire;
 
-/// What a request's bytes come to: the body's size, an error, or not yet whole.
-fn request(bytes: &[u8]) -> Result<Option<usize>, HttpError> {
-    let mut d = Decoder::new(Side::Request, 100);
-    d.feed(bytes);
-    d.next_message().map(|m| m.map(|m| m.body.len()))
+/// Decodes a request with a body of at most 100 bytes: the size of its body in bytes, `None` if the
+/// request is incomplete, or an error.
+fn decode_request(bytes: &[u8]) -> Result<Option<usize>, HttpError> {
+    let mut decoder = Decoder::new(Side::Request, 100);
+    decoder.feed(bytes);
+    decoder
+        .next_message()
+        .map(|message| message.map(|message| message.body.len()))
 }
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one table of cases")]
-fn http_requests_are_read_or_refused() {
+fn http_requests_are_decoded_or_rejected() {
     use HttpError::{Malformed, TooLarge};
     let rows: &[(&str, Result<Option<usize>, HttpError>)] = &[
         ("GET /up HTTP/1.1\r\n\r\n", Ok(Some(0))),
@@ -100,51 +104,62 @@
             Err(TooLarge),
         ),
     ];
-    for (bytes, want) in rows {
-        assert_eq!(&request(bytes.as_bytes()), want, "{bytes:?}");
+    for (bytes, expected) in rows {
+        assert_eq!(&decode_request(bytes.as_bytes()), expected, "{bytes:?}");
     }
-    let binary = b"GET /\xff\xfe HTTP/1.1\r\n\r\n";
-    assert_eq!(request(binary), Err(Malformed));
-    let endless = format!("GET /up HTTP/1.1\r\nX: {}", "a".repeat(10_000));
-    assert_eq!(request(endless.as_bytes()), Err(TooLarge));
+    let invalid_utf8 = b"GET /\xff\xfe HTTP/1.1\r\n\r\n";
+    assert_eq!(decode_request(invalid_utf8), Err(Malformed));
+    let endless_header = format!("GET /up HTTP/1.1\r\nX: {}", "a".repeat(10_000));
+    assert_eq!(decode_request(endless_header.as_bytes()), Err(TooLarge));
 }
 
 #[test]
-fn http_requests_byte_by_byte_are_read_whole() {
-    let mut d = Decoder::new(Side::Request, 100);
+fn http_requests_that_arrive_byte_by_byte_are_decoded() {
+    let mut decoder = Decoder::new(Side::Request, 100);
     let bytes = b"POST /work HTTP/1.1\r\nContent-Length: 2\r\n\r\nabGET /up HTTP/1.1\r\n\r\n";
-    let mut seen = Vec::new();
-    for b in bytes {
-        d.feed(&[*b]);
-        while let Some(m) = d.next_message().expect("good bytes") {
-            seen.push((m.start[1].clone(), m.body));
+    let mut decoded = Vec::new();
+    for byte in bytes {
+        decoder.feed(&[*byte]);
+        while let Some(message) = decoder.next_message().expect("well-formed bytes") {
+            decoded.push((message.start[1].clone(), message.body));
         }
     }
-    let want = vec![
+    let expected = vec![
         ("/work".to_string(), b"ab".to_vec()),
         ("/up".to_string(), Vec::new()),
     ];
-    assert_eq!(seen, want);
-    assert!(!d.midway());
+    assert_eq!(decoded, expected);
+    assert!(!decoder.midway());
 }
 
 #[test]
-fn http_responses_are_read_or_refused() {
-    let mut d = Decoder::new(Side::Response, 100);
-    d.feed(b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 7\r\nContent-Length: 0\r\n\r\n");
-    let m = d.next_message().expect("good").expect("whole");
+fn http_responses_are_decoded_or_rejected() {
+    let mut decoder = Decoder::new(Side::Response, 100);
+    decoder
+        .feed(b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 7\r\nContent-Length: 0\r\n\r\n");
+    let message = decoder
+        .next_message()
+        .expect("well formed")
+        .expect("complete");
     assert_eq!(
-        (m.status(), m.retry_after, m.close),
+        (message.status(), message.retry_after, message.close),
         (Some(503), Some(7), false)
     );
-    d.feed(b"HTTP/1.0 200 OK\r\n\r\nab");
-    assert_eq!(d.next_message(), Ok(None));
-    assert_eq!(d.closed().expect("ends with its connection").body, b"ab");
-    d.feed(b"HTTP/1.1 2x0 OK\r\n\r\n");
-    assert_eq!(d.next_message(), Err(HttpError::Malformed));
+    decoder.feed(b"HTTP/1.0 200 OK\r\n\r\nab");
+    assert_eq!(decoder.next_message(), Ok(None));
+    assert_eq!(
+        decoder
+            .closed()
+            .expect("a body that ends with the connection")
+            .body,
+        b"ab"
+    );
+    decoder.feed(b"HTTP/1.1 2x0 OK\r\n\r\n");
+    assert_eq!(decoder.next_message(), Err(HttpError::Malformed));
 }
 
-fn good() -> Vec<(Value, Value)> {
+/// The fields of a valid submission, one of them unknown to the current version.
+fn valid_submission() -> Vec<(Value, Value)> {
     let value = cbor!({
         "id" => "wk-000412", "troupe" => "train", "crew" => "vision", "form" => "batch",
         "rank" => "urgent", "verses" => 16, "cores" => 8.0, "accelerators" => 1, "memGb" => 64.0,
@@ -158,10 +173,10 @@
     }
 }
 
-/// The good submission with one field changed, or left out.
-fn with(field: &str, value: Option<Value>) -> Vec<u8> {
-    let mut map = good();
-    map.retain(|(k, _)| k.as_text() != Some(field));
+/// The encoded valid submission with one field replaced, or removed if there is no value.
+fn with_field(field: &str, value: Option<Value>) -> Vec<u8> {
+    let mut map = valid_submission();
+    map.retain(|(key, _)| key.as_text() != Some(field));
     if let Some(value) = value {
         map.push((Value::Text(field.into()), value));
     }
@@ -170,12 +185,12 @@
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one table of cases")]
-fn malformed_submissions_are_refused() {
-    assert!(wire::submission(&wire::encode(&Value::Map(good()))).is_ok());
+fn malformed_submissions_are_rejected() {
+    assert!(wire::submission(&wire::encode(&Value::Map(valid_submission()))).is_ok());
     for field in ["builds", "quarter", "curtainS"] {
         assert!(
-            wire::submission(&with(field, None)).is_ok(),
-            "{field} may be left out"
+            wire::submission(&with_field(field, None)).is_ok(),
+            "{field} is optional"
         );
     }
     let required = [
@@ -199,16 +214,16 @@
     ];
     for field in required {
         assert!(
-            wire::submission(&with(field, None)).is_err(),
+            wire::submission(&with_field(field, None)).is_err(),
             "{field} is missing"
         );
         assert!(
-            wire::submission(&with(field, Some(Value::Null))).is_err(),
+            wire::submission(&with_field(field, Some(Value::Null))).is_err(),
             "{field} is null"
         );
         let list = Value::Array(Vec::new());
         assert!(
-            wire::submission(&with(field, Some(list))).is_err(),
+            wire::submission(&with_field(field, Some(list))).is_err(),
             "{field} is a list"
         );
     }
@@ -259,38 +274,38 @@
         ("borrowed", Value::Float(1.0)),
     ];
     for (field, value) in rows {
-        let body = with(field, Some(value.clone()));
+        let body = with_field(field, Some(value.clone()));
         assert!(wire::submission(&body).is_err(), "{field} = {value:?}");
     }
 }
 
-/// A known job's user is told its state however the repeated body is malformed, so that the
-/// id is read wherever that can be done.
+/// A malformed submission of a known job is answered with the job's state, so that the job id is
+/// read from a malformed body where possible.
 #[test]
-fn a_malformed_submission_still_gives_its_id() {
+fn job_id_is_read_from_malformed_submissions() {
     let int = |n: i64| Value::Integer(n.into());
-    let whole = wire::encode(&Value::Map(good()));
+    let whole = wire::encode(&Value::Map(valid_submission()));
     let rows = [
-        (with("rank", None), Some("wk-000412")),
-        (with("verses", Some(int(-1))), Some("wk-000412")),
-        (with("builds", Some(int(1))), Some("wk-000412")),
+        (with_field("rank", None), Some("wk-000412")),
+        (with_field("verses", Some(int(-1))), Some("wk-000412")),
+        (with_field("builds", Some(int(1))), Some("wk-000412")),
         ([whole.clone(), vec![0]].concat(), Some("wk-000412")),
-        (with("id", Some(int(5))), None),
-        (with("id", Some(Value::Text("WK-1".into()))), None),
-        (with("id", None), None),
+        (with_field("id", Some(int(5))), None),
+        (with_field("id", Some(Value::Text("WK-1".into()))), None),
+        (with_field("id", None), None),
         (whole[..whole.len() - 1].to_vec(), None),
         (vec![0x81; 5000], None),
     ];
     for (body, id) in rows {
-        let bad = wire::submission(&body).expect_err("malformed");
-        let read = bad.id.as_ref().map(salttrestle::ids::JobId::as_str);
-        assert_eq!(read, id, "{}", bad.why);
+        let invalid = wire::submission(&body).expect_err("malformed");
+        let read = invalid.id.as_ref().map(salttrestle::ids::JobId::as_str);
+        assert_eq!(read, id, "{}", invalid.why);
     }
 }
 
 #[test]
-fn bodies_that_are_no_map_are_refused() {
-    let whole = wire::encode(&Value::Map(good()));
+fn bodies_that_are_not_one_map_are_rejected() {
+    let whole = wire::encode(&Value::Map(valid_submission()));
     let rows: Vec<Vec<u8>> = vec![
         vec![],
         vec![0xff],
@@ -313,12 +328,12 @@
 }
 
 #[test]
-fn malformed_heartbeats_are_refused() {
-    let body = |attempt: Value, status: &str, baton: Value| {
+fn malformed_heartbeats_are_rejected() {
+    let body = |attempt: Value, status: &str, token: Value| {
         wire::encode(
             &cbor!({
                 "rig" => "i-1", "endpoint" => "10.0.0.1:1", "build" => "g8", "quarter" => "a",
-                "borrowed" => false, "shift" => 1, "tally" => 2, "baton" => baton,
+                "borrowed" => false, "shift" => 1, "tally" => 2, "baton" => token,
                 "verses" => [{"verse" => "wk-1/0", "take" => attempt, "stance" => status,
                               "cause" => "something new", "more" => 1}]
             })
@@ -326,22 +341,22 @@
         )
     };
     let int = |n: i64| Value::Integer(n.into());
-    let good =
-        wire::decode::<wire::WorkerHeartbeat>(&body(int(1), "ended", int(3))).expect("a report");
-    assert_eq!(good.tasks[0].cause, Some(wire::Cause::Other));
-    for (attempt, status, baton) in [
+    let valid =
+        wire::decode::<wire::WorkerHeartbeat>(&body(int(1), "ended", int(3))).expect("a heartbeat");
+    assert_eq!(valid.tasks[0].cause, Some(wire::Cause::Other));
+    for (attempt, status, token) in [
         (int(-1), "running", int(1)),
         (Value::Float(1.5), "running", int(1)),
         (int(1), "dancing", int(1)),
         (int(1), "running", int(-1)),
         (int(1), "running", Value::Text("3".into())),
     ] {
-        assert!(wire::decode::<wire::WorkerHeartbeat>(&body(attempt, status, baton)).is_none());
+        assert!(wire::decode::<wire::WorkerHeartbeat>(&body(attempt, status, token)).is_none());
     }
 }
 
 #[test]
-fn malformed_peer_messages_are_refused() {
+fn malformed_peer_messages_are_rejected() {
     let heartbeat = peer::Message::PeerHeartbeat(peer::PeerHeartbeat {
         from: "node-1".into(),
         incarnation: 7,
@@ -357,10 +372,11 @@
         since_keepalive_ms: 9,
         overdue: vec!["i-7".into()],
     });
-    let framed = peer::frame(&heartbeat).expect("a message of usual size");
-    let mut buf = [framed.clone(), framed[..4].to_vec()].concat();
-    assert_eq!(peer::unframe(&mut buf), Ok(Some(heartbeat)));
-    assert_eq!(peer::unframe(&mut buf), Ok(None));
+    let framed = peer::frame(&heartbeat).expect("a message within the size limit");
+    // A whole frame and the beginning of the next one.
+    let mut buffer = [framed.clone(), framed[..4].to_vec()].concat();
+    assert_eq!(peer::unframe(&mut buffer), Ok(Some(heartbeat)));
+    assert_eq!(peer::unframe(&mut buffer), Ok(None));
     assert!(
         peer::unframe(&mut vec![0xff, 0xff, 0, 0, 1]).is_err(),
         "too large"
@@ -372,9 +388,12 @@
     );
     let mut other_version = vec![0, 0, 0, 1, 99, 9];
     assert_eq!(peer::unframe(&mut other_version), Ok(None));
-    assert!(other_version.is_empty(), "another version is passed over");
-    standby_messages();
-    // A message that no peer would accept is refused here, not split.
+    assert!(
+        other_version.is_empty(),
+        "a frame of another version is skipped"
+    );
+    check_standby_messages();
+    // A message that is larger than peers accept is rejected by the sender and not split.
     let large = peer::Message::ForwardedResponse(peer::ForwardedResponse {
         incarnation: 1,
         request_id: 2,
@@ -385,8 +404,9 @@
     assert!(peer::frame(&large).is_err(), "too large to send");
 }
 
-/// Messages of the standby travel in frames of their own version; bad ones close the link.
-fn standby_messages() {
+/// Checks that standby messages are sent in frames with a version of their own, and that malformed
+/// ones are errors, which close the connection.
+fn check_standby_messages() {
     use salttrestle_standby::hints::{Hints, ImageHint, MachineHint};
     use salttrestle_standby::message::{Heartbeat, StandbyMessage};
     let framed = |message: &StandbyMessage| {
@@ -406,7 +426,7 @@
     assert_eq!(read, Some(peer::Message::Standby(Box::new(heartbeat))));
     let malformed = vec![0, 0, 0, 2, 5, 9, 9];
     assert!(peer::unframe(&mut malformed.clone()).is_err(), "no message");
-    let good = Hints {
+    let valid_hints = Hints {
         from: "n1".into(),
         token: 41,
         images: vec![ImageHint {
@@ -419,27 +439,27 @@
         }],
         ..Hints::default()
     };
-    assert!(peer::unframe(&mut framed(&StandbyMessage::Hints(good.clone()))).is_ok());
-    let spoil: [fn(&mut Hints); 6] = [
-        |h| h.images[0].gb = f64::NAN,
-        |h| h.estimates.boots = vec![("g8".into(), -1.0)],
-        |h| h.estimates.bursts = vec![("g8".into(), true, f64::INFINITY)],
-        |h| h.machines[0].images = vec![1],
-        |h| h.machines[0].id = "i".repeat(300),
-        |h| h.machines = vec![MachineHint::default(); 257],
+    assert!(peer::unframe(&mut framed(&StandbyMessage::Hints(valid_hints.clone()))).is_ok());
+    let invalidate: [fn(&mut Hints); 6] = [
+        |hints| hints.images[0].gb = f64::NAN,
+        |hints| hints.estimates.boots = vec![("g8".into(), -1.0)],
+        |hints| hints.estimates.bursts = vec![("g8".into(), true, f64::INFINITY)],
+        |hints| hints.machines[0].images = vec![1],
+        |hints| hints.machines[0].id = "i".repeat(300),
+        |hints| hints.machines = vec![MachineHint::default(); 257],
     ];
-    for (n, spoil) in spoil.iter().enumerate() {
-        let mut hints = good.clone();
-        spoil(&mut hints);
+    for (n, invalidate) in invalidate.iter().enumerate() {
+        let mut hints = valid_hints.clone();
+        invalidate(&mut hints);
         let mut bytes = framed(&StandbyMessage::Hints(hints));
-        assert!(peer::unframe(&mut bytes).is_err(), "spoilt in way {n}");
+        assert!(peer::unframe(&mut bytes).is_err(), "invalid hints {n}");
     }
 }
 
-/// What is written of a shard's machines is read again, whatever they are called, and
-/// 1,200 of them fit into a value.
+/// The compressed list of machines in a shard's record is decoded to the same list for any machine
+/// ids, and a list of 1,200 machines fits into a value of 8 KiB.
 #[test]
-fn a_packed_list_of_machines_is_read_again_and_fits() {
+fn compressed_list_of_machines_round_trips_and_fits_into_a_value() {
     use salttrestle::controller::store::records::{MachineEntry, ShardRecord};
     use salttrestle::ids::FencingToken;
     let entry =
@@ -451,19 +471,19 @@
         machines,
         quota_shares: None,
     };
-    let odd = ["i-1", "i-12", "", "a b", "ärger", "änder", "i-1 2"];
-    let mut list: Vec<MachineEntry> = odd.iter().map(|id| entry(id, "a")).collect();
+    let unusual_ids = ["i-1", "i-12", "", "a b", "ärger", "änder", "i-1 2"];
+    let mut list: Vec<MachineEntry> = unusual_ids.iter().map(|id| entry(id, "a")).collect();
     list.push(entry("i-1", "b"));
     for machines in [None, Some(Vec::new()), Some(list)] {
         let json = serde_json::to_vec(&record(machines.clone())).expect("JSON");
-        let back: ShardRecord = serde_json::from_slice(&json).expect("a block's record");
-        let sorted = |m: Option<Vec<MachineEntry>>| {
-            m.map(|mut m| {
-                m.sort();
-                m
+        let decoded: ShardRecord = serde_json::from_slice(&json).expect("a shard record");
+        let sorted = |machines: Option<Vec<MachineEntry>>| {
+            machines.map(|mut machines| {
+                machines.sort();
+                machines
             })
         };
-        assert_eq!(sorted(back.machines), sorted(machines));
+        assert_eq!(sorted(decoded.machines), sorted(machines));
     }
     let many = (0..1200).map(|n| entry(&format!("i-{n:06}"), ["a", "b", "c"][n % 3]));
     let json = serde_json::to_vec(&record(Some(many.collect()))).expect("JSON");
--- a/tests/operations_page.rs
+++ b/tests/operations_page.rs
@@ -1,34 +1,37 @@
-//! The runbook names log lines: each one exists in the sources, word for word.
+//! Checks that each log line that the runbook names exists in the sources, word for word, so that
+//! operators can search for it.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
+/// Adds all files below a folder to `found`.
+fn collect_files(folder: &Path, found: &mut Vec<PathBuf>) {
     for entry in fs::read_dir(folder).expect("a folder of sources") {
         let path = entry.expect("an entry").path();
         if path.is_dir() {
-            sources(&path, found);
+            collect_files(&path, found);
         } else {
             found.push(path);
         }
     }
 }
 
-/// The text of all sources, with string literals that go on over a line's end joined.
+/// The text of all source files, one after the other.
 fn source_text() -> String {
     let mut files = Vec::new();
-    sources(&root().join("src"), &mut files);
+    collect_files(&repository_root().join("src"), &mut files);
     let texts = files
         .iter()
         .map(|path| fs::read_to_string(path).expect("a source"));
     texts.collect()
 }
 
-fn root() -> &'static Path {
+fn repository_root() -> &'static Path {
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// The log lines of the second column of the on-call table.
+/// The log lines in the second column of the runbook's table for on-call engineers: all text in
+/// backquotes but fields such as `key=value`.
 fn log_lines(page: &str) -> Vec<String> {
     let section = page.split("### For on-call").nth(1);
     let section = section.expect("the on-call table");
@@ -42,13 +45,17 @@
 
 #[test]
 fn each_log_line_of_the_on_call_table_exists_in_the_sources() {
-    let page = fs::read_to_string(root().join("docs/operations.md")).expect("the runbook");
+    let page =
+        fs::read_to_string(repository_root().join("docs/operations.md")).expect("the runbook");
     let lines = log_lines(&page);
     assert!(lines.len() > 25, "only {} lines found", lines.len());
     let sources = source_text();
-    let begins = |line: &String| {
+    let begins_a_literal = |line: &String| {
         sources.contains(&format!("\"{line}")) || sources.contains(&format!("\"{line},"))
     };
-    let missing: Vec<&String> = lines.iter().filter(|line| !begins(line)).collect();
+    let missing: Vec<&String> = lines
+        .iter()
+        .filter(|line| !begins_a_literal(line))
+        .collect();
     assert!(missing.is_empty(), "not in the sources: {missing:?}");
 }
--- a/tests/processor.rs
+++ b/tests/processor.rs
@@ -1,16 +1,17 @@
-//! How busy a controller's processor is, and how many machines one owner can have by that.
+//! The moving average of a controller's processor utilization, and the number of machines per shard
+//! owner that follows from it.
 
 use salttrestle::controller::processor::ProcessorUtilization;
 use salttrestle::ids::Time;
 
-const SECOND: u64 = 1000;
+const MEASUREMENT_INTERVAL_MS: u64 = 1000;
 
-/// One measurement a second.
+/// The utilization after one measurement a second, and the time of the last measurement.
 fn measured(shares: impl IntoIterator<Item = f64>) -> (ProcessorUtilization, Time) {
     let mut utilization = ProcessorUtilization::default();
-    let mut now = Time(SECOND);
+    let mut now = Time(MEASUREMENT_INTERVAL_MS);
     for share in shares {
-        now = Time(now.0 + SECOND);
+        now = Time(now.0 + MEASUREMENT_INTERVAL_MS);
         utilization.record(now, share);
     }
     (utilization, now)
@@ -25,30 +26,33 @@
     let (utilization, now) = measured([0.5; 30]);
     assert!(utilization.share(now).is_some());
     assert_eq!(utilization.share(now.after(6.0)), None);
-    assert!(utilization.has_measurement(), "an old measurement is one");
+    assert!(
+        utilization.has_measurement(),
+        "an old measurement still counts as one"
+    );
 }
 
 #[test]
-fn share_after_one_second_hardly_moves_and_after_a_minute_has_moved() {
-    let calm = [0.2; 60];
-    let (utilization, now) = measured(calm.into_iter().chain([1.0]));
+fn share_barely_changes_within_a_second_and_follows_within_a_minute() {
+    let low_minute = [0.2; 60];
+    let (utilization, now) = measured(low_minute.into_iter().chain([1.0]));
     let share = utilization.share(now).expect("measured");
     assert!((0.2..0.3).contains(&share), "{share}");
-    let (utilization, now) = measured(calm.into_iter().chain([1.0; 60]));
+    let (utilization, now) = measured(low_minute.into_iter().chain([1.0; 60]));
     let share = utilization.share(now).expect("measured");
     assert!(share > 0.99, "{share}");
 }
 
 #[test]
-fn machines_per_owner_follow_from_what_the_owner_has() {
+fn machines_per_owner_follow_from_machines_and_utilization() {
     let (utilization, now) = measured([0.5; 120]);
-    let most = utilization.machines_per_owner(now, 200).expect("measured");
-    assert!((most - 400.0).abs() < 1.0, "{most}");
-    // An owner without machines, or one that hardly does anything, shows nothing of what one can have.
+    let machines = utilization.machines_per_owner(now, 200).expect("measured");
+    assert!((machines - 400.0).abs() < 1.0, "{machines}");
+    // No estimate is possible from an owner without machines or with a very low utilization.
     assert_eq!(utilization.machines_per_owner(now, 0), None);
     let (utilization, now) = measured([0.01; 120]);
     assert_eq!(utilization.machines_per_owner(now, 200), None);
-    // What isn't a share is taken as the nearest one.
+    // A measurement outside of 0 to 1 is clamped.
     let (utilization, now) = measured([f64::INFINITY; 10]);
     assert_eq!(utilization.share(now), Some(1.0));
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Settings: what is refused, with file, key and reason, and what follows from good ones.
+//! Settings: invalid ones are rejected with file, key and reason, and limits and sizes are derived
+//! from valid ones.
 
 use salttrestle::peer;
 use salttrestle::settings::{CellsFile, Platform, Tuning};
@@ -71,55 +72,61 @@
     }
 }
 
-/// Everything is planned by the stricter of the present and the announced limits.
+/// Each limit of the store is the stricter of the current and the announced one.
 #[test]
-fn announced_limits_count_where_they_are_stricter() {
+fn stricter_of_current_and_announced_limits_apply() {
     let strictest = |next: &str| {
         let text = PLATFORM.replace("\"txn_ops\":16", &format!("\"txn_ops\":16{next}"));
-        let platform = Platform::parse(&text, "f.json").expect("good settings");
+        let platform = Platform::parse(&text, "f.json").expect("valid settings");
         platform.facts.state.strictest()
     };
-    let present = strictest("");
-    assert_eq!((present.txn_ops, present.value_bytes), (16, 8192));
-    assert_eq!((present.rps, present.write_rps), (150.0, 60.0));
-    assert_eq!(strictest(",\"next\":null"), present);
-    assert_eq!(strictest(",\"next\":{}"), present);
+    let current = strictest("");
+    assert_eq!((current.txn_ops, current.value_bytes), (16, 8192));
+    assert_eq!((current.rps, current.write_rps), (150.0, 60.0));
+    assert_eq!(strictest(",\"next\":null"), current);
+    assert_eq!(strictest(",\"next\":{}"), current);
     let larger = ",\"next\":{\"value_kb\":64,\"txn_ops\":64,\"rps\":900,\"write_rps\":900}";
-    assert_eq!(strictest(larger), present);
-    let later = strictest(",\"next\":{\"value_kb\":2,\"txn_ops\":5,\"write_rps\":42}");
-    assert_eq!((later.txn_ops, later.value_bytes), (5, 2048));
-    assert_eq!((later.rps, later.write_rps), (150.0, 42.0));
+    assert_eq!(strictest(larger), current);
+    let stricter = strictest(",\"next\":{\"value_kb\":2,\"txn_ops\":5,\"write_rps\":42}");
+    assert_eq!((stricter.txn_ops, stricter.value_bytes), (5, 2048));
+    assert_eq!((stricter.rps, stricter.write_rps), (150.0, 42.0));
 }
 
-/// The figures that follow from the platform's settings, at sizes unlike each other.
+/// The number of shards, the machine ceiling and the send buffer follow from the platform's
+/// processor and sockets, here for controllers of different sizes.
 #[test]
-fn shards_and_ceiling_follow_the_settings() {
+fn shards_and_ceiling_follow_from_the_settings() {
     let settings = |cpu: &str, sockets: &str| {
         let text = PLATFORM
             .replace("\"cpu\":0.1", &format!("\"cpu\":{cpu}"))
             .replace("\"max_sockets\":500", &format!("\"max_sockets\":{sockets}"));
         salttrestle::settings::Settings {
-            platform: Platform::parse(&text, "f.json").expect("good"),
-            tuning: Tuning::parse(None).expect("good"),
+            platform: Platform::parse(&text, "f.json").expect("valid settings"),
+            tuning: Tuning::parse(None).expect("valid defaults"),
             cells: None,
         }
     };
     let usual = settings("0.1", "500");
     assert_eq!((usual.shards_for(10), usual.shards_for(500)), (0, 1));
-    // 1,333 machines would take all of the processor, of which 0.85 may be used.
+    // 1,333 machines would use the whole processor, of which a share of 0.85 may be used.
     assert_eq!((usual.shards_for(1100), usual.shards_for(1200)), (1, 2));
     assert_eq!(
         (usual.shards_at(1200, 2000.0), usual.shards_at(1200, 700.0)),
         (1, 3)
     );
-    assert_eq!(usual.ceiling(), 800, "two controllers' sockets");
-    // All workers of a controller that has 4,000 sockets heartbeat as a new owner appears.
+    assert_eq!(
+        usual.ceiling(),
+        800,
+        "limited by the sockets of two controllers"
+    );
+    // When a new owner appears, each of the 4,000 workers that a controller has sockets for may send
+    // it a heartbeat to forward, and all of these must fit into the buffer for unsent bytes.
     let large = settings("1.0", "4000");
     let heartbeat = peer::ForwardedHeartbeat::new(
         &"n".into(),
         7,
         salttrestle::ids::RequestId(3),
-        &heartbeat_of(96),
+        &heartbeat_with(96),
     );
     let frame = peer::frame(&peer::Message::ForwardedHeartbeat(Box::new(heartbeat)));
     let bytes = frame.expect("short enough").len();
@@ -128,13 +135,21 @@
     let slow = settings("0.01", "500");
     assert_eq!((slow.shards_for(100), slow.shards_for(120)), (1, 2));
     let slowest = settings("0.001", "500");
-    assert_eq!(slowest.shards_for(100), 2, "no smaller than is worth it");
-    assert_eq!(slow.ceiling(), 266, "two controllers' processors");
+    assert_eq!(
+        slowest.shards_for(100),
+        2,
+        "shards aren't split below the minimum size"
+    );
+    assert_eq!(
+        slow.ceiling(),
+        266,
+        "limited by the processors of two controllers"
+    );
     assert!(Platform::parse(&PLATFORM.replace("\"cpu\":0.1", "\"cpu\":0"), "f").is_err());
 }
 
-/// A heartbeat of a machine with so many tasks.
-fn heartbeat_of(tasks: usize) -> wire::WorkerHeartbeat {
+/// A heartbeat of a machine that runs `tasks` tasks.
+fn heartbeat_with(tasks: usize) -> wire::WorkerHeartbeat {
     let task = |index: usize| wire::HeartbeatTask {
         task: format!("wk-000398/{index}"),
         attempt: salttrestle::ids::Attempt::new(salttrestle::ids::FencingToken(90), index as u64),
@@ -156,15 +171,16 @@
 }
 
 #[test]
-fn properties_override_defaults_or_are_refused() {
-    let defaults = Tuning::parse(None).expect("good defaults");
-    let over = Tuning::parse(Some(("o", "scale.tick-s = 7.5\n# note\n"))).expect("good");
-    assert_eq!(over.tick_s, 7.5);
+fn properties_override_defaults_or_are_rejected() {
+    let defaults = Tuning::parse(None).expect("valid defaults");
+    let overridden =
+        Tuning::parse(Some(("o", "scale.tick-s = 7.5\n# note\n"))).expect("valid properties");
+    assert_eq!(overridden.tick_s, 7.5);
     assert_ne!(defaults.tick_s, 7.5);
     assert_eq!(
         Tuning {
             tick_s: defaults.tick_s,
-            ..over
+            ..overridden
         },
         defaults
     );
@@ -201,11 +217,11 @@
 
 #[test]
 fn cells_errors_name_file_key_and_reason() {
-    let platform = Platform::parse(PLATFORM, "f.json").expect("good settings");
-    let read = |text: &str| CellsFile::parse(text, "cells.properties", &platform);
-    let good = read(CELLS).expect("a good file");
-    assert_eq!(good.others().collect::<Vec<_>>(), ["south"]);
-    assert_eq!(good.teams["t"].limit, salttrestle_cells::Amount(0, 4000));
+    let platform = Platform::parse(PLATFORM, "f.json").expect("valid settings");
+    let parse = |text: &str| CellsFile::parse(text, "cells.properties", &platform);
+    let cells = parse(CELLS).expect("a valid file");
+    assert_eq!(cells.others().collect::<Vec<_>>(), ["south"]);
+    assert_eq!(cells.teams["t"].limit, salttrestle_cells::Amount(0, 4000));
     let rows = [
         ("generation = 3", "generation = 0", "cells.generation"),
         ("generation = 3", "generation = new", "cells.generation"),
@@ -222,7 +238,7 @@
         ("since = 2", "since = 4", "team.t.since"),
         ("floor = 0 2", "floor = 2", "team.t.floor"),
         ("floor = 0 2", "floor = 0 -2", "team.t.floor"),
-        // In both cells together that is more than the team's limit of 4.
+        // The floors of both cells together, 6 GPUs, exceed the team's limit of 4.
         ("floor = 0 2", "floor = 0 3", "team.t.floor"),
         ("team.t.floor", "team.t.flour", "team.t.flour"),
         ("team.t.floor", "team.u.floor", "team.u.floor"),
@@ -230,7 +246,7 @@
     for (from, to, key) in rows {
         let text = CELLS.replacen(from, to, 1);
         assert_ne!(text, CELLS, "{from} isn't in the file");
-        let error = read(&text).expect_err(to);
+        let error = parse(&text).expect_err(to);
         assert_eq!(
             (error.file.as_str(), error.key.as_str()),
             ("cells.properties", key),
@@ -240,9 +256,9 @@
     }
 }
 
-/// The example names five cells, each with all that a file needs.
+/// The example file in `deploy` is valid and names five cells.
 #[test]
-fn the_example_of_five_cells_is_good() {
+fn example_file_of_five_cells_is_valid() {
     let text = include_str!("../deploy/cells.properties");
     let team = |name: &str| format!("{{\"name\":\"{name}\",\"gpus_max\":40,\"cpus_max\":400}}");
     let teams = [team("booking-desk"), team("heritage-guides")].join(",");
@@ -250,7 +266,7 @@
         .replace("{\"name\":\"t\",\"gpus_max\":4}", &teams)
         .replace("\"n0\"", "\"north-0\"")
         .replace("\"n1\"", "\"north-1\"");
-    let platform = Platform::parse(&platform, "f.json").expect("good settings");
-    let file = CellsFile::parse(text, "cells.properties", &platform).expect("a good file");
+    let platform = Platform::parse(&platform, "f.json").expect("valid settings");
+    let file = CellsFile::parse(text, "cells.properties", &platform).expect("a valid file");
     assert_eq!(file.cells.len(), 5);
 }
--- a/tests/wire_words.rs
+++ b/tests/wire_words.rs
@@ -1,5 +1,5 @@
-//! The words of the store's and the cloud's interfaces, as their pages write them. The
-//! fakes take typed calls, so only these tests see whether a rename here changed a body.
+//! The field names and paths of the store's and the cloud's HTTP interfaces. The test doubles take
+//! typed calls, so only these tests notice a rename that changes a body.
 
 use ciborium::{Value, cbor};
 use salttrestle::controller::store::records::{Ending, Key, Record, ScaleOutRecord};
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn store_requests_have_the_words_of_the_page() {
+fn store_requests_have_the_interface_names() {
     let commit = StoreRequest::Transaction {
         preconditions: vec![(end(), 0)],
         writes: vec![
@@ -31,7 +31,7 @@
     };
     let call = commit.call();
     assert_eq!((call.method, call.path.as_str()), ("POST", "/commit"));
-    let wanted = cbor!({
+    let expected = cbor!({
         "when" => [{"path" => "s/end/wk-1", "mark" => 0}],
         "writes" => [
             {"write" => "s/end/wk-1", "data" => "Done", "hold" => 7},
@@ -39,7 +39,7 @@
         ]
     });
     let sent: Value = wire::decode(&call.body.expect("a body")).expect("CBOR");
-    assert_eq!(sent, wanted.expect("a value"));
+    assert_eq!(sent, expected.expect("a value"));
     let grant = StoreRequest::GrantLease { ttl_ms: 3000 }.call();
     let sent: Value = wire::decode(&grant.body.expect("a body")).expect("CBOR");
     assert_eq!(sent, cbor!({"ttlMs" => 3000}).expect("a value"));
@@ -47,13 +47,14 @@
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one table of cases")]
-fn store_responses_are_read_by_the_words_of_the_page() {
-    let found = body(cbor!({"path" => "s/end/wk-1", "data" => "Done", "mark" => 412, "hold" => 7}));
-    let read = StoreResponse::Found {
+fn store_responses_are_read_by_the_interface_names() {
+    let found_body =
+        body(cbor!({"path" => "s/end/wk-1", "data" => "Done", "mark" => 412, "hold" => 7}));
+    let found = StoreResponse::Found {
         record: Record::End(Ending::Done),
         revision: 412,
     };
-    assert_eq!(StoreRequest::Get(end()).reply(200, &found), read);
+    assert_eq!(StoreRequest::Get(end()).reply(200, &found_body), found);
     let missing = body(cbor!({"ledger" => 431}));
     assert_eq!(
         StoreRequest::ReadRevision.reply(404, &missing),
@@ -74,10 +75,10 @@
             failed: vec![end()]
         }
     );
-    let over = body(cbor!({"error" => "no such lease"}));
-    assert_eq!(commit.reply(400, &over), StoreResponse::LeaseNotFound);
-    let large = body(cbor!({"error" => "value too large"}));
-    assert_eq!(commit.reply(400, &large), StoreResponse::Rejected);
+    let no_lease = body(cbor!({"error" => "no such lease"}));
+    assert_eq!(commit.reply(400, &no_lease), StoreResponse::LeaseNotFound);
+    let too_large = body(cbor!({"error" => "value too large"}));
+    assert_eq!(commit.reply(400, &too_large), StoreResponse::Rejected);
     assert_eq!(commit.reply(400, &[]), StoreResponse::Rejected);
     let page = body(cbor!({
         "entries" => [{"path" => "s/end/wk-1", "data" => "Done", "mark" => 5}],
@@ -91,11 +92,11 @@
     };
     let list = StoreRequest::List { after: "s/".into() };
     assert_eq!(list.reply(200, &page), listed);
-    let news = body(cbor!({"ledger" => 433, "news" => [
+    let changes_body = body(cbor!({"ledger" => 433, "news" => [
         {"write" => "s/end/wk-1", "data" => "Done", "mark" => 433},
         {"delete" => "s/job/wk-1", "mark" => 432}
     ]}));
-    let followed = StoreResponse::Changes {
+    let changes = StoreResponse::Changes {
         revision: 433,
         news: vec![
             (end(), 433, Some(Record::End(Ending::Done))),
@@ -103,8 +104,8 @@
         ],
     };
     assert_eq!(
-        StoreRequest::Watch { after: 431 }.reply(200, &news),
-        followed
+        StoreRequest::Watch { after: 431 }.reply(200, &changes_body),
+        changes
     );
     let granted = body(cbor!({"hold" => 7}));
     assert_eq!(
@@ -114,23 +115,23 @@
 }
 
 #[test]
-fn cloud_requests_and_responses_have_the_words_of_the_page() {
-    let rent = CloudRequest::ScaleOut(ScaleOutRecord {
+fn cloud_requests_and_responses_have_the_interface_names() {
+    let scale_out = CloudRequest::ScaleOut(ScaleOutRecord {
         name: "r-17".into(),
         class: "g8".into(),
         zone: "a".into(),
         spot: true,
         count: 12,
     });
-    let sent: Value = wire::decode(&rent.call().body.expect("a body")).expect("CBOR");
-    let wanted = cbor!({
+    let sent: Value = wire::decode(&scale_out.call().body.expect("a body")).expect("CBOR");
+    let expected = cbor!({
         "hire" => "r-17", "build" => "g8", "quarter" => "a", "borrowed" => true, "number" => 12
     });
-    assert_eq!(sent, wanted.expect("a value"));
+    assert_eq!(sent, expected.expect("a value"));
     let rented = body(cbor!({"rigs" => ["i-000231"]}));
     let machines = vec![MachineId::from("i-000231")];
     assert_eq!(
-        rent.reply(200, &rented),
+        scale_out.reply(200, &rented),
         CloudResponse::ScaledOut(machines.clone())
     );
     let delete = CloudRequest::Delete(machines);
@@ -141,11 +142,14 @@
         "fetchGbPerS" => 1.0, "rate" => 12.0, "lowPrice" => 4.5, "readyS" => 45,
         "quarters" => ["a", "b"]
     }]}));
-    let CloudResponse::Catalog(classes) = CloudRequest::Catalog.reply(200, &catalog) else {
-        panic!("no catalogue");
+    let CloudResponse::Catalog(machine_types) = CloudRequest::Catalog.reply(200, &catalog) else {
+        panic!("not a catalog");
     };
-    assert_eq!((classes[0].name.as_str(), classes[0].ready_s), ("g8", 45.0));
-    assert_eq!(classes[0].zones, ["a", "b"]);
+    assert_eq!(
+        (machine_types[0].name.as_str(), machine_types[0].ready_s),
+        ("g8", 45.0)
+    );
+    assert_eq!(machine_types[0].zones, ["a", "b"]);
     let listed = body(cbor!({"rigs" => [{
         "id" => "i-000231", "endpoint" => "10.1.0.232:9000", "build" => "g8", "quarter" => "a",
         "borrowed" => true, "stance" => "running", "ageS" => 61.5
@@ -153,7 +157,7 @@
     let CloudResponse::Page { machines, more } =
         (CloudRequest::List { after: None }).reply(200, &listed)
     else {
-        panic!("no list");
+        panic!("not a list of machines");
     };
     assert!(!more && machines[0].spot);
     assert_eq!(
