--- a/fakes/src/checker/answers.rs
+++ b/fakes/src/checker/answers.rs
@@ -44,9 +44,7 @@
             Self::Orphaned { job, answer } => {
                 write!(f, "{job} is {answer:?} after a dependency was cancelled")
             }
-            Self::Forgotten { job, answer } => {
-                write!(f, "{job} was accepted and is {answer:?}")
-            }
+            Self::Forgotten { job, answer } => write!(f, "{job} is {answer:?}"),
             Self::StillRuns { job } => write!(f, "{job} is cancelled while its tasks run"),
             Self::NotCancelled { job } => {
                 write!(f, "{job} is cancelled without a request to cancel it")
--- a/fakes/tests/commands.rs
+++ b/fakes/tests/commands.rs
@@ -93,5 +93,5 @@
     );
     cloud_calls.record_cloud_change(3, "n1");
     cloud_calls.record_cloud_change(4, "n0");
-    assert!(cloud_calls.violations[1].contains("n0 under token 3"));
+    assert!(cloud_calls.violations[1].contains("cloud call: n0 under token 3"));
 }
--- a/tests/malformed.rs
+++ b/tests/malformed.rs
@@ -279,8 +279,8 @@
     }
 }
 
-/// A malformed submission of a known job is answered with the job's state, so that the job id is
-/// read from a malformed body where possible.
+/// A malformed submission of a known job is answered with the job's state. To find the job, its id is
+/// read from the malformed body where possible.
 #[test]
 fn job_id_is_read_from_malformed_submissions() {
     let int = |n: i64| Value::Integer(n.into());
@@ -411,7 +411,7 @@
     use salttrestle_standby::message::{Heartbeat, StandbyMessage};
     let framed = |message: &StandbyMessage| {
         let message = peer::Message::Standby(Box::new(message.clone()));
-        peer::frame(&message).expect("short enough")
+        peer::frame(&message).expect("a message within the size limit")
     };
     let heartbeat = StandbyMessage::Heartbeat(Heartbeat {
         from: "n1".into(),
--- a/tests/processor.rs
+++ b/tests/processor.rs
@@ -1,5 +1,5 @@
-//! The moving average of a controller's processor utilization, and the number of machines per shard
-//! owner that follows from it.
+//! A controller's smoothed processor utilization, and the number of machines per shard owner that
+//! follows from it.
 
 use salttrestle::controller::processor::ProcessorUtilization;
 use salttrestle::ids::Time;
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -129,7 +129,7 @@
         &heartbeat_with(96),
     );
     let frame = peer::frame(&peer::Message::ForwardedHeartbeat(Box::new(heartbeat)));
-    let bytes = frame.expect("short enough").len();
+    let bytes = frame.expect("a message within the size limit").len();
     assert!(large.peer_out_bytes() >= 4000 * bytes, "{bytes} bytes");
     assert_eq!(usual.peer_out_bytes(), 500 * 4096);
     let slow = settings("0.01", "500");
