--- a/scale/src/hollow/cell.rs
+++ b/scale/src/hollow/cell.rs
@@ -104,7 +104,9 @@
     fn add_initial_machines(&mut self) {
         let zones = self.plan.zones.iter().cycle();
         for zone in zones.take(self.plan.workers) {
-            let id = self.cloud.add(0, MACHINE_TYPE, zone, false, Some(0));
+            let id = self
+                .cloud
+                .add_machine(0, MACHINE_TYPE, zone, false, Some(0));
             self.pending_boots.insert(0, id.to_string(), ());
         }
     }
@@ -216,8 +218,8 @@
 
     fn boot_machines(&mut self, now: u64) {
         while let Some((id, ())) = self.pending_boots.pop_due(now) {
-            let rented = self.cloud.rigs.get(&id);
-            if let Some(rented) = rented.filter(|rented| rented.gone.is_none()) {
+            let rented = self.cloud.machines.get(&id);
+            if let Some(rented) = rented.filter(|rented| rented.gone_at.is_none()) {
                 let machine = Machine {
                     id: &id,
                     machine_type: &rented.class,
@@ -233,8 +235,8 @@
         while let Some((id, ())) = self.pending_failures.pop_due(now) {
             self.workers
                 .stop_machine(&mut self.connections, &id, MachineStop::Failed);
-            if let Some(rented) = self.cloud.rigs.get_mut(&id) {
-                rented.failed = Some(now + FAILURE_LISTED_AFTER_MS);
+            if let Some(rented) = self.cloud.machines.get_mut(&id) {
+                rented.listed_failed_at = Some(now + FAILURE_LISTED_AFTER_MS);
             }
         }
     }
@@ -286,7 +288,7 @@
                     .workers
                     .handle_response(now, index, message, connections, jobs);
                 if let Err(error) = result {
-                    self.shared.checker().broken.push(error.to_string());
+                    self.shared.checker().violations.push(error.to_string());
                 }
             }
             Role::User(_) => {
@@ -397,9 +399,9 @@
         }
         if let CloudResponse::ScaledOut(machines) = &response {
             for id in machines {
-                let rented = self.cloud.rigs.get(id.as_str());
+                let rented = self.cloud.machines.get(id.as_str());
                 if let Some(at_ms) = rented
-                    .and_then(|rented| rented.boots)
+                    .and_then(|rented| rented.up_at)
                     .filter(|at_ms| *at_ms > now)
                 {
                     self.pending_boots.insert(at_ms, id.to_string(), ());
--- a/scale/src/hollow/cloud.rs
+++ b/scale/src/hollow/cloud.rs
@@ -123,7 +123,7 @@
     Cloud {
         catalog: vec![machine_type],
         capacity: capacity.collect(),
-        lag_ms: CLOUD_LIST_LAG.as_millis() as u64,
+        list_lag_ms: CLOUD_LIST_LAG.as_millis() as u64,
         ..Cloud::default()
     }
 }
--- a/scale/src/hollow/jobs.rs
+++ b/scale/src/hollow/jobs.rs
@@ -37,7 +37,7 @@
 
     /// Whether a job is known and ends by itself, which is true of all jobs but services.
     pub(super) fn is_finite(&self, id: &JobId) -> bool {
-        self.jobs.get(id).is_some_and(|job| !job.spec.service)
+        self.jobs.get(id).is_some_and(|job| !job.spec.is_service)
     }
 }
 
--- a/scale/src/hollow/users/submission.rs
+++ b/scale/src/hollow/users/submission.rs
@@ -124,8 +124,8 @@
         run_ms: (load.run_s * 1000.0) as u64,
         fetch_ms: IMAGE_FETCH_MS,
         save_ms: 0,
-        service: is_service,
-        broken: false,
+        is_service,
+        crash_loops: false,
     };
     Job { submission, spec }
 }
--- a/scale/src/hollow/workers.rs
+++ b/scale/src/hollow/workers.rs
@@ -11,7 +11,7 @@
 use salttrestle::ids::TaskId;
 use salttrestle::wire::Cause;
 use salttrestle_fakes::checker::Place;
-use salttrestle_fakes::worker::{ANSWER_MS, TaskEvent, TaskState, Worker};
+use salttrestle_fakes::worker::{ANSWER_TIMEOUT_MS, TaskEvent, TaskState, Worker};
 use std::collections::HashMap;
 use std::sync::Arc;
 use thiserror::Error;
@@ -158,7 +158,7 @@
         }
         let mut checker = self.shared.checker();
         for task in worker.worker.tasks.keys() {
-            checker.stops(task, id);
+            checker.record_stop(task, id);
         }
     }
 
@@ -198,12 +198,12 @@
         let killed = worker.check_lease(now, self.plan.lease_ms);
         let events = worker.run_tasks(now, jobs);
         let timed_out = worker
-            .flight
-            .is_some_and(|(_, sent_ms)| now >= sent_ms + ANSWER_MS);
+            .request_in_flight
+            .is_some_and(|(_, sent_ms)| now >= sent_ms + ANSWER_TIMEOUT_MS);
         if timed_out && let Some(key) = connection.take() {
             connections.close(key);
         }
-        let heartbeat_due = worker.report_due(now, controller_count);
+        let heartbeat_due = worker.check_heartbeat_due(now, controller_count);
         self.record_lease_kills(index, &killed);
         self.report_events(now, index, events);
         if heartbeat_due {
@@ -221,7 +221,7 @@
         self.lease_kills += killed.len() as u64;
         let mut checker = self.shared.checker();
         for task in killed {
-            checker.stops(task, &self.workers[index].id);
+            checker.record_stop(task, &self.workers[index].id);
         }
     }
 
@@ -239,19 +239,19 @@
             connection,
             ..
         } = &mut self.workers[index];
-        worker.begin_report(now, interval_ms);
-        let address = self.plan.addresses.controllers[worker.controller];
+        worker.begin_heartbeat(now, interval_ms);
+        let address = self.plan.addresses.controllers[worker.controller_index];
         let opened = match *connection {
             Some(key) => Ok(key),
             None => connections.connect(address, Role::Worker(index)),
         };
         let Ok(key) = opened else {
-            return worker.unanswered(now, controller_count);
+            return worker.on_connection_failed(now, controller_count);
         };
         *connection = Some(key);
         self.heartbeats_sent += 1;
-        worker.flight = Some((self.heartbeats_sent, now));
-        let body = worker.report_body(id, ENDPOINT, now);
+        worker.request_in_flight = Some((self.heartbeats_sent, now));
+        let body = worker.heartbeat_body(id, ENDPOINT, now);
         let host = address.to_string();
         connections.send(
             key,
@@ -278,21 +278,21 @@
             is_stopped,
             ..
         } = &mut self.workers[index];
-        let Some((_, sent_ms)) = worker.flight.filter(|_| !*is_stopped) else {
+        let Some((_, sent_ms)) = worker.request_in_flight.filter(|_| !*is_stopped) else {
             return Ok(());
         };
-        let (controller, token) = (worker.controller, worker.token);
+        let (controller, token) = (worker.controller_index, worker.token);
         let status = response.status().unwrap_or(0);
         let response = (status, response.body.as_slice());
         let controller_ids = &self.plan.controller_ids;
         let events = worker
-            .answered(now, sent_ms, response, controller_ids, jobs)
+            .on_answer(now, sent_ms, response, controller_ids, jobs)
             .map_err(|error| InvalidResponse(error.to_string()))?;
         if self.plan.is_only_cell && worker.token > token {
             let mut takeovers = self.shared.takeover_observer();
             takeovers.record_token_acknowledgement(now, worker.token);
         }
-        if worker.controller != controller
+        if worker.controller_index != controller
             && let Some(key) = connection.take()
         {
             connections.close(key);
@@ -311,8 +311,8 @@
             return;
         }
         *connection = None;
-        if worker.flight.is_some() {
-            worker.unanswered(now, controller_count);
+        if worker.request_in_flight.is_some() {
+            worker.on_connection_failed(now, controller_count);
         }
     }
 
@@ -338,12 +338,12 @@
                         self.shared.takeover_observer().record_start(now, &start);
                     }
                 }
-                TaskEvent::Started(task) => checker.starts(now, &task, place_of(id, worker)),
+                TaskEvent::Started(task) => checker.record_start(now, &task, place_of(id, worker)),
                 TaskEvent::Ended(task, cause) => {
                     if cause == Cause::Done {
-                        checker.finishes(now, &task);
+                        checker.record_completion(now, &task);
                     }
-                    checker.stops(&task, id);
+                    checker.record_stop(&task, id);
                 }
             }
         }
--- a/scale/src/observers/takeovers.rs
+++ b/scale/src/observers/takeovers.rs
@@ -5,7 +5,7 @@
 use crate::results::{LatencyRow, Row, TakeoverRow};
 use salttrestle::controller::store::records::{LeaderRecord, PlacementRecord, ShardRecord};
 use salttrestle::ids::{Attempt, JobId, TaskId};
-use salttrestle_fakes::orders::Orders;
+use salttrestle_fakes::commands::CommandChecker;
 
 /// A command to start a task that has reached a worker.
 pub struct WorkerStart<'a> {
@@ -27,7 +27,7 @@
     /// One row for each end of a leader so far.
     pub rows: Vec<TakeoverRow>,
     /// Checker of all commands to workers and the cloud.
-    pub command_checker: Orders,
+    pub command_checker: CommandChecker,
     /// Latest fencing token in the first shard's record.
     shard_token: u64,
 }
@@ -65,26 +65,26 @@
     /// Records a write of the leader's record, or its removal (`None`).
     pub fn record_leader_write(&mut self, leader: Option<&LeaderRecord>) {
         let leader = leader.map(|leader| (leader.token.0, leader.controller_id.as_str()));
-        self.command_checker.duties.leader_is(leader);
+        self.command_checker.cloud_calls.record_leader(leader);
     }
 
     /// Records a write of the first shard's record.
     pub fn record_shard_write(&mut self, now: u64, shard: &ShardRecord) {
         self.shard_token = shard.token.0;
-        self.command_checker.held(shard.token.0);
+        self.command_checker.record_owner_token(shard.token.0);
         self.record_first(now, shard.token.0, |row| &mut row.elected_ms);
     }
 
     /// Records a write of one of a job's placement records.
     pub fn record_placement_write(&mut self, job: &JobId, placement: &PlacementRecord) {
-        self.command_checker.committed(job, placement);
+        self.command_checker.record_placements(job, placement);
     }
 
     /// Records that a controller has created or deleted machines at the cloud.
     pub fn record_cloud_change(&mut self, now: u64, controller_id: &str) {
         self.command_checker
-            .duties
-            .cloud_changed(now, controller_id);
+            .cloud_calls
+            .record_cloud_change(now, controller_id);
     }
 
     /// Records that a worker has received a higher fencing token in a response.
@@ -102,7 +102,7 @@
             is_urgent,
         } = *start;
         self.command_checker
-            .started(now, machine, newest_token, task, attempt);
+            .record_start(now, machine, newest_token, task, attempt);
         let token = attempt.token().0;
         self.record_first(now, token, |row| &mut row.started_ms);
         if is_urgent {
--- a/tests/scenario_runs/expectations.rs
+++ b/tests/scenario_runs/expectations.rs
@@ -88,7 +88,7 @@
                 .is_some_and(|at| at <= self.span_ms()),
             "withdrawn" => self.job()?.notified.cancelled_at.is_some(),
             "started" => self.has_started_in_time(self.job()?),
-            "waiting" => self.job()?.first_start.is_none(),
+            "waiting" => self.job()?.first_started_at.is_none(),
             "runs" => self.has_all_replicas(self.job()?),
             "status" => self.has_status(),
             "no-status" => !self.has_status(),
@@ -103,7 +103,7 @@
     }
 
     fn has_started_in_time(&self, job: &JobView) -> bool {
-        let started = job.first_start;
+        let started = job.first_started_at;
         started.is_some_and(|at| at - job.submitted_at <= self.span_ms())
     }
 
@@ -137,15 +137,15 @@
         Some(match self.kind() {
             "killed-at-most" => world.lease_expiry_kills,
             "deleted-tasks-at-most" => world.tasks_on_deleted_machines,
-            "replaced-at-most" => world.store.orders.duties.replaced,
+            "replaced-at-most" => world.store.orders.cloud_calls.replaced_records,
             "failures-at-most" => world.observed.task_failures,
-            "sick-machines-at-most" => world.workers.values().filter(|w| w.faulty).count(),
+            "sick-machines-at-most" => world.workers.values().filter(|w| w.is_faulty).count(),
             "rejected-at-most" => world.store.rejected_transactions,
             "limited-at-most" => world.store.rate_limited_transactions,
-            "starts-at-most" => world.checker.starts as usize,
+            "starts-at-most" => world.checker.start_count as usize,
             "numbers-at-most" => world.owner_tokens.len(),
             "machines-at-most" => world.workers.len(),
-            "rented-at-most" => world.cloud.rigs.len(),
+            "rented-at-most" => world.cloud.machines.len(),
             _ => return None,
         })
     }
@@ -163,9 +163,9 @@
 
     /// The number of initial machines that still exist.
     fn count_initial_machines(&self) -> usize {
-        let machines = self.world.cloud.rigs.values();
-        let first = machines.filter(|machine| machine.rented == 0);
-        first.filter(|machine| machine.gone.is_none()).count()
+        let machines = self.world.cloud.machines.values();
+        let first = machines.filter(|machine| machine.rented_at == 0);
+        first.filter(|machine| machine.gone_at.is_none()).count()
     }
 
     /// Compares a count with the bound in the line's second word.
--- a/tests/sim/cancellations.rs
+++ b/tests/sim/cancellations.rs
@@ -32,7 +32,7 @@
                 self.schedule_at(at, request);
             }
         }
-        let is_service = self.specs[job].task.service;
+        let is_service = self.specs[job].task.is_service;
         if answer == JobAnswer::Queued
             && !is_service
             && self.is_hit_by_fault(|faults| faults.cancel_at_acceptance)
@@ -44,7 +44,7 @@
     /// Cancels some jobs at the moment at which their last task ends. Called after each task ends.
     pub(super) fn cancel_at_completion(&mut self, id: &JobId) {
         let job = &self.checker.jobs[id];
-        let is_complete = job.finished.len() as u32 == job.record.count;
+        let is_complete = job.finished_tasks.len() as u32 == job.record.count;
         if is_complete && self.is_hit_by_fault(|faults| faults.cancel_at_completion) {
             self.observed.cancelled_at_completion += 1;
             self.send_user_request(id, Intent::Cancel);
@@ -76,7 +76,7 @@
         let running = self.checker.running.keys().map(|task| task.job.clone());
         let running: BTreeSet<JobId> = running.collect();
         let is_cancellable = |id: &JobId| {
-            id.as_str().starts_with(prefix) && self.checker.jobs[id].cancel_asked.is_none()
+            id.as_str().starts_with(prefix) && self.checker.jobs[id].cancel_requested_at.is_none()
         };
         running.into_iter().filter(is_cancellable).collect()
     }
--- a/tests/sim/checks.rs
+++ b/tests/sim/checks.rs
@@ -31,7 +31,7 @@
             .filter_map(|host| host.controller.as_ref());
         let errors = controllers.filter_map(|controller| controller.audit().err());
         self.checker
-            .broken
+            .violations
             .extend(errors.map(|error| error.to_string()));
     }
 
@@ -56,19 +56,20 @@
             return;
         }
         let jobs = self.checker.jobs.iter().filter(|(id, job)| {
-            let is_over = job.notified.done || self.checker.cancel_asked_upstream(id).is_some();
+            let is_over =
+                job.notified.is_done || self.checker.upstream_cancel_requested_at(id).is_some();
             let has_open_dependency = self.checker.open_dependency(&job.record).is_some();
             let is_running = self.checker.running.keys().any(|task| task.job == **id);
-            let has_tasks_left = (job.finished.len() as u32) < job.record.count;
-            job.notified.accepted
+            let has_tasks_left = (job.finished_tasks.len() as u32) < job.record.count;
+            job.notified.is_accepted
                 && !is_over
                 && !has_open_dependency
                 && !is_running
                 && has_tasks_left
-                && self.checker.within_limit(&job.record)
+                && self.checker.fits_team_limit(&job.record)
         });
         let jobs_with_room = jobs.filter(|(id, job)| {
-            let is_crash_looping = self.specs[*id].task.broken;
+            let is_crash_looping = self.specs[*id].task.crash_loops;
             !is_crash_looping && self.any_machine_has_room(&job.record)
         });
         let jobs_with_room = jobs_with_room.map(|(id, _)| id.clone()).collect();
@@ -83,7 +84,7 @@
 
     fn machine_has_room(&self, worker: &Worker, record: &JobRecord) -> bool {
         let is_healthy =
-            !worker.faulty && worker.preempted_at.is_none() && worker.paused_until <= self.now;
+            !worker.is_faulty && worker.preempted_at.is_none() && worker.paused_until <= self.now;
         let is_market_allowed = record.spot || !worker.spot;
         let zone = record.zone.as_ref();
         let is_zone_allowed = zone.is_none_or(|zone| *zone == worker.zone);
--- a/tests/sim/observed.rs
+++ b/tests/sim/observed.rs
@@ -91,7 +91,7 @@
             "in-force" => self.count_limits_in_force_within(arguments.span_ms("in", 5.0)),
             "takeovers" => Window::parse(arguments).count(observed.takeovers.iter().copied()),
             // Leaders whose record still existed when the next leader replaced it.
-            "replaced" => self.store.orders.duties.replaced,
+            "replaced" => self.store.orders.cloud_calls.replaced_records,
             _ => return None,
         })
     }
@@ -107,12 +107,12 @@
         };
         let jobs = self.checker.jobs.values().filter(of_class);
         Some(match name {
-            "cancels" => window.count(jobs.filter_map(|job| job.cancel_asked)),
+            "cancels" => window.count(jobs.filter_map(|job| job.cancel_requested_at)),
             "confirmed" => window.count(jobs.filter_map(|job| job.notified.cancelled_at)),
             // Cancellations confirmed within `in=` seconds (3 by default) after the first request.
             "prompt" => {
-                let cancelled =
-                    jobs.filter_map(|job| Some((job.cancel_asked?, job.notified.cancelled_at?)));
+                let cancelled = jobs
+                    .filter_map(|job| Some((job.cancel_requested_at?, job.notified.cancelled_at?)));
                 let prompt =
                     cancelled.filter(|(asked, told)| told - asked <= duration_bound_ms(3.0));
                 window.count(prompt.map(|(asked, _)| asked))
@@ -122,14 +122,14 @@
             // Jobs that started within `in=` seconds after their last dependency was done.
             "released" => {
                 let releases = self.checker.releases();
-                let soon =
-                    releases.filter(|release| release.took_ms <= duration_bound_ms(any_time_s));
-                window.count(soon.map(|release| release.at))
+                let soon = releases
+                    .filter(|release| release.start_delay_ms <= duration_bound_ms(any_time_s));
+                window.count(soon.map(|release| release.released_at))
             }
             "ended" => window.count(jobs.filter_map(|job| job.done_notified_at)),
             // Jobs whose first task was on a machine within `in=` seconds after the submission.
             "begun" => {
-                let begun = jobs.filter_map(|job| Some(job.first_start? - job.submitted_at));
+                let begun = jobs.filter_map(|job| Some(job.first_started_at? - job.submitted_at));
                 begun
                     .filter(|took| *took <= duration_bound_ms(any_time_s))
                     .count()
--- a/tests/sim/outputs.rs
+++ b/tests/sim/outputs.rs
@@ -40,7 +40,7 @@
                 let violation = format!(
                     "unexpected message: cell={to} reason=no limits are shared between cells"
                 );
-                self.checker.broken.push(violation);
+                self.checker.violations.push(violation);
             }
         }
     }
--- a/tests/sim/services.rs
+++ b/tests/sim/services.rs
@@ -177,7 +177,7 @@
             _ => None,
         });
         let leader = leader.map(|leader| (leader.token.0, leader.controller_id.as_str()));
-        self.store.orders.duties.leader_is(leader);
+        self.store.orders.cloud_calls.record_leader(leader);
     }
 
     /// Tells the checker of cloud calls which controller rents or deletes machines. With several
@@ -187,8 +187,8 @@
         if !has_several_shards
             && matches!(request, CloudRequest::ScaleOut(_) | CloudRequest::Delete(_))
         {
-            let duties = &mut self.store.orders.duties;
-            duties.cloud_changed(self.now, &self.controller_ids[controller]);
+            let duties = &mut self.store.orders.cloud_calls;
+            duties.record_cloud_change(self.now, &self.controller_ids[controller]);
         }
     }
 
@@ -201,15 +201,15 @@
         request: &CloudRequest,
     ) {
         let now = self.now;
-        let rented_before = self.cloud.rigs.len();
+        let rented_before = self.cloud.machines.len();
         let (reply, deleted) = self.cloud.execute(now, request);
         for machine in deleted {
             let tasks = self.workers.get(&machine).map_or(0, |w| w.tasks.len());
             self.tasks_on_deleted_machines += tasks;
             self.end_worker(&machine);
         }
-        let rented = self.cloud.rigs.iter().skip(rented_before);
-        let rented = rented.filter_map(|(id, machine)| Some((id.clone(), machine.boots?)));
+        let rented = self.cloud.machines.iter().skip(rented_before);
+        let rented = rented.filter_map(|(id, machine)| Some((id.clone(), machine.up_at?)));
         let rented: Vec<(String, u64)> = rented.collect();
         for (machine, up_at) in rented {
             self.schedule_at(up_at, Event::MachineUp(machine));
--- a/tests/sim/store.rs
+++ b/tests/sim/store.rs
@@ -6,7 +6,7 @@
 use salttrestle::ids::CallId;
 use salttrestle::settings::NextStoreLimits;
 use salttrestle::wire::{Change, StoreRequest, StoreResponse, Write, record_to_value};
-use salttrestle_fakes::orders::Orders;
+use salttrestle_fakes::commands::CommandChecker;
 use salttrestle_fakes::rate::RateLimit;
 use salttrestle_fakes::store::{self, CommitOutcome, Store};
 
@@ -42,7 +42,7 @@
     /// under the wrong kind of key.
     pub violations: Vec<String>,
     /// Checks that workers start only what was committed before.
-    pub orders: Orders,
+    pub orders: CommandChecker,
 }
 
 impl StoreService {
@@ -58,14 +58,14 @@
             rejected_transactions: 0,
             rate_limited_transactions: 0,
             violations: Vec::new(),
-            orders: Orders::default(),
+            orders: CommandChecker::default(),
         }
     }
 
     /// Expires leases. During an outage, leases don't expire.
     pub(crate) fn expire(&mut self, now: u64) {
         if !self.has_outage {
-            self.records.expire(now);
+            self.records.revoke_expired_leases(now);
         }
     }
 
@@ -79,7 +79,7 @@
     /// Ends an outage. All leases are renewed for their full time to live.
     pub(crate) fn end_outage(&mut self, now: u64) {
         self.has_outage = false;
-        self.records.renew_all(now);
+        self.records.renew_all_leases(now);
     }
 
     /// The answer to a watch: the changes after a revision, or that the revision is compacted.
@@ -122,10 +122,10 @@
                 writes,
             } => self.commit(preconditions, writes),
             StoreRequest::GrantLease { ttl_ms } => {
-                StoreResponse::LeaseGranted(self.records.grant(now, *ttl_ms))
+                StoreResponse::LeaseGranted(self.records.grant_lease(now, *ttl_ms))
             }
-            StoreRequest::RenewLease(id) => lease_response(self.records.extend(now, *id)),
-            StoreRequest::RevokeLease(id) => lease_response(self.records.release(*id)),
+            StoreRequest::RenewLease(id) => lease_response(self.records.renew_lease(now, *id)),
+            StoreRequest::RevokeLease(id) => lease_response(self.records.revoke_lease(*id)),
         };
         Some(response)
     }
@@ -133,7 +133,7 @@
     /// Counts writes against the lowered write limit and returns whether they exceed it.
     fn is_write_rate_exceeded(&mut self, now: u64, writes: usize) -> bool {
         let limit = self.write_limit.as_mut();
-        let is_exceeded = limit.is_some_and(|limit| !limit.take(now, writes as f64));
+        let is_exceeded = limit.is_some_and(|limit| !limit.try_take(now, writes as f64));
         self.rate_limited_transactions += usize::from(is_exceeded);
         is_exceeded
     }
@@ -225,12 +225,12 @@
                 Write::Put {
                     record: Record::Shard(shard),
                     ..
-                } => self.orders.held(shard.token.0),
+                } => self.orders.record_owner_token(shard.token.0),
                 Write::Put {
                     key: Key::Placements(job, _),
                     record: Record::Placements(run),
                     ..
-                } => self.orders.committed(job, run),
+                } => self.orders.record_placements(job, run),
                 _ => {}
             }
         }
--- a/tests/sim/submissions.rs
+++ b/tests/sim/submissions.rs
@@ -77,8 +77,8 @@
         run_ms: milliseconds(run_s(arguments)),
         fetch_ms: milliseconds(image_gb(arguments) / FETCH_GB_S),
         save_ms: milliseconds(save_s(arguments)),
-        service: arguments.contains("service"),
-        broken: arguments.contains("broken"),
+        is_service: arguments.contains("service"),
+        crash_loops: arguments.contains("broken"),
     }
 }
 
@@ -136,7 +136,7 @@
     /// Registers a job with the checker and the workers before its submission.
     pub(super) fn add_spec(&mut self, id: &JobId, spec: JobSpec) {
         if let Ok((_, record)) = wire::parse_submission(&spec.body) {
-            self.checker.submitted(self.now, id, record);
+            self.checker.record_submission(self.now, id, record);
         }
         self.specs.insert(id.clone(), spec);
     }
--- a/tests/sim/users.rs
+++ b/tests/sim/users.rs
@@ -8,7 +8,9 @@
 use salttrestle::ids::JobId;
 use salttrestle::wire;
 use salttrestle_fakes::checker::JobAnswer;
-use salttrestle_fakes::user::{POLL_MS, POLL_WAIT_MS, WAIT_MS, read_answer, retry_ms};
+use salttrestle_fakes::user::{
+    POLL_INTERVAL_MS, POLL_TIMEOUT_MS, REQUEST_TIMEOUT_MS, parse_answer, retry_delay_ms,
+};
 
 /// How long a user waits before the next attempt to cancel a job that is not accepted yet.
 const CANCEL_RETRY_MS: u64 = 500;
@@ -38,8 +40,8 @@
     /// How long a user waits for the answer, in milliseconds.
     fn timeout_ms(self) -> u64 {
         match self {
-            Self::Poll | Self::Query => POLL_WAIT_MS,
-            _ => WAIT_MS,
+            Self::Poll | Self::Query => POLL_TIMEOUT_MS,
+            _ => REQUEST_TIMEOUT_MS,
         }
     }
 }
@@ -68,7 +70,7 @@
             // Users cancel only jobs that are accepted.
             Intent::Cancel => {
                 let view = self.checker.jobs.get(job);
-                let is_accepted = view.is_none_or(|view| view.notified.accepted);
+                let is_accepted = view.is_none_or(|view| view.notified.is_accepted);
                 (!is_accepted).then_some(CANCEL_RETRY_MS)
             }
             Intent::Submit => {
@@ -87,8 +89,8 @@
         let is_ready = |dependency: &JobId| {
             let view = self.checker.jobs.get(dependency);
             view.is_some_and(|view| match spec.waits_for_dependency_ends {
-                true => view.notified.done || view.notified.cancelled_at.is_some(),
-                false => view.notified.accepted,
+                true => view.notified.is_done || view.notified.cancelled_at.is_some(),
+                false => view.notified.is_accepted,
             })
         };
         spec.skips_dependency_wait || spec.dependencies.iter().all(is_ready)
@@ -110,7 +112,7 @@
         );
         if intent == Intent::Cancel {
             let now = self.now;
-            self.checker.cancel_asked(now, job);
+            self.checker.record_cancel_request(now, job);
             self.observed.pending_cancellations.insert(id.0, now);
         }
         self.schedule_after(intent.timeout_ms(), Event::UserTimeout(id.0));
@@ -146,9 +148,9 @@
         }
         let answer = reply
             .as_ref()
-            .and_then(|reply| read_answer(reply.status, &reply.body));
+            .and_then(|reply| parse_answer(reply.status, &reply.body));
         if let Some(answer) = answer {
-            let has_changed = self.checker.said(now, &job, answer);
+            let has_changed = self.checker.record_answer(now, &job, answer);
             self.last_answered_at.insert(job.clone(), now);
             if has_changed {
                 self.query_after_change(&job, answer);
@@ -162,7 +164,7 @@
     fn check_retry_after(&mut self, reply: &Reply) {
         if matches!(reply.status, 429 | 503) && reply.retry_after.is_none() {
             let violation = format!("answer lacks Retry-After: status={}", reply.status);
-            self.checker.broken.push(violation);
+            self.checker.violations.push(violation);
         }
     }
 
@@ -183,7 +185,7 @@
             Intent::Submit if answer.is_some() && !is_over => self.schedule_poll(job),
             Intent::Poll if !is_over => self.schedule_poll(job),
             Intent::Submit | Intent::Cancel if answer.is_none() => {
-                let delay = retry_ms(retry_after.map(u64::from));
+                let delay = retry_delay_ms(retry_after.map(u64::from));
                 self.schedule_after(delay, Event::UserRequest { job, intent });
             }
             _ => {}
@@ -192,6 +194,6 @@
 
     fn schedule_poll(&mut self, job: JobId) {
         let intent = Intent::Poll;
-        self.schedule_after(POLL_MS, Event::UserRequest { job, intent });
+        self.schedule_after(POLL_INTERVAL_MS, Event::UserRequest { job, intent });
     }
 }
--- a/tests/sim/workers.rs
+++ b/tests/sim/workers.rs
@@ -8,7 +8,7 @@
 use salttrestle::controller::events::{Input, Reply, Request};
 use salttrestle::wire::{self, Cause, WorkerHeartbeat};
 use salttrestle_fakes::checker::Place;
-use salttrestle_fakes::worker::{ANSWER_MS, TaskEvent, Worker};
+use salttrestle_fakes::worker::{ANSWER_TIMEOUT_MS, TaskEvent, Worker};
 
 /// The interval between two steps of a worker.
 const TICK_MS: u64 = 100;
@@ -17,8 +17,8 @@
 impl World {
     /// Starts the worker of a machine that has booted, unless the machine is gone.
     pub(super) fn start_worker(&mut self, machine: &str) {
-        let rented = self.cloud.rigs.get(machine);
-        let Some(rented) = rented.filter(|rented| rented.gone.is_none()) else {
+        let rented = self.cloud.machines.get(machine);
+        let Some(rented) = rented.filter(|rented| rented.gone_at.is_none()) else {
             return;
         };
         let controller = self.workers.len() % self.hosts.len();
@@ -32,7 +32,7 @@
     pub(super) fn end_worker(&mut self, machine: &str) {
         if let Some(worker) = self.workers.remove(machine) {
             for task in worker.tasks.keys() {
-                self.checker.stops(task, machine);
+                self.checker.record_stop(task, machine);
             }
         }
     }
@@ -56,7 +56,7 @@
         self.schedule_after(TICK_MS, Event::WorkerTick(machine.into()));
         self.lease_expiry_kills += killed.len();
         for task in killed {
-            self.checker.stops(&task, machine);
+            self.checker.record_stop(&task, machine);
         }
         self.record_task_events(machine, events);
         if !is_paused {
@@ -68,8 +68,8 @@
     fn preempt_machine(&mut self, machine: &str) {
         self.end_worker(machine);
         let now = self.now;
-        if let Some(machine) = self.cloud.rigs.get_mut(machine) {
-            machine.gone = Some(now);
+        if let Some(machine) = self.cloud.machines.get_mut(machine) {
+            machine.gone_at = Some(now);
         }
     }
 
@@ -81,17 +81,17 @@
                 TaskEvent::Accepted(task, attempt) => {
                     let token = self.workers[machine].token;
                     let orders = &mut self.store.orders;
-                    orders.started(now, machine, token, &task, attempt);
+                    orders.record_start(now, machine, token, &task, attempt);
                 }
                 TaskEvent::Started(task) => {
                     let place = self.place_on(machine);
-                    self.checker.starts(now, &task, place);
+                    self.checker.record_start(now, &task, place);
                 }
                 TaskEvent::Ended(task, cause) => {
                     if cause == Cause::Done {
-                        self.checker.finishes(now, &task);
+                        self.checker.record_completion(now, &task);
                     }
-                    self.checker.stops(&task, machine);
+                    self.checker.record_stop(&task, machine);
                     match cause {
                         Cause::Done => self.cancel_at_completion(&task.job),
                         Cause::Error => self.observed.task_failures += 1,
@@ -121,17 +121,17 @@
         let Some(worker) = self.workers.get_mut(machine) else {
             return;
         };
-        if !worker.report_due(now, controllers) {
+        if !worker.check_heartbeat_due(now, controllers) {
             return;
         }
-        worker.begin_report(now, interval * 3 / 4 + jitter);
-        let body = worker.report_body(machine, ENDPOINT, now);
+        worker.begin_heartbeat(now, interval * 3 / 4 + jitter);
+        let body = worker.heartbeat_body(machine, ENDPOINT, now);
         let heartbeat: WorkerHeartbeat = wire::decode(&body).expect("a heartbeat");
-        let controller = worker.controller;
+        let controller = worker.controller_index;
         let is_unreachable = worker.partitioned_until > now || worker.heartbeats_lost_until > now;
         let request = self.register_request(RequestOrigin::Worker(machine.into()));
         if let Some(worker) = self.workers.get_mut(machine) {
-            worker.flight = Some((request.0, now));
+            worker.request_in_flight = Some((request.0, now));
         }
         self.copy_heartbeat(&heartbeat);
         if !is_unreachable {
@@ -152,11 +152,14 @@
         let Some(worker) = self.workers.get_mut(machine) else {
             return;
         };
-        let Some((_, sent)) = worker.flight.filter(|(waited, _)| *waited == request) else {
+        let Some((_, sent)) = worker
+            .request_in_flight
+            .filter(|(waited, _)| *waited == request)
+        else {
             return;
         };
         let is_unreachable = worker.answers_lost_until > now || worker.partitioned_until > now;
-        if now > sent + ANSWER_MS || is_unreachable {
+        if now > sent + ANSWER_TIMEOUT_MS || is_unreachable {
             return;
         }
         if worker.paused_until > now {
@@ -171,13 +174,13 @@
             return self.schedule_at(at, deferred);
         }
         let Some(reply) = reply else {
-            return worker.unanswered(now, controllers);
+            return worker.on_connection_failed(now, controllers);
         };
         let answer = (reply.status, reply.body.as_slice());
         let jobs = SubmittedJobs(&self.specs);
-        match worker.answered(now, sent, answer, &self.controller_ids, &jobs) {
+        match worker.on_answer(now, sent, answer, &self.controller_ids, &jobs) {
             Ok(events) => self.record_task_events(machine, events),
-            Err(defect) => self.checker.broken.push(defect),
+            Err(defect) => self.checker.violations.push(defect),
         }
     }
 }
