--- a/scale/src/controllers/settings.rs
+++ b/scale/src/controllers/settings.rs
@@ -99,9 +99,9 @@
         "workers": {"report_s": service.heartbeat_s, "lease_s": service.lease_s,
                     "cancel_s": service.cancel_s},
         "state": {"rps": service.store_rps, "write_rps": service.store_write_rps,
-                  "value_kb": service.store_value_kb, "txn_ops": service.store_txn_ops},
+                  "value_kb": service.store_value_max_kib, "txn_ops": service.store_txn_ops_max},
         "cloud": {"rps": CLOUD_RPS, "list_lag_s": CLOUD_LIST_LAG.as_secs_f64()},
-        "resources": {"cpu": 1.0, "mem_mb": 256.0, "max_sockets": service.controller_sockets},
+        "resources": {"cpu": 1.0, "mem_mb": 256.0, "max_sockets": service.controller_sockets_max},
         "clock_off_ms": 1000.0
     })
 }
--- a/scale/src/experiment/bounds.rs
+++ b/scale/src/experiment/bounds.rs
@@ -92,7 +92,7 @@
             ("load.standing_per_worker", load.service_tasks_per_worker),
             ("load.starts_per_s", load.starts_per_s),
             ("load.urgent_per_s", load.urgent_per_s),
-            ("load.cancelled", load.cancelled),
+            ("load.cancelled", load.cancelled_fraction),
             (
                 "sharing.changes_per_s",
                 sharing.map_or(0.0, |sharing| sharing.changes_per_s),
@@ -110,7 +110,7 @@
             ("service.state_rps", service.store_rps),
             ("service.state_write_rps", service.store_write_rps),
             ("service.boot_s", service.boot_s),
-            ("load.run_s", load.run_s),
+            ("load.run_s", load.batch_run_s),
             ("load.teams", load.teams as f64),
             ("load.replicas", f64::from(load.replicas)),
             ("load.tasks_per_job", f64::from(load.tasks_per_job)),
@@ -118,7 +118,7 @@
     }
 
     fn check_size(&self) -> Result<(), InvalidSetting> {
-        let (controllers, workers) = (self.controllers() as f64, self.workers() as f64);
+        let (controllers, workers) = (self.controller_count() as f64, self.worker_count() as f64);
         let memory_mb = controllers * CONTROLLER_MB + workers * WORKER_MB;
         let limits = [
             ("cell.controllers", controllers, CONTROLLERS_MAX as f64),
@@ -169,7 +169,7 @@
         if takeovers.kinds.is_empty() {
             return invalid("takeovers.kinds", InvalidReason::NoLeaderEnds);
         }
-        if self.cells.len() != 1 || self.controllers() < 2 {
+        if self.cells.len() != 1 || self.controller_count() < 2 {
             return invalid("takeovers", InvalidReason::NoSuccessor);
         }
         let needed_s = f64::from(takeovers.count) * takeovers.every_s;
--- a/scale/src/experiment/mod.rs
+++ b/scale/src/experiment/mod.rs
@@ -9,7 +9,9 @@
     CONTROLLERS_MAX, MEMORY_MAX_MB, PROCESSES_MAX, SECONDS_MAX, STARTS_MAX, WORKERS_MAX,
 };
 pub use faults::{ControllerRole, Fault, FaultKind, LeaderEnd, Takeovers};
-pub use settings::{Cell, Experiment, ExperimentError, Load, Objectives, Phases, Service, Sharing};
+pub use settings::{
+    Cell, Experiment, ExperimentError, Load, Objectives, Phases, ServiceSettings, Sharing,
+};
 
 /// The experiment that runs when no file is named.
 pub const EMBEDDED: &str = include_str!("../../experiments/small.toml");
--- a/scale/src/experiment/settings.rs
+++ b/scale/src/experiment/settings.rs
@@ -46,7 +46,7 @@
     /// The course of the run.
     pub phases: Phases,
     /// The settings of the service.
-    pub service: Service,
+    pub service: ServiceSettings,
     /// What users submit.
     pub load: Load,
     /// How the cells share team limits, and how these change, if they are shared.
@@ -94,7 +94,7 @@
 /// Settings of the service, the same in every cell.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Service {
+pub struct ServiceSettings {
     /// Seconds between two heartbeats of a worker.
     #[serde(rename = "report_s")]
     pub heartbeat_s: f64,
@@ -110,17 +110,19 @@
     pub store_write_rps: f64,
     /// Largest value at the store, in KiB.
     #[serde(rename = "state_value_kb")]
-    pub store_value_kb: f64,
+    pub store_value_max_kib: f64,
     /// Most writes of a transaction.
     #[serde(rename = "state_txn_ops")]
-    pub store_txn_ops: usize,
+    pub store_txn_ops_max: usize,
     /// The store's latency, in milliseconds.
     #[serde(rename = "state_answer_ms")]
     pub store_latency_ms: u64,
     /// Most sockets of a controller.
-    pub controller_sockets: usize,
+    #[serde(rename = "controller_sockets")]
+    pub controller_sockets_max: usize,
     /// CPUs, GPUs and GB of memory of every machine.
-    pub machine: [f64; 3],
+    #[serde(rename = "machine")]
+    pub machine_resources: [f64; 3],
     /// Boot time of a machine, in seconds.
     pub boot_s: f64,
 }
@@ -143,13 +145,15 @@
     /// Tasks of one batch job.
     pub tasks_per_job: u32,
     /// Run time of a batch task, in seconds.
-    pub run_s: f64,
+    #[serde(rename = "run_s")]
+    pub batch_run_s: f64,
     /// CPUs of a batch task.
     pub batch_cpus: f64,
     /// Urgent jobs, each of one task, submitted per second.
     pub urgent_per_s: f64,
     /// Share of the batch jobs that are cancelled.
-    pub cancelled: f64,
+    #[serde(rename = "cancelled")]
+    pub cancelled_fraction: f64,
     /// Teams, each with a limit.
     pub teams: usize,
     /// Most CPUs and GPUs of a team in each cell.
@@ -218,12 +222,12 @@
     }
 
     /// Number of workers in all cells.
-    pub fn workers(&self) -> usize {
+    pub fn worker_count(&self) -> usize {
         self.cells.iter().map(|c| c.workers).sum()
     }
 
     /// Number of controllers in all cells.
-    pub fn controllers(&self) -> usize {
+    pub fn controller_count(&self) -> usize {
         self.cells.iter().map(|c| c.controllers).sum()
     }
 }
--- a/scale/src/hollow/cloud.rs
+++ b/scale/src/hollow/cloud.rs
@@ -100,7 +100,7 @@
 
 /// The fake cloud of a cell.
 pub(super) fn fake_cloud(plan: &CellPlan) -> Cloud {
-    let [cpus, gpus, mem] = plan.service.machine;
+    let [cpus, gpus, mem] = plan.service.machine_resources;
     let machine_type = MachineType {
         name: MACHINE_TYPE.into(),
         resources: Resources { cpus, gpus, mem },
--- a/scale/src/hollow/plan.rs
+++ b/scale/src/hollow/plan.rs
@@ -1,6 +1,6 @@
 //! What a hollow cell is built from.
 
-use crate::experiment::{Cell, Experiment, Load, Phases, Service};
+use crate::experiment::{Cell, Experiment, Load, Phases, ServiceSettings};
 use crate::layout::{CellAddresses, controller_id};
 
 /// What a hollow cell is built from.
@@ -26,7 +26,7 @@
     /// A worker's lease, in milliseconds.
     pub lease_ms: u64,
     /// The settings of the service.
-    pub service: Service,
+    pub service: ServiceSettings,
     /// What its users submit.
     pub load: Load,
     /// The course of the run.
@@ -51,7 +51,7 @@
             zones: cell.zones.clone(),
             workers: cell.workers,
             spare_machines: cell.spare_machines,
-            worker_share: cell.workers as f64 / experiment.workers() as f64,
+            worker_share: cell.workers as f64 / experiment.worker_count() as f64,
             heartbeat_ms: milliseconds(experiment.service.heartbeat_s),
             lease_ms: milliseconds(experiment.service.lease_s),
             service: experiment.service.clone(),
--- a/scale/src/hollow/store/mod.rs
+++ b/scale/src/hollow/store/mod.rs
@@ -4,7 +4,7 @@
 mod watches;
 
 use super::request::{Query, Response, StartLine};
-use crate::experiment::Service;
+use crate::experiment::ServiceSettings;
 use bodies::{
     CommitBody, ConflictBody, EntryBody, LeaseBody, LeaseRequestBody, LimitsBody, PageBody,
     RevisionBody, WriteBody,
@@ -148,13 +148,13 @@
 
 impl StoreService {
     /// An empty store.
-    pub(super) fn new(service: &Service) -> Self {
+    pub(super) fn new(service: &ServiceSettings) -> Self {
         Self {
             store: Store::new(HISTORY),
             request_limit: RateLimit::new(0, service.store_rps),
             write_limit: RateLimit::new(0, service.store_write_rps),
-            value_bytes_max: (service.store_value_kb * 1024.0) as usize,
-            writes_max: service.store_txn_ops,
+            value_bytes_max: (service.store_value_max_kib * 1024.0) as usize,
+            writes_max: service.store_txn_ops_max,
             watches: Vec::new(),
             outage: false,
             counts: StoreCounts::default(),
--- a/scale/src/hollow/users/mod.rs
+++ b/scale/src/hollow/users/mod.rs
@@ -274,8 +274,8 @@
             Operation::Submit => {
                 self.schedule(now + POLL_MS, job.clone(), Operation::Poll);
                 let load = &self.plan.load;
-                if self.jobs.is_finite(&job) && rng.random_bool(load.cancelled) {
-                    let wait_ms = rng.random_range(0.0..load.run_s * 1000.0) as u64;
+                if self.jobs.is_finite(&job) && rng.random_bool(load.cancelled_fraction) {
+                    let wait_ms = rng.random_range(0.0..load.batch_run_s * 1000.0) as u64;
                     self.schedule(now + wait_ms, job, Operation::Cancel);
                 }
             }
--- a/scale/src/hollow/users/submission.rs
+++ b/scale/src/hollow/users/submission.rs
@@ -113,14 +113,14 @@
         same_zone: false,
         zone_spread: false,
         spot: false,
-        estimate_s: if service { 0.0 } else { load.run_s },
+        estimate_s: if service { 0.0 } else { load.batch_run_s },
         checkpoint_s: 0.0,
         save_s: 0.0,
         deadline_s: None,
     });
     let spec = TaskSpec {
         image: IMAGE.into(),
-        run_ms: (load.run_s * 1000.0) as u64,
+        run_ms: (load.batch_run_s * 1000.0) as u64,
         fetch_ms: FETCH_MS,
         save_ms: 0,
         service,
--- a/scale/src/observers/takeovers.rs
+++ b/scale/src/observers/takeovers.rs
@@ -41,7 +41,7 @@
             elected_ms: None,
             token_acknowledged_ms: None,
             started_ms: None,
-            urgent_ms: None,
+            urgent_started_ms: None,
         });
     }
 
@@ -103,7 +103,7 @@
         let token = attempt.token().0;
         self.record_first(now, token, |row| &mut row.started_ms);
         if urgent {
-            self.record_first(now, token, |row| &mut row.urgent_ms);
+            self.record_first(now, token, |row| &mut row.urgent_started_ms);
         }
     }
 
@@ -142,5 +142,5 @@
     ("elected", |row| row.elected_ms),
     ("number shown", |row| row.token_acknowledged_ms),
     ("first start", |row| row.started_ms),
-    ("first urgent", |row| row.urgent_ms),
+    ("first urgent", |row| row.urgent_started_ms),
 ];
--- a/scale/src/results/rows.rs
+++ b/scale/src/results/rows.rs
@@ -194,7 +194,8 @@
     /// The successor's first start reached a worker.
     pub started_ms: Option<u64>,
     /// Its first start of an urgent job reached a worker.
-    pub urgent_ms: Option<u64>,
+    #[serde(rename = "urgent_ms")]
+    pub urgent_started_ms: Option<u64>,
 }
 
 /// All rows of one run.
--- a/scale/src/run/mod.rs
+++ b/scale/src/run/mod.rs
@@ -43,7 +43,7 @@
     paths: RunPaths,
 ) -> Result<Results, RunError> {
     std::fs::create_dir_all(paths.folder)?;
-    rlimit::increase_nofile_limit(experiment.workers() as u64 + OTHER_FILES)?;
+    rlimit::increase_nofile_limit(experiment.worker_count() as u64 + OTHER_FILES)?;
     let mut run = Run::start(experiment, paths)?;
     run.wait_until_ready()?;
     let measurement = run.play_load()?;
--- a/scale/src/run/report.rs
+++ b/scale/src/run/report.rs
@@ -196,7 +196,7 @@
         value: None,
         cells: run.installation.cells.len(),
         controllers: run.installation.controllers.len(),
-        workers: run.experiment.workers(),
+        workers: run.experiment.worker_count(),
         teams: run.experiment.load.teams,
         window_s: run.measurement.window_s(),
         tasks: mean_tasks(run),
