--- a/scale/src/capacity/metric.rs
+++ b/scale/src/capacity/metric.rs
@@ -1,50 +1,50 @@
-//! The costs of a run, from the rows of its results.
+//! The costs of a run, which are computed from its result rows.
 
 use crate::axis::Axis;
 use crate::results::{ProcessRow, Row, RunRow, StoreRow, TrafficRow};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A cost that is measured in each run of one cell.
+/// A cost that is measured in each run of a sweep, for its single cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Metric {
-    /// Processor use of the shard's owner, in cores.
+    /// Processor use of the controller that owns the first shard, in cores.
     #[serde(rename = "holder-cores")]
     OwnerCores,
-    /// Peak resident memory of the shard's owner, in MiB.
+    /// Peak resident memory of the controller that owns the first shard, in MiB.
     #[serde(rename = "holder-memory-mb")]
     OwnerMemoryMb,
-    /// Highest processor use of another controller, in cores.
+    /// Maximum processor use of the other controllers, in cores.
     #[serde(rename = "relay-cores")]
     PeerCores,
-    /// Highest peak resident memory of another controller, in MiB.
+    /// Maximum peak resident memory of the other controllers, in MiB.
     #[serde(rename = "relay-memory-mb")]
     PeerMemoryMb,
-    /// Requests per second at the store.
+    /// Requests to the store, per second.
     #[serde(rename = "state-requests")]
     StoreRequests,
-    /// Committed puts and deletes per second at the store.
+    /// Committed puts and deletes in the store, per second.
     #[serde(rename = "state-changes")]
     StoreChanges,
-    /// Bytes per second to the store.
+    /// Traffic to the store, in bytes per second.
     #[serde(rename = "state-bytes-in")]
     StoreBytesIn,
-    /// Bytes per second from the store.
+    /// Traffic from the store, in bytes per second.
     #[serde(rename = "state-bytes-out")]
     StoreBytesOut,
-    /// Bytes per second from all workers.
+    /// Heartbeat traffic from all workers, in bytes per second.
     #[serde(rename = "report-bytes")]
     HeartbeatBytes,
-    /// Bytes per second to all workers.
+    /// Response traffic to all workers, in bytes per second.
     #[serde(rename = "answer-bytes")]
     ResponseBytes,
-    /// Processor use of the hollow side, in cores.
+    /// Processor use of the hollow side of the cell, in cores.
     HollowCores,
 }
 
 impl Metric {
-    /// Every cost.
+    /// All costs, in the order of the capacity page.
     pub const ALL: [Metric; 11] = [
         Metric::OwnerCores,
         Metric::OwnerMemoryMb,
@@ -59,7 +59,7 @@
         Metric::HollowCores,
     ];
 
-    /// The name and the unit on the page.
+    /// The name and the unit under which the capacity page shows the cost.
     pub fn label(self) -> Label {
         let (name, unit) = match self {
             Self::OwnerCores => ("holder, processor", "cores"),
@@ -78,28 +78,29 @@
     }
 }
 
-/// How the page presents a cost.
+/// The name and the unit under which the capacity page shows a cost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Label {
-    /// Its name.
+    /// Name of the cost.
     pub name: &'static str,
-    /// Its unit.
+    /// Unit of the cost.
     pub unit: &'static str,
 }
 
-/// The costs of a run, at its value on the varied axis.
+/// The costs of one run, with the axis that was varied and the value on it.
 pub(super) struct CostPoint {
     pub(super) axis: Axis,
     pub(super) value: f64,
     pub(super) costs: BTreeMap<Metric, f64>,
 }
 
-/// The points of all runs. The row of each run comes before its other rows.
-pub(super) fn cost_points(rows: &[Row]) -> Vec<CostPoint> {
+/// Computes the cost points of all runs of a sweep. The summary row of each run must precede the
+/// other rows of that run.
+pub(super) fn collect_cost_points(rows: &[Row]) -> Vec<CostPoint> {
     let mut points: Vec<CostPoint> = Vec::new();
     for row in rows {
         if let Row::Run(run) = row {
-            points.extend(CostPoint::of_run(run));
+            points.extend(CostPoint::from_run(run));
         } else if let Some(point) = points.last_mut() {
             point.add_row(row);
         }
@@ -108,8 +109,8 @@
 }
 
 impl CostPoint {
-    /// A run without costs yet; `None` if it isn't part of a sweep.
-    fn of_run(run: &RunRow) -> Option<Self> {
+    /// A point without costs for a run; `None` if the run isn't part of a sweep.
+    fn from_run(run: &RunRow) -> Option<Self> {
         let name = run.axis.as_deref()?;
         let mut axes = Axis::ALL.into_iter();
         Some(Self {
@@ -131,13 +132,14 @@
 
     fn add_process(&mut self, process: &ProcessRow) {
         let cores = process.user_cores + process.system_cores;
-        if process.owner {
+        if process.is_owner {
             self.add(Metric::OwnerCores, cores);
             self.add(Metric::OwnerMemoryMb, process.memory_mb);
         } else {
-            // The highest of the peers, since chance decides which of them has the most work.
-            self.raise(Metric::PeerCores, cores);
-            self.raise(Metric::PeerMemoryMb, process.memory_mb);
+            // The maximum over the peers, since the load isn't spread evenly: which peer has the
+            // most work is random.
+            self.add_max(Metric::PeerCores, cores);
+            self.add_max(Metric::PeerMemoryMb, process.memory_mb);
         }
     }
 
@@ -164,7 +166,7 @@
         *self.costs.entry(metric).or_default() += amount;
     }
 
-    fn raise(&mut self, metric: Metric, amount: f64) {
+    fn add_max(&mut self, metric: Metric, amount: f64) {
         let cost = self.costs.entry(metric).or_default();
         *cost = cost.max(amount);
     }
--- a/scale/src/capacity/mod.rs
+++ b/scale/src/capacity/mod.rs
@@ -1,5 +1,6 @@
-//! The capacity of a cell: a line for each cost along each axis, fitted to measured runs, and the
-//! part of the capacity page that is computed from these lines, so that page and measurement agree.
+//! The capacity model of a cell: a linear fit of each cost along each axis, from measured runs. A
+//! section of the capacity page is computed from the fits, so that the page agrees with the
+//! measurements.
 
 mod heartbeats;
 mod metric;
@@ -8,6 +9,6 @@
 mod table;
 
 pub use metric::{Label, Metric};
-pub use page::with_computed;
+pub use page::replace_computed_section;
 pub use slope::Slope;
 pub use table::SlopeTable;
--- a/scale/src/capacity/slope.rs
+++ b/scale/src/capacity/slope.rs
@@ -1,73 +1,76 @@
-//! The line of one cost along one axis.
+//! Linear fits of one cost along one axis.
 
 use super::metric::Metric;
 use crate::axis::Axis;
 use serde::{Deserialize, Serialize};
 
-/// A cost grows faster than linearly if its last step is this many times as steep as its first.
-const STEEPENING: f64 = 2.0;
-/// An axis matters to a cost if the rise over its values exceeds this many residuals.
-const SIGNIFICANCE: f64 = 2.0;
+/// Minimum steepening above which a cost counts as superlinear.
+const SUPERLINEAR_STEEPENING_RATIO: f64 = 2.0;
+/// A cost depends on an axis if it changes over the measured values by more than this multiple of
+/// the largest residual. Smaller changes can't be told from noise.
+const SIGNIFICANT_CHANGE_RATIO: f64 = 2.0;
 
-/// A point of a cost along an axis.
+/// The cost of one run, and the run's value on the axis.
 #[derive(Clone, Copy)]
 pub(super) struct Sample {
     pub(super) value: f64,
     pub(super) cost: f64,
 }
 
-/// The line of one cost along one axis.
+/// A linear fit of one cost along one axis.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Slope {
-    /// The axis.
+    /// The varied axis.
     pub axis: Axis,
-    /// The cost.
+    /// The fitted cost.
     pub metric: Metric,
-    /// The cost at zero.
+    /// The fitted cost at value 0, in the unit of the cost.
     pub intercept: f64,
-    /// The additional cost per unit of the axis.
+    /// The cost of one more unit of the axis, in the unit of the cost.
     pub slope: f64,
-    /// The largest distance of a run from the line.
+    /// The largest absolute difference between a run's cost and the line.
     pub residual: f64,
-    /// The slope of the last step between values, as a multiple of that of the first.
+    /// The slope between the two largest values, as a multiple of the slope between the two
+    /// smallest values. It is 1 with fewer than four values, and 0 if the ratio is undefined.
     pub steepening: f64,
-    /// The values that were measured.
-    pub sizes: Vec<f64>,
-    /// Number of runs.
+    /// The measured values on the axis, in ascending order.
+    #[serde(rename = "sizes")]
+    pub values: Vec<f64>,
+    /// Number of measured runs.
     pub runs: usize,
 }
 
 impl Slope {
-    /// Whether the cost depends on the axis.
-    pub fn matters(&self) -> bool {
-        let first = self.sizes.first().copied().unwrap_or(0.0);
-        let last = self.sizes.last().copied().unwrap_or(0.0);
-        let rise = (self.slope * (last - first)).abs();
-        rise > SIGNIFICANCE * self.residual
+    /// Whether the cost measurably depends on the axis.
+    pub fn is_significant(&self) -> bool {
+        let first = self.values.first().copied().unwrap_or(0.0);
+        let last = self.values.last().copied().unwrap_or(0.0);
+        let change = (self.slope * (last - first)).abs();
+        change > SIGNIFICANT_CHANGE_RATIO * self.residual
     }
 
     /// Whether the cost grows faster than linearly.
-    pub fn grows_faster(&self) -> bool {
-        self.matters() && self.slope > 0.0 && self.steepening > STEEPENING
+    pub fn is_superlinear(&self) -> bool {
+        self.is_significant() && self.slope > 0.0 && self.steepening > SUPERLINEAR_STEEPENING_RATIO
     }
 
-    /// Fits a line to the samples.
+    /// Fits a line to the samples by least squares.
     pub(super) fn fit(axis: Axis, metric: Metric, samples: &[Sample]) -> Self {
         let line = Line::least_squares(samples);
         let residuals = samples
             .iter()
             .map(|sample| (sample.cost - line.intercept - line.slope * sample.value).abs());
-        let mut sizes: Vec<f64> = samples.iter().map(|sample| sample.value).collect();
-        sizes.sort_by(f64::total_cmp);
-        sizes.dedup();
+        let mut values: Vec<f64> = samples.iter().map(|sample| sample.value).collect();
+        values.sort_by(f64::total_cmp);
+        values.dedup();
         Self {
             axis,
             metric,
             intercept: line.intercept,
             slope: line.slope,
             residual: residuals.fold(0.0, f64::max),
-            steepening: steepening(samples, &sizes),
-            sizes,
+            steepening: steepening(samples, &values),
+            values,
             runs: samples.len(),
         }
     }
@@ -101,14 +104,16 @@
     }
 }
 
-/// The slope of the last step as a multiple of that of the first: 1 with fewer than four values,
-/// and 0 if the first step is flat.
-fn steepening(samples: &[Sample], sizes: &[f64]) -> f64 {
+/// The slope between the two largest values as a multiple of the slope between the two smallest. It
+/// is 1 with fewer than four values, and 0 if the first slope is 0.
+fn steepening(samples: &[Sample], values: &[f64]) -> f64 {
     let slope = |from: f64, to: f64| {
         (mean_cost_at(samples, to) - mean_cost_at(samples, from)) / (to - from)
     };
-    let steepening = match sizes {
-        [first, second, .., before, last] => slope(*before, *last) / slope(*first, *second),
+    let steepening = match values {
+        [first, second, .., next_to_last, last] => {
+            slope(*next_to_last, *last) / slope(*first, *second)
+        }
         _ => 1.0,
     };
     if steepening.is_finite() {
--- a/scale/src/capacity/table.rs
+++ b/scale/src/capacity/table.rs
@@ -1,6 +1,6 @@
-//! The lines of all costs along all axes.
+//! The linear fits of all costs along all axes.
 
-use super::metric::{Metric, cost_points};
+use super::metric::{Metric, collect_cost_points};
 use super::slope::{Sample, Slope};
 use crate::axis::Axis;
 use crate::experiment::Experiment;
@@ -8,29 +8,30 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Fewest runs through which a line is fitted.
+/// Minimum number of runs for a linear fit.
 const RUNS_MIN: usize = 3;
 
-/// The lines of all costs along all axes, and the experiment around which they were measured.
+/// The linear fits of all costs along all axes, with the size of the experiment that was varied.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SlopeTable {
-    /// The sources that were measured.
+    /// Name of the measured source revision.
     pub sources: String,
-    /// The size of the experiment that was varied.
+    /// The value of each axis in the experiment that was varied.
     pub reference: BTreeMap<Axis, f64>,
-    /// The lines.
+    /// The linear fits.
     pub slopes: Vec<Slope>,
 }
 
 impl SlopeTable {
-    /// Fits a line for each cost along each axis that was varied.
+    /// Fits a line to each cost along each axis, if at least three runs varied that axis. `rows`
+    /// are the result rows of all runs, and `base` is the experiment that was varied.
     pub fn from_rows(sources: &str, base: &Experiment, rows: &[Row]) -> Self {
-        let points = cost_points(rows);
+        let points = collect_cost_points(rows);
         let mut slopes = Vec::new();
         for axis in Axis::ALL {
             for metric in Metric::ALL {
-                let of_axis = points.iter().filter(|point| point.axis == axis);
-                let samples = of_axis.filter_map(|point| {
+                let axis_points = points.iter().filter(|point| point.axis == axis);
+                let samples = axis_points.filter_map(|point| {
                     let cost = *point.costs.get(&metric)?;
                     let value = point.value;
                     Some(Sample { value, cost })
@@ -48,14 +49,15 @@
         }
     }
 
-    /// The line of one cost along one axis.
+    /// The linear fit of one cost along one axis; `None` if it wasn't measured.
     pub fn slope(&self, axis: Axis, metric: Metric) -> Option<&Slope> {
         let mut slopes = self.slopes.iter();
         slopes.find(|slope| slope.axis == axis && slope.metric == metric)
     }
 
-    /// A cost at another size: the mean of the lines at the reference, and from there along each
-    /// line that matters.
+    /// Predicts a cost for a cell of other sizes, in the unit of the cost. Starts from the mean of
+    /// all fits at the reference size, and adds the change along each axis on which the cost
+    /// depends. An axis without a size in `sizes` keeps its reference value.
     pub fn predict(&self, metric: Metric, sizes: &BTreeMap<Axis, f64>) -> f64 {
         let slopes = self.slopes.iter().filter(|slope| slope.metric == metric);
         let slopes: Vec<&Slope> = slopes.collect();
@@ -64,8 +66,8 @@
             .iter()
             .map(|slope| slope.intercept + slope.slope * reference(slope));
         let base = at_reference.sum::<f64>() / slopes.len().max(1) as f64;
-        let matters = slopes.iter().filter(|slope| slope.matters());
-        let changes = matters.map(|slope| {
+        let significant = slopes.iter().filter(|slope| slope.is_significant());
+        let changes = significant.map(|slope| {
             let reference = reference(slope);
             let size = sizes.get(&slope.axis).copied().unwrap_or(reference);
             slope.slope * (size - reference)
--- a/scale/src/controllers/settings.rs
+++ b/scale/src/controllers/settings.rs
@@ -59,7 +59,7 @@
 
 fn own_properties(experiment: &Experiment) -> String {
     let takeovers = experiment.takeovers.as_ref();
-    match takeovers.is_none_or(|takeovers| takeovers.standby) {
+    match takeovers.is_none_or(|takeovers| takeovers.has_standby) {
         true => PROPERTIES.into(),
         false => format!("{PROPERTIES}{WITHOUT_STANDBY}"),
     }
--- a/scale/src/experiment/bounds.rs
+++ b/scale/src/experiment/bounds.rs
@@ -1,4 +1,5 @@
-//! Bounds of an experiment: those of the machine that plays it, and those of the protocols.
+//! Bounds on the settings of an experiment. They follow from the protocols, and from the resources
+//! of the one machine that runs the experiment.
 
 use super::faults::FaultKind;
 use super::settings::{Experiment, ExperimentError};
@@ -6,57 +7,59 @@
 use std::net::Ipv4Addr;
 use thiserror::Error;
 
-/// Most controllers in one run: the machines that are set aside for control.
+/// Maximum number of controllers in one run: the number of machines that the operators reserve for
+/// controllers.
 pub const CONTROLLERS_MAX: usize = 24;
-/// Most hollow workers in one run.
+/// Maximum number of hollow workers in one run.
 pub const WORKERS_MAX: usize = 8_000;
-/// Longest run, in seconds.
-pub const SECONDS_MAX: f64 = 720.0;
-/// Most task starts per second that an experiment may ask for.
-pub const STARTS_MAX: f64 = 3_000.0;
-/// Most processes of one run.
+/// Maximum length of a run, in seconds.
+pub const RUN_MAX_S: f64 = 720.0;
+/// Maximum rate of batch task starts that an experiment may request, per second.
+pub const STARTS_PER_S_MAX: f64 = 3_000.0;
+/// Maximum number of processes in one run, the load generator included.
 pub const PROCESSES_MAX: usize = 200;
-/// Most memory of one run, in MiB.
+/// Maximum memory of one run, in MiB. The estimate before a run and the resident memory during the
+/// run must not exceed it.
 pub const MEMORY_MAX_MB: f64 = 12.0 * 1024.0;
-/// Memory that is estimated for a controller before the run, in MiB.
-const CONTROLLER_MB: f64 = 256.0;
-/// Memory that is estimated for a hollow worker before the run, in MiB.
-const WORKER_MB: f64 = 0.25;
-/// Most cells: each has a loopback network of its own.
+/// Estimated memory of one controller, in MiB.
+const CONTROLLER_MEMORY_MB: f64 = 256.0;
+/// Estimated memory of one hollow worker, in MiB.
+const WORKER_MEMORY_MB: f64 = 0.25;
+/// Maximum number of cells in one run. Each cell has its own loopback network.
 const CELLS_MAX: usize = 16;
 
-/// A setting that is out of bounds.
+/// A setting that is out of bounds, by its key in the experiment's file.
 struct InvalidSetting {
     key: &'static str,
     reason: InvalidReason,
 }
 
-/// Why a setting is out of bounds.
+/// The reason why a setting is out of bounds.
 #[derive(Debug, Error)]
 enum InvalidReason {
-    #[error("{0} must not be negative")]
+    #[error("{0} must be finite and not negative")]
     Negative(f64),
-    #[error("{0} must be above 0")]
+    #[error("{0} must be finite and above 0")]
     NotPositive(f64),
-    #[error("{value} is more than the {max} that one machine may play")]
+    #[error("{value} exceeds {max}, the maximum for a run on one machine")]
     TooLarge { value: f64, max: f64 },
-    #[error("{0} lies outside 127.0.0.0/8")]
+    #[error("{0} is outside 127.0.0.0/8")]
     NotLoopback(Ipv4Addr),
-    #[error("there must be 1 to {CELLS_MAX} cells")]
+    #[error("the number of cells must be 1 to {CELLS_MAX}")]
     CellCount,
-    #[error("'{0}' must be lower-case letters, once")]
+    #[error("'{0}' must be unique and consist of the letters a to z")]
     CellName(String),
-    #[error("{0} has none")]
+    #[error("cell {0} has no zones")]
     NoZones(String),
-    #[error("{0} needs controllers and workers")]
+    #[error("cell {0} needs at least one controller and one worker")]
     EmptyCell(String),
-    #[error("there must be one")]
+    #[error("at least one kind is required")]
     NoLeaderEnds,
-    #[error("one cell with at least two controllers is needed")]
+    #[error("takeovers require exactly one cell with at least two controllers")]
     NoSuccessor,
-    #[error("they take {needed_s} s, longer than the {measured_s} s that are measured")]
+    #[error("the takeovers take {needed_s} s, longer than the measurement of {measured_s} s")]
     TakeoversTooLong { needed_s: f64, measured_s: f64 },
-    #[error("there is no cell {0}")]
+    #[error("unknown cell {0}")]
     UnknownCell(String),
 }
 
@@ -65,14 +68,15 @@
 }
 
 impl Experiment {
-    /// Checks that all settings keep to the bounds of the machine and of the protocols.
+    /// Checks all settings against the bounds of the machine and of the protocols. `file` names the
+    /// experiment's file in the error, which is that of the first invalid setting.
     pub fn check(&self, file: &str) -> Result<(), ExperimentError> {
         self.check_settings()
             .map_err(|invalid| ExperimentError::new(file, invalid.key, invalid.reason))
     }
 
     fn check_settings(&self) -> Result<(), InvalidSetting> {
-        self.check_amounts()?;
+        self.check_numbers()?;
         self.check_size()?;
         if !self.network.is_loopback() {
             return invalid("network", InvalidReason::NotLoopback(self.network));
@@ -82,7 +86,7 @@
         self.check_faults()
     }
 
-    fn check_amounts(&self) -> Result<(), InvalidSetting> {
+    fn check_numbers(&self) -> Result<(), InvalidSetting> {
         let (phases, service, load) = (&self.phases, &self.service, &self.load);
         let sharing = self.sharing.as_ref();
         let not_negative = [
@@ -119,14 +123,18 @@
 
     fn check_size(&self) -> Result<(), InvalidSetting> {
         let (controllers, workers) = (self.controller_count() as f64, self.worker_count() as f64);
-        let memory_mb = controllers * CONTROLLER_MB + workers * WORKER_MB;
+        let memory_mb = controllers * CONTROLLER_MEMORY_MB + workers * WORKER_MEMORY_MB;
         let limits = [
             ("cell.controllers", controllers, CONTROLLERS_MAX as f64),
             ("cell.controllers", controllers + 1.0, PROCESSES_MAX as f64),
             ("cell.workers", workers, WORKERS_MAX as f64),
             ("cell.workers (MiB)", memory_mb, MEMORY_MAX_MB),
-            ("phases (seconds)", self.phases.total_s(), SECONDS_MAX),
-            ("load.starts_per_s", self.load.starts_per_s, STARTS_MAX),
+            ("phases (seconds)", self.phases.total_s(), RUN_MAX_S),
+            (
+                "load.starts_per_s",
+                self.load.starts_per_s,
+                STARTS_PER_S_MAX,
+            ),
         ];
         for (key, value, max) in limits {
             if value > max {
@@ -143,8 +151,9 @@
         let mut names = BTreeSet::new();
         for cell in &self.cells {
             let name = cell.name.clone();
-            let plain = !name.is_empty() && name.bytes().all(|byte| byte.is_ascii_lowercase());
-            if !plain || !names.insert(&cell.name) {
+            let has_valid_letters =
+                !name.is_empty() && name.bytes().all(|byte| byte.is_ascii_lowercase());
+            if !has_valid_letters || !names.insert(&cell.name) {
                 return invalid("cell.name", InvalidReason::CellName(name));
             }
             if cell.zones.is_empty() {
--- a/scale/src/experiment/faults.rs
+++ b/scale/src/experiment/faults.rs
@@ -1,116 +1,118 @@
-//! Faults that an experiment injects: single ones at a set time, and leaders that are ended again
-//! and again.
+//! Faults that an experiment injects: single faults at set times, and repeated faults of the leader
+//! that cause takeovers.
 
 use serde::{Deserialize, Serialize};
 
-/// A fault at a set time.
+/// A fault that is injected at a set time.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Fault {
-    /// When it begins, in seconds from the start of the load.
+    /// Time at which the fault is injected, in seconds from the start of the load.
     pub at_s: f64,
-    /// The cell that it strikes, by name.
+    /// Name of the affected cell.
     pub cell: String,
-    /// What goes wrong.
+    /// Kind of the fault, with its parameters.
     #[serde(flatten)]
     pub kind: FaultKind,
 }
 
-/// What goes wrong.
+/// Kind of a fault, with its parameters.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum FaultKind {
-    /// A controller is killed, and started again later.
+    /// A controller is killed with SIGKILL, and restarted later.
     Kill {
-        /// Which controller.
+        /// Role of the affected controller.
         controller: ControllerRole,
-        /// Seconds until it is started again.
+        /// Seconds until the controller is restarted.
         down_s: f64,
     },
-    /// A controller is suspended, and resumed later.
+    /// A controller is suspended with SIGSTOP, and resumed later.
     Pause {
-        /// Which controller.
+        /// Role of the affected controller.
         controller: ControllerRole,
-        /// Seconds until it is resumed.
+        /// Seconds until the controller is resumed.
         for_s: f64,
     },
-    /// Machines fail, with all tasks on them.
+    /// Machines fail, together with all tasks on them.
     MachinesLost {
-        /// How many.
+        /// Number of machines that fail.
         count: usize,
-        /// Only machines of this zone.
+        /// Zone in which machines fail; all zones if `None`.
         zone: Option<String>,
-        /// Seconds over which they fail; 0 for all at once.
+        /// Seconds over which the failures are spread; 0 fails all machines at once.
         #[serde(default)]
         over_s: f64,
     },
-    /// The store answers no request.
+    /// The store of the cell doesn't respond.
     #[serde(rename = "state-outage")]
     StoreOutage {
-        /// For how many seconds.
+        /// Duration in seconds.
         for_s: f64,
     },
-    /// The link to another cell is partitioned.
+    /// The network link to another cell is partitioned.
     #[serde(rename = "link-cut")]
     LinkPartition {
-        /// The other cell; all others if it isn't named.
+        /// Name of the other cell; all other cells if `None`.
         to: Option<String>,
-        /// For how many seconds.
+        /// Duration in seconds.
         for_s: f64,
-        /// Only messages from this cell are lost, not those to it.
+        /// Whether only messages from this cell are affected, and not those to it.
         #[serde(default)]
         one_way: bool,
-        /// Messages are delayed to the end of the partition instead of lost.
+        /// Whether messages are delayed until the partition ends instead of dropped.
         #[serde(rename = "hold", default)]
-        delayed: bool,
+        delays_messages: bool,
     },
-    /// The cell's users submit batch jobs at another rate from now on.
+    /// The cell's users submit batch jobs at another rate, until the next fault of this kind.
     Load {
-        /// The rate, as a multiple of the initial one.
+        /// The new rate as a multiple of the initial rate.
         factor: f64,
     },
 }
 
-/// A controller of a cell, by its role.
+/// The role by which a fault selects a controller of its cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ControllerRole {
-    /// The leader at that moment.
+    /// The controller that is the leader when the fault is injected.
     Leader,
-    /// Another controller.
+    /// The first controller that isn't the leader.
     Other,
 }
 
-/// How leaders are ended, and how often.
+/// Repeated faults of the leader, each of which causes a takeover by another controller.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Takeovers {
-    /// How many leaders are ended.
+    /// Number of faults.
     pub count: u32,
-    /// Mean seconds between two of them; each interval is drawn within a fifth of it.
+    /// Mean interval between two faults, in seconds. Each interval is drawn uniformly from 0.8 to
+    /// 1.2 times the mean.
     pub every_s: f64,
-    /// The ways in which they end, each drawn with the same probability.
+    /// Kinds of faults. Each fault draws one of them with equal probability.
     pub kinds: Vec<LeaderEnd>,
-    /// Seconds until a process that ended is started again.
+    /// Seconds until a controller is restarted after it was killed or terminated.
     pub down_s: f64,
-    /// Seconds for which one is suspended: longer than a lease.
+    /// Seconds for which a controller is suspended. Longer than the leader's lease, so that another
+    /// controller takes over.
     pub pause_s: f64,
-    /// Whether the warm standby is enabled.
-    #[serde(default = "standby_by_default")]
-    pub standby: bool,
+    /// Whether the warm standby is enabled; true by default.
+    #[serde(rename = "standby", default = "has_standby_by_default")]
+    pub has_standby: bool,
 }
 
-fn standby_by_default() -> bool {
+fn has_standby_by_default() -> bool {
     true
 }
 
-/// How a leader is ended.
+/// A fault of the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LeaderEnd {
-    /// SIGKILL.
+    /// The leader is killed with SIGKILL.
     Kill,
-    /// SIGSTOP, and SIGCONT later.
+    /// The leader is suspended with SIGSTOP, and resumed with SIGCONT later.
     Pause,
-    /// SIGTERM: a graceful shutdown.
+    /// The leader is asked to shut down gracefully with SIGTERM.
     Terminate,
 }
--- a/scale/src/lib.rs
+++ b/scale/src/lib.rs
@@ -1,7 +1,8 @@
-//! Plays the service at scale on one machine: real controllers, and hollow workers, clouds, stores
-//! and users that speak the protocols over TCP on the loopback addresses. A checker judges what the
-//! workers run and what users are answered; processor, memory and network use of each controller
-//! are measured.
+//! A load generator that runs salttrestle at scale on one machine. The controllers are real
+//! processes. Workers, clouds, stores and users are hollow: they are simulated, but speak the real
+//! protocols over TCP on loopback addresses. A checker verifies which tasks the workers run and
+//! which responses the users receive. The CPU, memory and network use of each controller is
+//! measured.
 
 #![warn(missing_docs)]
 
--- a/scale/src/main.rs
+++ b/scale/src/main.rs
@@ -1,11 +1,14 @@
-//! The program: arguments, logging and exit codes. All else is in the library.
+//! The `salttrestle-scale` program: command line arguments, logging and exit codes. The library
+//! does the work.
 
 use clap::{Parser, Subcommand};
-use salttrestle_scale::capacity::{SlopeTable, with_computed};
+use salttrestle_scale::capacity::{SlopeTable, replace_computed_section};
 use salttrestle_scale::controllers::{RunPaths, find_program};
-use salttrestle_scale::experiment::{EMBEDDED, EMBEDDED_TAKEOVERS, Experiment, ExperimentError};
+use salttrestle_scale::experiment::{
+    EMBEDDED_EXPERIMENT, EMBEDDED_TAKEOVERS, Experiment, ExperimentError,
+};
 use salttrestle_scale::results::{Results, Row};
-use salttrestle_scale::run::{RunError, default_folder, play};
+use salttrestle_scale::run::{RunError, default_folder, run_experiment};
 use salttrestle_scale::sweep::Sweep;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -13,15 +16,15 @@
 use thiserror::Error;
 use tracing_subscriber::EnvFilter;
 
-/// Exit code: a rule was violated, an objective missed, or a page is out of date.
-const FAILED: u8 = 1;
-/// Exit code: the command couldn't be carried out.
-const REFUSED: u8 = 2;
+/// Exit code if a rule was violated, an objective was missed, or the capacity page is out of date.
+const EXIT_FAILED: u8 = 1;
+/// Exit code if the command couldn't be carried out.
+const EXIT_ERROR: u8 = 2;
 
-/// Why a command couldn't be carried out.
+/// The reason why a command couldn't be carried out.
 #[derive(Debug, Error)]
 enum CommandError {
-    /// A named file can't be read.
+    /// A file named in the arguments can't be read.
     #[error("{}: (file): {error}", path.display())]
     Read { path: PathBuf, error: io::Error },
     #[error(transparent)]
@@ -32,13 +35,14 @@
     Run(#[from] RunError),
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    #[error("the experiment has no takeovers")]
+    #[error("the experiment has no [takeovers] section")]
     NoTakeovers,
-    #[error("the page has no computed part")]
+    #[error("the page has no computed section")]
     NoComputedPart,
 }
 
-/// Plays salttrestle's controllers at scale against hollow workers, and measures them.
+/// Runs salttrestle's controllers at scale against simulated workers, clouds, stores and users, and
+/// measures them.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
@@ -48,57 +52,56 @@
 
 #[derive(Subcommand)]
 enum Action {
-    /// Play an experiment; without one, a small fleet whose leading controller is killed.
+    /// Run an experiment. The default is a small fleet whose leader is killed once.
     Run(RunArguments),
-    /// End the leader again and again, and measure what that costs.
+    /// Kill, suspend or terminate the leader repeatedly, and measure how long each takeover takes.
     Takeovers(TakeoverArguments),
-    /// Play an experiment again and again with one count after another varied, and fit a line for
-    /// each cost.
+    /// Run an experiment repeatedly, varying one size at a time, and fit a line to each cost.
     Sweep(SweepArguments),
-    /// Fit the lines anew to the runs that a sweep left.
+    /// Repeat the linear fits from the stored runs of a sweep.
     Fit(FitArguments),
-    /// Check, or make anew, the part of the capacity page that follows from the lines.
+    /// Check or update the section of the capacity page that is computed from the linear fits.
     Capacity(CapacityArguments),
 }
 
 #[derive(clap::Args)]
 struct SweepArguments {
-    /// The experiment that is varied (TOML).
+    /// The experiment to vary (TOML).
     experiment: PathBuf,
-    /// What is varied (TOML).
+    /// The sweep: which sizes to vary, and their values (TOML).
     sweep: PathBuf,
-    /// The service's program; the one beside this program if it isn't named.
+    /// The controller's program. The default is `salttrestle` beside this program.
     #[arg(long, value_name = "FILE")]
     controller: Option<PathBuf>,
-    /// Where settings, logs and results are left.
-    #[arg(long, value_name = "FOLDER")]
-    out: PathBuf,
-    /// What the sources are called in the table.
+    /// Folder for settings, logs and results.
+    #[arg(long = "out", value_name = "FOLDER")]
+    output_folder: PathBuf,
+    /// Name of the measured source revision, as the capacity page shows it.
     #[arg(long)]
     sources: String,
 }
 
 #[derive(clap::Args)]
 struct FitArguments {
-    /// The experiment that was varied (TOML).
+    /// The experiment that the sweep varied (TOML).
     experiment: PathBuf,
-    /// The runs (JSON lines).
+    /// The stored runs of the sweep (JSON lines).
     runs: PathBuf,
-    /// What the sources are called in the table.
+    /// Name of the measured source revision, as the capacity page shows it.
     #[arg(long)]
     sources: String,
-    /// Where the lines are written (JSON).
-    #[arg(long, value_name = "FILE")]
-    out: PathBuf,
+    /// File to which the linear fits are written (JSON).
+    #[arg(long = "out", value_name = "FILE")]
+    output_file: PathBuf,
 }
 
 #[derive(clap::Args)]
 struct CapacityArguments {
-    /// The lines, as a sweep left them (JSON).
+    /// The linear fits that a sweep has written (JSON).
     slopes: PathBuf,
-    /// The page.
+    /// The capacity page (Markdown).
     page: PathBuf,
-    /// Write the page anew instead of checking it.
+    /// Update the page instead of checking it.
     #[arg(long)]
     write: bool,
 }
@@ -107,21 +110,21 @@
 struct TakeoverArguments {
     #[command(flatten)]
     run: RunArguments,
-    /// Switch the standby off, to compare.
+    /// Disable the warm standby, for comparison.
     #[arg(long)]
     without_standby: bool,
 }
 
 #[derive(clap::Args, Default)]
 struct RunArguments {
-    /// The experiment (TOML).
+    /// The experiment (TOML). The default is built into the program.
     experiment: Option<PathBuf>,
-    /// The service's program; the one beside this program if it isn't named.
+    /// The controller's program. The default is `salttrestle` beside this program.
     #[arg(long, value_name = "FILE")]
     controller: Option<PathBuf>,
-    /// Where settings, logs and results are left.
-    #[arg(long, value_name = "FOLDER")]
-    out: Option<PathBuf>,
+    /// Folder for settings, logs and results. The default is in `target/scale`.
+    #[arg(long = "out", value_name = "FOLDER")]
+    output_folder: Option<PathBuf>,
 }
 
 fn main() -> ExitCode {
@@ -131,34 +134,34 @@
     log.with_writer(std::io::stderr).with_target(false).init();
     let command = arguments.command;
     let executed = match command.unwrap_or(Action::Run(RunArguments::default())) {
-        Action::Run(arguments) => run(&arguments),
-        Action::Takeovers(arguments) => takeovers(&arguments),
-        Action::Sweep(arguments) => sweep(&arguments),
-        Action::Fit(arguments) => fit(&arguments),
-        Action::Capacity(arguments) => capacity(&arguments),
+        Action::Run(arguments) => execute_run(&arguments),
+        Action::Takeovers(arguments) => execute_takeovers(&arguments),
+        Action::Sweep(arguments) => execute_sweep(&arguments),
+        Action::Fit(arguments) => execute_fit(&arguments),
+        Action::Capacity(arguments) => execute_capacity(&arguments),
     };
     executed.unwrap_or_else(|error| {
         eprintln!("salttrestle-scale: {error}");
-        ExitCode::from(REFUSED)
+        ExitCode::from(EXIT_ERROR)
     })
 }
 
-fn read(path: &Path) -> Result<String, CommandError> {
+fn read_file(path: &Path) -> Result<String, CommandError> {
     std::fs::read_to_string(path).map_err(|error| CommandError::Read {
         path: path.into(),
         error,
     })
 }
 
-fn run(arguments: &RunArguments) -> Result<ExitCode, CommandError> {
+fn execute_run(arguments: &RunArguments) -> Result<ExitCode, CommandError> {
     let experiment = match &arguments.experiment {
-        None => Experiment::parse("(embedded)", EMBEDDED)?,
+        None => Experiment::parse("(embedded)", EMBEDDED_EXPERIMENT)?,
         Some(path) => read_experiment(path)?,
     };
-    play_and_print(&experiment, arguments)
+    run_and_print(&experiment, arguments)
 }
 
-fn takeovers(arguments: &TakeoverArguments) -> Result<ExitCode, CommandError> {
+fn execute_takeovers(arguments: &TakeoverArguments) -> Result<ExitCode, CommandError> {
     let mut experiment = match &arguments.run.experiment {
         None => Experiment::parse("(embedded)", EMBEDDED_TAKEOVERS)?,
         Some(path) => read_experiment(path)?,
@@ -166,78 +169,78 @@
     let takeovers = experiment.takeovers.as_mut();
     let takeovers = takeovers.ok_or(CommandError::NoTakeovers)?;
     if arguments.without_standby {
-        takeovers.standby = false;
+        takeovers.has_standby = false;
         experiment.name += "-without-standby";
     }
-    play_and_print(&experiment, &arguments.run)
+    run_and_print(&experiment, &arguments.run)
 }
 
-fn play_and_print(
+fn run_and_print(
     experiment: &Experiment,
     arguments: &RunArguments,
 ) -> Result<ExitCode, CommandError> {
     let program = find_program(arguments.controller.as_deref())?;
-    let folder = arguments.out.clone();
+    let folder = arguments.output_folder.clone();
     let folder = folder.unwrap_or_else(|| default_folder(&experiment.name));
     let paths = RunPaths {
         program: &program,
         folder: &folder,
     };
-    let results = play(experiment, None, paths)?;
-    let lines = folder.join("results.jsonl");
-    std::fs::write(&lines, results.json_lines())?;
-    print!("{}", results.table());
-    println!("results: {}", lines.display());
-    Ok(match results.passed() {
+    let results = run_experiment(experiment, None, paths)?;
+    let results_file = folder.join("results.jsonl");
+    std::fs::write(&results_file, results.to_json_lines())?;
+    print!("{}", results.to_table());
+    println!("results: {}", results_file.display());
+    Ok(match results.has_passed() {
         true => ExitCode::SUCCESS,
-        false => ExitCode::from(FAILED),
+        false => ExitCode::from(EXIT_FAILED),
     })
 }
 
 fn read_experiment(path: &Path) -> Result<Experiment, CommandError> {
     Ok(Experiment::parse(
         &path.display().to_string(),
-        &read(path)?,
+        &read_file(path)?,
     )?)
 }
 
-fn sweep(arguments: &SweepArguments) -> Result<ExitCode, CommandError> {
+fn execute_sweep(arguments: &SweepArguments) -> Result<ExitCode, CommandError> {
     let base = read_experiment(&arguments.experiment)?;
     let file = arguments.sweep.display().to_string();
-    let sweep = Sweep::parse(&file, &read(&arguments.sweep)?, &base)?;
+    let sweep = Sweep::parse(&file, &read_file(&arguments.sweep)?, &base)?;
     let program = find_program(arguments.controller.as_deref())?;
     let paths = RunPaths {
         program: &program,
-        folder: &arguments.out,
+        folder: &arguments.output_folder,
     };
-    let rows = sweep.play(&base, paths);
+    let rows = sweep.execute(&base, paths);
     let table = SlopeTable::from_rows(&arguments.sources, &base, &rows);
-    let lines = Results { rows }.json_lines();
-    std::fs::create_dir_all(&arguments.out)?;
-    std::fs::write(arguments.out.join("runs.jsonl"), lines)?;
-    write_lines(&table, &arguments.out.join("slopes.json"))
+    let lines = Results { rows }.to_json_lines();
+    std::fs::create_dir_all(&arguments.output_folder)?;
+    std::fs::write(arguments.output_folder.join("runs.jsonl"), lines)?;
+    write_fits(&table, &arguments.output_folder.join("slopes.json"))
 }
 
-fn fit(arguments: &FitArguments) -> Result<ExitCode, CommandError> {
+fn execute_fit(arguments: &FitArguments) -> Result<ExitCode, CommandError> {
     let base = read_experiment(&arguments.experiment)?;
-    let text = read(&arguments.runs)?;
+    let text = read_file(&arguments.runs)?;
     let rows = text.lines().map(serde_json::from_str);
     let rows = rows.collect::<Result<Vec<Row>, _>>()?;
     let table = SlopeTable::from_rows(&arguments.sources, &base, &rows);
-    write_lines(&table, &arguments.out)
+    write_fits(&table, &arguments.output_file)
 }
 
-fn write_lines(table: &SlopeTable, to: &Path) -> Result<ExitCode, CommandError> {
-    std::fs::write(to, serde_json::to_string_pretty(table)? + "\n")?;
-    println!("{}", table.page());
-    println!("lines: {}", to.display());
+fn write_fits(table: &SlopeTable, path: &Path) -> Result<ExitCode, CommandError> {
+    std::fs::write(path, serde_json::to_string_pretty(table)? + "\n")?;
+    println!("{}", table.computed_section());
+    println!("linear fits: {}", path.display());
     Ok(ExitCode::SUCCESS)
 }
 
-fn capacity(arguments: &CapacityArguments) -> Result<ExitCode, CommandError> {
-    let table: SlopeTable = serde_json::from_str(&read(&arguments.slopes)?)?;
-    let page = read(&arguments.page)?;
-    let updated = with_computed(&page, &table).ok_or(CommandError::NoComputedPart)?;
+fn execute_capacity(arguments: &CapacityArguments) -> Result<ExitCode, CommandError> {
+    let table: SlopeTable = serde_json::from_str(&read_file(&arguments.slopes)?)?;
+    let page = read_file(&arguments.page)?;
+    let updated = replace_computed_section(&page, &table).ok_or(CommandError::NoComputedPart)?;
     if arguments.write {
         std::fs::write(&arguments.page, updated)?;
         return Ok(ExitCode::SUCCESS);
@@ -246,10 +249,10 @@
         true => ExitCode::SUCCESS,
         false => {
             eprintln!(
-                "{}: doesn't follow from the lines",
+                "{}: computed section is out of date; run with --write to update it",
                 arguments.page.display()
             );
-            ExitCode::from(FAILED)
+            ExitCode::from(EXIT_FAILED)
         }
     })
 }
--- a/scale/src/results/mod.rs
+++ b/scale/src/results/mod.rs
@@ -1,4 +1,4 @@
-//! The results of a run: rows that are stored as JSON lines, and a table for people.
+//! The results of a run: rows that are stored as JSON lines, and a table that is printed.
 
 mod latency;
 mod rows;
--- a/scale/src/results/rows.rs
+++ b/scale/src/results/rows.rs
@@ -1,199 +1,210 @@
-//! The rows of the results, which are stored as JSON lines.
+//! The rows of a run's results, which are stored as JSON lines.
 
 use super::latency::LatencyRow;
 use crate::experiment::LeaderEnd;
 use serde::{Deserialize, Serialize};
 
-/// One line of the results.
+/// One row of the results, stored as one line.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "row", rename_all = "kebab-case")]
 pub enum Row {
-    /// The run as a whole.
+    /// Summary of the whole run.
     Run(RunRow),
-    /// One controller's process.
+    /// Resource use of one controller's process.
     Process(ProcessRow),
     /// Traffic of one cell over one kind of connection.
     #[serde(rename = "link")]
     Traffic(TrafficRow),
-    /// One cell's store.
+    /// Operations of one cell's store.
     #[serde(rename = "state")]
     Store(StoreRow),
-    /// Latencies of one kind.
+    /// Latencies of one kind of event.
     Latency(LatencyRow),
-    /// One cell's hollow side.
+    /// Processor use of one cell's hollow side.
     Hollow(HollowRow),
-    /// A sample of the whole run.
+    /// A periodic sample of the whole run.
     #[serde(rename = "second")]
     Sample(SampleRow),
     /// An urgent job that started late.
     #[serde(rename = "late")]
     LateJob(LateJobRow),
-    /// The end of a leader, and the takeover by its successor.
+    /// A fault of a leader, and the takeover by its successor.
     Takeover(TakeoverRow),
 }
 
-/// The run as a whole.
+/// Summary of the whole run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RunRow {
-    /// The experiment.
+    /// Name of the experiment.
     pub name: String,
-    /// Its seed.
+    /// Seed of the experiment.
     pub seed: u64,
-    /// The axis that was varied, if the run is one of a sweep.
+    /// The axis that was varied; `None` if the run isn't part of a sweep.
     pub axis: Option<String>,
-    /// The value on that axis.
+    /// The value on the varied axis.
     pub value: Option<f64>,
     /// Number of cells.
     pub cells: usize,
     /// Number of controllers.
     pub controllers: usize,
-    /// Number of workers at the start.
+    /// Number of workers at the start of the run.
     pub workers: usize,
     /// Number of teams.
     pub teams: usize,
     /// Length of the measurement, in seconds.
     pub window_s: f64,
-    /// Mean number of running tasks in that time.
-    pub tasks: f64,
-    /// Task starts per second in that time.
+    /// Mean number of running tasks during the measurement.
+    #[serde(rename = "tasks")]
+    pub mean_running_tasks: f64,
+    /// Task starts per second during the measurement.
     pub starts_per_s: f64,
-    /// Most task starts in one second.
-    pub starts_peak: u64,
-    /// Task starts in the whole run.
+    /// Maximum number of task starts between two samples, which are a second apart.
+    #[serde(rename = "starts_peak")]
+    pub starts_per_sample_max: u64,
+    /// Number of task starts in the whole run.
     pub starts: u64,
-    /// Jobs that were submitted.
+    /// Number of submitted jobs.
     pub jobs: usize,
-    /// Tasks killed by the expiry of their worker's lease.
-    pub killed: u64,
-    /// Requests of users without a valid response.
+    /// Number of tasks killed because their worker's lease expired.
+    #[serde(rename = "killed")]
+    pub lease_kills: u64,
+    /// Number of user requests without a valid response.
     pub user_failures: u64,
-    /// Violations of rules.
+    /// Descriptions of the rule violations.
     #[serde(rename = "broken")]
     pub violations: Vec<String>,
-    /// Objectives that were missed.
+    /// Descriptions of the missed objectives.
     #[serde(rename = "missed")]
     pub missed_objectives: Vec<String>,
 }
 
-/// One controller's process, over the measurement.
+/// Resource use of one controller's process during the measurement.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ProcessRow {
-    /// Its cell.
+    /// Name of the controller's cell.
     pub cell: String,
-    /// Its id.
+    /// Id of the controller.
     #[serde(rename = "member")]
     pub controller_id: String,
-    /// Whether it owned the first shard at the end of the measurement.
+    /// Whether the controller owned the first shard at the end of the measurement.
     #[serde(rename = "holder")]
-    pub owner: bool,
+    pub is_owner: bool,
     /// Processor time in user mode, in cores.
     pub user_cores: f64,
     /// Processor time in the kernel, in cores.
     pub system_cores: f64,
     /// Peak resident memory, in MiB.
     pub memory_mb: f64,
-    /// Open files at the end, sockets included.
-    pub files: usize,
-    /// It was restarted during the measurement, so that its processor time isn't known.
-    pub restarted: bool,
+    /// Number of open files at the end of the run, sockets included.
+    #[serde(rename = "files")]
+    pub open_files: usize,
+    /// Whether the process was restarted or not running during the measurement. Its processor time
+    /// is then unknown and given as 0.
+    #[serde(rename = "restarted")]
+    pub was_restarted: bool,
 }
 
-/// Traffic of one cell over one kind of connection, per second of the measurement.
+/// Traffic of one cell over one kind of connection, as mean rates over the measurement.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TrafficRow {
     /// The cell.
     pub cell: String,
-    /// The kind of connection.
+    /// Kind of the connection, by the controllers' counterpart.
     #[serde(rename = "link")]
     pub connection: String,
-    /// Messages from controllers.
+    /// Messages from controllers per second.
     pub messages_in: f64,
-    /// Messages to controllers.
+    /// Messages to controllers per second.
     pub messages_out: f64,
-    /// Bytes from controllers.
+    /// Bytes from controllers per second.
     pub bytes_in: f64,
-    /// Bytes to controllers.
+    /// Bytes to controllers per second.
     pub bytes_out: f64,
 }
 
-/// Operations of one cell's store, per second of the measurement.
+/// Operations of one cell's store, as mean rates per second over the measurement.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StoreRow {
     /// The cell.
     pub cell: String,
-    /// Requests.
+    /// All requests, watches included.
     pub requests: f64,
-    /// Watches among them.
+    /// Watch requests.
     #[serde(rename = "follows")]
     pub watches: f64,
     /// Committed transactions.
     pub commits: f64,
     /// Committed puts and deletes.
     pub changes: f64,
-    /// Transactions whose preconditions failed.
+    /// Transactions that failed because a precondition didn't hold.
     pub conflicts: f64,
-    /// Rejected requests.
+    /// Requests rejected because they exceeded a rate limit or a size limit.
     #[serde(rename = "refused")]
     pub rejected: f64,
-    /// Number of keys at the end.
+    /// Number of stored keys at the end of the measurement.
     pub keys: usize,
 }
 
-/// Processor use of one cell's hollow side.
+/// Processor use of one cell's hollow side: its workers, cloud, store and users. It has a single
+/// thread.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HollowRow {
     /// The cell.
     pub cell: String,
-    /// Processor time, in cores; near 1, the hollow side limits the run.
+    /// Processor use in cores. Near 1, the hollow side itself limits the throughput of the run.
     pub cores: f64,
 }
 
-/// An urgent job that started later than its objective.
+/// An urgent job that started later than the objective allows, or never.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LateJobRow {
-    /// The job.
+    /// Id of the job.
     pub job: String,
-    /// Its team.
+    /// Team of the job.
     pub team: String,
-    /// When it was submitted, in seconds from the start of the load.
+    /// Time of submission, in seconds from the start of the load.
     pub at_s: f64,
-    /// How long it waited, in seconds; `None` if it never started.
+    /// Time from submission to the first start, in seconds; `None` if the job never started.
     pub waited_s: Option<f64>,
 }
 
-/// A sample of the whole run.
+/// A periodic sample of the whole run, over all cells.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SampleRow {
-    /// Seconds from the start of the load.
+    /// Time of the sample, in seconds from the start of the load.
     pub at_s: f64,
-    /// Task starts since the sample before.
+    /// Number of task starts since the previous sample.
     pub starts: u64,
-    /// Running tasks.
-    pub tasks: usize,
-    /// Workers whose machines run.
-    pub workers: usize,
-    /// Writes at all stores since the sample before.
-    pub changes: u64,
+    /// Number of running tasks.
+    #[serde(rename = "tasks")]
+    pub running_tasks: usize,
+    /// Number of workers whose machines are running.
+    #[serde(rename = "workers")]
+    pub running_workers: usize,
+    /// Number of committed puts and deletes in all stores since the previous sample.
+    #[serde(rename = "changes")]
+    pub store_changes: u64,
 }
 
-/// The end of a leader and the takeover by its successor; times are in milliseconds since that end.
+/// A fault of a leader, and the takeover by its successor. Times other than `at_ms` are in
+/// milliseconds since the fault, and `None` if the step didn't take place.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TakeoverRow {
-    /// How the leader ended.
+    /// Kind of the fault.
     pub kind: LeaderEnd,
-    /// When, in milliseconds since the run began.
+    /// Time of the fault, in milliseconds since the run began.
     pub at_ms: u64,
-    /// The fencing token of the first shard at that moment.
+    /// Fencing token of the first shard at the time of the fault.
     #[serde(rename = "number")]
     pub token: u64,
-    /// The successor's shard record was written.
+    /// Time until the successor's shard record was written.
     pub elected_ms: Option<u64>,
-    /// The first worker acknowledged the successor's token.
+    /// Time until the first worker acknowledged the successor's token.
     #[serde(rename = "shown_ms")]
     pub token_acknowledged_ms: Option<u64>,
-    /// The successor's first start reached a worker.
+    /// Time until the successor's first start command reached a worker.
     pub started_ms: Option<u64>,
-    /// Its first start of an urgent job reached a worker.
+    /// Time until the successor's first start command for an urgent job reached a worker.
     #[serde(rename = "urgent_ms")]
     pub urgent_started_ms: Option<u64>,
 }
@@ -201,12 +212,12 @@
 /// All rows of one run.
 #[derive(Clone, Debug, Default)]
 pub struct Results {
-    /// The rows; that of the whole run comes last.
+    /// The rows. The row of the whole run comes last.
     pub rows: Vec<Row>,
 }
 
 impl Results {
-    /// The row of the whole run.
+    /// The summary of the whole run.
     pub fn run(&self) -> Option<&RunRow> {
         self.rows.iter().find_map(|row| match row {
             Row::Run(run) => Some(run),
@@ -214,14 +225,14 @@
         })
     }
 
-    /// Whether no rule was violated and no objective missed.
-    pub fn passed(&self) -> bool {
+    /// Whether the run violated no rule and missed no objective.
+    pub fn has_passed(&self) -> bool {
         let passed = |run: &RunRow| run.violations.is_empty() && run.missed_objectives.is_empty();
         self.run().is_some_and(passed)
     }
 
-    /// The rows as JSON lines.
-    pub fn json_lines(&self) -> String {
+    /// Encodes the rows as JSON, one line for each.
+    pub fn to_json_lines(&self) -> String {
         let lines = self
             .rows
             .iter()
--- a/scale/src/results/table.rs
+++ b/scale/src/results/table.rs
@@ -4,8 +4,8 @@
 use std::fmt::Write as _;
 
 impl Results {
-    /// The table that is printed at the end.
-    pub fn table(&self) -> String {
+    /// Formats the results as a table: a line for each row that has one, then the summary.
+    pub fn to_table(&self) -> String {
         let mut text = String::new();
         for row in &self.rows {
             if let Some(line) = row_line(row) {
@@ -19,7 +19,7 @@
     }
 }
 
-/// The line of one row, if the table has one.
+/// The table's line for one row; `None` for rows that the table leaves out.
 fn row_line(row: &Row) -> Option<String> {
     match row {
         Row::Run(_) | Row::Sample(_) | Row::LateJob(_) | Row::Takeover(_) => None,
@@ -27,8 +27,13 @@
         Row::Traffic(traffic) => Some(traffic_line(traffic)),
         Row::Store(store) => Some(store_line(store)),
         Row::Latency(latency) => Some(format!(
-            "{:<21} {:>6} times: p50 {} ms, p95 {} ms, p99 {} ms, at most {} ms",
-            latency.what, latency.count, latency.p50, latency.p95, latency.p99, latency.max,
+            "{:<21} {:>6} times: p50 {} ms, p95 {} ms, p99 {} ms, max {} ms",
+            latency.event,
+            latency.count,
+            latency.p50_ms,
+            latency.p95_ms,
+            latency.p99_ms,
+            latency.max_ms,
         )),
         Row::Hollow(hollow) => Some(format!(
             "{:<12} hollow   {:>9.3} cores",
@@ -64,9 +69,9 @@
 }
 
 fn process_line(process: &ProcessRow) -> String {
-    let role = if process.owner { "holder" } else { "relay" };
-    let cpu = match process.restarted {
-        true => "restarted meanwhile".to_string(),
+    let role = if process.is_owner { "holder" } else { "relay" };
+    let cpu = match process.was_restarted {
+        true => "restarted during the measurement".to_string(),
         false => format!(
             "{:.3} cores ({:.3} user, {:.3} system)",
             process.user_cores + process.system_cores,
@@ -75,36 +80,36 @@
         ),
     };
     format!(
-        "{:<12} {role:<8} {cpu}, {:.1} MiB at its peak, {} files",
-        process.controller_id, process.memory_mb, process.files
+        "{:<12} {role:<8} {cpu}, peak memory {:.1} MiB, {} open files",
+        process.controller_id, process.memory_mb, process.open_files
     )
 }
 
 fn run_lines(run: &RunRow) -> String {
     let mut text = format!(
-        "{}: {} workers in {} cells, {} controllers, {} teams; {:.0} tasks ran, {:.1} starts/s \
-         ({} at most, {} in all), {} jobs; {} tasks killed by leases, {} requests of users failed\n",
+        "{}: {} workers in {} cells, {} controllers, {} teams; {:.0} running tasks, {:.1} starts/s \
+         (maximum {}, total {}), {} jobs; {} tasks killed by lease expiry, {} user requests failed\n",
         run.name,
         run.workers,
         run.cells,
         run.controllers,
         run.teams,
-        run.tasks,
+        run.mean_running_tasks,
         run.starts_per_s,
-        run.starts_peak,
+        run.starts_per_sample_max,
         run.starts,
         run.jobs,
-        run.killed,
+        run.lease_kills,
         run.user_failures,
     );
     for violation in &run.violations {
-        let _ = writeln!(text, "RULE BROKEN: {violation}");
+        let _ = writeln!(text, "rule violated: {violation}");
     }
     for objective in &run.missed_objectives {
-        let _ = writeln!(text, "aim missed: {objective}");
+        let _ = writeln!(text, "objective missed: {objective}");
     }
     if run.violations.is_empty() {
-        text += "no rule was broken\n";
+        text += "no rule was violated\n";
     }
     text
 }
--- a/scale/src/run/error.rs
+++ b/scale/src/run/error.rs
@@ -4,22 +4,22 @@
 use std::io;
 use thiserror::Error;
 
-/// Seconds within which the cells must become ready.
-pub(super) const READY_S: f64 = 60.0;
+/// Time within which all cells must become ready, in seconds.
+pub(super) const READY_TIMEOUT_S: f64 = 60.0;
 
-/// Why a run failed to complete.
+/// The reason why a run couldn't be completed.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// An operation of the system failed.
+    /// An I/O operation failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// A cell didn't become ready.
-    #[error("cell {0} didn't come up within {READY_S} s")]
+    /// The cell with this name didn't become ready in time.
+    #[error("cell {0} isn't ready after {READY_TIMEOUT_S} s")]
     NotReady(String),
-    /// The thread of a cell's hollow side has ended or hangs.
-    #[error("the hollow side of cell {0} doesn't answer")]
-    HollowLost(String),
-    /// The run uses more memory than allowed.
-    #[error("the run takes {0:.0} MiB of memory, more than {MEMORY_MAX_MB}")]
+    /// The thread of the hollow cell with this name has ended or is blocked.
+    #[error("the thread of hollow cell {0} doesn't respond")]
+    HollowCellUnresponsive(String),
+    /// The processes of the run use more memory than [`MEMORY_MAX_MB`]; the value is in MiB.
+    #[error("the run uses {0:.0} MiB of memory, more than the maximum of {MEMORY_MAX_MB} MiB")]
     TooMuchMemory(f64),
 }
--- a/scale/src/run/faults.rs
+++ b/scale/src/run/faults.rs
@@ -1,4 +1,4 @@
-//! Injects faults into a run, and ends the temporary ones.
+//! Injects the faults of an experiment into a run, and ends temporary faults when they are over.
 
 use super::error::RunError;
 use super::installation::Installation;
@@ -11,52 +11,56 @@
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
 
-/// A controller, as an index into the installation's, and when something is due for it.
-struct Due {
-    at: Instant,
+/// A restart or resumption of a controller that is scheduled for later.
+struct ScheduledRecovery {
+    due_at: Instant,
+    /// Index of the controller in the installation.
     controller: usize,
 }
 
-impl Due {
-    fn after(seconds: f64, controller: usize) -> Self {
+impl ScheduledRecovery {
+    fn after(delay_s: f64, controller: usize) -> Self {
         Self {
-            at: Instant::now() + Duration::from_secs_f64(seconds),
+            due_at: Instant::now() + Duration::from_secs_f64(delay_s),
             controller,
         }
     }
 }
 
-fn milliseconds(seconds: f64) -> u64 {
+fn to_ms(seconds: f64) -> u64 {
     (seconds * 1000.0) as u64
 }
 
-/// A link partition of one cell.
+/// A partition of the links between one cell and others.
 struct Partition<'a> {
+    /// Index of the cell.
     cell: usize,
-    /// The other cell; all others if it isn't named.
-    to: Option<&'a String>,
+    /// Name of the other cell; all other cells if `None`.
+    other: Option<&'a String>,
     duration: Duration,
-    one_way: bool,
+    /// Whether only messages from the cell are affected, and not those to it.
+    is_one_way: bool,
     kind: PartitionKind,
 }
 
 impl<'a> Partition<'a> {
-    fn of(cell: usize, fault: &'a FaultKind) -> Option<Self> {
+    /// The partition that the fault describes; `None` for faults of other kinds.
+    fn from_fault(cell: usize, fault: &'a FaultKind) -> Option<Self> {
         let FaultKind::LinkPartition {
             to,
             for_s,
             one_way,
-            delayed,
+            delays_messages,
         } = fault
         else {
             return None;
         };
         Some(Self {
             cell,
-            to: to.as_ref(),
+            other: to.as_ref(),
             duration: Duration::from_secs_f64(*for_s),
-            one_way: *one_way,
-            kind: match delayed {
+            is_one_way: *one_way,
+            kind: match delays_messages {
                 true => PartitionKind::Delay,
                 false => PartitionKind::Drop,
             },
@@ -65,8 +69,8 @@
 
     fn apply(&self, installation: &Installation) {
         let cell = self.cell;
-        for (other, found) in installation.cells.iter().enumerate() {
-            if other == cell || self.to.is_some_and(|name| *name != found.name) {
+        for (other, other_cell) in installation.cells.iter().enumerate() {
+            if other == cell || self.other.is_some_and(|name| *name != other_cell.name) {
                 continue;
             }
             let outgoing = Direction {
@@ -79,27 +83,27 @@
             };
             let links = &installation.links;
             links.partition(outgoing, self.kind, self.duration);
-            if !self.one_way {
+            if !self.is_one_way {
                 links.partition(incoming, self.kind, self.duration);
             }
         }
     }
 }
 
-/// Injects the faults of an experiment.
+/// Injects the faults of an experiment, and restores controllers afterwards.
 pub(super) struct FaultInjector {
-    /// Faults still to come.
-    faults: Vec<Fault>,
+    /// Faults that haven't been injected yet.
+    pending_faults: Vec<Fault>,
     takeovers: Option<Takeovers>,
     takeover_schedule: Option<TakeoverSchedule>,
-    restarts: Vec<Due>,
-    resumes: Vec<Due>,
-    /// Ids of controllers that were asked to terminate and didn't.
+    restarts: Vec<ScheduledRecovery>,
+    resumes: Vec<ScheduledRecovery>,
+    /// Ids of controllers that were still running when their restart after a SIGTERM was due.
     pub(super) ignored_terminations: Vec<String>,
 }
 
 impl FaultInjector {
-    /// All faults of an experiment.
+    /// Schedules all faults of the experiment.
     pub(super) fn new(experiment: &Experiment) -> Self {
         let phases = &experiment.phases;
         let measure_from_s = phases.ramp_s + phases.warmup_s;
@@ -108,7 +112,7 @@
             .as_ref()
             .map(|takeovers| TakeoverSchedule::new(takeovers, experiment.seed, measure_from_s));
         Self {
-            faults: experiment.faults.clone(),
+            pending_faults: experiment.faults.clone(),
             takeovers: experiment.takeovers.clone(),
             takeover_schedule: schedule,
             restarts: Vec::new(),
@@ -117,7 +121,7 @@
         }
     }
 
-    /// Injects all faults that are due, and ends those whose time is over.
+    /// Injects all faults that are due, and restarts or resumes the controllers that are due.
     pub(super) fn inject_due(
         &mut self,
         at_s: f64,
@@ -125,14 +129,14 @@
         shared: &SharedState,
     ) -> Result<(), RunError> {
         let is_due = |fault: &mut Fault| at_s >= fault.at_s;
-        let due: Vec<Fault> = self.faults.extract_if(.., is_due).collect();
+        let due: Vec<Fault> = self.pending_faults.extract_if(.., is_due).collect();
         for fault in due {
             self.inject(&fault, installation)?;
         }
-        self.restore(installation)?;
+        self.restore_controllers(installation)?;
         let schedule = self.takeover_schedule.as_mut();
-        if let Some(kind) = schedule.and_then(|schedule| schedule.next_due(at_s)) {
-            self.end_leader(kind, installation, shared)?;
+        if let Some(kind) = schedule.and_then(|schedule| schedule.take_due(at_s)) {
+            self.inject_leader_fault(kind, installation, shared)?;
         }
         Ok(())
     }
@@ -143,29 +147,29 @@
             return Ok(());
         };
         info!("fault injected cell={} fault={:?}", fault.cell, fault.kind);
-        let hollow = &installation.cells[cell];
+        let cell_thread = &installation.cells[cell];
         match &fault.kind {
             FaultKind::Kill { controller, down_s } => {
-                self.kill(installation, cell, *controller, *down_s)?;
+                self.kill_controller(installation, cell, *controller, *down_s)?;
             }
             FaultKind::Pause { controller, for_s } => {
-                self.pause(installation, cell, *controller, *for_s)?;
+                self.pause_controller(installation, cell, *controller, *for_s)?;
             }
             FaultKind::MachinesLost {
                 count,
                 zone,
                 over_s,
-            } => hollow.send(Command::FailMachines {
+            } => cell_thread.send(Command::FailMachines {
                 count: *count,
                 zone: zone.clone(),
-                over_ms: milliseconds(*over_s),
+                over_ms: to_ms(*over_s),
             }),
-            FaultKind::StoreOutage { for_s } => hollow.send(Command::StoreOutage {
-                for_ms: milliseconds(*for_s),
+            FaultKind::StoreOutage { for_s } => cell_thread.send(Command::StoreOutage {
+                for_ms: to_ms(*for_s),
             }),
-            FaultKind::Load { factor } => hollow.send(Command::SetLoadFactor(*factor)),
+            FaultKind::Load { factor } => cell_thread.send(Command::SetLoadFactor(*factor)),
             FaultKind::LinkPartition { .. } => {
-                if let Some(partition) = Partition::of(cell, &fault.kind) {
+                if let Some(partition) = Partition::from_fault(cell, &fault.kind) {
                     partition.apply(installation);
                 }
             }
@@ -173,51 +177,57 @@
         Ok(())
     }
 
-    fn kill(
+    fn kill_controller(
         &mut self,
         installation: &mut Installation,
         cell: usize,
         role: ControllerRole,
         down_s: f64,
     ) -> Result<(), RunError> {
-        if let Some(found) = installation.find(cell, role)? {
-            installation.controllers[found].kill();
-            self.restarts.push(Due::after(down_s, found));
+        if let Some(index) = installation.find_controller(cell, role)? {
+            installation.controllers[index].kill();
+            self.restarts.push(ScheduledRecovery::after(down_s, index));
         }
         Ok(())
     }
 
-    fn pause(
+    fn pause_controller(
         &mut self,
         installation: &Installation,
         cell: usize,
         role: ControllerRole,
         for_s: f64,
     ) -> Result<(), RunError> {
-        if let Some(found) = installation.find(cell, role)? {
-            installation.controllers[found].suspend();
-            self.resumes.push(Due::after(for_s, found));
+        if let Some(index) = installation.find_controller(cell, role)? {
+            installation.controllers[index].suspend();
+            self.resumes.push(ScheduledRecovery::after(for_s, index));
         }
         Ok(())
     }
 
-    /// Starts and resumes the controllers that are due.
-    fn restore(&mut self, installation: &mut Installation) -> io::Result<()> {
+    /// Restarts and resumes the controllers that are due.
+    fn restore_controllers(&mut self, installation: &mut Installation) -> io::Result<()> {
         let now = Instant::now();
-        for due in self.restarts.extract_if(.., |due| now >= due.at) {
-            let controller = &mut installation.controllers[due.controller];
+        for recovery in self
+            .restarts
+            .extract_if(.., |recovery| now >= recovery.due_at)
+        {
+            let controller = &mut installation.controllers[recovery.controller];
             if controller.restart()? == Termination::Ignored {
                 self.ignored_terminations.push(controller.id.clone());
             }
         }
-        for due in self.resumes.extract_if(.., |due| now >= due.at) {
-            installation.controllers[due.controller].resume();
+        for recovery in self
+            .resumes
+            .extract_if(.., |recovery| now >= recovery.due_at)
+        {
+            installation.controllers[recovery.controller].resume();
         }
         Ok(())
     }
 
-    /// Ends the leader of the first cell, which is the only one where leaders are ended.
-    fn end_leader(
+    /// Kills, suspends or terminates the leader. An experiment with takeovers has a single cell.
+    fn inject_leader_fault(
         &mut self,
         kind: LeaderEnd,
         installation: &mut Installation,
@@ -226,25 +236,31 @@
         let Some(takeovers) = &self.takeovers else {
             return Ok(());
         };
-        let Some(leader) = installation.find(0, ControllerRole::Leader)? else {
-            warn!("leader not ended reason=no-leader");
+        let Some(leader) = installation.find_controller(0, ControllerRole::Leader)? else {
+            warn!("leader fault skipped reason=\"the cell has no leader\"");
             return Ok(());
         };
         let controller = &mut installation.controllers[leader];
-        info!("leader ended controller={} kind={kind:?}", controller.id);
+        info!(
+            "leader fault injected controller={} kind={kind:?}",
+            controller.id
+        );
         shared.takeovers().leader_ended(shared.now_ms(), kind);
         match kind {
             LeaderEnd::Kill => {
                 controller.kill();
-                self.restarts.push(Due::after(takeovers.down_s, leader));
+                self.restarts
+                    .push(ScheduledRecovery::after(takeovers.down_s, leader));
             }
             LeaderEnd::Pause => {
                 controller.suspend();
-                self.resumes.push(Due::after(takeovers.pause_s, leader));
+                self.resumes
+                    .push(ScheduledRecovery::after(takeovers.pause_s, leader));
             }
             LeaderEnd::Terminate => {
                 controller.terminate();
-                self.restarts.push(Due::after(takeovers.down_s, leader));
+                self.restarts
+                    .push(ScheduledRecovery::after(takeovers.down_s, leader));
             }
         }
         Ok(())
--- a/scale/src/run/installation.rs
+++ b/scale/src/run/installation.rs
@@ -1,5 +1,5 @@
-//! The programs of a run: the controllers' processes, the threads of the hollow cells, and the
-//! links between cells.
+//! The processes and threads of a run: the controllers' processes, the threads that simulate the
+//! hollow cells, and the proxy for the links between cells.
 
 use super::error::RunError;
 use crate::controllers::{Controller, RunPaths};
@@ -15,21 +15,21 @@
 use std::time::Duration;
 use tracing::error;
 
-/// How long a cell may take to return a sample.
+/// Maximum time that a cell's thread may take to return a sample.
 const SAMPLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// All programs of a run. They end with this value.
+/// All processes and threads of a run. Dropping the installation ends them.
 pub(super) struct Installation {
-    // Dropped first: the controllers' connections close before the hollow side does.
+    // Fields are dropped in order: the controllers end before the cells that they connect to.
     pub(super) controllers: Vec<Controller>,
     pub(super) cells: Vec<CellThread>,
     pub(super) links: LinkProxy,
-    /// Ids of controllers that ended by themselves.
+    /// Ids of controllers that exited unexpectedly, once for each crash.
     pub(super) crashed: Vec<String>,
 }
 
 impl Installation {
-    /// Starts the hollow cells first, then all controllers.
+    /// Starts all hollow cells, and then all controllers, which connect to them.
     pub(super) fn start(
         experiment: &Experiment,
         shared: &Arc<SharedState>,
@@ -43,7 +43,7 @@
             crashed: Vec::new(),
         };
         if experiment.sharing.is_some() {
-            installation.link_cells(&addresses)?;
+            installation.start_link_proxies(&addresses)?;
         }
         for (index, cell) in experiment.cells.iter().enumerate() {
             let plan = Arc::new(CellPlan::new(experiment, index, addresses[index].clone()));
@@ -64,8 +64,8 @@
         Ok(installation)
     }
 
-    /// Forwards the messages between cells.
-    fn link_cells(&mut self, addresses: &[CellAddresses]) -> io::Result<()> {
+    /// Starts a proxy for the link from each cell to each controller of the other cells.
+    fn start_link_proxies(&mut self, addresses: &[CellAddresses]) -> io::Result<()> {
         for from in 0..addresses.len() {
             for (to, target) in addresses.iter().enumerate().filter(|(to, _)| *to != from) {
                 for (controller, link) in target.links.iter().enumerate() {
@@ -77,30 +77,30 @@
         Ok(())
     }
 
-    /// A sample of each cell.
+    /// Takes a sample of each cell.
     pub(super) fn sample_cells(&self) -> Result<Vec<CellSample>, RunError> {
         self.cells.iter().map(CellThread::sample).collect()
     }
 
-    /// A cell's leader or another of its controllers, as an index into `controllers`.
-    pub(super) fn find(
+    /// Finds the first controller of a cell that has the role. Returns its index in `controllers`.
+    pub(super) fn find_controller(
         &self,
         cell: usize,
         role: ControllerRole,
     ) -> Result<Option<usize>, RunError> {
         let leader = self.cells[cell].sample()?.leader;
         let is_leader = |controller: &Controller| Some(&controller.id) == leader.as_ref();
-        let found = self.controllers.iter().position(|controller| {
-            let matches = match role {
+        let index = self.controllers.iter().position(|controller| {
+            let has_role = match role {
                 ControllerRole::Leader => is_leader(controller),
                 ControllerRole::Other => !is_leader(controller),
             };
-            controller.cell == cell && matches
+            controller.cell == cell && has_role
         });
-        Ok(found)
+        Ok(index)
     }
 
-    /// Starts controllers again that ended by themselves.
+    /// Restarts controllers that exited unexpectedly, and records them as crashed.
     pub(super) fn restart_crashed(&mut self) -> io::Result<()> {
         for controller in &mut self.controllers {
             if controller.has_crashed() {
@@ -113,8 +113,8 @@
         Ok(())
     }
 
-    /// Resident memory of the controllers and of this process, in MiB.
-    pub(super) fn memory_mb(&self) -> f64 {
+    /// Resident memory of all controllers and of this process, in MiB.
+    pub(super) fn resident_memory_mb(&self) -> f64 {
         let pids = self.controllers.iter().filter_map(Controller::pid);
         pids.chain([std::process::id()])
             .filter_map(process_memory)
@@ -123,21 +123,22 @@
     }
 }
 
-/// The thread of one hollow cell. It ends with this value.
+/// The thread that simulates one hollow cell. Dropping the value ends the thread.
 pub(super) struct CellThread {
-    /// The cell's name.
+    /// Name of the cell.
     pub(super) name: String,
     commands: Sender<Command>,
     thread: Option<JoinHandle<io::Result<()>>>,
 }
 
 impl CellThread {
-    /// Starts the thread, and waits until the cell listens.
+    /// Starts the thread, and waits until the cell listens for connections.
     fn start(plan: Arc<CellPlan>, shared: Arc<SharedState>) -> Result<Self, RunError> {
         let (commands, receiver) = channel();
         let (ready, started) = channel();
         let name = plan.name.clone();
-        // A cell's values can't be sent between threads, so its own thread builds them.
+        // The thread itself constructs the cell, since a `HollowCell` can't be sent between
+        // threads.
         let run = move || match HollowCell::new(plan, shared, receiver) {
             Ok(cell) => {
                 let _ = ready.send(Ok(()));
@@ -149,8 +150,8 @@
             }
         };
         let thread = std::thread::Builder::new().name(name.clone()).spawn(run)?;
-        let lost = || RunError::HollowLost(name.clone());
-        started.recv().map_err(|_| lost())??;
+        let unresponsive = || RunError::HollowCellUnresponsive(name.clone());
+        started.recv().map_err(|_| unresponsive())??;
         Ok(Self {
             name,
             commands,
@@ -158,19 +159,22 @@
         })
     }
 
-    /// Sends a command. A thread that has ended is found by the next sample.
+    /// Sends a command. If the thread has ended, the command is lost, and the next call of `sample`
+    /// returns an error.
     pub(super) fn send(&self, command: Command) {
         let _ = self.commands.send(command);
     }
 
-    /// A sample of the cell.
+    /// Takes a sample of the cell.
     pub(super) fn sample(&self) -> Result<CellSample, RunError> {
         let (reply_to, reply) = channel();
-        let lost = || RunError::HollowLost(self.name.clone());
+        let unresponsive = || RunError::HollowCellUnresponsive(self.name.clone());
         self.commands
             .send(Command::Sample(reply_to))
-            .map_err(|_| lost())?;
-        reply.recv_timeout(SAMPLE_TIMEOUT).map_err(|_| lost())
+            .map_err(|_| unresponsive())?;
+        reply
+            .recv_timeout(SAMPLE_TIMEOUT)
+            .map_err(|_| unresponsive())
     }
 }
 
--- a/scale/src/run/limit_changes.rs
+++ b/scale/src/run/limit_changes.rs
@@ -1,4 +1,4 @@
-//! Operators' changes of team limits while cells share them.
+//! Changes team limits during a run, as operators do, while cells share the limits.
 
 use super::installation::CellThread;
 use crate::experiment::Experiment;
@@ -7,30 +7,31 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// New limits are drawn in eighths of the initial one: from a half to one and a half times.
-const EIGHTHS: std::ops::RangeInclusive<i32> = 4..=12;
+/// Range from which new limits are drawn, in eighths of the initial limit: 0.5 to 1.5 times.
+const NEW_LIMIT_EIGHTHS: std::ops::RangeInclusive<i32> = 4..=12;
 
-/// Changes limits at a steady rate.
+/// Changes the limits of randomly drawn teams at a constant rate.
 pub(super) struct LimitChanges {
     rng: StdRng,
-    /// Seconds between two changes; `None` without changes.
+    /// Interval between two changes, in seconds; `None` if limits don't change.
     interval_s: Option<f64>,
-    next_s: f64,
+    /// Time of the next change, in seconds from the start of the load.
+    next_change_s: f64,
 }
 
 impl LimitChanges {
-    /// The changes that an experiment asks for; the first comes at the end of the ramp.
+    /// Schedules the limit changes of the experiment. The first is due at the end of the ramp.
     pub(super) fn new(experiment: &Experiment) -> Self {
         let sharing = experiment.sharing.as_ref();
         let rate = sharing.map(|sharing| sharing.changes_per_s);
         Self {
             rng: StdRng::seed_from_u64(experiment.seed),
             interval_s: rate.filter(|rate| *rate > 0.0).map(|rate| 1.0 / rate),
-            next_s: experiment.phases.ramp_s,
+            next_change_s: experiment.phases.ramp_s,
         }
     }
 
-    /// Makes the changes that are due.
+    /// Makes all changes that are due at `at_s`, in seconds from the start of the load.
     pub(super) fn apply_due(
         &mut self,
         at_s: f64,
@@ -41,13 +42,13 @@
         let Some(interval_s) = self.interval_s else {
             return;
         };
-        while at_s >= self.next_s {
-            self.next_s += interval_s;
+        while at_s >= self.next_change_s {
+            self.next_change_s += interval_s;
             self.change_limit(experiment, cells, shared);
         }
     }
 
-    /// Changes one team's limit at its home cell.
+    /// Changes the limit of one randomly drawn team at the team's home cell.
     fn change_limit(
         &mut self,
         experiment: &Experiment,
@@ -56,7 +57,7 @@
     ) {
         let load = &experiment.load;
         let team = self.rng.random_range(0..load.teams);
-        let factor = f64::from(self.rng.random_range(EIGHTHS)) / 8.0;
+        let factor = f64::from(self.rng.random_range(NEW_LIMIT_EIGHTHS)) / 8.0;
         let [cpus, gpus] = load.team_limit.map(|initial| (initial * factor).floor());
         let (limit, name) = ((cpus, gpus), team_name(team));
         let now = shared.now_ms();
--- a/scale/src/run/measurement.rs
+++ b/scale/src/run/measurement.rs
@@ -1,4 +1,5 @@
-//! What is measured during a run: snapshots at both ends of the measurement, and regular samples.
+//! The measurements of a run: snapshots of all counters at the start and at the end of the measured
+//! phase, and periodic samples.
 
 use super::error::RunError;
 use super::installation::Installation;
@@ -9,116 +10,122 @@
 use std::time::Instant;
 use tracing::info;
 
-/// Seconds between two samples.
-const SAMPLE_S: f64 = 1.0;
+/// Interval between two samples, in seconds.
+const SAMPLE_INTERVAL_S: f64 = 1.0;
 
-/// The processor time that a process had used.
+/// The processor time that a process has used so far.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ProcessCpu {
-    /// The process, which changes when a controller is restarted.
+    /// Id of the process, which changes when a controller is restarted.
     pub(super) pid: u32,
-    /// Its processor time.
+    /// Processor time since the start of the process.
     pub(super) time: CpuTime,
 }
 
-/// The counters of all cells and processes at one moment.
+/// The counters of all cells and processes at one point in time.
 pub(super) struct Snapshot {
-    pub(super) at: Instant,
+    pub(super) taken_at: Instant,
     pub(super) cells: Vec<CellSample>,
-    /// For each controller; `None` while its process doesn't run.
+    /// Processor time of each controller; `None` while its process isn't running.
     pub(super) cpu: Vec<Option<ProcessCpu>>,
-    /// Task starts so far.
+    /// Number of task starts since the start of the run.
     pub(super) starts: u64,
 }
 
 impl Snapshot {
-    /// Reads all counters.
+    /// Reads all counters, those of the processes first.
     pub(super) fn take(
         installation: &Installation,
         shared: &SharedState,
     ) -> Result<Self, RunError> {
         let controllers = installation.controllers.iter();
         Ok(Self {
-            at: Instant::now(),
-            cpu: controllers.map(controller_cpu).collect(),
+            taken_at: Instant::now(),
+            cpu: controllers.map(read_controller_cpu).collect(),
             cells: installation.sample_cells()?,
             starts: shared.checker().starts,
         })
     }
 }
 
-fn controller_cpu(controller: &Controller) -> Option<ProcessCpu> {
+fn read_controller_cpu(controller: &Controller) -> Option<ProcessCpu> {
     let pid = controller.pid()?;
     let time = process_cpu(pid)?;
     Some(ProcessCpu { pid, time })
 }
 
-/// The measured part of a run.
+/// The snapshots at both ends of the measured phase of a run.
 pub(super) struct Measurement {
-    /// At its begin.
-    pub(super) from: Snapshot,
-    /// At its end.
-    pub(super) to: Snapshot,
+    /// The snapshot at the start.
+    pub(super) start: Snapshot,
+    /// The snapshot at the end.
+    pub(super) end: Snapshot,
 }
 
 impl Measurement {
-    /// Its length, in seconds.
+    /// Time between the two snapshots, in seconds.
     pub(super) fn window_s(&self) -> f64 {
-        self.to.at.duration_since(self.from.at).as_secs_f64()
+        self.end
+            .taken_at
+            .duration_since(self.start.taken_at)
+            .as_secs_f64()
     }
 
-    /// Task starts per second.
+    /// Mean number of task starts per second.
     pub(super) fn starts_per_s(&self) -> f64 {
-        (self.to.starts - self.from.starts) as f64 / self.window_s()
+        (self.end.starts - self.start.starts) as f64 / self.window_s()
     }
 }
 
-/// Collects the samples of a run.
+/// Collects the periodic samples of a run.
 pub(super) struct Sampler {
-    next_s: f64,
-    /// The samples so far.
+    /// Time of the next sample, in seconds from the start of the load.
+    next_sample_s: f64,
+    /// The samples taken so far.
     pub(super) rows: Vec<SampleRow>,
-    /// Task starts and store changes up to the latest sample.
-    starts: u64,
-    changes: u64,
+    /// Number of task starts up to the latest sample.
+    total_starts: u64,
+    /// Number of store changes up to the latest sample.
+    total_changes: u64,
 }
 
 impl Default for Sampler {
     fn default() -> Self {
         Self {
-            next_s: SAMPLE_S,
+            next_sample_s: SAMPLE_INTERVAL_S,
             rows: Vec::new(),
-            starts: 0,
-            changes: 0,
+            total_starts: 0,
+            total_changes: 0,
         }
     }
 }
 
 impl Sampler {
-    /// Whether a sample is due; if so, the next one is scheduled.
+    /// Returns whether a sample is due at `at_s`. If so, schedules the next one.
     pub(super) fn advance_if_due(&mut self, at_s: f64) -> bool {
-        let due = at_s >= self.next_s;
-        if due {
-            self.next_s += SAMPLE_S;
+        let is_due = at_s >= self.next_sample_s;
+        if is_due {
+            self.next_sample_s += SAMPLE_INTERVAL_S;
         }
-        due
+        is_due
     }
 
-    /// Records a sample, given all starts so far; returns the number of open batch and urgent jobs.
-    pub(super) fn record(&mut self, at_s: f64, starts: u64, cells: &[CellSample]) -> usize {
-        let changes: u64 = cells.iter().map(|cell| cell.store.changes).sum();
+    /// Records a sample. `total_starts` is the number of task starts since the start of the run.
+    /// Returns the number of batch and urgent jobs that haven't ended.
+    pub(super) fn record(&mut self, at_s: f64, total_starts: u64, cells: &[CellSample]) -> usize {
+        let total_changes: u64 = cells.iter().map(|cell| cell.store.changes).sum();
         let row = SampleRow {
             at_s,
-            starts: starts - self.starts,
-            tasks: cells.iter().map(|cell| cell.tasks).sum(),
-            workers: cells.iter().map(|cell| cell.workers).sum(),
-            changes: changes - self.changes,
+            starts: total_starts - self.total_starts,
+            running_tasks: cells.iter().map(|cell| cell.tasks).sum(),
+            running_workers: cells.iter().map(|cell| cell.workers).sum(),
+            store_changes: total_changes - self.total_changes,
         };
-        (self.starts, self.changes) = (starts, changes);
+        (self.total_starts, self.total_changes) = (total_starts, total_changes);
         let open_jobs = cells.iter().map(|cell| cell.open_jobs).sum();
         info!(
-            "sample at_s={at_s:.0} workers={} tasks={} starts={} changes={} open_jobs={open_jobs}",
-            row.workers, row.tasks, row.starts, row.changes,
+            "sample taken at_s={at_s:.0} workers={} tasks={} starts={} changes={} open_jobs={open_jobs}",
+            row.running_workers, row.running_tasks, row.starts, row.store_changes,
         );
         self.rows.push(row);
         open_jobs
--- a/scale/src/run/mod.rs
+++ b/scale/src/run/mod.rs
@@ -1,5 +1,6 @@
-//! One run of an experiment: starts all programs, plays the load and the faults, measures, and
-//! judges the results. Everything that was started ends with the run.
+//! One run of an experiment. It starts all processes and threads, generates the load, injects the
+//! faults, takes measurements, and checks rules and objectives. Every process that a run starts
+//! ends with the run.
 
 mod error;
 mod faults;
@@ -19,7 +20,7 @@
 use crate::hollow::{Command, SharedState};
 use crate::layout::team_name;
 use crate::results::Results;
-use error::READY_S;
+use error::READY_TIMEOUT_S;
 use faults::FaultInjector;
 use installation::Installation;
 use limit_changes::LimitChanges;
@@ -31,26 +32,28 @@
 use std::time::{Duration, Instant};
 use tracing::info;
 
-/// Open files besides the connections of workers.
-const OTHER_FILES: u64 = 4_096;
-/// Between two rounds of the run's loop.
-const ROUND: Duration = Duration::from_millis(100);
+/// Maximum number of open files besides one connection for each worker.
+const OTHER_OPEN_FILES_MAX: u64 = 4_096;
+/// Interval at which a run checks for readiness, due faults and due samples.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Plays an experiment. The row of the run names `varied`, if the run is one of a sweep.
-pub fn play(
+/// Runs an experiment and returns its results. If the run is part of a sweep, `varied` is the axis
+/// to name in the summary row.
+pub fn run_experiment(
     experiment: &Experiment,
     varied: Option<VariedAxis>,
     paths: RunPaths,
 ) -> Result<Results, RunError> {
     std::fs::create_dir_all(paths.folder)?;
-    rlimit::increase_nofile_limit(experiment.worker_count() as u64 + OTHER_FILES)?;
+    rlimit::increase_nofile_limit(experiment.worker_count() as u64 + OTHER_OPEN_FILES_MAX)?;
     let mut run = Run::start(experiment, paths)?;
     run.wait_until_ready()?;
-    let measurement = run.play_load()?;
-    Ok(report::results(&run.outcome(&measurement), varied))
+    let measurement = run.run_load()?;
+    Ok(report::collect_results(&run.outcome(&measurement), varied))
 }
 
-/// The folder for a run's files beside the built programs.
+/// The default folder for the files of a run: in `target/scale`, named after the experiment and the
+/// process id.
 pub fn default_folder(name: &str) -> PathBuf {
     let id = std::process::id();
     PathBuf::from("target")
@@ -66,13 +69,13 @@
     faults: FaultInjector,
     limit_changes: LimitChanges,
     sampler: Sampler,
-    /// When the load began, on the clock of the shared state.
+    /// Time at which the load began, in milliseconds on the clock of the shared state.
     load_began_ms: u64,
 }
 
 impl<'a> Run<'a> {
     fn start(experiment: &'a Experiment, paths: RunPaths) -> Result<Self, RunError> {
-        let shared = Arc::new(SharedState::new(checker(experiment)));
+        let shared = Arc::new(SharedState::new(build_checker(experiment)));
         let installation = Installation::start(experiment, &shared, paths)?;
         Ok(Self {
             experiment,
@@ -85,30 +88,31 @@
         })
     }
 
-    /// Waits until each cell has a leader, a healthy controller and all its workers.
+    /// Waits until each cell has a leader and a healthy controller, and all its workers have
+    /// joined.
     fn wait_until_ready(&self) -> Result<(), RunError> {
         let began = Instant::now();
         let cells = self.installation.cells.iter();
         for (cell, planned) in cells.zip(&self.experiment.cells) {
             loop {
                 let sample = cell.sample()?;
-                let led = sample.leader.is_some() && sample.healthy_controllers > 0;
-                if led && sample.joined >= planned.workers {
+                let has_leader = sample.leader.is_some() && sample.healthy_controllers > 0;
+                if has_leader && sample.joined >= planned.workers {
                     break;
                 }
-                if began.elapsed().as_secs_f64() > READY_S {
+                if began.elapsed().as_secs_f64() > READY_TIMEOUT_S {
                     return Err(RunError::NotReady(cell.name.clone()));
                 }
-                std::thread::sleep(ROUND);
+                std::thread::sleep(POLL_INTERVAL);
             }
         }
         let after_s = began.elapsed().as_secs_f64();
-        info!("cells ready after_s={after_s:.1}");
+        info!("all cells ready after_s={after_s:.1}");
         Ok(())
     }
 
-    /// Plays the load and the faults to the end of the experiment.
-    fn play_load(&mut self) -> Result<Measurement, RunError> {
+    /// Generates the load and injects the faults until the experiment ends.
+    fn run_load(&mut self) -> Result<Measurement, RunError> {
         for cell in &self.installation.cells {
             cell.send(Command::StartLoad);
         }
@@ -117,33 +121,34 @@
         let phases = &self.experiment.phases;
         let measure_from_s = phases.ramp_s + phases.warmup_s;
         let measure_to_s = measure_from_s + phases.measure_s;
-        let (mut from, mut to): (Option<Snapshot>, Option<Snapshot>) = (None, None);
+        let (mut start, mut end): (Option<Snapshot>, Option<Snapshot>) = (None, None);
         loop {
-            std::thread::sleep(ROUND);
+            std::thread::sleep(POLL_INTERVAL);
             let at_s = began.elapsed().as_secs_f64();
-            self.inject(at_s, measure_to_s)?;
-            if from.is_none() && at_s >= measure_from_s {
-                from = Some(self.snapshot()?);
+            self.apply_due_events(at_s, measure_to_s)?;
+            if start.is_none() && at_s >= measure_from_s {
+                start = Some(self.take_snapshot()?);
             }
-            if to.is_none() && at_s >= measure_to_s {
-                to = Some(self.snapshot()?);
+            if end.is_none() && at_s >= measure_to_s {
+                end = Some(self.take_snapshot()?);
             }
             if !self.sampler.advance_if_due(at_s) {
                 continue;
             }
-            let open_jobs = self.sample(at_s)?;
-            let ended = at_s >= phases.total_s() || open_jobs == 0;
-            if ended
-                && to.is_some()
-                && let (Some(from), Some(to)) = (from.take(), to.take())
+            let open_jobs = self.take_sample(at_s)?;
+            let has_ended = at_s >= phases.total_s() || open_jobs == 0;
+            if has_ended
+                && end.is_some()
+                && let (Some(start), Some(end)) = (start.take(), end.take())
             {
-                return Ok(Measurement { from, to });
+                return Ok(Measurement { start, end });
             }
         }
     }
 
-    /// Injects the faults and the changes of limits that are due.
-    fn inject(&mut self, at_s: f64, changes_end_s: f64) -> Result<(), RunError> {
+    /// Injects the faults that are due, and makes the limit changes that are due before
+    /// `changes_end_s`. Times are in seconds from the start of the load.
+    fn apply_due_events(&mut self, at_s: f64, changes_end_s: f64) -> Result<(), RunError> {
         self.faults
             .inject_due(at_s, &mut self.installation, &self.shared)?;
         if at_s < changes_end_s {
@@ -154,17 +159,18 @@
         Ok(())
     }
 
-    fn snapshot(&self) -> Result<Snapshot, RunError> {
+    fn take_snapshot(&self) -> Result<Snapshot, RunError> {
         Snapshot::take(&self.installation, &self.shared)
     }
 
-    /// Samples all cells and processes; returns the number of open batch and urgent jobs.
-    fn sample(&mut self, at_s: f64) -> Result<usize, RunError> {
+    /// Samples all cells and processes, and restarts crashed controllers. Returns the number of
+    /// batch and urgent jobs that haven't ended.
+    fn take_sample(&mut self, at_s: f64) -> Result<usize, RunError> {
         let cells = self.installation.sample_cells()?;
         let starts = self.shared.checker().starts;
         let open_jobs = self.sampler.record(at_s, starts, &cells);
         self.installation.restart_crashed()?;
-        let memory_mb = self.installation.memory_mb();
+        let memory_mb = self.installation.resident_memory_mb();
         match memory_mb > MEMORY_MAX_MB {
             true => Err(RunError::TooMuchMemory(memory_mb)),
             false => Ok(open_jobs),
@@ -184,16 +190,17 @@
     }
 }
 
-/// The checker of all cells, with the teams' limits.
-fn checker(experiment: &Experiment) -> Checker {
-    // Cells that share limits have one limit for all of them together.
-    let cells = match &experiment.sharing {
+/// Builds the checker for all cells, with the teams' limits.
+fn build_checker(experiment: &Experiment) -> Checker {
+    // Cells that share limits apply a team's limit to all cells together. Otherwise each cell
+    // applies it separately, so that the team can use a multiple of it in total.
+    let limit_factor = match &experiment.sharing {
         Some(_) => 1.0,
         None => experiment.cells.len() as f64,
     };
     let [cpus, gpus] = experiment.load.team_limit;
-    let limits =
-        (0..experiment.load.teams).map(|team| (team_name(team), (cpus * cells, gpus * cells)));
+    let limits = (0..experiment.load.teams)
+        .map(|team| (team_name(team), (cpus * limit_factor, gpus * limit_factor)));
     let cancel_ms = (experiment.service.cancel_s * 1000.0) as u64;
     Checker::new(cancel_ms, limits.collect())
 }
--- a/scale/src/run/objectives.rs
+++ b/scale/src/run/objectives.rs
@@ -1,64 +1,69 @@
-//! The objectives of an experiment that a run has missed.
+//! Checks a run against the objectives of its experiment.
 
 use super::outcome::RunOutcome;
 use crate::hollow::URGENT;
 use crate::results::LatencyRow;
 use salttrestle_fakes::checker::{Checker, JobView};
 
-/// All objectives that were missed, in words.
-pub(super) fn missed(run: &RunOutcome, checker: &Checker, open_jobs: usize) -> Vec<String> {
+/// Returns a description of each missed objective. Batch and urgent jobs that haven't ended count
+/// as one, too.
+pub(super) fn find_missed(run: &RunOutcome, checker: &Checker, open_jobs: usize) -> Vec<String> {
     let mut missed = Vec::new();
     if open_jobs > 0 {
-        missed.push(format!("{open_jobs} batch jobs weren't over at the end"));
+        missed.push(format!(
+            "{open_jobs} batch and urgent jobs hadn't ended at the end of the run"
+        ));
     }
-    missed.extend(missed_starts(run));
-    missed.extend(missed_urgent(run, checker));
-    missed.extend(missed_takeovers(run));
-    missed.extend(missed_limits(run));
+    missed.extend(check_start_rate(run));
+    missed.extend(check_urgent_starts(run, checker));
+    missed.extend(check_takeovers(run));
+    missed.extend(check_limit_changes(run));
     missed
 }
 
-fn missed_starts(run: &RunOutcome) -> Option<String> {
+fn check_start_rate(run: &RunOutcome) -> Option<String> {
     let load = &run.experiment.load;
-    let share = run.experiment.objectives.starts_share?;
+    let fraction = run.experiment.objectives.starts_fraction?;
     let starts_per_s = run.measurement.starts_per_s();
     let requested = load.starts_per_s + load.urgent_per_s;
-    let missed = starts_per_s < share * requested;
-    missed.then(|| format!("{starts_per_s:.1} of {requested:.1} starts a second"))
+    let is_missed = starts_per_s < fraction * requested;
+    is_missed.then(|| format!("{starts_per_s:.1} of {requested:.1} task starts per second"))
 }
 
-fn missed_urgent(run: &RunOutcome, checker: &Checker) -> Option<String> {
+fn check_urgent_starts(run: &RunOutcome, checker: &Checker) -> Option<String> {
     let within_s = run.experiment.objectives.urgent_within_s?;
-    let share = run.experiment.objectives.urgent_share?;
-    let in_time = |job: &JobView| {
-        let waited = job.first_start.map(|at| at - job.submitted_at);
-        waited.is_some_and(|ms| ms as f64 <= within_s * 1000.0)
+    let fraction = run.experiment.objectives.urgent_fraction?;
+    let started_in_time = |job: &JobView| {
+        let waited_ms = job.first_start.map(|at| at - job.submitted_at);
+        waited_ms.is_some_and(|ms| ms as f64 <= within_s * 1000.0)
     };
     let jobs = checker.jobs.values();
     let urgent: Vec<&JobView> = jobs
         .filter(|job| job.record.class == URGENT && job.cancel_asked.is_none())
         .collect();
-    let started = urgent.iter().filter(|job| in_time(job)).count();
+    let started = urgent.iter().filter(|job| started_in_time(job)).count();
     let all = urgent.len();
-    let missed = (started as f64) < share * all as f64;
-    missed.then(|| format!("{started} of {all} urgent jobs started within {within_s} s"))
+    let is_missed = (started as f64) < fraction * all as f64;
+    is_missed.then(|| format!("{started} of {all} urgent jobs started within {within_s} s"))
 }
 
-fn missed_takeovers(run: &RunOutcome) -> Vec<String> {
+fn check_takeovers(run: &RunOutcome) -> Vec<String> {
     let mut missed = Vec::new();
     let takeovers = run.shared.takeovers();
     if let Some(within_s) = run.experiment.objectives.takeover_within_s {
         let (late, all) = (takeovers.late(within_s), takeovers.rows.len());
         if late > 0 {
-            missed.push(format!("{late} of {all} takeovers took over {within_s} s"));
+            missed.push(format!(
+                "{late} of {all} takeovers took longer than {within_s} s"
+            ));
         }
     }
     let ignored = run.ignored_terminations.iter();
-    missed.extend(ignored.map(|id| format!("{id} was told to end and didn't")));
+    missed.extend(ignored.map(|id| format!("controller {id} didn't exit after SIGTERM")));
     missed
 }
 
-fn missed_limits(run: &RunOutcome) -> Vec<String> {
+fn check_limit_changes(run: &RunOutcome) -> Vec<String> {
     let Some(within_s) = run.experiment.objectives.limits_within_s else {
         return Vec::new();
     };
@@ -69,16 +74,16 @@
     ];
     let mut missed = Vec::new();
     for (direction, latencies_ms) in latencies {
-        let p99 = LatencyRow::new(direction, latencies_ms.iter().copied()).p99;
+        let p99 = LatencyRow::new(direction, latencies_ms.iter().copied()).p99_ms;
         if p99 as f64 > within_s * 1000.0 {
             missed.push(format!(
-                "limits {direction}: in force after {p99} ms at p99"
+                "limits {direction}: p99 until in force is {p99} ms"
             ));
         }
     }
     if limits.pending() > 0 {
         missed.push(format!(
-            "{} changes of limits never came into force",
+            "{} limit changes aren't in force at the end of the run",
             limits.pending()
         ));
     }
--- a/scale/src/run/report.rs
+++ b/scale/src/run/report.rs
@@ -1,4 +1,4 @@
-//! The results of a run, from what was measured and observed.
+//! Computes the results of a run from its measurements and observations.
 
 use super::measurement::{Measurement, ProcessCpu};
 use super::objectives;
@@ -12,19 +12,20 @@
 use salttrestle_fakes::checker::{Checker, JobView};
 use tracing::info;
 
-/// Most violations of one kind that the results name.
-const VIOLATIONS_MAX: usize = 20;
+/// Maximum number of violations that the results list for each source: the rules of the checker,
+/// and the checks of fencing tokens. Repeated task starts in the log have the same bound.
+const LISTED_VIOLATIONS_MAX: usize = 20;
 
-/// What was varied in a run that is part of a sweep.
+/// The axis that a sweep varies, and its value in one run.
 pub struct VariedAxis {
-    /// The axis.
+    /// Name of the axis.
     pub axis: String,
-    /// The value on it.
+    /// Value on the axis.
     pub value: f64,
 }
 
-/// The rows of all results; the row of the whole run comes last.
-pub(super) fn results(run: &RunOutcome, varied: Option<VariedAxis>) -> Results {
+/// Collects all result rows of a run. The row of the whole run comes last.
+pub(super) fn collect_results(run: &RunOutcome, varied: Option<VariedAxis>) -> Results {
     let mut rows = process_rows(run);
     for index in 0..run.installation.cells.len() {
         rows.extend(cell_rows(run, index));
@@ -48,34 +49,34 @@
 }
 
 fn process_rows(run: &RunOutcome) -> Vec<Row> {
-    let Measurement { from, to } = run.measurement;
+    let Measurement { start, end } = run.measurement;
     let controllers = run.installation.controllers.iter();
-    let cpu = from.cpu.iter().zip(&to.cpu);
+    let cpu = start.cpu.iter().zip(&end.cpu);
     let rows = controllers
         .zip(cpu)
-        .map(|(controller, (from_cpu, to_cpu))| {
-            let used = used_cpu(*from_cpu, *to_cpu);
+        .map(|(controller, (start_cpu, end_cpu))| {
+            let used = used_cpu(*start_cpu, *end_cpu);
             let cores = |part: fn(CpuTime) -> f64| {
                 used.map_or(0.0, |cpu| part(cpu) / run.measurement.window_s())
             };
             Row::Process(ProcessRow {
                 cell: run.installation.cells[controller.cell].name.clone(),
                 controller_id: controller.id.clone(),
-                owner: to.cells[controller.cell].owner.as_ref() == Some(&controller.id),
+                is_owner: end.cells[controller.cell].owner.as_ref() == Some(&controller.id),
                 user_cores: cores(|cpu| cpu.user_s),
                 system_cores: cores(|cpu| cpu.system_s),
                 memory_mb: peak_memory_mb(controller),
-                files: controller.pid().and_then(process_files).unwrap_or(0),
-                restarted: used.is_none(),
+                open_files: controller.pid().and_then(process_files).unwrap_or(0),
+                was_restarted: used.is_none(),
             })
         });
     rows.collect()
 }
 
-/// Processor time between two readings of the same process.
-fn used_cpu(from: Option<ProcessCpu>, to: Option<ProcessCpu>) -> Option<CpuTime> {
-    let (from, to) = (from?, to?);
-    (from.pid == to.pid).then(|| to.time.since(from.time))
+/// Processor time between two readings; `None` unless both are of the same process.
+fn used_cpu(start: Option<ProcessCpu>, end: Option<ProcessCpu>) -> Option<CpuTime> {
+    let (start, end) = (start?, end?);
+    (start.pid == end.pid).then(|| end.time.since(start.time))
 }
 
 fn peak_memory_mb(controller: &Controller) -> f64 {
@@ -83,13 +84,13 @@
     memory.map_or(0.0, |memory| memory.peak_mb)
 }
 
-/// Store, processor use and traffic of one cell.
+/// Rows for the store, the processor use and the traffic of the cell at `index`.
 fn cell_rows(run: &RunOutcome, index: usize) -> Vec<Row> {
     let name = &run.installation.cells[index].name;
-    let from: &CellSample = &run.measurement.from.cells[index];
-    let to: &CellSample = &run.measurement.to.cells[index];
+    let start: &CellSample = &run.measurement.start.cells[index];
+    let end: &CellSample = &run.measurement.end.cells[index];
     let window_s = run.measurement.window_s();
-    let store = to.store.since(from.store);
+    let store = end.store.since(start.store);
     let rate = |count: u64| count as f64 / window_s;
     let mut rows = vec![
         Row::Store(StoreRow {
@@ -100,24 +101,24 @@
             changes: rate(store.changes),
             conflicts: rate(store.conflicts),
             rejected: rate(store.rejected),
-            keys: to.keys,
+            keys: end.keys,
         }),
         Row::Hollow(HollowRow {
             cell: name.clone(),
-            cores: to.cpu.since(from.cpu).total_s() / window_s,
+            cores: end.cpu.since(start.cpu).total_s() / window_s,
         }),
     ];
-    let traffic = from.traffic.iter().zip(&to.traffic);
-    rows.extend(traffic.map(|(from, to)| Row::Traffic(traffic_row(name, from, to, window_s))));
+    let traffic = start.traffic.iter().zip(&end.traffic);
+    rows.extend(traffic.map(|(start, end)| Row::Traffic(traffic_row(name, start, end, window_s))));
     rows
 }
 
-fn traffic_row(cell: &str, from: &KindTraffic, to: &KindTraffic, window_s: f64) -> TrafficRow {
-    let traffic = to.traffic.since(from.traffic);
+fn traffic_row(cell: &str, start: &KindTraffic, end: &KindTraffic, window_s: f64) -> TrafficRow {
+    let traffic = end.traffic.since(start.traffic);
     let rate = |count: u64| count as f64 / window_s;
     TrafficRow {
         cell: cell.into(),
-        connection: to.kind.name().into(),
+        connection: end.kind.name().into(),
         messages_in: rate(traffic.messages_in),
         messages_out: rate(traffic.messages_out),
         bytes_in: rate(traffic.bytes_in),
@@ -125,31 +126,31 @@
     }
 }
 
-/// Latencies from submission to acceptance and to the first start, by class of job.
+/// Latencies from submission to acceptance and from submission to the first start, by job class.
 fn job_latency_rows(checker: &Checker) -> Vec<Row> {
     let mut rows = Vec::new();
     for class in [BATCH, URGENT, SERVICE] {
-        let mut add = |event: &str, at: fn(&JobView) -> Option<u64>| {
+        let mut add_row = |event: &str, time_of: fn(&JobView) -> Option<u64>| {
             let jobs = checker.jobs.values();
             let of_class = jobs.filter(|job| job.record.class == class);
             let latencies =
-                of_class.filter_map(|job| Some(at(job)?.saturating_sub(job.submitted_at)));
-            let what = format!("{class} {event}");
-            rows.push(Row::Latency(LatencyRow::new(&what, latencies)));
+                of_class.filter_map(|job| Some(time_of(job)?.saturating_sub(job.submitted_at)));
+            let event = format!("{class} {event}");
+            rows.push(Row::Latency(LatencyRow::new(&event, latencies)));
         };
-        add("accepted", |job| job.accepted_at);
-        add("started", |job| job.first_start);
+        add_row("accepted", |job| job.accepted_at);
+        add_row("started", |job| job.first_start);
     }
     rows
 }
 
-/// The urgent jobs that started later than their objective.
+/// Rows for the urgent jobs that started later than the objective allows, or never.
 fn late_job_rows(run: &RunOutcome, checker: &Checker) -> Vec<Row> {
     let Some(within_s) = run.experiment.objectives.urgent_within_s else {
         return Vec::new();
     };
-    let seconds = |ms: u64| ms as f64 / 1000.0;
-    let waited_s = |job: &JobView| job.first_start.map(|at| seconds(at - job.submitted_at));
+    let to_s = |ms: u64| ms as f64 / 1000.0;
+    let waited_s = |job: &JobView| job.first_start.map(|at| to_s(at - job.submitted_at));
     let late = checker.jobs.iter().filter(|(_, job)| {
         job.record.class == URGENT && waited_s(job).is_none_or(|waited| waited > within_s)
     });
@@ -157,14 +158,14 @@
         Row::LateJob(LateJobRow {
             job: id.to_string(),
             team: job.record.team.clone(),
-            at_s: seconds(job.submitted_at.saturating_sub(run.load_began_ms)),
+            at_s: to_s(job.submitted_at.saturating_sub(run.load_began_ms)),
             waited_s: waited_s(job),
         })
     });
     rows.collect()
 }
 
-/// Latencies of changes of limits.
+/// Latencies from the request of a limit change until it is in force.
 fn limit_rows(shared: &SharedState) -> [Row; 2] {
     let limits = shared.limits();
     info!(
@@ -176,14 +177,16 @@
         ("limits raised", &limits.raised_ms),
         ("limits lowered", &limits.lowered_ms),
     ]
-    .map(|(what, latencies)| Row::Latency(LatencyRow::new(what, latencies.iter().copied())))
+    .map(|(event, latencies)| Row::Latency(LatencyRow::new(event, latencies.iter().copied())))
 }
 
+/// The row of the whole run. Runs the checker's final checks first; those for jobs that must have
+/// ended apply only if no batch or urgent job is still open.
 fn run_row(run: &RunOutcome) -> RunRow {
     let now = run.shared.now_ms();
     let cells = run.installation.cells.iter();
-    let last: Vec<CellSample> = cells.filter_map(|cell| cell.sample().ok()).collect();
-    let open_jobs: usize = last.iter().map(|cell| cell.open_jobs).sum();
+    let final_samples: Vec<CellSample> = cells.filter_map(|cell| cell.sample().ok()).collect();
+    let open_jobs: usize = final_samples.iter().map(|cell| cell.open_jobs).sum();
     let mut checker = run.shared.checker();
     checker.check_cancelled(now);
     if open_jobs == 0 {
@@ -199,44 +202,45 @@
         workers: run.experiment.worker_count(),
         teams: run.experiment.load.teams,
         window_s: run.measurement.window_s(),
-        tasks: mean_tasks(run),
+        mean_running_tasks: mean_running_tasks(run),
         starts_per_s: run.measurement.starts_per_s(),
-        starts_peak: run.samples.iter().map(|row| row.starts).max().unwrap_or(0),
+        starts_per_sample_max: run.samples.iter().map(|row| row.starts).max().unwrap_or(0),
         starts: checker.starts,
         jobs: checker.jobs.len(),
-        killed: last.iter().map(|cell| cell.lease_kills).sum(),
-        user_failures: last.iter().map(|cell| cell.user_failures).sum(),
-        violations: violations(run, &checker),
-        missed_objectives: objectives::missed(run, &checker, open_jobs),
+        lease_kills: final_samples.iter().map(|cell| cell.lease_kills).sum(),
+        user_failures: final_samples.iter().map(|cell| cell.user_failures).sum(),
+        violations: collect_violations(run, &checker),
+        missed_objectives: objectives::find_missed(run, &checker, open_jobs),
     }
 }
 
-/// Mean number of running tasks over the samples of the measurement.
-fn mean_tasks(run: &RunOutcome) -> f64 {
+/// Mean number of running tasks over the samples of the measured phase.
+fn mean_running_tasks(run: &RunOutcome) -> f64 {
     let phases = &run.experiment.phases;
     let measured = (phases.ramp_s + phases.warmup_s)..=(phases.total_s() - phases.drain_s);
     let samples = run.samples.iter();
     let tasks: Vec<f64> = samples
         .filter(|row| measured.contains(&row.at_s))
-        .map(|row| row.tasks as f64)
+        .map(|row| row.running_tasks as f64)
         .collect();
     tasks.iter().sum::<f64>() / tasks.len().max(1) as f64
 }
 
-/// Violations of rules: of the checker's, crashed controllers, and commands with stale tokens.
-fn violations(run: &RunOutcome, checker: &Checker) -> Vec<String> {
-    let checked = checker.broken.iter().take(VIOLATIONS_MAX).cloned();
+/// Collects descriptions of all rule violations: violations of the checker's rules, crashed
+/// controllers, and commands or cloud calls with stale fencing tokens.
+fn collect_violations(run: &RunOutcome, checker: &Checker) -> Vec<String> {
+    let checked = checker.broken.iter().take(LISTED_VIOLATIONS_MAX).cloned();
     let crashed = run.installation.crashed.iter();
-    let crashed = crashed.map(|id| format!("{id} has ended by itself"));
+    let crashed = crashed.map(|id| format!("controller {id} exited unexpectedly"));
     let takeovers = run.shared.takeovers();
     let orders = &takeovers.orders;
-    info!("tasks started again count={}", orders.repeats.len());
-    for repeat in orders.repeats.iter().take(VIOLATIONS_MAX) {
-        info!("task started again task=\"{repeat}\"");
+    info!("tasks started repeatedly count={}", orders.repeats.len());
+    for repeat in orders.repeats.iter().take(LISTED_VIOLATIONS_MAX) {
+        info!("task started repeatedly task=\"{repeat}\"");
     }
     let stale = orders.broken.iter().chain(&orders.duties.broken);
     checked
         .chain(crashed)
-        .chain(stale.take(VIOLATIONS_MAX).cloned())
+        .chain(stale.take(LISTED_VIOLATIONS_MAX).cloned())
         .collect()
 }
--- a/scale/src/sweep.rs
+++ b/scale/src/sweep.rs
@@ -1,23 +1,24 @@
-//! Sweeps: an experiment is run again and again, with one axis after another varied, so that the
-//! cost of each can be told apart.
+//! Sweeps, which run an experiment repeatedly and vary one axis at a time. Each cost can then be
+//! attributed to one axis.
 
 use crate::axis::Axis;
 use crate::controllers::RunPaths;
 use crate::experiment::{Experiment, ExperimentError};
 use crate::results::Row;
-use crate::run::{RunError, VariedAxis, play};
+use crate::run::{RunError, VariedAxis, run_experiment};
 use serde::Deserialize;
 use std::collections::VecDeque;
 use std::net::Ipv4Addr;
 use std::sync::Mutex;
 use tracing::{info, warn};
 
-/// Most concurrent runs.
+/// Maximum number of concurrent runs.
 const PARALLEL_MAX: usize = 6;
-/// Distance between the networks of concurrent runs.
+/// Distance between the loopback networks of concurrent runs, added to the second octet. Each cell
+/// of a run takes one value of that octet.
 const NETWORK_STEP: usize = 16;
 
-/// The axes that are varied, and how.
+/// A sweep: the axes to vary, and the values on each of them.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Sweep {
@@ -25,19 +26,19 @@
     pub repeats: usize,
     /// Number of concurrent runs.
     pub parallel: usize,
-    /// The axes.
+    /// The axes, each varied while the others keep the value of the base experiment.
     #[serde(rename = "axis")]
     pub axes: Vec<AxisValues>,
 }
 
-/// An axis, and the values on it.
+/// An axis and the values to measure on it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AxisValues {
-    /// The axis.
+    /// The axis to vary.
     #[serde(rename = "name")]
     pub axis: Axis,
-    /// Its values.
+    /// The values to measure, in the unit of the axis.
     pub values: Vec<f64>,
 }
 
@@ -49,25 +50,28 @@
 }
 
 impl Sweep {
-    /// Reads a sweep, and checks every experiment that it consists of.
+    /// Parses a sweep of the experiment `base`, and checks the experiment of every planned run.
+    /// `file` names the sweep's file in errors.
     pub fn parse(file: &str, text: &str, base: &Experiment) -> Result<Self, ExperimentError> {
         let sweep: Self = toml::from_str(text)
             .map_err(|error| ExperimentError::malformed(file, "(file)", &error))?;
         if sweep.parallel == 0 || sweep.parallel > PARALLEL_MAX || sweep.repeats == 0 {
-            let reason = format!("1 to {PARALLEL_MAX} runs at once, and at least one repeat");
+            let reason =
+                format!("1 to {PARALLEL_MAX} concurrent runs and at least one repeat are required");
             return Err(ExperimentError::new(file, "parallel", reason));
         }
         if base.cells.len() != 1 {
-            let reason = "a sweep plays one cell";
+            let reason = "a sweep requires an experiment of exactly one cell";
             return Err(ExperimentError::new(file, "cell", reason));
         }
-        for run in sweep.runs(base) {
-            run.experiment.check(file)?;
+        for planned in sweep.plan_runs(base) {
+            planned.experiment.check(file)?;
         }
         Ok(sweep)
     }
 
-    fn runs(&self, base: &Experiment) -> Vec<PlannedRun> {
+    /// The runs in order. Each repeat has a seed of its own, and covers all values of all axes.
+    fn plan_runs(&self, base: &Experiment) -> Vec<PlannedRun> {
         let mut runs = Vec::new();
         for repeat in 0..self.repeats {
             for AxisValues { axis, values } in &self.axes {
@@ -85,10 +89,10 @@
         runs
     }
 
-    /// Plays all runs; returns the rows of those that completed.
-    pub fn play(&self, base: &Experiment, paths: RunPaths) -> Vec<Row> {
-        let runs = self.runs(base);
-        let count = runs.len();
+    /// Executes all runs, and returns the result rows of those that completed.
+    pub fn execute(&self, base: &Experiment, paths: RunPaths) -> Vec<Row> {
+        let runs = self.plan_runs(base);
+        let run_count = runs.len();
         let pending = Mutex::new(runs.into_iter().enumerate().collect::<VecDeque<_>>());
         let rows = Mutex::new(Vec::new());
         std::thread::scope(|scope| {
@@ -96,18 +100,21 @@
                 let (pending, rows) = (&pending, &rows);
                 scope.spawn(move || {
                     let next = || pending.lock().ok()?.pop_front();
-                    while let Some((index, run)) = next() {
-                        let (axis, value) = (run.axis, run.value);
-                        info!("run started run={} of={count} {axis}={value}", index + 1);
+                    while let Some((index, planned)) = next() {
+                        let (axis, value) = (planned.axis, planned.value);
+                        info!(
+                            "run started run={} runs={run_count} {axis}={value}",
+                            index + 1
+                        );
                         let folder = paths.folder.join(format!("{axis}-{value}-{index}"));
                         let paths = RunPaths {
                             folder: &folder,
                             ..paths
                         };
-                        match run.play(slot, paths) {
-                            Ok(mut played) => {
+                        match planned.execute(slot, paths) {
+                            Ok(mut run_rows) => {
                                 if let Ok(mut rows) = rows.lock() {
-                                    rows.append(&mut played);
+                                    rows.append(&mut run_rows);
                                 }
                             }
                             Err(error) => warn!("run failed {axis}={value} reason=\"{error}\""),
@@ -121,8 +128,9 @@
 }
 
 impl PlannedRun {
-    /// Plays the run; `slot` keeps the networks of concurrent runs apart.
-    fn play(&self, slot: usize, paths: RunPaths) -> Result<Vec<Row>, RunError> {
+    /// Executes the run and returns its result rows, without the samples. Concurrent runs have
+    /// different slots, from which their loopback networks follow.
+    fn execute(&self, slot: usize, paths: RunPaths) -> Result<Vec<Row>, RunError> {
         let mut experiment = self.experiment.clone();
         let [first, second, third, fourth] = experiment.network.octets();
         let second = second.wrapping_add((slot * NETWORK_STEP) as u8);
@@ -131,10 +139,11 @@
             axis: self.axis.to_string(),
             value: self.value,
         };
-        let results = play(&experiment, Some(varied), paths)?;
+        let results = run_experiment(&experiment, Some(varied), paths)?;
         let rows = results.rows.into_iter();
         let mut rows: Vec<Row> = rows.filter(|row| !matches!(row, Row::Sample(_))).collect();
-        // The row of the run moves to the front: the rows that follow it belong to it.
+        // The row of the whole run moves to the front. When the rows of several runs are stored in
+        // one file, every other row belongs to the latest row of a run before it.
         rows.rotate_right(1);
         Ok(rows)
     }
--- a/scale/tests/cells_run.rs
+++ b/scale/tests/cells_run.rs
@@ -1,24 +1,25 @@
-//! Three cells with real processes share team limits while these change, links are partitioned, a
-//! leader is killed and load moves: no team uses more than its limit in all cells together, every
-//! change is in force in time, and all jobs end.
+//! Runs three cells with real processes that share team limits, while limits change, links are
+//! partitioned, a leader is killed and load moves between cells. No team may use more than its
+//! limit in all cells together, every limit change must be in force in time, and all jobs must end.
 //!
-//! Seen to fail: quota that the home cell reclaimed wasn't returned, so that jobs waited forever;
-//! and no quota was lent while load moved, so that starts took 10 s and more.
+//! Failures that this test has found: other cells didn't return quota that the home cell reclaimed,
+//! so that jobs waited forever; and no quota was lent while load moved, so that starts took 10 s
+//! and more.
 
-mod playing;
+mod support;
 
-use playing::play_well;
 use salttrestle_scale::results::Row;
+use support::run_and_pass;
 
 const CELLS: &str = include_str!("../experiments/cells.toml");
 
 #[test]
 fn cells_share_limits_that_change() {
-    let results = play_well("cells.toml", CELLS, "cells-run");
+    let results = run_and_pass("cells.toml", CELLS, "cells-run");
     let changes = results.rows.iter().map(|row| match row {
-        Row::Latency(latency) if latency.what.starts_with("limits ") => latency.count,
+        Row::Latency(latency) if latency.event.starts_with("limits ") => latency.count,
         _ => 0,
     });
     let changes: u64 = changes.sum();
-    assert!(changes >= 20, "only {changes} changes of limits");
+    assert!(changes >= 20, "only {changes} limit changes");
 }
--- a/scale/tests/experiments.rs
+++ b/scale/tests/experiments.rs
@@ -1,7 +1,7 @@
-//! Invalid experiments are refused before anything starts, and the message names file, key and
-//! reason.
+//! Tests that the parser rejects invalid experiments, and that the error names the file, the key
+//! and the reason.
 
-use salttrestle_scale::experiment::{EMBEDDED, Experiment};
+use salttrestle_scale::experiment::{EMBEDDED_EXPERIMENT, Experiment};
 
 #[test]
 fn bad_experiments_are_refused() {
@@ -27,15 +27,15 @@
         ("[phases]", "[[phases", "line 6"),
     ];
     for (from, to, key) in rows {
-        let text = EMBEDDED.replacen(from, to, 1);
-        assert_ne!(text, EMBEDDED, "{from} isn't in the experiment");
-        let refused = Experiment::parse("bad.toml", &text).expect_err(to);
+        let text = EMBEDDED_EXPERIMENT.replacen(from, to, 1);
+        assert_ne!(text, EMBEDDED_EXPERIMENT, "{from} isn't in the experiment");
+        let error = Experiment::parse("bad.toml", &text).expect_err(to);
         assert_eq!(
-            (refused.file.as_str(), refused.key.as_str()),
+            (error.file.as_str(), error.key.as_str()),
             ("bad.toml", key),
-            "{refused}"
+            "{error}"
         );
-        assert!(!refused.reason.is_empty());
+        assert!(!error.reason.is_empty());
     }
-    Experiment::parse("good.toml", EMBEDDED).expect("the embedded one is good");
+    Experiment::parse("good.toml", EMBEDDED_EXPERIMENT).expect("the embedded experiment is valid");
 }
--- a/scale/tests/limit_observer.rs
+++ b/scale/tests/limit_observer.rs
@@ -1,4 +1,5 @@
-//! The part of a shard's record that the observer of limits reads is the one that controllers store.
+//! Tests that the limit observer can read the quota shares in the shard records that controllers
+//! store.
 
 use ciborium::Value;
 use salttrestle::controller::store::records::ShardRecord;
@@ -15,7 +16,9 @@
         machines: None,
         quota_shares: Some(quota_shares),
     };
-    let stored = Value::serialized(&record).expect("a record can be stored");
-    let view: ShardView = stored.deserialized().expect("the view can be read");
+    let stored = Value::serialized(&record).expect("a shard record can be encoded");
+    let view: ShardView = stored
+        .deserialized()
+        .expect("the view can be decoded from a shard record");
     assert_eq!(view.quota_shares, record.quota_shares);
 }
--- a/scale/tests/small_run.rs
+++ b/scale/tests/small_run.rs
@@ -1,23 +1,23 @@
-//! The embedded experiment with real processes: rules hold, and jobs run on after the leader was
-//! killed.
+//! Runs the embedded experiment with real processes: no rule is violated, and jobs continue to run
+//! after the leader is killed.
 
-mod playing;
+mod support;
 
-use playing::play_well;
-use salttrestle_scale::experiment::EMBEDDED;
+use salttrestle_scale::experiment::EMBEDDED_EXPERIMENT;
 use salttrestle_scale::results::Row;
+use support::run_and_pass;
 
-/// Seen to fail: the peers never reconnected to the controller that was killed and restarted, so
-/// that heartbeats which they forward didn't reach it as the next owner, and batch jobs whose tasks
-/// had ended stayed open.
+/// Guards against peers that don't reconnect to a controller after it was killed and restarted.
+/// When that controller became the next shard owner, the heartbeats that its peers forward didn't
+/// reach it, and batch jobs whose tasks had ended stayed open.
 #[test]
 fn a_fleet_outlives_its_leader() {
-    let results = play_well("(embedded)", EMBEDDED, "small-run");
-    let run = results.run().expect("a row for the run");
+    let results = run_and_pass("(embedded)", EMBEDDED_EXPERIMENT, "small-run");
+    let run = results.run().expect("a summary row");
     assert!(run.starts >= 150, "only {} starts", run.starts);
-    let restarted = |row: &Row| matches!(row, Row::Process(process) if process.restarted);
+    let was_restarted = |row: &Row| matches!(row, Row::Process(process) if process.was_restarted);
     assert!(
-        results.rows.iter().any(restarted),
+        results.rows.iter().any(was_restarted),
         "no controller was killed"
     );
 }
--- a/scale/tests/takeovers_run.rs
+++ b/scale/tests/takeovers_run.rs
@@ -1,20 +1,21 @@
-//! Takeovers with real processes: the leader is killed, suspended or terminated, and each time its
-//! successor starts tasks within five seconds, without a command under a stale token.
+//! Runs takeovers with real processes. The leader is killed, suspended or terminated repeatedly.
+//! Each time, its successor must start tasks within five seconds, and no command may carry a stale
+//! token.
 
-mod playing;
+mod support;
 
-use playing::play_well;
 use salttrestle_scale::experiment::{EMBEDDED_TAKEOVERS, Experiment};
 use salttrestle_scale::results::Row;
+use support::run_and_pass;
 
 #[test]
 fn leaders_end_and_others_take_over() {
     let text = EMBEDDED_TAKEOVERS
         .replace("count = 6", "count = 3")
         .replace("measure_s = 48", "measure_s = 24");
-    let results = play_well("(takeovers)", &text, "takeovers-run");
-    let run = results.run().expect("a row for the run");
-    assert_eq!(run.killed, 0, "tasks were lost by a lease");
+    let results = run_and_pass("(takeovers)", &text, "takeovers-run");
+    let run = results.run().expect("a summary row");
+    assert_eq!(run.lease_kills, 0, "tasks were killed by lease expiry");
     let takeovers = results.rows.iter().filter_map(|row| match row {
         Row::Takeover(takeover) => Some(takeover),
         _ => None,
@@ -37,7 +38,7 @@
     for (from, to, key) in rows {
         let text = EMBEDDED_TAKEOVERS.replacen(from, to, 1);
         assert_ne!(text, EMBEDDED_TAKEOVERS, "{from} isn't in the experiment");
-        let refused = Experiment::parse("bad.toml", &text).expect_err(to);
-        assert_eq!(refused.key, key, "{refused}");
+        let error = Experiment::parse("bad.toml", &text).expect_err(to);
+        assert_eq!(error.key, key, "{error}");
     }
 }
