--- a/scale/src/capacity/heartbeats.rs
+++ b/scale/src/capacity/heartbeats.rs
@@ -26,6 +26,7 @@
         let token = FencingToken(41);
         let mut worker = Worker::new(0, "kithara-large", "attica", false, 0);
         worker.token = token.0;
+        // The number of heartbeats in one day.
         worker.sequence = 28_800;
         for index in 0..task_count {
             let job = JobId::from("wk-004213");
--- a/scale/src/capacity/metric.rs
+++ b/scale/src/capacity/metric.rs
@@ -144,19 +144,19 @@
     }
 
     fn add_store(&mut self, store: &StoreRow) {
-        self.add(Metric::StoreRequests, store.requests);
-        self.add(Metric::StoreChanges, store.changes);
+        self.add(Metric::StoreRequests, store.requests_per_s);
+        self.add(Metric::StoreChanges, store.changes_per_s);
     }
 
     fn add_traffic(&mut self, traffic: &TrafficRow) {
         match traffic.connection.as_str() {
             "state" => {
-                self.add(Metric::StoreBytesIn, traffic.bytes_in);
-                self.add(Metric::StoreBytesOut, traffic.bytes_out);
+                self.add(Metric::StoreBytesIn, traffic.bytes_in_per_s);
+                self.add(Metric::StoreBytesOut, traffic.bytes_out_per_s);
             }
             "worker" => {
-                self.add(Metric::HeartbeatBytes, traffic.bytes_out);
-                self.add(Metric::ResponseBytes, traffic.bytes_in);
+                self.add(Metric::HeartbeatBytes, traffic.bytes_out_per_s);
+                self.add(Metric::ResponseBytes, traffic.bytes_in_per_s);
             }
             _ => {}
         }
--- a/scale/src/capacity/slope.rs
+++ b/scale/src/capacity/slope.rs
@@ -4,7 +4,7 @@
 use crate::axis::Axis;
 use serde::{Deserialize, Serialize};
 
-/// Minimum steepening above which a cost counts as superlinear.
+/// Steepening above which a cost counts as superlinear.
 const SUPERLINEAR_STEEPENING_RATIO: f64 = 2.0;
 /// A cost depends on an axis if it changes over the measured values by more than this multiple of
 /// the largest residual. Smaller changes can't be told from noise.
--- a/scale/src/capacity/table.rs
+++ b/scale/src/capacity/table.rs
@@ -14,7 +14,7 @@
 /// The linear fits of all costs along all axes, with the size of the experiment that was varied.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SlopeTable {
-    /// Name of the measured source revision.
+    /// Name of the measured sources, as the capacity page shows it.
     pub sources: String,
     /// The value of each axis in the experiment that was varied.
     pub reference: BTreeMap<Axis, f64>,
--- a/scale/src/main.rs
+++ b/scale/src/main.rs
@@ -76,7 +76,7 @@
     /// Folder for settings, logs and results.
     #[arg(long = "out", value_name = "FOLDER")]
     output_folder: PathBuf,
-    /// Name of the measured source revision, as the capacity page shows it.
+    /// Name of the measured sources, as the capacity page shows it.
     #[arg(long)]
     sources: String,
 }
@@ -87,7 +87,7 @@
     experiment: PathBuf,
     /// The stored runs of the sweep (JSON lines).
     runs: PathBuf,
-    /// Name of the measured source revision, as the capacity page shows it.
+    /// Name of the measured sources, as the capacity page shows it.
     #[arg(long)]
     sources: String,
     /// File to which the linear fits are written (JSON).
--- a/scale/src/results/rows.rs
+++ b/scale/src/results/rows.rs
@@ -107,40 +107,48 @@
 /// Traffic of one cell over one kind of connection, as mean rates over the measurement.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TrafficRow {
-    /// The cell.
+    /// Name of the cell.
     pub cell: String,
     /// Kind of the connection, by the controllers' counterpart.
     #[serde(rename = "link")]
     pub connection: String,
     /// Messages from controllers per second.
-    pub messages_in: f64,
+    #[serde(rename = "messages_in")]
+    pub messages_in_per_s: f64,
     /// Messages to controllers per second.
-    pub messages_out: f64,
+    #[serde(rename = "messages_out")]
+    pub messages_out_per_s: f64,
     /// Bytes from controllers per second.
-    pub bytes_in: f64,
+    #[serde(rename = "bytes_in")]
+    pub bytes_in_per_s: f64,
     /// Bytes to controllers per second.
-    pub bytes_out: f64,
+    #[serde(rename = "bytes_out")]
+    pub bytes_out_per_s: f64,
 }
 
-/// Operations of one cell's store, as mean rates per second over the measurement.
+/// Operations of one cell's store, as mean rates over the measurement.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StoreRow {
-    /// The cell.
+    /// Name of the cell.
     pub cell: String,
-    /// All requests, watches included.
-    pub requests: f64,
-    /// Watch requests.
+    /// All requests per second, watches included.
+    #[serde(rename = "requests")]
+    pub requests_per_s: f64,
+    /// Watch requests per second.
     #[serde(rename = "follows")]
-    pub watches: f64,
-    /// Committed transactions.
-    pub commits: f64,
-    /// Committed puts and deletes.
-    pub changes: f64,
-    /// Transactions that failed because a precondition didn't hold.
-    pub conflicts: f64,
-    /// Requests rejected because they exceeded a rate limit or a size limit.
+    pub watches_per_s: f64,
+    /// Committed transactions per second.
+    #[serde(rename = "commits")]
+    pub commits_per_s: f64,
+    /// Committed puts and deletes per second.
+    #[serde(rename = "changes")]
+    pub changes_per_s: f64,
+    /// Transactions per second that failed because a precondition didn't hold.
+    #[serde(rename = "conflicts")]
+    pub conflicts_per_s: f64,
+    /// Requests per second that were rejected because they exceeded a rate or size limit.
     #[serde(rename = "refused")]
-    pub rejected: f64,
+    pub rejected_per_s: f64,
     /// Number of stored keys at the end of the measurement.
     pub keys: usize,
 }
@@ -149,7 +157,7 @@
 /// thread.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HollowRow {
-    /// The cell.
+    /// Name of the cell.
     pub cell: String,
     /// Processor use in cores. Near 1, the hollow side itself limits the throughput of the run.
     pub cores: f64,
--- a/scale/src/results/table.rs
+++ b/scale/src/results/table.rs
@@ -47,10 +47,10 @@
         "{:<12} {:<8} {:>9.1} messages/s and {:>9.1} KB/s in, {:>9.1} and {:>9.1} out",
         traffic.cell,
         traffic.connection,
-        traffic.messages_in,
-        traffic.bytes_in / 1e3,
-        traffic.messages_out,
-        traffic.bytes_out / 1e3,
+        traffic.messages_in_per_s,
+        traffic.bytes_in_per_s / 1e3,
+        traffic.messages_out_per_s,
+        traffic.bytes_out_per_s / 1e3,
     )
 }
 
@@ -59,11 +59,11 @@
         "{:<12} state    {:>9.1} requests/s, {:.1} changes/s in {:.1} commits/s, {:.1} conflicts/s, \
          {:.1} refused/s, {} keys",
         store.cell,
-        store.requests,
-        store.changes,
-        store.commits,
-        store.conflicts,
-        store.rejected,
+        store.requests_per_s,
+        store.changes_per_s,
+        store.commits_per_s,
+        store.conflicts_per_s,
+        store.rejected_per_s,
         store.keys,
     )
 }
--- a/scale/src/run/faults.rs
+++ b/scale/src/run/faults.rs
@@ -81,10 +81,10 @@
                 from: other,
                 to: cell,
             };
-            let links = &installation.links;
-            links.partition(outgoing, self.kind, self.duration);
+            let link_proxy = &installation.link_proxy;
+            link_proxy.partition(outgoing, self.kind, self.duration);
             if !self.is_one_way {
-                links.partition(incoming, self.kind, self.duration);
+                link_proxy.partition(incoming, self.kind, self.duration);
             }
         }
     }
@@ -96,8 +96,8 @@
     pending_faults: Vec<Fault>,
     takeovers: Option<Takeovers>,
     takeover_schedule: Option<TakeoverSchedule>,
-    restarts: Vec<ScheduledRecovery>,
-    resumes: Vec<ScheduledRecovery>,
+    pending_restarts: Vec<ScheduledRecovery>,
+    pending_resumes: Vec<ScheduledRecovery>,
     /// Ids of controllers that were still running when their restart after a SIGTERM was due.
     pub(super) ignored_terminations: Vec<String>,
 }
@@ -115,8 +115,8 @@
             pending_faults: experiment.faults.clone(),
             takeovers: experiment.takeovers.clone(),
             takeover_schedule: schedule,
-            restarts: Vec::new(),
-            resumes: Vec::new(),
+            pending_restarts: Vec::new(),
+            pending_resumes: Vec::new(),
             ignored_terminations: Vec::new(),
         }
     }
@@ -186,7 +186,8 @@
     ) -> Result<(), RunError> {
         if let Some(index) = installation.find_controller(cell, role)? {
             installation.controllers[index].kill();
-            self.restarts.push(ScheduledRecovery::after(down_s, index));
+            self.pending_restarts
+                .push(ScheduledRecovery::after(down_s, index));
         }
         Ok(())
     }
@@ -200,7 +201,8 @@
     ) -> Result<(), RunError> {
         if let Some(index) = installation.find_controller(cell, role)? {
             installation.controllers[index].suspend();
-            self.resumes.push(ScheduledRecovery::after(for_s, index));
+            self.pending_resumes
+                .push(ScheduledRecovery::after(for_s, index));
         }
         Ok(())
     }
@@ -209,7 +211,7 @@
     fn restore_controllers(&mut self, installation: &mut Installation) -> io::Result<()> {
         let now = Instant::now();
         for recovery in self
-            .restarts
+            .pending_restarts
             .extract_if(.., |recovery| now >= recovery.due_at)
         {
             let controller = &mut installation.controllers[recovery.controller];
@@ -218,7 +220,7 @@
             }
         }
         for recovery in self
-            .resumes
+            .pending_resumes
             .extract_if(.., |recovery| now >= recovery.due_at)
         {
             installation.controllers[recovery.controller].resume();
@@ -249,17 +251,17 @@
         match kind {
             LeaderEnd::Kill => {
                 controller.kill();
-                self.restarts
+                self.pending_restarts
                     .push(ScheduledRecovery::after(takeovers.down_s, leader));
             }
             LeaderEnd::Pause => {
                 controller.suspend();
-                self.resumes
+                self.pending_resumes
                     .push(ScheduledRecovery::after(takeovers.pause_s, leader));
             }
             LeaderEnd::Terminate => {
                 controller.terminate();
-                self.restarts
+                self.pending_restarts
                     .push(ScheduledRecovery::after(takeovers.down_s, leader));
             }
         }
--- a/scale/src/run/installation.rs
+++ b/scale/src/run/installation.rs
@@ -23,7 +23,7 @@
     // Fields are dropped in order: the controllers end before the cells that they connect to.
     pub(super) controllers: Vec<Controller>,
     pub(super) cells: Vec<CellThread>,
-    pub(super) links: LinkProxy,
+    pub(super) link_proxy: LinkProxy,
     /// Ids of controllers that exited unexpectedly, once for each crash.
     pub(super) crashed: Vec<String>,
 }
@@ -39,7 +39,7 @@
         let mut installation = Self {
             controllers: Vec::new(),
             cells: Vec::new(),
-            links: LinkProxy::default(),
+            link_proxy: LinkProxy::default(),
             crashed: Vec::new(),
         };
         if experiment.sharing.is_some() {
@@ -70,7 +70,8 @@
             for (to, target) in addresses.iter().enumerate().filter(|(to, _)| *to != from) {
                 for (controller, link) in target.links.iter().enumerate() {
                     let listen = target.proxy(from, controller);
-                    self.links.forward(Direction { from, to }, listen, *link)?;
+                    self.link_proxy
+                        .forward(Direction { from, to }, listen, *link)?;
                 }
             }
         }
--- a/scale/src/run/objectives.rs
+++ b/scale/src/run/objectives.rs
@@ -5,8 +5,8 @@
 use crate::results::LatencyRow;
 use salttrestle_fakes::checker::{Checker, JobView};
 
-/// Returns a description of each missed objective. Batch and urgent jobs that haven't ended count
-/// as one, too.
+/// Returns a description of each missed objective. Every run has the objective that all batch and
+/// urgent jobs end.
 pub(super) fn find_missed(run: &RunOutcome, checker: &Checker, open_jobs: usize) -> Vec<String> {
     let mut missed = Vec::new();
     if open_jobs > 0 {
--- a/scale/src/run/report.rs
+++ b/scale/src/run/report.rs
@@ -95,12 +95,12 @@
     let mut rows = vec![
         Row::Store(StoreRow {
             cell: name.clone(),
-            requests: rate(store.requests),
-            watches: rate(store.watches),
-            commits: rate(store.commits),
-            changes: rate(store.changes),
-            conflicts: rate(store.conflicts),
-            rejected: rate(store.rejected),
+            requests_per_s: rate(store.requests),
+            watches_per_s: rate(store.watches),
+            commits_per_s: rate(store.commits),
+            changes_per_s: rate(store.changes),
+            conflicts_per_s: rate(store.conflicts),
+            rejected_per_s: rate(store.rejected),
             keys: end.keys,
         }),
         Row::Hollow(HollowRow {
@@ -119,10 +119,10 @@
     TrafficRow {
         cell: cell.into(),
         connection: end.kind.name().into(),
-        messages_in: rate(traffic.messages_in),
-        messages_out: rate(traffic.messages_out),
-        bytes_in: rate(traffic.bytes_in),
-        bytes_out: rate(traffic.bytes_out),
+        messages_in_per_s: rate(traffic.messages_in),
+        messages_out_per_s: rate(traffic.messages_out),
+        bytes_in_per_s: rate(traffic.bytes_in),
+        bytes_out_per_s: rate(traffic.bytes_out),
     }
 }
 
--- a/scale/src/sweep.rs
+++ b/scale/src/sweep.rs
@@ -13,7 +13,7 @@
 use tracing::{info, warn};
 
 /// Maximum number of concurrent runs.
-const PARALLEL_MAX: usize = 6;
+const CONCURRENT_RUNS_MAX: usize = 6;
 /// Distance between the loopback networks of concurrent runs, added to the second octet. Each cell
 /// of a run takes one value of that octet.
 const NETWORK_STEP: usize = 16;
@@ -22,10 +22,12 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Sweep {
-    /// Number of runs at each value.
-    pub repeats: usize,
+    /// Number of runs at each value, each with its own seed.
+    #[serde(rename = "repeats")]
+    pub runs_per_value: usize,
     /// Number of concurrent runs.
-    pub parallel: usize,
+    #[serde(rename = "parallel")]
+    pub concurrent_runs: usize,
     /// The axes, each varied while the others keep the value of the base experiment.
     #[serde(rename = "axis")]
     pub axes: Vec<AxisValues>,
@@ -55,9 +57,13 @@
     pub fn parse(file: &str, text: &str, base: &Experiment) -> Result<Self, ExperimentError> {
         let sweep: Self = toml::from_str(text)
             .map_err(|error| ExperimentError::malformed(file, "(file)", &error))?;
-        if sweep.parallel == 0 || sweep.parallel > PARALLEL_MAX || sweep.repeats == 0 {
-            let reason =
-                format!("1 to {PARALLEL_MAX} concurrent runs and at least one repeat are required");
+        if sweep.concurrent_runs == 0
+            || sweep.concurrent_runs > CONCURRENT_RUNS_MAX
+            || sweep.runs_per_value == 0
+        {
+            let reason = format!(
+                "1 to {CONCURRENT_RUNS_MAX} concurrent runs and at least one repeat are required"
+            );
             return Err(ExperimentError::new(file, "parallel", reason));
         }
         if base.cells.len() != 1 {
@@ -73,7 +79,7 @@
     /// The runs in order. Each repeat has a seed of its own, and covers all values of all axes.
     fn plan_runs(&self, base: &Experiment) -> Vec<PlannedRun> {
         let mut runs = Vec::new();
-        for repeat in 0..self.repeats {
+        for repeat in 0..self.runs_per_value {
             for AxisValues { axis, values } in &self.axes {
                 runs.extend(values.iter().map(|value| {
                     let mut experiment = axis.set(base, *value);
@@ -96,7 +102,7 @@
         let pending = Mutex::new(runs.into_iter().enumerate().collect::<VecDeque<_>>());
         let rows = Mutex::new(Vec::new());
         std::thread::scope(|scope| {
-            for slot in 0..self.parallel {
+            for slot in 0..self.concurrent_runs {
                 let (pending, rows) = (&pending, &rows);
                 scope.spawn(move || {
                     let next = || pending.lock().ok()?.pop_front();
--- a/scale/tests/capacity_page.rs
+++ b/scale/tests/capacity_page.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn the_page_follows_from_the_lines() {
+fn capacity_page_agrees_with_the_linear_fits() {
     let updated =
         replace_computed_section(PAGE, &stored_table()).expect("the page has a computed section");
     assert!(
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn the_lines_follow_from_the_runs() {
+fn linear_fits_agree_with_the_stored_runs() {
     let base = Experiment::parse("cell.toml", CELL).expect("a valid experiment");
     let rows = RUNS
         .lines()
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn lines_are_fitted_and_steeper_costs_are_named() {
+fn costs_are_fitted_and_superlinear_costs_are_listed() {
     let base = Experiment::parse("cell.toml", CELL).expect("a valid experiment");
     let linear = SlopeTable::from_rows("test", &base, &rows_with_cost(|workers| workers * 1e-4));
     let slope = linear
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn sweeps_keep_to_the_bounds_of_experiments() {
+fn sweeps_outside_the_bounds_are_rejected() {
     let base = Experiment::parse("cell.toml", CELL).expect("a valid experiment");
     Sweep::parse("sweep.toml", SWEEP, &base).expect("a valid sweep");
     for (from, to, key) in [
--- a/scale/tests/cells_run.rs
+++ b/scale/tests/cells_run.rs
@@ -14,7 +14,7 @@
 const CELLS: &str = include_str!("../experiments/cells.toml");
 
 #[test]
-fn cells_share_limits_that_change() {
+fn cells_share_changing_limits() {
     let results = run_and_pass("cells.toml", CELLS, "cells-run");
     let changes = results.rows.iter().map(|row| match row {
         Row::Latency(latency) if latency.event.starts_with("limits ") => latency.count,
--- a/scale/tests/experiments.rs
+++ b/scale/tests/experiments.rs
@@ -4,7 +4,7 @@
 use salttrestle_scale::experiment::{EMBEDDED_EXPERIMENT, Experiment};
 
 #[test]
-fn bad_experiments_are_refused() {
+fn invalid_experiments_are_rejected() {
     let rows = [
         ("seed = 1", "seed = 1\nspeed = 2", "speed"),
         ("workers = 50", "workers = 9000", "cell.workers"),
--- a/scale/tests/small_run.rs
+++ b/scale/tests/small_run.rs
@@ -11,7 +11,7 @@
 /// When that controller became the next shard owner, the heartbeats that its peers forward didn't
 /// reach it, and batch jobs whose tasks had ended stayed open.
 #[test]
-fn a_fleet_outlives_its_leader() {
+fn jobs_continue_after_the_leader_is_killed() {
     let results = run_and_pass("(embedded)", EMBEDDED_EXPERIMENT, "small-run");
     let run = results.run().expect("a summary row");
     assert!(run.starts >= 150, "only {} starts", run.starts);
--- a/scale/tests/takeovers_run.rs
+++ b/scale/tests/takeovers_run.rs
@@ -9,7 +9,7 @@
 use support::run_and_pass;
 
 #[test]
-fn leaders_end_and_others_take_over() {
+fn successors_start_tasks_after_leader_faults() {
     let text = EMBEDDED_TAKEOVERS
         .replace("count = 6", "count = 3")
         .replace("measure_s = 48", "measure_s = 24");
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn bad_takeovers_are_refused() {
+fn invalid_takeovers_are_rejected() {
     let rows = [
         ("count = 6", "count = 600", "takeovers.count"),
         ("every_s = 7", "every_s = 0", "takeovers.every_s"),
