--- a/scale/src/capacity/heartbeats.rs
+++ b/scale/src/capacity/heartbeats.rs
@@ -7,7 +7,7 @@
 
 /// Interval between two heartbeats of a worker in the operators' fleet, in seconds.
 const HEARTBEAT_INTERVAL_S: f64 = 3.0;
-// The names, addresses and numbers of the sample heartbeat are as long as those in production.
+// The names in the sample heartbeat are as long as those that the cloud and the users assign.
 const MACHINE: &str = "i-004321";
 const ENDPOINT: &str = "10.1.12.232:9000";
 const CONTROLLER: &str = "10.1.0.10:8080";
@@ -26,7 +26,7 @@
         let token = FencingToken(41);
         let mut worker = Worker::new(0, "kithara-large", "attica", false, 0);
         worker.token = token.0;
-        // The number of heartbeats in one day.
+        // The number of heartbeats in one day at `HEARTBEAT_INTERVAL_S`.
         worker.sequence = 28_800;
         for index in 0..task_count {
             let job = JobId::from("wk-004213");
--- a/scale/src/experiment/bounds.rs
+++ b/scale/src/experiment/bounds.rs
@@ -54,7 +54,7 @@
     #[error("cell {0} needs at least one controller and one worker")]
     EmptyCell(String),
     #[error("at least one kind is required")]
-    NoLeaderEnds,
+    NoLeaderFaults,
     #[error("takeovers require exactly one cell with at least two controllers")]
     NoSuccessor,
     #[error("the takeovers take {needed_s} s, longer than the measurement of {measured_s} s")]
@@ -171,17 +171,17 @@
             return Ok(());
         };
         check_positive(&[
-            ("takeovers.every_s", takeovers.every_s),
+            ("takeovers.every_s", takeovers.mean_interval_s),
             ("takeovers.down_s", takeovers.down_s),
             ("takeovers.pause_s", takeovers.pause_s),
         ])?;
         if takeovers.kinds.is_empty() {
-            return invalid("takeovers.kinds", InvalidReason::NoLeaderEnds);
+            return invalid("takeovers.kinds", InvalidReason::NoLeaderFaults);
         }
         if self.cells.len() != 1 || self.controller_count() < 2 {
             return invalid("takeovers", InvalidReason::NoSuccessor);
         }
-        let needed_s = f64::from(takeovers.count) * takeovers.every_s;
+        let needed_s = f64::from(takeovers.count) * takeovers.mean_interval_s;
         let measured_s = self.phases.measure_s;
         if needed_s > measured_s {
             let reason = InvalidReason::TakeoversTooLong {
@@ -195,11 +195,11 @@
 
     fn check_faults(&self) -> Result<(), InvalidSetting> {
         for fault in &self.faults {
-            let target = match &fault.kind {
-                FaultKind::LinkPartition { to, .. } => to.as_ref(),
+            let other_cell = match &fault.kind {
+                FaultKind::LinkPartition { other_cell, .. } => other_cell.as_ref(),
                 _ => None,
             };
-            for name in [&fault.cell].into_iter().chain(target) {
+            for name in [&fault.cell].into_iter().chain(other_cell) {
                 if !self.cells.iter().any(|cell| cell.name == *name) {
                     let reason = InvalidReason::UnknownCell(name.clone());
                     return invalid("trouble.cell", reason);
--- a/scale/src/experiment/faults.rs
+++ b/scale/src/experiment/faults.rs
@@ -31,7 +31,8 @@
         /// Role of the affected controller.
         controller: ControllerRole,
         /// Seconds until the controller is resumed.
-        for_s: f64,
+        #[serde(rename = "for_s")]
+        duration_s: f64,
     },
     /// Machines fail, together with all tasks on them.
     MachinesLost {
@@ -40,25 +41,28 @@
         /// Zone in which machines fail; all zones if `None`.
         zone: Option<String>,
         /// Seconds over which the failures are spread; 0 fails all machines at once.
-        #[serde(default)]
-        over_s: f64,
+        #[serde(rename = "over_s", default)]
+        spread_s: f64,
     },
     /// The store of the cell doesn't respond.
     #[serde(rename = "state-outage")]
     StoreOutage {
         /// Duration in seconds.
-        for_s: f64,
+        #[serde(rename = "for_s")]
+        duration_s: f64,
     },
     /// The network link to another cell is partitioned.
     #[serde(rename = "link-cut")]
     LinkPartition {
         /// Name of the other cell; all other cells if `None`.
-        to: Option<String>,
+        #[serde(rename = "to")]
+        other_cell: Option<String>,
         /// Duration in seconds.
-        for_s: f64,
+        #[serde(rename = "for_s")]
+        duration_s: f64,
         /// Whether only messages from this cell are affected, and not those to it.
-        #[serde(default)]
-        one_way: bool,
+        #[serde(rename = "one_way", default)]
+        is_one_way: bool,
         /// Whether messages are delayed until the partition ends instead of dropped.
         #[serde(rename = "hold", default)]
         delays_messages: bool,
@@ -88,9 +92,10 @@
     pub count: u32,
     /// Mean interval between two faults, in seconds. Each interval is drawn uniformly from 0.8 to
     /// 1.2 times the mean.
-    pub every_s: f64,
+    #[serde(rename = "every_s")]
+    pub mean_interval_s: f64,
     /// Kinds of faults. Each fault draws one of them with equal probability.
-    pub kinds: Vec<LeaderEnd>,
+    pub kinds: Vec<LeaderFault>,
     /// Seconds until a controller is restarted after it was killed or terminated.
     pub down_s: f64,
     /// Seconds for which a controller is suspended. Longer than the leader's lease, so that another
@@ -108,7 +113,7 @@
 /// A fault of the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum LeaderEnd {
+pub enum LeaderFault {
     /// The leader is killed with SIGKILL.
     Kill,
     /// The leader is suspended with SIGSTOP, and resumed with SIGCONT later.
--- a/scale/src/experiment/mod.rs
+++ b/scale/src/experiment/mod.rs
@@ -8,7 +8,7 @@
 pub use bounds::{
     CONTROLLERS_MAX, MEMORY_MAX_MB, PROCESSES_MAX, RUN_MAX_S, STARTS_PER_S_MAX, WORKERS_MAX,
 };
-pub use faults::{ControllerRole, Fault, FaultKind, LeaderEnd, Takeovers};
+pub use faults::{ControllerRole, Fault, FaultKind, LeaderFault, Takeovers};
 pub use settings::{
     Cell, Experiment, ExperimentError, Load, Objectives, Phases, ServiceSettings, Sharing,
 };
--- a/scale/src/observers/takeovers.rs
+++ b/scale/src/observers/takeovers.rs
@@ -1,6 +1,6 @@
 //! Takeovers: what each end of a leader costs, as seen by the store, the workers and the users.
 
-use crate::experiment::LeaderEnd;
+use crate::experiment::LeaderFault;
 use crate::results::{LatencyRow, Row, TakeoverRow};
 use salttrestle::controller::store::records::{LeaderRecord, PlacementRecord, ShardRecord};
 use salttrestle::ids::{Attempt, JobId, TaskId};
@@ -33,7 +33,7 @@
 
 impl TakeoverObserver {
     /// The leader was just ended.
-    pub fn leader_ended(&mut self, now: u64, kind: LeaderEnd) {
+    pub fn leader_ended(&mut self, now: u64, kind: LeaderFault) {
         self.rows.push(TakeoverRow {
             kind,
             at_ms: now,
@@ -109,7 +109,7 @@
 
     /// The rows of the results: each takeover, and the latencies of its steps by kind.
     pub fn result_rows(&self) -> Vec<Row> {
-        let mut kinds: Vec<LeaderEnd> = self.rows.iter().map(|row| row.kind).collect();
+        let mut kinds: Vec<LeaderFault> = self.rows.iter().map(|row| row.kind).collect();
         kinds.sort();
         kinds.dedup();
         let mut rows: Vec<Row> = self.rows.iter().cloned().map(Row::Takeover).collect();
--- a/scale/src/results/rows.rs
+++ b/scale/src/results/rows.rs
@@ -1,7 +1,7 @@
 //! The rows of a run's results, which are stored as JSON lines.
 
 use super::latency::LatencyRow;
-use crate::experiment::LeaderEnd;
+use crate::experiment::LeaderFault;
 use serde::{Deserialize, Serialize};
 
 /// One row of the results, stored as one line.
@@ -199,7 +199,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TakeoverRow {
     /// Kind of the fault.
-    pub kind: LeaderEnd,
+    pub kind: LeaderFault,
     /// Time of the fault, in milliseconds since the run began.
     pub at_ms: u64,
     /// Fencing token of the first shard at the time of the fault.
--- a/scale/src/run/faults.rs
+++ b/scale/src/run/faults.rs
@@ -4,7 +4,7 @@
 use super::installation::Installation;
 use super::takeover_schedule::TakeoverSchedule;
 use crate::controllers::Termination;
-use crate::experiment::{ControllerRole, Experiment, Fault, FaultKind, LeaderEnd, Takeovers};
+use crate::experiment::{ControllerRole, Experiment, Fault, FaultKind, LeaderFault, Takeovers};
 use crate::hollow::{Command, SharedState};
 use crate::link_proxy::{Direction, PartitionKind};
 use std::io;
@@ -36,7 +36,7 @@
     /// Index of the cell.
     cell: usize,
     /// Name of the other cell; all other cells if `None`.
-    other: Option<&'a String>,
+    other_cell: Option<&'a String>,
     duration: Duration,
     /// Whether only messages from the cell are affected, and not those to it.
     is_one_way: bool,
@@ -47,9 +47,9 @@
     /// The partition that the fault describes; `None` for faults of other kinds.
     fn from_fault(cell: usize, fault: &'a FaultKind) -> Option<Self> {
         let FaultKind::LinkPartition {
-            to,
-            for_s,
-            one_way,
+            other_cell,
+            duration_s,
+            is_one_way,
             delays_messages,
         } = fault
         else {
@@ -57,9 +57,9 @@
         };
         Some(Self {
             cell,
-            other: to.as_ref(),
-            duration: Duration::from_secs_f64(*for_s),
-            is_one_way: *one_way,
+            other_cell: other_cell.as_ref(),
+            duration: Duration::from_secs_f64(*duration_s),
+            is_one_way: *is_one_way,
             kind: match delays_messages {
                 true => PartitionKind::Delay,
                 false => PartitionKind::Drop,
@@ -69,8 +69,8 @@
 
     fn apply(&self, installation: &Installation) {
         let cell = self.cell;
-        for (other, other_cell) in installation.cells.iter().enumerate() {
-            if other == cell || self.other.is_some_and(|name| *name != other_cell.name) {
+        for (other, candidate) in installation.cells.iter().enumerate() {
+            if other == cell || self.other_cell.is_some_and(|name| *name != candidate.name) {
                 continue;
             }
             let outgoing = Direction {
@@ -152,20 +152,23 @@
             FaultKind::Kill { controller, down_s } => {
                 self.kill_controller(installation, cell, *controller, *down_s)?;
             }
-            FaultKind::Pause { controller, for_s } => {
-                self.pause_controller(installation, cell, *controller, *for_s)?;
+            FaultKind::Pause {
+                controller,
+                duration_s,
+            } => {
+                self.pause_controller(installation, cell, *controller, *duration_s)?;
             }
             FaultKind::MachinesLost {
                 count,
                 zone,
-                over_s,
+                spread_s,
             } => cell_thread.send(Command::FailMachines {
                 count: *count,
                 zone: zone.clone(),
-                over_ms: to_ms(*over_s),
+                over_ms: to_ms(*spread_s),
             }),
-            FaultKind::StoreOutage { for_s } => cell_thread.send(Command::StoreOutage {
-                for_ms: to_ms(*for_s),
+            FaultKind::StoreOutage { duration_s } => cell_thread.send(Command::StoreOutage {
+                for_ms: to_ms(*duration_s),
             }),
             FaultKind::Load { factor } => cell_thread.send(Command::SetLoadFactor(*factor)),
             FaultKind::LinkPartition { .. } => {
@@ -197,12 +200,12 @@
         installation: &Installation,
         cell: usize,
         role: ControllerRole,
-        for_s: f64,
+        duration_s: f64,
     ) -> Result<(), RunError> {
         if let Some(index) = installation.find_controller(cell, role)? {
             installation.controllers[index].suspend();
             self.pending_resumes
-                .push(ScheduledRecovery::after(for_s, index));
+                .push(ScheduledRecovery::after(duration_s, index));
         }
         Ok(())
     }
@@ -231,7 +234,7 @@
     /// Kills, suspends or terminates the leader. An experiment with takeovers has a single cell.
     fn inject_leader_fault(
         &mut self,
-        kind: LeaderEnd,
+        kind: LeaderFault,
         installation: &mut Installation,
         shared: &SharedState,
     ) -> Result<(), RunError> {
@@ -249,17 +252,17 @@
         );
         shared.takeovers().leader_ended(shared.now_ms(), kind);
         match kind {
-            LeaderEnd::Kill => {
+            LeaderFault::Kill => {
                 controller.kill();
                 self.pending_restarts
                     .push(ScheduledRecovery::after(takeovers.down_s, leader));
             }
-            LeaderEnd::Pause => {
+            LeaderFault::Pause => {
                 controller.suspend();
                 self.pending_resumes
                     .push(ScheduledRecovery::after(takeovers.pause_s, leader));
             }
-            LeaderEnd::Terminate => {
+            LeaderFault::Terminate => {
                 controller.terminate();
                 self.pending_restarts
                     .push(ScheduledRecovery::after(takeovers.down_s, leader));
--- a/scale/src/run/takeover_schedule.rs
+++ b/scale/src/run/takeover_schedule.rs
@@ -1,6 +1,6 @@
 //! The times and kinds of the leader faults of an experiment.
 
-use crate::experiment::{LeaderEnd, Takeovers};
+use crate::experiment::{LeaderFault, Takeovers};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
@@ -19,20 +19,20 @@
     pub(super) fn new(takeovers: &Takeovers, seed: u64, measure_from_s: f64) -> Self {
         Self {
             remaining: takeovers.count,
-            next_fault_s: measure_from_s + takeovers.every_s,
+            next_fault_s: measure_from_s + takeovers.mean_interval_s,
             rng: StdRng::seed_from_u64(seed),
             takeovers: takeovers.clone(),
         }
     }
 
     /// Returns the kind of the fault that is due at `at_s`, if any, and schedules the next fault.
-    pub(super) fn take_due(&mut self, at_s: f64) -> Option<LeaderEnd> {
+    pub(super) fn take_due(&mut self, at_s: f64) -> Option<LeaderFault> {
         if self.remaining == 0 || at_s < self.next_fault_s {
             return None;
         }
         self.remaining -= 1;
         let interval_factor = self.rng.random_range(0.8..1.2);
-        self.next_fault_s += self.takeovers.every_s * interval_factor;
+        self.next_fault_s += self.takeovers.mean_interval_s * interval_factor;
         let kind = self.rng.random_range(0..self.takeovers.kinds.len());
         Some(self.takeovers.kinds[kind])
     }
