--- a/scale/src/hollow/plan.rs
+++ b/scale/src/hollow/plan.rs
@@ -1,6 +1,6 @@
 //! Parameters of a hollow cell.
 
-use crate::experiment::{Cell, Experiment, Load, Phases, Service};
+use crate::experiment::{Cell, Experiment, Load, Phases, ServiceSettings};
 use crate::layout::{CellAddresses, controller_id};
 
 /// Parameters of a hollow cell.
@@ -26,7 +26,7 @@
     /// Length of a worker's lease, in milliseconds.
     pub lease_ms: u64,
     /// Service settings of the experiment.
-    pub service: Service,
+    pub service: ServiceSettings,
     /// Load settings of the experiment, for all cells together.
     pub load: Load,
     /// Phases of the run.
@@ -52,7 +52,7 @@
             zones: cell.zones.clone(),
             workers: cell.workers,
             spare_machines: cell.spare_machines,
-            worker_share: cell.workers as f64 / experiment.workers() as f64,
+            worker_share: cell.workers as f64 / experiment.worker_count() as f64,
             heartbeat_ms: milliseconds(experiment.service.heartbeat_s),
             lease_ms: milliseconds(experiment.service.lease_s),
             service: experiment.service.clone(),
--- a/scale/src/observers/takeovers.rs
+++ b/scale/src/observers/takeovers.rs
@@ -1,7 +1,7 @@
 //! Measures takeovers: the latency from the end of a leader to each step of its replacement, as
 //! seen by the store and the workers.
 
-use crate::experiment::LeaderEnd;
+use crate::experiment::LeaderFault;
 use crate::results::{LatencyRow, Row, TakeoverRow};
 use salttrestle::controller::store::records::{LeaderRecord, PlacementRecord, ShardRecord};
 use salttrestle::ids::{Attempt, JobId, TaskId};
@@ -34,7 +34,7 @@
 
 impl TakeoverObserver {
     /// Records that the leader was just ended.
-    pub fn record_leader_end(&mut self, now: u64, kind: LeaderEnd) {
+    pub fn record_leader_end(&mut self, now: u64, kind: LeaderFault) {
         self.rows.push(TakeoverRow {
             kind,
             at_ms: now,
@@ -42,7 +42,7 @@
             elected_ms: None,
             token_acknowledged_ms: None,
             started_ms: None,
-            urgent_ms: None,
+            urgent_started_ms: None,
         });
     }
 
@@ -106,14 +106,14 @@
         let token = attempt.token().0;
         self.record_first(now, token, |row| &mut row.started_ms);
         if is_urgent {
-            self.record_first(now, token, |row| &mut row.urgent_ms);
+            self.record_first(now, token, |row| &mut row.urgent_started_ms);
         }
     }
 
     /// Returns the rows of the results: one for each takeover, and the latencies of each step by
     /// the kind of the leader's end.
     pub fn result_rows(&self) -> Vec<Row> {
-        let mut kinds: Vec<LeaderEnd> = self.rows.iter().map(|row| row.kind).collect();
+        let mut kinds: Vec<LeaderFault> = self.rows.iter().map(|row| row.kind).collect();
         kinds.sort();
         kinds.dedup();
         let mut rows: Vec<Row> = self.rows.iter().cloned().map(Row::Takeover).collect();
@@ -147,5 +147,5 @@
     ("elected", |row| row.elected_ms),
     ("number shown", |row| row.token_acknowledged_ms),
     ("first start", |row| row.started_ms),
-    ("first urgent", |row| row.urgent_ms),
+    ("first urgent", |row| row.urgent_started_ms),
 ];
--- a/scale/src/run/faults.rs
+++ b/scale/src/run/faults.rs
@@ -1,62 +1,66 @@
-//! Injects faults into a run, and ends the temporary ones.
+//! Injects the faults of an experiment into a run, and ends temporary faults when they are over.
 
 use super::error::RunError;
 use super::installation::Installation;
 use super::takeover_schedule::TakeoverSchedule;
 use crate::controllers::Termination;
-use crate::experiment::{ControllerRole, Experiment, Fault, FaultKind, LeaderEnd, Takeovers};
+use crate::experiment::{ControllerRole, Experiment, Fault, FaultKind, LeaderFault, Takeovers};
 use crate::hollow::{Command, SharedState};
 use crate::link_proxy::{Direction, PartitionKind};
 use std::io;
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
 
-/// A controller, as an index into the installation's, and when something is due for it.
-struct Due {
-    at: Instant,
+/// A restart or resumption of a controller that is scheduled for later.
+struct ScheduledRecovery {
+    due_at: Instant,
+    /// Index of the controller in the installation.
     controller: usize,
 }
 
-impl Due {
-    fn after(seconds: f64, controller: usize) -> Self {
+impl ScheduledRecovery {
+    fn after(delay_s: f64, controller: usize) -> Self {
         Self {
-            at: Instant::now() + Duration::from_secs_f64(seconds),
+            due_at: Instant::now() + Duration::from_secs_f64(delay_s),
             controller,
         }
     }
 }
 
-fn milliseconds(seconds: f64) -> u64 {
+fn to_ms(seconds: f64) -> u64 {
     (seconds * 1000.0) as u64
 }
 
-/// A link partition of one cell.
+/// A partition of the links between one cell and others.
 struct Partition<'a> {
+    /// Index of the cell.
     cell: usize,
-    /// The other cell; all others if it isn't named.
-    to: Option<&'a String>,
+    /// Name of the other cell; all other cells if `None`.
+    other_cell: Option<&'a String>,
     duration: Duration,
-    one_way: bool,
+    /// Whether only messages from the cell are affected, and not those to it.
+    is_one_way: bool,
     kind: PartitionKind,
 }
 
 impl<'a> Partition<'a> {
-    fn of(cell: usize, fault: &'a FaultKind) -> Option<Self> {
+    /// The partition that the fault describes; `None` for faults of other kinds.
+    fn from_fault(cell: usize, fault: &'a FaultKind) -> Option<Self> {
         let FaultKind::LinkPartition {
-            to,
-            for_s,
-            one_way,
-            delayed,
+            other_cell,
+            duration_s,
+            is_one_way,
+            delays_messages,
         } = fault
         else {
             return None;
         };
         Some(Self {
             cell,
-            to: to.as_ref(),
-            duration: Duration::from_secs_f64(*for_s),
-            one_way: *one_way,
-            kind: match delayed {
+            other_cell: other_cell.as_ref(),
+            duration: Duration::from_secs_f64(*duration_s),
+            is_one_way: *is_one_way,
+            kind: match delays_messages {
                 true => PartitionKind::Delay,
                 false => PartitionKind::Drop,
             },
@@ -65,8 +69,8 @@
 
     fn apply(&self, installation: &Installation) {
         let cell = self.cell;
-        for (other, found) in installation.cells.iter().enumerate() {
-            if other == cell || self.to.is_some_and(|name| *name != found.name) {
+        for (other, candidate) in installation.cells.iter().enumerate() {
+            if other == cell || self.other_cell.is_some_and(|name| *name != candidate.name) {
                 continue;
             }
             let outgoing = Direction {
@@ -77,29 +81,29 @@
                 from: other,
                 to: cell,
             };
-            let links = &installation.links;
-            links.partition(outgoing, self.kind, self.duration);
-            if !self.one_way {
-                links.partition(incoming, self.kind, self.duration);
+            let link_proxy = &installation.link_proxy;
+            link_proxy.partition(outgoing, self.kind, self.duration);
+            if !self.is_one_way {
+                link_proxy.partition(incoming, self.kind, self.duration);
             }
         }
     }
 }
 
-/// Injects the faults of an experiment.
+/// Injects the faults of an experiment, and restores controllers afterwards.
 pub(super) struct FaultInjector {
-    /// Faults still to come.
-    faults: Vec<Fault>,
+    /// Faults that haven't been injected yet.
+    pending_faults: Vec<Fault>,
     takeovers: Option<Takeovers>,
     takeover_schedule: Option<TakeoverSchedule>,
-    restarts: Vec<Due>,
-    resumes: Vec<Due>,
-    /// Ids of controllers that were asked to terminate and didn't.
+    pending_restarts: Vec<ScheduledRecovery>,
+    pending_resumes: Vec<ScheduledRecovery>,
+    /// Ids of controllers that were still running when their restart after a SIGTERM was due.
     pub(super) ignored_terminations: Vec<String>,
 }
 
 impl FaultInjector {
-    /// All faults of an experiment.
+    /// Schedules all faults of the experiment.
     pub(super) fn new(experiment: &Experiment) -> Self {
         let phases = &experiment.phases;
         let measure_from_s = phases.ramp_s + phases.warmup_s;
@@ -108,16 +112,16 @@
             .as_ref()
             .map(|takeovers| TakeoverSchedule::new(takeovers, experiment.seed, measure_from_s));
         Self {
-            faults: experiment.faults.clone(),
+            pending_faults: experiment.faults.clone(),
             takeovers: experiment.takeovers.clone(),
             takeover_schedule: schedule,
-            restarts: Vec::new(),
-            resumes: Vec::new(),
+            pending_restarts: Vec::new(),
+            pending_resumes: Vec::new(),
             ignored_terminations: Vec::new(),
         }
     }
 
-    /// Injects all faults that are due, and ends those whose time is over.
+    /// Injects all faults that are due, and restarts or resumes the controllers that are due.
     pub(super) fn inject_due(
         &mut self,
         at_s: f64,
@@ -125,14 +129,14 @@
         shared: &SharedState,
     ) -> Result<(), RunError> {
         let is_due = |fault: &mut Fault| at_s >= fault.at_s;
-        let due: Vec<Fault> = self.faults.extract_if(.., is_due).collect();
+        let due: Vec<Fault> = self.pending_faults.extract_if(.., is_due).collect();
         for fault in due {
             self.inject(&fault, installation)?;
         }
-        self.restore(installation)?;
+        self.restore_controllers(installation)?;
         let schedule = self.takeover_schedule.as_mut();
-        if let Some(kind) = schedule.and_then(|schedule| schedule.next_due(at_s)) {
-            self.end_leader(kind, installation, shared)?;
+        if let Some(kind) = schedule.and_then(|schedule| schedule.take_due(at_s)) {
+            self.inject_leader_fault(kind, installation, shared)?;
         }
         Ok(())
     }
@@ -143,29 +147,32 @@
             return Ok(());
         };
         info!("fault injected cell={} fault={:?}", fault.cell, fault.kind);
-        let hollow = &installation.cells[cell];
+        let cell_thread = &installation.cells[cell];
         match &fault.kind {
             FaultKind::Kill { controller, down_s } => {
-                self.kill(installation, cell, *controller, *down_s)?;
+                self.kill_controller(installation, cell, *controller, *down_s)?;
             }
-            FaultKind::Pause { controller, for_s } => {
-                self.pause(installation, cell, *controller, *for_s)?;
+            FaultKind::Pause {
+                controller,
+                duration_s,
+            } => {
+                self.pause_controller(installation, cell, *controller, *duration_s)?;
             }
             FaultKind::MachinesLost {
                 count,
                 zone,
-                over_s,
-            } => hollow.send(Command::FailMachines {
+                spread_s,
+            } => cell_thread.send(Command::FailMachines {
                 count: *count,
                 zone: zone.clone(),
-                over_ms: milliseconds(*over_s),
+                over_ms: to_ms(*spread_s),
             }),
-            FaultKind::StoreOutage { for_s } => hollow.send(Command::StoreOutage {
-                for_ms: milliseconds(*for_s),
+            FaultKind::StoreOutage { duration_s } => cell_thread.send(Command::StoreOutage {
+                for_ms: to_ms(*duration_s),
             }),
-            FaultKind::Load { factor } => hollow.send(Command::SetLoadFactor(*factor)),
+            FaultKind::Load { factor } => cell_thread.send(Command::SetLoadFactor(*factor)),
             FaultKind::LinkPartition { .. } => {
-                if let Some(partition) = Partition::of(cell, &fault.kind) {
+                if let Some(partition) = Partition::from_fault(cell, &fault.kind) {
                     partition.apply(installation);
                 }
             }
@@ -173,80 +180,94 @@
         Ok(())
     }
 
-    fn kill(
+    fn kill_controller(
         &mut self,
         installation: &mut Installation,
         cell: usize,
         role: ControllerRole,
         down_s: f64,
     ) -> Result<(), RunError> {
-        if let Some(found) = installation.find(cell, role)? {
-            installation.controllers[found].kill();
-            self.restarts.push(Due::after(down_s, found));
+        if let Some(index) = installation.find_controller(cell, role)? {
+            installation.controllers[index].kill();
+            self.pending_restarts
+                .push(ScheduledRecovery::after(down_s, index));
         }
         Ok(())
     }
 
-    fn pause(
+    fn pause_controller(
         &mut self,
         installation: &Installation,
         cell: usize,
         role: ControllerRole,
-        for_s: f64,
+        duration_s: f64,
     ) -> Result<(), RunError> {
-        if let Some(found) = installation.find(cell, role)? {
-            installation.controllers[found].suspend();
-            self.resumes.push(Due::after(for_s, found));
+        if let Some(index) = installation.find_controller(cell, role)? {
+            installation.controllers[index].suspend();
+            self.pending_resumes
+                .push(ScheduledRecovery::after(duration_s, index));
         }
         Ok(())
     }
 
-    /// Starts and resumes the controllers that are due.
-    fn restore(&mut self, installation: &mut Installation) -> io::Result<()> {
+    /// Restarts and resumes the controllers that are due.
+    fn restore_controllers(&mut self, installation: &mut Installation) -> io::Result<()> {
         let now = Instant::now();
-        for due in self.restarts.extract_if(.., |due| now >= due.at) {
-            let controller = &mut installation.controllers[due.controller];
+        for recovery in self
+            .pending_restarts
+            .extract_if(.., |recovery| now >= recovery.due_at)
+        {
+            let controller = &mut installation.controllers[recovery.controller];
             if controller.restart()? == Termination::Ignored {
                 self.ignored_terminations.push(controller.id.clone());
             }
         }
-        for due in self.resumes.extract_if(.., |due| now >= due.at) {
-            installation.controllers[due.controller].resume();
+        for recovery in self
+            .pending_resumes
+            .extract_if(.., |recovery| now >= recovery.due_at)
+        {
+            installation.controllers[recovery.controller].resume();
         }
         Ok(())
     }
 
-    /// Ends the leader of the first cell, which is the only one where leaders are ended.
-    fn end_leader(
+    /// Kills, suspends or terminates the leader. An experiment with takeovers has a single cell.
+    fn inject_leader_fault(
         &mut self,
-        kind: LeaderEnd,
+        kind: LeaderFault,
         installation: &mut Installation,
         shared: &SharedState,
     ) -> Result<(), RunError> {
         let Some(takeovers) = &self.takeovers else {
             return Ok(());
         };
-        let Some(leader) = installation.find(0, ControllerRole::Leader)? else {
-            warn!("leader not ended reason=no-leader");
+        let Some(leader) = installation.find_controller(0, ControllerRole::Leader)? else {
+            warn!("leader fault skipped reason=\"the cell has no leader\"");
             return Ok(());
         };
         let controller = &mut installation.controllers[leader];
-        info!("leader ended controller={} kind={kind:?}", controller.id);
+        info!(
+            "leader fault injected controller={} kind={kind:?}",
+            controller.id
+        );
         shared
             .takeover_observer()
             .record_leader_end(shared.now_ms(), kind);
         match kind {
-            LeaderEnd::Kill => {
+            LeaderFault::Kill => {
                 controller.kill();
-                self.restarts.push(Due::after(takeovers.down_s, leader));
+                self.pending_restarts
+                    .push(ScheduledRecovery::after(takeovers.down_s, leader));
             }
-            LeaderEnd::Pause => {
+            LeaderFault::Pause => {
                 controller.suspend();
-                self.resumes.push(Due::after(takeovers.pause_s, leader));
+                self.pending_resumes
+                    .push(ScheduledRecovery::after(takeovers.pause_s, leader));
             }
-            LeaderEnd::Terminate => {
+            LeaderFault::Terminate => {
                 controller.terminate();
-                self.restarts.push(Due::after(takeovers.down_s, leader));
+                self.pending_restarts
+                    .push(ScheduledRecovery::after(takeovers.down_s, leader));
             }
         }
         Ok(())
