--- a/scale/src/hollow/cloud.rs
+++ b/scale/src/hollow/cloud.rs
@@ -103,7 +103,7 @@
 
 /// Builds a cell's fake cloud, whose spare capacity is spread evenly over the zones.
 pub(super) fn new_cloud(plan: &CellPlan) -> Cloud {
-    let [cpus, gpus, mem] = plan.service.machine;
+    let [cpus, gpus, mem] = plan.service.machine_resources;
     let machine_type = MachineType {
         name: MACHINE_TYPE.into(),
         resources: Resources { cpus, gpus, mem },
