--- a/src/controller/scheduling/mod.rs
+++ b/src/controller/scheduling/mod.rs
@@ -262,7 +262,7 @@
         let zone = machine.zone.clone();
         let bound = Placement::new(machine_id.clone(), zone, attempt, placement_context.now);
         self.add_placement(id, index, bound);
-        self.write_placement(id, index);
+        self.queue_placement_write(id, index);
         true
     }
 
--- a/src/controller/shard/commits.rs
+++ b/src/controller/shard/commits.rs
@@ -353,7 +353,7 @@
     }
 
     /// Queues the chunk of a task that was just placed.
-    pub(crate) fn write_placement(&mut self, job: &JobId, index: u32) {
+    pub(crate) fn queue_placement_write(&mut self, job: &JobId, index: u32) {
         if let Some(job_state) = self.jobs.get(job) {
             let urgency = WriteUrgency::placements(job_state.record.priority_class);
             let chunk = job_state.layout.chunk_of(index);
