--- a/src/controller/forwarding.rs
+++ b/src/controller/forwarding.rs
@@ -10,9 +10,11 @@
 //! A keepalive is safe because it only renews the worker's lease and stops cancelled or ended
 //! tasks. A renewed lease can affect only two guarantees:
 //! - An expired lease proves that a task no longer runs only after the zone's other controllers
-//!   have confirmed that they sent no keepalive while it expired (`no_keepalive_by_peers`).
-//! - A user is told of a cancellation only after every task is proven to have stopped (`api`), so
-//!   no time limit applies to a worker that no controller with a fresh mirror reaches.
+//!   have confirmed, after the expiry, that they sent no keepalive for a whole lease
+//!   (`no_keepalive_by_peers`).
+//! - A user is told of a cancellation only after every task is proven to have stopped
+//!   (`api::cancellations`), so no time limit applies to a worker that no controller with a fresh
+//!   mirror reaches.
 
 use crate::controller::context::{BATCH_INTERVAL_MS, Context, RECENT_HEARTBEAT_S};
 use crate::controller::events::{Output, Reply};
@@ -99,7 +101,8 @@
     /// When a worker was last redirected to each controller of another zone, to limit redirects to
     /// controllers that receive no worker heartbeats yet.
     probed_at: BTreeMap<ControllerId, Time>,
-    /// When each worker was redirected to a safer controller of this zone.
+    /// When each worker was redirected to a safer controller of this zone (see
+    /// `safer_controller`).
     redirected_at: BTreeMap<MachineId, Time>,
 }
 
@@ -327,7 +330,7 @@
         let order = |id: &ControllerId| (id.as_str().len(), id.0.clone());
         let peers = platform.peers.iter().map(|peer| &peer.controller_id);
         let all = peers.chain([&platform.controller_id]);
-        // The successor is the first controller after it or, after the last one, the first of all.
+        // The successor is the next controller in this order; the first one follows the last.
         let successor = all.min_by_key(|id| (order(id) <= order(controller_id), order(id)));
         let lease_s = platform.facts.workers.lease_s;
         let is_silent = |(_, at): &(PeerHeartbeat, Time)| self.now.since(*at) > lease_s;
@@ -422,9 +425,9 @@
     }
 
     /// Returns the owner to which an ownerless heartbeat can be forwarded or its worker redirected.
-    /// An owner that gave no usable response to this heartbeat is left out, since it seems to run
-    /// until its next heartbeat is missed: workers that were redirected to such an owner waited for
-    /// 5 s, and then for another 5 s at the controller to which the owner had redirected them
+    /// An owner that gave no usable response to this heartbeat is left out, although it seems to
+    /// run until its next heartbeat is missed: workers that were redirected to such an owner waited
+    /// for 5 s, and then for another 5 s at the controller to which the owner had redirected them
     /// before.
     fn usable_owner_for(&self, ownerless: &OwnerlessHeartbeat) -> Option<ControllerId> {
         let owner = self.owner_of(&MachineId::from(ownerless.heartbeat.machine.as_str()))?;
@@ -505,7 +508,8 @@
             return;
         };
         if response.status == 421 {
-            // That controller no longer owns the shard. The new owner is known here soon.
+            // The controller that responded doesn't own the shard. This one learns of the new owner
+            // soon.
             return self.handle_ownerless(forward.into_ownerless(request_id));
         }
         let reply = Reply {
--- a/src/controller/machines/commands.rs
+++ b/src/controller/machines/commands.rs
@@ -81,7 +81,7 @@
         let is_stale = context.is_stale();
         let unplaced = listed.iter();
         let unplaced = unplaced
-            .filter_map(|entry| unplaced_attempt_command(self, id, &entry.task, entry.heartbeat));
+            .filter_map(|entry| unplaced_attempt_command(self, id, &entry.task, entry.listed));
         let mut commands: Vec<Command> = unplaced.collect();
         let ShardOwner { machines, jobs, .. } = self;
         let Some(machine) = machines.get(id) else {
--- a/src/controller/machines/failures.rs
+++ b/src/controller/machines/failures.rs
@@ -1,7 +1,7 @@
 //! Attribution of task failures to faulty machines or to crash-looping jobs.
 //!
 //! The cause of a task failure is its machine or its job, and a single failure doesn't show which.
-//! The places where a job fails and succeeds do:
+//! The machines on which a job fails and succeeds do:
 //! - A job that failed on several machines without a success in between is crash-looping. Its
 //!   failures no longer count against these machines.
 //! - A machine is faulty once jobs that failed there have succeeded elsewhere.
@@ -233,7 +233,7 @@
         self.machines.remove(machine);
     }
 
-    /// Removes the failures of a crash-looping job from all machines' records.
+    /// Removes the failures of a crash-looping job from the failures of all machines.
     fn clear_machine_failures(&mut self, job: &JobId) {
         let Some(failures) = self.jobs.get(job) else {
             return;
--- a/src/controller/machines/heartbeats.rs
+++ b/src/controller/machines/heartbeats.rs
@@ -16,7 +16,7 @@
 /// Shortest plausible boot time, as a ratio to the boot time in the catalog. A machine that seems
 /// to boot faster was already up when this shard first heard of it.
 const BOOT_TIME_MIN_RATIO: f64 = 0.3;
-/// Time in seconds during which a machine that refused a task for lack of resources gets no others.
+/// Time in seconds during which a machine that refused a task for lack of resources gets no tasks.
 const FULL_PAUSE_S: f64 = 3.0;
 /// A task that has run for this many seconds counts as a success of its job and machine:
 /// crash-looping jobs and faulty machines fail their tasks as they start.
@@ -91,9 +91,9 @@
         self.send_commands(context, id, request_id, &commands);
     }
 
-    /// Adds a machine that sends heartbeats and that this shard doesn't know: one of an earlier
-    /// leader, or one whose scale-out request was carried out late. It is used, or scaled in if it
-    /// isn't needed.
+    /// Adds a machine that sends heartbeats and that this shard doesn't know: it was rented under
+    /// an earlier leader, or its scale-out request was carried out late. The machine is used, or
+    /// scaled in if it isn't needed.
     fn adopt_unknown_machine(
         &mut self,
         context: &Context,
@@ -101,7 +101,7 @@
         heartbeat: &WorkerHeartbeat,
     ) {
         let now = context.now;
-        let (class, zone, spot) = (&heartbeat.type_name, &heartbeat.zone, heartbeat.spot);
+        let (type_name, zone, spot) = (&heartbeat.type_name, &heartbeat.zone, heartbeat.spot);
         if self.machines.contains_key(id) {
             // A known machine may lack its type if only its id was known, or if it was added before
             // the catalog was read.
@@ -110,18 +110,20 @@
                 .get(id)
                 .is_some_and(|machine| machine.machine_type.is_none())
             {
-                let set_machine_type =
-                    |m: &mut Machine| m.set_machine_type(&context.cloud.catalog, class, zone, spot);
+                let set_machine_type = |machine: &mut Machine| {
+                    machine.set_machine_type(&context.cloud.catalog, type_name, zone, spot);
+                };
                 self.machines.edit(id, set_machine_type);
             }
             return;
         }
-        let machine = Machine::new(&context.cloud.catalog, class, zone, spot, now);
+        let machine = Machine::new(&context.cloud.catalog, type_name, zone, spot, now);
         self.machines.insert(id.clone(), machine);
     }
 
-    /// Lets the answer to a heartbeat that needs no commands wait for one, if it may. Returns
-    /// whether it waits. The deadline lies before the worker's next heartbeat is due.
+    /// Delays the answer to a heartbeat for which there are no commands, until there is one or a
+    /// deadline passes (a long poll), unless the worker has to be answered at once. Returns whether
+    /// the answer is delayed. The deadline lies before the worker's next heartbeat is due.
     fn start_long_poll(
         &mut self,
         context: &Context,
@@ -142,7 +144,8 @@
             return false;
         }
         let deadline = match machine.is_full() {
-            // A full machine gets no starts, and its lease counts from its last answered heartbeat.
+            // A full machine gets no starts to wait for. Its lease counts from its last answered
+            // heartbeat, so it is answered with the next batch.
             true => context.now.next_multiple(BATCH_INTERVAL_MS),
             false => long_poll_deadline(context.now, poll_s),
         };
@@ -163,7 +166,7 @@
         shows_token: bool,
     ) {
         for entry in listed {
-            self.update_task(context, id, &entry.task, entry.heartbeat);
+            self.update_task(context, id, &entry.task, entry.listed);
         }
         if shows_token {
             self.remove_unlisted_tasks(context, id, listed);
@@ -290,7 +293,7 @@
                     .edit(id, |machine| machine.full_until = now.after(FULL_PAUSE_S));
             }
             Some(Cause::Unknown) => {
-                // The worker has no description of the job: it arrives later or never.
+                // The worker doesn't have the job's description, which may arrive later or never.
                 if let Some(job_state) = self.jobs.get_mut(&task.job) {
                     job_state.unknown_job_refusals += 1;
                     let pauses = job_state.unknown_job_refusals.min(UNKNOWN_JOB_PAUSES_MAX);
@@ -317,23 +320,23 @@
 /// An entry of a heartbeat's task list, with the task's id parsed.
 pub(crate) struct ListedTask<'a> {
     pub(crate) task: TaskId,
-    pub(crate) heartbeat: &'a HeartbeatTask,
+    pub(crate) listed: &'a HeartbeatTask,
 }
 
 impl ListedTask<'_> {
     fn matches(&self, task: &TaskId, attempt: Attempt) -> bool {
-        self.heartbeat.attempt == attempt && self.task == *task
+        self.listed.attempt == attempt && self.task == *task
     }
 }
 
 /// Parses the task ids in a heartbeat. Entries with malformed ids are left out.
 fn parse_listed_tasks(heartbeat: &WorkerHeartbeat) -> Vec<ListedTask<'_>> {
     let tasks = heartbeat.tasks.iter();
-    let listed = tasks.filter_map(|heartbeat| {
-        let task = TaskId::parse(&heartbeat.task)?;
-        Some(ListedTask { task, heartbeat })
+    let listed_tasks = tasks.filter_map(|listed| {
+        let task = TaskId::parse(&listed.task)?;
+        Some(ListedTask { task, listed })
     });
-    listed.collect()
+    listed_tasks.collect()
 }
 
 /// Returns when a heartbeat that may wait for `long_poll_s` seconds is answered. The time is
--- a/src/controller/machines/inventory.rs
+++ b/src/controller/machines/inventory.rs
@@ -2,10 +2,10 @@
 //!
 //! To place a task, the scheduler once scanned all machines and, for each, the jobs of its tasks.
 //! At a thousand machines this used up a controller's processor. The indexes therefore group
-//! machines into buckets by type, zone, market and free capacity, so that full machines are
-//! skipped, and each machine keeps what a placement needs to know of its tasks. [`Inventory::edit`]
-//! and [`Inventory::edit_all`] are the only ways to change an indexed property, so that the indexes
-//! can't be left out of date.
+//! machines into buckets by type, zone, market (spot or on-demand) and free capacity, so that full
+//! machines are skipped, and each machine keeps what a placement needs to know of its tasks.
+//! [`Inventory::edit`] and [`Inventory::edit_all`] are the only ways to change an indexed property,
+//! so that the indexes can't be left out of date.
 
 use crate::controller::audit::AuditError;
 use crate::controller::pool::Pool;
--- a/src/controller/machines/liveness.rs
+++ b/src/controller/machines/liveness.rs
@@ -17,11 +17,11 @@
 /// A machine that may still run a cancelled task is deleted after this fraction of `cancel_s`: the
 /// user waits for the cancellation, and repeats the request for a minute.
 const CANCEL_FRACTION: f64 = 0.6;
-/// The corresponding ratio to `cancel_s` during and shortly after a partition; most partitions end
-/// sooner.
+/// Ratio to `cancel_s` after which a machine that may still run a cancelled task is deleted during
+/// and shortly after a partition. Most partitions end sooner.
 const PARTITION_CANCEL_RATIO: f64 = 2.0;
-/// Heartbeat intervals without a heartbeat from any machine after which an owner with at
-/// least two ready machines considers itself partitioned from them.
+/// Heartbeat intervals without a heartbeat from any machine after which an owner with at least two
+/// ready machines may consider itself partitioned from them.
 const UNREACHABLE_HEARTBEAT_INTERVALS: f64 = 5.0;
 /// Silent machines count as individual failures up to this fraction of the ready machines. More
 /// silent machines are considered partitioned.
@@ -39,7 +39,8 @@
 /// A zone is considered partitioned when at least this fraction of its machines have missed
 /// `PARTITION_MISSED_HEARTBEATS`.
 const PARTITION_FRACTION: f64 = 0.25;
-/// Minimum number of such machines in a zone that is considered partitioned.
+/// Minimum number of machines of a zone that must have missed `PARTITION_MISSED_HEARTBEATS` before
+/// the zone is considered partitioned.
 const PARTITION_MACHINES_MIN: usize = 3;
 /// Heartbeat intervals without a heartbeat after which a machine counts towards a partition.
 const PARTITION_MISSED_HEARTBEATS: f64 = 3.0;
--- a/src/controller/machines/mod.rs
+++ b/src/controller/machines/mod.rs
@@ -6,7 +6,7 @@
 //! 1. A heartbeat that carries this shard's token, and is newer than all earlier ones of its
 //!    machine, lists the attempt as ended or doesn't list it.
 //! 2. The lease of a worker that had acknowledged this token has expired. The lease counts from the
-//!    last response with status 200 that this process sent to the worker. In addition, after that
+//!    last answer with status 200 that this process sent to the worker. In addition, after that
 //!    expiry, every other controller of the worker's zone must have said that it sent no keepalive
 //!    for the length of a lease, and a read of the store must have shown the shard unchanged.
 //! 3. The cloud has confirmed that the machine is deleted.
--- a/src/controller/shard/admission.rs
+++ b/src/controller/shard/admission.rs
@@ -13,7 +13,8 @@
 
 impl ShardOwner {
     /// Builds the state of a new owner from the mirror, which has everything that earlier owners
-    /// committed. Placements count as occupied until there is proof that their tasks have ended.
+    /// committed. Placements keep their resources reserved until there is proof that their tasks
+    /// have ended.
     pub(crate) fn rebuild_from_mirror(&mut self, context: &mut Context) {
         let shard = self.shard;
         let is_of_shard = |job: &MirroredJob| job.record.shard == shard;
@@ -141,7 +142,7 @@
                 }
             }
             DependencyState::Cancelled => {
-                info!("job cancelled because a dependency was cancelled, job={id}");
+                info!("job cancelled, job={id} reason=a dependency was cancelled");
                 job_state.cancelled = Some(now);
                 self.stop_cancelled(context, id);
             }
@@ -210,8 +211,8 @@
 }
 
 impl ShardOwner {
-    /// Adds a placement of an earlier owner. It occupies its machine until there is proof that the
-    /// task has ended.
+    /// Adds a placement of an earlier owner. It keeps its resources reserved until there is proof
+    /// that the task has ended.
     fn add_unconfirmed_placement(
         &mut self,
         now: Time,
--- a/src/controller/shard/burst_estimate.rs
+++ b/src/controller/shard/burst_estimate.rs
@@ -27,7 +27,7 @@
 const BOOT_FACTOR_MAX: f64 = 2.0;
 /// Half-life of recorded demand, in boot times.
 const BURST_HALF_LIFE_BOOTS: f64 = 2.0;
-/// Assumed lifetime of a service, in boot times, where only the running services are known.
+/// Assumed lifetime of a service, in boot times, where only the present services are known.
 const SERVICE_LIFETIME_BOOTS: f64 = 5.0;
 
 /// The pool of a service, and the size of the service there.
@@ -55,10 +55,10 @@
         self.at = now;
     }
 
-    /// The estimate of an owner that knows only the running services. It assumes that services
-    /// have arrived and ended at the constant rate that their number and
-    /// [`SERVICE_LIFETIME_BOOTS`] imply.
-    fn from_running_services(now: Time, squares: f64) -> Self {
+    /// The estimate of an owner that knows only the present services. `squares` is the sum of their
+    /// squared sizes. The estimate assumes that services have arrived and ended at the constant
+    /// rate that this sum and [`SERVICE_LIFETIME_BOOTS`] imply.
+    fn from_present_services(now: Time, squares: f64) -> Self {
         Self {
             squares: squares / SERVICE_LIFETIME_BOOTS * BURST_HALF_LIFE_BOOTS
                 / std::f64::consts::LN_2,
@@ -104,7 +104,8 @@
         }
     }
 
-    /// Replaces all estimates by those derived from the running services.
+    /// Replaces all estimates by those derived from the present services: the ones that are
+    /// released and not cancelled.
     pub(crate) fn estimate_demand(
         &mut self,
         now: Time,
@@ -120,7 +121,7 @@
                 *squares.entry(pool).or_default() += machines * machines;
             }
         }
-        let estimate = |(pool, sum)| (pool, BurstEstimate::from_running_services(now, sum));
+        let estimate = |(pool, sum)| (pool, BurstEstimate::from_present_services(now, sum));
         self.burst_estimates = squares.into_iter().map(estimate).collect();
     }
 
--- a/src/controller/shard/commits.rs
+++ b/src/controller/shard/commits.rs
@@ -1,4 +1,6 @@
 //! Commits placements and results to the store, and handles the responses.
+//!
+//! A chunk is a range of a job's tasks whose results and placements are stored in one record.
 
 use crate::controller::context::Context;
 use crate::controller::rate_limits::token_bucket::Priority;
@@ -94,8 +96,8 @@
 }
 
 impl ShardOwner {
-    /// Commits job ends and queued chunks while the budgets last. A transaction has several chunks;
-    /// the most urgent ones go first.
+    /// Commits job ends and queued chunks while the store's rate limits allow it. A transaction has
+    /// several chunks; the most urgent ones go first.
     pub(crate) fn write_placements(&mut self, context: &mut Context) {
         self.write_job_ends(context);
         loop {
@@ -209,8 +211,8 @@
         mark_committed(now, job_state, &item.placed)
     }
 
-    /// Handles a chunk of a transaction that failed by a precondition. Returns whether the chunk's
-    /// record isn't the expected one and has to be read.
+    /// Handles a chunk of a transaction whose preconditions didn't hold. Returns whether the
+    /// chunk's record isn't the expected one and has to be read.
     fn on_chunk_conflict(&mut self, now: Time, item: &PlacementWrite, failed: &[Key]) -> bool {
         let Some(job_state) = self.jobs.get_mut(&item.job) else {
             return false;
@@ -245,8 +247,9 @@
         }
     }
 
+    /// Queues a chunk whose record couldn't be read. Its commit fails with the same conflict again,
+    /// which leads to another read.
     fn retry_write(&mut self, job: &JobId, chunk: u32) {
-        // The write fails with the same conflict again, which leads to another read.
         self.requeue_write(job, chunk);
     }
 
--- a/src/controller/shard/completion.rs
+++ b/src/controller/shard/completion.rs
@@ -1,4 +1,4 @@
-//! Commits the ends of jobs, and deletes the records that are left of them.
+//! Commits the ends of jobs, and deletes their leftover placement records.
 
 use crate::controller::ShardOwner;
 use crate::controller::context::Context;
@@ -136,8 +136,9 @@
         };
         job_state.is_finishing = false;
         // After a successful commit the watch reports the deletion of the job's record, which
-        // removes the job here. A conflict means that the job was cancelled before. After any other
-        // response the commit is retried.
+        // removes the job here. A conflict means that the record of the shard or the job has
+        // changed, for example by a cancellation, or that an earlier commit of the end succeeded
+        // and its response was lost. After any response other than success the commit is retried.
         if let StoreResponse::Committed { .. } = response {
             job_state.is_finishing = true;
         } else if let StoreResponse::Conflict { failed } = response {
--- a/src/controller/shard/job.rs
+++ b/src/controller/shard/job.rs
@@ -14,7 +14,7 @@
 pub(crate) enum Phase {
     /// The commit isn't known to have succeeded. The start was never sent.
     Committing,
-    /// Committed. The start is sent with the next response to the machine.
+    /// Committed. The start is sent with the next answer to a heartbeat of the machine.
     Ready,
     /// The start was sent, and no heartbeat has listed the task yet.
     Sent,
@@ -73,7 +73,7 @@
     pub arrival: u64,
     /// When the job began to wait for machines: when it was added or, with dependencies, released.
     pub waiting_since: Time,
-    /// When the job was cancelled.
+    /// When the job was cancelled; `None` if it wasn't.
     pub cancelled: Option<Time>,
     /// Whether all dependencies are known to be done. No task starts before that.
     pub is_released: bool,
@@ -96,7 +96,7 @@
     pub preempting_until: Time,
 }
 
-/// The write state of a chunk.
+/// The write state of a chunk: a range of the job's tasks that are stored in one record.
 #[derive(Debug, Default)]
 pub(crate) struct Chunk {
     /// Revision of the chunk's record; 0 if it isn't written.
--- a/src/controller/shard/mod.rs
+++ b/src/controller/shard/mod.rs
@@ -60,12 +60,12 @@
     pub owned_since: Time,
     /// Whether this is the only shard, which has every machine of the fleet.
     pub is_only_shard: bool,
-    /// Zones that are taken to be partitioned, because many of their machines are silent.
+    /// Zones that are considered partitioned, because many of their machines are silent.
     pub(crate) partitioned_zones: BTreeSet<Rc<str>>,
     /// When `partitioned_zones` was last not empty.
     pub(crate) zones_partitioned_at: Option<Time>,
     /// When each controller was last found to receive no worker heartbeats, or to be silent
-    /// itself.
+    /// itself. The key `None` stands for this controller.
     pub(crate) unreachable_at: BTreeMap<Option<ControllerId>, Time>,
     /// CPUs and GPUs that each team with a limit may use in this shard. `None` if each team may
     /// use its whole limit here.
@@ -115,7 +115,8 @@
     pub(crate) last_worker_heartbeat: Time,
     /// Whether so many machines are silent that a partition is more likely than failures.
     pub(crate) is_mass_partition: bool,
-    /// When `is_mass_partition` was last true. Silent machines get time from then on to reconnect.
+    /// When `is_mass_partition` was last true or `partitioned_zones` was last not empty; initially
+    /// the start of the ownership. Silent machines get time from then on to reconnect.
     pub(crate) partitioned_at: Time,
 }
 
@@ -239,7 +240,7 @@
         Attempt::new(self.token, self.attempts_made)
     }
 
-    /// Adds a placement. From now on it takes up room on its machine and its team's quota.
+    /// Adds a placement. It reserves resources on its machine and counts against its team's quota.
     pub(crate) fn add_placement(&mut self, job: &JobId, index: u32, placement: Placement) {
         let Some(job_state) = self.jobs.get_mut(job) else {
             return;
@@ -290,7 +291,7 @@
     /// An earlier commit whose response was lost may still be executed by the store. That is safe,
     /// because the start of its attempt is never sent once the placement is removed. When such
     /// placements were kept until their commits were resolved, the tasks of another team's large
-    /// array held all room while urgent tasks waited.
+    /// array kept all resources reserved while urgent tasks waited.
     pub(crate) fn was_never_sent(&self, task: &TaskId) -> bool {
         let Some(job_state) = self.jobs.get(&task.job) else {
             return false;
--- a/src/controller/shard/transaction.rs
+++ b/src/controller/shard/transaction.rs
@@ -24,7 +24,7 @@
     pub(crate) preconditions: Vec<(Key, u64)>,
     pub(crate) writes: Vec<Write>,
     pub(crate) items: Vec<PlacementWrite>,
-    /// Estimated size of the writes.
+    /// Estimated size of the writes, in JSON bytes.
     pub(crate) bytes: usize,
 }
 
--- a/src/controller/shards/assignment.rs
+++ b/src/controller/shards/assignment.rs
@@ -87,8 +87,8 @@
 }
 
 impl Controller {
-    /// Assigns shards to another controller, under a higher token, if their owner has restarted,
-    /// has released the shard, or sends no counts.
+    /// Assigns shards to the controller with the fewest shards, under a higher token, if their
+    /// owner has restarted or sends no counts, or if this controller owned and released them.
     pub(crate) fn reassign_lost_shards(
         &self,
         records: &mut BTreeMap<u32, ShardRecord>,
@@ -118,10 +118,10 @@
                 .get(shard)
                 .is_some_and(|released| record.token <= *released);
             let is_own = record.owner == self.context.settings.platform.controller_id;
-            let has_restarted = is_own
+            let has_lost_state = is_own
                 && (record.incarnation != self.context.incarnation || is_released)
                 || self.context.has_owner_restarted(record);
-            if !is_silent && !has_restarted {
+            if !is_silent && !has_lost_state {
                 continue;
             }
             let (controller_id, incarnation) = self.context.least_loaded(&shards_owned);
--- a/src/controller/shards/counts.rs
+++ b/src/controller/shards/counts.rs
@@ -12,7 +12,7 @@
 /// Maximum number of empty machines, and of deleted machines, that one message lists.
 pub(crate) const MACHINES_LISTED_MAX: usize = 100;
 
-/// Age from which counts are no longer used, in reconcile periods.
+/// Age from which counts are no longer used, in ticks of the autoscaler.
 pub(crate) const COUNTS_STALE_TICKS: f64 = 3.0;
 
 impl Controller {
@@ -25,7 +25,8 @@
 }
 
 impl Context {
-    /// Stores the counts of a shard if this controller is the leader.
+    /// Stores the counts of a shard, and remembers the deleted machines that they list, if this
+    /// controller is the leader.
     pub(crate) fn on_shard_counts(&mut self, shard_counts: ShardCounts) {
         let now = self.now;
         if let Some(leadership) = &mut self.leadership {
@@ -77,7 +78,7 @@
             .into_iter();
         let pools =
             pools.filter_map(|(pool, count)| Some((type_name(pool)?, pool.is_spot(), count)));
-        let mut zones: BTreeMap<(String, bool, String), u32> = BTreeMap::new();
+        let mut machines_by_zone: BTreeMap<(String, bool, String), u32> = BTreeMap::new();
         let mut empty = Vec::new();
         for (id, machine) in self.machines.iter() {
             let key = (
@@ -85,7 +86,7 @@
                 machine.spot,
                 machine.zone.to_string(),
             );
-            *zones.entry(key).or_default() += 1;
+            *machines_by_zone.entry(key).or_default() += 1;
             if machine.ready_since.is_some()
                 && machine.tasks.is_empty()
                 && machine.decommission_at.is_none()
@@ -94,8 +95,8 @@
                 empty.push((machine.images.len(), (type_name, machine.spot, id.clone())));
             }
         }
-        let pins = self.zone_shortfalls(catalog, exhausted).into_iter();
-        let pins = pins.filter_map(|((pool, zone), count)| {
+        let zone_shortfalls = self.zone_shortfalls(catalog, exhausted).into_iter();
+        let zone_shortfalls = zone_shortfalls.filter_map(|((pool, zone), count)| {
             Some((type_name(pool)?, pool.is_spot(), zone, count))
         });
         // The machines with the fewest cached images come first, as they are the least useful.
@@ -104,17 +105,17 @@
             .into_iter()
             .map(|(_, entry)| entry)
             .take(MACHINES_LISTED_MAX);
-        let zones = zones
+        let machines_by_zone = machines_by_zone
             .into_iter()
-            .map(|((class, spot, zone), count)| (class, spot, zone, count));
+            .map(|((type_name, spot, zone), count)| (type_name, spot, zone, count));
         ShardCounts {
             from: context.settings.platform.controller_id.clone(),
             shard: self.shard,
             token: self.token,
             revision: self.shard_revision,
             pools: pools.collect(),
-            machines_by_zone: zones.collect(),
-            zone_shortfalls: pins.collect(),
+            machines_by_zone: machines_by_zone.collect(),
+            zone_shortfalls: zone_shortfalls.collect(),
             empty_machines: empty.collect(),
             deleted_machines: self
                 .deleted_machines
--- a/src/controller/shards/machine_assignment.rs
+++ b/src/controller/shards/machine_assignment.rs
@@ -11,9 +11,9 @@
 pub(crate) const DELETED_MACHINE_KEPT_S: f64 = 300.0;
 
 impl Context {
-    /// Adds new machines to the shard that lacks the most machines of their type, and removes
-    /// deleted machines from the shards' records. A machine never moves to another shard, because
-    /// only its shard's owner knows which tasks are on it.
+    /// Adds each new machine to the shard that lacks the most machines of its type and market (spot
+    /// or on-demand), and removes deleted machines from the shards' records. A machine never moves
+    /// to another shard, because only its shard's owner knows which tasks are on it.
     pub(crate) fn assign_machines(&mut self, records: &mut BTreeMap<u32, ShardRecord>) {
         let bytes_max = self.shard_record_bytes_max();
         let Some(leadership) = &mut self.leadership else {
@@ -50,33 +50,36 @@
                 lists.filter_map(|(shard, record)| Some((*shard, record.machines.as_mut()?)));
             // The record lists machines in groups by type, zone and whether they are spot machines.
             // The machine may need a new group.
-            let size = 2 * entry.0.as_str().len() + entry.1.len() + entry.2.len() + 20;
-            let open = lists
-                .filter(|(shard, _)| bytes.get(shard).is_some_and(|used| used + size < bytes_max));
-            let key = |shard: u32| (entry.1.clone(), entry.3, shard);
-            let lacking = |shard: u32| {
+            let entry_bytes_max = 2 * entry.0.as_str().len() + entry.1.len() + entry.2.len() + 20;
+            let shards_with_room = lists.filter(|(shard, _)| {
+                bytes
+                    .get(shard)
+                    .is_some_and(|used| used + entry_bytes_max < bytes_max)
+            });
+            let shortfall_key = |shard: u32| (entry.1.clone(), entry.3, shard);
+            let shortfall_of = |shard: u32| {
                 leadership
                     .machine_shortfall
-                    .get(&key(shard))
+                    .get(&shortfall_key(shard))
                     .copied()
                     .unwrap_or(0)
             };
-            let best =
-                open.max_by_key(|(shard, list)| (lacking(*shard), std::cmp::Reverse(list.len())));
+            let best = shards_with_room
+                .max_by_key(|(shard, list)| (shortfall_of(*shard), std::cmp::Reverse(list.len())));
             let Some((shard, list)) = best else {
                 leadership.shard_records_full = !bytes.is_empty();
                 return;
             };
             list.push(entry.clone());
             *bytes.entry(shard).or_default() += entry.0.as_str().len() + 1;
-            if let Some(count) = leadership.machine_shortfall.get_mut(&key(shard)) {
+            if let Some(count) = leadership.machine_shortfall.get_mut(&shortfall_key(shard)) {
                 *count = count.saturating_sub(1);
             }
         }
     }
 
-    /// Handles a heartbeat of a machine that no shard's record lists as far as is known here. If
-    /// this controller is the leader, the machine is assigned to a shard.
+    /// Handles a heartbeat of a machine that, as far as is known here, no shard's record lists. If
+    /// this controller is the leader, the machine is to be assigned to a shard.
     pub(crate) fn note_unassigned(&mut self, id: &MachineId, heartbeat: &WorkerHeartbeat) {
         let entry = (
             id.clone(),
--- a/src/controller/shards/ownership.rs
+++ b/src/controller/shards/ownership.rs
@@ -1,5 +1,5 @@
-//! Which shards this controller owns. It follows the shards' records, and releases a shard whenever
-//! another controller may be the owner.
+//! Which shards this controller owns. A controller acquires and releases shards as their records
+//! change, and also releases a shard whenever another controller may be the owner.
 
 use crate::controller::Controller;
 use crate::controller::events::Reply;
@@ -100,7 +100,8 @@
             owner.apply_record(context.now, revision, record, &context.cloud.catalog);
         }
         if is_new {
-            // Other controllers may have worker heartbeats for the owner. They learn of it at once.
+            // Other controllers may have worker heartbeats that wait for the shard's owner, so they
+            // are told of the new owner at once.
             self.send_heartbeat();
         }
     }
@@ -120,8 +121,8 @@
             .insert(owner.shard, owner.token);
         self.update_rate_limits();
         // The workers' long polls are answered without commands. The workers stay with their
-        // controllers until there is a new owner. A worker that has seen a higher token ignores a
-        // response under the released one.
+        // controllers until there is a new owner. A worker that has seen a higher token ignores an
+        // answer under the released one.
         for request_id in owner.long_polling_requests() {
             let body = commands_body(owner.token, &[]);
             self.context.answer(request_id, Reply::ok(200, body));
--- a/src/controller/shards/quota_shares.rs
+++ b/src/controller/shards/quota_shares.rs
@@ -30,8 +30,14 @@
             .map(|(shard, count)| (*shard, amount(count)))
             .collect()
     };
-    let old_cpus = counts.keys().map(|k| (*k, old_share(k).0)).collect();
-    let old_gpus = counts.keys().map(|k| (*k, old_share(k).1)).collect();
+    let old_cpus = counts
+        .keys()
+        .map(|shard| (*shard, old_share(shard).0))
+        .collect();
+    let old_gpus = counts
+        .keys()
+        .map(|shard| (*shard, old_share(shard).1))
+        .collect();
     let cpus = divide_amount(
         limit.0,
         turn,
--- a/src/controller/shards/splitting.rs
+++ b/src/controller/shards/splitting.rs
@@ -19,9 +19,10 @@
 impl Controller {
     /// The number of shards that the fleet needs.
     ///
-    /// Where the processor use of this process is measured, it decides, and only once it has called
-    /// for more shards for some time. A split costs more than a few seconds at full processor use,
-    /// and it isn't undone. Without a measurement, the number of machines decides.
+    /// Where the processor use of this process is measured, that use decides, and only once it has
+    /// called for more shards for [`SPLIT_DELAY_LEASES`]: a split costs more than a few seconds at
+    /// full processor use, and it isn't undone. Without a measurement, the number of machines
+    /// decides.
     pub(crate) fn shards_needed(&mut self, machines: u32, shards: usize) -> usize {
         let now = self.context.now;
         if !self.context.processor.has_measurement() {
@@ -80,8 +81,8 @@
             .count();
         let needed = self.shards_needed(machines, records.len());
         let leadership = self.context.leadership.as_ref();
-        let is_crowded = leadership.is_some_and(|leadership| leadership.shard_records_full);
-        if records.is_empty() || (records.len() >= needed.min(controllers) && !is_crowded) {
+        let are_records_full = leadership.is_some_and(|leadership| leadership.shard_records_full);
+        if records.is_empty() || (records.len() >= needed.min(controllers) && !are_records_full) {
             return;
         }
         if let Some(first) = records
@@ -137,15 +138,15 @@
     pub(crate) fn machine_entries(&self) -> Vec<MachineEntry> {
         let machines = self.machines.iter();
         let entries = machines.map(|(id, machine)| {
-            let (class, zone) = (machine.type_name.to_string(), machine.zone.to_string());
-            (id.clone(), class, zone, machine.spot)
+            let (type_name, zone) = (machine.type_name.to_string(), machine.zone.to_string());
+            (id.clone(), type_name, zone, machine.spot)
         });
         entries.collect()
     }
 }
 
 impl Context {
-    /// The shard of a new job. It is chosen by a hash of the job's name, in proportion to the
+    /// The shard of a new job. It is chosen by a hash of the job's id, in proportion to the
     /// shares in the plan's record, so that all controllers choose the same shard. Shard 0 if there
     /// are no shares.
     pub(crate) fn shard_for(&self, id: &JobId) -> u32 {
@@ -171,8 +172,8 @@
         0
     }
 
-    /// The shares in which new jobs are divided among shards: one more than the shard's machines
-    /// each. Empty while there is only one shard.
+    /// The shares in which new jobs are divided among shards: for each shard, the number of its
+    /// machines plus one. Empty while there is only one shard.
     pub(crate) fn job_shares(&self) -> Vec<(u32, u32)> {
         let records = self.store.mirror.shard_records();
         let shares = records.filter_map(|(shard, record)| {
