--- a/src/controller/forwarding.rs
+++ b/src/controller/forwarding.rs
@@ -536,7 +536,7 @@
         self.outbox.send_to_peer(Some(forward.from), message);
     }
 
-    /// Drops a heartbeat that waits for an owner or a forwarded response, after its worker has
+    /// Drops a heartbeat that waits for an owner or for the owner's response, after its worker has
     /// disconnected.
     pub(crate) fn forget_heartbeat(&mut self, request_id: RequestId) {
         self.forwarding
--- a/src/controller/machines/heartbeats.rs
+++ b/src/controller/machines/heartbeats.rs
@@ -71,7 +71,7 @@
             );
             self.apply_hinted_images(id, context.standby.hints(), &context.cloud.catalog);
         }
-        if outcome.is_first_of_machine {
+        if outcome.makes_machine_ready {
             self.needs_scheduling = true;
             self.record_boot_time(&context.cloud.catalog, id, now);
         }
@@ -272,7 +272,8 @@
         });
     }
 
-    /// Processes the end of an attempt. An end is final, so it counts however old the heartbeat is.
+    /// Processes the end of an attempt. An end is final, so it counts even if the heartbeat doesn't
+    /// show this shard's token.
     fn on_task_ended(
         &mut self,
         context: &Context,
@@ -354,8 +355,8 @@
     is_fresh: bool,
     /// The heartbeat is the first that this owner of the shard has received from the machine.
     is_first_for_owner: bool,
-    /// The heartbeat is the first that the machine is known to have sent.
-    is_first_of_machine: bool,
+    /// The machine wasn't known to be ready before, and this heartbeat shows that it is.
+    makes_machine_ready: bool,
     /// Request and deadline of an older heartbeat that was still waiting for its answer.
     previous_long_poll: Option<(RequestId, Time)>,
 }
@@ -371,13 +372,13 @@
     ) -> HeartbeatOutcome {
         let is_fresh =
             (heartbeat.agent_epoch, heartbeat.sequence) > (self.agent_epoch, self.sequence);
-        let is_first_of_machine = is_fresh && self.ready_since.is_none();
+        let makes_machine_ready = is_fresh && self.ready_since.is_none();
         if !is_fresh {
             self.last_answered_at = now;
             return HeartbeatOutcome {
                 is_fresh,
                 is_first_for_owner: false,
-                is_first_of_machine,
+                makes_machine_ready,
                 previous_long_poll: None,
             };
         }
@@ -386,7 +387,7 @@
         let is_first_for_owner = self.first_heartbeat.is_none();
         self.first_heartbeat.get_or_insert(now);
         self.has_acknowledged_token |= shows_token;
-        if is_first_of_machine {
+        if makes_machine_ready {
             self.ready_since = Some(now);
             self.empty_since.get_or_insert(now);
             let boot_s = now.since(self.known_since);
@@ -403,7 +404,7 @@
         HeartbeatOutcome {
             is_fresh,
             is_first_for_owner,
-            is_first_of_machine,
+            makes_machine_ready,
             previous_long_poll,
         }
     }
--- a/src/controller/machines/inventory.rs
+++ b/src/controller/machines/inventory.rs
@@ -44,6 +44,8 @@
     pub sequence: u64,
     /// Whether a heartbeat has carried this shard's token.
     pub has_acknowledged_token: bool,
+    /// When the newest heartbeat arrived. Without one, when the cloud's list showed the machine as
+    /// ready or, before that, when the machine became known.
     pub last_heartbeat: Time,
     /// When this owner received its first heartbeat from the machine.
     pub first_heartbeat: Option<Time>,
--- a/src/controller/machines/liveness.rs
+++ b/src/controller/machines/liveness.rs
@@ -87,8 +87,8 @@
             && (context.any_peer_hears_workers() || context.all_peers_unreachable())
     }
 
-    /// Removes the placements on machines whose lease has expired, by proof 2 of the
-    /// `machines` module.
+    /// Removes the placements on machines whose lease has expired, by proof 2 of the `machines`
+    /// module. Placements that aren't committed yet stay, since their starts were never sent.
     pub(crate) fn expire_worker_leases(&mut self, context: &Context) {
         let lease_s = context.settings.platform.facts.workers.lease_s
             * (1.0 + CLOCK_DRIFT_FRACTION)
@@ -161,8 +161,8 @@
     }
 
     /// Decommissions machines that stay silent. Most silent machines come back after a partition
-    /// with their images cached, so they get time. A machine goes sooner only if nothing but its
-    /// deletion proves that its tasks no longer run. Many machines silent at once are considered
+    /// with their images cached, so they get time. A machine is deleted sooner only if nothing but
+    /// its deletion proves that its tasks no longer run. Many machines silent at once are considered
     /// partitioned unless the silence lasts long.
     pub(crate) fn decommission_silent(&mut self, context: &Context) {
         let (now, lease_s) = (context.now, context.settings.platform.facts.workers.lease_s);
--- a/src/controller/machines/mod.rs
+++ b/src/controller/machines/mod.rs
@@ -68,8 +68,8 @@
 }
 
 impl ShardOwner {
-    /// Runs the periodic checks: expires worker leases, then drains, consolidates, decommissions
-    /// and deletes machines.
+    /// Runs the periodic checks: expires worker leases, and decommissions, drains, consolidates and
+    /// deletes machines.
     pub(crate) fn housekeeping(&mut self, context: &mut Context) {
         self.expire_worker_leases(context);
         self.decommission_unproven_cancellations(context);
--- a/src/controller/shards/ownership.rs
+++ b/src/controller/shards/ownership.rs
@@ -12,7 +12,8 @@
 
 impl Controller {
     /// Handles a change of the records of the leader, the shards, the fencing token or the plan:
-    /// starts or ends this controller's leadership and its ownership of shards accordingly.
+    /// starts or ends this controller's leadership and its ownership of shards accordingly, and
+    /// decommissions the machines that the plan scales in.
     pub(crate) fn on_control_records_changed(&mut self) {
         self.context.read_limits();
         self.context.update_standby_term();
