--- a/src/controller/shards/ownership.rs
+++ b/src/controller/shards/ownership.rs
@@ -1,5 +1,5 @@
-//! Which shards this controller owns. It follows the shards' records, and releases a shard whenever
-//! another controller may be the owner.
+//! Which shards this controller owns. A controller acquires and releases shards as their records
+//! change, and also releases a shard whenever another controller may be the owner.
 
 use crate::controller::Controller;
 use crate::controller::events::Reply;
@@ -12,7 +12,8 @@
 
 impl Controller {
     /// Handles a change of the records of the leader, the shards, the fencing token or the plan:
-    /// starts or ends this controller's leadership and its ownership of shards accordingly.
+    /// starts or ends this controller's leadership and its ownership of shards accordingly, and
+    /// decommissions the machines that the plan scales in.
     pub(crate) fn on_control_records_changed(&mut self) {
         self.context.read_limits();
         self.context.update_standby_term();
@@ -100,7 +101,8 @@
             owner.apply_record(context.now, revision, record, &context.cloud.catalog);
         }
         if is_new {
-            // Other controllers may have worker heartbeats for the owner. They learn of it at once.
+            // Other controllers may have worker heartbeats that wait for the shard's owner, so they
+            // are told of the new owner at once.
             self.send_heartbeat();
         }
     }
@@ -120,8 +122,8 @@
             .insert(owner.shard, owner.token);
         self.update_rate_limits();
         // The workers' long polls are answered without commands. The workers stay with their
-        // controllers until there is a new owner. A worker that has seen a higher token ignores a
-        // response under the released one.
+        // controllers until there is a new owner. A worker that has seen a higher token ignores an
+        // answer under the released one.
         for request_id in owner.long_polling_requests() {
             let body = commands_body(owner.token, &[]);
             self.context.answer(request_id, Reply::ok(200, body));
