--- a/src/controller/processor.rs
+++ b/src/controller/processor.rs
@@ -43,16 +43,16 @@
 
     /// Returns the smoothed fraction of time, from 0 to 1, during which this process was busy, or
     /// `None` without a recent measurement.
-    pub fn share(&self, now: Time) -> Option<f64> {
+    pub fn busy_fraction(&self, now: Time) -> Option<f64> {
         let is_recent = |(at, _): &(Time, f64)| now.since(*at) < MEASUREMENT_MAX_AGE_S;
-        self.latest.filter(is_recent).map(|(_, share)| share)
+        self.latest.filter(is_recent).map(|(_, busy)| busy)
     }
 
     /// Estimates how many machines would use all CPU time of an owner, from the number of machines
     /// that it owns now. Returns `None` without a recent measurement, without owned machines, or if
     /// the utilization is too low for an estimate.
     pub fn machines_per_owner(&self, now: Time, owned: usize) -> Option<f64> {
-        let share = self.share(now)?;
-        (owned > 0 && share > UTILIZATION_MIN).then(|| owned as f64 / share)
+        let busy = self.busy_fraction(now)?;
+        (owned > 0 && busy > UTILIZATION_MIN).then(|| owned as f64 / busy)
     }
 }
--- a/tests/processor.rs
+++ b/tests/processor.rs
@@ -20,12 +20,12 @@
 #[test]
 fn share_without_recent_measurements_is_unknown() {
     let (utilization, now) = measured([]);
-    assert_eq!(utilization.share(now), None);
+    assert_eq!(utilization.busy_fraction(now), None);
     assert!(!utilization.has_measurement());
     assert_eq!(utilization.machines_per_owner(now, 100), None);
     let (utilization, now) = measured([0.5; 30]);
-    assert!(utilization.share(now).is_some());
-    assert_eq!(utilization.share(now.after(6.0)), None);
+    assert!(utilization.busy_fraction(now).is_some());
+    assert_eq!(utilization.busy_fraction(now.after(6.0)), None);
     assert!(
         utilization.has_measurement(),
         "an old measurement still counts as one"
@@ -36,10 +36,10 @@
 fn share_barely_changes_within_a_second_and_follows_within_a_minute() {
     let low_minute = [0.2; 60];
     let (utilization, now) = measured(low_minute.into_iter().chain([1.0]));
-    let share = utilization.share(now).expect("measured");
+    let share = utilization.busy_fraction(now).expect("measured");
     assert!((0.2..0.3).contains(&share), "{share}");
     let (utilization, now) = measured(low_minute.into_iter().chain([1.0; 60]));
-    let share = utilization.share(now).expect("measured");
+    let share = utilization.busy_fraction(now).expect("measured");
     assert!(share > 0.99, "{share}");
 }
 
@@ -54,5 +54,5 @@
     assert_eq!(utilization.machines_per_owner(now, 200), None);
     // A measurement outside of 0 to 1 is clamped.
     let (utilization, now) = measured([f64::INFINITY; 10]);
-    assert_eq!(utilization.share(now), Some(1.0));
+    assert_eq!(utilization.busy_fraction(now), Some(1.0));
 }
