--- a/src/controller/audit.rs
+++ b/src/controller/audit.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum AuditError {
     /// A task has a placement on a machine, but that machine has no binding for it.
-    #[error("placed task has no binding on its machine: task={task} machine={machine}")]
+    #[error("placed task has no binding on its machine, task={task} machine={machine}")]
     NotBound {
         /// The task.
         task: TaskId,
@@ -20,7 +20,7 @@
     #[error("a machine has a binding for a task that isn't placed on it")]
     NotPlaced,
     /// The resource usage of a team differs.
-    #[error("team usage differs: team={team} recorded={counted:?} recomputed={recounted:?}")]
+    #[error("team usage differs, team={team} recorded={counted:?} recomputed={recounted:?}")]
     TeamUse {
         /// The team.
         team: String,
@@ -30,7 +30,7 @@
         recounted: Resources,
     },
     /// The index entry of a machine differs from the state of the machine.
-    #[error("index entry differs from the machine's state: machine={0}")]
+    #[error("index entry differs from the machine's state, machine={0}")]
     IndexEntry(MachineId),
     /// The indexes differ from indexes built from scratch.
     #[error("indexes differ from indexes built from scratch")]
--- a/src/controller/autoscaling/demand.rs
+++ b/src/controller/autoscaling/demand.rs
@@ -19,8 +19,9 @@
 use crate::wire::MachineType;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Minimum free fraction of a machine in use for its free room to count as kept for urgent starts.
-const SPARE_FREE_FRACTION_MIN: f64 = 0.5;
+/// Minimum free fraction of a machine with tasks for its free room to count as room kept for urgent
+/// starts.
+const URGENT_ROOM_FREE_FRACTION_MIN: f64 = 0.5;
 
 /// Boot time, as a multiple of the usual boot time of the machine's type, after which a booting
 /// machine is late. Normal boots take up to 1.5 times the usual time. Urgent work does not wait for
@@ -48,7 +49,7 @@
 }
 
 impl SlowPools {
-    /// Whether demand that may use other pools is counted there instead.
+    /// Whether demand on the pool is counted on other pools instead, where it may use them.
     fn is_slow(&self, pool: &Pool, is_urgent: bool) -> bool {
         let pools = if is_urgent {
             &self.for_urgent
@@ -103,11 +104,11 @@
     pub(crate) fn machines_wanted(&self, ceiling: u32) -> u32 {
         let by_queued = self.busy + self.queued.ceil() as u32;
         let by_running = self.running.ceil() as u32;
-        let mut kept_machines = 0.0;
+        let mut missing_room = 0.0;
         if self.has_services {
-            kept_machines = (self.reserved_room - self.free_room).max(0.0).ceil();
+            missing_room = (self.reserved_room - self.free_room).max(0.0).ceil();
         }
-        (by_queued.max(by_running) + kept_machines as u32).min(ceiling)
+        (by_queued.max(by_running) + missing_room as u32).min(ceiling)
     }
 }
 
@@ -123,7 +124,7 @@
         now: Time,
     ) -> BTreeMap<Pool, PoolCount> {
         let mut slow_pools = self.find_slow_pools(catalog, settings.tuning.boot_timeout_ratio, now);
-        let with_kept_room = |pool| {
+        let with_reserved_room = |pool| {
             let count = PoolCount {
                 reserved_room: self.headroom_machines(
                     pool,
@@ -136,7 +137,7 @@
             (pool, count)
         };
         let mut counts: BTreeMap<Pool, PoolCount> =
-            all_pools(catalog).map(with_kept_room).collect();
+            all_pools(catalog).map(with_reserved_room).collect();
         for machine in self.machines.values() {
             if !self.needs_replacement(catalog, settings, machine, now) {
                 count_machine(catalog, machine, &mut counts);
@@ -171,7 +172,12 @@
             && has_lease_expired
             && !is_partitioned;
         is_silent
-            || self.has_boot_exceeded(settings.tuning.boot_timeout_ratio, catalog, machine, now)
+            || self.is_booting_longer_than(
+                settings.tuning.boot_timeout_ratio,
+                catalog,
+                machine,
+                now,
+            )
     }
 
     /// Adds the queued tasks of waiting jobs to `counts`, as far as each team's quota lets them
@@ -209,8 +215,8 @@
                 continue;
             };
             let count = booting.entry(pool).or_default();
-            let is_late = self.has_boot_exceeded(LATE_BOOT_RATIO, catalog, machine, now);
-            let is_overdue = self.has_boot_exceeded(overdue_ratio, catalog, machine, now);
+            let is_late = self.is_booting_longer_than(LATE_BOOT_RATIO, catalog, machine, now);
+            let is_overdue = self.is_booting_longer_than(overdue_ratio, catalog, machine, now);
             count.total += 1;
             count.late += u32::from(is_late && !is_overdue);
             count.overdue += u32::from(is_overdue);
@@ -364,7 +370,7 @@
     count.busy += 1;
     count.running += machine.used.share_of(machine_type.resources);
     let free = 1.0 - machine.used.share_of(machine_type.resources);
-    if free >= SPARE_FREE_FRACTION_MIN {
+    if free >= URGENT_ROOM_FREE_FRACTION_MIN {
         count.free_room += free;
     }
     // Batch tasks that checkpoint lose little when preempted, so the room that they use counts as
@@ -395,8 +401,8 @@
 ) {
     let mut tasks_left = f64::from(tasks);
     let is_urgent = record.priority_class > PriorityClass::Normal;
-    let is_on_time = |pool: &Pool| !slow_pools.is_slow(pool, is_urgent);
-    let overflow_pool = available_pool(catalog, record, exhausted, is_on_time)
+    let is_not_slow = |pool: &Pool| !slow_pools.is_slow(pool, is_urgent);
+    let overflow_pool = available_pool(catalog, record, exhausted, is_not_slow)
         .or(preferred_pool(catalog, record, exhausted));
     for pool in eligible_pools(catalog, record) {
         let Some(count) = counts.get_mut(&pool).filter(|_| tasks_left > 0.0) else {
--- a/src/controller/autoscaling/machines.rs
+++ b/src/controller/autoscaling/machines.rs
@@ -19,13 +19,15 @@
 /// Maximum number of machines in one deletion request.
 const DELETE_MACHINES_MAX: usize = 100;
 /// Time, in list lags of the cloud, after which a new machine must appear in the cloud's list.
+/// `RETRY_DELAY_S` is added to this time.
 const LISTED_AFTER_LIST_LAGS: f64 = 3.0;
 /// Boot time assumed for a machine type that is not in the catalog.
 const UNKNOWN_TYPE_BOOT_S: f64 = 60.0;
 /// Boot time after which a machine is deleted as never ready, as a multiple of the boot time after
 /// which it is overdue (`health.boot`).
 const ABANDONED_OVERDUE_RATIO: f64 = 2.0;
-/// Minimum interval between two lists of machines by the leader, where the list lag is shorter.
+/// Minimum interval between two lists of machines by the leader. The interval is the cloud's list
+/// lag where that is longer.
 const LIST_INTERVAL_MIN_S: f64 = 2.0;
 
 impl Controller {
@@ -37,7 +39,7 @@
         earlier_pages: Vec<ListedMachine>,
         response: CloudResponse,
     ) {
-        self.context.cloud.listing.under_way = false;
+        self.context.cloud.listing.is_in_progress = false;
         let CloudResponse::Page { machines, has_next } = response else {
             return;
         };
@@ -106,12 +108,12 @@
             2.0 * leader_interval_s
         };
         let listing = &self.cloud.listing;
-        if listing.under_way || self.now < listing.next_at || self.is_stale() {
+        if listing.is_in_progress || self.now < listing.next_at || self.is_stale() {
             return;
         }
-        let op = CloudRequest::List { after: None };
-        if self.cloud_call(op, CloudPurpose::List(Vec::new()), Priority::Usual) {
-            self.cloud.listing.under_way = true;
+        let request = CloudRequest::List { after: None };
+        if self.cloud_call(request, CloudPurpose::List(Vec::new()), Priority::Usual) {
+            self.cloud.listing.is_in_progress = true;
             self.cloud.listing.next_at = self.now.after(list_interval_s);
         }
     }
@@ -124,8 +126,8 @@
     fn request_next_page(&mut self, listed: Vec<ListedMachine>) {
         let last = listed.last();
         let after = last.map(|machine| MachineId::from(machine.id.as_str()));
-        let op = CloudRequest::List { after };
-        self.cloud.listing.under_way = true;
+        let request = CloudRequest::List { after };
+        self.cloud.listing.is_in_progress = true;
         if !self
             .cloud
             .rate_limit
@@ -134,7 +136,7 @@
             self.cloud.listing.waiting_pages = Some(listed);
             return;
         }
-        self.cloud_call(op, CloudPurpose::List(listed), Priority::Usual);
+        self.cloud_call(request, CloudPurpose::List(listed), Priority::Usual);
     }
 }
 
@@ -151,7 +153,7 @@
         let catalog = &context.cloud.catalog;
         let booting = self.machines.booting();
         let abandoned = booting
-            .filter(|(_, machine)| self.has_boot_exceeded(boot_ratio, catalog, machine, now));
+            .filter(|(_, machine)| self.is_booting_longer_than(boot_ratio, catalog, machine, now));
         let abandoned: Vec<MachineId> = abandoned.map(|(id, _)| id.clone()).collect();
         for id in abandoned {
             self.decommission(now, &id, DecommissionReason::NeverReady);
@@ -184,12 +186,12 @@
         if ids.is_empty() {
             return;
         }
-        let op = CloudRequest::Delete(ids.clone());
+        let request = CloudRequest::Delete(ids.clone());
         let purpose = CloudPurpose::Delete {
             shard: self.shard,
             machines: ids.clone(),
         };
-        if context.cloud_call(op, purpose, Priority::First) {
+        if context.cloud_call(request, purpose, Priority::First) {
             for id in &ids {
                 self.machines.edit(id, |machine| machine.is_deleting = true);
             }
@@ -270,8 +272,9 @@
     /// Such a machine is gone or was never created. Absence from the list does not prove this, so
     /// the machine is deleted.
     fn decommission_unlisted(&mut self, now: Time, settled_s: f64, listed: &BTreeSet<&str>) {
-        let since = self.owned_since;
-        let is_settled = |machine: &Machine| now.since(machine.known_since.max(since)) > settled_s;
+        let owned_since = self.owned_since;
+        let is_settled =
+            |machine: &Machine| now.since(machine.known_since.max(owned_since)) > settled_s;
         let booting = self.machines.booting();
         let missing =
             booting.filter(|(id, machine)| is_settled(machine) && !listed.contains(id.as_str()));
@@ -283,7 +286,7 @@
 
     /// Whether a machine is not ready yet and has been booting for longer than `ratio` times the
     /// usual boot time of its type.
-    pub(crate) fn has_boot_exceeded(
+    pub(crate) fn is_booting_longer_than(
         &self,
         ratio: f64,
         catalog: &[MachineType],
@@ -291,7 +294,7 @@
         now: Time,
     ) -> bool {
         let machine_type = machine.type_in(catalog);
-        let ready_s = machine_type.map_or(UNKNOWN_TYPE_BOOT_S, |found| found.ready_s);
+        let ready_s = machine_type.map_or(UNKNOWN_TYPE_BOOT_S, |machine_type| machine_type.ready_s);
         let boot_max_s = ratio * self.usual_boot_s(machine.machine_type, ready_s);
         machine.ready_since.is_none() && now.since(machine.known_since) > boot_max_s
     }
--- a/src/controller/autoscaling/mod.rs
+++ b/src/controller/autoscaling/mod.rs
@@ -61,9 +61,9 @@
 const COUNTS_INTERVAL_FRACTION: f64 = 0.2;
 
 impl Controller {
-    /// Runs the autoscaling work that is due: sends counts to the leader, maintains the shard
-    /// leases, and lists machines. A leader that may call the cloud also sends scale-out requests,
-    /// reconciles, and writes the plan.
+    /// Runs the autoscaling work that is due: sends counts to the leader, updates the shard
+    /// records (as the leader), and lists machines. A leader that may call the cloud also sends
+    /// scale-out requests, reconciles, and writes the plan.
     pub(crate) fn autoscaling_housekeeping(&mut self) {
         if self.context.now >= self.context.next_counts_at {
             let tick_s = self.context.settings.tuning.tick_s;
@@ -133,8 +133,14 @@
     }
 
     /// Calls the cloud if the rate limit allows it; returns whether the call was sent.
-    fn cloud_call(&mut self, op: CloudRequest, purpose: CloudPurpose, priority: Priority) -> bool {
+    fn cloud_call(
+        &mut self,
+        request: CloudRequest,
+        purpose: CloudPurpose,
+        priority: Priority,
+    ) -> bool {
         let outbox = &mut self.outbox;
-        self.cloud.send(self.now, outbox, op, purpose, priority)
+        self.cloud
+            .send(self.now, outbox, request, purpose, priority)
     }
 }
--- a/src/controller/autoscaling/plan.rs
+++ b/src/controller/autoscaling/plan.rs
@@ -17,7 +17,7 @@
 /// How long an answered scale-out request stays in the plan, in list lags of the cloud. After this
 /// time and `ANSWERED_MARGIN_S`, lists must show its machines.
 const ANSWERED_LIST_LAGS: f64 = 3.0;
-/// Time for which an answered scale-out request stays in the plan beyond `ANSWERED_LIST_LAGS`.
+/// Margin that is added to the time that `ANSWERED_LIST_LAGS` gives.
 const ANSWERED_MARGIN_S: f64 = 5.0;
 
 /// A scale-out request and its progress.
@@ -49,7 +49,7 @@
 pub(crate) struct ExhaustedZone {
     /// When the zone may be asked for machines again.
     pub(crate) retry_at: Time,
-    /// Number of consecutive refusals.
+    /// Number of consecutive refusals; an answer with fewer machines than requested counts as one.
     pub(crate) consecutive_refusals: u32,
 }
 
--- a/src/controller/autoscaling/pool_selection.rs
+++ b/src/controller/autoscaling/pool_selection.rs
@@ -87,7 +87,8 @@
     pools
 }
 
-/// Returns how many tasks that need `need` fit on one empty machine, at least 1.
+/// Returns how many tasks that need `need` fit on one empty machine, limited to the range from 1 to
+/// a million.
 pub(crate) fn tasks_per_machine(machine_type: &MachineType, need: Resources) -> f64 {
     let resources = machine_type.resources;
     tasks_within(resources.cpus, need.cpus)
--- a/src/controller/cloud.rs
+++ b/src/controller/cloud.rs
@@ -26,7 +26,7 @@
 #[derive(Debug)]
 pub(crate) struct MachineListing {
     /// Whether a list is in progress: a page is requested or waits for the rate limit.
-    pub(crate) under_way: bool,
+    pub(crate) is_in_progress: bool,
     /// Machines of the pages received so far, if the next page waits for the rate limit.
     pub(crate) waiting_pages: Option<Vec<ListedMachine>>,
     /// Time at which the next list starts.
@@ -41,7 +41,7 @@
             catalog_retry_at: Time(0),
             rate_limit,
             listing: MachineListing {
-                under_way: false,
+                is_in_progress: false,
                 waiting_pages: None,
                 next_at: Time(0),
             },
--- a/src/controller/context.rs
+++ b/src/controller/context.rs
@@ -83,7 +83,7 @@
     /// Total machines examined in order to place tasks.
     pub(crate) machines_scanned: u64,
     /// Total tasks placed.
-    pub(crate) placed: u64,
+    pub(crate) tasks_placed: u64,
 }
 
 impl Context {
@@ -120,7 +120,7 @@
             last_worker_heartbeat: Time(0),
             next_housekeeping_at: Time(0),
             machines_scanned: 0,
-            placed: 0,
+            tasks_placed: 0,
         }
     }
 
--- a/src/controller/dependencies/resolution.rs
+++ b/src/controller/dependencies/resolution.rs
@@ -32,8 +32,8 @@
         for id in self.context.store.mirror.take_affected() {
             let job = self.context.store.mirror.jobs.get(&id);
             let owned = job.and_then(|job| self.shards.get_mut(&job.record.shard));
-            if let Some(owner) = owned {
-                owner.on_dependencies_changed(&mut self.context, &id);
+            if let Some(shard) = owned {
+                shard.on_dependencies_changed(&mut self.context, &id);
             }
         }
     }
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Records how a job ended if the response to a read of its end contains the end. Returns the
-    /// end, or `None` if there is none or the read failed.
+    /// Records how a job ended if the response to a read of its end contains one. Returns the
+    /// ending, or `None` if there is none or the read failed.
     pub(crate) fn learn_ending(&mut self, id: &JobId, response: &StoreResponse) -> Option<Ending> {
         let StoreResponse::Found {
             record: Record::End(ending),
--- a/src/controller/events.rs
+++ b/src/controller/events.rs
@@ -44,7 +44,7 @@
     Link(ControllerId, LinkEvent),
     /// The fraction of the time since the last measurement during which this process was busy.
     ProcessorUtilization(f64),
-    /// The process has to terminate and hands over its shards before that.
+    /// The process has to terminate; it first hands over its shards.
     Shutdown,
     /// No event occurred; only time has passed.
     Tick,
--- a/src/controller/forwarding.rs
+++ b/src/controller/forwarding.rs
@@ -34,8 +34,9 @@
     failed_owner: Option<ControllerId>,
 }
 
-/// Longest time in seconds that an ownerless heartbeat waits for an owner. Workers wait 4 s for an
-/// answer. The number of waiting heartbeats is bounded by the connections on which they came.
+/// Longest time in seconds that an ownerless heartbeat waits for an owner. It is below the 4 s for
+/// which workers wait for an answer. The number of waiting heartbeats is bounded by the number of
+/// connections on which they came.
 const OWNERLESS_WAIT_MAX_S: f64 = 3.8;
 /// Time in seconds beyond the owner's longest long poll after which a forwarded heartbeat without a
 /// response counts as ownerless.
@@ -43,9 +44,9 @@
 /// Maximum number of tasks in a forwarded heartbeat. Heartbeats with more don't fit into a message
 /// to a peer, and their workers are redirected to the owner.
 const FORWARDED_TASKS_MAX: usize = 200;
-/// Margin in seconds beyond the length of a takeover. An owner that refuses connections for longer
-/// and still has its record isn't down: only other controllers can't reach it, and workers are
-/// redirected to it.
+/// Margin in seconds that is added to the length of a takeover. An owner that refuses connections
+/// for longer and still owns its shard isn't down, but only unreachable for other controllers.
+/// Workers are redirected to it.
 pub(crate) const TAKEOVER_MARGIN_S: f64 = 1.5;
 /// Time in seconds between redirects of single workers to a controller that receives no worker
 /// heartbeats yet.
@@ -103,7 +104,7 @@
     redirected_at: BTreeMap<MachineId, Time>,
 }
 
-/// Leases for which a worker that comes back after a redirect to a safer controller isn't
+/// Time, in worker leases, during which a worker that was redirected to a safer controller isn't
 /// redirected to one again.
 const REDIRECTED_KEPT_LEASES: f64 = 6.0;
 
@@ -274,7 +275,7 @@
         Some(preferred)
     }
 
-    /// Whether a worker has no answer yet from the present owner of its shard. Its lease counts
+    /// Whether a worker has no answer yet from the current owner of its shard. Its lease counts
     /// from an answer of an earlier owner and may expire soon, so it is answered before it is
     /// redirected.
     fn is_unanswered_by_owner(&self, id: &MachineId, heartbeat: &WorkerHeartbeat) -> bool {
@@ -422,10 +423,10 @@
     }
 
     /// Returns the owner to which an ownerless heartbeat can be forwarded or its worker redirected.
-    /// An owner that gave no usable response to this heartbeat is left out, since it seems to run
-    /// until its next heartbeat is missed: workers that were redirected to such an owner waited for
-    /// 5 s, and then for another 5 s at the controller to which the owner had redirected them
-    /// before.
+    /// An owner that gave no usable response to this heartbeat is left out: an owner that fails
+    /// still counts as running until its next heartbeat is missed. Workers that were redirected to
+    /// such an owner waited for 5 s, and then for another 5 s at the controller to which the owner
+    /// had redirected them before.
     fn usable_owner_for(&self, ownerless: &OwnerlessHeartbeat) -> Option<ControllerId> {
         let owner = self.owner_of(&MachineId::from(ownerless.heartbeat.machine.as_str()))?;
         let is_running =
@@ -505,7 +506,7 @@
             return;
         };
         if response.status == 421 {
-            // That controller no longer owns the shard. The new owner is known here soon.
+            // That controller no longer owns the shard. The new owner will be known here soon.
             return self.handle_ownerless(forward.into_ownerless(request_id));
         }
         let reply = Reply {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -84,8 +84,10 @@
             Input::Peer(Message::Standby(message)) => self.context.on_standby_message(*message),
             Input::Cell(message) => self.context.on_cell_message(message),
             Input::Link(controller_id, link) => self.context.on_link(controller_id, link),
-            Input::ProcessorUtilization(share) => {
-                self.context.processor.record(self.context.now, share);
+            Input::ProcessorUtilization(busy_fraction) => {
+                self.context
+                    .processor
+                    .record(self.context.now, busy_fraction);
             }
             Input::Shutdown => self.on_shutdown(),
             Input::Tick => {}
@@ -136,7 +138,7 @@
             cloud_rate: self.context.cloud.rate_limit.rate(),
             queued: self.context.api.backlog() + queued_writes.sum::<usize>(),
             machines_scanned: self.context.machines_scanned,
-            placed: self.context.placed,
+            placed: self.context.tasks_placed,
         }
     }
 
@@ -183,10 +185,10 @@
     }
 
     fn watch_store(&mut self) {
-        let eager = self.context.leader_suspicion().is_some();
+        let is_eager = self.context.leader_suspicion().is_some();
         let context = &mut self.context;
         let (now, outbox) = (context.now, &mut context.outbox);
-        context.store.keep_watching(now, outbox, eager);
+        context.store.keep_watching(now, outbox, is_eager);
     }
 
     fn read_revision(&mut self) {
@@ -217,13 +219,13 @@
 
     fn shards_housekeeping(&mut self) {
         let owned: Vec<u32> = self.shards.keys().copied().collect();
-        for id in owned {
+        for shard_number in owned {
             // The shard may have been released meanwhile: giving up one shard gives up all of them.
-            let Some(shard) = self.shards.get_mut(&id) else {
+            let Some(shard) = self.shards.get_mut(&shard_number) else {
                 return;
             };
             if shard.is_partitioned_from_workers(&self.context) {
-                self.release_shard(id, GiveUpReason::WorkersUnreachable);
+                self.release_shard(shard_number, GiveUpReason::WorkersUnreachable);
                 self.resign(GiveUpReason::WorkersUnreachable);
                 return;
             }
--- a/src/controller/scheduling/consolidation.rs
+++ b/src/controller/scheduling/consolidation.rs
@@ -16,8 +16,8 @@
 
 /// Maximum used fraction of a machine that may be drained.
 const DRAINED_USED_FRACTION_MAX: f64 = 0.5;
-/// How long each replica on a machine must have run before the machine is drained. A start that is
-/// stopped soon after doesn't count as a start.
+/// How long each replica on a machine must have run before the machine is drained. A replica that
+/// is stopped soon after its start doesn't count as started.
 const REPLICA_RUN_MIN_S: f64 = 45.0;
 /// Fraction of a shard's machines that one pass may drain, rounded up to at least one machine.
 const DRAINED_FRACTION_MAX: f64 = 0.02;
@@ -65,8 +65,8 @@
         let may_cordon =
             !self.is_mass_partition && !self.jobs_with_queued_tasks.iter().any(is_urgent);
         let underused = if may_cordon {
-            let headroom = context.settings.tuning.headroom_std_devs;
-            find_underused_machines(self, &context.cloud.catalog, headroom, context.now)
+            let headroom_std_devs = context.settings.tuning.headroom_std_devs;
+            find_underused_machines(self, &context.cloud.catalog, headroom_std_devs, context.now)
         } else {
             BTreeSet::new()
         };
@@ -128,7 +128,7 @@
 fn find_underused_machines(
     shard: &ShardOwner,
     catalog: &[MachineType],
-    headroom: f64,
+    headroom_std_devs: f64,
     now: Time,
 ) -> BTreeSet<MachineId> {
     let mut pools: BTreeMap<Pool, Vec<(f64, &MachineId)>> = BTreeMap::new();
@@ -148,7 +148,7 @@
     let mut underused = BTreeSet::new();
     for (pool, mut machines) in pools {
         machines.sort_by(|(fraction_a, _), (fraction_b, _)| fraction_a.total_cmp(fraction_b));
-        let kept_room = shard.headroom_machines(pool, catalog, headroom, now);
+        let reserved_room = shard.headroom_machines(pool, catalog, headroom_std_devs, now);
         let mut free_machines: f64 = machines
             .iter()
             .map(|(used_fraction, _)| 1.0 - used_fraction)
@@ -157,7 +157,7 @@
             // Draining a machine removes its free room, and its used room is needed elsewhere. Both
             // add up to one machine.
             free_machines -= 1.0;
-            if used_fraction > DRAINED_USED_FRACTION_MAX || free_machines < kept_room {
+            if used_fraction > DRAINED_USED_FRACTION_MAX || free_machines < reserved_room {
                 break;
             }
             underused.insert(id.clone());
--- a/src/controller/scheduling/constraints.rs
+++ b/src/controller/scheduling/constraints.rs
@@ -85,17 +85,17 @@
     let is_above =
         |used: f64, guaranteed: f64| guaranteed > 0.0 && used > guaranteed + ROUNDING_TOLERANCE;
     let teams = settings.platform.facts.teams.iter();
-    let over = teams.filter(|other| {
+    let above = teams.filter(|other| {
         let used = shard
             .usage_by_team
             .get(&other.name)
             .copied()
             .unwrap_or_default();
         let has_guarantee = other.cpus > 0.0 || other.gpus > 0.0;
-        let is_over = is_above(used.cpus, other.cpus) || is_above(used.gpus, other.gpus);
-        other.name != team && (!has_guarantee || is_over)
+        let is_any_above = is_above(used.cpus, other.cpus) || is_above(used.gpus, other.gpus);
+        other.name != team && (!has_guarantee || is_any_above)
     });
-    over.map(|other| other.name.as_str()).collect()
+    above.map(|other| other.name.as_str()).collect()
 }
 
 /// Whether the job's tasks may run on the pool's machine type and market.
@@ -116,7 +116,7 @@
     {
         return false;
     }
-    // Tasks that are not proven gone count, since they may still run in their zone.
+    // Tasks that aren't proven to have stopped count, since they may still run in their zone.
     let mut placements = job_state.placed.values();
     if record.zone_affinity && placements.any(|placement| *placement.zone != *zone) {
         return false;
--- a/src/controller/scheduling/mod.rs
+++ b/src/controller/scheduling/mod.rs
@@ -32,10 +32,11 @@
 const CYCLE_INTERVAL_MIN_MS: u64 = 15;
 /// Maximum interval between two scheduling cycles while tasks are queued.
 const CYCLE_INTERVAL_MAX_S: f64 = 0.5;
-/// How long a job waits for tasks that were preempted for it to free their room, before more tasks
-/// are preempted.
+/// How long a job waits until the tasks preempted for it have freed their room. Meanwhile, no more
+/// tasks are preempted for it.
 const PREEMPTION_WAIT_S: f64 = 6.0;
-/// Maximum number of tasks bound in one cycle, so that a large array doesn't delay other work.
+/// Maximum number of tasks bound in one cycle, so that a job with many tasks doesn't delay other
+/// work.
 const CYCLE_TASKS_MAX: usize = 64;
 
 /// Maximum number of a job's queued tasks for which other tasks are preempted at once. Each of them
@@ -92,7 +93,7 @@
             }
         }
         context.machines_scanned += cycle.machines_scanned;
-        context.placed += cycle.tasks_placed;
+        context.tasks_placed += cycle.tasks_placed;
         if cycle.tasks_left == 0 {
             self.needs_scheduling = true;
         }
@@ -117,7 +118,7 @@
     }
 
     /// Returns the jobs with tasks that may start now, in scheduling order. Removes jobs without
-    /// queued tasks from `waiting`.
+    /// queued tasks from `jobs_with_queued_tasks`.
     fn order_queue(&mut self, context: &Context) -> Vec<QueuePosition> {
         let jobs = &self.jobs;
         self.jobs_with_queued_tasks
@@ -253,8 +254,9 @@
             return false;
         };
         let machine_type = machine.type_in(placement_context.catalog);
-        let image_fetch_s =
-            machine_type.map_or(0.0, |found| estimate_image_fetch_s(record, found, machine));
+        let image_fetch_s = machine_type.map_or(0.0, |machine_type| {
+            estimate_image_fetch_s(record, machine_type, machine)
+        });
         debug!(
             "task scheduled, task={id}/{index} machine={machine_id} \
              image_fetch_s={image_fetch_s:.1}"
@@ -312,8 +314,13 @@
     /// The wait shows that scaling out did not help. Before that, such preemption isn't justified,
     /// since the preempted tasks may lose all their work.
     fn is_entitled_to_guarantee(&self, context: &Context, job_state: &JobState) -> bool {
-        let boots = context.cloud.catalog.iter().map(|found| found.ready_s);
-        let has_waited = context.now.since(job_state.waiting_since) > boots.fold(0.0, f64::max);
+        let boot_times_s = context
+            .cloud
+            .catalog
+            .iter()
+            .map(|machine_type| machine_type.ready_s);
+        let has_waited =
+            context.now.since(job_state.waiting_since) > boot_times_s.fold(0.0, f64::max);
         has_waited && is_within_guaranteed_quota(self, &context.settings, job_state)
     }
 
--- a/src/controller/scheduling/preemption.rs
+++ b/src/controller/scheduling/preemption.rs
@@ -115,7 +115,7 @@
     (free.holds(job_state.record.resources) && !victims.tasks.is_empty()).then_some(victims)
 }
 
-/// Returns the tasks on one machine that may be preempted for a job; `None` if a task on it has no
+/// Returns the tasks on one machine that may be preempted for a job; `None` if one of them has no
 /// placement in this shard.
 fn find_preemptible_on_machine<'a>(
     shard: &ShardOwner,
@@ -158,9 +158,10 @@
 /// Whether a task of a lower priority class may be preempted for the job.
 ///
 /// A job that inherits its priority class from the jobs that depend on it may preempt only tasks
-/// below its own class and tasks that checkpoint. Without this rule, arrays needed by pipelines
-/// preempted other arrays of their own class, which lost all their work. These were themselves
-/// needed or waiting soon after, so that the arrays kept preempting each other.
+/// below its own class and tasks that checkpoint. Without this rule, batch jobs with dependents
+/// preempted other batch jobs of their own class, which lost all their work. Soon after, the
+/// preempted jobs had dependents themselves or were waiting for room, so that the jobs kept
+/// preempting each other.
 fn may_be_preempted_for(record: &JobRecord, job_state: &JobState) -> bool {
     !job_state.inherits_priority_class()
         || record.priority_class < job_state.submitted_priority_class
--- a/src/controller/scheduling/scoring.rs
+++ b/src/controller/scheduling/scoring.rs
@@ -86,7 +86,7 @@
     /// Values of cached images.
     images: CachedImageValues,
     /// On-demand pools with less free room than is kept for urgent starts.
-    pools_without_spare_room: Vec<Pool>,
+    pools_below_reserved_room: Vec<Pool>,
 }
 
 impl ScoreInputs {
@@ -99,7 +99,7 @@
     ) -> Self {
         Self {
             images: value_cached_images(shard, catalog, settings, now),
-            pools_without_spare_room: find_pools_without_spare_room(
+            pools_below_reserved_room: find_pools_below_reserved_room(
                 shard,
                 catalog,
                 settings.tuning.headroom_std_devs,
@@ -127,7 +127,10 @@
     ) -> Candidates {
         let job_state = &shard.jobs[job];
         let record = &job_state.record;
-        let zones = self.catalog.iter().flat_map(|found| &found.zones);
+        let zones = self
+            .catalog
+            .iter()
+            .flat_map(|machine_type| &machine_type.zones);
         let zones: BTreeSet<&str> = zones.map(String::as_str).collect();
         let allowed_zones = zones.into_iter();
         let allowed_zones: Vec<&str> = allowed_zones
@@ -166,7 +169,8 @@
         if !machine.free().holds(job_state.record.resources) || !is_usable {
             return None;
         }
-        if self.waits_for_spot(job_state) && score_inputs.pools_without_spare_room.contains(&pool) {
+        if self.waits_for_spot(job_state) && score_inputs.pools_below_reserved_room.contains(&pool)
+        {
             return None;
         }
         let mut cost = self.start_cost(&job_state.record, machine_type, machine)
@@ -340,17 +344,17 @@
 
 /// Returns the on-demand pools with less free room than is kept for urgent starts. Tasks that may
 /// run on spot machines wait for one instead of using that room.
-fn find_pools_without_spare_room(
+fn find_pools_below_reserved_room(
     shard: &ShardOwner,
     catalog: &[MachineType],
-    headroom: f64,
+    headroom_std_devs: f64,
     now: Time,
 ) -> Vec<Pool> {
     let on_demand = (0..catalog.len()).map(|machine_type| Pool::of(machine_type, false));
-    let has_no_spare_room = |pool: &Pool| {
-        shard.machines.free(*pool) < shard.headroom_machines(*pool, catalog, headroom, now)
+    let is_below_reserved_room = |pool: &Pool| {
+        shard.machines.free(*pool) < shard.headroom_machines(*pool, catalog, headroom_std_devs, now)
     };
-    on_demand.filter(has_no_spare_room).collect()
+    on_demand.filter(is_below_reserved_room).collect()
 }
 
 /// Returns the total value of the cached images whose tasks no longer fit on the machine once the
--- a/src/controller/store/chunks.rs
+++ b/src/controller/store/chunks.rs
@@ -10,13 +10,14 @@
 use std::borrow::Cow;
 use std::ops::Range;
 
-/// Bytes of a `run` record that are budgeted for each task. A placed task takes about 60 bytes as
-/// JSON; the other half is left for the rest of the record.
+/// Bytes of a placement record that are budgeted for each task. A placed task takes about 60 bytes
+/// as JSON; the other half is left for the rest of the record.
 const RECORD_BYTES_PER_TASK: usize = 120;
-/// Upper bound on the tasks of one `run` record, however large values may be.
+/// Upper bound on the tasks of one placement record, however large values may be.
 const CHUNK_TASKS_MAX: usize = 256;
 
-/// Returns the number of tasks per `run` record if a value may have at most `value_bytes` bytes.
+/// Returns the number of tasks per placement record if a value may have at most `value_bytes`
+/// bytes.
 pub fn chunk_size(value_bytes: usize) -> u32 {
     (value_bytes / RECORD_BYTES_PER_TASK).clamp(1, CHUNK_TASKS_MAX) as u32
 }
@@ -77,9 +78,9 @@
             let first = chunk.saturating_mul(self.chunk_size).min(self.task_count);
             return first..first.saturating_add(self.chunk_size).min(self.task_count);
         };
-        let whole = self.tasks_of(first / self.chunk_size);
+        let chunk_tasks = self.tasks_of(first / self.chunk_size);
         let size = self.part_size.unwrap_or(self.chunk_size);
-        first.min(whole.end)..first.saturating_add(size).min(whole.end)
+        first.min(chunk_tasks.end)..first.saturating_add(size).min(chunk_tasks.end)
     }
 
     /// Returns the chunks or parts in which new placements of the tasks of `chunk` are recorded.
@@ -112,22 +113,26 @@
 /// record, and the layout of the records.
 pub fn effective_placements<'a>(
     record: &JobRecord,
-    runs: impl Iterator<Item = (u32, &'a (u64, PlacementRecord))>,
+    placement_records: impl Iterator<Item = (u32, &'a (u64, PlacementRecord))>,
 ) -> (Vec<EffectiveRecord<'a>>, ChunkLayout) {
-    let runs: Vec<_> = runs.collect();
-    let part_size = runs.iter().find_map(|(_, (_, run))| run.part_size);
+    let placement_records: Vec<_> = placement_records.collect();
+    let part_size = placement_records
+        .iter()
+        .find_map(|(_, (_, placements))| placements.part_size);
     let layout = ChunkLayout::new(record, part_size);
-    let parts = runs.iter().map(|(chunk, _)| *chunk);
+    let parts = placement_records.iter().map(|(chunk, _)| *chunk);
     let parts = parts.filter(|chunk| ChunkLayout::is_part(*chunk));
     let overridden: Vec<Range<u32>> = parts.map(|chunk| layout.tasks_of(chunk)).collect();
-    let effective = runs.into_iter().map(|(chunk, (revision, run))| {
-        let is_whole = ChunkLayout::is_part(chunk) || overridden.is_empty();
-        let valid = if is_whole {
-            Cow::Borrowed(run)
-        } else {
-            Cow::Owned(run.without(&overridden))
-        };
-        (chunk, *revision, valid)
-    });
+    let effective = placement_records
+        .into_iter()
+        .map(|(chunk, (revision, placements))| {
+            let is_fully_valid = ChunkLayout::is_part(chunk) || overridden.is_empty();
+            let valid = if is_fully_valid {
+                Cow::Borrowed(placements)
+            } else {
+                Cow::Owned(placements.without(&overridden))
+            };
+            (chunk, *revision, valid)
+        });
     (effective.collect(), layout)
 }
--- a/src/controller/store/mirror.rs
+++ b/src/controller/store/mirror.rs
@@ -13,8 +13,8 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::rc::Rc;
 
-/// Upper bound on the final statuses kept in memory. Older ones are read from the store again when
-/// they are needed.
+/// Upper bound on the endings of jobs that are kept in memory. Older endings are read from the
+/// store again when they are needed.
 const ENDINGS_MAX: usize = 20_000;
 
 /// A job's record with its revision, and the state that is derived from it.
@@ -24,8 +24,8 @@
     pub revision: u64,
     /// When this process learnt that the job's record is marked as cancelled.
     pub cancelled_at: Option<Time>,
-    /// The highest priority class of the job itself and of the jobs that depend on it and are
-    /// neither over nor cancelled.
+    /// The highest priority class of the job itself and of the jobs that depend on it, directly or
+    /// transitively, and have neither ended nor been cancelled.
     pub priority_class: PriorityClass,
 }
 
@@ -47,7 +47,7 @@
 }
 
 impl<T> Mirrored<T> {
-    /// Applies a change unless a newer one is known; returns whether it was applied.
+    /// Applies a change if its revision is newer than the known one; returns whether it did so.
     fn set(&mut self, revision: u64, record: Option<T>) -> bool {
         if revision <= self.revision {
             return false;
@@ -105,7 +105,8 @@
 }
 
 impl StoreMirror {
-    /// Applies one change. Changes that arrive repeatedly or out of order are ignored.
+    /// Applies one change. Ignores a change that isn't newer than the known revision of its key.
+    /// Returns the event for other components, if the change concerns them.
     pub(crate) fn apply(
         &mut self,
         now: Time,
@@ -185,8 +186,8 @@
             return None;
         }
         let before = self.jobs.get(&id);
-        let since = before.and_then(|job| job.cancelled_at).unwrap_or(now);
-        let cancelled_at = record.cancelled.then_some(since);
+        let marked_at = before.and_then(|job| job.cancelled_at).unwrap_or(now);
+        let cancelled_at = record.cancelled.then_some(marked_at);
         let job = MirroredJob {
             revision,
             cancelled_at,
@@ -249,7 +250,7 @@
         events
     }
 
-    /// Records how a job ended. The oldest endings are dropped above a bound.
+    /// Records how a job ended. Drops the oldest endings beyond `ENDINGS_MAX`.
     pub(crate) fn record_ending(&mut self, now: Time, id: JobId, ending: Ending) {
         if !self.endings.contains_key(&id) {
             self.endings.insert(id.clone(), (ending, now));
@@ -264,12 +265,13 @@
         }
     }
 
-    /// Returns how a job ended and when this process learnt of it, if both are in memory.
+    /// Returns how a job ended and when this process learnt of it, if its ending is in memory.
     pub(crate) fn ending(&self, id: &JobId) -> Option<(Ending, Time)> {
         self.endings.get(id).copied()
     }
 
-    /// Returns the pools of which the cloud has no machines left, according to the scaling plan.
+    /// Returns the zones of pools in which the cloud has no capacity left, according to the scaling
+    /// plan.
     pub(crate) fn exhausted_pools(&self) -> &[ExhaustedPool] {
         let plan = self.plan.record.as_ref();
         plan.map_or(&[], |plan| &plan.exhausted_pools)
@@ -282,7 +284,7 @@
     ) -> impl Iterator<Item = (u32, &(u64, PlacementRecord))> {
         self.placements
             .range((id.clone(), 0)..=(id.clone(), u32::MAX))
-            .map(|((_, chunk), run)| (*chunk, run))
+            .map(|((_, chunk), placements)| (*chunk, placements))
     }
 
     /// Returns the valid content of a job's placement records and their layout; see
@@ -300,15 +302,17 @@
         let Some(job) = self.jobs.get(id) else {
             return (0, 0);
         };
-        let (runs, _) = self.effective_placements(id, &job.record);
-        runs.iter().fold((0, 0), |(done, placed), (_, _, run)| {
-            let ended: u32 = run
-                .done
-                .iter()
-                .map(|(start, end)| end.saturating_sub(*start))
-                .sum();
-            (done + ended, placed + run.placed.len() as u32)
-        })
+        let (placement_records, _) = self.effective_placements(id, &job.record);
+        placement_records
+            .iter()
+            .fold((0, 0), |(done, placed), (_, _, placements)| {
+                let finished: u32 = placements
+                    .done
+                    .iter()
+                    .map(|(start, end)| end.saturating_sub(*start))
+                    .sum();
+                (done + finished, placed + placements.placed.len() as u32)
+            })
     }
 
     /// Returns the leader according to the leader record.
@@ -332,8 +336,9 @@
     /// Returns the highest fencing token in the records of the mirror.
     pub(crate) fn highest_token(&self) -> FencingToken {
         let recorded = self.token.record.as_ref().map(|record| record.highest);
-        let held = self.shard_records().map(|(_, record)| record);
-        held.map(|shard| shard.token)
+        let shards = self.shard_records().map(|(_, record)| record);
+        shards
+            .map(|shard| shard.token)
             .chain(recorded)
             .max()
             .unwrap_or_default()
--- a/src/controller/store/records.rs
+++ b/src/controller/store/records.rs
@@ -12,8 +12,8 @@
 
 /// The prefix of every key.
 pub const PREFIX: &str = "s/";
-/// The key after which the initial list starts. The list skips the final statuses of jobs, which
-/// are kept forever and grow without bound; each of them is read by its key when it is needed.
+/// The key after which the initial list starts. The list skips the `end/ID` records, since they are
+/// kept forever and grow without bound; each of them is read by its key when it is needed.
 pub const LIST_AFTER_KEY: &str = "s/end/~";
 
 /// The key of a record.
@@ -154,7 +154,7 @@
     /// Separates the suffixes of ids. An id that contains this character has a group of its own.
     const SUFFIX_SEPARATOR: char = ' ';
 
-    fn group(place: (&str, &str, bool), ids: &[&str]) -> Group {
+    fn encode_group(group_key: (&str, &str, bool), ids: &[&str]) -> Group {
         let first = ids.first().copied().unwrap_or("");
         let shared_bytes = |a: &str, b: &str| -> usize {
             let same = a.chars().zip(b.chars()).take_while(|(x, y)| x == y);
@@ -166,7 +166,7 @@
             .min()
             .unwrap_or(0);
         let suffixes: Vec<&str> = ids.iter().map(|id| &id[common..]).collect();
-        let (machine_type, zone, spot) = place;
+        let (machine_type, zone, spot) = group_key;
         let suffixes = suffixes.join(&SUFFIX_SEPARATOR.to_string());
         let prefix = first[..common].to_string();
         (machine_type.into(), zone.into(), spot, prefix, suffixes)
@@ -177,17 +177,21 @@
         out: S,
     ) -> Result<S::Ok, S::Error> {
         let groups = list.as_ref().map(|list| {
-            let mut places: BTreeMap<(&str, &str, bool), Vec<&str>> = BTreeMap::new();
+            let mut ids_by_key: BTreeMap<(&str, &str, bool), Vec<&str>> = BTreeMap::new();
             let mut groups = Vec::new();
             for (id, machine_type, zone, spot) in list {
-                let place = (machine_type.as_str(), zone.as_str(), *spot);
+                let group_key = (machine_type.as_str(), zone.as_str(), *spot);
                 if id.as_str().contains(SUFFIX_SEPARATOR) {
-                    groups.push(group(place, &[id.as_str()]));
+                    groups.push(encode_group(group_key, &[id.as_str()]));
                 } else {
-                    places.entry(place).or_default().push(id.as_str());
+                    ids_by_key.entry(group_key).or_default().push(id.as_str());
                 }
             }
-            groups.extend(places.into_iter().map(|(place, ids)| group(place, &ids)));
+            groups.extend(
+                ids_by_key
+                    .into_iter()
+                    .map(|(group_key, ids)| encode_group(group_key, &ids)),
+            );
             groups
         });
         groups.serialize(out)
@@ -241,8 +245,8 @@
     pub count: u32,
 }
 
-/// A machine type, a zone, and whether spot machines are meant, of which the cloud has no machines
-/// left.
+/// A zone of a pool in which the cloud has no capacity left: the machine type, the zone, and
+/// whether the pool consists of spot machines.
 pub type ExhaustedPool = (String, String, bool);
 
 /// The leader's scaling plan: the desired numbers of machines and the pending scale-out requests.
@@ -259,8 +263,8 @@
     /// Shards that accept new jobs, each with its relative share of them.
     #[serde(default)]
     pub shares: Vec<(u32, u32)>,
-    /// Pools of which the cloud has no machines left for now. The demand of tasks is planned on
-    /// other pools meanwhile.
+    /// Zones of pools in which the cloud has no capacity left for now. The demand of tasks is
+    /// planned on other pools meanwhile.
     #[serde(rename = "closed", default)]
     pub exhausted_pools: Vec<ExhaustedPool>,
     /// Machines to delete if they have no tasks.
@@ -381,8 +385,8 @@
     pub save_s: f64,
     /// Seconds from the submission within which the job should be done.
     pub deadline_s: Option<f64>,
-    /// Tasks per `run` record. It is fixed when the job is accepted, since the settings that it
-    /// derives from may change.
+    /// Tasks per chunk. The number is fixed when the job is accepted, since the settings from which
+    /// it is computed may change.
     #[serde(rename = "chunk")]
     pub chunk_size: u32,
     /// The shard whose owner schedules the job.
@@ -454,7 +458,7 @@
 pub type LimitsByTeam = BTreeMap<String, (f64, f64)>;
 
 /// Team limits that operators set at run time, in place of the limits in the settings. Only
-/// operators write this record, so that its content may be malformed.
+/// operators write this record, so its content may be malformed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LimitsRecord {
     /// The limits, not yet checked against the teams in the settings.
@@ -463,7 +467,7 @@
     Unreadable(String),
 }
 
-/// The final status of a job.
+/// How a job ended: its final status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Ending {
     /// All tasks of the job are done.
@@ -494,6 +498,6 @@
     Job(Box<JobRecord>),
     /// The placements of a chunk or part of a job.
     Placements(PlacementRecord),
-    /// The final status of a job.
+    /// How a job ended.
     End(Ending),
 }
--- a/src/controller/store/staleness.rs
+++ b/src/controller/store/staleness.rs
@@ -87,8 +87,8 @@
         });
     }
 
-    /// Whether the mirror has not reached the revision of a completed read for more than `max_s`
-    /// seconds.
+    /// Whether a read was answered more than `max_s` seconds ago whose revision the mirror hasn't
+    /// reached yet.
     pub(super) fn has_waited_longer_than(&self, now: Time, max_s: f64) -> bool {
         let oldest = self.reads.front();
         oldest.is_some_and(|read| now.since(read.answered_at) > max_s)
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Advances the known age of the mirror by all completed reads up to the revision that the
-    /// mirror has reached.
+    /// Advances the bounds on the age of the mirror, which has reached `revision`: applies and
+    /// drops all completed reads up to this revision.
     fn advance_to(&mut self, revision: u64) {
         let (linearized_at, call) = (&mut self.linearized_at, &mut self.linearized_call);
         let changes_known_at = &mut self.changes_known_at;
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Advances the known age of the mirror after its revision has changed.
+    /// Advances the bounds on the age of the mirror to the revision that the mirror has reached.
     pub(crate) fn advance_linearization(&mut self) {
         self.staleness.advance_to(self.mirror.revision);
     }
@@ -182,7 +182,7 @@
         self.staleness.changes_known_at
     }
 
-    /// Returns the upper bound on the age of the mirror, in seconds.
+    /// Returns an upper bound on the age of the mirror, in seconds.
     pub(crate) fn staleness_s(&self, now: Time) -> f64 {
         now.since(self.staleness.linearized_at)
     }
--- a/src/controller/store/watch.rs
+++ b/src/controller/store/watch.rs
@@ -13,7 +13,7 @@
 /// this, in seconds.
 const WATCH_STUCK_S: f64 = 1.5;
 /// Upper bound on the share of a controller's requests that open watches, while the controller
-/// schedules no tasks.
+/// pauses between watches, since it neither leads nor schedules tasks.
 const WATCH_REQUEST_FRACTION: f64 = 0.4;
 
 /// The progress of the initial list and the watch.
@@ -50,8 +50,8 @@
 }
 
 impl<P> StoreClient<P> {
-    /// Starts the list, opens the watch, or reopens a watch that is stuck. An eager controller
-    /// opens the watch without waiting for the end of a pause.
+    /// Starts the list, opens the watch, or reopens a watch that is stuck, if one of these is due.
+    /// With `is_eager`, the watch is opened without waiting for the end of a pause.
     pub(crate) fn keep_watching(&mut self, now: Time, outbox: &mut Outbox, is_eager: bool) {
         match self.watch {
             WatchState::Idle { retry_at } if now >= retry_at => {
@@ -143,8 +143,8 @@
         };
     }
 
-    /// Opens the next watch after one has delivered changes. An eager controller opens it
-    /// immediately. Other controllers pause first, so that one watch delivers several changes: with
+    /// Opens the next watch after one has delivered changes. With `is_eager`, it is opened
+    /// immediately. Otherwise a pause comes first, so that one watch delivers several changes: with
     /// five controllers, one watch per change used up the request limit and delayed submissions by
     /// a second.
     pub(crate) fn continue_watch(&mut self, now: Time, outbox: &mut Outbox, is_eager: bool) {
--- a/src/controller/store_requests.rs
+++ b/src/controller/store_requests.rs
@@ -136,8 +136,8 @@
         };
         let context = &mut self.context;
         match request {
-            ShardRequest::WritePlacements(items) => {
-                shard.on_placements_written(context, items, response);
+            ShardRequest::WritePlacements(writes) => {
+                shard.on_placements_written(context, writes, response);
             }
             ShardRequest::RereadPlacements(job, chunk) => {
                 shard.on_placements_reread(context, job, chunk, response);
