--- a/src/controller/api/cancellations.rs
+++ b/src/controller/api/cancellations.rs
@@ -13,8 +13,9 @@
 use std::collections::BTreeSet;
 
 impl Controller {
-    /// Cancellations that no controller can confirm at present. Their users are asked to retry
-    /// without having to wait for the full timeout.
+    /// Requests that wait for the end of a job while no controller can confirm that end. Most of
+    /// them are cancellations. Their users are asked to retry without having to wait for the full
+    /// timeout.
     pub(crate) fn blocked_cancellations(&self) -> Vec<RequestId> {
         let mut awaiting_end = self.context.api.awaiting_end.iter().peekable();
         if awaiting_end.peek().is_none() {
--- a/src/controller/api/mod.rs
+++ b/src/controller/api/mod.rs
@@ -114,7 +114,8 @@
         self.delayed_endings.iter().map(|delayed| delayed.due).min()
     }
 
-    /// The newest requests that need a read of the store's revision sent after their arrival.
+    /// The newest requests that wait for a read of the store's revision. Only a read that is sent
+    /// after a request has arrived counts for it.
     pub(crate) fn revision_demand(&self) -> RevisionDemand {
         RevisionDemand {
             status_query: self.status_queries.back().map(|query| query.preceding_call),
@@ -123,7 +124,7 @@
     }
 
     /// Removes and returns the requests that have timed out. `cancellation_timeout_s` applies to
-    /// cancellations that are written and wait for their job's end.
+    /// queries that wait for the end of their job, except to polls.
     fn remove_timed_out(&mut self, now: Time, cancellation_timeout_s: f64) -> Vec<RequestId> {
         let mut timed_out = Vec::new();
         for (queue, timeout_s) in [
--- a/src/controller/api/status_queries.rs
+++ b/src/controller/api/status_queries.rs
@@ -25,7 +25,7 @@
 const STATUS_UNKNOWN: &str = "present state isn't known";
 
 impl Context {
-    /// Answers a query of a job that has ended, and queues any other for a linearizable read.
+    /// Answers a query about a job that has ended, and queues any other for a linearizable read.
     pub(crate) fn on_status_query(&mut self, request_id: RequestId, id: JobId, intent: Intent) {
         if let Some(ending) = self.store.mirror.ending(&id) {
             return self.answer_ending(request_id, &id, ending);
--- a/src/controller/api/submissions.rs
+++ b/src/controller/api/submissions.rs
@@ -19,8 +19,8 @@
 
 /// Maximum number of submissions in one transaction.
 const TRANSACTION_SUBMISSIONS_MAX: usize = 8;
-/// Maximum number of waiting submissions, as the time in which the write rate limit allows as many,
-/// in seconds.
+/// Limits the number of waiting submissions to those that the write rate limit allows to be written
+/// within this time, in seconds.
 const BACKLOG_MAX_S: f64 = 1.5;
 /// Lower bound of the maximum number of waiting submissions, whatever the rate limit is.
 const BACKLOG_MAX_LOWER_BOUND: usize = 8;
@@ -127,6 +127,7 @@
             JobKind::Batch => 1.0,
             JobKind::Service => f64::from(record.count),
         };
+        // A maximum of 0 means no limit. The tolerance absorbs rounding errors of the product.
         let exceeds = |task: f64, max: f64| max > 0.0 && task * concurrent_tasks > max + 1e-6;
         let (cpus_max, gpus_max) = self.team_limit(team);
         if exceeds(record.resources.cpus, cpus_max) || exceeds(record.resources.gpus, gpus_max) {
@@ -170,8 +171,8 @@
         }
     }
 
-    /// Checks the submissions again for which the read of the store has been answered. By now their
-    /// dependencies are known, or the end record of one has to be read.
+    /// Checks again the submissions that arrived before the latest linearizable read was sent. By
+    /// now their dependencies are known, or the end record of one has to be read.
     pub(crate) fn check_dependent_submissions(&mut self) {
         let linearized_call = self.store.linearized_call();
         for dependent in std::mem::take(&mut self.api.dependent_submissions) {
@@ -249,14 +250,14 @@
         }
     }
 
-    /// Handles the response to the commit of a batch of submissions that was sent at `sent`.
+    /// Handles the response to the commit of a batch of submissions that was sent at `sent_at`.
     pub(crate) fn on_submitted(
         &mut self,
         batch: Vec<Submission>,
         response: StoreResponse,
-        sent: Time,
+        sent_at: Time,
     ) {
-        let is_slow = self.now.since(sent) > STATUS_AGE_MAX_S;
+        let is_slow = self.now.since(sent_at) > STATUS_AGE_MAX_S;
         for submission in batch {
             match &response {
                 StoreResponse::Committed { .. } => self.on_accepted(submission, is_slow),
@@ -278,7 +279,7 @@
     }
 
     /// Replies that a job is accepted, or queries its status if that may have changed since: when
-    /// the commit `is_slow`, or the job is cancelled with a dependency.
+    /// the commit was slow, or the job is cancelled with a dependency.
     fn on_accepted(&mut self, submission: Submission, is_slow: bool) {
         let Submission {
             request_id,
--- a/src/controller/leadership/election.rs
+++ b/src/controller/leadership/election.rs
@@ -1,7 +1,7 @@
 //! Leader election.
 //!
 //! The leader's record is attached to a lease of a few seconds, and the store deletes the record
-//! when the lease expires. The controller that commits the next leader's record leads from then on.
+//! when the lease expires. The controller that commits the next record becomes the leader.
 //! The same commit takes over, under higher fencing tokens, the shards of owners that are down.
 //!
 //! When a majority of the controllers suspects the leader, its record is replaced before the lease
@@ -44,7 +44,7 @@
     won_revision: u64,
     /// When the latest successful request to grant or renew the lease was sent.
     renewal_sent_at: Time,
-    /// A lease request or an election commit is pending at the store.
+    /// Whether a lease request or an election commit is pending at the store.
     request_pending: bool,
     /// When the next renewal is due.
     renew_at: Time,
@@ -81,21 +81,22 @@
 /// Maximum age of a lease that was requested in advance, as a fraction of its duration. An older
 /// one isn't used for a candidacy.
 const PREPARED_LEASE_AGE_MAX_FRACTION: f64 = 0.3;
-/// Maximum number of candidate leases kept: an earlier election commit may still turn out to have
-/// succeeded.
+/// Maximum number of candidate leases kept. Earlier ones are kept since an election commit without
+/// a response may turn out to have succeeded.
 const CANDIDATE_LEASES_MAX: usize = 8;
-/// Back-off after this controller gives up what it holds, in durations of the leader's lease.
+/// Back-off after this controller gives up its leadership and its shards, in durations of the
+/// leader's lease.
 const BACK_OFF_LEASES: f64 = 4.0;
 /// Margin for late timers, added to the time for which a predecessor may still call the cloud, in
 /// seconds.
 const FENCE_MARGIN_S: f64 = 0.2;
 
 impl Controller {
-    /// Handles the response to a renewal of the leader's lease that was sent at `sent`.
-    pub(crate) fn on_lease_renewed(&mut self, reply: StoreResponse, sent: Time) {
+    /// Handles the response to a renewal of the leader's lease that was sent at `sent_at`.
+    pub(crate) fn on_lease_renewed(&mut self, response: StoreResponse, sent_at: Time) {
         self.context.election.request_pending = false;
-        match reply {
-            StoreResponse::LeaseRenewed => self.context.election.renewal_sent_at = sent,
+        match response {
+            StoreResponse::LeaseRenewed => self.context.election.renewal_sent_at = sent_at,
             StoreResponse::LeaseNotFound => self.step_down(GiveUpReason::LeaseExpired),
             _ => {}
         }
@@ -270,10 +271,10 @@
         }
     }
 
-    /// Handles the response to a request for a candidate lease that was sent at `sent`.
-    pub(crate) fn on_lease_granted(&mut self, reply: StoreResponse, sent: Time) {
+    /// Handles the response to a request for a candidate lease that was sent at `sent_at`.
+    pub(crate) fn on_lease_granted(&mut self, response: StoreResponse, sent_at: Time) {
         self.election.request_pending = false;
-        let StoreResponse::LeaseGranted(lease_id) = reply else {
+        let StoreResponse::LeaseGranted(lease_id) = response else {
             return;
         };
         // Another candidate won while the lease was being requested. The commit would be
@@ -288,7 +289,7 @@
         }
         self.election.candidate_leases.push_back(CandidateLease {
             lease_id,
-            requested_at: sent,
+            requested_at: sent_at,
         });
         if self.election.candidate_leases.len() > CANDIDATE_LEASES_MAX {
             self.election.candidate_leases.pop_front();
@@ -326,8 +327,8 @@
     /// Sends the commit that makes this controller the leader and takes over the shards of owners
     /// that are down.
     fn commit_leadership(&mut self, lease_id: u64) {
-        // The leadership gets a token of its own, below those of the shards: scale-out requests are
-        // named after it.
+        // The leadership gets a token of its own, below those of the shards. The names of scale-out
+        // requests contain it, so no other leadership may use it.
         let token = FencingToken(self.store.mirror.highest_token().0 + 1);
         let mut highest = token;
         let mut preconditions = vec![
@@ -380,10 +381,10 @@
     /// Handles the response to the election's commit. A successful commit alone doesn't make this
     /// controller act as the leader: it waits until the watch delivers the record, since the mirror
     /// then has everything that the previous leader committed as well.
-    pub(crate) fn on_elected(&mut self, reply: StoreResponse) {
+    pub(crate) fn on_elected(&mut self, response: StoreResponse) {
         self.election.request_pending = false;
         self.election.vacant_since = None;
-        if let StoreResponse::Committed { revision } = reply {
+        if let StoreResponse::Committed { revision } = response {
             self.election.won_revision = revision;
             self.store.resume_watch(self.now, &mut self.outbox);
         }
--- a/src/controller/leadership/mod.rs
+++ b/src/controller/leadership/mod.rs
@@ -24,17 +24,18 @@
     pub(crate) machine_shortfall: BTreeMap<(String, bool, u32), u32>,
     /// Machines that aren't assigned to a shard yet.
     pub(crate) unassigned: BTreeMap<MachineId, MachineEntry>,
-    /// Machines that shard owners have deleted, and when this leader learned of it. Lists of the
-    /// cloud and of the shards' records may still contain them.
+    /// Machines that shard owners have deleted, and when this leader learned of it. The cloud's
+    /// lists and the shards' records may still contain them.
     pub(crate) deleted_machines: BTreeMap<MachineId, Time>,
     /// Since when the fleet has needed more shards than exist.
     pub(crate) short_of_shards_since: Option<Time>,
-    /// A change of the shards' leases is being committed.
+    /// Whether a change of the shards' leases is being committed.
     pub(crate) lease_change_pending: bool,
     /// Whether there is an unassigned machine for which no shard's record has space.
     pub(crate) shard_records_full: bool,
+    /// When this controller began to lead.
     pub(crate) since: Time,
-    /// The fencing token of this leadership, which no other one has.
+    /// The fencing token of this leadership. No other leadership has the same one.
     pub(crate) token: FencingToken,
     /// When this leader may first rent and delete machines at the cloud. Before that, the leader
     /// that it replaced may still do so.
--- a/src/controller/leadership/shutdown.rs
+++ b/src/controller/leadership/shutdown.rs
@@ -60,8 +60,8 @@
         self.shutdown.is_some()
     }
 
-    /// Whether the process may end: it handed over [`FINAL_FORWARDING_S`] ago, or
-    /// [`SHUTDOWN_MAX_LEASES`] are over.
+    /// Whether the process may end: it handed over more than [`FINAL_FORWARDING_S`] ago, or the
+    /// shutdown has taken longer than [`SHUTDOWN_MAX_LEASES`] allows.
     pub(crate) fn shutdown_complete(&self) -> bool {
         let Some(shutdown) = &self.shutdown else {
             return false;
@@ -117,7 +117,7 @@
     }
 }
 
-/// Whether a request revokes the leader's lease.
+/// Whether a request revokes a lease: the leader's, or one that a candidate didn't use.
 fn is_revocation(purpose: &RequestPurpose) -> bool {
     matches!(purpose, RequestPurpose::RevokeLease)
 }
--- a/src/controller/leadership/standby.rs
+++ b/src/controller/leadership/standby.rs
@@ -1,5 +1,6 @@
 //! Connects this controller to the standby of package `standby`, which detects failures of the
-//! leader and holds the hints that it sends.
+//! leader and stores the leader's hints: its estimates and the images that its machines have
+//! cached, which aren't in any record.
 //!
 //! This module passes the standby its inputs, sends its heartbeats and the leader's hints to the
 //! peers, and applies hints in a new shard owner.
@@ -195,7 +196,7 @@
 }
 
 impl ShardOwner {
-    /// Starts a new owner of the only shard with the estimates of its predecessor, if recent hints
+    /// Gives a new owner of the only shard the estimates of its predecessor, if recent hints
     /// contain them.
     pub(crate) fn adopt_hinted_estimates(&mut self, context: &Context) {
         let Some((age_ms, estimates)) = context.standby.hints().estimates(context.now.0) else {
@@ -210,13 +211,14 @@
 
     /// The estimates that this owner sends in hints.
     fn estimates_for_peers(&self, now: Time, catalog: &[MachineType]) -> Estimates {
-        let type_name = |class: usize| {
+        let type_name = |type_index: usize| {
             catalog
-                .get(class)
+                .get(type_index)
                 .map(|machine_type| machine_type.name.clone())
         };
         let boots = self.boot_averages_s.iter();
-        let boots = boots.filter_map(|(class, boot_s)| Some((type_name(*class)?, *boot_s)));
+        let boots =
+            boots.filter_map(|(type_index, boot_s)| Some((type_name(*type_index)?, *boot_s)));
         let bursts = self.burst_estimates.iter().filter_map(|(pool, burst)| {
             let machine_type = pool.type_in(catalog)?;
             let squares = burst.decayed(now, machine_type.ready_s);
@@ -236,20 +238,20 @@
         estimates: &Estimates,
         catalog: &[MachineType],
     ) {
-        let type_index = |name: &str| {
+        let index_of = |name: &str| {
             catalog
                 .iter()
                 .position(|machine_type| machine_type.name == name)
         };
         for (name, boot_s) in &estimates.boots {
-            if let Some(class) = type_index(name) {
-                self.boot_averages_s.insert(class, *boot_s);
+            if let Some(type_index) = index_of(name) {
+                self.boot_averages_s.insert(type_index, *boot_s);
             }
         }
         let estimated_at = Time(now.0.saturating_sub(age_ms));
         for (name, spot, squares) in &estimates.bursts {
-            if let Some(class) = type_index(name) {
-                let pool = Pool::of(class, *spot);
+            if let Some(type_index) = index_of(name) {
+                let pool = Pool::of(type_index, *spot);
                 self.burst_estimates
                     .insert(pool, BurstEstimate::from_hint(estimated_at, *squares));
             }
--- a/src/controller/peers/heartbeats.rs
+++ b/src/controller/peers/heartbeats.rs
@@ -9,8 +9,8 @@
 use crate::ids::{ControllerId, MachineId, Time};
 use crate::peer::{Message, PeerHeartbeat};
 
-/// A peer without a heartbeat for this long is assumed to be down, in seconds. Peers send a
-/// heartbeat every second, so that two are missing by then.
+/// A peer is assumed to be down if no heartbeat has arrived from it for this time, in seconds.
+/// Peers send a heartbeat every second, so that two are missing by then.
 const HEARTBEAT_TIMEOUT_S: f64 = 2.2;
 /// Maximum number of overdue machines named in one message. If more machines are silent,
 /// cancellations that depend on the others aren't refused early but wait for their full timeout.
@@ -47,10 +47,11 @@
         }
     }
 
-    /// Sends a heartbeat at once to a peer whose process has just started. A controller forwards no
-    /// workers' heartbeats to an owner that it hasn't heard. When the peer had to wait for the next
-    /// regular heartbeat, after an outage of all controllers, workers' heartbeats were held for up
-    /// to a second each time a controller came back, and the workers' leases expired.
+    /// Reconnects to a peer whose process has just started, and sends it a heartbeat at once. A
+    /// controller forwards no workers' heartbeats to an owner that it hasn't heard. When the peer
+    /// had to wait for the next regular heartbeat, after an outage of all controllers, workers'
+    /// heartbeats were held for up to a second each time a controller came back, and the workers'
+    /// leases expired.
     fn send_heartbeat_to_new_process(&mut self, peer: &ControllerId) {
         let heartbeat = Message::PeerHeartbeat(self.heartbeat());
         self.context.outbox.push(Output::Reconnect(peer.clone()));
@@ -160,8 +161,7 @@
     }
 
     /// Whether a peer's mirror is more recent than this controller's by over [`STALENESS_BOUND_S`].
-    /// In that case this controller is partitioned from the store, rather than the store down for
-    /// all.
+    /// In that case the store isn't down for all controllers, but this one is partitioned from it.
     pub(crate) fn is_isolated_from_store(&self) -> bool {
         let is_more_recent = |(heartbeat, received_at): &&(PeerHeartbeat, Time)| {
             let peer_staleness_s =
--- a/src/controller/peers/links.rs
+++ b/src/controller/peers/links.rs
@@ -70,7 +70,8 @@
 
     /// Time since this process started, in seconds.
     pub(crate) fn process_age_s(&self) -> f64 {
-        self.started_at.map_or(0.0, |began| self.now.since(began))
+        self.started_at
+            .map_or(0.0, |started_at| self.now.since(started_at))
     }
 
     /// Whether every other controller of a zone has reported that it sent no keepalive to a worker
--- a/src/controller/quota/cells/changes.rs
+++ b/src/controller/quota/cells/changes.rs
@@ -16,7 +16,7 @@
 use salttrestle_cells::sharing::plan_transfers;
 use salttrestle_cells::{Amount, Cell};
 
-/// One change of the cell's record, of a link's, or of both.
+/// One change of the cell's record, of a link's record, or of both.
 #[derive(Debug)]
 pub(super) struct CellChange {
     /// The new record of the cell, if it changes.
@@ -72,10 +72,10 @@
         for (from, received) in &self.cells.received {
             let message = &received.message;
             let link = self.cell_link(from);
-            if let Ok(forgotten) = link.clear_pending(message.taken) {
+            if let Ok(cleared) = link.clear_pending(message.taken) {
                 return Some(CellChange {
                     cell: None,
-                    link: Some((from.clone(), forgotten)),
+                    link: Some((from.clone(), cleared)),
                     shards_unchanged: false,
                     reason: format!("{from} has taken transfer {}", message.taken),
                 });
--- a/src/controller/quota/cells/mod.rs
+++ b/src/controller/quota/cells/mod.rs
@@ -1,4 +1,5 @@
-//! Sharing of team limits between cells, done by the leader of each cell.
+//! Sharing of team limits between cells, done by the leader of each cell. A team's home is the cell
+//! whose record holds the team's limit.
 //!
 //! This cell's own store holds the record of the cell, and one record for the link to each other
 //! cell. The leader makes one change of these records at a time, within the rules of
@@ -31,7 +32,7 @@
 pub(crate) struct CellSharing {
     /// The last message from each other cell.
     received: BTreeMap<Cell, ReceivedMessage>,
-    /// A change is being committed at the store.
+    /// Whether a change is being committed at the store.
     change_pending: bool,
     /// The next change is made once the mirror has reached this revision.
     next_change_revision: u64,
--- a/src/controller/quota/team_limits.rs
+++ b/src/controller/quota/team_limits.rs
@@ -20,7 +20,7 @@
 /// The operators' record of limits as this process has read it.
 #[derive(Debug, Default)]
 pub(crate) struct TeamLimits {
-    /// The record's revision that was read last.
+    /// The record's revision when it was last read.
     last_read_revision: u64,
     /// The limits of the last valid record; `None` if there is no record, or none was valid.
     accepted: Option<LimitsByTeam>,
@@ -120,7 +120,7 @@
     Unreadable(String),
     #[error("teams.{0}: unknown team")]
     UnknownTeam(String),
-    #[error("teams.{team}: {value} {resource} is not a valid limit")]
+    #[error("teams.{team}: limit of {resource} must be finite and not negative, but is {value}")]
     InvalidAmount {
         team: String,
         resource: &'static str,
--- a/src/controller/rate_limits/mod.rs
+++ b/src/controller/rate_limits/mod.rs
@@ -20,7 +20,8 @@
 /// The fraction of the cloud's rate limit that all other controllers have together if there are
 /// several shards.
 const OTHERS_CLOUD_FRACTION: f64 = 0.4;
-/// Burst size for calls to the cloud, as the time in which the rate allows as many, in seconds.
+/// Burst size for calls to the cloud, in seconds: a burst has as many calls as the rate allows
+/// within this time.
 pub(crate) const CLOUD_BURST_S: f64 = 1.5;
 
 /// The inputs that determine a controller's shares of the limits.
--- a/src/controller/rate_limits/token_bucket.rs
+++ b/src/controller/rate_limits/token_bucket.rs
@@ -5,11 +5,12 @@
 /// The priority of a call, which determines how many tokens it must leave for more urgent calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Priority {
-    /// Leases, stops of tasks and cancellations. They may take the last token.
+    /// Calls that other work depends on, such as leases, elections, the watch, cancellations and
+    /// deletions of machines. They may take the last token.
     First,
-    /// Placements and submissions.
+    /// Submissions, placements of urgent jobs, scale-out and reads for single requests of users.
     Usual,
-    /// Calls that can be deferred.
+    /// Calls that can be deferred, such as results of tasks, and placements of all other jobs.
     Last,
 }
 
--- a/src/http.rs
+++ b/src/http.rs
@@ -400,7 +400,12 @@
 }
 
 /// Encodes a response. `retry_after` is in seconds; callers set it on every 429 and 503.
-pub fn response(status: u16, retry_after: Option<u32>, close: bool, body: &[u8]) -> Vec<u8> {
+pub fn response(
+    status: u16,
+    retry_after: Option<u32>,
+    closes_connection: bool,
+    body: &[u8],
+) -> Vec<u8> {
     let reason = match status {
         200 => "OK",
         201 => "Created",
@@ -424,7 +429,7 @@
     if let Some(seconds) = retry_after {
         message.push_str(&format!("Retry-After: {seconds}\r\n"));
     }
-    if close {
+    if closes_connection {
         message.push_str("Connection: close\r\n");
     }
     message.push_str("\r\n");
--- a/src/main.rs
+++ b/src/main.rs
@@ -38,7 +38,7 @@
     let flag = Arc::new(AtomicBool::new(false));
     for signal in [SIGTERM, SIGINT] {
         if let Err(error) = signal_hook::flag::register(signal, flag.clone()) {
-            warn!("signal handler isn't registered: signal={signal} reason={error}");
+            warn!("signal handler isn't registered, signal={signal} reason={error}");
         }
     }
     flag
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -12,17 +12,17 @@
 const LOG_INTERVAL_S: f64 = 30.0;
 /// Largest duration that the histograms record, in microseconds; longer ones count as this one.
 const HISTOGRAM_MAX_US: u64 = 60_000_000;
-/// Decimal digits of precision of the histograms.
+/// Number of significant decimal digits that the histograms keep.
 const HISTOGRAM_DIGITS: u8 = 2;
 
-/// A mean timer delay above this means that the processor is saturated, whatever the process itself
-/// did.
+/// A mean timer delay above this means that the processor is saturated, however long the process
+/// waited for events.
 const SATURATED_TIMER_DELAY: Duration = Duration::from_millis(100);
 /// Time over which the processor's utilization is averaged.
 const UTILIZATION_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The fraction of its time in which the process doesn't wait for events: it computes, or it waits
-/// to be scheduled on the processor.
+/// Measures the fraction of time in which the process doesn't wait for events: it computes, or it
+/// waits to be scheduled on the processor.
 struct ProcessorUtilization {
     /// When the current measurement began.
     interval_start: Instant,
@@ -30,7 +30,7 @@
     waited: Duration,
     /// Timers that fired since `interval_start`.
     timers: TimerDelays,
-    /// UtilizationSummary since the last log line.
+    /// The measurements since the last log line.
     since_log_line: UtilizationSummary,
 }
 
@@ -42,7 +42,7 @@
 }
 
 impl TimerDelays {
-    fn show_saturated_processor(self) -> bool {
+    fn is_processor_saturated(self) -> bool {
         self.count > 0 && self.total_delay / self.count > SATURATED_TIMER_DELAY
     }
 }
@@ -84,7 +84,7 @@
         if elapsed < UTILIZATION_INTERVAL {
             return None;
         }
-        let utilization = match self.timers.show_saturated_processor() {
+        let utilization = match self.timers.is_processor_saturated() {
             true => 1.0,
             false => 1.0 - self.waited.as_secs_f64() / elapsed.as_secs_f64(),
         };
--- a/src/net/cell_links.rs
+++ b/src/net/cell_links.rs
@@ -90,7 +90,7 @@
         let frame = match message::frame(message) {
             Ok(frame) => frame,
             Err(error) => {
-                return warn!("message to another cell isn't sent: cell={to} reason={error}");
+                return warn!("message to another cell isn't sent, cell={to} reason={error}");
             }
         };
         for address in addresses {
@@ -106,6 +106,7 @@
 
     /// Closes a connection.
     pub(super) fn close(&mut self, context: &mut Context, id: ConnectionId) {
+        // The socket closes at the end of this function.
         let Some(_socket) = context.connections.remove(id) else {
             return;
         };
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Returns the connection to another cell's controller, or begins one. `None` if the last
+    /// Returns the connection to another cell's controller, or initiates one. `None` if the last
     /// attempt was too recent or this one fails.
     fn get_or_connect(
         &mut self,
@@ -133,7 +134,7 @@
         let stream = match begin_connect(address) {
             Ok(stream) => stream,
             Err(error) => {
-                debug!("connection to another cell failed: address={address} reason={error}");
+                debug!("connection to another cell failed, address={address} reason={error}");
                 return None;
             }
         };
--- a/src/net/connections.rs
+++ b/src/net/connections.rs
@@ -1,5 +1,5 @@
 //! Connections of all protocols: their sockets, the bytes that wait to be written, and the time of
-//! the last receipt. The protocols' modules interpret the bytes.
+//! the last read. The protocols' modules interpret the bytes.
 
 use crate::ids::Time;
 use crate::net::clock::Clock;
@@ -15,8 +15,8 @@
 /// Maximum number of bytes that wait to be written to one connection, unless its protocol sets
 /// another maximum.
 pub(super) const UNSENT_BYTES_MAX: usize = 1 << 20;
-/// The error number of a nonblocking connect that is in progress. The standard library has no
-/// stable `ErrorKind` for it.
+/// The error number that Linux reports for a nonblocking connect that is in progress. The standard
+/// library has no stable `ErrorKind` for it.
 const EINPROGRESS: i32 = 115;
 
 /// Identifies a connection, and is its key in the poller. Ids are never reused.
@@ -30,13 +30,13 @@
     IncomingHttp,
     /// HTTP requests from this process to the store or the cloud.
     OutgoingHttp,
-    /// Messages from a peer, over a connection that the peer began.
+    /// Messages from a peer, over a connection that the peer initiated.
     FromPeer,
-    /// Messages to a peer, over a connection that this process began.
+    /// Messages to a peer, over a connection that this process initiated.
     ToPeer,
-    /// Messages from a controller of another cell, over a connection that it began.
+    /// Messages from a controller of another cell, over a connection that it initiated.
     FromCell,
-    /// Messages to a controller of another cell, over a connection that this process began.
+    /// Messages to a controller of another cell, over a connection that this process initiated.
     ToCell,
 }
 
@@ -58,7 +58,7 @@
     Ended,
 }
 
-/// The progress of a connection that this process began.
+/// The progress of a connection that this process initiated.
 pub(super) enum ConnectProgress {
     Established,
     Refused,
@@ -126,7 +126,7 @@
         // `remove` takes the socket out of the poller before the socket is dropped.
         if let Err(error) = self.poller.add(&stream, id.0) {
             warn!(
-                "connection can't be polled: connection={} reason={error}",
+                "connection can't be polled, connection={} reason={error}",
                 id.0
             );
             return None;
@@ -170,7 +170,7 @@
         connection.is_some_and(|connection| !connection.unsent.is_empty())
     }
 
-    /// Whether a connection that this process began is established.
+    /// The progress of a connection that this process initiated; `Pending` also if it is closed.
     pub(super) fn connect_progress(&self, id: ConnectionId) -> ConnectProgress {
         let Some(connection) = self.connections.get(&id) else {
             return ConnectProgress::Pending;
@@ -273,7 +273,7 @@
     }
 }
 
-/// Begins a connection without waiting until it is established.
+/// Initiates a connection without waiting until it is established.
 pub(super) fn begin_connect(address: SocketAddrV4) -> io::Result<TcpStream> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_nonblocking(true)?;
--- a/src/net/incoming.rs
+++ b/src/net/incoming.rs
@@ -44,7 +44,7 @@
     }
 
     /// Whether the connection has been idle for too long, or stopped in the middle of a request.
-    /// `idle_s` is the time since the last receipt.
+    /// `idle_s` is the time since bytes were last received.
     fn is_timed_out(&self, idle_s: f64) -> bool {
         let has_stalled = self.decoder.has_partial_message() && idle_s > REQUEST_TIMEOUT_S;
         self.pending_request.is_none() && (idle_s > IDLE_TIMEOUT_S || has_stalled)
@@ -285,6 +285,7 @@
         };
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.closes_after_response = true;
+            // The new decoder is empty: the bytes buffered so far can't be parsed.
             connection.decoder = Decoder::new(Side::Request, 0);
         }
         let body = wire::error_body(&error.to_string());
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -48,7 +48,7 @@
 /// Minimum number of sockets for incoming connections, even if the platform's socket limit leaves
 /// fewer.
 const INCOMING_SOCKETS_MIN: usize = 8;
-/// Interval between two checks of deadlines, idle connections and metrics.
+/// Interval between two checks of deadlines, idle connections, termination and metrics.
 const SWEEP_INTERVAL_MS: u64 = 100;
 /// Maximum number of bytes that one read from a connection returns.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
@@ -62,7 +62,7 @@
     let listeners = Listeners::bind(&poller, &settings)?;
     raise_open_file_limit(settings.platform.facts.resources.max_sockets);
     info!(
-        "salttrestle started: version={} controller={} listen={}",
+        "salttrestle started, version={} controller={} listen={}",
         env!("CARGO_PKG_VERSION"),
         settings.platform.controller_id,
         settings.platform.listen
@@ -75,15 +75,15 @@
 fn raise_open_file_limit(sockets: usize) {
     let wanted = (sockets + NON_CONNECTION_FILES) as u64;
     match rlimit::increase_nofile_limit(wanted) {
-        Ok(limit) if limit >= wanted => info!("open file limit: files={limit} sockets={sockets}"),
-        Ok(limit) => warn!("open file limit is too low: files={limit} sockets={sockets}"),
-        Err(error) => warn!("open file limit can't be raised: reason={error}"),
+        Ok(limit) if limit >= wanted => info!("open file limit, files={limit} sockets={sockets}"),
+        Ok(limit) => warn!("open file limit is too low, files={limit} sockets={sockets}"),
+        Err(error) => warn!("open file limit can't be raised, reason={error}"),
     }
 }
 
 /// The maximum number of incoming connections: the platform's socket limit without the reserved
 /// sockets and the connections to other cells.
-fn max_incoming_connections(settings: &Settings) -> usize {
+fn incoming_connections_max(settings: &Settings) -> usize {
     let sockets_max = settings.platform.facts.resources.max_sockets;
     let cells = settings.cells.iter().flat_map(|file| file.cells.values());
     let cell_sockets: usize = cells.map(BTreeMap::len).sum();
@@ -119,7 +119,7 @@
         listeners: Listeners,
         poller: SocketPoller,
     ) -> Self {
-        let incoming_connections_max = max_incoming_connections(&settings);
+        let incoming_connections_max = incoming_connections_max(&settings);
         Self {
             listeners,
             incoming: IncomingRequests::new(incoming_connections_max),
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Checks deadlines, idle connections, termination and metrics; runs at regular intervals.
+    /// Checks deadlines, idle connections, termination and metrics every [`SWEEP_INTERVAL_MS`].
     fn sweep(&mut self, now: Time) {
         if let Some(due_at) = self.next_sweep_at {
             let delay_ms = now.0.saturating_sub(due_at.0);
@@ -276,7 +276,7 @@
                 Ok(Some(stream)) => self.add_incoming(stream, kind),
                 Ok(None) => return,
                 Err(error) => {
-                    warn!("connection can't be accepted: reason={error}");
+                    warn!("connection can't be accepted, reason={error}");
                     self.incoming.evict_longest_idle(&mut self.context);
                     return;
                 }
--- a/src/net/outgoing.rs
+++ b/src/net/outgoing.rs
@@ -154,7 +154,7 @@
         request: OutgoingRequest,
     ) {
         if let OutgoingRequest::Store(StoreRequest::Transaction { writes, .. }) = &request {
-            debug!("transaction started: call={} writes={writes:?}", id.0);
+            debug!("transaction started, call={} writes={writes:?}", id.0);
         }
         let started_at = context.clock.now();
         let deadline = started_at.after(request.timeout_s());
@@ -189,7 +189,7 @@
                 break;
             }
             self.deadlines.pop_first();
-            debug!("call timed out: call={}", id.0);
+            debug!("call timed out, call={}", id.0);
             let connection = self.calls.get(&id).and_then(|call| call.connection);
             self.finish_call(context, id, None);
             if let Some(connection) = connection {
--- a/src/net/peer_links.rs
+++ b/src/net/peer_links.rs
@@ -1,5 +1,5 @@
 //! Connections for messages between the controllers of this cell. A controller sends to each peer
-//! over one connection that it begins itself, and receives over the connections that peers begin.
+//! over one connection that it initiates, and receives over the connections that peers initiate.
 
 use crate::controller::events::{Input, LinkEvent};
 use crate::ids::{ControllerId, Time};
@@ -16,7 +16,7 @@
 /// Minimum delay between two connection attempts to the same peer.
 const RECONNECT_DELAY_S: f64 = 1.0;
 
-/// A connection to a peer that this process began.
+/// A connection to a peer that this process initiated.
 struct OutgoingLink {
     peer: ControllerId,
     is_established: bool,
@@ -75,7 +75,7 @@
         match result {
             Ok(()) => Outcome::KeepOpen,
             Err(error) => {
-                warn!("peer connection closed: connection={} reason={error}", id.0);
+                warn!("peer connection closed, connection={} reason={error}", id.0);
                 Outcome::Close
             }
         }
@@ -93,7 +93,7 @@
         match peer::frame(message) {
             Ok(frame) => self.queue(context, to, &frame),
             // The protocol between peers tolerates lost messages.
-            Err(size) => warn!("message to peers isn't sent: bytes={size} reason=too large"),
+            Err(size) => warn!("message to peers isn't sent, bytes={size} reason=too large"),
         }
     }
 
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Lets the next message to a peer begin a connection without waiting for the delay.
+    /// Lets the next message to a peer initiate a connection without waiting for the delay.
     pub(super) fn skip_reconnect_delay(&mut self, peer: &ControllerId) {
         self.retry_at.remove(peer);
     }
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Closes a connection. The controller is notified if this process began the connection.
+    /// Closes a connection. The controller is notified if this process initiated the connection.
     pub(super) fn close(&mut self, context: &mut Context, id: ConnectionId) {
         // The socket closes at the end of this function.
         let Some(_socket) = context.connections.remove(id) else {
@@ -170,8 +170,8 @@
         context.inputs.push_back(Input::Link(link.peer, event));
     }
 
-    /// Returns the connection to a peer, or begins one. `None` if the last attempt was too recent
-    /// or this one fails.
+    /// Returns the connection to a peer, or initiates one. `None` if the last attempt was too
+    /// recent or this one fails.
     fn get_or_connect(&mut self, context: &mut Context, index: usize) -> Option<ConnectionId> {
         let peer = &self.peers[index];
         let controller_id = &peer.controller_id;
