--- a/src/controller/api/cancellations.rs
+++ b/src/controller/api/cancellations.rs
@@ -1,5 +1,5 @@
-//! Cancellations: they are written to the job's record, and confirmed to the user once no task of
-//! the job is left.
+//! Writes cancellations to the records of jobs, and confirms each to its user once no task of the
+//! job is left.
 
 use crate::controller::Controller;
 use crate::controller::api::StatusQuery;
--- a/src/controller/api/status_queries.rs
+++ b/src/controller/api/status_queries.rs
@@ -1,8 +1,8 @@
 //! Status queries of jobs.
 //!
 //! The statuses `done` and `cancelled` are final once committed, so they are answered from memory.
-//! Any other status may have been changed by another controller, so that its answer needs a read of
-//! the store that is no older than the query.
+//! Any other status may have been changed by another controller, so its answer needs a read of the
+//! store that was sent after the query arrived.
 
 use crate::controller::api::{DelayedEnding, Intent, StatusQuery};
 use crate::controller::context::Context;
--- a/src/controller/leadership/election.rs
+++ b/src/controller/leadership/election.rs
@@ -124,7 +124,8 @@
     }
 
     /// Whether this controller leads, its lease can't have expired, and it has read its own record
-    /// within one lease duration. A successor that replaces the record early relies on both.
+    /// within one lease duration. A successor that replaces the record before the lease expires
+    /// relies on the last two.
     pub(crate) fn has_valid_lease(&self) -> bool {
         let ttl_s = self.settings.tuning.leader_lease_s;
         let is_renewed = self.now.since(self.election.renewal_sent_at) < ttl_s;
--- a/src/controller/quota/cells/mod.rs
+++ b/src/controller/quota/cells/mod.rs
@@ -77,8 +77,8 @@
 
     /// Sends new counts of the shards owned here if a shard's record has changed since its last
     /// count. When they were counted only every half second, the counts were out of date after each
-    /// change of quota shares. With changing demand that was all the time, so no quota was given,
-    /// and task starts waited for 10 s.
+    /// change of quota shares. While demand kept changing they were never current, so no quota was
+    /// given, and task starts waited for 10 s.
     fn refresh_counts(&mut self) {
         let is_current = |shard: &u32, owner: &ShardOwner| {
             let counts = self
--- a/src/controller/quota/cells/status_log.rs
+++ b/src/controller/quota/cells/status_log.rs
@@ -6,7 +6,7 @@
 
 /// Interval between two reports in the log, in seconds.
 const LOG_INTERVAL_S: f64 = 30.0;
-/// A cell whose last message is older than this is logged as unreachable, in seconds.
+/// A cell is logged as unreachable if its last message is older than this, in seconds.
 const UNREACHABLE_AFTER_S: f64 = 5.0;
 
 impl Context {
--- a/src/controller/quota/cells/views.rs
+++ b/src/controller/quota/cells/views.rs
@@ -96,10 +96,10 @@
         counts.collect()
     }
 
-    /// The limits that the shards of this cell get together. For each team that is the cell's share
-    /// without what is recalled, and without what other cells need and the shards here don't, so
-    /// that it can be given away. While counts are missing, it is no more than the shards' records
-    /// allow already.
+    /// The limits that the shards of this cell get together. A team's limit is the smaller of two
+    /// amounts: the cell's share less what is recalled, and the share less what other cells need
+    /// and the shards here don't, so that the rest can be given away. While counts are missing, the
+    /// second amount is what the shards' records allow already.
     pub(crate) fn cell_limits(&self, file: &CellsFile) -> TargetLimits {
         let Some(record) = &self.store.mirror.cell.record else {
             return TargetLimits::Set(LimitsByTeam::new());
@@ -117,7 +117,7 @@
         TargetLimits::Set(limits.collect())
     }
 
-    /// A team's share without what other cells need and the shards here don't.
+    /// A team's share less what other cells need and the shards here don't.
     fn share_for_shards(&self, team: &str, view: &TeamView) -> Amount {
         let needs = self.recent_messages().flat_map(|message| &message.needs);
         let team_needs = needs.filter(|need| need.team == team);
--- a/src/controller/rate_limits/mod.rs
+++ b/src/controller/rate_limits/mod.rs
@@ -2,7 +2,8 @@
 //!
 //! The limits apply to all controllers together. No component assigns the shares: each controller
 //! derives its own from its role. [`token_bucket`] enforces a share, and [`write_rate`] measures
-//! how much the other controllers write, so that the sole owner can use what they leave of theirs.
+//! how much the other controllers write, so that the owner of the only shard can use what they
+//! leave of their share.
 
 pub(crate) mod token_bucket;
 pub(crate) mod write_rate;
