--- a/src/controller/api/status_queries.rs
+++ b/src/controller/api/status_queries.rs
@@ -1,8 +1,8 @@
 //! Status queries of jobs.
 //!
 //! The statuses `done` and `cancelled` are final once committed, so they are answered from memory.
-//! Any other status may have been changed by another controller, so that its answer needs a read of
-//! the store that is no older than the query.
+//! Any other status may have been changed by another controller, so its answer needs a read of the
+//! store that was sent after the query arrived.
 
 use crate::controller::api::{DelayedEnding, Intent, StatusQuery};
 use crate::controller::context::Context;
@@ -25,7 +25,7 @@
 const STATUS_UNKNOWN: &str = "present state isn't known";
 
 impl Context {
-    /// Answers a query of a job that has ended, and queues any other for a linearizable read.
+    /// Answers a query about a job that has ended, and queues any other for a linearizable read.
     pub(crate) fn on_status_query(&mut self, request_id: RequestId, id: JobId, intent: Intent) {
         if let Some(ending) = self.store.mirror.ending(&id) {
             return self.answer_ending(request_id, &id, ending);
