--- a/cells/src/amount.rs
+++ b/cells/src/amount.rs
@@ -91,8 +91,8 @@
 
     /// Sets each component to zero that is smaller than the same component of `minimum`.
     pub fn zero_if_below(self, minimum: Amount) -> Amount {
-        let at_least = |amount: u64, minimum: u64| if amount < minimum { 0 } else { amount };
-        Self(at_least(self.0, minimum.0), at_least(self.1, minimum.1))
+        let zeroed = |amount: u64, minimum: u64| if amount < minimum { 0 } else { amount };
+        Self(zeroed(self.0, minimum.0), zeroed(self.1, minimum.1))
     }
 
     /// Multiplies each component by `part / whole`, rounding up. A component is zero where `whole`
--- a/cells/src/ledger.rs
+++ b/cells/src/ledger.rs
@@ -58,7 +58,8 @@
     pub home: Cell,
     /// The generation of the cells file that introduced the team.
     pub since: u64,
-    /// The team's limit in that file.
+    /// The team's configured limit. The home cell creates the team's limit with this value; later
+    /// changes are made by [`CellRecord::change_limit`].
     pub limit: Amount,
 }
 
--- a/cells/src/message.rs
+++ b/cells/src/message.rs
@@ -61,7 +61,8 @@
 }
 
 impl Recall {
-    /// The amount that a cell with this share returns, in proportion to its part of the limit.
+    /// The amount that a cell with this share returns. It is in proportion to the share's part of
+    /// the limit, and at most the share.
     pub fn part_of(&self, share: Amount) -> Amount {
         self.amount
             .scale_rounded_up(share, self.limit)
@@ -69,17 +70,17 @@
     }
 }
 
-/// Why the connection to another cell is closed.
+/// Why a message can't be sent or read. A connection is closed after a message that can't be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum LinkError {
     /// The message is longer than [`MESSAGE_BYTES_MAX`].
     #[error("a message is larger than {MESSAGE_BYTES_MAX} bytes")]
     TooLarge,
     /// The message has another version than [`VERSION`].
-    #[error("a message has the unsupported version {0}")]
+    #[error("a message has version {0} instead of {VERSION}")]
     Version(u8),
     /// The message can't be encoded or decoded.
-    #[error("a message can't be decoded")]
+    #[error("a message can't be encoded or decoded")]
     Malformed,
 }
 
--- a/cells/src/sharing.rs
+++ b/cells/src/sharing.rs
@@ -5,19 +5,20 @@
 //!
 //! - A cell that needs more quota of a team than its share reports this need. Cells with more quota
 //!   than they need give some of it before the demand arises.
-//! - If all cells need more, each keeps what it holds and at most an even part of the total.
+//! - If this cell and another one both need more, this cell keeps at most half of the quota that
+//!   the two have together, but always what is held.
 //! - Every cell keeps its floor of a team when it gives quota for a need.
-//! - When a team's limit is lowered, the team's home recalls a part of each cell's share. Against a
-//!   recall a cell keeps only what it holds.
+//! - When a team's limit is lowered, the team's home recalls a part of each cell's share. A cell
+//!   then keeps only what is held.
 
 use crate::ledger::TRANSFER_TEAMS_MAX;
 use crate::message::{LinkMessage, Need};
 use crate::{Amount, Cell, Team};
 use std::collections::BTreeMap;
 
-/// The needs of all cells, in descending order of the fraction that is lacking. The number of teams
-/// in a transfer is limited, and in order of names the last teams would wait for as long as the
-/// first ones need a little more.
+/// The needs of the other cells, in descending order of the fraction that is lacking. The number of
+/// teams in a transfer is limited. If needs were in order of names, the last teams would get
+/// nothing while the first ones still need a little more.
 fn needs_by_shortage<'a>(messages: &'a BTreeMap<Cell, &LinkMessage>) -> Vec<(&'a Cell, &'a Need)> {
     let needs = messages
         .iter()
@@ -31,10 +32,10 @@
     needs
 }
 
-/// A transfer for a need has to be at least an even share divided by this. Without a minimum, cells
-/// that all need more would send each other ever smaller amounts.
+/// The minimum amount of a transfer for a need is the result of `even_part` divided by this.
+/// Without a minimum, cells that all need more would send each other ever smaller amounts.
 const TRANSFER_MIN_DIVISOR: usize = 16;
-/// The headroom that a cell keeps against a cell that lacks quota is the wanted amount divided by
+/// The headroom that a cell keeps when another cell lacks quota is the wanted amount divided by
 /// this.
 const REQUIRED_HEADROOM_DIVISOR: usize = 8;
 /// The headroom that a cell requests for growing demand is the wanted amount divided by this. With
@@ -57,7 +58,7 @@
 }
 
 impl TeamView {
-    /// The amount that this cell keeps against a cell that lacks quota: the wanted amount and one
+    /// The amount that this cell keeps when another cell lacks quota: the wanted amount and one
     /// eighth of it, and at least the floor.
     fn required(&self) -> Amount {
         self.wanted
@@ -116,12 +117,12 @@
     recalls.fold(Amount::ZERO, |most, r| most.component_max(r.part_of(share)))
 }
 
-/// The amounts to give to each other cell now, from what isn't held. `cells` is the total number of
-/// cells.
+/// The amounts to give to each other cell now, from what isn't held. `cell_count` is the number of
+/// all cells, this one included.
 pub fn plan_transfers(
     teams: &BTreeMap<Team, TeamView>,
     messages: &BTreeMap<Cell, &LinkMessage>,
-    cells: usize,
+    cell_count: usize,
 ) -> BTreeMap<Cell, Vec<(Team, Amount)>> {
     let mut free_amounts: BTreeMap<&Team, Amount> = BTreeMap::new();
     for (team, view) in teams {
@@ -156,12 +157,12 @@
             let available = |target| {
                 free.component_min(
                     view.share
-                        .saturating_sub(kept_amount(view, target, need, cells)),
+                        .saturating_sub(kept_amount(view, target, need, cell_count)),
                 )
             };
             let lacking = available(view.required()).component_min(need.lacking);
             let more = available(view.target()).component_min(need.more);
-            let transfer_min = even_part(view, need, cells).divided_by(TRANSFER_MIN_DIVISOR);
+            let transfer_min = even_part(view, need, cell_count).divided_by(TRANSFER_MIN_DIVISOR);
             let amount = lacking.component_max(more).zero_if_below(transfer_min);
             give(cell, &need.team, amount, free);
         }
@@ -172,17 +173,17 @@
 
 /// An even part of the quota that this cell and another one have together: one half, or all of it
 /// if there is only one cell.
-fn even_part(view: &TeamView, need: &Need, cells: usize) -> Amount {
+fn even_part(view: &TeamView, need: &Need, cell_count: usize) -> Amount {
     view.share
         .saturating_add(need.share)
-        .divided_by(cells.clamp(1, 2))
+        .divided_by(cell_count.clamp(1, 2))
 }
 
-/// The amount that this cell keeps against another cell's need: the target or, while the other cell
-/// has less than an even part of the quota of both, at most that part. The floor and the amount
-/// that is held are kept in any case.
-fn kept_amount(view: &TeamView, target: Amount, need: &Need, cells: usize) -> Amount {
-    let even = even_part(view, need, cells);
+/// The amount that this cell keeps when another cell has this need: the target or, while the other
+/// cell has less than an even part of the quota of both, at most that part. The floor and the
+/// amount that is held are kept in any case.
+fn kept_amount(view: &TeamView, target: Amount, need: &Need, cell_count: usize) -> Amount {
+    let even = even_part(view, need, cell_count);
     let limited = |target: u64, even: u64, other_share: u64| match other_share < even {
         true => target.min(even),
         false => target,
--- a/fakes/src/checker/answers.rs
+++ b/fakes/src/checker/answers.rs
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Records an answer to a user about a job and checks it. Returns whether it is the first answer
-    /// to say that the job is accepted, or the first to say that it is over.
+    /// Records an answer to a user about a job and checks it. Returns whether it is the first
+    /// answer to say that the job is accepted, or the first to say that it is over.
     pub fn record_answer(&mut self, now: u64, id: &JobId, answer: JobAnswer) -> bool {
         let Some(job) = self.jobs.get_mut(id) else {
             if answer.is_accepted() {
@@ -145,8 +145,8 @@
 
     /// Reports open jobs about which no status query has been answered for too long.
     ///
-    /// `faults_end_at` is when the last fault ends, and `answered` has the time of the latest answer
-    /// about each job; both are in milliseconds.
+    /// `faults_end_at` is when the last fault ends, and `answered` has the time of the latest
+    /// answer about each job; all times are in milliseconds.
     pub fn check_answers(&mut self, now: u64, faults_end_at: u64, answered: &BTreeMap<JobId, u64>) {
         let unanswered = self.jobs.iter().filter(|(id, job)| {
             let last = answered.get(id).copied().unwrap_or(0);
--- a/fakes/src/checker/dependencies.rs
+++ b/fakes/src/checker/dependencies.rs
@@ -31,12 +31,12 @@
     /// When a user first asked to cancel a job or one of its direct or transitive dependencies.
     pub fn upstream_cancel_requested_at(&self, id: &JobId) -> Option<u64> {
         let upstream = self.upstream_jobs(id);
-        let asked = upstream.iter().map(|id| self.jobs[id].cancel_requested_at);
-        asked.flatten().min()
+        let requested = upstream.iter().map(|id| self.jobs[id].cancel_requested_at);
+        requested.flatten().min()
     }
 
-    /// When the first cancellation of one of a job's direct or transitive dependencies was confirmed
-    /// to a user, or when the job was accepted if that was later.
+    /// When the first cancellation of one of a job's direct or transitive dependencies was
+    /// confirmed to a user, or when the job was accepted if that was later.
     pub(super) fn upstream_cancel_confirmed_at(&self, id: &JobId) -> Option<u64> {
         let mut upstream = self.upstream_jobs(id);
         upstream.remove(id);
@@ -52,8 +52,8 @@
         record.dependencies.iter().find(|id| !done(id)).cloned()
     }
 
-    /// When users were told of cancellations that no user requested for that job itself: those that
-    /// cascade from a dependency.
+    /// The times at which users were told that a job is cancelled because the cancellation of a
+    /// dependency cascades to it: no user asked to cancel the job itself.
     pub fn cascading_cancellations(&self) -> impl Iterator<Item = u64> {
         let jobs = self
             .jobs
@@ -69,13 +69,13 @@
 
     fn release(&self, job: &JobView) -> Option<Release> {
         let dependencies = job.record.dependencies.iter();
-        let done = dependencies.map(|id| self.jobs.get(id)?.finished_at);
-        let done: Option<Vec<u64>> = done.collect();
-        let at = done?.into_iter().max()?;
-        let took_ms = job.first_started_at?.saturating_sub(at);
+        let finished = dependencies.map(|id| self.jobs.get(id)?.finished_at);
+        let finished: Option<Vec<u64>> = finished.collect();
+        let released_at = finished?.into_iter().max()?;
+        let start_delay_ms = job.first_started_at?.saturating_sub(released_at);
         Some(Release {
-            released_at: at,
-            start_delay_ms: took_ms,
+            released_at,
+            start_delay_ms,
         })
     }
 }
--- a/fakes/src/checker/job.rs
+++ b/fakes/src/checker/job.rs
@@ -6,7 +6,7 @@
 /// Where a task runs.
 #[derive(Clone, Debug)]
 pub struct Place {
-    /// The machine's name.
+    /// The machine's id.
     pub machine: String,
     /// The machine's type.
     pub class: String,
--- a/fakes/src/checker/tasks.rs
+++ b/fakes/src/checker/tasks.rs
@@ -114,13 +114,13 @@
         let wrong_type = types.is_some_and(|types| !types.contains(&place.class));
         let zone = record.zone.as_ref();
         let wrong_zone = zone.is_some_and(|zone| *zone != place.zone);
-        let most_in_zone = record.count.div_ceil(2) as usize;
+        let in_zone_max = record.count.div_ceil(2) as usize;
         let constraints = [
             ("type", wrong_type),
             ("zone", wrong_zone),
             ("spot", place.spot && !record.spot),
             ("samePlace", record.zone_affinity && in_zone != others.len()),
-            ("scatter", record.zone_spread && in_zone + 1 > most_in_zone),
+            ("scatter", record.zone_spread && in_zone + 1 > in_zone_max),
         ];
         let broken = constraints.into_iter().filter(|(_, broken)| *broken);
         broken.map(|(name, _)| name).collect()
--- a/fakes/src/cloud.rs
+++ b/fakes/src/cloud.rs
@@ -10,8 +10,9 @@
 const PAGE_MACHINES_MAX: usize = 500;
 /// Boot time of a machine whose type isn't in the catalog, in milliseconds.
 const UNKNOWN_BOOT_MS: u64 = 1000;
-/// Shortest boot time while boots are fast, and how much longer a boot may take, in milliseconds.
+/// Shortest boot time while boots are fast, in milliseconds.
 const FAST_BOOT_MS: u64 = 200;
+/// A fast boot takes less than this much longer than [`FAST_BOOT_MS`], in milliseconds.
 const FAST_BOOT_SPREAD_MS: u64 = 1800;
 
 /// A rented machine. Times are in milliseconds.
@@ -27,8 +28,8 @@
     pub rented_at: u64,
     /// When the machine comes up; `None` if it never does.
     pub up_at: Option<u64>,
-    /// When the list begins to show the machine as failed. A dead machine is listed as running until
-    /// then.
+    /// When the list begins to show the machine as failed. A dead machine is listed as running
+    /// until then.
     pub listed_failed_at: Option<u64>,
     /// When the machine was deleted or preempted.
     pub gone_at: Option<u64>,
@@ -75,12 +76,12 @@
     pub catalog: Vec<MachineType>,
     /// Every machine that was ever rented, by id.
     pub machines: BTreeMap<String, RentedMachine>,
-    /// The machines that answered each scale-out request, by the request's name.
+    /// The machines that each scale-out request rented, by the request's name.
     pub scale_out_answers: BTreeMap<String, Vec<MachineId>>,
     /// Number of machines that can still be rented, by type, zone, and whether they are spot
     /// machines.
     pub capacity: BTreeMap<(String, String, bool), u32>,
-    /// Whether the cloud answers every request as unavailable.
+    /// Whether the cloud answers every request with [`CloudResponse::Unavailable`].
     pub is_down: bool,
     /// How old the state is that the list of machines shows.
     pub list_lag_ms: u64,
@@ -129,8 +130,8 @@
         }
     }
 
-    /// Rents the requested machines, or fewer if the pool has fewer left. A request that is repeated
-    /// under the same name gets the same response again.
+    /// Rents the requested machines, or fewer if the pool has fewer left. A request that is
+    /// repeated under the same name gets the same response again.
     fn rent_machines(&mut self, now: u64, request: &ScaleOutRecord) -> CloudResponse {
         if let Some(machines) = self.scale_out_answers.get(&request.name) {
             return CloudResponse::ScaledOut(machines.clone());
--- a/fakes/src/store.rs
+++ b/fakes/src/store.rs
@@ -97,9 +97,13 @@
         self.entries.get(path).map_or(0, |entry| entry.revision)
     }
 
-    /// Commits a transaction if each key in `conditions` has the given revision, where 0 stands for a
-    /// key that doesn't exist. A transaction without writes changes no revision.
-    pub fn commit(&mut self, conditions: &[(String, u64)], writes: Vec<Write<V>>) -> CommitOutcome {
+    /// Commits a transaction if each key in `preconditions` has the given revision, where 0 stands
+    /// for a key that doesn't exist. A transaction without writes changes no revision.
+    pub fn commit(
+        &mut self,
+        preconditions: &[(String, u64)],
+        writes: Vec<Write<V>>,
+    ) -> CommitOutcome {
         let names_missing_lease = |write: &Write<V>| match write {
             Write::Put { lease, .. } => lease.is_some_and(|id| !self.leases.contains_key(&id)),
             Write::Delete { .. } => false,
@@ -107,7 +111,7 @@
         if writes.iter().any(names_missing_lease) {
             return CommitOutcome::NoSuchLease;
         }
-        let failed = conditions
+        let failed = preconditions
             .iter()
             .filter(|(path, revision)| self.revision_of(path) != *revision);
         let failed: Vec<String> = failed.map(|(path, _)| path.clone()).collect();
@@ -188,8 +192,8 @@
         Some(&self.history[start..])
     }
 
-    /// Frees the memory of changes that a watch can no longer read, once there are as many of them
-    /// as of the others.
+    /// Frees the memory of changes that a watch can no longer read, once there are at least as many
+    /// of them as of changes that it can read.
     pub fn compact(&mut self) {
         if self.history.len() < 2 * self.watchable_changes_max {
             return;
@@ -219,7 +223,8 @@
         true
     }
 
-    /// Revokes a lease and deletes the keys attached to it. Returns false if the lease doesn't exist.
+    /// Revokes a lease and deletes the keys attached to it. Returns false if the lease doesn't
+    /// exist.
     pub fn revoke_lease(&mut self, id: u64) -> bool {
         let existed = self.leases.remove(&id).is_some();
         if existed {
--- a/fakes/src/user.rs
+++ b/fakes/src/user.rs
@@ -10,8 +10,9 @@
 pub const POLL_TIMEOUT_MS: u64 = 2000;
 /// Timeout of a submission or a cancellation, in milliseconds.
 pub const REQUEST_TIMEOUT_MS: u64 = 5000;
-/// Shortest and longest delay before a request is repeated, in seconds.
+/// Shortest delay before a request is repeated, in seconds.
 const RETRY_MIN_S: u64 = 1;
+/// Longest delay before a request is repeated, in seconds.
 const RETRY_MAX_S: u64 = 30;
 
 #[derive(Deserialize)]
--- a/fakes/src/worker/messages.rs
+++ b/fakes/src/worker/messages.rs
@@ -37,15 +37,15 @@
     #[serde(rename = "take")]
     pub(super) attempt: Attempt,
     #[serde(rename = "stance")]
-    pub(super) state: TaskStatus,
+    pub(super) status: TaskStatus,
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(super) cause: Option<Cause>,
 }
 
-/// The body of the response by the shard's owner, or by a controller that keeps the lease alive in
-/// its place.
+/// The body of the response by the shard's owner, or by a controller that renews the worker's lease
+/// on the owner's behalf.
 #[derive(Deserialize)]
-pub(super) struct AnswerBody {
+pub(super) struct CommandsBody {
     #[serde(rename = "baton")]
     pub(super) token: Option<u64>,
     #[serde(rename = "cues", default)]
--- a/fakes/src/worker/mod.rs
+++ b/fakes/src/worker/mod.rs
@@ -6,7 +6,7 @@
 
 pub use task::{TaskEvent, TaskSpec, TaskSpecs, TaskState, WorkerTask};
 
-use messages::{AnswerBody, HeartbeatBody, HeartbeatTask, RedirectBody};
+use messages::{CommandsBody, HeartbeatBody, HeartbeatTask, RedirectBody};
 use salttrestle::ids::{Attempt, TaskId};
 use salttrestle::wire::{self, Cause};
 use std::collections::BTreeMap;
@@ -90,8 +90,8 @@
         }
     }
 
-    /// If the worker's lease of `lease_ms` has expired, kills all tasks, begins a new agent epoch and
-    /// returns the killed tasks.
+    /// If the worker's lease of `lease_ms` has expired, kills all tasks, begins a new agent epoch
+    /// and returns the killed tasks.
     pub fn check_lease(&mut self, now: u64, lease_ms: u64) -> Vec<TaskId> {
         if now <= self.lease_renewed_at + lease_ms {
             return Vec::new();
@@ -185,11 +185,11 @@
     /// The encoded body of the heartbeat.
     pub fn heartbeat_body(&self, machine: &str, endpoint: &str, now: u64) -> Vec<u8> {
         let tasks = self.tasks.iter().map(|(task, worker_task)| {
-            let (state, cause) = worker_task.status();
+            let (status, cause) = worker_task.status();
             HeartbeatTask {
                 task: task.to_string(),
                 attempt: worker_task.attempt,
-                state,
+                status,
                 cause,
             }
         });
@@ -214,7 +214,7 @@
         self.next_heartbeat_at = now + NEXT_CONTROLLER_DELAY_MS;
     }
 
-    /// Drops the heartbeat in flight after its connection failed, and goes on to the next controller.
+    /// Drops the heartbeat in flight after its connection failed, and selects the next controller.
     pub fn on_connection_failed(&mut self, now: u64, controller_count: usize) {
         self.request_in_flight = None;
         self.try_next_controller(now, controller_count);
@@ -258,8 +258,8 @@
         }
     }
 
-    /// Renews the lease and executes the commands of a response, unless its token is missing or lower
-    /// than one that the worker has received before.
+    /// Renews the lease and executes the commands of a response, unless the response's token is
+    /// missing or lower than one that the worker has received before.
     fn execute_commands(
         &mut self,
         now: u64,
@@ -267,11 +267,11 @@
         body: &[u8],
         specs: &impl TaskSpecs,
     ) -> Result<Vec<TaskEvent>, String> {
-        let Some(answer) = wire::decode::<AnswerBody>(body) else {
+        let Some(response) = wire::decode::<CommandsBody>(body) else {
             return Err("heartbeat response is malformed".into());
         };
         let mut events = Vec::new();
-        let token = answer.token.unwrap_or(0);
+        let token = response.token.unwrap_or(0);
         if token < self.token || token == 0 {
             return Ok(events);
         }
@@ -280,7 +280,7 @@
             self.status_changed = true;
         }
         self.lease_renewed_at = self.lease_renewed_at.max(sent_at);
-        for command in answer.commands {
+        for command in response.commands {
             let task = TaskId::parse(&command.task).ok_or("command has a malformed task id")?;
             let attempt = Attempt(command.attempt);
             match command.kind.as_str() {
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -15,7 +15,7 @@
 use thiserror::Error;
 
 /// Version of the message format. It is incremented with every change of the format, and frames of
-/// other versions are dropped.
+/// unknown versions are dropped.
 const MESSAGE_VERSION: u8 = 4;
 /// Version of the frames with messages of package `standby`. A release that doesn't know this
 /// version drops the frames.
--- a/src/settings/derived.rs
+++ b/src/settings/derived.rs
@@ -47,9 +47,9 @@
         self.tuning.standby()
     }
 
-    /// Returns the maximum number of bytes that wait to be written to one peer. When a shard gets a
-    /// new owner, a controller may forward heartbeats of all its connected workers at the same
-    /// time.
+    /// Returns the maximum number of bytes that wait to be written to one peer: at least two of the
+    /// largest messages. When a shard gets a new owner, a controller may forward heartbeats of all
+    /// its connected workers at the same time.
     pub fn unsent_bytes_max(&self) -> usize {
         let sockets = self.platform.facts.resources.max_sockets;
         (2 * MESSAGE_BYTES_MAX).max(sockets * FORWARDED_HEARTBEAT_BYTES)
--- a/src/settings/store_limits.rs
+++ b/src/settings/store_limits.rs
@@ -103,7 +103,7 @@
 
 /// Smallest accepted limit on the operations of a transaction. An election writes the records of
 /// the leader and of the highest fencing token, and leases a shard. A job's end is written together
-/// with the deletion of the job's record and of chunks.
+/// with the deletion of the job's record and of chunks of its placements.
 const TXN_OPS_MIN: usize = 4;
 
 fn kib_to_bytes(kib: f64) -> usize {
--- a/src/settings/tuning.rs
+++ b/src/settings/tuning.rs
@@ -43,7 +43,7 @@
     /// can serve.
     pub ceiling: f64,
     /// `scale.window`: time for which demand must stay lower before machines are scaled in, in boot
-    /// times.
+    /// times of the catalog.
     pub scale_in_delay_boots: f64,
     /// `scale.headroom`: room kept free for urgent starts, in standard deviations of demand.
     pub headroom_std_devs: f64,
@@ -56,7 +56,8 @@
     pub long_poll_fraction: f64,
     /// `health.silent`: silence after which a machine is deleted, in durations of a worker's lease.
     pub silence_leases: f64,
-    /// `health.boot`: time after which a booting machine is replaced, in usual boot times.
+    /// `health.boot`: time after which a booting machine is replaced, in average recent boot times
+    /// of its machine type.
     pub boot_timeout_ratio: f64,
 }
 
--- a/src/wire/user.rs
+++ b/src/wire/user.rs
@@ -9,8 +9,9 @@
 
 /// Maximum number of tasks of one job.
 const TASKS_MAX: u32 = 100_000;
-/// Maximum length of the name of a team, class, image, machine type or zone. Together with
-/// [`MACHINE_TYPES_MAX`], it keeps a job's record below the smallest value limit seen so far.
+/// Maximum length of the name of a team, class, image, machine type or zone, in bytes. Together
+/// with [`MACHINE_TYPES_MAX`], it keeps a job's record below the smallest limit on the size of a
+/// value that a store has had so far.
 const NAME_BYTES_MAX: usize = 128;
 /// Maximum number of machine types that a job may list.
 const MACHINE_TYPES_MAX: usize = 32;
--- a/src/wire/worker.rs
+++ b/src/wire/worker.rs
@@ -21,10 +21,11 @@
     /// Whether this is a spot machine, which the cloud may preempt.
     #[serde(rename = "borrowed")]
     pub spot: bool,
-    /// Identifies the worker process; earlier processes on the same machine had other values.
+    /// Epoch of the worker. It increases whenever the worker restarts without tasks, such as after
+    /// its lease expires.
     #[serde(rename = "shift")]
     pub agent_epoch: u64,
-    /// Sequence number; it increases with every heartbeat of one worker process.
+    /// Sequence number; it increases with every heartbeat of one epoch.
     #[serde(rename = "tally")]
     pub sequence: u64,
     /// Fencing token of the latest commands that the worker accepted; 0 if there were none.
--- a/standby/src/config.rs
+++ b/standby/src/config.rs
@@ -22,8 +22,8 @@
 /// Why the settings contradict each other.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ConfigError {
-    /// The leader's lease expires before missed heartbeats lead to a suspicion.
-    #[error("{silence_ms} ms without a heartbeat are no less than the grant's {lease_ms} ms")]
+    /// The leader's lease expires before, or just when, missed heartbeats lead to a suspicion.
+    #[error("{silence_ms} ms of missed heartbeats must be less than the lease of {lease_ms} ms")]
     SilenceOutlastsLease {
         /// Time without a heartbeat after which the leader is suspected, in milliseconds.
         silence_ms: Millis,
--- a/standby/src/hints.rs
+++ b/standby/src/hints.rs
@@ -19,7 +19,7 @@
 const IMAGES_MAX: usize = 1_024;
 /// Maximum number of images of one machine in a message.
 const IMAGES_PER_MACHINE_MAX: usize = 64;
-/// Maximum length of a name in bytes.
+/// Maximum length of a machine type, an image name or a machine id in bytes.
 const NAME_BYTES_MAX: usize = 256;
 /// Maximum age of estimates that are used, in milliseconds. Older estimates are less accurate than
 /// ones derived from the running tasks.
@@ -45,8 +45,8 @@
 pub struct Estimates {
     /// Average of the recent boot times of each machine type, in seconds.
     pub boots: Vec<(String, f64)>,
-    /// Estimate of demand bursts of services for each machine type and market, on demand or spot
-    /// (`true`).
+    /// Variability of services' demand for each machine type and market, on demand or spot
+    /// (`true`): the decayed sum of the squared sizes of arriving services, in machines squared.
     pub bursts: Vec<(String, bool, f64)>,
 }
 
@@ -62,7 +62,7 @@
 /// The images that one machine has cached.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MachineHint {
-    /// The machine's name.
+    /// The machine's id.
     pub id: String,
     /// Indexes into [`Hints::images`], least recently used image first.
     pub images: Vec<u16>,
@@ -74,8 +74,8 @@
     /// A list has too many entries.
     #[error("too many {0}")]
     TooMany(&'static str),
-    /// A name is too long.
-    #[error("a name is longer than {NAME_BYTES_MAX} bytes")]
+    /// A name or a machine id is too long.
+    #[error("a name or a machine id is longer than {NAME_BYTES_MAX} bytes")]
     LongName,
     /// A value is negative or not finite.
     #[error("a value of {0} is negative or not finite")]
@@ -143,7 +143,7 @@
 }
 
 /// Splits the machines of a fleet over consecutive messages. Machines are sent in order of their
-/// names, starting again with the first one after the last.
+/// ids, starting again with the first one after the last.
 #[derive(Clone, Debug, Default)]
 pub struct Rotation {
     last_sent: Option<String>,
@@ -156,7 +156,7 @@
     }
 
     /// Takes as many machines as one message holds, and returns the images of these machines and
-    /// the machines. `machines` yields each machine's name with the names and sizes in GB of its
+    /// the machines. `machines` yields each machine's id with the names and sizes in GB of its
     /// images, least recently used first, and starts after the machine that [`Rotation::after`]
     /// returns.
     pub fn next<'a>(
--- a/standby/src/lib.rs
+++ b/standby/src/lib.rs
@@ -32,7 +32,7 @@
 pub use config::Config;
 pub use standby::Standby;
 
-/// The ID of a controller.
+/// The id of a controller.
 pub type ControllerId = String;
 /// A time on the caller's monotonic clock, or a duration, in milliseconds.
 pub type Millis = u64;
--- a/standby/src/standby.rs
+++ b/standby/src/standby.rs
@@ -185,7 +185,8 @@
         self.detector.suspicion(&self.config, now)
     }
 
-    /// Whether this controller may replace the leader's record before the lease expires.
+    /// Whether this controller may replace the leader's record before the lease expires. `Err` has
+    /// the reason why it must not.
     pub fn may_replace(&self, now: Millis) -> Result<(), NotReplaceable> {
         let Some(term) = self.term.as_ref().filter(|_| self.suspicion(now).is_some()) else {
             return Err(NotReplaceable::NotSuspected);
