--- a/src/settings/tuning.rs
+++ b/src/settings/tuning.rs
@@ -102,7 +102,7 @@
         let ms = |seconds: f64| (seconds * 1000.0).round() as u64;
         Config {
             heartbeat_ms: ms(self.leader_heartbeat_s),
-            missed: self.missed_heartbeats as u32,
+            missed_heartbeats: self.missed_heartbeats as u32,
             takeovers_per_minute: self.takeovers_per_minute as u32,
             hints_ms: ms(self.hints_s),
             lease_ms: ms(self.leader_lease_s),
--- a/standby/src/config.rs
+++ b/standby/src/config.rs
@@ -9,7 +9,7 @@
     /// Interval between two heartbeats of the leader, in milliseconds; 0 disables the standby.
     pub heartbeat_ms: Millis,
     /// Number of consecutive missed heartbeats after which the leader is suspected.
-    pub missed: u32,
+    pub missed_heartbeats: u32,
     /// Maximum number of leadership changes in a minute. After that many a takeover waits until the
     /// leader's lease expires.
     pub takeovers_per_minute: u32,
@@ -43,7 +43,7 @@
 
     /// Time without a heartbeat after which the leader is suspected, in milliseconds.
     pub fn silence_ms(&self) -> Millis {
-        self.heartbeat_ms * Millis::from(self.missed)
+        self.heartbeat_ms * Millis::from(self.missed_heartbeats)
     }
 
     /// Returns an error if the settings contradict each other.
--- a/standby/src/detector.rs
+++ b/standby/src/detector.rs
@@ -11,7 +11,7 @@
 /// Why the leader is suspected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Suspicion {
-    /// More heartbeats are missing than a delay explains: [`Config::missed`] in a row.
+    /// More heartbeats are missing than a delay explains: [`Config::missed_heartbeats`] in a row.
     Silent,
     /// The connection to the leader is lost or refused, and its next heartbeat hasn't arrived.
     Disconnected,
--- a/standby/src/message.rs
+++ b/standby/src/message.rs
@@ -28,7 +28,8 @@
     /// Whether the sender leads under that token.
     pub is_leader: bool,
     /// Whether the sender suspects the leader of that token.
-    pub lost: bool,
+    #[serde(rename = "lost")]
+    pub suspects_leader: bool,
 }
 
 /// Why a standby message is refused.
--- a/standby/src/standby.rs
+++ b/standby/src/standby.rs
@@ -76,7 +76,7 @@
     /// The times of the leadership changes within the last minute.
     leadership_changes: VecDeque<Millis>,
     next_heartbeat_at: Millis,
-    last_sent_lost: bool,
+    last_heartbeat_suspects_leader: bool,
     hints: HintStore,
     /// Number of hint messages dropped because their sender isn't the current leader.
     pub stale_hints: u64,
@@ -101,7 +101,7 @@
             peers_with_standby: BTreeSet::new(),
             leadership_changes: VecDeque::new(),
             next_heartbeat_at: 0,
-            last_sent_lost: false,
+            last_heartbeat_suspects_leader: false,
             hints: HintStore::default(),
             stale_hints: 0,
         }
@@ -136,7 +136,7 @@
             if heartbeat.incarnation == term.incarnation {
                 self.detector.record_heartbeat(now);
             }
-        } else if heartbeat.lost {
+        } else if heartbeat.suspects_leader {
             let token = heartbeat.token;
             self.votes.insert(
                 heartbeat.from.clone(),
@@ -239,16 +239,16 @@
         {
             self.leadership_changes.pop_front();
         }
-        let lost = self.suspicion(now).is_some();
-        let has_changed = lost != self.last_sent_lost;
+        let suspects_leader = self.suspicion(now).is_some();
+        let has_changed = suspects_leader != self.last_heartbeat_suspects_leader;
         if !has_changed && now < self.next_heartbeat_at {
             return None;
         }
-        self.last_sent_lost = lost;
+        self.last_heartbeat_suspects_leader = suspects_leader;
         let is_leader =
             |t: &Term| t.leader == self.controller_id && t.incarnation == self.incarnation;
         let is_leader = self.term.as_ref().is_some_and(is_leader);
-        let interval_ms = match is_leader || lost {
+        let interval_ms = match is_leader || suspects_leader {
             true => self.config.heartbeat_ms,
             false => FOLLOWER_HEARTBEAT_MS.max(self.config.heartbeat_ms),
         };
@@ -258,7 +258,7 @@
             incarnation: self.incarnation,
             token: self.term.as_ref().map_or(0, |t| t.token),
             is_leader,
-            lost,
+            suspects_leader,
         })
     }
 }
--- a/standby/tests/world/mod.rs
+++ b/standby/tests/world/mod.rs
@@ -78,7 +78,7 @@
 fn config() -> Config {
     Config {
         heartbeat_ms: 400,
-        missed: 4,
+        missed_heartbeats: 4,
         takeovers_per_minute: 10,
         hints_ms: 1_000,
         lease_ms: LEADER_LEASE_MS,
--- a/tests/malformed.rs
+++ b/tests/malformed.rs
@@ -425,7 +425,7 @@
         incarnation: 7,
         token: 41,
         is_leader: true,
-        lost: false,
+        suspects_leader: false,
     });
     let mut bytes = framed(&heartbeat);
     assert_eq!(bytes, [0, 0, 0, 8, 5, 0, 2, b'n', b'1', 7, 41, 1, 0]);
--- a/tests/stored_forms.rs
+++ b/tests/stored_forms.rs
@@ -283,7 +283,7 @@
         incarnation: 7,
         token: 41,
         is_leader: true,
-        lost: false,
+        suspects_leader: false,
     });
     check_message(&standby(heartbeat), STANDBY_HEARTBEAT);
     let hints = StandbyMessage::Hints(Hints {
