--- a/fakes/src/checker/answers.rs
+++ b/fakes/src/checker/answers.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Once the faults are over, longest time in milliseconds without an answered status query about an
-/// open job.
+/// Longest time in milliseconds without an answered status query about an open job, once the faults
+/// are over.
 const UNANSWERED_MAX_MS: u64 = 75_000;
 
 /// Why an answer contradicts the state of the job that it is about.
--- a/fakes/src/checker/mod.rs
+++ b/fakes/src/checker/mod.rs
@@ -1,4 +1,4 @@
-//! Black-box checks of the service's invariants, from the responses to users and the tasks that
+//! Black-box checks of the service's invariants, based on the responses to users and the tasks that
 //! machines run.
 //!
 //! Each violation begins with a time in seconds and the name of its rule. `invented`, `forgotten`,
--- a/fakes/src/cloud_calls.rs
+++ b/fakes/src/cloud_calls.rs
@@ -1,5 +1,5 @@
-//! Checks that only the leader rents and deletes machines, from the leader records in the store and
-//! the calls that reach the cloud.
+//! Checks that only the leader rents and deletes machines, based on the leader records in the store
+//! and the calls that reach the cloud.
 
 use std::collections::BTreeMap;
 
--- a/fakes/src/commands.rs
+++ b/fakes/src/commands.rs
@@ -1,9 +1,9 @@
-//! Checks the commands that controllers send, from what the store, the workers and the cloud
+//! Checks the commands that controllers send, based on what the store, the workers and the cloud
 //! receive.
 //!
 //! A start must be committed for its machine before it reaches the worker, must be issued under the
 //! worker's newest fencing token, and mustn't have a lower attempt than an earlier start of the
-//! task. Calls to the cloud must come from one leader after the other ([`CloudCallChecker`]).
+//! task. Once a leader has called the cloud, no earlier leader may ([`CloudCallChecker`]).
 
 use crate::cloud_calls::CloudCallChecker;
 use salttrestle::controller::store::records::PlacementRecord;
--- a/src/settings/derived.rs
+++ b/src/settings/derived.rs
@@ -93,7 +93,7 @@
     ///
     /// This is `health.silent` times the lease. If the controller that the machine reported to is
     /// reachable, it is at most the time of a late heartbeat, a try that gets no response and the
-    /// next try.
+    /// next try, with a safety margin.
     pub fn silence_max_s(&self, is_controller_unreachable: bool) -> f64 {
         let workers = &self.platform.facts.workers;
         let lease_part_s = workers.lease_s * self.tuning.silence_leases;
--- a/standby/src/standby.rs
+++ b/standby/src/standby.rs
@@ -123,7 +123,8 @@
         self.term = term;
     }
 
-    /// Handles a heartbeat of a peer.
+    /// Handles a heartbeat of a peer. If the peer doesn't lead and no longer suspects the leader,
+    /// its vote is withdrawn.
     pub fn on_heartbeat(&mut self, now: Millis, heartbeat: &Heartbeat) {
         if !self.peers.contains(&heartbeat.from) {
             return;
