--- a/src/settings/derived.rs
+++ b/src/settings/derived.rs
@@ -47,9 +47,9 @@
         self.tuning.standby()
     }
 
-    /// Returns the maximum number of bytes that wait to be written to one peer. When a shard gets a
-    /// new owner, a controller may forward heartbeats of all its connected workers at the same
-    /// time.
+    /// Returns the maximum number of bytes that wait to be written to one peer: at least two of the
+    /// largest messages. When a shard gets a new owner, a controller may forward heartbeats of all
+    /// its connected workers at the same time.
     pub fn unsent_bytes_max(&self) -> usize {
         let sockets = self.platform.facts.resources.max_sockets;
         (2 * MESSAGE_BYTES_MAX).max(sockets * FORWARDED_HEARTBEAT_BYTES)
@@ -93,7 +93,7 @@
     ///
     /// This is `health.silent` times the lease. If the controller that the machine reported to is
     /// reachable, it is at most the time of a late heartbeat, a try that gets no response and the
-    /// next try.
+    /// next try, with a safety margin.
     pub fn silence_max_s(&self, is_controller_unreachable: bool) -> f64 {
         let workers = &self.platform.facts.workers;
         let lease_part_s = workers.lease_s * self.tuning.silence_leases;
