--- a/scale/src/hollow/plan.rs
+++ b/scale/src/hollow/plan.rs
@@ -1,4 +1,4 @@
-//! Parameters of a hollow cell.
+//! The plan of a hollow cell, derived from the settings of the experiment.
 
 use crate::experiment::{Cell, Experiment, Load, Phases, ServiceSettings};
 use crate::layout::{CellAddresses, controller_id};
@@ -31,8 +31,8 @@
     pub load: Load,
     /// Phases of the run.
     pub phases: Phases,
-    /// Whether the experiment has no other cell. Only then takeovers are observed and the fencing
-    /// tokens of commands are checked.
+    /// Whether the experiment has no other cell. Only then are takeovers observed, and start commands
+    /// and cloud calls checked.
     pub is_only_cell: bool,
     /// Seed of the cell's random numbers.
     pub seed: u64,
--- a/scale/src/observers/takeovers.rs
+++ b/scale/src/observers/takeovers.rs
@@ -1,5 +1,5 @@
-//! Measures takeovers: the latency from the end of a leader to each step of its replacement, as
-//! seen by the store and the workers.
+//! Measures takeovers: the latency from a leader fault (kill, pause or termination) to each step of
+//! the replacement of the leader, as seen by the store and the workers.
 
 use crate::experiment::LeaderFault;
 use crate::results::{LatencyRow, Row, TakeoverRow};
@@ -21,20 +21,20 @@
     pub is_urgent: bool,
 }
 
-/// Measures takeovers, and checks the fencing tokens of all commands.
+/// Measures takeovers, and checks all start commands and cloud calls.
 #[derive(Default)]
 pub struct TakeoverObserver {
-    /// One row for each end of a leader so far.
+    /// One row for each leader fault so far.
     pub rows: Vec<TakeoverRow>,
-    /// Checker of all commands to workers and the cloud.
+    /// Checker of start commands to workers and of calls to the cloud.
     pub command_checker: CommandChecker,
     /// Latest fencing token in the first shard's record.
     shard_token: u64,
 }
 
 impl TakeoverObserver {
-    /// Records that the leader was just ended.
-    pub fn record_leader_end(&mut self, now: u64, kind: LeaderFault) {
+    /// Records that a fault is injected into the leader now.
+    pub fn record_leader_fault(&mut self, now: u64, kind: LeaderFault) {
         self.rows.push(TakeoverRow {
             kind,
             at_ms: now,
@@ -46,8 +46,8 @@
         });
     }
 
-    /// Records the latency of an event with a fencing token, unless it is recorded already. Events
-    /// with a token that isn't higher than the one at the latest end of a leader don't count.
+    /// Records the latency of an event since the latest leader fault, unless it is recorded already.
+    /// The event doesn't count unless its fencing token is higher than the one at the fault.
     fn record_first(
         &mut self,
         now: u64,
@@ -111,7 +111,7 @@
     }
 
     /// Returns the rows of the results: one for each takeover, and the latencies of each step by
-    /// the kind of the leader's end.
+    /// the kind of the leader fault.
     pub fn result_rows(&self) -> Vec<Row> {
         let mut kinds: Vec<LeaderFault> = self.rows.iter().map(|row| row.kind).collect();
         kinds.sort();
@@ -130,7 +130,7 @@
     }
 
     /// Returns the number of takeovers whose first task start came later than `within_s` seconds
-    /// after the leader's end, or never.
+    /// after the leader fault, or never.
     pub fn count_late(&self, within_s: f64) -> usize {
         let in_time = |row: &&TakeoverRow| {
             let started = row.started_ms;
--- a/scale/src/run/faults.rs
+++ b/scale/src/run/faults.rs
@@ -252,7 +252,7 @@
         );
         shared
             .takeover_observer()
-            .record_leader_end(shared.now_ms(), kind);
+            .record_leader_fault(shared.now_ms(), kind);
         match kind {
             LeaderFault::Kill => {
                 controller.kill();
--- a/scale/src/run/report.rs
+++ b/scale/src/run/report.rs
@@ -14,8 +14,8 @@
 use salttrestle_fakes::checker::{Checker, JobView};
 use tracing::info;
 
-/// Maximum number of violations that the results list for each source: the rules of the checker,
-/// and the checks of fencing tokens. Repeated task starts in the log have the same bound.
+/// Maximum number of violations that the results list for each source: the checker, and the command
+/// checker. Repeated task starts in the log have the same bound.
 const LISTED_VIOLATIONS_MAX: usize = 20;
 
 /// The axis that a sweep varies, and its value in one run.
@@ -229,7 +229,7 @@
 }
 
 /// Collects descriptions of all rule violations: violations of the checker's rules, crashed
-/// controllers, and commands or cloud calls with stale fencing tokens.
+/// controllers, and start commands or cloud calls that the command checker has found wrong.
 fn collect_violations(run: &RunOutcome, checker: &Checker) -> Vec<String> {
     let checked = checker
         .violations
@@ -239,17 +239,20 @@
     let crashed = run.installation.crashed.iter();
     let crashed = crashed.map(|id| format!("controller {id} exited unexpectedly"));
     let takeovers = run.shared.takeover_observer();
-    let orders = &takeovers.command_checker;
-    info!("tasks started repeatedly count={}", orders.restarts.len());
-    for repeat in orders.restarts.iter().take(LISTED_VIOLATIONS_MAX) {
-        info!("task started repeatedly task=\"{repeat}\"");
+    let command_checker = &takeovers.command_checker;
+    info!(
+        "tasks started repeatedly, count={}",
+        command_checker.restarts.len()
+    );
+    for restart in command_checker.restarts.iter().take(LISTED_VIOLATIONS_MAX) {
+        info!("task started repeatedly, restart=\"{restart}\"");
     }
-    let stale = orders
+    let command_violations = command_checker
         .violations
         .iter()
-        .chain(&orders.cloud_calls.violations);
+        .chain(&command_checker.cloud_calls.violations);
     checked
         .chain(crashed)
-        .chain(stale.take(LISTED_VIOLATIONS_MAX).cloned())
+        .chain(command_violations.take(LISTED_VIOLATIONS_MAX).cloned())
         .collect()
 }
--- a/tests/scenario_runs/expectations.rs
+++ b/tests/scenario_runs/expectations.rs
@@ -137,7 +137,7 @@
         Some(match self.kind() {
             "killed-at-most" => world.lease_expiry_kills,
             "deleted-tasks-at-most" => world.tasks_on_deleted_machines,
-            "replaced-at-most" => world.store.orders.cloud_calls.replaced_records,
+            "replaced-at-most" => world.store.command_checker.cloud_calls.replaced_records,
             "failures-at-most" => world.observed.task_failures,
             "sick-machines-at-most" => world.workers.values().filter(|w| w.is_faulty).count(),
             "rejected-at-most" => world.store.rejected_transactions,
--- a/tests/sim/observed.rs
+++ b/tests/sim/observed.rs
@@ -91,7 +91,7 @@
             "in-force" => self.count_limits_in_force_within(arguments.span_ms("in", 5.0)),
             "takeovers" => Window::parse(arguments).count(observed.takeovers.iter().copied()),
             // Leaders whose record still existed when the next leader replaced it.
-            "replaced" => self.store.orders.cloud_calls.replaced_records,
+            "replaced" => self.store.command_checker.cloud_calls.replaced_records,
             _ => return None,
         })
     }
--- a/tests/sim/services.rs
+++ b/tests/sim/services.rs
@@ -177,7 +177,7 @@
             _ => None,
         });
         let leader = leader.map(|leader| (leader.token.0, leader.controller_id.as_str()));
-        self.store.orders.cloud_calls.record_leader(leader);
+        self.store.command_checker.cloud_calls.record_leader(leader);
     }
 
     /// Tells the checker of cloud calls which controller rents or deletes machines. With several
@@ -187,8 +187,8 @@
         if !has_several_shards
             && matches!(request, CloudRequest::ScaleOut(_) | CloudRequest::Delete(_))
         {
-            let duties = &mut self.store.orders.cloud_calls;
-            duties.record_cloud_change(self.now, &self.controller_ids[controller]);
+            let cloud_calls = &mut self.store.command_checker.cloud_calls;
+            cloud_calls.record_cloud_change(self.now, &self.controller_ids[controller]);
         }
     }
 
--- a/tests/sim/store.rs
+++ b/tests/sim/store.rs
@@ -41,8 +41,9 @@
     /// Violations: requests beyond a size limit, without a required precondition, or with a record
     /// under the wrong kind of key.
     pub violations: Vec<String>,
-    /// Checks that workers start only what was committed before.
-    pub orders: CommandChecker,
+    /// Checks start commands against the committed placements and fencing tokens, and which
+    /// controller calls the cloud.
+    pub command_checker: CommandChecker,
 }
 
 impl StoreService {
@@ -58,7 +59,7 @@
             rejected_transactions: 0,
             rate_limited_transactions: 0,
             violations: Vec::new(),
-            orders: CommandChecker::default(),
+            command_checker: CommandChecker::default(),
         }
     }
 
@@ -218,19 +219,19 @@
         false
     }
 
-    /// Tells the checker of orders which shard tokens and placements were committed.
+    /// Tells the command checker which shard tokens and placements were committed.
     fn record_committed(&mut self, writes: &[Write]) {
         for write in writes {
             match write {
                 Write::Put {
                     record: Record::Shard(shard),
                     ..
-                } => self.orders.record_owner_token(shard.token.0),
+                } => self.command_checker.record_owner_token(shard.token.0),
                 Write::Put {
                     key: Key::Placements(job, _),
                     record: Record::Placements(run),
                     ..
-                } => self.orders.record_placements(job, run),
+                } => self.command_checker.record_placements(job, run),
                 _ => {}
             }
         }
--- a/tests/sim/workers.rs
+++ b/tests/sim/workers.rs
@@ -73,15 +73,15 @@
         }
     }
 
-    /// Reports the events of a worker's tasks to the checker and to the checker of orders.
+    /// Reports the events of a worker's tasks to the checker and to the command checker.
     fn record_task_events(&mut self, machine: &str, events: Vec<TaskEvent>) {
         let now = self.now;
         for event in events {
             match event {
                 TaskEvent::Accepted(task, attempt) => {
                     let token = self.workers[machine].token;
-                    let orders = &mut self.store.orders;
-                    orders.record_start(now, machine, token, &task, attempt);
+                    let command_checker = &mut self.store.command_checker;
+                    command_checker.record_start(now, machine, token, &task, attempt);
                 }
                 TaskEvent::Started(task) => {
                     let place = self.place_on(machine);
--- a/tests/sim/world.rs
+++ b/tests/sim/world.rs
@@ -128,10 +128,11 @@
         }
         let now = self.now;
         self.checker.check_end(now);
-        let orders = &mut self.store.orders;
+        let command_checker = &mut self.store.command_checker;
         let violations = std::mem::take(&mut self.store.violations).into_iter();
-        let violations = violations.chain(std::mem::take(&mut orders.cloud_calls.violations));
-        let violations = violations.chain(std::mem::take(&mut orders.violations));
+        let violations =
+            violations.chain(std::mem::take(&mut command_checker.cloud_calls.violations));
+        let violations = violations.chain(std::mem::take(&mut command_checker.violations));
         self.checker.violations.extend(violations);
     }
 }
