--- a/tests/scenario_runs/checker_rules.rs
+++ b/tests/scenario_runs/checker_rules.rs
@@ -6,7 +6,7 @@
 use salttrestle::ids::{JobId, TaskId};
 use salttrestle_fakes::checker::{Checker, JobAnswer, Place};
 
-/// Breaks a rule.
+/// A function that makes the checker see a broken rule.
 type Violation = fn(&mut Checker);
 
 /// The rules, as text that the reported violation must contain, each with a function that breaks
@@ -115,17 +115,17 @@
         checker.check_answers(86_000, 5_000, &answered);
     }),
     ("left_waiting", |checker| {
-        let roomy = [JobId::from("j-1")].into();
-        checker.check_waiting(1_000, &roomy);
+        let jobs_with_room = [JobId::from("j-1")].into();
+        checker.check_waiting(1_000, &jobs_with_room);
         // A check without room resets the waiting time.
         checker.check_waiting(50_000, &Default::default());
-        checker.check_waiting(60_000, &roomy);
-        checker.check_waiting(149_000, &roomy);
+        checker.check_waiting(60_000, &jobs_with_room);
+        checker.check_waiting(149_000, &jobs_with_room);
         assert!(
             checker.violations.is_empty(),
             "the time limit ends a second later"
         );
-        checker.check_waiting(151_000, &roomy);
+        checker.check_waiting(151_000, &jobs_with_room);
     }),
     ("starved: class c, largest of class c", |checker| {
         checker.record_start(1, &task(0), place("m1", "a"));
@@ -139,11 +139,11 @@
         Trial::test(format!("checker sees {rule}"), move || {
             let mut checker = checker();
             violate(&mut checker);
-            let broken = checker.violations;
-            match broken.iter().any(|broken| broken.contains(rule)) {
+            let violations = checker.violations;
+            match violations.iter().any(|violation| violation.contains(rule)) {
                 true => Ok(()),
                 false => Err(Failed::from(format!(
-                    "the checker missed the violation: reported={broken:?}"
+                    "the checker missed the violation: reported={violations:?}"
                 ))),
             }
         })
--- a/tests/scenario_runs/expectations.rs
+++ b/tests/scenario_runs/expectations.rs
@@ -70,8 +70,9 @@
         job.ok_or(ExpectationError::NeverSubmitted(id))
     }
 
-    /// The time in milliseconds of the fourth word, as in `done j-1 by 60`; unlimited without it.
-    fn span_ms(&self) -> u64 {
+    /// The time limit in the fourth word, as in `done j-1 by 60`, in milliseconds; unlimited if the
+    /// word is missing.
+    fn time_limit_ms(&self) -> u64 {
         let seconds = self.line.optional_word(3);
         seconds.map_or(u64::MAX, |seconds| {
             milliseconds(seconds.parse().expect("seconds"))
@@ -85,7 +86,7 @@
             "done" => self
                 .job()?
                 .done_notified_at
-                .is_some_and(|at| at <= self.span_ms()),
+                .is_some_and(|at| at <= self.time_limit_ms()),
             "withdrawn" => self.job()?.notified.cancelled_at.is_some(),
             "started" => self.has_started_in_time(self.job()?),
             "waiting" => self.job()?.first_started_at.is_none(),
@@ -93,6 +94,7 @@
             "status" => self.has_status(),
             "no-status" => !self.has_status(),
             "refused" => world.refused_within(&self.line.job(1), self.line.parsed(2)),
+            // The token of a first owner is no takeover, so n takeovers need more than n tokens.
             "takeovers" if self.line.words().len() == 2 => {
                 world.owner_tokens.len() > self.line.parsed::<usize>(1)
             }
@@ -104,7 +106,7 @@
 
     fn has_started_in_time(&self, job: &JobView) -> bool {
         let started = job.first_started_at;
-        started.is_some_and(|at| at - job.submitted_at <= self.span_ms())
+        started.is_some_and(|at| at - job.submitted_at <= self.time_limit_ms())
     }
 
     /// Whether all replicas of a service are on machines at the end of the run. With `but=8`, up to
--- a/tests/scenario_runs/random_faults.rs
+++ b/tests/scenario_runs/random_faults.rs
@@ -101,9 +101,9 @@
     format!("at {from} outage state\nat {to} restore state\n")
 }
 
-/// The same scenario during an upgrade to lower store limits. Controllers learn of the next limits
-/// only when they restart, and the limits take effect after that. Jobs accepted before have records
-/// that exceed the lower limits.
+/// The scenario of [`random_scenario`] during an upgrade to lower store limits. Controllers learn
+/// of the next limits only when they restart, and the limits take effect after that. Jobs accepted
+/// before have records that exceed the lower limits.
 fn upgrade_scenario(seed: u64) -> String {
     let scenario = random_scenario(seed)
         .replace("g8 a ", "g8 port-of-spain ")
--- a/tests/scenario_runs/work_per_change.rs
+++ b/tests/scenario_runs/work_per_change.rs
@@ -62,9 +62,8 @@
     Ok(after.machines_scanned - before.machines_scanned)
 }
 
-/// Guards against a placement that scans every machine of the fleet, as it once did. With a fleet
-/// of four times the size, the machines scanned for the same burst must stay below twice the
-/// number.
+/// Guards against a placement that scans every machine of the fleet, as an earlier version did. On
+/// a fleet of four times the size, the same burst must scan fewer than twice as many machines.
 pub(crate) fn machines_scanned_hardly_grow_with_fleet() -> Result<(), Failed> {
     let (small, large) = (machines_scanned(50)?, machines_scanned(200)?);
     if small == 0 || large >= 2 * small {
--- a/tests/sim/controllers.rs
+++ b/tests/sim/controllers.rs
@@ -1,4 +1,4 @@
-//! The controller processes of a run: start, input, wake-up, and end.
+//! The controller processes of a run: their starts, inputs, wake-ups and ends.
 
 use super::event::{Event, Process};
 use super::links::PeerConnection;
@@ -53,7 +53,7 @@
             controller.and_then(Controller::highest_shard_token)
         };
         let leaders = (0..self.hosts.len()).filter(|controller| token(*controller).is_some());
-        // `max_by_key` returns the last of several equal maxima.
+        // Of controllers with the same token, `max_by_key` returns the one with the highest index.
         leaders.max_by_key(|controller| token(*controller))
     }
 
@@ -64,6 +64,7 @@
         host.incarnation += 1;
         host.next_wake_at = None;
         host.paused_until = 0;
+        // Differs between controllers, as long as a run has at most ten.
         let incarnation = host.incarnation * 10 + controller as u64;
         host.controller = Some(Controller::new(settings, incarnation));
         self.handle_input(controller, Input::Tick);
--- a/tests/sim/event.rs
+++ b/tests/sim/event.rs
@@ -7,7 +7,7 @@
 use salttrestle::ids::{CallId, JobId};
 use salttrestle::wire::{CloudRequest, StoreRequest};
 
-/// One process of a controller. Inputs that were sent to an earlier process don't reach the next.
+/// One process of a controller. Inputs that were sent to a process don't reach later ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Process {
     /// The index of the controller.
@@ -42,7 +42,7 @@
     /// A machine has booted.
     MachineUp(String),
     /// A worker runs its tasks and sends a heartbeat if one is due.
-    WorkerTick(String),
+    WorkerStep(String),
     /// The answer to a heartbeat reaches its worker. `reply` is `None` if the connection failed.
     HeartbeatAnswer {
         machine: String,
@@ -76,8 +76,8 @@
 }
 
 impl World {
-    /// When the event's controller resumes, if the controller is paused. Only inputs and wake-ups
-    /// are deferred.
+    /// The time to which a controller's pause defers an event; `None` if the event isn't deferred.
+    /// Only inputs and wake-ups are.
     fn deferred_until(&self, event: &Event) -> Option<u64> {
         let (Event::Input { process, .. } | Event::Wake(process)) = event else {
             return None;
@@ -107,7 +107,7 @@
             } => self.execute_cloud_request(process, call, &request),
             Event::WatchTimeout { process, call } => self.time_out_watch(process, call),
             Event::MachineUp(machine) => self.start_worker(&machine),
-            Event::WorkerTick(machine) => self.worker_tick(&machine),
+            Event::WorkerStep(machine) => self.step_worker(&machine),
             Event::HeartbeatAnswer {
                 machine,
                 request,
--- a/tests/sim/faults.rs
+++ b/tests/sim/faults.rs
@@ -42,7 +42,7 @@
     pub lost_answers: ActiveFault,
     /// Answers of the store are delayed.
     pub slow_store: ActiveFault,
-    /// Heartbeats are delivered a second time, 2 s to more than a lease's length later.
+    /// Heartbeats are delivered a second time, later by 2 s plus up to 1.5 times a lease's length.
     pub late_heartbeats: ActiveFault,
     /// Heartbeats are recorded and delivered again to every controller at the next takeover.
     pub replayed_heartbeats: ActiveFault,
--- a/tests/sim/limits.rs
+++ b/tests/sim/limits.rs
@@ -5,14 +5,14 @@
 use salttrestle::controller::store::records::{Key, LimitsByTeam, LimitsRecord, Record};
 use salttrestle_fakes::store::{CommitOutcome, Write};
 
-/// The time within which a lowered limit must prevent starts beyond it.
+/// The time after a change from which the checker enforces a lowered limit.
 const LIMIT_IN_FORCE_S: f64 = 5.0;
 /// Tolerance for rounding errors when the quota shares of several shards are added.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 /// A limit change that is not in force yet.
 struct PendingChange {
-    made_at: u64,
+    requested_at: u64,
     team: String,
 }
 
@@ -64,14 +64,14 @@
             return;
         };
         self.limit_changes.pending.push(PendingChange {
-            made_at: self.now,
+            requested_at: self.now,
             team: team.into(),
         });
         let settings_limits = &mut self.limit_changes.settings_limits;
         settings_limits.entry(team.into()).or_insert(before);
         // Until the change is in force, the old limit may still be used.
-        let most = (before.0.max(limit.0), before.1.max(limit.1));
-        self.checker.limits.insert(team.into(), most);
+        let higher = (before.0.max(limit.0), before.1.max(limit.1));
+        self.checker.limits.insert(team.into(), higher);
         let words = vec![
             team.into(),
             format!("cpus={}", limit.0),
@@ -131,7 +131,7 @@
             .partition(|change| in_force(&change.team));
         changes.pending = pending;
         let now = self.now;
-        let took = done.iter().map(|change| now - change.made_at);
-        changes.durations_ms.extend(took);
+        let durations_ms = done.iter().map(|change| now - change.requested_at);
+        changes.durations_ms.extend(durations_ms);
     }
 }
--- a/tests/sim/links.rs
+++ b/tests/sim/links.rs
@@ -21,7 +21,7 @@
             "cloud" => Self::Cloud,
             "workers" => Self::Workers,
             "peers" => Self::Peers,
-            other => panic!("unknown link {other}"),
+            other => panic!("expected state, cloud, workers or peers as a link end, got {other}"),
         }
     }
 }
@@ -130,8 +130,8 @@
         self.schedule_after(1, Event::Input { process, input });
     }
 
-    /// The current process of a controller host. While none runs, the identity of the time between
-    /// two processes, which has an incarnation of its own.
+    /// The current process of a controller host. While the host is down, the incarnation belongs to
+    /// no process, so that an input that is sent meanwhile reaches none.
     pub(super) fn current_process(&self, controller: usize) -> Process {
         Process {
             controller,
--- a/tests/sim/malformed_requests.rs
+++ b/tests/sim/malformed_requests.rs
@@ -9,7 +9,7 @@
 use salttrestle::ids::JobId;
 
 /// The interval between two malformed requests.
-const INTERVAL_MS: u64 = 300;
+const REQUEST_INTERVAL_MS: u64 = 300;
 /// More memory than any machine type has.
 const UNFIT_MEMORY_GB: f64 = 1e6;
 
@@ -21,7 +21,7 @@
         if self.now >= self.faults.malformed_until {
             return;
         }
-        self.schedule_after(INTERVAL_MS, Event::MalformedRequest);
+        self.schedule_after(REQUEST_INTERVAL_MS, Event::MalformedRequest);
         self.observed.malformed_requests += 1;
         let (jobs, intent) = match self.random_below(5) {
             0 => (self.known_jobs(false), Intent::Resubmit),
@@ -35,30 +35,30 @@
         }
     }
 
-    /// Accepted jobs that are not cancelled and whose completion state equals `done`.
-    fn known_jobs(&self, done: bool) -> Vec<JobId> {
+    /// Accepted jobs that are not cancelled and that are done if `is_done`, else not done.
+    fn known_jobs(&self, is_done: bool) -> Vec<JobId> {
         let jobs = self.checker.jobs.iter();
         let jobs = jobs.filter(|(_, job)| {
             job.notified.is_accepted
                 && job.notified.cancelled_at.is_none()
-                && job.notified.is_done == done
+                && job.notified.is_done == is_done
         });
         jobs.map(|(id, _)| id.clone()).collect()
     }
 
     /// Submits a malformed copy of an existing job under a new id: one that fits no machine if
-    /// `unfit`, else one that lacks a field.
-    fn submit_malformed_job(&mut self, unfit: bool) {
+    /// `is_unfit`, else one that lacks a field.
+    fn submit_malformed_job(&mut self, is_unfit: bool) {
         self.faults.malformed_jobs += 1;
         let id = JobId::from(format!("odd-{}", self.faults.malformed_jobs).as_str());
-        let model = self.specs.iter().min_by(|a, b| a.0.cmp(b.0));
-        let Some((model_id, model)) = model else {
+        let original = self.specs.iter().min_by(|a, b| a.0.cmp(b.0));
+        let Some((original_id, original)) = original else {
             return;
         };
-        log::debug!("submitting a malformed job: job={id} copied_from={model_id}");
+        log::debug!("malformed job submitted, job={id} copied_from={original_id}");
         let spec = JobSpec {
-            body: malformed_submission(&model.body, &id, unfit),
-            ..model.clone()
+            body: malformed_submission(&original.body, &id, is_unfit),
+            ..original.clone()
         };
         self.add_spec(&id, spec);
         self.checker.expect_refusal(&id);
@@ -66,11 +66,11 @@
     }
 }
 
-/// A copy of a submission with a new id that fits no machine if `unfit`, else lacks `rank`.
-fn malformed_submission(body: &[u8], id: &JobId, unfit: bool) -> Vec<u8> {
+/// A copy of a submission with a new id that fits no machine if `is_unfit`, else lacks `rank`.
+fn malformed_submission(body: &[u8], id: &JobId, is_unfit: bool) -> Vec<u8> {
     edit_submission(body, |fields| {
         fields.insert("id".into(), Value::Text(id.to_string()));
-        if unfit {
+        if is_unfit {
             fields.insert("memGb".into(), Value::Float(UNFIT_MEMORY_GB));
         } else {
             fields.remove("rank");
--- a/tests/sim/observed.rs
+++ b/tests/sim/observed.rs
@@ -1,5 +1,5 @@
-//! Counts of what took place in a run. With these a scenario proves that the faults that it tests
-//! did occur and overlapped, so that it can't pass because they missed their targets.
+//! Counts of what took place in a run. With these counts a scenario checks that its faults occurred
+//! and overlapped, so that it can't pass because they missed their targets.
 
 use super::scenario::{Arguments, milliseconds};
 use super::users::Intent;
@@ -127,7 +127,7 @@
                 window.count(soon.map(|release| release.released_at))
             }
             "ended" => window.count(jobs.filter_map(|job| job.done_notified_at)),
-            // Jobs whose first task was on a machine within `in=` seconds after the submission.
+            // Jobs whose first task started within `in=` seconds after the submission.
             "begun" => {
                 let begun = jobs.filter_map(|job| Some(job.first_started_at? - job.submitted_at));
                 begun
--- a/tests/sim/scenario.rs
+++ b/tests/sim/scenario.rs
@@ -29,11 +29,11 @@
         self.0.get(index).map(String::as_str)
     }
 
-    /// The word at this index, parsed as a number. Panics if it is none.
+    /// The word at this index, parsed as a number. Panics if it is missing or not a number.
     pub(crate) fn parsed<T: FromStr>(&self, index: usize) -> T {
         let word = self.word(index);
         let parsed = word.parse();
-        parsed.unwrap_or_else(|_| panic!("{word} isn't a number"))
+        parsed.unwrap_or_else(|_| panic!("argument {index}: expected a number, got {word}"))
     }
 
     /// The word at this index, as a job id.
@@ -58,7 +58,7 @@
     pub(crate) fn number(&self, key: &str, default: f64) -> f64 {
         self.value(key).map_or(default, |text| {
             text.parse()
-                .unwrap_or_else(|_| panic!("{key}={text} isn't a number"))
+                .unwrap_or_else(|_| panic!("expected a number: {key}={text}"))
         })
     }
 
--- a/tests/sim/script.rs
+++ b/tests/sim/script.rs
@@ -34,7 +34,7 @@
             || self.run_cloud_command(keyword, arguments)
             || self.run_machine_command(keyword, arguments)
             || self.run_fault_command(keyword, arguments);
-        assert!(is_known, "unknown command {keyword}");
+        assert!(is_known, "unknown command: {keyword}");
     }
 
     /// Executes commands of users and operators. Returns false for other commands.
@@ -173,8 +173,8 @@
         true
     }
 
-    /// Executes commands that start a fault of a fraction of operations. Returns false for other
-    /// commands.
+    /// Executes commands that start a fault of some operations, or unusual behaviour of users.
+    /// Returns false for other commands.
     fn run_fault_command(&mut self, keyword: &str, arguments: &Arguments) -> bool {
         let until = self.end_of_command(arguments);
         let fault = self.fault_from(arguments, 0.3);
@@ -246,7 +246,7 @@
     fn partition_controller(&mut self, arguments: &Arguments, until: u64) {
         let controller = self.controller_named(arguments.word(0));
         let holds_messages = arguments.contains("hold");
-        for end in arguments.list("from").expect("from=") {
+        for end in arguments.list("from").expect("from= with link ends") {
             self.partition(
                 controller,
                 LinkEnd::parse(&end),
@@ -260,7 +260,7 @@
     /// Partitions the workers of a zone from the controllers that the command lists.
     fn partition_zone(&mut self, arguments: &Arguments, until: u64) {
         let zone = arguments.word(0);
-        for controller in arguments.list("from").expect("from=") {
+        for controller in arguments.list("from").expect("from= with controllers") {
             let controller = self.controller_named(&controller);
             self.partition(controller, LinkEnd::Workers, false, Some(zone), until);
         }
--- a/tests/sim/services.rs
+++ b/tests/sim/services.rs
@@ -10,7 +10,7 @@
 use salttrestle::ids::CallId;
 use salttrestle::wire::{CloudRequest, StoreRequest, StoreResponse};
 
-/// How long the store holds a watch without changes.
+/// The store's time limit for a watch without changes.
 const WATCH_HOLD_MS: u64 = 10_000;
 /// The shortest delay of a store answer.
 const STORE_DELAY_MS: u64 = 2;
@@ -57,8 +57,8 @@
         match request {
             StoreRequest::Watch { after } => {
                 // A refused watch is held without an answer, as in an outage.
-                let news = (!is_refused).then(|| self.store.execute(now, &request));
-                match news.flatten() {
+                let response = (!is_refused).then(|| self.store.execute(now, &request));
+                match response.flatten() {
                     Some(response) => self.answer_from_store(process, call, response),
                     None => self.add_pending_watch(process, call, after),
                 }
@@ -122,15 +122,17 @@
         }
         for watch in std::mem::take(&mut self.store.watches) {
             let is_refused = self.hosts[watch.process.controller].is_refused_by_store(self.now);
-            let news = self.store.watch_response(watch.after);
-            match news.filter(|_| !is_refused) {
-                Some(news) => self.send_response(watch.process, watch.call, STORE_DELAY_MS, news),
+            let response = self.store.watch_response(watch.after);
+            match response.filter(|_| !is_refused) {
+                Some(response) => {
+                    self.send_response(watch.process, watch.call, STORE_DELAY_MS, response);
+                }
                 None => self.store.watches.push(watch),
             }
         }
     }
 
-    /// Ends a watch that has reached the store's time limit, with an empty answer.
+    /// Ends a watch that has reached the store's time limit. The answer is empty.
     pub(super) fn time_out_watch(&mut self, process: Process, call: CallId) {
         let watches_before = self.store.watches.len();
         let now = self.now;
@@ -138,11 +140,11 @@
             .watches
             .retain(|watch| watch.process != process || watch.call != call || watch.until > now);
         let has_ended = self.store.watches.len() < watches_before;
-        // If the store refuses the controller when the time limit ends, the watch gets no answer, as
-        // in an outage: an empty answer would claim that nothing has changed.
-        let must_wait =
+        // During an outage, or while the store refuses the controller, the watch gets no answer: an
+        // empty one would claim that nothing has changed.
+        let is_unanswered =
             self.store.has_outage || self.hosts[process.controller].is_refused_by_store(now);
-        if has_ended && !must_wait {
+        if has_ended && !is_unanswered {
             let response = StoreResponse::Changes {
                 revision: self.store.records.revision,
                 changes: Vec::new(),
--- a/tests/sim/setup.rs
+++ b/tests/sim/setup.rs
@@ -52,16 +52,16 @@
 
 /// The store's limits on the size of a value and on the writes of a transaction.
 struct StoreLimits {
-    value_kb: f64,
-    transaction_writes: usize,
+    value_max_kib: f64,
+    transaction_writes_max: usize,
 }
 
 impl StoreLimits {
     fn parse(scenario: &Scenario) -> Self {
         let line = scenario.first("state").cloned().unwrap_or_default();
         Self {
-            value_kb: line.number("kb", 8.0),
-            transaction_writes: line.number("ops", 16.0) as usize,
+            value_max_kib: line.number("kb", 8.0),
+            transaction_writes_max: line.number("ops", 16.0) as usize,
         }
     }
 }
@@ -78,7 +78,7 @@
                     "lease_s": scenario.number("lease", LEASE_S),
                     "cancel_s": scenario.number("cancel", CANCEL_BOUND_S)},
         "state": {"rps": store.number("rps", 150.0), "write_rps": store.number("write", 60.0),
-                  "value_kb": limits.value_kb, "txn_ops": limits.transaction_writes},
+                  "value_kb": limits.value_max_kib, "txn_ops": limits.transaction_writes_max},
         "cloud": {"rps": scenario.number("cloud", 4.0),
                   "list_lag_s": scenario.number("lag", LIST_LAG_S)},
         "resources": {"cpu": 0.1, "mem_mb": 56.0, "max_sockets": 500}
@@ -95,7 +95,7 @@
         "cpus_max": amount("cpus_max"), "gpus_max": amount("gpus_max")})
 }
 
-/// The limit of each team: CPUs and GPUs.
+/// The limit of each team, as CPUs and GPUs.
 fn team_limits(scenario: &Scenario) -> BTreeMap<String, (f64, f64)> {
     let limits = scenario.all("team").map(|line| {
         let limit = (line.number("cpus_max", 0.0), line.number("gpus_max", 0.0));
@@ -209,7 +209,7 @@
             zones: zones(scenario),
             platform: platform(scenario),
             tuning: tuning(scenario),
-            store: StoreService::new(limits.value_kb, limits.transaction_writes),
+            store: StoreService::new(limits.value_max_kib, limits.transaction_writes_max),
             next_limits: scenario.first("next").map(next_limits),
             cloud: cloud(scenario),
             workers: BTreeMap::new(),
@@ -252,8 +252,8 @@
         }
     }
 
-    /// Schedules a line such as `at 40~3 kill leader`: the command runs at a time drawn from the
-    /// 3 s that start at second 40, which depends on the seed.
+    /// Schedules a line such as `at 40~3 kill leader`: the command runs at a time between seconds
+    /// 40 and 43 that depends on the seed.
     fn schedule_line(&mut self, line: &Line) {
         let time = line.arguments.word(0);
         let (from, span) = time.split_once('~').unwrap_or((time, "0"));
--- a/tests/sim/store.rs
+++ b/tests/sim/store.rs
@@ -1,4 +1,5 @@
-//! The simulated store, as specified by PROTOCOL.
+//! The simulated store: serves the requests of controllers from the store double, as the protocol
+//! specifies, and enforces its limits.
 
 use super::event::Process;
 use super::store_conditions::{misnamed_parts, unconditional_writes};
@@ -10,10 +11,13 @@
 use salttrestle_fakes::rate::RateLimit;
 use salttrestle_fakes::store::{self, CommitOutcome, Store};
 
-/// The number of changes that the store keeps for watches.
-const CHANGES_KEPT_MAX: usize = 10_000;
+/// The number of latest changes that the store keeps for watches.
+const WATCH_HISTORY_CHANGES_MAX: usize = 10_000;
 /// The largest number of entries in one page of a list.
 const PAGE_ENTRIES_MAX: usize = 50;
+/// The maximum number of preconditions of a transaction, as a multiple of the maximum number of
+/// writes.
+const PRECONDITIONS_PER_WRITE_MAX: usize = 4;
 
 /// A watch that waits for changes.
 pub(crate) struct PendingWatch {
@@ -30,16 +34,16 @@
     pub records: Store<Record>,
     pub watches: Vec<PendingWatch>,
     pub has_outage: bool,
-    value_kb: f64,
-    transaction_writes: usize,
+    value_max_kib: f64,
+    transaction_writes_max: usize,
     /// The limit on writes per second, once the limits have been lowered.
     write_limit: Option<RateLimit>,
     /// Transactions rejected because a value exceeds the lowered size limit.
     pub rejected_transactions: usize,
     /// Transactions refused because of the limit on writes per second.
     pub rate_limited_transactions: usize,
-    /// Violations: requests beyond a size limit, without a required precondition, or with a record
-    /// under the wrong kind of key.
+    /// Violations of transactions: too many writes or preconditions, a value beyond the size limit,
+    /// a missing precondition, or a placement record under the wrong kind of key.
     pub violations: Vec<String>,
     /// Checks start commands against the committed placements and fencing tokens, and which
     /// controller calls the cloud.
@@ -48,13 +52,13 @@
 
 impl StoreService {
     /// Creates an empty store with these limits on a value's size and on a transaction's writes.
-    pub(crate) fn new(value_kb: f64, transaction_writes: usize) -> Self {
+    pub(crate) fn new(value_max_kib: f64, transaction_writes_max: usize) -> Self {
         Self {
-            records: Store::new(CHANGES_KEPT_MAX),
+            records: Store::new(WATCH_HISTORY_CHANGES_MAX),
             watches: Vec::new(),
             has_outage: false,
-            value_kb,
-            transaction_writes,
+            value_max_kib,
+            transaction_writes_max,
             write_limit: None,
             rejected_transactions: 0,
             rate_limited_transactions: 0,
@@ -72,8 +76,8 @@
 
     /// Lowers the limits. Stored values beyond the new limits stay readable.
     pub(crate) fn lower_limits(&mut self, now: u64, limits: NextStoreLimits) {
-        self.value_kb = limits.value_kb.unwrap_or(self.value_kb);
-        self.transaction_writes = limits.txn_ops.unwrap_or(self.transaction_writes);
+        self.value_max_kib = limits.value_kb.unwrap_or(self.value_max_kib);
+        self.transaction_writes_max = limits.txn_ops.unwrap_or(self.transaction_writes_max);
         self.write_limit = limits.write_rps.map(|rate| RateLimit::new(now, rate));
     }
 
@@ -89,15 +93,16 @@
         let Some(changes) = self.records.changes_after(after) else {
             return Some(StoreResponse::Compacted);
         };
-        let news: Vec<Change> = changes.iter().filter_map(watched_change).collect();
+        let watched_changes: Vec<Change> = changes.iter().filter_map(watched_change).collect();
         let revision = self.records.revision;
-        (!news.is_empty()).then_some(StoreResponse::Changes {
+        (!watched_changes.is_empty()).then_some(StoreResponse::Changes {
             revision,
-            changes: news,
+            changes: watched_changes,
         })
     }
 
-    /// Executes a request. Returns `None` for a watch that has to wait.
+    /// Executes a request. Returns `None` for a watch that has to wait, for changes or for the end
+    /// of an outage.
     pub(crate) fn execute(&mut self, now: u64, request: &StoreRequest) -> Option<StoreResponse> {
         if self.has_outage {
             return match request {
@@ -165,8 +170,8 @@
     }
 
     fn commit(&mut self, preconditions: &[(Key, u64)], writes: &[Write]) -> StoreResponse {
-        if writes.len() > self.transaction_writes
-            || preconditions.len() > 4 * self.transaction_writes
+        if writes.len() > self.transaction_writes_max
+            || preconditions.len() > PRECONDITIONS_PER_WRITE_MAX * self.transaction_writes_max
         {
             self.violations.push(format!(
                 "transaction exceeds its limits: writes={} preconditions={}",
@@ -185,8 +190,8 @@
         let conditions: Vec<(String, u64)> = conditions
             .map(|(key, revision)| (key.to_string(), *revision))
             .collect();
-        let writes_of_store = writes.iter().map(stored_write).collect();
-        match self.records.commit(&conditions, writes_of_store) {
+        let stored_writes = writes.iter().map(stored_write).collect();
+        match self.records.commit(&conditions, stored_writes) {
             CommitOutcome::Committed(revision) => {
                 self.record_committed(writes);
                 StoreResponse::Committed { revision }
@@ -198,15 +203,15 @@
         }
     }
 
-    /// Whether a value exceeds the lowered size limit. Before the limits are lowered, a value
-    /// beyond the limit is a violation.
+    /// Whether a value exceeds the size limit after the limits were lowered. Before that, a value
+    /// beyond the limit is recorded as a violation instead, and the transaction is executed.
     fn exceeds_lowered_size_limit(&mut self, writes: &[Write]) -> bool {
         for write in writes {
             let Write::Put { key, record, .. } = write else {
                 continue;
             };
             let size = serde_json::to_string(&record_to_value(record)).map_or(0, |text| text.len());
-            if size as f64 <= self.value_kb * 1024.0 {
+            if size as f64 <= self.value_max_kib * 1024.0 {
                 continue;
             }
             if self.write_limit.is_some() {
--- a/tests/sim/users.rs
+++ b/tests/sim/users.rs
@@ -1,4 +1,4 @@
-//! Simulated users: they submit, poll, cancel and retry as specified by PROTOCOL.
+//! Simulated users: they submit, poll, cancel and retry as the protocol specifies.
 
 use super::event::Event;
 use super::requests::RequestOrigin;
@@ -107,7 +107,7 @@
         };
         let id = self.register_request(origin);
         log::debug!(
-            "user sends a request: job={job} intent={intent:?} controller={controller} at_ms={}",
+            "user sends a request, job={job} intent={intent:?} controller={controller} at_ms={}",
             self.now
         );
         if intent == Intent::Cancel {
@@ -140,7 +140,7 @@
         let now = self.now;
         let status = reply.as_ref().map_or(0, |reply| reply.status);
         log::debug!(
-            "user request answered or timed out: job={job} intent={intent:?} status={status} at_ms={now}"
+            "user request answered or timed out, job={job} intent={intent:?} status={status} at_ms={now}"
         );
         self.statuses.insert((job.clone(), status));
         if let Some(reply) = &reply {
--- a/tests/sim/workers.rs
+++ b/tests/sim/workers.rs
@@ -11,7 +11,8 @@
 use salttrestle_fakes::worker::{ANSWER_TIMEOUT_MS, TaskEvent, Worker};
 
 /// The interval between two steps of a worker.
-const TICK_MS: u64 = 100;
+const STEP_INTERVAL_MS: u64 = 100;
+/// The endpoint in the heartbeats of all workers. Nothing connects to it.
 const ENDPOINT: &str = "10.1.0.1:9000";
 
 impl World {
@@ -25,7 +26,7 @@
         let (class, zone) = (&rented.class, &rented.zone);
         let worker = Worker::new(self.now, class, zone, rented.spot, controller);
         self.workers.insert(machine.into(), worker);
-        self.schedule_after(1, Event::WorkerTick(machine.into()));
+        self.schedule_after(1, Event::WorkerStep(machine.into()));
     }
 
     /// Removes a machine's worker and all its tasks.
@@ -39,7 +40,7 @@
 
     /// Runs a step of a worker: preemption, lease expiry, tasks and heartbeat. A paused worker only
     /// checks for preemption and lease expiry.
-    pub(super) fn worker_tick(&mut self, machine: &str) {
+    pub(super) fn step_worker(&mut self, machine: &str) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(machine) else {
             return;
@@ -53,7 +54,7 @@
             true => Vec::new(),
             false => worker.run_tasks(now, &SubmittedJobs(&self.specs)),
         };
-        self.schedule_after(TICK_MS, Event::WorkerTick(machine.into()));
+        self.schedule_after(STEP_INTERVAL_MS, Event::WorkerStep(machine.into()));
         self.lease_expiry_kills += killed.len();
         for task in killed {
             self.checker.record_stop(&task, machine);
@@ -140,7 +141,8 @@
         }
     }
 
-    /// Handles an answer to a heartbeat. An answer that is lost or late is dropped.
+    /// Handles an answer to a heartbeat. Drops an answer that is late, that isn't for the request
+    /// in flight, or that a fault loses.
     pub(super) fn handle_heartbeat_answer(
         &mut self,
         machine: &str,
--- a/tests/sim/world.rs
+++ b/tests/sim/world.rs
@@ -77,7 +77,7 @@
     pub checker: Checker,
     pub(super) limit_changes: LimitChanges,
     pub observed: Observed,
-    /// The statuses of answers to requests about jobs; 0 for no answer.
+    /// The HTTP statuses of answers to requests about each job; 0 for a request without an answer.
     pub statuses: BTreeSet<(JobId, u16)>,
     /// When a request about a job was last answered.
     pub(super) last_answered_at: BTreeMap<JobId, u64>,
@@ -123,7 +123,7 @@
                 break;
             }
             self.now = position.at;
-            log::trace!("event: at_ms={}", position.at);
+            log::trace!("event handled, at_ms={}", position.at);
             self.handle(event);
         }
         let now = self.now;
