--- a/scale/src/controllers/process.rs
+++ b/scale/src/controllers/process.rs
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// Paths that a run reads its program from and writes its files to.
+/// Paths of the controller program that a run starts, and of the folder that it writes files to.
 #[derive(Clone, Copy)]
 pub struct RunPaths<'a> {
     /// The controller program.
@@ -65,8 +65,8 @@
         })
     }
 
-    /// Starts the process, unless it was started before and not killed since. Its log is appended
-    /// to.
+    /// Starts the process, unless it was started before and not killed since. The process appends
+    /// to the controller's log.
     ///
     /// # Errors
     ///
--- a/scale/src/hollow/cell.rs
+++ b/scale/src/hollow/cell.rs
@@ -57,7 +57,7 @@
     last_response_number: u64,
     /// Ids of booting machines, by the time at which they are up.
     pending_boots: Timers<String, ()>,
-    /// Ids of machines that are going to fail, by the time of the failure.
+    /// Ids of machines that are scheduled to fail, by the time of the failure.
     pending_failures: Timers<String, ()>,
     /// End of the store's current outage, in milliseconds; `None` without an outage.
     outage_end_ms: Option<u64>,
@@ -325,8 +325,8 @@
         self.answer_watches(now);
     }
 
-    /// Passes a written record to the observers and the checker. Takeovers are observed only in
-    /// runs of a single cell.
+    /// Passes a written record to the observers and the checker. The takeover observer is used only
+    /// in runs of a single cell.
     fn observe_record(&self, now: u64, record: &WrittenRecord) {
         match record.path.as_str() {
             SHARD_KEY => self.observe_shard(now, record),
--- a/scale/src/hollow/cloud.rs
+++ b/scale/src/hollow/cloud.rs
@@ -13,7 +13,7 @@
 use salttrestle_fakes::cloud::Cloud;
 use serde::{Deserialize, Serialize};
 
-/// Name of the only machine type.
+/// Name of the only machine type that the cloud offers.
 pub(super) const MACHINE_TYPE: &str = "hollow-rig";
 /// Price of a machine per hour, on demand and spot. The experiments don't depend on it.
 const PRICE_PER_H: f64 = 10.0;
@@ -72,7 +72,7 @@
 }
 
 #[derive(Serialize)]
-struct CreatedBody<'a> {
+struct ScaledOutBody<'a> {
     #[serde(rename = "rigs")]
     machines: &'a [MachineId],
 }
@@ -162,7 +162,9 @@
             let types = types.iter().map(type_body).collect();
             Response::ok(wire::encode(&CatalogBody { types }))
         }
-        CloudResponse::ScaledOut(machines) => Response::ok(wire::encode(&CreatedBody { machines })),
+        CloudResponse::ScaledOut(machines) => {
+            Response::ok(wire::encode(&ScaledOutBody { machines }))
+        }
         CloudResponse::PoolExhausted => Response::error(503, "no capacity"),
         CloudResponse::Deleted => Response::ok(Vec::new()),
         CloudResponse::Page { machines, has_next } => Response::ok(wire::encode(&ListBody {
--- a/scale/src/hollow/connections.rs
+++ b/scale/src/hollow/connections.rs
@@ -12,11 +12,12 @@
 
 /// Poller key of the store's listener.
 const STORE_LISTENER_KEY: usize = 0;
-/// Poller key of the cloud's first listener. The cloud has one listener for each controller, by
-/// which it identifies the caller.
+/// Poller key of the cloud's first listener. The cloud has one listener for each controller, and
+/// identifies the controller that calls it by the listener.
 const FIRST_CLOUD_LISTENER_KEY: usize = 1;
 /// Lowest poller key of a connection; all keys below belong to listeners.
 const FIRST_CONNECTION_KEY: usize = 1_000;
+/// Size of the buffer that all connections share for reading.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 /// Maximum size of a message's body, in bytes.
 const BODY_BYTES_MAX: usize = 8 << 20;
@@ -156,7 +157,8 @@
         Ok(key)
     }
 
-    /// Sends a message; what the socket doesn't accept now is sent when it becomes writable.
+    /// Sends a message. Bytes that the socket doesn't accept now are sent when it becomes writable.
+    /// Does nothing if the connection is closed.
     pub(super) fn send(&mut self, key: usize, bytes: &[u8]) {
         let Some(connection) = self.connections.get_mut(&key) else {
             return;
--- a/scale/src/hollow/plan.rs
+++ b/scale/src/hollow/plan.rs
@@ -31,8 +31,8 @@
     pub load: Load,
     /// Phases of the run.
     pub phases: Phases,
-    /// Whether the experiment has no other cell. Only then are takeovers observed, and start commands
-    /// and cloud calls checked.
+    /// Whether the experiment has no other cell. Only then are takeovers observed, and start
+    /// commands and cloud calls checked.
     pub is_only_cell: bool,
     /// Seed of the cell's random numbers.
     pub seed: u64,
--- a/scale/src/hollow/store/mod.rs
+++ b/scale/src/hollow/store/mod.rs
@@ -422,7 +422,8 @@
             .retain(|watch| watch.connection != connection);
     }
 
-    /// Returns a text field of a record; `None` if the key, the field or the text is missing.
+    /// Returns a text field of a record; `None` if the key or the field is missing, or if its value
+    /// isn't text.
     pub(super) fn text_field(&self, key: &str, field: &str) -> Option<String> {
         let entry = self.store.entries.get(key)?;
         let fields = entry.value.as_map()?;
--- a/scale/src/hollow/store/watches.rs
+++ b/scale/src/hollow/store/watches.rs
@@ -1,4 +1,4 @@
-//! Watches of the store: long-poll requests that wait for the next change of a key with a prefix.
+//! Watches of the store: long-poll requests for the changes of keys with a given prefix.
 
 use super::bodies::{EventBody, EventsBody};
 use crate::hollow::request::{Query, Response};
@@ -57,7 +57,7 @@
     Some(encode_events(store, events))
 }
 
-/// Returns the response to a watch that has timed out: no changes.
+/// Returns the response without changes, to a watch that has timed out or doesn't wait.
 pub(super) fn empty_response(store: &Store<Rc<Value>>) -> Response {
     encode_events(store, Vec::new())
 }
--- a/scale/src/hollow/users/mod.rs
+++ b/scale/src/hollow/users/mod.rs
@@ -248,9 +248,8 @@
         response: Option<&Message>,
         rng: &mut StdRng,
     ) {
-        let observation =
-            response.and_then(|message| parse_answer(message.status()?, &message.body));
-        let Some(observation) = observation else {
+        let answer = response.and_then(|message| parse_answer(message.status()?, &message.body));
+        let Some(answer) = answer else {
             self.failed_requests += 1;
             let retry_after_s = response.and_then(|message| message.retry_after);
             let retry_at = now + retry_delay_ms(retry_after_s);
@@ -258,8 +257,8 @@
         };
         self.shared
             .checker()
-            .record_answer(now, &request.job, observation);
-        match observation {
+            .record_answer(now, &request.job, answer);
+        match answer {
             JobAnswer::Done | JobAnswer::Cancelled | JobAnswer::Refused => {
                 self.record_job_end(&request.job);
             }
--- a/scale/src/hollow/workers.rs
+++ b/scale/src/hollow/workers.rs
@@ -60,7 +60,7 @@
     shared: Arc<SharedState>,
     workers: Vec<HollowWorker>,
     index_by_machine: HashMap<String, usize>,
-    /// Index of the worker whose state was advanced last.
+    /// Index of the worker whose turn came last. The turns of stopped workers are skipped.
     last_visited: usize,
     heartbeats_sent: u64,
     /// Number of tasks killed because their worker's lease expired.
@@ -136,7 +136,7 @@
             .collect()
     }
 
-    /// Stops a machine and all tasks on it.
+    /// Stops a machine and all tasks on it. Does nothing if the machine has no worker.
     pub(super) fn stop_machine(
         &mut self,
         connections: &mut Connections,
@@ -197,16 +197,16 @@
         } = &mut self.workers[index];
         let killed = worker.check_lease(now, self.plan.lease_ms);
         let events = worker.run_tasks(now, jobs);
-        let timed_out = worker
+        let has_timed_out = worker
             .request_in_flight
             .is_some_and(|(_, sent_ms)| now >= sent_ms + ANSWER_TIMEOUT_MS);
-        if timed_out && let Some(key) = connection.take() {
+        if has_timed_out && let Some(key) = connection.take() {
             connections.close(key);
         }
-        let heartbeat_due = worker.check_heartbeat_due(now, controller_count);
+        let is_heartbeat_due = worker.check_heartbeat_due(now, controller_count);
         self.record_lease_kills(index, &killed);
         self.report_events(now, index, events);
-        if heartbeat_due {
+        if is_heartbeat_due {
             let interval_ms = self.plan.heartbeat_ms;
             let jitter_ms = rng.random_range(0..interval_ms / 2);
             let interval_ms = interval_ms * 3 / 4 + jitter_ms;
--- a/scale/src/observers/limits.rs
+++ b/scale/src/observers/limits.rs
@@ -9,7 +9,7 @@
 /// Tolerance for rounding errors in sums of quota shares, in CPUs or GPUs.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// The observed part of a shard's record.
+/// The part of a shard's record that the observer reads.
 #[derive(Deserialize)]
 pub struct ShardView {
     /// Quota share of each team in the shard; `None` if the record holds none.
@@ -81,8 +81,8 @@
         self.complete_changes(now);
     }
 
-    /// Records a write of a cell's own record. Returns the limits that the cell sets as a home
-    /// cell.
+    /// Records a write of a cell's own record. Returns the limits that the cell sets for the teams
+    /// whose home cell it is.
     pub fn record_cell_write(&mut self, now: u64, record: &CellRecord) -> LimitsByTeam {
         let limits = record.limits.iter();
         let limits: LimitsByTeam = limits
--- a/scale/src/observers/takeovers.rs
+++ b/scale/src/observers/takeovers.rs
@@ -46,8 +46,8 @@
         });
     }
 
-    /// Records the latency of an event since the latest leader fault, unless it is recorded already.
-    /// The event doesn't count unless its fencing token is higher than the one at the fault.
+    /// Records the latency of an event since the latest leader fault, unless it is recorded
+    /// already. Events whose fencing token isn't higher than the token at the fault don't count.
     fn record_first(
         &mut self,
         now: u64,
--- a/scale/src/run/faults.rs
+++ b/scale/src/run/faults.rs
@@ -90,7 +90,7 @@
     }
 }
 
-/// Injects the faults of an experiment, and restores controllers afterwards.
+/// Injects the faults of an experiment, and restarts or resumes the affected controllers later.
 pub(super) struct FaultInjector {
     /// Faults that haven't been injected yet.
     pending_faults: Vec<Fault>,
@@ -121,7 +121,8 @@
         }
     }
 
-    /// Injects all faults that are due, and restarts or resumes the controllers that are due.
+    /// Injects all faults that are due at `at_s`, in seconds from the start of the load. Restarts
+    /// and resumes the controllers that are due.
     pub(super) fn inject_due(
         &mut self,
         at_s: f64,
@@ -146,7 +147,7 @@
         let Some(cell) = cells.position(|cell| cell.name == fault.cell) else {
             return Ok(());
         };
-        info!("fault injected cell={} fault={:?}", fault.cell, fault.kind);
+        info!("fault injected, cell={} fault={:?}", fault.cell, fault.kind);
         let cell_thread = &installation.cells[cell];
         match &fault.kind {
             FaultKind::Kill { controller, down_s } => {
@@ -242,12 +243,12 @@
             return Ok(());
         };
         let Some(leader) = installation.find_controller(0, ControllerRole::Leader)? else {
-            warn!("leader fault skipped reason=\"the cell has no leader\"");
+            warn!("leader fault skipped, reason=\"the cell has no leader\"");
             return Ok(());
         };
         let controller = &mut installation.controllers[leader];
         info!(
-            "leader fault injected controller={} kind={kind:?}",
+            "leader fault injected, controller={} kind={kind:?}",
             controller.id
         );
         shared
--- a/scale/src/run/installation.rs
+++ b/scale/src/run/installation.rs
@@ -83,7 +83,8 @@
         self.cells.iter().map(CellThread::sample).collect()
     }
 
-    /// Finds the first controller of a cell that has the role. Returns its index in `controllers`.
+    /// Finds the first controller of a cell that has the role now. Returns its index in
+    /// `controllers`; `None` if no controller has the role.
     pub(super) fn find_controller(
         &self,
         cell: usize,
@@ -105,7 +106,7 @@
     pub(super) fn restart_crashed(&mut self) -> io::Result<()> {
         for controller in &mut self.controllers {
             if controller.has_crashed() {
-                error!("controller crashed controller={}", controller.id);
+                error!("controller crashed, controller={}", controller.id);
                 self.crashed.push(controller.id.clone());
                 controller.kill();
                 controller.start()?;
@@ -138,8 +139,7 @@
         let (commands, receiver) = channel();
         let (ready, started) = channel();
         let name = plan.name.clone();
-        // The thread itself constructs the cell, since a `HollowCell` can't be sent between
-        // threads.
+        // The thread itself builds the cell, since a `HollowCell` can't be sent between threads.
         let run = move || match HollowCell::new(plan, shared, receiver) {
             Ok(cell) => {
                 let _ = ready.send(Ok(()));
--- a/scale/src/run/limit_changes.rs
+++ b/scale/src/run/limit_changes.rs
@@ -7,7 +7,8 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// Range from which new limits are drawn, in eighths of the initial limit: 0.5 to 1.5 times.
+/// Range from which new limits are drawn, in eighths of the initial limit: 0.5 to 1.5 times the
+/// initial limit.
 const NEW_LIMIT_EIGHTHS: std::ops::RangeInclusive<i32> = 4..=12;
 
 /// Changes the limits of randomly drawn teams at a constant rate.
--- a/scale/src/run/measurement.rs
+++ b/scale/src/run/measurement.rs
@@ -124,7 +124,7 @@
         (self.total_starts, self.total_changes) = (total_starts, total_changes);
         let open_jobs = cells.iter().map(|cell| cell.open_jobs).sum();
         info!(
-            "sample taken at_s={at_s:.0} workers={} tasks={} starts={} changes={} open_jobs={open_jobs}",
+            "sample taken, at_s={at_s:.0} workers={} tasks={} starts={} changes={} open_jobs={open_jobs}",
             row.running_workers, row.running_tasks, row.starts, row.store_changes,
         );
         self.rows.push(row);
--- a/scale/src/run/mod.rs
+++ b/scale/src/run/mod.rs
@@ -107,7 +107,7 @@
             }
         }
         let after_s = began.elapsed().as_secs_f64();
-        info!("all cells ready after_s={after_s:.1}");
+        info!("all cells ready, after_s={after_s:.1}");
         Ok(())
     }
 
--- a/scale/src/run/report.rs
+++ b/scale/src/run/report.rs
@@ -171,7 +171,7 @@
 fn limit_rows(shared: &SharedState) -> [Row; 2] {
     let limits = shared.limit_observer();
     info!(
-        "limit changes observed replaced={} pending={}",
+        "limit changes observed, replaced={} pending={}",
         limits.replaced_count,
         limits.pending_count()
     );
