--- a/src/controller/rate_limits/mod.rs
+++ b/src/controller/rate_limits/mod.rs
@@ -2,7 +2,8 @@
 //!
 //! The limits apply to all controllers together. No component assigns the shares: each controller
 //! derives its own from its role. [`token_bucket`] enforces a share, and [`write_rate`] measures
-//! how much the other controllers write, so that the sole owner can use what they leave of theirs.
+//! how much the other controllers write, so that the owner of the only shard can use what they
+//! leave of their share.
 
 pub(crate) mod token_bucket;
 pub(crate) mod write_rate;
@@ -20,7 +21,8 @@
 /// The fraction of the cloud's rate limit that all other controllers have together if there are
 /// several shards.
 const OTHERS_CLOUD_FRACTION: f64 = 0.4;
-/// Burst size for calls to the cloud, as the time in which the rate allows as many, in seconds.
+/// Burst size for calls to the cloud, in seconds: a burst has as many calls as the rate allows
+/// within this time.
 pub(crate) const CLOUD_BURST_S: f64 = 1.5;
 
 /// The inputs that determine a controller's shares of the limits.
--- a/standby/src/config.rs
+++ b/standby/src/config.rs
@@ -9,7 +9,7 @@
     /// Interval between two heartbeats of the leader, in milliseconds; 0 disables the standby.
     pub heartbeat_ms: Millis,
     /// Number of consecutive missed heartbeats after which the leader is suspected.
-    pub missed: u32,
+    pub missed_heartbeats: u32,
     /// Maximum number of leadership changes in a minute. After that many a takeover waits until the
     /// leader's lease expires.
     pub takeovers_per_minute: u32,
@@ -22,8 +22,8 @@
 /// Why the settings contradict each other.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ConfigError {
-    /// The leader's lease expires before missed heartbeats lead to a suspicion.
-    #[error("{silence_ms} ms without a heartbeat are no less than the grant's {lease_ms} ms")]
+    /// The leader's lease expires before, or just when, missed heartbeats lead to a suspicion.
+    #[error("{silence_ms} ms of missed heartbeats must be less than the lease of {lease_ms} ms")]
     SilenceOutlastsLease {
         /// Time without a heartbeat after which the leader is suspected, in milliseconds.
         silence_ms: Millis,
@@ -43,7 +43,7 @@
 
     /// Time without a heartbeat after which the leader is suspected, in milliseconds.
     pub fn silence_ms(&self) -> Millis {
-        self.heartbeat_ms * Millis::from(self.missed)
+        self.heartbeat_ms * Millis::from(self.missed_heartbeats)
     }
 
     /// Returns an error if the settings contradict each other.
