--- a/benches/controller.rs
+++ b/benches/controller.rs
@@ -1,8 +1,8 @@
 //! Measures what single events cost the controller's core, for three fleet sizes: the time by
 //! criterion, and the number of allocations, which is printed first.
 //!
-//! `cargo bench` runs all of them in a few minutes. The controller gets its inputs as from its event
-//! loop but without sockets, so that time in the kernel isn't measured.
+//! `cargo bench` runs all of them in a few minutes. The controller gets the inputs that its event
+//! loop would pass to it, but no sockets are used, so that time in the kernel isn't measured.
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use salttrestle::controller::Controller;
--- a/cells/tests/hard_cases.rs
+++ b/cells/tests/hard_cases.rs
@@ -127,7 +127,8 @@
 fn transfer_when_the_senders_leader_is_killed_after_each_step_is_taken_once() {
     run_case(
         |world| {
-            // Killed after it sent the commit: nobody knows whether the commit was executed.
+            // The leader is killed after it sent the commit. Nobody knows whether the commit was
+            // executed.
             world.read_records(LeaderId::first(HOME));
             world.give(LeaderId::first(HOME), EAST, BLUE, 3);
             let sent = world.commits.len() - 1;
@@ -143,12 +144,12 @@
                 world.in_transit("blue") == quota_for_tasks(4),
                 "only one of the two transfers",
             )?;
-            // Killed after it sent the transfer: the next leader sends the transfer again.
+            // The leader is killed after it sent the transfer. The next leader sends it again.
             send_and_handle_message(world, HOME, EAST);
             send_and_handle_message(world, HOME, EAST);
             world.check()?;
-            // Killed after it learned that the transfer was taken, but before it cleared the
-            // pending transfer.
+            // The leader is killed after it learned that the transfer was taken, but before it
+            // cleared the pending transfer.
             send_and_handle_message(world, EAST, HOME);
             send_and_handle_message(world, EAST, HOME);
             world.check()?;
@@ -471,8 +472,8 @@
 }
 
 /// When more teams need quota than one transfer holds, the teams that lack the largest fraction of
-/// their need come first. In order of names, the last of 120 teams waited for as long as the first
-/// ones needed a little more.
+/// their need come first. When the teams were taken in order of their names, the last of 120 teams
+/// waited for as long as the first ones needed a little more.
 #[test]
 fn transfer_with_too_few_places_goes_to_the_teams_that_lack_most() {
     let teams = (0..60).map(|n| {
--- a/fakes/tests/commands.rs
+++ b/fakes/tests/commands.rs
@@ -15,17 +15,18 @@
     Attempt::new(FencingToken(token), count)
 }
 
-/// An owner with token 4, then one with token 6, each with a placement of the task on the machine.
+/// A checker that has seen a shard owner with token 4, then one with token 6. Each has committed a
+/// placement of the task on the machine.
 fn valid_history() -> CommandChecker {
     let mut checker = CommandChecker::default();
     for token in [4, 6] {
         checker.record_owner_token(token);
         let placed = (3, attempt(token, 1), MachineId::from(MACHINE), "a".into());
-        let run = PlacementRecord {
+        let placements = PlacementRecord {
             placed: vec![placed],
             ..PlacementRecord::default()
         };
-        checker.record_placements(&JobId::from("j-1"), &run);
+        checker.record_placements(&JobId::from("j-1"), &placements);
     }
     checker
 }
@@ -69,11 +70,14 @@
             checker.record_start(2, MACHINE, 4, &task(), attempt(4, 1));
         }),
     ];
-    for (what, violate) in rows {
+    for (message, violate) in rows {
         let mut checker = valid_history();
         violate(&mut checker);
-        let is_reported = checker.violations.iter().any(|found| found.contains(what));
-        assert!(is_reported, "{what}: {:?}", checker.violations);
+        let is_reported = checker
+            .violations
+            .iter()
+            .any(|found| found.contains(message));
+        assert!(is_reported, "{message}: {:?}", checker.violations);
     }
 }
 
--- a/scale/src/capacity/metric.rs
+++ b/scale/src/capacity/metric.rs
@@ -9,13 +9,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Metric {
-    /// Processor use of the controller that owns the first shard, in cores.
+    /// CPU use of the controller that owns the first shard, in cores.
     #[serde(rename = "holder-cores")]
     OwnerCores,
     /// Peak resident memory of the controller that owns the first shard, in MiB.
     #[serde(rename = "holder-memory-mb")]
     OwnerMemoryMb,
-    /// Maximum processor use of the other controllers, in cores.
+    /// Maximum CPU use of the other controllers, in cores.
     #[serde(rename = "relay-cores")]
     PeerCores,
     /// Maximum peak resident memory of the other controllers, in MiB.
@@ -39,7 +39,7 @@
     /// Response traffic to all workers, in bytes per second.
     #[serde(rename = "answer-bytes")]
     ResponseBytes,
-    /// Processor use of the hollow side of the cell, in cores.
+    /// CPU use of the hollow side of the cell, in cores.
     HollowCores,
 }
 
--- a/scale/src/experiment/bounds.rs
+++ b/scale/src/experiment/bounds.rs
@@ -53,7 +53,7 @@
     NoZones(String),
     #[error("cell {0} needs at least one controller and one worker")]
     EmptyCell(String),
-    #[error("at least one kind is required")]
+    #[error("at least one kind of leader fault is required")]
     NoLeaderFaults,
     #[error("takeovers require exactly one cell with at least two controllers")]
     NoSuccessor,
--- a/scale/src/layout.rs
+++ b/scale/src/layout.rs
@@ -19,9 +19,9 @@
 const SERVICES_OCTET: u8 = 1;
 /// Last octet of the address of a cell's first controller. Further controllers count up from it.
 const FIRST_CONTROLLER_OCTET: u8 = 10;
-/// Number of networks among which processes are spread by their id, so that concurrent runs rarely
-/// share addresses.
-const NETWORK_COUNT: u32 = 200;
+/// Number of values of the third octet. A process takes one of them by its id, so that concurrent
+/// runs rarely share addresses.
+const THIRD_OCTET_COUNT: u32 = 200;
 
 /// Loopback addresses of one cell's programs.
 #[derive(Clone, Debug)]
@@ -44,7 +44,7 @@
     pub fn new(network: Ipv4Addr, index: usize, controllers: usize) -> Self {
         let [first, second, _, _] = network.octets();
         let second = second.wrapping_add(index as u8);
-        let third = (std::process::id() % NETWORK_COUNT) as u8;
+        let third = (std::process::id() % THIRD_OCTET_COUNT) as u8;
         let address = |last_octet: u8, port: u16| {
             SocketAddrV4::new(Ipv4Addr::new(first, second, third, last_octet), port)
         };
--- a/scale/src/link_proxy.rs
+++ b/scale/src/link_proxy.rs
@@ -73,8 +73,8 @@
 }
 
 impl LinkProxy {
-    /// Forwards connections that arrive at `listen` to `target`. Partitions of `direction` apply to
-    /// them.
+    /// Forwards connections that arrive at `listen` to `target`. They are subject to the partitions
+    /// of `direction`.
     ///
     /// # Errors
     ///
@@ -142,7 +142,7 @@
 }
 
 /// Forwards the bytes of one connection until it ends, a `Drop` partition begins, or the proxy is
-/// dropped. Only bytes from the side that has connected are forwarded.
+/// dropped. Only bytes that the connecting side sends are forwarded.
 fn forward_bytes(
     state: &ProxyState,
     direction: Direction,
--- a/scale/src/main.rs
+++ b/scale/src/main.rs
@@ -38,7 +38,7 @@
     #[error("the experiment has no [takeovers] section")]
     NoTakeovers,
     #[error("the page has no computed section")]
-    NoComputedPart,
+    NoComputedSection,
 }
 
 /// Runs salttrestle's controllers at scale against simulated workers, clouds, stores and users, and
@@ -240,7 +240,7 @@
 fn execute_capacity(arguments: &CapacityArguments) -> Result<ExitCode, CommandError> {
     let table: SlopeTable = serde_json::from_str(&read_file(&arguments.slopes)?)?;
     let page = read_file(&arguments.page)?;
-    let updated = replace_computed_section(&page, &table).ok_or(CommandError::NoComputedPart)?;
+    let updated = replace_computed_section(&page, &table).ok_or(CommandError::NoComputedSection)?;
     if arguments.write {
         std::fs::write(&arguments.page, updated)?;
         return Ok(ExitCode::SUCCESS);
--- a/scale/src/results/rows.rs
+++ b/scale/src/results/rows.rs
@@ -20,7 +20,7 @@
     Store(StoreRow),
     /// Latencies of one kind of event.
     Latency(LatencyRow),
-    /// Processor use of one cell's hollow side.
+    /// CPU use of one cell's hollow side.
     Hollow(HollowRow),
     /// A periodic sample of the whole run.
     #[serde(rename = "second")]
@@ -89,17 +89,17 @@
     /// Whether the controller owned the first shard at the end of the measurement.
     #[serde(rename = "holder")]
     pub is_owner: bool,
-    /// Processor time in user mode, in cores.
+    /// CPU time in user mode, in cores.
     pub user_cores: f64,
-    /// Processor time in the kernel, in cores.
+    /// CPU time in the kernel, in cores.
     pub system_cores: f64,
     /// Peak resident memory, in MiB.
     pub memory_mb: f64,
     /// Number of open files at the end of the run, sockets included.
     #[serde(rename = "files")]
     pub open_files: usize,
-    /// Whether the process was restarted or not running during the measurement. Its processor time
-    /// is then unknown and given as 0.
+    /// Whether the process was restarted or not running during the measurement. Its CPU time is
+    /// then unknown and given as 0.
     #[serde(rename = "restarted")]
     pub was_restarted: bool,
 }
@@ -153,13 +153,13 @@
     pub keys: usize,
 }
 
-/// Processor use of one cell's hollow side: its workers, cloud, store and users. It has a single
+/// CPU use of one cell's hollow side: its workers, cloud, store and users. It has a single
 /// thread.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HollowRow {
     /// Name of the cell.
     pub cell: String,
-    /// Processor use in cores. Near 1, the hollow side itself limits the throughput of the run.
+    /// CPU use in cores. Near 1, the hollow side itself limits the throughput of the run.
     pub cores: f64,
 }
 
@@ -220,7 +220,7 @@
 /// All rows of one run.
 #[derive(Clone, Debug, Default)]
 pub struct Results {
-    /// The rows. The row of the whole run comes last.
+    /// The rows. The summary row of a single run comes last.
     pub rows: Vec<Row>,
 }
 
--- a/scale/src/sweep.rs
+++ b/scale/src/sweep.rs
@@ -109,7 +109,7 @@
                     while let Some((index, planned)) = next() {
                         let (axis, value) = (planned.axis, planned.value);
                         info!(
-                            "run started run={} runs={run_count} {axis}={value}",
+                            "run started, run={} runs={run_count} {axis}={value}",
                             index + 1
                         );
                         let folder = paths.folder.join(format!("{axis}-{value}-{index}"));
@@ -123,7 +123,7 @@
                                     rows.append(&mut run_rows);
                                 }
                             }
-                            Err(error) => warn!("run failed {axis}={value} reason=\"{error}\""),
+                            Err(error) => warn!("run failed, {axis}={value} reason=\"{error}\""),
                         }
                     }
                 });
@@ -148,8 +148,8 @@
         let results = run_experiment(&experiment, Some(varied), paths)?;
         let rows = results.rows.into_iter();
         let mut rows: Vec<Row> = rows.filter(|row| !matches!(row, Row::Sample(_))).collect();
-        // The row of the whole run moves to the front. When the rows of several runs are stored in
-        // one file, every other row belongs to the latest row of a run before it.
+        // The summary row moves from the end to the front: when the rows of several runs are stored
+        // in one file, every other row belongs to the run of the nearest summary row before it.
         rows.rotate_right(1);
         Ok(rows)
     }
--- a/scale/tests/capacity_page.rs
+++ b/scale/tests/capacity_page.rs
@@ -39,12 +39,12 @@
     assert_eq!(refitted.reference, stored.reference);
     assert_eq!(refitted.slopes.len(), stored.slopes.len());
     for (refit, stored) in refitted.slopes.iter().zip(&stored.slopes) {
-        let close = |a: f64, b: f64| (a - b).abs() <= 1e-9 * (1.0 + a.abs());
+        let is_close = |a: f64, b: f64| (a - b).abs() <= 1e-9 * (1.0 + a.abs());
         assert_eq!(
             (refit.axis, refit.metric, refit.runs),
             (stored.axis, stored.metric, stored.runs)
         );
-        assert!(close(refit.slope, stored.slope) && close(refit.residual, stored.residual));
+        assert!(is_close(refit.slope, stored.slope) && is_close(refit.residual, stored.residual));
         assert!(refit.values.len() >= 4 && refit.runs >= 12, "{refit:?}");
     }
 }
--- a/standby/tests/takeovers.rs
+++ b/standby/tests/takeovers.rs
@@ -22,7 +22,7 @@
 /// Upper bound, exclusive, of the number of steps in a case.
 const STEPS_MAX: usize = 160;
 
-/// One step. Indexes of commits, messages and answers are taken modulo their number.
+/// One step. Indexes of commits, messages and responses are taken modulo their number.
 #[derive(Clone, Debug)]
 enum Step {
     AdvanceClock(u64),
@@ -38,7 +38,7 @@
         machine: usize,
         controller: usize,
     },
-    DeliverAnswer(usize),
+    DeliverResponse(usize),
     SendHints {
         controller: usize,
         is_false: bool,
@@ -52,9 +52,9 @@
         controller: usize,
         from: usize,
     },
-    Pause {
+    SetPaused {
         controller: usize,
-        pause: bool,
+        is_paused: bool,
     },
     Restart {
         controller: usize,
@@ -83,7 +83,7 @@
             .prop_map(|(controller, machine)| Step::Place { controller, machine }),
         4 => (machine(), controller())
             .prop_map(|(machine, controller)| Step::WorkerHeartbeat { machine, controller }),
-        4 => index().prop_map(Step::DeliverAnswer),
+        4 => index().prop_map(Step::DeliverResponse),
         2 => (controller(), any::<bool>())
             .prop_map(|(controller, is_false)| Step::SendHints { controller, is_false }),
         4 => (index(), any::<bool>())
@@ -92,7 +92,7 @@
         1 => (controller(), controller())
             .prop_map(|(controller, from)| Step::Disconnect { controller, from }),
         2 => (controller(), any::<bool>())
-            .prop_map(|(controller, pause)| Step::Pause { controller, pause }),
+            .prop_map(|(controller, is_paused)| Step::SetPaused { controller, is_paused }),
         1 => (controller(), any::<bool>())
             .prop_map(|(controller, is_up)| Step::Restart { controller, is_up }),
         4 => (1..30usize).prop_map(Step::RunRounds),
@@ -117,7 +117,7 @@
             machine,
             controller,
         } => world.send_worker_heartbeat(machine, controller),
-        Step::DeliverAnswer(answer) => world.deliver_answer(answer),
+        Step::DeliverResponse(response) => world.deliver_response(response),
         Step::SendHints {
             controller,
             is_false,
@@ -125,7 +125,10 @@
         Step::Deliver { message, keep_copy } => world.deliver(message, keep_copy),
         Step::DropMessages => world.drop_messages(),
         Step::Disconnect { controller, from } => world.disconnect(controller, from),
-        Step::Pause { controller, pause } => world.pause(controller, pause),
+        Step::SetPaused {
+            controller,
+            is_paused,
+        } => world.set_paused(controller, is_paused),
         Step::Restart { controller, is_up } => world.restart(controller, is_up),
         Step::RunRounds(rounds) => world.run_rounds(None, rounds),
         Step::RunRoundsWithout { controller, rounds } => world.run_rounds(Some(controller), rounds),
@@ -237,7 +240,7 @@
     for _ in 0..2 {
         world.read_records(leader);
         world.send_worker_heartbeat(0, leader);
-        world.deliver_answer(0);
+        world.deliver_response(0);
     }
     world.drop_messages();
     world.restart(leader, false);
@@ -254,7 +257,7 @@
             world.read_records(successor);
             for machine in 0..MACHINES {
                 world.send_worker_heartbeat(machine, successor);
-                world.deliver_answer(0);
+                world.deliver_response(0);
             }
         }
     }
--- a/standby/tests/world/controllers.rs
+++ b/standby/tests/world/controllers.rs
@@ -277,8 +277,8 @@
         self.commits.push(commit);
     }
 
-    pub(crate) fn pause(&mut self, controller_index: usize, pause: bool) {
-        self.controllers[controller_index].is_paused = pause;
+    pub(crate) fn set_paused(&mut self, controller_index: usize, is_paused: bool) {
+        self.controllers[controller_index].is_paused = is_paused;
     }
 
     /// Ends a controller's process, and starts the next one if `is_up`.
--- a/standby/tests/world/mod.rs
+++ b/standby/tests/world/mod.rs
@@ -12,7 +12,7 @@
 use records::{Commit, Placement, Records};
 use salttrestle_standby::{Config, Standby};
 use thiserror::Error;
-use workers::{Answer, Worker};
+use workers::{Response, Worker};
 
 pub(crate) const CONTROLLERS: usize = 3;
 pub(crate) const MACHINES: usize = 2;
@@ -65,7 +65,7 @@
     controllers: Vec<Controller>,
     messages: Vec<Envelope>,
     commits: Vec<Commit>,
-    answers: Vec<Answer>,
+    responses: Vec<Response>,
     workers: Vec<Worker>,
     /// All placements that were ever committed.
     committed_placements: Vec<Placement>,
@@ -104,7 +104,7 @@
             controllers: (0..CONTROLLERS).map(Controller::new).collect(),
             messages: Vec::new(),
             commits: Vec::new(),
-            answers: Vec::new(),
+            responses: Vec::new(),
             workers: vec![Worker::default(); MACHINES],
             committed_placements: Vec::new(),
             latest_cloud_token: 0,
@@ -185,7 +185,7 @@
         self.execute_commit(usize::MAX);
         self.read_records(controller);
         self.send_worker_heartbeat(controller % MACHINES, controller);
-        self.deliver_answer(usize::MAX);
+        self.deliver_response(usize::MAX);
         self.call_cloud(controller);
     }
 
@@ -195,7 +195,7 @@
         self.commits.clear();
         for controller in 0..CONTROLLERS {
             if self.controllers[controller].is_up {
-                self.pause(controller, false);
+                self.set_paused(controller, false);
             } else {
                 self.restart(controller, true);
             }
--- a/standby/tests/world/records.rs
+++ b/standby/tests/world/records.rs
@@ -22,7 +22,8 @@
     pub(crate) lease: usize,
 }
 
-/// The record of the highest token that was issued, with the wait of that election.
+/// The record of the highest token that was issued, and of the time that the leader elected last
+/// has to wait before it calls the cloud.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct HighestToken {
     pub(crate) token: u64,
@@ -113,7 +114,7 @@
 pub(crate) struct Commit {
     /// The records that the sender had read.
     pub(crate) conditions: Records,
-    /// Whether the commit is conditional on the placement besides the shard.
+    /// Whether the commit is conditional on the placement in addition to the shard's token.
     pub(crate) requires_unchanged_placement: bool,
     pub(crate) change: Change,
 }
--- a/standby/tests/world/workers.rs
+++ b/standby/tests/world/workers.rs
@@ -1,12 +1,12 @@
-//! The workers: their heartbeats, the answers to them, and the task.
+//! The workers: their heartbeats, the responses to them, and the task.
 
 use super::records::Placement;
 use super::{LEADER_LEASE_MS, Violation, World};
 
 /// Duration of a worker's lease.
 const WORKER_LEASE_MS: u64 = 10_000;
-/// Time for which a worker waits for the answer to a heartbeat.
-const ANSWER_TIMEOUT_MS: u64 = 4_000;
+/// Time for which a worker waits for the response to a heartbeat.
+const RESPONSE_TIMEOUT_MS: u64 = 4_000;
 
 #[derive(Clone, Debug, Default)]
 pub(super) struct Worker {
@@ -26,9 +26,9 @@
     }
 }
 
-/// An answer to a heartbeat, in transit.
+/// A response to a heartbeat, in transit.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Answer {
+pub(super) struct Response {
     machine: usize,
     token: u64,
     /// The attempt that the worker has to start.
@@ -38,7 +38,7 @@
 }
 
 impl World {
-    /// A worker sends a heartbeat to a controller, which answers if it owns the shard.
+    /// A worker sends a heartbeat to a controller, which responds if it owns the shard.
     pub(crate) fn send_worker_heartbeat(&mut self, machine: usize, controller_index: usize) {
         if !self.is_running(controller_index) {
             return;
@@ -60,14 +60,14 @@
             .filter(is_on_machine)
             .filter(is_not_running);
         let start = own.filter(|_| has_acknowledged && has_recent_view);
-        // A worker that has acknowledged the present token ignores answers with older tokens. If it
-        // doesn't run an attempt of an earlier owner, it can't start that attempt any more.
+        // A worker that has acknowledged the current token ignores responses with older tokens. If
+        // it doesn't run an attempt of an earlier owner, it can't start that attempt any more.
         let earlier = controller.view.placement.value.filter(is_on_machine);
         let earlier = earlier.filter(|placement| placement.token() != token);
         if has_acknowledged && earlier.as_ref().is_some_and(is_not_running) {
             self.commit_task_gone(controller_index);
         }
-        self.answers.push(Answer {
+        self.responses.push(Response {
             machine,
             token,
             start: start.map(|placement| placement.attempt),
@@ -75,22 +75,24 @@
         });
     }
 
-    /// Delivers an answer to its worker, which ignores an answer that is too late or has an
+    /// Delivers a response to its worker, which ignores a response that is too late or has an
     /// outdated token.
-    pub(crate) fn deliver_answer(&mut self, index: usize) {
-        if self.answers.is_empty() {
+    pub(crate) fn deliver_response(&mut self, index: usize) {
+        if self.responses.is_empty() {
             return;
         }
-        let answer = self.answers.swap_remove(index % self.answers.len());
-        let worker = &mut self.workers[answer.machine];
-        if answer.token < worker.highest_token || self.now > answer.sent_at + ANSWER_TIMEOUT_MS {
+        let response = self.responses.swap_remove(index % self.responses.len());
+        let worker = &mut self.workers[response.machine];
+        if response.token < worker.highest_token
+            || self.now > response.sent_at + RESPONSE_TIMEOUT_MS
+        {
             return;
         }
-        worker.highest_token = answer.token;
-        worker.lease_renewed_at = answer.sent_at;
-        if let Some(attempt) = answer.start {
+        worker.highest_token = response.token;
+        worker.lease_renewed_at = response.sent_at;
+        if let Some(attempt) = response.start {
             worker.running_attempt = Some(attempt);
-            self.check_start(answer.machine, attempt);
+            self.check_start(response.machine, attempt);
         }
     }
 
--- a/tests/keepalive.rs
+++ b/tests/keepalive.rs
@@ -1,5 +1,5 @@
-//! What a controller answers a worker of its zone while it keeps the lease alive in the place of an
-//! owner that can't be reached.
+//! A controller's responses to a worker of its zone while it keeps the worker's lease alive in
+//! place of a shard owner that can't be reached.
 
 use salttrestle::controller::Controller;
 use salttrestle::controller::events::{Input, Output, Request};
@@ -41,7 +41,7 @@
     ]
 }
 
-/// What the store answers; `None` for a request that gets no answer.
+/// The store's response; `None` for a request that gets no response.
 fn store_response(request: &StoreRequest, changes: &[Change]) -> Option<StoreResponse> {
     match request {
         StoreRequest::List { .. } => Some(StoreResponse::Page {
@@ -61,7 +61,8 @@
     }
 }
 
-/// A controller of zone a that has read the owner's record and then these changes.
+/// Creates a controller in zone a that has read the records of the leader and the shard's owner,
+/// and then `changes`.
 fn controller(now: &mut u64, changes: &[Change]) -> Controller {
     let settings = Settings {
         platform: Platform::parse(PLATFORM, "test").expect("valid settings"),
@@ -87,7 +88,7 @@
     controller
 }
 
-/// A heartbeat of a worker that runs a task of the owner's.
+/// A heartbeat of a worker that runs a task which the shard's owner has started.
 fn heartbeat() -> WorkerHeartbeat {
     WorkerHeartbeat {
         machine: "i-1".into(),
@@ -108,7 +109,7 @@
     }
 }
 
-/// The body of the answer to that heartbeat.
+/// The body of the controller's response to the worker's heartbeat.
 fn keepalive_body(changes: &[Change]) -> String {
     let mut now = 10_000_000;
     let mut controller = controller(&mut now, changes);
@@ -121,8 +122,8 @@
     String::from_utf8_lossy(&body.expect("a keepalive")).into_owned()
 }
 
-/// A job that the watch hasn't brought yet was once treated as over: its tasks, the last that the
-/// owner had started, were stopped, and started again by its successor.
+/// Guards against treating a job that the watch hasn't delivered yet as ended. A controller that
+/// did so stopped the tasks that the owner had started last, and the next owner started them again.
 #[test]
 fn keepalive_stops_no_task_of_an_unknown_job() {
     let body = keepalive_body(&[]);
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -17,7 +17,7 @@
     }
 }
 
-/// A port that was free a moment ago.
+/// Returns a port that is free now. Another process may take it before the test listens on it.
 fn free_port() -> u16 {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     listener.local_addr().expect("an address").port()
--- a/tests/malformed.rs
+++ b/tests/malformed.rs
@@ -6,8 +6,8 @@
 use salttrestle::peer;
 use salttrestle::wire;
 
-/// Decodes a request with a body of at most 100 bytes: the size of its body in bytes, `None` if the
-/// request is incomplete, or an error.
+/// Decodes a request whose body may have at most 100 bytes. Returns the size of the body in bytes;
+/// `None` if the request is incomplete.
 fn decode_request(bytes: &[u8]) -> Result<Option<usize>, HttpError> {
     let mut decoder = Decoder::new(Side::Request, 100);
     decoder.feed(bytes);
@@ -286,8 +286,8 @@
     }
 }
 
-/// A malformed submission of a known job is answered with the job's state. To find the job, its id is
-/// read from the malformed body where possible.
+/// A malformed submission of a known job is answered with the job's state. The job's id is
+/// therefore read from the malformed body where possible.
 #[test]
 fn job_id_is_read_from_malformed_submissions() {
     let int = |n: i64| Value::Integer(n.into());
@@ -380,7 +380,7 @@
         overdue_machines: vec!["i-7".into()],
     });
     let framed = peer::frame(&heartbeat).expect("a message within the size limit");
-    // A whole frame and the beginning of the next one.
+    // The buffer holds a whole frame and the beginning of the next one.
     let mut buffer = [framed.clone(), framed[..4].to_vec()].concat();
     assert_eq!(peer::unframe(&mut buffer), Ok(Some(heartbeat)));
     assert_eq!(peer::unframe(&mut buffer), Ok(None));
--- a/tests/processor.rs
+++ b/tests/processor.rs
@@ -7,18 +7,18 @@
 const MEASUREMENT_INTERVAL_MS: u64 = 1000;
 
 /// The utilization after one measurement a second, and the time of the last measurement.
-fn measured(shares: impl IntoIterator<Item = f64>) -> (ProcessorUtilization, Time) {
+fn measured(fractions: impl IntoIterator<Item = f64>) -> (ProcessorUtilization, Time) {
     let mut utilization = ProcessorUtilization::default();
     let mut now = Time(MEASUREMENT_INTERVAL_MS);
-    for share in shares {
+    for fraction in fractions {
         now = Time(now.0 + MEASUREMENT_INTERVAL_MS);
-        utilization.record(now, share);
+        utilization.record(now, fraction);
     }
     (utilization, now)
 }
 
 #[test]
-fn share_without_recent_measurements_is_unknown() {
+fn busy_fraction_without_recent_measurements_is_unknown() {
     let (utilization, now) = measured([]);
     assert_eq!(utilization.busy_fraction(now), None);
     assert!(!utilization.has_measurement());
@@ -33,14 +33,14 @@
 }
 
 #[test]
-fn share_barely_changes_within_a_second_and_follows_within_a_minute() {
+fn busy_fraction_barely_changes_within_a_second_and_follows_within_a_minute() {
     let low_minute = [0.2; 60];
     let (utilization, now) = measured(low_minute.into_iter().chain([1.0]));
-    let share = utilization.busy_fraction(now).expect("measured");
-    assert!((0.2..0.3).contains(&share), "{share}");
+    let fraction = utilization.busy_fraction(now).expect("measured");
+    assert!((0.2..0.3).contains(&fraction), "{fraction}");
     let (utilization, now) = measured(low_minute.into_iter().chain([1.0; 60]));
-    let share = utilization.busy_fraction(now).expect("measured");
-    assert!(share > 0.99, "{share}");
+    let fraction = utilization.busy_fraction(now).expect("measured");
+    assert!(fraction > 0.99, "{fraction}");
 }
 
 #[test]
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -128,8 +128,8 @@
         800,
         "limited by the sockets of two controllers"
     );
-    // When a new owner appears, each of the 4,000 workers that a controller has sockets for may send
-    // it a heartbeat to forward, and all of these must fit into the buffer for unsent bytes.
+    // When a shard gets a new owner, a controller with 4,000 sockets may receive a heartbeat to
+    // forward on each of them, and all of these must fit into the buffer for unsent bytes.
     let large = settings("1.0", "4000");
     let heartbeat = peer::ForwardedHeartbeat::new(
         &"n".into(),
--- a/tests/stored_forms.rs
+++ b/tests/stored_forms.rs
@@ -1,7 +1,7 @@
-//! The encodings of stored records and of messages between controllers, compared with the bytes that
-//! running controllers write and send. A change of names or of field order that alters a record's
-//! bytes must come with code that still reads the old bytes, and one that alters a message's bytes
-//! with a new version of the messages.
+//! The encodings of stored records and of messages between controllers, compared with the bytes
+//! that running controllers write and send. A change of names or of field order that alters a
+//! record's bytes must come with code that still reads the old bytes. One that alters a message's
+//! bytes must come with a new version of the messages.
 //!
 //! The bytes are those of commit 2175c80, which ran in production before the upgrade to pipelines.
 //! Newer than that are [`PLACEMENTS_PART`] and the encodings for the standby ([`FENCED_LEADER`],
@@ -365,8 +365,8 @@
     }
 }
 
-/// The records that a cell writes when it shares limits with other cells. Only the cell itself reads
-/// them, so that cells with different versions never read each other's records.
+/// The records that a cell writes when it shares limits with other cells. Only the cell itself
+/// reads them, so that cells with different versions never read each other's records.
 #[test]
 fn encodings_of_shared_limits_records() {
     use salttrestle_cells::Amount;
--- a/tests/waiting.rs
+++ b/tests/waiting.rs
@@ -14,7 +14,7 @@
 /// Both ends of a connection, and a poller that watches the near end.
 struct PolledConnection {
     poller: SocketPoller,
-    /// The poller watches the listener, so it has to stay open.
+    /// Keeps the listener open, since the poller watches it.
     _listener: TcpListener,
     near: TcpStream,
     far: TcpStream,
