--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,8 @@
 //! salttrestle: a scheduler for rented fleets that serve language models.
 //!
-//! The [`controller`] is a state machine without I/O, clock or randomness of its own;
-//! [`net`] feeds it and carries out what it returns.
+//! The [`controller`] is a deterministic state machine: it does no I/O, reads no clock and draws no
+//! random numbers. [`net`] runs the event loop that passes inputs to it and executes the outputs it
+//! returns.
 
 pub mod controller;
 pub mod http;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: arguments, logging, exit codes. Everything else is in the library.
+//! The command-line program: arguments, logging and exit codes. Everything else is in the library.
 
 #![warn(missing_docs)]
 
@@ -15,26 +15,26 @@
 #[derive(Parser)]
 #[command(version)]
 struct Args {
-    /// The settings file that the platform hands over (JSON).
+    /// Settings provided by the platform (JSON).
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
-    /// Operators' settings that override the embedded defaults.
+    /// Operators' settings, which override the built-in defaults.
     #[arg(long, value_name = "FILE")]
     properties: Option<PathBuf>,
-    /// The cells that share team limits with this one.
+    /// The cells that share team limits with this one, and the addresses of their controllers.
     #[arg(long, value_name = "FILE")]
     cells: Option<PathBuf>,
-    /// Check all files and exit.
+    /// Check all settings files and exit.
     #[arg(long)]
     check: bool,
 }
 
-/// The exit code for bad arguments and settings.
-const EXIT_BAD_SETTINGS: u8 = 2;
+/// The exit code for invalid settings. The argument parser exits with the same code.
+const EXIT_INVALID_SETTINGS: u8 = 2;
 
-/// A flag that SIGTERM and SIGINT raise. Where handlers can't be registered, the process can only be
-/// killed.
-fn termination_flag() -> Arc<AtomicBool> {
+/// Returns a flag that SIGTERM and SIGINT set. If a handler can't be registered, its signal ends
+/// the process at once, without a handover.
+fn register_termination_flag() -> Arc<AtomicBool> {
     let flag = Arc::new(AtomicBool::new(false));
     for signal in [SIGTERM, SIGINT] {
         if let Err(error) = signal_hook::flag::register(signal, flag.clone()) {
@@ -44,8 +44,9 @@
     flag
 }
 
-/// Logs to standard error, at the level that `LOG_LEVEL` names.
-fn start_logging() {
+/// Initializes logging to standard error at the level that the environment variable `LOG_LEVEL`
+/// sets, `info` by default.
+fn init_logging() {
     let filter = env_logger::Env::new().filter_or("LOG_LEVEL", "info");
     env_logger::Builder::from_env(filter)
         .format_target(false)
@@ -54,7 +55,7 @@
 
 fn main() -> ExitCode {
     let args = Args::parse();
-    start_logging();
+    init_logging();
     let settings = match Settings::load(
         &args.config,
         args.properties.as_deref(),
@@ -63,7 +64,7 @@
         Ok(settings) => settings,
         Err(error) => {
             eprintln!("salttrestle: {error}");
-            return ExitCode::from(EXIT_BAD_SETTINGS);
+            return ExitCode::from(EXIT_INVALID_SETTINGS);
         }
     };
     if args.check {
@@ -71,7 +72,7 @@
         return ExitCode::SUCCESS;
     }
     let incarnation = rand::random();
-    match salttrestle::net::run(settings, incarnation, termination_flag()) {
+    match salttrestle::net::run(settings, incarnation, register_termination_flag()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("salttrestle: {error}");
--- a/src/net/cell_links.rs
+++ b/src/net/cell_links.rs
@@ -1,5 +1,6 @@
-//! Messages between cells. Each controller listens for other cells, and a leader sends to each
-//! controller of another cell, since it doesn't know which of them leads there.
+//! Connections for messages between cells. Every controller accepts connections of other cells. A
+//! cell's leader sends each message to all controllers of another cell, since it doesn't know which
+//! of them is the leader there.
 
 use crate::controller::events::Input;
 use crate::ids::Time;
@@ -13,21 +14,22 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::{SocketAddrV4, TcpStream};
 
-/// Pause before a connection that failed is tried again, in seconds, and by how much of it more
-/// at most, so that the controllers of a cell don't all come back at once.
-const RECONNECT_PAUSE_S: f64 = 1.0;
-const RECONNECT_JITTER: f64 = 0.5;
-/// Most bytes that wait to be written to a controller of another cell.
-const CELL_UNSENT_MAX: usize = 2 * MESSAGE_MAX;
+/// Minimum delay between two connection attempts to the same controller.
+const RECONNECT_DELAY_S: f64 = 1.0;
+/// Maximum random increase of the delay, as a fraction of it. It keeps the controllers of a cell
+/// from reconnecting all at the same time.
+const RECONNECT_JITTER_FRACTION: f64 = 0.5;
+/// Maximum number of bytes that wait to be written to one controller of another cell.
+const CELL_UNSENT_BYTES_MAX: usize = 2 * MESSAGE_MAX;
 
-/// The connections from and to controllers of other cells.
+/// The connections from and to the controllers of other cells.
 pub(super) struct CellLinks {
-    /// Where the controllers of each cell listen.
+    /// The addresses at which the controllers of each cell listen.
     addresses: BTreeMap<Cell, Vec<SocketAddrV4>>,
     incoming: FramedConnections,
     outgoing: HashMap<ConnectionId, SocketAddrV4>,
-    by_address: HashMap<SocketAddrV4, ConnectionId>,
-    /// When the next connection to a controller may be tried.
+    outgoing_by_address: HashMap<SocketAddrV4, ConnectionId>,
+    /// The earliest time of the next connection attempt to each controller.
     retry_at: HashMap<SocketAddrV4, Time>,
 }
 
@@ -42,22 +44,22 @@
             addresses: addresses.collect(),
             incoming: FramedConnections::new(Protocol::FromCell),
             outgoing: HashMap::new(),
-            by_address: HashMap::new(),
+            outgoing_by_address: HashMap::new(),
             retry_at: HashMap::new(),
         }
     }
 
-    /// How many connections other cells have made.
+    /// The number of accepted connections from other cells.
     pub(super) fn incoming_count(&self) -> usize {
         self.incoming.count()
     }
 
-    /// Takes over a connection that was accepted.
+    /// Adds an accepted connection.
     pub(super) fn add_incoming(&mut self, context: &mut Context, stream: TcpStream) {
         self.incoming.add(context, stream);
     }
 
-    /// Takes the bytes that came from another cell.
+    /// Handles bytes received from another cell.
     pub(super) fn on_bytes(
         &mut self,
         context: &mut Context,
@@ -65,12 +67,12 @@
         bytes: &[u8],
     ) -> Outcome {
         let inputs = &mut context.inputs;
-        let read = self
+        let result = self
             .incoming
             .on_bytes(id, bytes, message::unframe, |message| {
                 inputs.push_back(Input::Cell(message));
             });
-        match read {
+        match result {
             Ok(()) => Outcome::KeepOpen,
             Err(error) => {
                 warn!("another cell's link is closed: {error}");
@@ -79,8 +81,8 @@
         }
     }
 
-    /// Sends a message to every controller of a cell. What a link doesn't take is lost; the
-    /// leader sends its state again soon.
+    /// Sends a message to every controller of a cell. A message that a connection can't accept is
+    /// lost; the leader sends its current state again periodically.
     pub(super) fn send(&mut self, context: &mut Context, to: &Cell, message: &LinkMessage) {
         let Some(addresses) = self.addresses.get(to).cloned() else {
             return;
@@ -92,7 +94,7 @@
             }
         };
         for address in addresses {
-            let Some(id) = self.link(context, address) else {
+            let Some(id) = self.get_or_connect(context, address) else {
                 continue;
             };
             match context.connections.send(id, &frame) {
@@ -109,34 +111,39 @@
         };
         self.incoming.remove(id);
         if let Some(address) = self.outgoing.remove(&id) {
-            self.by_address.remove(&address);
+            self.outgoing_by_address.remove(&address);
         }
     }
 
-    /// The connection to another cell's controller, begun now if there is none.
-    fn link(&mut self, context: &mut Context, address: SocketAddrV4) -> Option<ConnectionId> {
-        if let Some(id) = self.by_address.get(&address) {
+    /// Returns the connection to another cell's controller, or begins one. `None` if the last
+    /// attempt was too recent or this one fails.
+    fn get_or_connect(
+        &mut self,
+        context: &mut Context,
+        address: SocketAddrV4,
+    ) -> Option<ConnectionId> {
+        if let Some(id) = self.outgoing_by_address.get(&address) {
             return Some(*id);
         }
         let now = context.clock.now();
         if self.retry_at.get(&address).is_some_and(|at| now < *at) {
             return None;
         }
-        self.retry_at.insert(address, reconnect_at(now));
+        self.retry_at.insert(address, next_attempt_at(now));
         let stream = match begin_connect(address) {
             Ok(stream) => stream,
             Err(error) => {
-                debug!("no link to another cell: address={address} reason={error}");
+                debug!("connection to another cell failed: address={address} reason={error}");
                 return None;
             }
         };
-        let id = context.add(stream, Protocol::ToCell, CELL_UNSENT_MAX)?;
+        let id = context.add_connection(stream, Protocol::ToCell, CELL_UNSENT_BYTES_MAX)?;
         self.outgoing.insert(id, address);
-        self.by_address.insert(address, id);
+        self.outgoing_by_address.insert(address, id);
         Some(id)
     }
 }
 
-fn reconnect_at(now: Time) -> Time {
-    now.after(RECONNECT_PAUSE_S * (1.0 + RECONNECT_JITTER * rand::random::<f64>()))
+fn next_attempt_at(now: Time) -> Time {
+    now.after(RECONNECT_DELAY_S * (1.0 + RECONNECT_JITTER_FRACTION * rand::random::<f64>()))
 }
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -1,32 +1,32 @@
-//! The process's steady clock.
+//! The monotonic clock of the process.
 
 use crate::ids::Time;
 use std::time::Instant;
 
-/// What the clock shows when the process starts, so that the moment 0 lies long ago.
-const START_MS: u64 = 10_000_000;
+/// The clock's reading when the process starts. It isn't 0, so that time 0 lies far in the past.
+const START_READING_MS: u64 = 10_000_000;
 
-/// Counts milliseconds from the start of the process.
+/// A monotonic clock with a resolution of a millisecond.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Clock {
-    started: Instant,
+    started_instant: Instant,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts now.
     pub(super) fn start() -> Self {
         Self {
-            started: Instant::now(),
+            started_instant: Instant::now(),
         }
     }
 
-    /// The moment at which this clock was started.
+    /// The reading of every clock at its start.
     pub(super) fn started_at() -> Time {
-        Time(START_MS)
+        Time(START_READING_MS)
     }
 
-    /// The present moment.
+    /// The current reading.
     pub(super) fn now(&self) -> Time {
-        Time(START_MS + self.started.elapsed().as_millis() as u64)
+        Time(START_READING_MS + self.started_instant.elapsed().as_millis() as u64)
     }
 }
--- a/src/net/connections.rs
+++ b/src/net/connections.rs
@@ -1,5 +1,5 @@
-//! Connections, whichever protocol they carry: their sockets, the bytes that wait to be written,
-//! and the time at which something last came. The modules of the protocols own what the bytes mean.
+//! Connections of all protocols: their sockets, the bytes that wait to be written, and the time of
+//! the last receipt. The protocols' modules interpret the bytes.
 
 use crate::ids::Time;
 use crate::net::clock::Clock;
@@ -12,33 +12,35 @@
 use std::net::{SocketAddr, SocketAddrV4, TcpStream};
 use std::time::Duration;
 
-/// Most bytes that wait to be written to one connection, unless its protocol needs more.
-pub(super) const UNSENT_MAX: usize = 1 << 20;
-/// The error of a connection that is being made. It has no `ErrorKind` that is stable.
+/// Maximum number of bytes that wait to be written to one connection, unless its protocol sets
+/// another maximum.
+pub(super) const UNSENT_BYTES_MAX: usize = 1 << 20;
+/// The error number of a nonblocking connect that is in progress. The standard library has no
+/// stable `ErrorKind` for it.
 const EINPROGRESS: i32 = 115;
 
-/// Names a connection; never used again for another one.
+/// Identifies a connection, and is its key in the poller. Ids are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct ConnectionId(pub(super) usize);
 
-/// What a connection carries, and with it the module that owns it.
+/// The protocol of a connection. It determines which module handles the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Protocol {
-    /// HTTP requests to this process.
+    /// HTTP requests from users, workers and health checks.
     IncomingHttp,
-    /// HTTP requests of this process to the store or the cloud.
+    /// HTTP requests from this process to the store or the cloud.
     OutgoingHttp,
-    /// Messages from a peer.
+    /// Messages from a peer, over a connection that the peer began.
     FromPeer,
-    /// Messages to a peer.
+    /// Messages to a peer, over a connection that this process began.
     ToPeer,
-    /// Messages from a controller of another cell.
+    /// Messages from a controller of another cell, over a connection that it began.
     FromCell,
-    /// Messages to a controller of another cell.
+    /// Messages to a controller of another cell, over a connection that this process began.
     ToCell,
 }
 
-/// What becomes of a connection after an event on it.
+/// Whether the caller must close a connection after an operation on it.
 #[must_use]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Outcome {
@@ -46,21 +48,21 @@
     Close,
 }
 
-/// What a connection gave when it was read.
+/// The result of reading from a connection.
 pub(super) enum ReadResult {
-    /// So many bytes.
+    /// This many bytes were read.
     Bytes(usize),
-    /// Nothing for now, or the connection is closed already.
+    /// No bytes are available, or the connection has already been closed.
     Nothing,
-    /// The other side closed it, or it broke.
+    /// The remote side closed the connection, or it failed.
     Ended,
 }
 
-/// How far a connection that this process began has come.
+/// The progress of a connection that this process began.
 pub(super) enum ConnectProgress {
     Established,
     Refused,
-    /// It failed for another reason.
+    /// The connection failed for another reason than a refusal.
     Failed,
     Pending,
 }
@@ -70,21 +72,22 @@
     protocol: Protocol,
     /// Bytes that wait to be written.
     unsent: Vec<u8>,
-    unsent_max: usize,
-    /// Whether the poller watches for room to write.
-    is_write_watched: bool,
-    /// When something last came or, for a new connection, when it was opened.
-    last_active: Time,
+    unsent_bytes_max: usize,
+    /// Whether the poller reports when the socket becomes writable.
+    has_write_interest: bool,
+    /// When bytes were last received or, before that, when the connection was added.
+    last_received_at: Time,
 }
 
-/// All connections of this process, and the poller that watches them.
+/// All connections of this process, and the poller of their sockets.
 pub(super) struct Connections {
     poller: SocketPoller,
     connections: HashMap<ConnectionId, Connection>,
     next_key: usize,
 }
 
-/// A connection that was taken out. Its socket closes when this is dropped.
+/// A connection that was removed from [`Connections`]. Its socket closes when this value is
+/// dropped.
 pub(super) struct ClosingConnection {
     _stream: TcpStream,
 }
@@ -98,31 +101,32 @@
         }
     }
 
-    /// Waits until a listener or a connection is ready, or the time is over.
+    /// Waits until a listener or a connection is ready, or the timeout has passed.
     pub(super) fn wait(&mut self, timeout: Duration) -> io::Result<&[Ready]> {
         self.poller.wait(timeout)
     }
 
-    /// How many connections there are.
+    /// The number of open connections.
     pub(super) fn count(&self) -> usize {
         self.connections.len()
     }
 
-    /// Takes a connection over; nothing if it can't be watched.
+    /// Adds a connection and starts polling it; `None` if the poller fails. At most
+    /// `unsent_bytes_max` bytes wait to be written to it.
     pub(super) fn add(
         &mut self,
         stream: TcpStream,
         protocol: Protocol,
-        unsent_max: usize,
+        unsent_bytes_max: usize,
         clock: Clock,
     ) -> Option<ConnectionId> {
         let id = ConnectionId(self.next_key);
         self.next_key += 1;
         let _ = stream.set_nodelay(true);
-        // `remove` ends the watch before the socket is dropped.
+        // `remove` takes the socket out of the poller before the socket is dropped.
         if let Err(error) = self.poller.add(&stream, id.0) {
             warn!(
-                "connection can't be watched: connection={} reason={error}",
+                "connection can't be polled: connection={} reason={error}",
                 id.0
             );
             return None;
@@ -131,15 +135,16 @@
             stream,
             protocol,
             unsent: Vec::new(),
-            unsent_max,
-            is_write_watched: false,
-            last_active: clock.now(),
+            unsent_bytes_max,
+            has_write_interest: false,
+            last_received_at: clock.now(),
         };
         self.connections.insert(id, connection);
         Some(id)
     }
 
-    /// Takes a connection out. Its socket closes once the caller drops what it gets.
+    /// Removes a connection; `None` if it doesn't exist. The socket closes when the caller drops
+    /// the returned value.
     pub(super) fn remove(&mut self, id: ConnectionId) -> Option<ClosingConnection> {
         let connection = self.connections.remove(&id)?;
         let _ = self.poller.remove(&connection.stream);
@@ -148,23 +153,24 @@
         })
     }
 
-    /// What a connection carries; nothing if it is closed.
+    /// The protocol of a connection; `None` if it is closed.
     pub(super) fn protocol(&self, id: ConnectionId) -> Option<Protocol> {
         Some(self.connections.get(&id)?.protocol)
     }
 
-    /// When something last came on a connection.
-    pub(super) fn last_active(&self, id: ConnectionId) -> Option<Time> {
-        Some(self.connections.get(&id)?.last_active)
+    /// When bytes were last received on a connection or, before that, when it was added; `None` if
+    /// it is closed.
+    pub(super) fn last_received_at(&self, id: ConnectionId) -> Option<Time> {
+        Some(self.connections.get(&id)?.last_received_at)
     }
 
-    /// Whether bytes wait to be written.
+    /// Whether bytes wait to be written to a connection.
     pub(super) fn has_unsent(&self, id: ConnectionId) -> bool {
         let connection = self.connections.get(&id);
         connection.is_some_and(|connection| !connection.unsent.is_empty())
     }
 
-    /// Whether a connection that this process began is made.
+    /// Whether a connection that this process began is established.
     pub(super) fn connect_progress(&self, id: ConnectionId) -> ConnectProgress {
         let Some(connection) = self.connections.get(&id) else {
             return ConnectProgress::Pending;
@@ -179,7 +185,7 @@
         }
     }
 
-    /// Reads what has come, as far as the buffer goes.
+    /// Reads available bytes into the buffer, at most as many as it holds.
     pub(super) fn read(&mut self, id: ConnectionId, buffer: &mut [u8], now: Time) -> ReadResult {
         let Some(connection) = self.connections.get_mut(&id) else {
             return ReadResult::Nothing;
@@ -188,7 +194,7 @@
             match connection.stream.read(buffer) {
                 Ok(0) => return ReadResult::Ended,
                 Ok(count) => {
-                    connection.last_active = now;
+                    connection.last_received_at = now;
                     return ReadResult::Bytes(count);
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return ReadResult::Nothing,
@@ -198,7 +204,7 @@
         }
     }
 
-    /// Sends bytes, at once as far as the socket takes them.
+    /// Queues bytes and writes as many of them as the socket accepts now.
     pub(super) fn send(&mut self, id: ConnectionId, bytes: &[u8]) -> Outcome {
         match self.queue(id, bytes) {
             Outcome::KeepOpen => self.flush(id),
@@ -206,20 +212,21 @@
         }
     }
 
-    /// Adds bytes to those that wait to be written. A connection that has no room for them is to
-    /// be closed.
+    /// Queues bytes without writing them. The connection must be closed if its queue has no room
+    /// for them.
     pub(super) fn queue(&mut self, id: ConnectionId, bytes: &[u8]) -> Outcome {
         let Some(connection) = self.connections.get_mut(&id) else {
             return Outcome::Close;
         };
-        if connection.unsent.len() + bytes.len() > connection.unsent_max {
+        if connection.unsent.len() + bytes.len() > connection.unsent_bytes_max {
             return Outcome::Close;
         }
         connection.unsent.extend_from_slice(bytes);
         Outcome::KeepOpen
     }
 
-    /// Writes what waits, as far as the socket takes it, and watches for room for the rest.
+    /// Writes as many queued bytes as the socket accepts, and polls for writability while some are
+    /// left.
     pub(super) fn flush(&mut self, id: ConnectionId) -> Outcome {
         let Some(connection) = self.connections.get_mut(&id) else {
             return Outcome::KeepOpen;
@@ -227,13 +234,13 @@
         if connection.write_unsent().is_err() {
             return Outcome::Close;
         }
-        let must_watch = !connection.unsent.is_empty();
-        if must_watch != connection.is_write_watched {
-            connection.is_write_watched = must_watch;
-            let watched = self
+        let has_unsent = !connection.unsent.is_empty();
+        if has_unsent != connection.has_write_interest {
+            connection.has_write_interest = has_unsent;
+            let result = self
                 .poller
-                .set_write_interest(&connection.stream, id.0, must_watch);
-            if watched.is_err() {
+                .set_write_interest(&connection.stream, id.0, has_unsent);
+            if result.is_err() {
                 return Outcome::Close;
             }
         }
@@ -243,13 +250,13 @@
 
 impl Connection {
     fn write_unsent(&mut self) -> io::Result<()> {
-        let mut sent = 0;
-        while sent < self.unsent.len() {
-            match self.stream.write(&self.unsent[sent..]) {
+        let mut written = 0;
+        while written < self.unsent.len() {
+            match self.stream.write(&self.unsent[written..]) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
-                Ok(count) => sent += count,
+                Ok(count) => written += count,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                // A connection that isn't made yet can't be written to either.
+                // A connection that isn't established yet reports `NotConnected`.
                 Err(error)
                     if matches!(
                         error.kind(),
@@ -261,12 +268,12 @@
                 Err(error) => return Err(error),
             }
         }
-        self.unsent.drain(..sent);
+        self.unsent.drain(..written);
         Ok(())
     }
 }
 
-/// Begins a connection without waiting for it.
+/// Begins a connection without waiting until it is established.
 pub(super) fn begin_connect(address: SocketAddrV4) -> io::Result<TcpStream> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_nonblocking(true)?;
--- a/src/net/context.rs
+++ b/src/net/context.rs
@@ -1,4 +1,4 @@
-//! What the modules of all protocols work with.
+//! State shared by the modules of all protocols.
 
 use crate::controller::events::Input;
 use crate::metrics::Metrics;
@@ -7,7 +7,7 @@
 use std::collections::VecDeque;
 use std::net::TcpStream;
 
-/// The clock, the connections, the inputs that wait for the controller, and the metrics.
+/// The clock, the connections, the inputs queued for the controller, and the metrics.
 pub(super) struct Context {
     pub(super) clock: Clock,
     pub(super) connections: Connections,
@@ -17,14 +17,16 @@
 }
 
 impl Context {
-    /// Takes a connection over; nothing if it can't be watched.
-    pub(super) fn add(
+    /// Adds a connection and starts polling it; `None` if the poller fails. At most
+    /// `unsent_bytes_max` bytes wait to be written to it.
+    pub(super) fn add_connection(
         &mut self,
         stream: TcpStream,
         protocol: Protocol,
-        unsent_max: usize,
+        unsent_bytes_max: usize,
     ) -> Option<ConnectionId> {
         let clock = self.clock;
-        self.connections.add(stream, protocol, unsent_max, clock)
+        self.connections
+            .add(stream, protocol, unsent_bytes_max, clock)
     }
 }
--- a/src/net/framed.rs
+++ b/src/net/framed.rs
@@ -1,6 +1,6 @@
-//! Connections on which other controllers send framed messages to this one.
+//! Accepted connections on which other controllers send framed messages to this one.
 
-use crate::net::connections::{ConnectionId, Protocol, UNSENT_MAX};
+use crate::net::connections::{ConnectionId, Protocol, UNSENT_BYTES_MAX};
 use crate::net::context::Context;
 use std::collections::HashMap;
 use std::net::TcpStream;
@@ -8,7 +8,7 @@
 /// The accepted connections of one protocol.
 pub(super) struct FramedConnections {
     protocol: Protocol,
-    /// What has come of the next message on each connection.
+    /// Bytes of the next, incomplete message on each connection.
     received: HashMap<ConnectionId, Vec<u8>>,
 }
 
@@ -24,9 +24,9 @@
         self.received.len()
     }
 
-    /// Takes over a connection that was accepted.
+    /// Adds an accepted connection.
     pub(super) fn add(&mut self, context: &mut Context, stream: TcpStream) {
-        if let Some(id) = context.add(stream, self.protocol, UNSENT_MAX) {
+        if let Some(id) = context.add_connection(stream, self.protocol, UNSENT_BYTES_MAX) {
             self.received.insert(id, Vec::new());
         }
     }
@@ -35,8 +35,8 @@
         self.received.remove(&id);
     }
 
-    /// Takes the bytes that came on a connection, and gives each message that they complete to
-    /// `deliver`. `unframe` removes the next whole message from a buffer; after its error the
+    /// Handles bytes received on a connection and passes each message that they complete to
+    /// `deliver`. `unframe` removes the next complete message from a buffer; if it fails, the
     /// connection must be closed.
     pub(super) fn on_bytes<Message, Error>(
         &mut self,
--- a/src/net/listeners.rs
+++ b/src/net/listeners.rs
@@ -1,11 +1,11 @@
-//! The sockets on which this process accepts connections.
+//! The listening sockets of this process.
 
 use crate::net::waiting::SocketPoller;
 use crate::settings::Settings;
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddrV4, TcpListener, TcpStream};
 
-/// Who connects to a listener.
+/// Which clients connect to a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ListenerKind {
     /// Users, workers and health checks.
@@ -17,10 +17,10 @@
 }
 
 impl ListenerKind {
-    /// How many kinds there are: keys below this one are listeners'.
+    /// The number of kinds. Poller keys below this number belong to listeners.
     pub(super) const COUNT: usize = 3;
 
-    /// The key under which the poller watches the listener.
+    /// The key under which the poller reports the listener.
     fn key(self) -> usize {
         match self {
             Self::UsersAndWorkers => 0,
@@ -29,23 +29,23 @@
         }
     }
 
-    /// The listener that has this key; nothing for the key of a connection.
+    /// The listener with this poller key; `None` if the key belongs to a connection.
     pub(super) fn from_key(key: usize) -> Option<Self> {
         let kinds = [Self::UsersAndWorkers, Self::Peers, Self::Cells];
         kinds.into_iter().find(|kind| kind.key() == key)
     }
 }
 
-/// The listening sockets of this process.
+/// The listening sockets, one for each [`ListenerKind`].
 pub(super) struct Listeners {
     users_and_workers: TcpListener,
     peers: TcpListener,
-    /// Only where limits are shared with other cells.
+    /// `None` if team limits aren't shared with other cells.
     cells: Option<TcpListener>,
 }
 
 impl Listeners {
-    /// Binds the addresses that the settings name, and has the poller watch them.
+    /// Listens on the addresses in the settings and registers the listeners with the poller.
     pub(super) fn bind(poller: &SocketPoller, settings: &Settings) -> io::Result<Self> {
         let platform = &settings.platform;
         let users_and_workers = bind(poller, platform.listen, ListenerKind::UsersAndWorkers)?;
@@ -62,7 +62,7 @@
         })
     }
 
-    /// The next connection that waits at a listener, if there is one.
+    /// Accepts the next pending connection of a listener; `None` if there is none.
     pub(super) fn accept(&self, kind: ListenerKind) -> io::Result<Option<TcpStream>> {
         let listener = match kind {
             ListenerKind::UsersAndWorkers => Some(&self.users_and_workers),
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,7 +1,9 @@
-//! The event loop: sockets, timers, reconnects. It turns bytes into the controller's inputs and
-//! carries out its outputs. Each protocol has a module that owns its connections' state:
-//! `incoming`, `outgoing`, `peer_links` and `cell_links`; the last two read frames by `framed`. All of
-//! them use `connections`, which knows of sockets only.
+//! The event loop: sockets, timers and reconnection. It decodes received bytes into the
+//! controller's inputs and executes the controller's outputs.
+//!
+//! Each protocol has a module that owns the state of its connections: `incoming`, `outgoing`,
+//! `peer_links` and `cell_links`; the last two read frames with `framed`. All of them use
+//! `connections`, which handles sockets without regard to the protocol.
 
 #![warn(missing_docs)]
 
@@ -39,24 +41,28 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Open files that aren't connections: listeners, the poller's, the standard streams.
-const OTHER_FILES: usize = 16;
-/// Sockets kept for the store, the cloud, peers and listeners.
-const OWN_SOCKETS: usize = 40;
-/// Fewest sockets for incoming connections, whatever the platform leases.
+/// File descriptors that aren't connections: listeners, the poller's and the standard streams.
+const NON_CONNECTION_FILES: usize = 16;
+/// Sockets reserved for the store, the cloud, peers and listeners.
+const RESERVED_SOCKETS: usize = 40;
+/// Minimum number of sockets for incoming connections, even if the platform's socket limit leaves
+/// fewer.
 const INCOMING_SOCKETS_MIN: usize = 8;
-/// Pause between two looks at deadlines, quiet connections and the metrics.
-const SWEEP_MS: u64 = 100;
-/// Most bytes read from a connection at once.
-const READ_BUFFER: usize = 16 * 1024;
+/// Interval between two checks of deadlines, idle connections and metrics.
+const SWEEP_INTERVAL_MS: u64 = 100;
+/// Maximum number of bytes that one read from a connection returns.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Runs the service until the process is killed or, once `termination` is raised, has handed over.
+/// Runs the controller until `termination` is set and everything is handed over.
+///
+/// `incarnation` distinguishes this process from earlier ones of the same controller. Returns an
+/// error if a listener can't be bound or the poller fails.
 pub fn run(settings: Settings, incarnation: u64, termination: Arc<AtomicBool>) -> io::Result<()> {
     let poller = SocketPoller::new()?;
     let listeners = Listeners::bind(&poller, &settings)?;
-    raise_file_limit(settings.platform.facts.resources.max_sockets);
+    raise_open_file_limit(settings.platform.facts.resources.max_sockets);
     info!(
-        "salttrestle {} as {} on {}",
+        "salttrestle started: version={} controller={} listen={}",
         env!("CARGO_PKG_VERSION"),
         settings.platform.controller_id,
         settings.platform.listen
@@ -64,27 +70,29 @@
     EventLoop::new(settings, incarnation, termination, listeners, poller).run()
 }
 
-/// A system's usual limit on open files may be far below the sockets that the platform
-/// leases: raises it as far as it goes.
-fn raise_file_limit(sockets: usize) {
-    let wanted = (sockets + OTHER_FILES) as u64;
+/// Raises the process's limit on open files so that it can open `sockets` sockets, as far as the
+/// system allows. The default limit may be far lower than the platform's socket limit.
+fn raise_open_file_limit(sockets: usize) {
+    let wanted = (sockets + NON_CONNECTION_FILES) as u64;
     match rlimit::increase_nofile_limit(wanted) {
-        Ok(limit) if limit >= wanted => info!("{limit} files may be open, for {sockets} sockets"),
-        Ok(limit) => warn!("only {limit} files may be open, for {sockets} sockets"),
-        Err(error) => warn!("the limit on open files isn't known: {error}"),
+        Ok(limit) if limit >= wanted => info!("open file limit: files={limit} sockets={sockets}"),
+        Ok(limit) => warn!("open file limit is too low: files={limit} sockets={sockets}"),
+        Err(error) => warn!("open file limit can't be raised: reason={error}"),
     }
 }
 
-/// Sockets for those who connect to this process.
-fn incoming_sockets(settings: &Settings) -> usize {
-    let all = settings.platform.facts.resources.max_sockets;
+/// The maximum number of incoming connections: the platform's socket limit without the reserved
+/// sockets and the connections to other cells.
+fn max_incoming_connections(settings: &Settings) -> usize {
+    let sockets_max = settings.platform.facts.resources.max_sockets;
     let cells = settings.cells.iter().flat_map(|file| file.cells.values());
-    let to_cells: usize = cells.map(BTreeMap::len).sum();
-    all.saturating_sub(OWN_SOCKETS + to_cells)
+    let cell_sockets: usize = cells.map(BTreeMap::len).sum();
+    sockets_max
+        .saturating_sub(RESERVED_SOCKETS + cell_sockets)
         .max(INCOMING_SOCKETS_MIN)
 }
 
-/// The controller, and all that connects it with the world.
+/// The controller, and the connections and timers that provide its inputs and execute its outputs.
 struct EventLoop {
     controller: Controller,
     listeners: Listeners,
@@ -93,12 +101,13 @@
     outgoing: OutgoingRequests,
     peers: PeerLinks,
     cells: CellLinks,
-    /// Sockets that the platform leases, and those of them for incoming connections.
+    /// Maximum number of sockets that the platform allows this process.
     sockets_max: usize,
-    incoming_max: usize,
-    /// Nothing before the first sweep.
-    next_sweep: Option<Time>,
-    /// Raised when the process is to terminate.
+    /// Maximum number of incoming connections.
+    incoming_connections_max: usize,
+    /// `None` before the first sweep.
+    next_sweep_at: Option<Time>,
+    /// Set when the process is to terminate.
     termination: Arc<AtomicBool>,
 }
 
@@ -110,15 +119,15 @@
         listeners: Listeners,
         poller: SocketPoller,
     ) -> Self {
-        let incoming_max = incoming_sockets(&settings);
+        let incoming_connections_max = max_incoming_connections(&settings);
         Self {
             listeners,
-            incoming: IncomingRequests::new(incoming_max),
+            incoming: IncomingRequests::new(incoming_connections_max),
             outgoing: OutgoingRequests::new(&settings.platform.services),
             peers: PeerLinks::new(&settings),
             cells: CellLinks::new(settings.cells.as_deref()),
             sockets_max: settings.platform.facts.resources.max_sockets,
-            incoming_max,
+            incoming_connections_max,
             controller: Controller::new(settings, incarnation),
             context: Context {
                 clock: Clock::start(),
@@ -126,49 +135,50 @@
                 inputs: VecDeque::new(),
                 metrics: Metrics::new(Clock::started_at(), Instant::now()),
             },
-            next_sweep: None,
+            next_sweep_at: None,
             termination,
         }
     }
 
     fn run(&mut self) -> io::Result<()> {
         let mut events: Vec<Ready> = Vec::new();
-        let mut buffer = vec![0; READ_BUFFER];
+        let mut buffer = vec![0; READ_BUFFER_BYTES];
         loop {
-            self.advance();
+            self.process_due();
             if self.controller.shutdown_complete() {
                 info!("ends: everything is handed over");
                 return Ok(());
             }
-            let timeout = self.until_next_timer();
+            let timeout = self.time_until_next_timer();
             events.clear();
-            let began = Instant::now();
+            let wait_started_at = Instant::now();
             match self.context.connections.wait(timeout) {
                 Ok(ready) => events.extend_from_slice(ready),
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
                 Err(error) => return Err(error),
             }
-            self.context.metrics.record_wait(began.elapsed());
+            self.context.metrics.record_wait(wait_started_at.elapsed());
             for event in &events {
                 match ListenerKind::from_key(event.key) {
                     Some(kind) => self.accept(kind),
-                    None => self.on_ready(*event, &mut buffer),
+                    None => self.on_socket_ready(*event, &mut buffer),
                 }
             }
         }
     }
 
-    fn until_next_timer(&self) -> Duration {
+    fn time_until_next_timer(&self) -> Duration {
         let now = self.context.clock.now();
         let wake_at = self.controller.wake_at();
-        let wake_at = self.next_sweep.map_or(wake_at, |at| wake_at.min(at));
+        let wake_at = self.next_sweep_at.map_or(wake_at, |at| wake_at.min(at));
         Duration::from_millis(wake_at.0.saturating_sub(now.0))
     }
 
-    /// Feeds the controller what has come, and the time if it waits for that.
-    fn advance(&mut self) {
+    /// Runs the sweep if it is due, passes queued inputs to the controller, and wakes the
+    /// controller if the time that it asked for has come.
+    fn process_due(&mut self) {
         let now = self.context.clock.now();
-        if self.next_sweep.is_none_or(|at| now >= at) {
+        if self.next_sweep_at.is_none_or(|at| now >= at) {
             self.sweep(now);
         }
         self.process_inputs();
@@ -178,28 +188,29 @@
         }
     }
 
-    /// What is done in regular intervals.
+    /// Checks deadlines, idle connections, termination and metrics; runs at regular intervals.
     fn sweep(&mut self, now: Time) {
-        if let Some(due) = self.next_sweep {
-            let late_ms = now.0.saturating_sub(due.0);
-            let late = Duration::from_millis(late_ms);
-            self.context.metrics.record_timer(late);
+        if let Some(due_at) = self.next_sweep_at {
+            let delay_ms = now.0.saturating_sub(due_at.0);
+            let delay = Duration::from_millis(delay_ms);
+            self.context.metrics.record_timer(delay);
         }
-        self.next_sweep = Some(now.next_multiple(SWEEP_MS));
-        self.outgoing.end_overdue(&mut self.context, now);
+        self.next_sweep_at = Some(now.next_multiple(SWEEP_INTERVAL_MS));
+        self.outgoing.time_out_calls(&mut self.context, now);
         self.incoming.close_timed_out(&mut self.context, now);
         if self.termination.load(Ordering::Relaxed) {
             self.context.inputs.push_back(Input::Shutdown);
         }
         let utilization = self.context.metrics.measure_utilization(Instant::now());
-        if let Some(share) = utilization {
-            let input = Input::ProcessorUtilization(share);
+        if let Some(utilization) = utilization {
+            let input = Input::ProcessorUtilization(utilization);
             self.context.inputs.push_back(input);
         }
         self.log_load(now);
     }
 
-    /// Feeds the controller all that came, also what comes of that.
+    /// Passes all queued inputs to the controller, including those that its outputs cause, and
+    /// flushes the messages to peers.
     fn process_inputs(&mut self) {
         loop {
             while let Some(input) = self.context.inputs.pop_front() {
@@ -213,35 +224,35 @@
     }
 
     fn step(&mut self, input: Input) {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let now = self.context.clock.now();
         let outputs = self.controller.step(now, input);
-        self.context.metrics.record_step(began.elapsed());
+        self.context.metrics.record_step(started_at.elapsed());
         for output in outputs {
-            self.carry_out(output);
+            self.execute(output);
         }
     }
 
-    fn carry_out(&mut self, output: Output) {
+    fn execute(&mut self, output: Output) {
         let context = &mut self.context;
         match output {
-            Output::Answer(request, reply) => self.incoming.answer(context, request, &reply),
+            Output::Answer(request, reply) => self.incoming.respond(context, request, &reply),
             Output::Store(call, request) => {
                 let request = OutgoingRequest::Store(request);
-                self.outgoing.start(context, call, request);
+                self.outgoing.start_call(context, call, request);
             }
             Output::Cloud(call, request) => {
                 let request = OutgoingRequest::Cloud(request);
-                self.outgoing.start(context, call, request);
+                self.outgoing.start_call(context, call, request);
             }
-            Output::CancelCall(call) => self.outgoing.cancel(context, call),
-            Output::Reconnect(peer) => self.peers.skip_pause(&peer),
+            Output::CancelCall(call) => self.outgoing.cancel_call(context, call),
+            Output::Reconnect(peer) => self.peers.skip_reconnect_delay(&peer),
             Output::Cell(to, message) => self.cells.send(context, &to, &message),
             Output::Peer(to, message) => self.peers.send(context, to.as_ref(), &message),
         }
     }
 
-    /// Shows an operator from time to time which limit is near.
+    /// Periodically logs the load, the queue and the standby's status for operators.
     fn log_load(&mut self, now: Time) {
         let load = self.controller.load();
         let sockets = self.context.connections.count();
@@ -258,7 +269,7 @@
         }
     }
 
-    /// Accepts all connections that wait at a listener.
+    /// Accepts all pending connections of a listener.
     fn accept(&mut self, kind: ListenerKind) {
         loop {
             match self.listeners.accept(kind) {
@@ -266,19 +277,20 @@
                 Ok(None) => return,
                 Err(error) => {
                     warn!("connection can't be accepted: reason={error}");
-                    self.incoming.shed(&mut self.context);
+                    self.incoming.evict_longest_idle(&mut self.context);
                     return;
                 }
             }
         }
     }
 
-    /// Takes a connection over, if there is a socket for it or a quiet one can be closed.
+    /// Adds an accepted connection. If all sockets for incoming connections are in use and no idle
+    /// one can be closed, drops the new connection.
     fn add_incoming(&mut self, stream: TcpStream, kind: ListenerKind) {
         let context = &mut self.context;
         let count =
             self.incoming.count() + self.peers.incoming_count() + self.cells.incoming_count();
-        if count >= self.incoming_max && !self.incoming.shed(context) {
+        if count >= self.incoming_connections_max && !self.incoming.evict_longest_idle(context) {
             return;
         }
         if stream.set_nonblocking(true).is_err() {
@@ -291,7 +303,7 @@
         }
     }
 
-    fn on_ready(&mut self, event: Ready, buffer: &mut [u8]) {
+    fn on_socket_ready(&mut self, event: Ready, buffer: &mut [u8]) {
         let id = ConnectionId(event.key);
         if event.writable && self.on_writable(id) == Outcome::Close {
             self.close(id);
@@ -314,7 +326,7 @@
         }
     }
 
-    /// Reads all that has come on a connection.
+    /// Reads and handles all bytes available on a connection.
     fn read(&mut self, id: ConnectionId, buffer: &mut [u8]) {
         let now = self.context.clock.now();
         loop {
@@ -339,7 +351,7 @@
             Some(Protocol::OutgoingHttp) => self.outgoing.on_bytes(context, id, bytes),
             Some(Protocol::FromPeer) => self.peers.on_bytes(context, id, bytes),
             Some(Protocol::FromCell) => self.cells.on_bytes(context, id, bytes),
-            // The other side only reads from these.
+            // The remote side sends nothing on these connections.
             Some(Protocol::ToPeer | Protocol::ToCell) | None => Outcome::KeepOpen,
         }
     }
--- a/src/net/outgoing.rs
+++ b/src/net/outgoing.rs
@@ -1,9 +1,9 @@
-//! HTTP requests to the store and to the cloud, over a few connections each.
+//! HTTP requests to the store and to the cloud, over a pool of connections for each.
 
 use crate::controller::events::Input;
 use crate::http::{self, Decoder, Message, Side};
 use crate::ids::{CallId, Time};
-use crate::net::connections::{ConnectionId, Outcome, Protocol, UNSENT_MAX, begin_connect};
+use crate::net::connections::{ConnectionId, Outcome, Protocol, UNSENT_BYTES_MAX, begin_connect};
 use crate::net::context::Context;
 use crate::settings::Services;
 use crate::wire::{self, Call, CloudRequest, CloudResponse, StoreRequest, StoreResponse};
@@ -13,27 +13,29 @@
 
 const STORE_CONNECTIONS_MAX: usize = 12;
 const CLOUD_CONNECTIONS_MAX: usize = 4;
-/// How long a response is waited for.
+/// How long the store may take to respond, except to a watch.
 const STORE_TIMEOUT_S: f64 = 2.0;
+/// How long the cloud may take to respond.
 const CLOUD_TIMEOUT_S: f64 = 6.0;
-/// The store answers a watch within its own limit; the rest is for the way there and back.
+/// How long the store may take to respond to a watch: the time for which it may hold the request,
+/// and 2 s for the round trip.
 const WATCH_TIMEOUT_S: f64 = wire::WATCH_MS as f64 / 1000.0 + 2.0;
-/// Responses of the store have no limit of size. A watch that brings more than this at once is
-/// given up, and the connection with it.
-const RESPONSE_MAX: usize = 8 << 20;
+/// Maximum size of a response's body. The store doesn't limit its responses; if the response to a
+/// watch is larger than this, the call fails and its connection is closed.
+const RESPONSE_BYTES_MAX: usize = 8 << 20;
 
-/// An outside service.
+/// A service that this process calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Service {
     Store,
     Cloud,
 }
 
-/// A request to an outside service.
+/// A request to the store or to the cloud.
 pub(super) enum OutgoingRequest {
-    /// To the store.
+    /// A request to the store.
     Store(StoreRequest),
-    /// To the cloud.
+    /// A request to the cloud.
     Cloud(CloudRequest),
 }
 
@@ -45,7 +47,7 @@
         }
     }
 
-    /// The request as it goes onto the wire.
+    /// Encodes the request as a method, a path and a body.
     fn to_http(&self) -> Call {
         match self {
             Self::Store(request) => request.call(),
@@ -61,16 +63,16 @@
         }
     }
 
-    /// The controller's input when no response came.
-    fn no_response(&self, call: CallId) -> Input {
+    /// The controller's input for a call without a response.
+    fn no_response_input(&self, call: CallId) -> Input {
         match self {
             Self::Store(_) => Input::Store(call, StoreResponse::NoResponse),
             Self::Cloud(_) => Input::Cloud(call, CloudResponse::NoResponse),
         }
     }
 
-    /// The controller's input for a response.
-    fn response(&self, call: CallId, message: &Message) -> Input {
+    /// The controller's input for the response to a call.
+    fn response_input(&self, call: CallId, message: &Message) -> Input {
         let status = message.status().unwrap_or(0);
         match self {
             Self::Store(request) => Input::Store(call, request.reply(status, &message.body)),
@@ -79,12 +81,12 @@
     }
 }
 
-/// A request that waits for a connection or for its response.
+/// A call that waits for a connection or for its response.
 struct PendingCall {
     request: OutgoingRequest,
-    /// The connection on which it was sent.
+    /// The connection on which the request was sent; `None` while it is queued.
     connection: Option<ConnectionId>,
-    began: Time,
+    started_at: Time,
     deadline: Time,
 }
 
@@ -92,17 +94,19 @@
 struct ServiceConnection {
     service: Service,
     decoder: Decoder,
-    /// The call whose response is waited for.
+    /// The call that waits for its response; `None` if the connection is idle.
     call: Option<CallId>,
 }
 
-/// The connections to one service, and the calls that wait for one.
+/// The connections to one service, and the calls queued for a connection.
 struct ServicePool {
     address: SocketAddrV4,
     connections_max: usize,
-    open: usize,
-    idle: Vec<ConnectionId>,
-    queue: VecDeque<CallId>,
+    /// The number of open connections, idle ones included.
+    open_connections: usize,
+    idle_connections: Vec<ConnectionId>,
+    /// Queued calls, oldest first; some of them may have been cancelled or have timed out.
+    queued_calls: VecDeque<CallId>,
 }
 
 impl ServicePool {
@@ -110,18 +114,19 @@
         Self {
             address,
             connections_max,
-            open: 0,
-            idle: Vec::new(),
-            queue: VecDeque::new(),
+            open_connections: 0,
+            idle_connections: Vec::new(),
+            queued_calls: VecDeque::new(),
         }
     }
 }
 
-/// The requests to the store and the cloud that are under way, and their connections.
+/// Pending calls to the store and the cloud, and the connections to both.
 pub(super) struct OutgoingRequests {
     store: ServicePool,
     cloud: ServicePool,
     calls: HashMap<CallId, PendingCall>,
+    /// The deadlines of all pending calls, earliest first.
     deadlines: BTreeSet<(Time, CallId)>,
     connections: HashMap<ConnectionId, ServiceConnection>,
 }
@@ -138,27 +143,32 @@
     }
 
     /// Sends a request, or queues it until a connection is free.
-    pub(super) fn start(&mut self, context: &mut Context, id: CallId, request: OutgoingRequest) {
+    pub(super) fn start_call(
+        &mut self,
+        context: &mut Context,
+        id: CallId,
+        request: OutgoingRequest,
+    ) {
         if let OutgoingRequest::Store(StoreRequest::Transaction { writes, .. }) = &request {
             debug!("transaction started: call={} writes={writes:?}", id.0);
         }
-        let began = context.clock.now();
-        let deadline = began.after(request.timeout_s());
+        let started_at = context.clock.now();
+        let deadline = started_at.after(request.timeout_s());
         let service = request.service();
         let call = PendingCall {
             request,
             connection: None,
-            began,
+            started_at,
             deadline,
         };
         self.calls.insert(id, call);
         self.deadlines.insert((deadline, id));
-        self.pool(service).queue.push_back(id);
+        self.pool(service).queued_calls.push_back(id);
         self.send_queued(context, service);
     }
 
-    /// Ends a call whose response the controller doesn't need any more.
-    pub(super) fn cancel(&mut self, context: &mut Context, id: CallId) {
+    /// Cancels a call whose response the controller no longer needs.
+    pub(super) fn cancel_call(&mut self, context: &mut Context, id: CallId) {
         let Some(call) = self.calls.remove(&id) else {
             return;
         };
@@ -168,8 +178,8 @@
         }
     }
 
-    /// Ends the calls whose deadline has passed.
-    pub(super) fn end_overdue(&mut self, context: &mut Context, now: Time) {
+    /// Ends the calls whose deadline has passed, without a response.
+    pub(super) fn time_out_calls(&mut self, context: &mut Context, now: Time) {
         while let Some((deadline, id)) = self.deadlines.first().copied() {
             if deadline > now {
                 break;
@@ -177,7 +187,7 @@
             self.deadlines.pop_first();
             debug!("call timed out: call={}", id.0);
             let connection = self.calls.get(&id).and_then(|call| call.connection);
-            self.finish(context, id, None);
+            self.finish_call(context, id, None);
             if let Some(connection) = connection {
                 if let Some(connection) = self.connections.get_mut(&connection) {
                     connection.call = None;
@@ -187,7 +197,7 @@
         }
     }
 
-    /// Takes the bytes that came on a connection.
+    /// Handles bytes received on a connection.
     pub(super) fn on_bytes(
         &mut self,
         context: &mut Context,
@@ -201,20 +211,20 @@
         match (connection.decoder.next_message(), connection.call) {
             (Ok(Some(message)), Some(call)) => {
                 connection.call = None;
-                self.finish(context, call, Some(&message));
+                self.finish_call(context, call, Some(&message));
                 if message.closes_connection {
                     return Outcome::Close;
                 }
-                self.reuse(context, id);
+                self.release_connection(context, id);
                 Outcome::KeepOpen
             }
             (Ok(None), _) => Outcome::KeepOpen,
-            // A response without a request, or bytes that are no response.
+            // A response without a request, or bytes that can't be parsed.
             (Ok(Some(_)), None) | (Err(_), _) => Outcome::Close,
         }
     }
 
-    /// Closes a connection, ends the call that was on it, and sends what waits for a connection.
+    /// Closes a connection, ends the call that was sent on it, and sends queued calls.
     pub(super) fn close(&mut self, context: &mut Context, id: ConnectionId) {
         // The socket closes at the end of this function.
         let Some(_socket) = context.connections.remove(id) else {
@@ -224,11 +234,11 @@
             return;
         };
         let pool = self.pool(connection.service);
-        pool.open -= 1;
-        pool.idle.retain(|idle| *idle != id);
+        pool.open_connections -= 1;
+        pool.idle_connections.retain(|idle| *idle != id);
         if let Some(call) = connection.call {
             let message = connection.decoder.finish_at_close();
-            self.finish(context, call, message.as_ref());
+            self.finish_call(context, call, message.as_ref());
         }
         self.send_queued(context, connection.service);
     }
@@ -240,41 +250,41 @@
         }
     }
 
-    /// Sends the calls that wait, as far as there are connections.
+    /// Sends queued calls while there are idle connections or new ones may be opened.
     fn send_queued(&mut self, context: &mut Context, service: Service) {
-        while let Some(id) = self.pool(service).queue.front().copied() {
+        while let Some(id) = self.pool(service).queued_calls.front().copied() {
             if !self.calls.contains_key(&id) {
-                self.pool(service).queue.pop_front();
+                self.pool(service).queued_calls.pop_front();
                 continue;
             }
             let pool = self.pool(service);
-            let idle = pool.idle.pop();
-            if idle.is_none() && pool.open >= pool.connections_max {
+            let idle = pool.idle_connections.pop();
+            if idle.is_none() && pool.open_connections >= pool.connections_max {
                 return;
             }
             let connection = idle.or_else(|| self.connect(context, service));
-            self.pool(service).queue.pop_front();
+            self.pool(service).queued_calls.pop_front();
             match connection {
-                Some(connection) => self.send(context, connection, id),
-                None => self.finish(context, id, None),
+                Some(connection) => self.send_call(context, connection, id),
+                None => self.finish_call(context, id, None),
             }
         }
     }
 
     fn connect(&mut self, context: &mut Context, service: Service) -> Option<ConnectionId> {
         let stream = begin_connect(self.pool(service).address).ok()?;
-        let id = context.add(stream, Protocol::OutgoingHttp, UNSENT_MAX)?;
+        let id = context.add_connection(stream, Protocol::OutgoingHttp, UNSENT_BYTES_MAX)?;
         let connection = ServiceConnection {
             service,
-            decoder: Decoder::new(Side::Response, RESPONSE_MAX),
+            decoder: Decoder::new(Side::Response, RESPONSE_BYTES_MAX),
             call: None,
         };
         self.connections.insert(id, connection);
-        self.pool(service).open += 1;
+        self.pool(service).open_connections += 1;
         Some(id)
     }
 
-    fn send(&mut self, context: &mut Context, connection_id: ConnectionId, call_id: CallId) {
+    fn send_call(&mut self, context: &mut Context, connection_id: ConnectionId, call_id: CallId) {
         let Some(call) = self.calls.get_mut(&call_id) else {
             return;
         };
@@ -296,18 +306,19 @@
         }
     }
 
-    /// Lets the next call have a connection whose response has come.
-    fn reuse(&mut self, context: &mut Context, id: ConnectionId) {
+    /// Makes a connection available to the next call after its response has arrived.
+    fn release_connection(&mut self, context: &mut Context, id: ConnectionId) {
         let Some(connection) = self.connections.get(&id) else {
             return;
         };
         let service = connection.service;
-        self.pool(service).idle.push(id);
+        self.pool(service).idle_connections.push(id);
         self.send_queued(context, service);
     }
 
-    /// Passes the response to a call on to the controller, or the input for a missing one.
-    fn finish(&mut self, context: &mut Context, id: CallId, message: Option<&Message>) {
+    /// Ends a call and queues the controller's input for its response; `message` is `None` if there
+    /// is no response.
+    fn finish_call(&mut self, context: &mut Context, id: CallId, message: Option<&Message>) {
         let Some(call) = self.calls.remove(&id) else {
             return;
         };
@@ -316,15 +327,15 @@
             call.request,
             OutgoingRequest::Store(StoreRequest::Transaction { .. })
         ) {
-            let took_s = context.clock.now().since(call.began);
-            context.metrics.record_commit(took_s);
+            let duration_s = context.clock.now().since(call.started_at);
+            context.metrics.record_commit(duration_s);
         }
         if message.is_some_and(|message| matches!(message.status(), Some(429 | 503))) {
             context.metrics.record_refused_call();
         }
         context.inputs.push_back(match message {
-            Some(message) => call.request.response(id, message),
-            None => call.request.no_response(id),
+            Some(message) => call.request.response_input(id, message),
+            None => call.request.no_response_input(id),
         });
     }
 }
--- a/src/net/peer_links.rs
+++ b/src/net/peer_links.rs
@@ -1,5 +1,5 @@
-//! Messages between the controllers of this cell. Each keeps one connection to every peer for
-//! what it sends, and reads what comes on those that the peers made.
+//! Connections for messages between the controllers of this cell. A controller sends to each peer
+//! over one connection that it begins itself, and receives over the connections that peers begin.
 
 use crate::controller::events::{Input, LinkEvent};
 use crate::ids::{ControllerId, Time};
@@ -13,27 +13,28 @@
 use std::io::ErrorKind;
 use std::net::TcpStream;
 
-/// Pause between two attempts to connect to a peer.
-const RECONNECT_PAUSE_S: f64 = 1.0;
+/// Minimum delay between two connection attempts to the same peer.
+const RECONNECT_DELAY_S: f64 = 1.0;
 
-/// A connection that this process began to a peer.
+/// A connection to a peer that this process began.
 struct OutgoingLink {
     peer: ControllerId,
     is_established: bool,
+    /// Whether the connection attempt was refused.
     is_refused: bool,
 }
 
 /// The connections from and to the peers.
 pub(super) struct PeerLinks {
     peers: Vec<Peer>,
-    /// Most bytes that wait to be written to one peer.
-    unsent_max: usize,
+    /// Maximum number of bytes that wait to be written to one peer.
+    unsent_bytes_max: usize,
     incoming: FramedConnections,
     outgoing: HashMap<ConnectionId, OutgoingLink>,
-    by_peer: HashMap<ControllerId, ConnectionId>,
-    /// When the next connection to a peer may be tried.
+    outgoing_by_peer: HashMap<ControllerId, ConnectionId>,
+    /// The earliest time of the next connection attempt to each peer.
     retry_at: HashMap<ControllerId, Time>,
-    /// Connections with messages of this turn.
+    /// Connections to which messages were queued since the last flush.
     unflushed: BTreeSet<ConnectionId>,
 }
 
@@ -41,26 +42,26 @@
     pub(super) fn new(settings: &Settings) -> Self {
         Self {
             peers: settings.platform.peers.clone(),
-            unsent_max: settings.peer_out_bytes(),
+            unsent_bytes_max: settings.peer_out_bytes(),
             incoming: FramedConnections::new(Protocol::FromPeer),
             outgoing: HashMap::new(),
-            by_peer: HashMap::new(),
+            outgoing_by_peer: HashMap::new(),
             retry_at: HashMap::new(),
             unflushed: BTreeSet::new(),
         }
     }
 
-    /// How many connections peers have made.
+    /// The number of accepted connections from peers.
     pub(super) fn incoming_count(&self) -> usize {
         self.incoming.count()
     }
 
-    /// Takes over a connection that was accepted.
+    /// Adds an accepted connection.
     pub(super) fn add_incoming(&mut self, context: &mut Context, stream: TcpStream) {
         self.incoming.add(context, stream);
     }
 
-    /// Takes the bytes that came from a peer.
+    /// Handles bytes received from a peer.
     pub(super) fn on_bytes(
         &mut self,
         context: &mut Context,
@@ -68,10 +69,10 @@
         bytes: &[u8],
     ) -> Outcome {
         let inputs = &mut context.inputs;
-        let read = self.incoming.on_bytes(id, bytes, peer::unframe, |message| {
+        let result = self.incoming.on_bytes(id, bytes, peer::unframe, |message| {
             inputs.push_back(Input::Peer(message));
         });
-        match read {
+        match result {
             Ok(()) => Outcome::KeepOpen,
             Err(error) => {
                 warn!("peer connection closed: connection={} reason={error}", id.0);
@@ -80,8 +81,9 @@
         }
     }
 
-    /// Queues a message to one peer, or to all. It is written at the end of the turn, so that all
-    /// that goes to a peer then is one write.
+    /// Queues a message to one peer, or to all peers if `to` is `None`. The message is written by
+    /// [`Self::flush_all`], so that all messages to a peer that are queued until then take one
+    /// write.
     pub(super) fn send(
         &mut self,
         context: &mut Context,
@@ -90,7 +92,7 @@
     ) {
         match peer::frame(message) {
             Ok(frame) => self.queue(context, to, &frame),
-            // Peers do without it, as if it had been lost.
+            // The protocol between peers tolerates lost messages.
             Err(size) => warn!("message to peers isn't sent: bytes={size} reason=too large"),
         }
     }
@@ -101,7 +103,7 @@
             if to.is_some_and(|to| to != peer) {
                 continue;
             }
-            let Some(id) = self.link(context, index) else {
+            let Some(id) = self.get_or_connect(context, index) else {
                 continue;
             };
             match context.connections.queue(id, frame) {
@@ -114,24 +116,26 @@
         }
     }
 
-    /// Writes what was queued in this turn.
+    /// Writes the messages queued since the last flush.
     pub(super) fn flush_all(&mut self, context: &mut Context) {
         for id in std::mem::take(&mut self.unflushed) {
             match context.connections.flush(id) {
-                // A connection that was made at once takes all of the first message, and never
-                // becomes writable again: its peer stayed down for good after a restart.
+                // A connection that is established at once accepts the whole first message, so the
+                // poller never reports it as writable. Without this check, the controller kept
+                // treating a peer as permanently disconnected after the peer's restart.
                 Outcome::KeepOpen => self.check_progress(context, id),
                 Outcome::Close => self.close(context, id),
             }
         }
     }
 
-    /// Lets the next message to a peer begin a connection without a pause.
-    pub(super) fn skip_pause(&mut self, peer: &ControllerId) {
+    /// Lets the next message to a peer begin a connection without waiting for the delay.
+    pub(super) fn skip_reconnect_delay(&mut self, peer: &ControllerId) {
         self.retry_at.remove(peer);
     }
 
-    /// Notes whether a connection to a peer was made or refused.
+    /// Records whether a connection to a peer is established or refused, and notifies the
+    /// controller once it is established.
     pub(super) fn check_progress(&mut self, context: &mut Context, id: ConnectionId) {
         let Some(link) = self.outgoing.get_mut(&id) else {
             return;
@@ -151,7 +155,7 @@
         }
     }
 
-    /// Closes a connection. The controller is notified if this process had begun it.
+    /// Closes a connection. The controller is notified if this process began the connection.
     pub(super) fn close(&mut self, context: &mut Context, id: ConnectionId) {
         // The socket closes at the end of this function.
         let Some(_socket) = context.connections.remove(id) else {
@@ -161,46 +165,47 @@
         let Some(link) = self.outgoing.remove(&id) else {
             return;
         };
-        self.by_peer.remove(&link.peer);
-        let state = lost_or_refused(link.is_refused);
-        context.inputs.push_back(Input::Link(link.peer, state));
+        self.outgoing_by_peer.remove(&link.peer);
+        let event = disconnect_event(link.is_refused);
+        context.inputs.push_back(Input::Link(link.peer, event));
     }
 
-    /// The connection to a peer; begins one if there is none and none was tried just now.
-    fn link(&mut self, context: &mut Context, index: usize) -> Option<ConnectionId> {
+    /// Returns the connection to a peer, or begins one. `None` if the last attempt was too recent
+    /// or this one fails.
+    fn get_or_connect(&mut self, context: &mut Context, index: usize) -> Option<ConnectionId> {
         let peer = &self.peers[index];
-        let controller = &peer.controller_id;
-        if let Some(id) = self.by_peer.get(controller) {
+        let controller_id = &peer.controller_id;
+        if let Some(id) = self.outgoing_by_peer.get(controller_id) {
             return Some(*id);
         }
         let now = context.clock.now();
-        if self.retry_at.get(controller).is_some_and(|at| now < *at) {
+        if self.retry_at.get(controller_id).is_some_and(|at| now < *at) {
             return None;
         }
-        let retry_at = now.after(RECONNECT_PAUSE_S);
-        self.retry_at.insert(controller.clone(), retry_at);
+        let retry_at = now.after(RECONNECT_DELAY_S);
+        self.retry_at.insert(controller_id.clone(), retry_at);
         let stream = match begin_connect(peer.endpoint) {
             Ok(stream) => stream,
             Err(error) => {
-                let state = lost_or_refused(error.kind() == ErrorKind::ConnectionRefused);
-                let input = Input::Link(controller.clone(), state);
+                let event = disconnect_event(error.kind() == ErrorKind::ConnectionRefused);
+                let input = Input::Link(controller_id.clone(), event);
                 context.inputs.push_back(input);
                 return None;
             }
         };
-        let id = context.add(stream, Protocol::ToPeer, self.unsent_max)?;
+        let id = context.add_connection(stream, Protocol::ToPeer, self.unsent_bytes_max)?;
         let link = OutgoingLink {
-            peer: controller.clone(),
+            peer: controller_id.clone(),
             is_established: false,
             is_refused: false,
         };
         self.outgoing.insert(id, link);
-        self.by_peer.insert(controller.clone(), id);
+        self.outgoing_by_peer.insert(controller_id.clone(), id);
         Some(id)
     }
 }
 
-fn lost_or_refused(is_refused: bool) -> LinkEvent {
+fn disconnect_event(is_refused: bool) -> LinkEvent {
     match is_refused {
         true => LinkEvent::Refused,
         false => LinkEvent::Lost,
--- a/src/net/routes.rs
+++ b/src/net/routes.rs
@@ -1,14 +1,15 @@
-//! Which request a method and a path mean.
+//! Mapping from HTTP methods and paths to the controller's requests.
 
 use crate::controller::events::Request;
 use crate::ids::JobId;
 use crate::wire;
 
-/// Why a request is refused before the controller sees it.
+/// The response to a request that is refused without passing it to the controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Refusal {
-    /// The HTTP status.
+    /// The HTTP status code.
     pub(super) status: u16,
+    /// The text in the response's body.
     pub(super) reason: &'static str,
 }
 
@@ -29,7 +30,7 @@
     reason: "wrong method",
 };
 
-/// What a request asks, or why it is refused.
+/// Parses a request for the controller. `path` has no query string.
 pub(super) fn route(method: &str, path: &str, body: &[u8]) -> Result<Request, Refusal> {
     match (path, method) {
         ("/up", "GET") => Ok(Request::Up),
@@ -43,12 +44,12 @@
     }
 }
 
-/// Requests about one job: `/work/ID` and `/work/ID/withdraw`.
+/// Parses a request about one job: `/work/ID` or `/work/ID/withdraw`.
 fn route_job(method: &str, path: &str) -> Result<Request, Refusal> {
-    let rest = path.strip_prefix("/work/").ok_or(UNKNOWN_PATH)?;
-    let (id, is_cancellation) = match rest.strip_suffix("/withdraw") {
+    let job_path = path.strip_prefix("/work/").ok_or(UNKNOWN_PATH)?;
+    let (id, is_cancellation) = match job_path.strip_suffix("/withdraw") {
         Some(id) => (id, true),
-        None => (rest, false),
+        None => (job_path, false),
     };
     let id = JobId::parse(id).ok_or(UNKNOWN_JOB)?;
     match (is_cancellation, method) {
--- a/src/net/waiting.rs
+++ b/src/net/waiting.rs
@@ -1,20 +1,21 @@
-//! Waiting for sockets and for the next timer.
+//! Waits for ready sockets or for the next timer.
 //!
-//! Sockets are watched by `polling`. Its own wait sets a timer, arms that timer and a notifier, and
-//! reads the notifier: five system calls, where all else that a heartbeat takes here are two or three.
-//! A controller on a small machine spends more on them than on what it does for the heartbeat. On
-//! Linux this module therefore waits on the poller's own descriptor, by one call. What it relies
-//! on, that an event's data is the key given to `polling`, is checked by `tests/waiting.rs`.
+//! Sockets are registered with the `polling` crate. Its `Poller::wait` sets a timer, arms that
+//! timer and a notifier, and reads the notifier. This takes five system calls, while all other
+//! handling of a heartbeat takes two or three: a controller on a small machine spends more time in
+//! these calls than on the heartbeat itself. On Linux this module therefore calls `epoll_wait` on
+//! the poller's descriptor: one system call. It relies on `polling` storing a socket's key as the
+//! data of its epoll event; `tests/waiting.rs` checks that.
 
 use polling::{AsRawSource, Event, PollMode, Poller};
 use std::io;
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// Most events taken in one wait; further ones come with the next.
+/// Maximum number of events that one wait returns; the next wait returns the others.
 const EVENTS_MAX: usize = 256;
 
-/// The key of a notifier that `polling` watches for itself, and that isn't used here.
+/// The key of the notifier that `polling` registers for its own use; its events are ignored.
 #[cfg(target_os = "linux")]
 const NOTIFIER_KEY: usize = usize::MAX;
 
@@ -23,13 +24,14 @@
 pub struct Ready {
     /// The key under which the socket was added.
     pub key: usize,
-    /// Something can be read, or the other side closed it, or it failed.
+    /// Bytes can be read, a connection can be accepted, the remote side closed the connection, or
+    /// the socket failed.
     pub readable: bool,
-    /// There is room to write, or it failed.
+    /// The send buffer has room, or the socket failed.
     pub writable: bool,
 }
 
-/// Watches sockets, and waits for them.
+/// Registers sockets and waits until some of them are ready. Readiness is level-triggered.
 pub struct SocketPoller {
     poller: Poller,
     ready: Vec<Ready>,
@@ -40,7 +42,7 @@
 }
 
 impl SocketPoller {
-    /// A poller that watches nothing yet.
+    /// Creates a poller without sockets.
     pub fn new() -> io::Result<Self> {
         Ok(Self {
             poller: Poller::new()?,
@@ -52,61 +54,63 @@
         })
     }
 
-    /// Watches a listener or a connection for something to read, until it is removed.
+    /// Polls a listener or a connection for readability. The caller must remove a connection
+    /// before it drops the socket.
     #[expect(
         unsafe_code,
-        reason = "the poller keeps the descriptor of a socket it doesn't own"
+        reason = "the poller keeps the descriptor of a socket that it doesn't own"
     )]
     pub fn add(&self, socket: impl AsRawSource, key: usize) -> io::Result<()> {
-        // SAFETY: the caller keeps the socket for as long as it isn't removed.
+        // SAFETY: the caller keeps the socket open until it is removed from the poller.
         unsafe {
             self.poller
                 .add_with_mode(socket, Event::readable(key), PollMode::Level)
         }
     }
 
-    /// Watches a connection for room to write as well, or no longer.
+    /// Enables or disables polling a connection for writability; it is polled for readability in
+    /// both cases.
     pub fn set_write_interest(
         &self,
         stream: &TcpStream,
         key: usize,
-        writing: bool,
+        is_enabled: bool,
     ) -> io::Result<()> {
-        let event = Event::new(key, true, writing);
+        let event = Event::new(key, true, is_enabled);
         self.poller.modify_with_mode(stream, event, PollMode::Level)
     }
 
-    /// Watches a connection no longer.
+    /// Stops polling a connection.
     pub fn remove(&self, stream: &TcpStream) -> io::Result<()> {
         self.poller.delete(stream)
     }
 
-    /// Waits until a socket is ready or the time is over, and returns those that are ready.
+    /// Waits until a socket is ready or the timeout has passed, and returns the ready sockets.
     pub fn wait(&mut self, timeout: Duration) -> io::Result<&[Ready]> {
         self.ready.clear();
-        self.fill(timeout)?;
+        self.poll(timeout)?;
         Ok(&self.ready)
     }
 
     #[cfg(target_os = "linux")]
-    fn fill(&mut self, timeout: Duration) -> io::Result<()> {
+    fn poll(&mut self, timeout: Duration) -> io::Result<()> {
         use rustix::event::epoll::{self, EventFlags};
         let timeout = rustix::event::Timespec {
             tv_sec: timeout.as_secs() as i64,
             tv_nsec: i64::from(timeout.subsec_nanos()),
         };
         self.buffer.clear();
-        let spare = rustix::buffer::spare_capacity(&mut self.buffer);
-        epoll::wait(&self.poller, spare, Some(&timeout))?;
-        let failed = EventFlags::HUP | EventFlags::ERR;
+        let capacity = rustix::buffer::spare_capacity(&mut self.buffer);
+        epoll::wait(&self.poller, capacity, Some(&timeout))?;
+        let failure_flags = EventFlags::HUP | EventFlags::ERR;
         for event in &self.buffer {
             let flags = event.flags;
             let key = event.data.u64() as usize;
             if key != NOTIFIER_KEY {
                 self.ready.push(Ready {
                     key,
-                    readable: flags.intersects(EventFlags::IN | EventFlags::PRI | failed),
-                    writable: flags.intersects(EventFlags::OUT | failed),
+                    readable: flags.intersects(EventFlags::IN | EventFlags::PRI | failure_flags),
+                    writable: flags.intersects(EventFlags::OUT | failure_flags),
                 });
             }
         }
@@ -114,7 +118,7 @@
     }
 
     #[cfg(not(target_os = "linux"))]
-    fn fill(&mut self, timeout: Duration) -> io::Result<()> {
+    fn poll(&mut self, timeout: Duration) -> io::Result<()> {
         self.buffer.clear();
         self.poller.wait(&mut self.buffer, Some(timeout))?;
         let events = self.buffer.iter();
