--- a/fakes/src/checker/job.rs
+++ b/fakes/src/checker/job.rs
@@ -63,7 +63,7 @@
     }
 
     /// Whether an answer says the end that the user knows of.
-    pub(super) fn agrees(&self, answer: JobAnswer) -> bool {
+    pub(super) fn matches_outcome(&self, answer: JobAnswer) -> bool {
         (self.done && answer == JobAnswer::Done)
             || (self.cancelled_at.is_some() && answer == JobAnswer::Cancelled)
     }
@@ -76,13 +76,13 @@
     /// What its user has been notified of.
     pub notified: Notified,
     /// When its user first asked to cancel it.
-    pub cancel_asked: Option<u64>,
+    pub cancel_requested_at: Option<u64>,
     /// It can't run, and mustn't be accepted.
     pub must_be_refused: bool,
     /// Its tasks that ever started.
-    pub started: BTreeSet<u32>,
+    pub started_tasks: BTreeSet<u32>,
     /// Its tasks that have finished.
-    pub finished: BTreeSet<u32>,
+    pub finished_tasks: BTreeSet<u32>,
     /// When the last of its tasks finished.
     pub finished_at: Option<u64>,
     /// When it was first submitted.
@@ -90,7 +90,7 @@
     /// When its user was first notified that it is accepted.
     pub accepted_at: Option<u64>,
     /// When the first of its tasks started.
-    pub first_start: Option<u64>,
+    pub first_started_at: Option<u64>,
     /// When its user was first notified that it is done.
     pub done_notified_at: Option<u64>,
 }
@@ -101,21 +101,21 @@
         Self {
             record,
             notified: Notified::default(),
-            cancel_asked: None,
+            cancel_requested_at: None,
             must_be_refused: false,
-            started: BTreeSet::new(),
-            finished: BTreeSet::new(),
+            started_tasks: BTreeSet::new(),
+            finished_tasks: BTreeSet::new(),
             finished_at: None,
             submitted_at: now,
             accepted_at: None,
-            first_start: None,
+            first_started_at: None,
             done_notified_at: None,
         }
     }
 
     /// Whether all of its tasks have finished.
-    pub fn finished(&self) -> bool {
-        self.finished.len() as u32 == self.record.count
+    pub fn is_finished(&self) -> bool {
+        self.finished_tasks.len() as u32 == self.record.count
     }
 
     /// Whether it is accepted and not over, as far as its user knows.
--- a/fakes/src/lib.rs
+++ b/fakes/src/lib.rs
@@ -10,8 +10,8 @@
 
 pub mod checker;
 pub mod cloud;
-pub mod duties;
-pub mod orders;
+pub mod cloud_calls;
+pub mod commands;
 pub mod rate;
 pub mod store;
 pub mod user;
--- a/fakes/src/rate.rs
+++ b/fakes/src/rate.rs
@@ -19,7 +19,7 @@
     }
 
     /// Takes `amount` if there is so much, and says whether there was.
-    pub fn take(&mut self, now_ms: u64, amount: f64) -> bool {
+    pub fn try_take(&mut self, now_ms: u64, amount: f64) -> bool {
         let gained = now_ms.saturating_sub(self.updated_ms) as f64 / 1e3 * self.per_second;
         self.tokens = (self.tokens + gained).min(self.per_second);
         self.updated_ms = now_ms;
--- a/fakes/src/worker/task.rs
+++ b/fakes/src/worker/task.rs
@@ -15,9 +15,9 @@
     /// How long a task that is stopped saves its progress, in milliseconds; 0: it never does.
     pub save_ms: u64,
     /// Its tasks run until they are stopped.
-    pub service: bool,
+    pub is_service: bool,
     /// It crash-loops: each of its tasks fails, wherever it runs.
-    pub broken: bool,
+    pub crash_loops: bool,
 }
 
 /// Where workers look up the jobs whose tasks they are to start.
@@ -47,7 +47,7 @@
     /// How far it has come.
     pub state: TaskState,
     /// When that passes by itself.
-    pub until: u64,
+    pub state_ends_at: u64,
 }
 
 impl WorkerTask {
@@ -56,8 +56,8 @@
     }
 
     /// Whether its state passes by itself by now.
-    pub(super) fn is_due(&self, now: u64) -> bool {
-        self.until <= now && !self.has_ended()
+    pub(super) fn is_state_over(&self, now: u64) -> bool {
+        self.state_ends_at <= now && !self.has_ended()
     }
 
     /// Its status in a heartbeat and, once it has ended, the cause.
--- a/scale/src/capacity/heartbeats.rs
+++ b/scale/src/capacity/heartbeats.rs
@@ -30,11 +30,11 @@
             let task = WorkerTask {
                 attempt: Attempt::new(token, u64::from(index) + 100_000),
                 state: TaskState::Running,
-                until: 0,
+                state_ends_at: 0,
             };
             worker.tasks.insert(TaskId { job, index }, task);
         }
-        let body = worker.report_body(MACHINE, ENDPOINT, 0);
+        let body = worker.heartbeat_body(MACHINE, ENDPOINT, 0);
         let heartbeat = http::request("POST", "/agent/beat", CONTROLLER, Some(&body));
         let response = http::response(200, None, false, &commands_body(token, &[]));
         Self {
--- a/scale/src/hollow/cell.rs
+++ b/scale/src/hollow/cell.rs
@@ -98,7 +98,9 @@
     fn add_initial_machines(&mut self) {
         let zones = self.plan.zones.iter().cycle();
         for zone in zones.take(self.plan.workers) {
-            let id = self.cloud.add(0, MACHINE_TYPE, zone, false, Some(0));
+            let id = self
+                .cloud
+                .add_machine(0, MACHINE_TYPE, zone, false, Some(0));
             self.boots.insert(0, id.to_string(), ());
         }
     }
@@ -203,8 +205,8 @@
 
     fn boot_machines(&mut self, now: u64) {
         while let Some((id, ())) = self.boots.pop_due(now) {
-            let rig = self.cloud.rigs.get(&id);
-            if let Some(rig) = rig.filter(|rig| rig.gone.is_none()) {
+            let rig = self.cloud.machines.get(&id);
+            if let Some(rig) = rig.filter(|rig| rig.gone_at.is_none()) {
                 let machine = Machine {
                     id: &id,
                     machine_type: &rig.class,
@@ -220,8 +222,8 @@
         while let Some((id, ())) = self.failures.pop_due(now) {
             self.workers
                 .stop(&mut self.connections, &id, MachineStop::Failed);
-            if let Some(rig) = self.cloud.rigs.get_mut(&id) {
-                rig.failed = Some(now + LISTED_RUNNING_MS);
+            if let Some(rig) = self.cloud.machines.get_mut(&id) {
+                rig.listed_failed_at = Some(now + LISTED_RUNNING_MS);
             }
         }
     }
@@ -269,7 +271,7 @@
                     .workers
                     .responded(now, index, message, connections, jobs);
                 if let Err(error) = responded {
-                    self.shared.checker().broken.push(error.to_string());
+                    self.shared.checker().violations.push(error.to_string());
                 }
             }
             Role::User(_) => self
@@ -370,8 +372,8 @@
         }
         if let CloudResponse::ScaledOut(machines) = &reply {
             for id in machines {
-                let rig = self.cloud.rigs.get(id.as_str());
-                if let Some(at_ms) = rig.and_then(|rig| rig.boots).filter(|at_ms| *at_ms > now) {
+                let rig = self.cloud.machines.get(id.as_str());
+                if let Some(at_ms) = rig.and_then(|rig| rig.up_at).filter(|at_ms| *at_ms > now) {
                     self.boots.insert(at_ms, id.to_string(), ());
                 }
             }
--- a/scale/src/hollow/cloud.rs
+++ b/scale/src/hollow/cloud.rs
@@ -120,7 +120,7 @@
     Cloud {
         catalog: vec![machine_type],
         capacity: capacity.collect(),
-        lag_ms: CLOUD_LIST_LAG.as_millis() as u64,
+        list_lag_ms: CLOUD_LIST_LAG.as_millis() as u64,
         ..Cloud::default()
     }
 }
--- a/scale/src/hollow/jobs.rs
+++ b/scale/src/hollow/jobs.rs
@@ -38,7 +38,7 @@
 
     /// Whether a job is known and no service, so that it ends by itself.
     pub(super) fn is_finite(&self, id: &JobId) -> bool {
-        self.jobs.get(id).is_some_and(|job| !job.spec.service)
+        self.jobs.get(id).is_some_and(|job| !job.spec.is_service)
     }
 }
 
--- a/scale/src/hollow/store/mod.rs
+++ b/scale/src/hollow/store/mod.rs
@@ -186,7 +186,7 @@
     /// Ends an outage. Leases are renewed, since nobody could renew them meanwhile.
     pub(super) fn end_outage(&mut self, now: u64) {
         if std::mem::replace(&mut self.outage, false) {
-            self.store.renew_all(now);
+            self.store.renew_all_leases(now);
         }
     }
 
@@ -205,11 +205,11 @@
         if self.outage {
             return Some(Response::error(503, "trouble"));
         }
-        if !self.request_limit.take(now, 1.0) {
+        if !self.request_limit.try_take(now, 1.0) {
             self.counts.rejected += 1;
             return Some(Response::error(429, "too many requests"));
         }
-        self.store.expire(now);
+        self.store.revoke_expired_leases(now);
         Some(match (start.method, start.path) {
             ("GET", "/keys") => self.list(start.query),
             ("GET", path) => self.get(path.strip_prefix("/keys/").unwrap_or("")),
@@ -274,7 +274,7 @@
         if body.writes.len() > self.writes_max || body.preconditions.len() > preconditions_max {
             return Err(CommitError::TooManyOperations);
         }
-        if !self.write_limit.take(now, body.writes.len() as f64) {
+        if !self.write_limit.try_take(now, body.writes.len() as f64) {
             return Err(CommitError::TooManyChanges);
         }
         let writes = body.writes.into_iter().map(|write| self.read_write(write));
@@ -336,7 +336,7 @@
         let Some(body) = wire::decode::<LeaseRequestBody>(body) else {
             return Response::error(400, "malformed");
         };
-        let lease = self.store.grant(now, body.ttl_ms);
+        let lease = self.store.grant_lease(now, body.ttl_ms);
         Response::ok(wire::encode(&LeaseBody { lease }))
     }
 
@@ -350,8 +350,8 @@
             None => (rest, false),
         };
         let known = match (method, extend, id.parse()) {
-            ("POST", true, Ok(id)) => self.store.extend(now, id),
-            ("DELETE", false, Ok(id)) => self.store.release(id),
+            ("POST", true, Ok(id)) => self.store.renew_lease(now, id),
+            ("DELETE", false, Ok(id)) => self.store.revoke_lease(id),
             _ => return Response::error(400, "malformed"),
         };
         match known {
@@ -385,7 +385,7 @@
         if self.outage {
             return Vec::new();
         }
-        self.store.expire(now);
+        self.store.revoke_expired_leases(now);
         let mut responses = Vec::new();
         for watch in std::mem::take(&mut self.watches) {
             let events = watches::events(&self.store, &watch.prefix, watch.after);
--- a/scale/src/hollow/users/mod.rs
+++ b/scale/src/hollow/users/mod.rs
@@ -18,7 +18,9 @@
 use salttrestle::ids::JobId;
 use salttrestle::wire;
 use salttrestle_fakes::checker::JobAnswer;
-use salttrestle_fakes::user::{POLL_MS, POLL_WAIT_MS, WAIT_MS, read_answer, retry_ms};
+use salttrestle_fakes::user::{
+    POLL_INTERVAL_MS, POLL_TIMEOUT_MS, REQUEST_TIMEOUT_MS, parse_answer, retry_delay_ms,
+};
 use std::collections::HashMap;
 use std::sync::Arc;
 
@@ -34,8 +36,8 @@
     /// How long its response is awaited, in milliseconds.
     fn timeout_ms(self) -> u64 {
         match self {
-            Self::Poll => POLL_WAIT_MS,
-            Self::Submit | Self::Cancel => WAIT_MS,
+            Self::Poll => POLL_TIMEOUT_MS,
+            Self::Submit | Self::Cancel => REQUEST_TIMEOUT_MS,
         }
     }
 }
@@ -123,7 +125,7 @@
         let job = submission::job(&id, due.class, &team, load);
         let id = JobId::from(id.as_str());
         if let Ok((_, record)) = wire::submission(&job.body) {
-            self.shared.checker().submitted(now, &id, record);
+            self.shared.checker().record_submission(now, &id, record);
         }
         if due.class != SERVICE {
             self.open_jobs += 1;
@@ -173,7 +175,7 @@
             }
             Operation::Poll => http::request("GET", &format!("/work/{id}"), host, None),
             Operation::Cancel => {
-                self.shared.checker().cancel_asked(now, id);
+                self.shared.checker().record_cancel_request(now, id);
                 http::request("POST", &format!("/work/{id}/withdraw"), host, Some(&[]))
             }
         }
@@ -190,7 +192,7 @@
             connections.close(key);
             if let Some(InFlight { request, .. }) = self.in_flight.remove(&key) {
                 self.failures += 1;
-                self.schedule(now + retry_ms(None), request.job, request.operation);
+                self.schedule(now + retry_delay_ms(None), request.job, request.operation);
             }
         }
     }
@@ -241,14 +243,16 @@
         rng: &mut StdRng,
     ) {
         let observation =
-            response.and_then(|message| read_answer(message.status()?, &message.body));
+            response.and_then(|message| parse_answer(message.status()?, &message.body));
         let Some(observation) = observation else {
             self.failures += 1;
             let retry_after_s = response.and_then(|message| message.retry_after);
-            let retry_at = now + retry_ms(retry_after_s);
+            let retry_at = now + retry_delay_ms(retry_after_s);
             return self.schedule(retry_at, request.job, request.operation);
         };
-        self.shared.checker().said(now, &request.job, observation);
+        self.shared
+            .checker()
+            .record_answer(now, &request.job, observation);
         match observation {
             JobAnswer::Done | JobAnswer::Cancelled | JobAnswer::Refused => {
                 self.job_ended(&request.job);
@@ -272,15 +276,15 @@
         let Request { job, operation } = request;
         match operation {
             Operation::Submit => {
-                self.schedule(now + POLL_MS, job.clone(), Operation::Poll);
+                self.schedule(now + POLL_INTERVAL_MS, job.clone(), Operation::Poll);
                 let load = &self.plan.load;
                 if self.jobs.is_finite(&job) && rng.random_bool(load.cancelled) {
                     let wait_ms = rng.random_range(0.0..load.run_s * 1000.0) as u64;
                     self.schedule(now + wait_ms, job, Operation::Cancel);
                 }
             }
-            Operation::Poll => self.schedule(now + POLL_MS, job, Operation::Poll),
-            Operation::Cancel => self.schedule(now + retry_ms(None), job, Operation::Cancel),
+            Operation::Poll => self.schedule(now + POLL_INTERVAL_MS, job, Operation::Poll),
+            Operation::Cancel => self.schedule(now + retry_delay_ms(None), job, Operation::Cancel),
         }
     }
 }
--- a/scale/src/hollow/users/submission.rs
+++ b/scale/src/hollow/users/submission.rs
@@ -123,8 +123,8 @@
         run_ms: (load.run_s * 1000.0) as u64,
         fetch_ms: FETCH_MS,
         save_ms: 0,
-        service,
-        broken: false,
+        is_service: service,
+        crash_loops: false,
     };
     Job { body, spec }
 }
--- a/scale/src/hollow/workers.rs
+++ b/scale/src/hollow/workers.rs
@@ -11,7 +11,7 @@
 use salttrestle::ids::TaskId;
 use salttrestle::wire::Cause;
 use salttrestle_fakes::checker::Place;
-use salttrestle_fakes::worker::{ANSWER_MS, TaskEvent, TaskState, Worker};
+use salttrestle_fakes::worker::{ANSWER_TIMEOUT_MS, TaskEvent, TaskState, Worker};
 use std::collections::HashMap;
 use std::sync::Arc;
 use thiserror::Error;
@@ -148,7 +148,7 @@
         }
         let mut checker = self.shared.checker();
         for task in worker.worker.tasks.keys() {
-            checker.stops(task, id);
+            checker.record_stop(task, id);
         }
     }
 
@@ -186,12 +186,12 @@
         let killed = worker.check_lease(now, self.plan.lease_ms);
         let events = worker.run_tasks(now, jobs);
         let timed_out = worker
-            .flight
-            .is_some_and(|(_, sent_ms)| now >= sent_ms + ANSWER_MS);
+            .request_in_flight
+            .is_some_and(|(_, sent_ms)| now >= sent_ms + ANSWER_TIMEOUT_MS);
         if timed_out && let Some(key) = connection.take() {
             connections.close(key);
         }
-        let heartbeat_due = worker.report_due(now, controllers);
+        let heartbeat_due = worker.check_heartbeat_due(now, controllers);
         self.lease_expired(index, &killed);
         self.check(now, index, events);
         if heartbeat_due {
@@ -209,7 +209,7 @@
         self.lease_kills += killed.len() as u64;
         let mut checker = self.shared.checker();
         for task in killed {
-            checker.stops(task, &self.workers[index].id);
+            checker.record_stop(task, &self.workers[index].id);
         }
     }
 
@@ -227,19 +227,19 @@
             connection,
             ..
         } = &mut self.workers[index];
-        worker.begin_report(now, interval_ms);
-        let address = self.plan.addresses.controllers[worker.controller];
+        worker.begin_heartbeat(now, interval_ms);
+        let address = self.plan.addresses.controllers[worker.controller_index];
         let opened = match *connection {
             Some(key) => Ok(key),
             None => connections.connect(address, Role::Worker(index)),
         };
         let Ok(key) = opened else {
-            return worker.unanswered(now, controllers);
+            return worker.on_connection_failed(now, controllers);
         };
         *connection = Some(key);
         self.heartbeats += 1;
-        worker.flight = Some((self.heartbeats, now));
-        let body = worker.report_body(id, ENDPOINT, now);
+        worker.request_in_flight = Some((self.heartbeats, now));
+        let body = worker.heartbeat_body(id, ENDPOINT, now);
         let host = address.to_string();
         connections.send(
             key,
@@ -262,21 +262,21 @@
             stopped,
             ..
         } = &mut self.workers[index];
-        let Some((_, sent_ms)) = worker.flight.filter(|_| !*stopped) else {
+        let Some((_, sent_ms)) = worker.request_in_flight.filter(|_| !*stopped) else {
             return Ok(());
         };
-        let (controller, token) = (worker.controller, worker.token);
+        let (controller, token) = (worker.controller_index, worker.token);
         let status = response.status().unwrap_or(0);
         let response = (status, response.body.as_slice());
         let controller_ids = &self.plan.controller_ids;
         let events = worker
-            .answered(now, sent_ms, response, controller_ids, jobs)
+            .on_answer(now, sent_ms, response, controller_ids, jobs)
             .map_err(|error| InvalidResponse(error.to_string()))?;
         if self.plan.single && worker.token > token {
             let mut takeovers = self.shared.takeovers();
             takeovers.token_acknowledged(now, worker.token);
         }
-        if worker.controller != controller
+        if worker.controller_index != controller
             && let Some(key) = connection.take()
         {
             connections.close(key);
@@ -295,8 +295,8 @@
             return;
         }
         *connection = None;
-        if worker.flight.is_some() {
-            worker.unanswered(now, controllers);
+        if worker.request_in_flight.is_some() {
+            worker.on_connection_failed(now, controllers);
         }
     }
 
@@ -322,12 +322,12 @@
                         self.shared.takeovers().started(now, &start);
                     }
                 }
-                TaskEvent::Started(task) => checker.starts(now, &task, place(id, worker)),
+                TaskEvent::Started(task) => checker.record_start(now, &task, place(id, worker)),
                 TaskEvent::Ended(task, cause) => {
                     if cause == Cause::Done {
-                        checker.finishes(now, &task);
+                        checker.record_completion(now, &task);
                     }
-                    checker.stops(&task, id);
+                    checker.record_stop(&task, id);
                 }
             }
         }
--- a/scale/src/observers/takeovers.rs
+++ b/scale/src/observers/takeovers.rs
@@ -4,7 +4,7 @@
 use crate::results::{LatencyRow, Row, TakeoverRow};
 use salttrestle::controller::store::records::{LeaderRecord, PlacementRecord, ShardRecord};
 use salttrestle::ids::{Attempt, JobId, TaskId};
-use salttrestle_fakes::orders::Orders;
+use salttrestle_fakes::commands::CommandChecker;
 
 /// A task start that has reached a worker.
 pub struct WorkerStart<'a> {
@@ -26,7 +26,7 @@
     /// The ends of leaders so far.
     pub rows: Vec<TakeoverRow>,
     /// Checks all commands to workers and the cloud.
-    pub orders: Orders,
+    pub orders: CommandChecker,
     /// The fencing token of the first shard's owner.
     shard_token: u64,
 }
@@ -64,24 +64,26 @@
     /// The leader's record was written, or is gone.
     pub fn leader_written(&mut self, leader: Option<&LeaderRecord>) {
         let leader = leader.map(|leader| (leader.token.0, leader.controller_id.as_str()));
-        self.orders.duties.leader_is(leader);
+        self.orders.cloud_calls.record_leader(leader);
     }
 
     /// The first shard's record was written.
     pub fn shard_written(&mut self, now: u64, shard: &ShardRecord) {
         self.shard_token = shard.token.0;
-        self.orders.held(shard.token.0);
+        self.orders.record_owner_token(shard.token.0);
         self.record_first(now, shard.token.0, |row| &mut row.elected_ms);
     }
 
     /// A placement record of a job was written.
     pub fn placement_written(&mut self, job: &JobId, placement: &PlacementRecord) {
-        self.orders.committed(job, placement);
+        self.orders.record_placements(job, placement);
     }
 
     /// The cloud was changed by a controller.
     pub fn cloud_changed(&mut self, now: u64, controller_id: &str) {
-        self.orders.duties.cloud_changed(now, controller_id);
+        self.orders
+            .cloud_calls
+            .record_cloud_change(now, controller_id);
     }
 
     /// A worker has learned a newer token from a response.
@@ -99,7 +101,7 @@
             urgent,
         } = *start;
         self.orders
-            .started(now, machine, newest_token, task, attempt);
+            .record_start(now, machine, newest_token, task, attempt);
         let token = attempt.token().0;
         self.record_first(now, token, |row| &mut row.started_ms);
         if urgent {
--- a/scale/src/run/mod.rs
+++ b/scale/src/run/mod.rs
@@ -161,7 +161,7 @@
     /// Samples all cells and processes; returns the number of open batch and urgent jobs.
     fn sample(&mut self, at_s: f64) -> Result<usize, RunError> {
         let cells = self.installation.sample_cells()?;
-        let starts = self.shared.checker().starts;
+        let starts = self.shared.checker().start_count;
         let open_jobs = self.sampler.record(at_s, starts, &cells);
         self.installation.restart_crashed()?;
         let memory_mb = self.installation.memory_mb();
--- a/scale/src/run/objectives.rs
+++ b/scale/src/run/objectives.rs
@@ -31,12 +31,12 @@
     let within_s = run.experiment.objectives.urgent_within_s?;
     let share = run.experiment.objectives.urgent_share?;
     let in_time = |job: &JobView| {
-        let waited = job.first_start.map(|at| at - job.submitted_at);
+        let waited = job.first_started_at.map(|at| at - job.submitted_at);
         waited.is_some_and(|ms| ms as f64 <= within_s * 1000.0)
     };
     let jobs = checker.jobs.values();
     let urgent: Vec<&JobView> = jobs
-        .filter(|job| job.record.class == URGENT && job.cancel_asked.is_none())
+        .filter(|job| job.record.class == URGENT && job.cancel_requested_at.is_none())
         .collect();
     let started = urgent.iter().filter(|job| in_time(job)).count();
     let all = urgent.len();
--- a/scale/src/run/report.rs
+++ b/scale/src/run/report.rs
@@ -138,7 +138,7 @@
             rows.push(Row::Latency(LatencyRow::new(&what, latencies)));
         };
         add("accepted", |job| job.accepted_at);
-        add("started", |job| job.first_start);
+        add("started", |job| job.first_started_at);
     }
     rows
 }
@@ -149,7 +149,10 @@
         return Vec::new();
     };
     let seconds = |ms: u64| ms as f64 / 1000.0;
-    let waited_s = |job: &JobView| job.first_start.map(|at| seconds(at - job.submitted_at));
+    let waited_s = |job: &JobView| {
+        job.first_started_at
+            .map(|at| seconds(at - job.submitted_at))
+    };
     let late = checker.jobs.iter().filter(|(_, job)| {
         job.record.class == URGENT && waited_s(job).is_none_or(|waited| waited > within_s)
     });
@@ -202,7 +205,7 @@
         tasks: mean_tasks(run),
         starts_per_s: run.measurement.starts_per_s(),
         starts_peak: run.samples.iter().map(|row| row.starts).max().unwrap_or(0),
-        starts: checker.starts,
+        starts: checker.start_count,
         jobs: checker.jobs.len(),
         killed: last.iter().map(|cell| cell.lease_kills).sum(),
         user_failures: last.iter().map(|cell| cell.user_failures).sum(),
@@ -225,16 +228,19 @@
 
 /// Violations of rules: of the checker's, crashed controllers, and commands with stale tokens.
 fn violations(run: &RunOutcome, checker: &Checker) -> Vec<String> {
-    let checked = checker.broken.iter().take(VIOLATIONS_MAX).cloned();
+    let checked = checker.violations.iter().take(VIOLATIONS_MAX).cloned();
     let crashed = run.installation.crashed.iter();
     let crashed = crashed.map(|id| format!("{id} has ended by itself"));
     let takeovers = run.shared.takeovers();
     let orders = &takeovers.orders;
-    info!("tasks started again count={}", orders.repeats.len());
-    for repeat in orders.repeats.iter().take(VIOLATIONS_MAX) {
+    info!("tasks started again count={}", orders.restarts.len());
+    for repeat in orders.restarts.iter().take(VIOLATIONS_MAX) {
         info!("task started again task=\"{repeat}\"");
     }
-    let stale = orders.broken.iter().chain(&orders.duties.broken);
+    let stale = orders
+        .violations
+        .iter()
+        .chain(&orders.cloud_calls.violations);
     checked
         .chain(crashed)
         .chain(stale.take(VIOLATIONS_MAX).cloned())
