--- a/scale/src/hollow/store/watches.rs
+++ b/scale/src/hollow/store/watches.rs
@@ -1,4 +1,4 @@
-//! Watches of the store: requests that wait for the next change below a prefix.
+//! Watches of the store: long-poll requests that wait for the next change of a key with a prefix.
 
 use super::bodies::{EventBody, EventsBody};
 use crate::hollow::request::{Query, Response};
@@ -7,14 +7,15 @@
 use salttrestle_fakes::store::{Change, Store};
 use std::rc::Rc;
 
-/// Longest wait of a watch, in milliseconds.
-const WAIT_MAX_MS: u64 = 60_000;
+/// Maximum wait of a watch, in milliseconds. Longer waits are shortened to this.
+const WATCH_WAIT_MAX_MS: u64 = 60_000;
 
-/// What a watch asks for.
+/// Parameters of a watch.
 pub(super) struct WatchRequest<'a> {
     pub(super) prefix: &'a str,
-    /// Only changes after this revision.
-    pub(super) after: u64,
+    /// The watch returns changes after this revision.
+    pub(super) after_revision: u64,
+    /// How long the watch waits for a change; 0 for an immediate answer.
     pub(super) wait_ms: u64,
 }
 
@@ -22,46 +23,51 @@
     pub(super) fn parse(query: Query<'a>) -> Self {
         Self {
             prefix: query.text("prefix").unwrap_or(""),
-            after: query.number("after").unwrap_or(0),
-            wait_ms: query.number("blockMs").unwrap_or(0).min(WAIT_MAX_MS),
+            after_revision: query.number("after").unwrap_or(0),
+            wait_ms: query.number("blockMs").unwrap_or(0).min(WATCH_WAIT_MAX_MS),
         }
     }
 }
 
-/// A watch that waits for a change.
+/// A registered watch that waits for a change.
 pub(super) struct PendingWatch {
     pub(super) connection: usize,
     pub(super) prefix: String,
-    pub(super) after: u64,
+    pub(super) after_revision: u64,
     pub(super) deadline_ms: u64,
 }
 
-/// The response with the changes after a revision, if there are any.
-pub(super) fn events(store: &Store<Rc<Value>>, prefix: &str, after: u64) -> Option<Response> {
-    let Some(changes) = store.changes_after(after) else {
+/// Returns the response to a watch: the changes after a revision, or status 410 if these are no
+/// longer kept. Returns `None` if there is no change.
+pub(super) fn changes_response(
+    store: &Store<Rc<Value>>,
+    prefix: &str,
+    after_revision: u64,
+) -> Option<Response> {
+    let Some(changes) = store.changes_after(after_revision) else {
         return Some(Response::error(410, "too old"));
     };
-    let watched = changes
+    let matching = changes
         .iter()
         .filter(|change| change.path.starts_with(prefix));
-    let events: Vec<EventBody> = watched.map(event).collect();
+    let events: Vec<EventBody> = matching.map(to_event_body).collect();
     if events.is_empty() {
         return None;
     }
-    Some(encode(store, events))
+    Some(encode_events(store, events))
 }
 
-/// The response to a watch whose time is over.
-pub(super) fn no_events(store: &Store<Rc<Value>>) -> Response {
-    encode(store, Vec::new())
+/// Returns the response to a watch that has timed out: no changes.
+pub(super) fn empty_response(store: &Store<Rc<Value>>) -> Response {
+    encode_events(store, Vec::new())
 }
 
-fn encode(store: &Store<Rc<Value>>, events: Vec<EventBody>) -> Response {
+fn encode_events(store: &Store<Rc<Value>>, events: Vec<EventBody>) -> Response {
     let revision = store.revision;
     Response::ok(wire::encode(&EventsBody { revision, events }))
 }
 
-fn event(change: &Change<Rc<Value>>) -> EventBody<'_> {
+fn to_event_body(change: &Change<Rc<Value>>) -> EventBody<'_> {
     let revision = change.revision;
     match &change.value {
         Some(value) => EventBody::Put {
--- a/scale/src/hollow/users/mod.rs
+++ b/scale/src/hollow/users/mod.rs
@@ -1,11 +1,12 @@
-//! The users of one cell: they submit jobs, poll them, cancel some, and retry as the protocol says.
+//! The users of one cell. They submit jobs, poll their status, cancel some of them, and retry
+//! failed requests after the protocol's delays.
 
 mod arrivals;
 mod balancer;
 mod submission;
 
 use super::connections::Connections;
-use super::jobs::{Jobs, SERVICE};
+use super::jobs::{Jobs, SERVICE_CLASS};
 use super::plan::CellPlan;
 use super::shared::SharedState;
 use super::timers::Timers;
@@ -18,11 +19,13 @@
 use salttrestle::ids::JobId;
 use salttrestle::wire;
 use salttrestle_fakes::checker::JobAnswer;
-use salttrestle_fakes::user::{POLL_MS, POLL_WAIT_MS, WAIT_MS, read_answer, retry_ms};
+use salttrestle_fakes::user::{
+    POLL_INTERVAL_MS, POLL_TIMEOUT_MS, REQUEST_TIMEOUT_MS, parse_answer, retry_delay_ms,
+};
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// What a user requests of a job.
+/// Operations of a user on a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Operation {
     Submit,
@@ -31,22 +34,22 @@
 }
 
 impl Operation {
-    /// How long its response is awaited, in milliseconds.
+    /// Timeout of the request, in milliseconds.
     fn timeout_ms(self) -> u64 {
         match self {
-            Self::Poll => POLL_WAIT_MS,
-            Self::Submit | Self::Cancel => WAIT_MS,
+            Self::Poll => POLL_TIMEOUT_MS,
+            Self::Submit | Self::Cancel => REQUEST_TIMEOUT_MS,
         }
     }
 }
 
-/// A user's request.
+/// A request of a user.
 struct Request {
     job: JobId,
     operation: Operation,
 }
 
-/// A request whose response is awaited.
+/// A request that was sent and hasn't been answered yet.
 struct InFlight {
     request: Request,
     controller: usize,
@@ -57,23 +60,23 @@
 pub(super) struct Users {
     plan: Arc<CellPlan>,
     shared: Arc<SharedState>,
-    /// The jobs that they have submitted.
+    /// The submitted jobs.
     pub(super) jobs: Jobs,
     arrivals: Arrivals,
     balancer: Balancer,
-    /// Requests that are due at a time, by a sequence number.
-    requests: Timers<u64, Request>,
-    last_request: u64,
-    /// Requests in flight, by connection.
+    /// Requests by their time of sending; a sequence number keeps those of the same time in order.
+    scheduled_requests: Timers<u64, Request>,
+    last_request_number: u64,
+    /// Requests in flight, by the key of their connection.
     in_flight: HashMap<usize, InFlight>,
-    /// Batch and urgent jobs whose end their users don't know.
+    /// Number of batch and urgent jobs whose users haven't been told of their end.
     pub(super) open_jobs: usize,
-    /// Requests without a valid response.
-    pub(super) failures: u64,
+    /// Number of requests without a valid response, each of which is retried.
+    pub(super) failed_requests: u64,
 }
 
 impl Users {
-    /// Users who wait for the load to begin.
+    /// Builds users that submit nothing until `start_load` is called.
     pub(super) fn new(plan: Arc<CellPlan>, shared: Arc<SharedState>) -> Self {
         Self {
             balancer: Balancer::new(&plan.addresses.controllers),
@@ -81,37 +84,38 @@
             shared,
             jobs: Jobs::default(),
             arrivals: Arrivals::new(),
-            requests: Timers::new(),
-            last_request: 0,
+            scheduled_requests: Timers::new(),
+            last_request_number: 0,
             in_flight: HashMap::new(),
             open_jobs: 0,
-            failures: 0,
+            failed_requests: 0,
         }
     }
 
-    /// The load begins.
+    /// Starts the load.
     pub(super) fn start_load(&mut self, now: u64) {
-        self.arrivals.begin(now, &self.plan);
+        self.arrivals.start(now, &self.plan);
     }
 
-    /// Changes the rate of batch jobs, as a multiple of the initial one.
+    /// Sets the rate of batch jobs, as a multiple of the initial rate.
     pub(super) fn set_load_factor(&mut self, now: u64, factor: f64) {
         self.arrivals.set_batch_factor(now, factor);
     }
 
-    /// Number of controllers whose latest health probe succeeded.
-    pub(super) fn healthy_controllers(&self) -> usize {
-        self.balancer.healthy()
+    /// Returns the number of controllers whose latest health probe succeeded.
+    pub(super) fn healthy_controller_count(&self) -> usize {
+        self.balancer.healthy_count()
     }
 
-    /// Sends all requests and probes that are due.
+    /// Submits the jobs that are due, probes the controllers, retries requests that have timed out,
+    /// and sends all scheduled requests that are due.
     pub(super) fn tick(&mut self, now: u64, connections: &mut Connections, rng: &mut StdRng) {
-        while let Some(due) = self.arrivals.next_due(now) {
+        while let Some(due) = self.arrivals.pop_due(now) {
             self.submit(now, &due);
         }
-        self.balancer.probe(now, connections);
-        self.time_out(now, connections);
-        while let Some((_, request)) = self.requests.pop_due(now) {
+        self.balancer.send_due_probes(now, connections);
+        self.expire_requests(now, connections);
+        while let Some((_, request)) = self.scheduled_requests.pop_due(now) {
             self.send(now, request, connections, rng);
         }
     }
@@ -120,12 +124,12 @@
         let load = &self.plan.load;
         let id = format!("{}{}-{}", self.plan.name, due.class, due.number);
         let team = team_name(due.number as usize % load.teams);
-        let job = submission::job(&id, due.class, &team, load);
+        let job = submission::build_job(&id, due.class, &team, load);
         let id = JobId::from(id.as_str());
-        if let Ok((_, record)) = wire::submission(&job.body) {
-            self.shared.checker().submitted(now, &id, record);
+        if let Ok((_, record)) = wire::parse_submission(&job.submission) {
+            self.shared.checker().record_submission(now, &id, record);
         }
-        if due.class != SERVICE {
+        if due.class != SERVICE_CLASS {
             self.open_jobs += 1;
         }
         self.jobs.insert(id.clone(), job);
@@ -133,9 +137,10 @@
     }
 
     fn schedule(&mut self, at_ms: u64, job: JobId, operation: Operation) {
-        self.last_request += 1;
+        self.last_request_number += 1;
         let request = Request { job, operation };
-        self.requests.insert(at_ms, self.last_request, request);
+        self.scheduled_requests
+            .insert(at_ms, self.last_request_number, request);
     }
 
     fn send(
@@ -145,14 +150,14 @@
         connections: &mut Connections,
         rng: &mut StdRng,
     ) {
-        let Some(controller) = self.balancer.pick(rng) else {
-            return self.complete(now, request, None, rng);
+        let Some(controller) = self.balancer.pick_healthy(rng) else {
+            return self.complete_request(now, request, None, rng);
         };
-        let Ok(key) = self.balancer.connection(controller, connections) else {
-            return self.complete(now, request, None, rng);
+        let Ok(key) = self.balancer.take_connection(controller, connections) else {
+            return self.complete_request(now, request, None, rng);
         };
         let host = self.balancer.address(controller).to_string();
-        let bytes = self.encode(now, &request, &host);
+        let bytes = self.encode_request(now, &request, &host);
         connections.send(key, &bytes);
         let deadline_ms = now + request.operation.timeout_ms();
         let in_flight = InFlight {
@@ -163,8 +168,9 @@
         self.in_flight.insert(key, in_flight);
     }
 
-    /// The request as it is sent. A cancellation counts from now on.
-    fn encode(&self, now: u64, request: &Request, host: &str) -> Vec<u8> {
+    /// Encodes a request. The checker counts a cancellation as requested from the time at which it
+    /// is sent.
+    fn encode_request(&self, now: u64, request: &Request, host: &str) -> Vec<u8> {
         let id = &request.job;
         match request.operation {
             Operation::Submit => {
@@ -173,41 +179,42 @@
             }
             Operation::Poll => http::request("GET", &format!("/work/{id}"), host, None),
             Operation::Cancel => {
-                self.shared.checker().cancel_asked(now, id);
+                self.shared.checker().record_cancel_request(now, id);
                 http::request("POST", &format!("/work/{id}/withdraw"), host, Some(&[]))
             }
         }
     }
 
-    /// Abandons the requests whose deadline has passed, and schedules their retries.
-    fn time_out(&mut self, now: u64, connections: &mut Connections) {
+    /// Closes the connections of requests that have timed out, and schedules the retries.
+    fn expire_requests(&mut self, now: u64, connections: &mut Connections) {
         let in_flight = self.in_flight.iter();
-        let expired: Vec<usize> = in_flight
+        let expired_keys: Vec<usize> = in_flight
             .filter(|(_, in_flight)| now >= in_flight.deadline_ms)
             .map(|(key, _)| *key)
             .collect();
-        for key in expired {
+        for key in expired_keys {
             connections.close(key);
             if let Some(InFlight { request, .. }) = self.in_flight.remove(&key) {
-                self.failures += 1;
-                self.schedule(now + retry_ms(None), request.job, request.operation);
+                self.failed_requests += 1;
+                self.schedule(now + retry_delay_ms(None), request.job, request.operation);
             }
         }
     }
 
-    /// A health probe was answered, or its connection is closed (`None`).
-    pub(super) fn probed(
+    /// Handles the status of a health probe's response, or the close of its connection (`None`).
+    pub(super) fn handle_probe_result(
         &mut self,
         controller: usize,
         key: usize,
         status: Option<u16>,
         connections: &mut Connections,
     ) {
-        self.balancer.probed(controller, key, status, connections);
+        self.balancer
+            .handle_probe_result(controller, key, status, connections);
     }
 
-    /// A response was received.
-    pub(super) fn responded(
+    /// Handles a controller's response to a user.
+    pub(super) fn handle_response(
         &mut self,
         now: u64,
         key: usize,
@@ -220,20 +227,21 @@
         };
         let controller = in_flight.controller;
         self.balancer
-            .release(controller, key, !response.close, connections);
-        self.complete(now, in_flight.request, Some(response), rng);
+            .release_connection(controller, key, !response.closes_connection, connections);
+        self.complete_request(now, in_flight.request, Some(response), rng);
     }
 
-    /// A connection is closed, and with it the response that was awaited.
-    pub(super) fn closed(&mut self, now: u64, key: usize, rng: &mut StdRng) {
-        self.balancer.closed(key);
+    /// Handles the close of a user's connection: a request in flight on it has failed.
+    pub(super) fn handle_close(&mut self, now: u64, key: usize, rng: &mut StdRng) {
+        self.balancer.remove_connection(key);
         if let Some(in_flight) = self.in_flight.remove(&key) {
-            self.complete(now, in_flight.request, None, rng);
+            self.complete_request(now, in_flight.request, None, rng);
         }
     }
 
-    /// A request has ended, with or without a response.
-    fn complete(
+    /// Completes a request: passes a valid response to the checker and schedules the next request
+    /// for the job, or schedules a retry.
+    fn complete_request(
         &mut self,
         now: u64,
         request: Request,
@@ -241,46 +249,48 @@
         rng: &mut StdRng,
     ) {
         let observation =
-            response.and_then(|message| read_answer(message.status()?, &message.body));
+            response.and_then(|message| parse_answer(message.status()?, &message.body));
         let Some(observation) = observation else {
-            self.failures += 1;
+            self.failed_requests += 1;
             let retry_after_s = response.and_then(|message| message.retry_after);
-            let retry_at = now + retry_ms(retry_after_s);
+            let retry_at = now + retry_delay_ms(retry_after_s);
             return self.schedule(retry_at, request.job, request.operation);
         };
-        self.shared.checker().said(now, &request.job, observation);
+        self.shared
+            .checker()
+            .record_answer(now, &request.job, observation);
         match observation {
             JobAnswer::Done | JobAnswer::Cancelled | JobAnswer::Refused => {
-                self.job_ended(&request.job);
+                self.record_job_end(&request.job);
             }
             JobAnswer::Queued | JobAnswer::Running | JobAnswer::Unknown => {
-                self.follow_up(now, request, rng);
+                self.schedule_next_request(now, request, rng);
             }
         }
     }
 
-    fn job_ended(&mut self, job: &JobId) {
-        // A cancellation and a poll may both report the end.
-        let is_new = self.shared.record_ended(job);
+    fn record_job_end(&mut self, job: &JobId) {
+        // A poll and a cancellation of the same job may both report its end.
+        let is_new = self.shared.record_job_end(job);
         if is_new && self.jobs.is_finite(job) {
             self.open_jobs -= 1;
         }
     }
 
     /// Schedules the next request for a job that hasn't ended.
-    fn follow_up(&mut self, now: u64, request: Request, rng: &mut StdRng) {
+    fn schedule_next_request(&mut self, now: u64, request: Request, rng: &mut StdRng) {
         let Request { job, operation } = request;
         match operation {
             Operation::Submit => {
-                self.schedule(now + POLL_MS, job.clone(), Operation::Poll);
+                self.schedule(now + POLL_INTERVAL_MS, job.clone(), Operation::Poll);
                 let load = &self.plan.load;
                 if self.jobs.is_finite(&job) && rng.random_bool(load.cancelled) {
                     let wait_ms = rng.random_range(0.0..load.run_s * 1000.0) as u64;
                     self.schedule(now + wait_ms, job, Operation::Cancel);
                 }
             }
-            Operation::Poll => self.schedule(now + POLL_MS, job, Operation::Poll),
-            Operation::Cancel => self.schedule(now + retry_ms(None), job, Operation::Cancel),
+            Operation::Poll => self.schedule(now + POLL_INTERVAL_MS, job, Operation::Poll),
+            Operation::Cancel => self.schedule(now + retry_delay_ms(None), job, Operation::Cancel),
         }
     }
 }
--- a/scale/src/link_proxy.rs
+++ b/scale/src/link_proxy.rs
@@ -1,5 +1,5 @@
-//! A proxy for the links between cells, which can partition them: in one direction or both, with
-//! messages dropped, or delayed until the partition ends.
+//! A TCP proxy for the links between cells, which simulates network partitions. A partition affects
+//! one direction of a link, and either drops its messages or delays them until the partition ends.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind, Read, Write};
@@ -9,69 +9,76 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// How often an idle link checks whether it is partitioned or the run has ended.
+/// Interval at which an idle link checks for a partition and for the end of the run.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// How long a connection to a controller may take.
+/// Timeout of connecting to a controller.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-const READ_BYTES: usize = 16 * 1024;
+/// Size of the read buffer of each connection.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// What a partition does with messages.
+/// Effect of a partition on messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PartitionKind {
-    /// Connections are closed, and no new ones are accepted.
+    /// Connections are closed, and new ones are closed as soon as they are accepted.
     Drop,
     /// Messages are delayed until the partition ends.
     Delay,
 }
 
-/// From one cell to another, by their indices.
+/// Direction of a link between two cells, by the indices of the cells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Direction {
-    /// The sending cell.
+    /// Index of the sending cell.
     pub from: usize,
-    /// The receiving cell.
+    /// Index of the receiving cell.
     pub to: usize,
 }
 
 struct Partition {
     kind: PartitionKind,
-    until: Instant,
+    ends_at: Instant,
 }
 
 #[derive(Default)]
-struct State {
+struct ProxyState {
     partitions: Mutex<BTreeMap<Direction, Partition>>,
-    stopped: AtomicBool,
+    is_stopped: AtomicBool,
 }
 
-impl State {
+impl ProxyState {
     fn partitions(&self) -> MutexGuard<'_, BTreeMap<Direction, Partition>> {
-        // A panicking thread leaves the map usable.
+        // The map is usable even after a panic of a thread that held the lock.
         self.partitions
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn partition(&self, direction: Direction) -> Option<PartitionKind> {
+    /// Returns the kind of the current partition in a direction; `None` if there is none.
+    fn active_partition(&self, direction: Direction) -> Option<PartitionKind> {
         let partitions = self.partitions();
         let partition = partitions.get(&direction)?;
-        (Instant::now() < partition.until).then_some(partition.kind)
+        (Instant::now() < partition.ends_at).then_some(partition.kind)
     }
 
-    fn stopped(&self) -> bool {
-        self.stopped.load(Ordering::Relaxed)
+    fn is_stopped(&self) -> bool {
+        self.is_stopped.load(Ordering::Relaxed)
     }
 }
 
-/// All links between cells. Its threads end with this value.
+/// Proxy for all links between cells. Dropping it ends its threads.
 #[derive(Default)]
 pub struct LinkProxy {
-    state: Arc<State>,
+    state: Arc<ProxyState>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl LinkProxy {
-    /// Forwards connections to `listen` to `target`, as a link in this direction.
+    /// Forwards connections that arrive at `listen` to `target`. Partitions of `direction` apply to
+    /// them.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the proxy can't listen or the thread can't be started.
     pub fn forward(
         &mut self,
         direction: Direction,
@@ -81,43 +88,45 @@
         let listener = TcpListener::bind(listen)?;
         listener.set_nonblocking(true)?;
         let state = self.state.clone();
-        let accept = move || accept_all(&state, direction, &listener, target);
+        let accept = move || accept_connections(&state, direction, &listener, target);
         self.threads
             .push(std::thread::Builder::new().spawn(accept)?);
         Ok(())
     }
 
-    /// Partitions the link in one direction for a while.
+    /// Partitions a link in one direction for `duration`. Replaces an earlier partition of the same
+    /// direction.
     pub fn partition(&self, direction: Direction, kind: PartitionKind, duration: Duration) {
-        let until = Instant::now() + duration;
-        let partition = Partition { kind, until };
+        let ends_at = Instant::now() + duration;
+        let partition = Partition { kind, ends_at };
         self.state.partitions().insert(direction, partition);
     }
 }
 
 impl Drop for LinkProxy {
     fn drop(&mut self) {
-        self.state.stopped.store(true, Ordering::Relaxed);
+        self.state.is_stopped.store(true, Ordering::Relaxed);
         for thread in self.threads.drain(..) {
             let _ = thread.join();
         }
     }
 }
 
-fn accept_all(
-    state: &Arc<State>,
+/// Accepts connections and forwards each in a thread of its own, until the proxy is dropped.
+fn accept_connections(
+    state: &Arc<ProxyState>,
     direction: Direction,
     listener: &TcpListener,
     target: SocketAddrV4,
 ) {
     let mut links: Vec<JoinHandle<()>> = Vec::new();
-    while !state.stopped() {
+    while !state.is_stopped() {
         match listener.accept() {
-            // Connections that are accepted during a partition are dropped at once.
-            Ok((stream, _)) if state.partition(direction) != Some(PartitionKind::Drop) => {
+            // Connections that arrive during a `Drop` partition are closed at once.
+            Ok((stream, _)) if state.active_partition(direction) != Some(PartitionKind::Drop) => {
                 let state = state.clone();
                 let forward = move || {
-                    // A failed connection is closed; the controllers reconnect.
+                    // A failed connection is closed, and the controllers reconnect.
                     let _ = forward_bytes(&state, direction, stream, target);
                 };
                 links.extend(std::thread::Builder::new().spawn(forward));
@@ -132,9 +141,10 @@
     }
 }
 
-/// Forwards one connection's bytes until it ends, is partitioned, or the run has ended.
+/// Forwards the bytes of one connection until it ends, a `Drop` partition begins, or the proxy is
+/// dropped. Only bytes from the side that has connected are forwarded.
 fn forward_bytes(
-    state: &State,
+    state: &ProxyState,
     direction: Direction,
     mut from: TcpStream,
     target: SocketAddrV4,
@@ -143,9 +153,9 @@
     from.set_nonblocking(false)?;
     from.set_read_timeout(Some(CHECK_INTERVAL))?;
     to.set_nodelay(true)?;
-    let mut buffer = vec![0; READ_BYTES];
-    while !state.stopped() {
-        match state.partition(direction) {
+    let mut buffer = vec![0; READ_BUFFER_BYTES];
+    while !state.is_stopped() {
+        match state.active_partition(direction) {
             Some(PartitionKind::Drop) => return Ok(()),
             Some(PartitionKind::Delay) => {
                 std::thread::sleep(CHECK_INTERVAL);
--- a/scale/src/observers/takeovers.rs
+++ b/scale/src/observers/takeovers.rs
@@ -1,39 +1,40 @@
-//! Takeovers: what each end of a leader costs, as seen by the store, the workers and the users.
+//! Measures takeovers: the latency from the end of a leader to each step of its replacement, as
+//! seen by the store and the workers.
 
 use crate::experiment::LeaderEnd;
 use crate::results::{LatencyRow, Row, TakeoverRow};
 use salttrestle::controller::store::records::{LeaderRecord, PlacementRecord, ShardRecord};
 use salttrestle::ids::{Attempt, JobId, TaskId};
-use salttrestle_fakes::orders::Orders;
+use salttrestle_fakes::commands::CommandChecker;
 
-/// A task start that has reached a worker.
+/// A command to start a task that has reached a worker.
 pub struct WorkerStart<'a> {
-    /// The worker's machine.
+    /// Id of the worker's machine.
     pub machine: &'a str,
-    /// The newest fencing token that the worker knows.
+    /// Highest fencing token that the worker has received.
     pub newest_token: u64,
-    /// The task.
+    /// Id of the task.
     pub task: &'a TaskId,
-    /// The attempt of the task, with the token under which it was started.
+    /// Attempt of the task, which holds the fencing token of the command.
     pub attempt: Attempt,
-    /// The task belongs to an urgent job.
-    pub urgent: bool,
+    /// Whether the task belongs to an urgent job.
+    pub is_urgent: bool,
 }
 
-/// Observes takeovers, and checks all commands for their fencing tokens.
+/// Measures takeovers, and checks the fencing tokens of all commands.
 #[derive(Default)]
 pub struct TakeoverObserver {
-    /// The ends of leaders so far.
+    /// One row for each end of a leader so far.
     pub rows: Vec<TakeoverRow>,
-    /// Checks all commands to workers and the cloud.
-    pub orders: Orders,
-    /// The fencing token of the first shard's owner.
+    /// Checker of all commands to workers and the cloud.
+    pub command_checker: CommandChecker,
+    /// Latest fencing token in the first shard's record.
     shard_token: u64,
 }
 
 impl TakeoverObserver {
-    /// The leader was just ended.
-    pub fn leader_ended(&mut self, now: u64, kind: LeaderEnd) {
+    /// Records that the leader was just ended.
+    pub fn record_leader_end(&mut self, now: u64, kind: LeaderEnd) {
         self.rows.push(TakeoverRow {
             kind,
             at_ms: now,
@@ -45,8 +46,8 @@
         });
     }
 
-    /// Records the first time that an event took place under a newer token than that of the latest
-    /// leader that ended.
+    /// Records the latency of an event with a fencing token, unless it is recorded already. Events
+    /// with a token that isn't higher than the one at the latest end of a leader don't count.
     fn record_first(
         &mut self,
         now: u64,
@@ -61,53 +62,56 @@
         }
     }
 
-    /// The leader's record was written, or is gone.
-    pub fn leader_written(&mut self, leader: Option<&LeaderRecord>) {
+    /// Records a write of the leader's record, or its removal (`None`).
+    pub fn record_leader_write(&mut self, leader: Option<&LeaderRecord>) {
         let leader = leader.map(|leader| (leader.token.0, leader.controller_id.as_str()));
-        self.orders.duties.leader_is(leader);
+        self.command_checker.cloud_calls.record_leader(leader);
     }
 
-    /// The first shard's record was written.
-    pub fn shard_written(&mut self, now: u64, shard: &ShardRecord) {
+    /// Records a write of the first shard's record.
+    pub fn record_shard_write(&mut self, now: u64, shard: &ShardRecord) {
         self.shard_token = shard.token.0;
-        self.orders.held(shard.token.0);
+        self.command_checker.record_owner_token(shard.token.0);
         self.record_first(now, shard.token.0, |row| &mut row.elected_ms);
     }
 
-    /// A placement record of a job was written.
-    pub fn placement_written(&mut self, job: &JobId, placement: &PlacementRecord) {
-        self.orders.committed(job, placement);
+    /// Records a write of one of a job's placement records.
+    pub fn record_placement_write(&mut self, job: &JobId, placement: &PlacementRecord) {
+        self.command_checker.record_placements(job, placement);
     }
 
-    /// The cloud was changed by a controller.
-    pub fn cloud_changed(&mut self, now: u64, controller_id: &str) {
-        self.orders.duties.cloud_changed(now, controller_id);
+    /// Records that a controller has created or deleted machines at the cloud.
+    pub fn record_cloud_change(&mut self, now: u64, controller_id: &str) {
+        self.command_checker
+            .cloud_calls
+            .record_cloud_change(now, controller_id);
     }
 
-    /// A worker has learned a newer token from a response.
-    pub fn token_acknowledged(&mut self, now: u64, token: u64) {
+    /// Records that a worker has received a higher fencing token in a response.
+    pub fn record_token_acknowledgement(&mut self, now: u64, token: u64) {
         self.record_first(now, token, |row| &mut row.token_acknowledged_ms);
     }
 
-    /// A start has reached a worker.
-    pub fn started(&mut self, now: u64, start: &WorkerStart) {
+    /// Records a command to start a task that has reached a worker.
+    pub fn record_start(&mut self, now: u64, start: &WorkerStart) {
         let WorkerStart {
             machine,
             newest_token,
             task,
             attempt,
-            urgent,
+            is_urgent,
         } = *start;
-        self.orders
-            .started(now, machine, newest_token, task, attempt);
+        self.command_checker
+            .record_start(now, machine, newest_token, task, attempt);
         let token = attempt.token().0;
         self.record_first(now, token, |row| &mut row.started_ms);
-        if urgent {
+        if is_urgent {
             self.record_first(now, token, |row| &mut row.urgent_ms);
         }
     }
 
-    /// The rows of the results: each takeover, and the latencies of its steps by kind.
+    /// Returns the rows of the results: one for each takeover, and the latencies of each step by
+    /// the kind of the leader's end.
     pub fn result_rows(&self) -> Vec<Row> {
         let mut kinds: Vec<LeaderEnd> = self.rows.iter().map(|row| row.kind).collect();
         kinds.sort();
@@ -116,17 +120,18 @@
         for kind in kinds {
             let of_kind: Vec<&TakeoverRow> =
                 self.rows.iter().filter(|row| row.kind == kind).collect();
-            rows.extend(STEPS.map(|(step, latency)| {
-                let what = format!("{kind:?}: {step}").to_lowercase();
+            rows.extend(TAKEOVER_STEPS.map(|(step, latency)| {
+                let name = format!("{kind:?}: {step}").to_lowercase();
                 let latencies = of_kind.iter().filter_map(|row| latency(row));
-                Row::Latency(LatencyRow::new(&what, latencies))
+                Row::Latency(LatencyRow::new(&name, latencies))
             }));
         }
         rows
     }
 
-    /// Number of takeovers that took longer than this until the first start, or had none.
-    pub fn late(&self, within_s: f64) -> usize {
+    /// Returns the number of takeovers whose first task start came later than `within_s` seconds
+    /// after the leader's end, or never.
+    pub fn count_late(&self, within_s: f64) -> usize {
         let in_time = |row: &&TakeoverRow| {
             let started = row.started_ms;
             started.is_some_and(|ms| ms as f64 <= within_s * 1000.0)
@@ -137,8 +142,8 @@
 
 type StepLatency = fn(&TakeoverRow) -> Option<u64>;
 
-/// The steps of a takeover, by their names in the results.
-const STEPS: [(&str, StepLatency); 4] = [
+/// Steps of a takeover, with their names in the results.
+const TAKEOVER_STEPS: [(&str, StepLatency); 4] = [
     ("elected", |row| row.elected_ms),
     ("number shown", |row| row.token_acknowledged_ms),
     ("first start", |row| row.started_ms),
